--- a/Makefile
+++ b/Makefile
@@ -20,7 +20,7 @@
 	.venv/bin/ruff check . && .venv/bin/ruff format --check . && .venv/bin/mypy && .venv/bin/lint-imports
 
 test: lint
-	.venv/bin/pytest -q
+	.venv/bin/pytest -q -n 8
 
 run: build
 	trap '' HUP; exec .venv/bin/python -m firvane
