--- a/benchmarks/rooms.py
+++ b/benchmarks/capacity.py
@@ -1,6 +1,6 @@
 """What is believed of boxes beside what is true, in the virtual rehearsal: refusals, capacity, states.
 
-    python -m benchmarks.rooms [SCENARIO ...] [--seed N] [--json FILE]
+    python -m benchmarks.capacity [SCENARIO ...] [--seed N] [--json FILE]
 
 At every refusal and each second the proxies' beliefs are read and set beside the model's boxes:
 
@@ -26,18 +26,18 @@
 from pathlib import Path
 from typing import Any
 
-from firvane.choice import Balancer
-from firvane.emulation.box import Box
-from firvane.emulation.network import Links
-from firvane.emulation.records import Answered, Arrived, Asked, Record
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.scenarios import load_named
-from firvane.rehearsal.result import Witness
-from firvane.rehearsal.run import WALL, VirtualRun, few_collections
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.zones import Zones
-from firvane.rooms.evidence import RARE, slowness
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.capacity.backend_estimates import RARE, slowness
+from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.network import Links
+from firvane.simulation.emulation.records import Answered, Arrived, Asked, Record
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.scenarios import load_named
+from firvane.simulation.runner.result import Witness
+from firvane.simulation.runner.run import WALL, VirtualRun, few_collections
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.zones import Zones
 
 USUAL = (
     "rolling-deploy",
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -11,8 +11,8 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from firvane.dissemination.items import Item
-from tests.cluster.world import World
+from firvane.fleet.dissemination.items import Item
+from tests.fleet.cluster.world import World
 
 SIZES = (10, 70, 380)
 CONTROLLERS = 5
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -25,8 +25,8 @@
 import uvloop
 from envoy.service.discovery.v3 import discovery_pb2
 
-from firvane.rehearsal.receiver import ENDPOINTS, Receiver
-from firvane.rehearsal.receiver_link import Link
+from firvane.simulation.runner.receiver import ENDPOINTS, Receiver
+from firvane.simulation.runner.receiver_link import Link
 
 EACH = 125  # receivers in a process
 ZONES = ("ikeja", "lekki", "yaba")
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -25,7 +25,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[0] = str(ROOT)  # in place of this folder
 
-from firvane import native  # noqa: E402
+from firvane.proxy import native  # noqa: E402
 
 PROXIES, KEYS = 3, 500
 TOOK = 0.05  # s that a box takes to answer, in the mean
@@ -49,8 +49,8 @@
 
 def measure(boxes: int, seconds: float, seed: int) -> dict[str, Any]:
     """Decide for so many CPU seconds; requests a second of it, and a digest of the first actions."""
-    from firvane import interface as api
-    from firvane.choice import Balancer
+    from firvane.core import interface as api
+    from firvane.proxy.balancer import Balancer
 
     rng = random.Random(seed)
     now, spent, numbers, requests = 1000.0, 0.0, 0, 0
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,11 +13,11 @@
 from itertools import islice, takewhile
 from math import inf
 
-from firvane.emulation.box import Box, Done
-from firvane.emulation.crowd import Crowd, Try
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.scenarios import load_named
-from firvane.emulation.timeline import Timeline
+from firvane.simulation.emulation.backend import Box, Done
+from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.scenarios import load_named
+from firvane.simulation.emulation.timeline import Timeline
 
 
 def fleet(scenario: Scenario) -> list[Box]:
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -12,10 +12,10 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from firvane import interface as api
-from firvane.placement.balancer import PromptBalancer
-from firvane.placement.events import InstancesChanged, PeersChanged, ServiceInfo
-from tests.placement.helpers import SERVICE, instances, letter, request, settings
+from firvane.core import interface as api
+from firvane.fleet.placement.balancer import PromptBalancer
+from firvane.fleet.placement.events import InstancesChanged, PeersChanged, ServiceInfo
+from tests.fleet.placement.helpers import SERVICE, instances, letter, request, settings
 
 REQUESTS = 3000
 LONG_EVERY = 15  # requests from one long prompt to the next
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -20,10 +20,10 @@
 
 from benchmarks.policy_members import ROUND_S, Drawn, Figures, Members
 from benchmarks.situations import played
-from firvane.emulation.epochs import Epochs
-from firvane.emulation.records import Answered, Asked, Decided, Proposed, Record, Said
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.emulation.verdict import Findings, Grade, Rule
+from firvane.simulation.emulation.epochs import Epochs
+from firvane.simulation.emulation.records import Answered, Asked, Decided, Proposed, Record, Said
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.emulation.verdict import Findings, Grade, Rule
 
 LARGE = 40  # proxies from which on the fleet is larger, too
 SECONDS = 40.0
--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -23,15 +23,15 @@
 
 from msgspec import Struct
 
-from firvane.emulation.epochs import Epochs
-from firvane.emulation.records import InUse, Proposed, ProxyState, Said, Shaded
-from firvane.emulation.verdict import Findings, Grade
-from firvane.limits.rates import Rates
-from firvane.net.peers import BURST, RATE
-from firvane.policy_text import digest_of
-from firvane.quorum import events
-from firvane.quorum.member import Member
-from firvane.quorum.types import MOST_VOTERS, NO_BALLOT, Kept, Outcome, Times, Value
+from firvane.proxy.limits.token_buckets import Rates
+from firvane.proxy.net.peer_datagrams import BURST, RATE
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum import events
+from firvane.proxy.quorum.member import Member
+from firvane.proxy.quorum.types import MOST_VOTERS, NO_BALLOT, Kept, Outcome, Times, Value
+from firvane.simulation.emulation.epochs import Epochs
+from firvane.simulation.emulation.records import InUse, Proposed, ProxyState, Said, Shaded
+from firvane.simulation.emulation.verdict import Findings, Grade
 
 DELAY_S = (0.0017, 0.039)
 LOSS, TWICE, LATE, LATE_S = 0.02, 0.005, 0.001, 30.0
--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -27,21 +27,21 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.config.model import Control as Words
-from firvane.control import wire
-from firvane.control.core import Core
-from firvane.control.stream import Stream
-from firvane.emulation.box import Box, Done, End
-from firvane.emulation.chance import mix, named
-from firvane.emulation.crowd import Crowd, Try
-from firvane.emulation.network import Links, seats
-from firvane.emulation.registry import Change, Registry
-from firvane.emulation.scenario import Boxes, Load, Network, Proxies, Retries
-from firvane.endings import Ending
-from firvane.engine import Engine, Exchange, Flow
-from firvane.rehearsal.receiver import Receiver, Way
+from firvane.core import interface as api
+from firvane.core.engine import Engine, Exchange, Flow
+from firvane.core.terminations import Ending
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.config.model import Control as Words
+from firvane.proxy.control import stream_codec
+from firvane.proxy.control.core import Core
+from firvane.proxy.control.stream import Stream
+from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.network import Links, seats
+from firvane.simulation.emulation.registry import Change, Registry
+from firvane.simulation.emulation.scenario import Boxes, Load, Network, Proxies, Retries
+from firvane.simulation.emulation.seeded_random import mix, named
+from firvane.simulation.runner.receiver import Receiver, Way
 
 CLASS, SERVICE = "profile-view", "lagos-web"
 EACH, NEAR = 6, 0.002  # receivers in a zone; s one way between a receiver and the service
@@ -487,7 +487,7 @@
         )  # fmt: skip
         for place, engine in zip(self.places, self.core.engines, strict=True):
             place.engine, place.service = engine, self
-        self.writer = wire.Writer(SERVICE)
+        self.writer = stream_codec.Writer(SERVICE)
         self.followers: list[Told] = []
         self.drained: dict[str, float] = {}
 
@@ -519,12 +519,12 @@
         form: Any = discovery_pb2.DeltaDiscoveryRequest
         if not follower.stream.delta:
             form = discovery_pb2.DiscoveryRequest
-        wire.read(follower.stream, form.FromString(data))
+        stream_codec.read(follower.stream, form.FromString(data))
         self.write(follower)
 
     def report(self, follower: Told, data: bytes) -> None:
         request = lrs_pb2.LoadStatsRequest.FromString(data)
-        self.core.reported(follower.name, *wire.read_reports(request, SERVICE, self.core.names, dict))
+        self.core.reported(follower.name, *stream_codec.read_reports(request, SERVICE, self.core.names, dict))
 
 
 class Follower:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -15,11 +15,11 @@
     sys.path[0] = str(Path(__file__).resolve().parent.parent)  # in place of this folder
 
 from benchmarks.situations import played
-from firvane.emulation.records import Record, Sent
-from firvane.emulation.reference import Reference
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.emulation.worth import Worth
-from firvane.rehearsal.result import Result
+from firvane.simulation.emulation.records import Record, Sent
+from firvane.simulation.emulation.reference import Reference
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.emulation.value import Worth
+from firvane.simulation.runner.result import Result
 
 OFF_S, PROXIES_S, BOXES_S = 15.0, 1.0, 3.0  # when power goes; after which proxies and boxes are back
 WARM_S = 25.0  # from the loss until all boxes are warm by the clock
--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -22,10 +22,10 @@
 from msgspec.structs import replace
 
 from benchmarks.situations import SITUATIONS, Sight, played
-from firvane.emulation.draw import draw
-from firvane.emulation.scenario import Scenario, Trouble
-from firvane.emulation.scenarios import load_named
-from firvane.rehearsal.result import Result, replay_command
+from firvane.simulation.emulation.random_scenarios import draw
+from firvane.simulation.emulation.scenario import Scenario, Trouble
+from firvane.simulation.emulation.scenarios import load_named
+from firvane.simulation.runner.result import Result, replay_command
 
 LIVE = ("quiet-sunday", "silent-zone", "proxies-killed")
 WITHIN = 0.02  # of service, live against virtual
@@ -187,7 +187,7 @@
 
 
 def play_clock(scenario: Scenario, seed: int, clock: str) -> dict[str, Any]:
-    from firvane.rehearsal.run import rehearse
+    from firvane.simulation.runner.run import rehearse
 
     begun = time.process_time()
     result = rehearse(scenario, seed, "live" if clock == "live" else "virtual")
@@ -316,7 +316,7 @@
     The whole takes ten minutes of CPU or more; a part of it tells where a change goes.
     """
     from firvane.cli.progress import Shown
-    from firvane.rehearsal.run import rehearse
+    from firvane.simulation.runner.run import rehearse
 
     scenario = load_named("large")
     count = proxies or scenario.proxies.count
--- a/benchmarks/rig/greeds.py
+++ b/benchmarks/rig/abusive_clients.py
@@ -1,6 +1,7 @@
 """Greedy clients, each in a process of its own and each by its name.
 
-    python -m benchmarks.rig.greeds '{"greed": "pipe5", "port": 8080, "begin": 2, "end": 7, "seed": 1}'
+    python -m benchmarks.rig.abusive_clients \
+        '{"greed": "pipe5", "port": 8080, "begin": 2, "end": 7, "seed": 1}'
 
 `begin` and `end` count from the instant that it is told to begin at. What is greedy about a target, discovery
 or a peer is asked for here as well: `Greed.orders` are for discovery, and `peer` is a peer's own port.
--- a/benchmarks/rig/boxes.py
+++ b/benchmarks/rig/backends.py
@@ -4,7 +4,7 @@
 all else that the usual clients feel is the proxy's doing: `size=BYTES`, `wait=MS`, `do=drip` (a byte at a
 time), `do=interim` (1xx answers without end), `do=trailers` (trailers without end).
 
-    python -m benchmarks.rig.boxes '{"boxes": 8, "size": 2000, "wait_ms": 5, "seed": 1}'
+    python -m benchmarks.rig.backends '{"boxes": 8, "size": 2000, "wait_ms": 5, "seed": 1}'
 
 An order `{"do": "count"}` is answered with the connections that stand, the requests that are open, and those
 that have come.
--- a/benchmarks/rig/command.py
+++ b/benchmarks/rig/command.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.rig import calm, curve, memory, scene, soak, table
-from benchmarks.rig.greeds import GREEDS
+from benchmarks.rig.abusive_clients import GREEDS
 from benchmarks.rig.procs import ROOT, Cores
 from benchmarks.rig.proxy import Limits, checkout
 
--- a/benchmarks/rig/curve.py
+++ b/benchmarks/rig/curve.py
@@ -115,7 +115,7 @@
 ) -> tuple[Proxy, Child]:
     """The same, with discovery to give orders to."""
     boxes = await Child.start(
-        "boxes",
+        "backends",
         {"boxes": setting.boxes, "size": setting.size, "wait_ms": setting.wait_ms, "seed": setting.seed},
         cores.rest,
     )
--- a/benchmarks/rig/memory.py
+++ b/benchmarks/rig/memory.py
@@ -1,9 +1,9 @@
 """What each thing that the proxy holds costs in memory: RSS before and after, over their number.
 
-The figures stand in `firvane/limits/costs.py`, rounded up. A run grows one kind of thing on a proxy of its
-own, from none over 100, 500 and 1,000 to 2,000, after a warm-up in which every path runs. Nothing is given
-back meanwhile. What the start has left free is used first, so the last step tells best what one more costs.
-What the kernel holds for sockets is not in it.
+The figures stand in `firvane/proxy/limits/memory_costs.py`, rounded up. A run grows one kind of thing on a
+proxy of its own, from none over 100, 500 and 1,000 to 2,000, after a warm-up in which every path runs.
+Nothing is given back meanwhile. What the start has left free is used first, so the last step tells best what
+one more costs. What the kernel holds for sockets is not in it.
 """
 
 from __future__ import annotations
@@ -194,7 +194,7 @@
     async with AsyncExitStack() as stack:
         run, number = KINDS[kind]
         boxes = await Child.start(
-            "boxes", {"boxes": number, "size": 200, "wait_ms": 1, "seed": 1}, cores.rest
+            "backends", {"boxes": number, "size": 200, "wait_ms": 1, "seed": 1}, cores.rest
         )
         stack.push_async_callback(boxes.stop)
         discovery = await Child.start("discovery", {"ports": boxes.ready["ports"]}, cores.rest)
--- a/benchmarks/rig/scene.py
+++ b/benchmarks/rig/scene.py
@@ -11,7 +11,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from benchmarks.rig.greeds import ALL, GREEDS
+from benchmarks.rig.abusive_clients import ALL, GREEDS
 from benchmarks.rig.procs import Child, Cores, Usage, forget_peak
 from benchmarks.rig.proxy import Limits, Proxy, name_of
 from benchmarks.rig.watch import Watch
@@ -65,7 +65,7 @@
     names = ALL if greed == "all" else () if greed == "none" else (greed,)
     async with AsyncExitStack() as stack:
         boxes = await Child.start(
-            "boxes",
+            "backends",
             {"boxes": scene.boxes, "size": scene.size, "wait_ms": scene.wait_ms, "seed": scene.seed},
             cores.rest,
         )
@@ -80,7 +80,7 @@
         # They go on past the end: the proxy is to end while they do.
         spec |= {"begin": turn, "end": end + FRONT + 1.0}
         starts = [
-            Child.start("greeds", {**spec, "greed": name, "seed": scene.seed + i}, cores.rest)
+            Child.start("abusive_clients", {**spec, "greed": name, "seed": scene.seed + i}, cores.rest)
             for i, name in enumerate(names)
         ]
         greedy = await asyncio.gather(*starts)
--- a/benchmarks/rig/soak.py
+++ b/benchmarks/rig/soak.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 from typing import Any
 
+from benchmarks.rig.abusive_clients import ALL, GREEDS
 from benchmarks.rig.curve import Setting, stand_up_with
-from benchmarks.rig.greeds import ALL, GREEDS
 from benchmarks.rig.procs import Child, Cores, Usage
 from benchmarks.rig.proxy import Limits, Proxy, name_of
 from benchmarks.rig.scene import latencies, owed
@@ -75,7 +75,7 @@
                 first = (SLICE - GREEDY) / 2
                 theirs = {"greed": greed, "port": proxy.port, "peer_listen": proxy.peer_listen}
                 theirs |= {"peer": proxy.peer, "begin": first, "end": first + GREEDY, "seed": seed}
-                children.append(await Child.start("greeds", theirs, cores.rest))
+                children.append(await Child.start("abusive_clients", theirs, cores.rest))
             begin = time.monotonic() + LEAD
             for child in children:
                 child.begin(begin)
--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -16,10 +16,10 @@
 if __name__ == "__main__":
     sys.path[0] = str(Path(__file__).resolve().parent.parent)  # in place of this folder
 
-from firvane.emulation.records import Record, Rolled
-from firvane.emulation.scenario import Boxes, Load, Proxies, Roll, Scenario, Trouble
-from firvane.rehearsal.run import play_virtual
-from firvane.rehearsal.versions import HARMFUL, HARMLESS
+from firvane.simulation.emulation.records import Record, Rolled
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Roll, Scenario, Trouble
+from firvane.simulation.runner.run import play_virtual
+from firvane.simulation.runner.versions import HARMFUL, HARMLESS
 
 RATE = 20.0  # requests a second of each proxy
 A_BOX = 40.0  # and of each box: about three quarters of what it can do
--- a/benchmarks/rollout_compare.py
+++ b/benchmarks/rollout_compare.py
@@ -24,10 +24,10 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[0] = str(ROOT)  # in place of this folder
 
-from firvane.emulation.compare import interval  # noqa: E402
-from firvane.rollout.compare import Comparison  # noqa: E402
-from firvane.rollout.plan import Limits  # noqa: E402
-from firvane.rollout.words import Block, Counts, Side, Verdict  # noqa: E402
+from firvane.proxy.rollout.compare import Comparison  # noqa: E402
+from firvane.proxy.rollout.messages import Block, Counts, Side, Verdict  # noqa: E402
+from firvane.proxy.rollout.plan import Limits  # noqa: E402
+from firvane.simulation.emulation.compare import interval  # noqa: E402
 
 BLOCK, BLOCKS = 2.0, 300  # s, and how many: ten minutes
 EACH = 236  # requests of a proxy in a block
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -2,9 +2,10 @@
 
     python -m benchmarks.routing [--json FILE] [--plot FILE] [--only PART] [--quick]
 
-No sockets: the balancer is handed its events, and beside it the structures of `firvane/routing` alone do the
-routing of a request (`routing_model.py`). Times are CPU time of this process, the best of several: others can
-only add to it. A decision is a keyed request and its answer. With `--only` the rest of FILE is kept.
+No sockets: the balancer is handed its events, and beside it the structures of `firvane/proxy/routing` alone
+do the routing of a request (`routing_model.py`). Times are CPU time of this process, the best of several:
+others can only add to it. A decision is a keyed request and its answer. With `--only` the rest of FILE
+is kept.
 """
 
 from __future__ import annotations
@@ -26,15 +27,15 @@
 from zlib import crc32
 
 from benchmarks.routing_model import CAP, Model, hash_of, power
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.routing.heard import Heard
-from firvane.routing.index import Index
-from firvane.routing.ring import POINTS, Ring
-from firvane.routing.rows import Head, pack_new, pack_old, unpack
-from firvane.routing.subset import Deal, Dealer, reach
-from firvane.routing.wheel import Wheel
-from firvane.state import Backend, mix
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.routing.hash_ring import POINTS, Ring
+from firvane.proxy.routing.index import Index
+from firvane.proxy.routing.peer_load import Heard
+from firvane.proxy.routing.row_codec import Head, pack_new, pack_old, unpack
+from firvane.proxy.routing.subset import Deal, Dealer, reach
+from firvane.proxy.routing.timer_wheel import Wheel
 
 ZONES, LIMIT, NOW, OUT = 3, 128, 1000.0, 16  # OUT: attempts out at a time
 FLEETS, TIERS = (10, 32, 128, 512, 2048, 10_000), (1, 50, 500)
@@ -389,7 +390,7 @@
     options = parser.parse_args()
     kept = options.json and options.json.exists() and options.only
     found: dict[str, Any] = json.loads(options.json.read_text()) if kept else {}
-    compiled = not (sys.modules["firvane.routing.ring"].__file__ or "").endswith(".py")
+    compiled = not (sys.modules["firvane.proxy.routing.hash_ring"].__file__ or "").endswith(".py")
     found |= {"python": sys.version.split()[0], "compiled": compiled}
     for name, lines in PARTS.items():
         if options.only in (None, name):
--- a/benchmarks/routing_model.py
+++ b/benchmarks/routing_model.py
@@ -11,10 +11,10 @@
 from collections.abc import Collection
 from math import inf
 
-from firvane.routing.index import Index
-from firvane.routing.ring import Ring
-from firvane.routing.walk import walk
-from firvane.state import Backend, mix
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.routing.bounded_load import walk
+from firvane.proxy.routing.hash_ring import Ring
+from firvane.proxy.routing.index import Index
 
 CAP = 1.3  # a server may hold this multiple of its slice's mean load, and one request more
 FADE, SLOW = 3.0, 1.5  # s that halve what was seen of slowness; up to which it costs no power
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -11,11 +11,11 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
-from firvane import interface as api
-from firvane.placement import outliers
-from firvane.placement.peers import ROWS_HEARD
-from firvane.routing.window import WINDOW
-from tests.placement.helpers import SERVICE, Harness, only
+from firvane.core import interface as api
+from firvane.core.balancing.window import WINDOW
+from firvane.fleet.placement import outliers
+from firvane.fleet.placement.peers import ROWS_HEARD
+from tests.fleet.placement.helpers import SERVICE, Harness, only
 
 SIZES = ((6, 6), (70, 36), (200, 31), (380, 575))  # routers, servers of a service
 STREAMS = 8  # of all routers at one server
--- a/benchmarks/situations.py
+++ b/benchmarks/situations.py
@@ -13,11 +13,20 @@
 from itertools import pairwise
 from typing import Any, NamedTuple
 
-from firvane.emulation.judge import LEFT_PART
-from firvane.emulation.network import seats
-from firvane.emulation.records import Arrived, Asked, BoxState, Finished, ProxyState, Record, Rolled, Told
-from firvane.emulation.scenario import Scenario, Trouble
-from firvane.rehearsal.result import Result
+from firvane.simulation.emulation.judge import LEFT_PART
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import (
+    Arrived,
+    Asked,
+    BoxState,
+    Finished,
+    ProxyState,
+    Record,
+    Rolled,
+    Told,
+)
+from firvane.simulation.emulation.scenario import Scenario, Trouble
+from firvane.simulation.runner.result import Result
 
 NOTICED_S = 3.0  # s in which the proxies learn of a trouble
 MARGIN = 0.05  # of service that a trouble of others may cost those whom it does not concern
@@ -456,8 +465,8 @@
 
 def played(scenario: Scenario, seed: int, *sinks: Any) -> Result:
     """One run in virtual time, seen by others (objects with a `see`, or functions) as well."""
-    from firvane.rehearsal.result import Witness
-    from firvane.rehearsal.run import play_virtual
+    from firvane.simulation.runner.result import Witness
+    from firvane.simulation.runner.run import play_virtual
 
     witness = Witness(scenario, seed, "virtual")
     see = [witness.see, *(getattr(sink, "see", sink) for sink in sinks)]
--- a/benchmarks/small_world.py
+++ b/benchmarks/small_world.py
@@ -15,8 +15,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from firvane import interface as api
-from firvane.choice import Balancer
+from firvane.core import interface as api
+from firvane.proxy.balancer import Balancer
 
 NAMES = "abcdef"
 CORES, PLACES = 4, 20  # of a box, and how many it takes in all
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -15,15 +15,15 @@
 if __name__ == "__main__":
     sys.path[0] = str(Path(__file__).resolve().parent.parent)  # in place of this folder
 
-from firvane import interface as api
-from firvane.logs import QUIET
-from firvane.net.targets import ListReader, TargetGroup
-from firvane.recovery.recovery import Recovery
-from firvane.rooms.evidence import Evidence
-from firvane.snapshots import format
-from firvane.snapshots.file import Keeper, read
-from firvane.snapshots.types import made
-from firvane.state import Backend
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
+from firvane.core.logs import QUIET
+from firvane.proxy.capacity.backend_estimates import Evidence
+from firvane.proxy.net.target_group import ListReader, TargetGroup
+from firvane.proxy.recovery.recovery import Recovery
+from firvane.proxy.snapshots import format
+from firvane.proxy.snapshots.file import Keeper, read
+from firvane.proxy.snapshots.types import made
 
 RULES = api.Rules(0.02, 1.0, 0.13, 22.0, 2.5, 3.0)
 SETTINGS = api.Settings(
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from firvane.emulation.box import Box
-from firvane.emulation.crowd import Crowd, Try
-from firvane.emulation.scenario import Boxes, Scenario
-from firvane.rehearsal.boxes import Connection as ToBox
-from firvane.rehearsal.boxes import Host
-from firvane.rehearsal.clients import Clients
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.connections import Connection as ToProxy
-from firvane.rehearsal.steps import seals
-from firvane.rehearsal.wire import quick_answer, quick_ask
+from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.scenario import Boxes, Scenario
+from firvane.simulation.runner.backends import Connection as ToBox
+from firvane.simulation.runner.backends import Host
+from firvane.simulation.runner.clients import Clients
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.connections import Connection as ToProxy
+from firvane.simulation.runner.steps import seals
+from firvane.simulation.runner.wire import quick_answer, quick_ask
 
 REQUESTS, REPEATS = 20_000, 3
 PROXY = "proxy-0"
--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane import process_signals
+from firvane.core import process_signals
 
 if __name__ == "__main__":
     process_signals.block()  # before all that takes time: a signal may come from here on
@@ -19,17 +19,17 @@
 
 import uvloop
 
-from firvane import native
+from firvane.proxy import native
 
 if __name__ == "__main__":
     native.activate()  # before anything that is compiled is imported
 
-from firvane.config.node import Config
-from firvane.config.platform import read_config
-from firvane.logs import Bridge, Log
-from firvane.optional_parts import Agreement, Keeper
-from firvane.proxy import Proxy
-from firvane.worker_threads import start_loop_threads
+from firvane.core.logs import Bridge, Log
+from firvane.core.worker_threads import start_loop_threads
+from firvane.proxy.config.node import Config
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.extensions import Agreement, Keeper
+from firvane.proxy.proxy import Proxy
 
 MakeKeeper = Callable[[Log], Keeper]
 MakeAgreement = Callable[[Proxy], Agreement]
@@ -97,9 +97,9 @@
         return 2
     keeper = None
     if config.snapshot:  # by name: the platform sets no such key, and its processes load no tool
-        kept = importlib.import_module("firvane.snapshots.file")
+        kept = importlib.import_module("firvane.proxy.snapshots.file")
         keeper = partial(kept.Keeper, config.snapshot, config.name)
-    agreement = importlib.import_module("firvane.quorum.driver").Policies if config.policy else None
+    agreement = importlib.import_module("firvane.proxy.quorum.driver").Policies if config.policy else None
     return serve(config, partial(read_config, os.environ, again=True), keeper, agreement)
 
 
--- a/firvane/admin/answers.py
+++ b/firvane/admin/answers.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from firvane.configuration.codes import code_of
-from firvane.configuration.orders import Problem, Result
+from firvane.fleet.configuration.codes import code_of
+from firvane.fleet.configuration.orders import Problem, Result
 
 
 class AnswerError(ValueError):
--- a/firvane/admin/calls.py
+++ b/firvane/admin/calls.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-from firvane.address import Address, parse_address
 from firvane.admin.answers import describe_failure
+from firvane.core.address import Address, parse_address
 
 MAX_REDIRECTS = 2
 DEFAULT_ROUNDS = 4
--- a/firvane/admin/commands.py
+++ b/firvane/admin/commands.py
@@ -18,8 +18,8 @@
     print_failure,
     print_result,
 )
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, OrderKind, Result
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, OrderKind, Result
 
 READ_PATH = "/v1/config/read"
 ORDER_PATHS = {OrderKind.REPLACE: "/v1/config/replace", OrderKind.MODIFY: "/v1/config/modify"}
@@ -32,8 +32,8 @@
     :param on: the configuration that the file builds on
     :param json: print one JSON object
     """
-    from firvane.configuration.checker import Checker
-    from firvane.configuration.state import ConfigurationState
+    from firvane.fleet.configuration.checker import Checker
+    from firvane.fleet.configuration.state import ConfigurationState
 
     state = ConfigurationState()
     if on is not None:
--- a/firvane/admin/fleet_commands.py
+++ b/firvane/admin/fleet_commands.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from firvane.address import Address, parse_address
 from firvane.admin.answers import AnswerError, describe_failure, read_answer
 from firvane.admin.calls import DEFAULT_ROUNDS, Answered, CallWalk, GivenUp
 from firvane.admin.client import Request, call
@@ -31,7 +30,8 @@
     print_failure,
     print_result,
 )
-from firvane.cluster.reports import HandOverAnswer, HandOverOrder, PartReport, PartsAnswer
+from firvane.core.address import Address, parse_address
+from firvane.fleet.cluster.reports import HandOverAnswer, HandOverOrder, PartReport, PartsAnswer
 
 MEMBERS_PATH = "/v1/fleet/members"
 PARTS_PATH = "/v1/fleet/parts"
--- a/firvane/admin/fleet_tables.py
+++ b/firvane/admin/fleet_tables.py
@@ -6,7 +6,7 @@
 
 from firvane.admin.fleet_views import Behind
 from firvane.admin.tables import cell, format_table, seconds
-from firvane.cluster.reports import MemberReport, MembersAnswer, PartReport, ReplicaReport
+from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, ReplicaReport
 
 MEMBER_TITLES = ("ADDRESS", "ROLE", "ZONE", "STATE", "FOR", "VERSION", "INCARNATION", "CONTROL")
 REPLICA_TITLES = ("  REPLICA", "KIND", "SYNCED", "LAG", "SILENT", "TROUBLES", "INCARNATION")
--- a/firvane/admin/fleet_views.py
+++ b/firvane/admin/fleet_views.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from firvane.admin.answers import AnswerError
-from firvane.cluster.reports import FleetAnswer, MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import FleetAnswer, MemberReport, MembersAnswer, PartReport, PartsAnswer
 
 AnswerType = TypeVar("AnswerType", bound=FleetAnswer)
 
--- a/firvane/admin/output.py
+++ b/firvane/admin/output.py
@@ -7,9 +7,9 @@
 from collections.abc import Sequence
 from typing import Any
 
-from firvane.address import Address, parse_address
 from firvane.admin.calls import Answered, GivenUp
-from firvane.configuration.orders import Result
+from firvane.core.address import Address, parse_address
+from firvane.fleet.configuration.orders import Result
 
 DONE = 0
 REFUSED = 1
--- a/firvane/cli/__init__.py
+++ b/firvane/cli/__init__.py
@@ -14,7 +14,7 @@
 import click
 
 from firvane import __version__
-from firvane.text import plain
+from firvane.core.printable import plain
 
 # What --help shows of each, so that it need load none of them.
 COMMANDS = {
@@ -110,7 +110,7 @@
         where = f"{error.filename}: " if error.filename else ""
         return _tell([f"firvane: {plain(f'{where}{error.strerror or error}')}"], 1)
     except ValueError as error:
-        from firvane.checked import Faults  # a command has loaded it where it raises any
+        from firvane.core.validation import Faults  # a command has loaded it where it raises any
 
         if isinstance(error, Faults):
             return _tell(list(error.lines()), 2)
--- a/firvane/cli/door.py
+++ b/firvane/cli/admin_connection.py
@@ -9,9 +9,9 @@
 
 import click
 
-from firvane.address import Address, parse_address
 from firvane.cli import Bad
-from firvane.text import plain
+from firvane.core.address import Address, parse_address
+from firvane.core.printable import plain
 
 WAIT_S = 5.0  # for an answer
 MOST = 1 << 20  # bytes of one
--- a/firvane/cli/boxes.py
+++ b/firvane/cli/boxes.py
@@ -9,9 +9,9 @@
 import click
 
 if TYPE_CHECKING:
-    from firvane.emulation.records import Record
-    from firvane.emulation.scenario import Scenario
-    from firvane.rehearsal.emulated_fleet import Fleet
+    from firvane.simulation.emulation.records import Record
+    from firvane.simulation.emulation.scenario import Scenario
+    from firvane.simulation.runner.emulated_fleet import Fleet
 
 
 class AddressType(click.ParamType[tuple[str, int]]):
@@ -22,7 +22,7 @@
     def convert(
         self, value: str, param: click.Parameter | None, ctx: click.Context | None
     ) -> tuple[str, int]:
-        from firvane.address import parse_address
+        from firvane.core.address import parse_address
 
         try:
             return parse_address(value)
@@ -57,7 +57,7 @@
       curl -H 'X-Call-Id: 1' -H 'X-Budget-Ms: 2000' 127.0.0.1:8080/profile-view/ada
     """
     from firvane.cli.files import scenario
-    from firvane.rehearsal.stand_ins import run_stand_ins
+    from firvane.simulation.runner.stand_ins import run_stand_ins
 
     found = scenario(name)
     if config:
@@ -86,7 +86,7 @@
         self.every = 1.0 if self.changes else 10.0
 
     def __call__(self, record: Record) -> None:
-        from firvane.emulation.records import Arrived, BoxState
+        from firvane.simulation.emulation.records import Arrived, BoxState
 
         if isinstance(record, Arrived):
             self.counts[record.verdict] += 1
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -20,13 +20,13 @@
       firvane check firvane.toml
       firvane check scenarios/*.toml
     """
-    from firvane import checked
+    from firvane.core import validation
 
     faults: list[str] = []
     for file in files:
         try:
             click.echo(f"{file}: {look(file)}")
-        except checked.Faults as found:
+        except validation.Faults as found:
             faults += found.lines()
     for line in faults:
         click.echo(line, err=True)
@@ -35,52 +35,52 @@
 
 def look(file: str) -> str:
     """What a file holds, in a few words; raises `checked.Faults`."""
-    from firvane import checked
     from firvane.cli.files import form_of
+    from firvane.core import validation
 
-    raw = checked.load(file)
+    raw = validation.load(file)
     form = form_of(raw)
     if form == "scenario":
-        from firvane.emulation.checks import CHECKS as SCENARIO_CHECKS
-        from firvane.emulation.scenario import Scenario
+        from firvane.simulation.emulation.checks import CHECKS as SCENARIO_CHECKS
+        from firvane.simulation.emulation.scenario import Scenario
 
-        scenario = checked.build(raw, Scenario, file, SCENARIO_CHECKS)
+        scenario = validation.build(raw, Scenario, file, SCENARIO_CHECKS)
         return f"scenario {scenario.name}, {scenario.seconds:g} s, {len(scenario.troubles)} troubles"
     if form == "platform":
-        from firvane.config.platform import read_config
+        from firvane.proxy.config.platform import read_config
 
         try:
             told = read_config({"NODE_CONFIG": file})
         except (ValueError, OSError) as error:
             why = str(error).removeprefix(file).lstrip(": ")
-            raise checked.Faults([checked.Fault(file, "", why)]) from None
+            raise validation.Faults([validation.Fault(file, "", why)]) from None
         return f"the platform's configuration of {told.name}, {len(told.settings.classes)} classes"
     if form == "policy":
         from pathlib import Path
 
-        from firvane.config.policy import parse
+        from firvane.proxy.config.policy import parse
 
         policy = parse(Path(file).read_bytes(), file)  # of its text there may be less than of other files
         said = (key for key in policy.__struct_fields__ if getattr(policy, key) is not None)
         return f"policy that says {', '.join(said)}"
     if form == "plan":
-        from firvane.rollout.plan import CHECKS as PLAN_CHECKS
-        from firvane.rollout.plan import Plan
+        from firvane.proxy.rollout.plan import CHECKS as PLAN_CHECKS
+        from firvane.proxy.rollout.plan import Plan
 
-        plan = checked.build(raw, Plan, file, PLAN_CHECKS)
+        plan = validation.build(raw, Plan, file, PLAN_CHECKS)
         stages = ", ".join(str(plan.goal(n)) for n in range(len(plan.stage)))
         change = f"{plan.roll.old} to {plan.roll.version}"
         return f"plan of a rolling change from {change}: {stages} of {len(plan.place)} places"
     if form == "place":
-        from firvane.rollout.site import CHECKS as SITE_CHECKS
-        from firvane.rollout.site import Site
+        from firvane.proxy.rollout.supervisor_config import CHECKS as SITE_CHECKS
+        from firvane.proxy.rollout.supervisor_config import Site
 
-        site = checked.build(raw, Site, file, SITE_CHECKS)
+        site = validation.build(raw, Site, file, SITE_CHECKS)
         return f"place {site.name}, versions {', '.join(sorted(site.versions))}"
-    from firvane.config.checks import CHECKS
-    from firvane.config.model import File
+    from firvane.proxy.config.checks import CHECKS
+    from firvane.proxy.config.model import File
 
-    config = checked.build(raw, File, file, CHECKS)
+    config = validation.build(raw, File, file, CHECKS)
     where = config.target_group.discovery
     targets = f"discovery at {where}" if where else f"{len(config.target_group.targets)} targets"
     return f"configuration of {config.name}, {len(config.classes)} classes, {targets}"
--- a/firvane/cli/config.py
+++ b/firvane/cli/config.py
@@ -28,9 +28,9 @@
 
     import msgspec
 
-    from firvane.config.model import File
-    from firvane.config.policy import Policy
-    from firvane.emulation.scenario import Scenario
+    from firvane.proxy.config.model import File
+    from firvane.proxy.config.policy import Policy
+    from firvane.simulation.emulation.scenario import Scenario
 
     made = msgspec.json.schema({"configuration": File, "scenario": Scenario, "policy": Policy}[kind])
     made = {"$schema": "https://json-schema.org/draft/2020-12/schema", **made}
--- a/firvane/cli/control.py
+++ b/firvane/cli/control.py
@@ -45,7 +45,7 @@
 @click.pass_context
 def run(ctx: click.Context, file: str) -> None:
     """Run the service in FILE, in the foreground."""
-    from firvane import native
+    from firvane.proxy import native
 
     native.activate()  # before anything that is compiled is imported
     try:
@@ -54,7 +54,7 @@
     except ImportError:
         raise Bad(LACKS) from None
 
-    from firvane.control.main import read, serve
+    from firvane.proxy.control.main import read, serve
 
     ctx.exit(serve(file, read(file)))
 
@@ -131,7 +131,7 @@
     import json
     from pathlib import Path
 
-    from firvane.control.ads import SHOW
+    from firvane.proxy.control.ads import SHOW
 
     options = [("grpc.ssl_target_name_override", tls["host"])] if tls.get("host") else []
     given = [name for name in ("authority", "key", "certificate") if tls.get(name)]
@@ -171,7 +171,7 @@
     An authority that is there already is used.
     """
     try:
-        from firvane.control.keys import make_authority, make_certificate
+        from firvane.proxy.control.certificates import make_authority, make_certificate
     except ImportError:
         raise Bad(LACKS) from None
     from pathlib import Path
--- a/firvane/cli/files.py
+++ b/firvane/cli/files.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 from typing import Any, Literal
 
-from firvane import checked
 from firvane.cli import Bad
-from firvane.emulation.scenario import Scenario
+from firvane.core import validation
+from firvane.simulation.emulation.scenario import Scenario
 
 Form = Literal["configuration", "scenario", "platform", "policy", "plan", "place"]
 
@@ -20,8 +20,8 @@
     held to be a configuration. A policy has keys of a configuration, and none of those that say which proxy
     it is.
     """
-    from firvane.config.model import File
-    from firvane.config.policy import Policy
+    from firvane.proxy.config.model import File
+    from firvane.proxy.config.policy import Policy
 
     if "settings" in raw:
         return "platform"
@@ -40,13 +40,13 @@
 
 def scenario(name: str) -> Scenario:
     """A scenario that comes along, by name, or a file; raises `checked.Faults` or `Bad`."""
-    from firvane.emulation.checks import CHECKS
-    from firvane.emulation.scenarios import load_named, scenario_names
+    from firvane.simulation.emulation.checks import CHECKS
+    from firvane.simulation.emulation.scenarios import load_named, scenario_names
 
     if name in scenario_names():
         return load_named(name)
     if Path(name).suffix or "/" in name or Path(name).exists():
-        return checked.read(name, Scenario, CHECKS)
+        return validation.read(name, Scenario, CHECKS)
     from difflib import get_close_matches
 
     near = get_close_matches(name, scenario_names(), 1)
@@ -56,6 +56,6 @@
 
 def names_for_completion(incomplete: str) -> list[str]:
     """The scenarios that begin like that; files are the shell's own affair."""
-    from firvane.emulation.scenarios import scenario_names
+    from firvane.simulation.emulation.scenarios import scenario_names
 
     return [name for name in scenario_names() if name.startswith(incomplete)]
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -12,13 +12,13 @@
 
 import click
 
-from firvane.address import Address
 from firvane.cli import Bad
-from firvane.text import plain
+from firvane.core.address import Address
+from firvane.core.printable import plain
 
 if TYPE_CHECKING:
-    from firvane.config.node import Config
-    from firvane.config.policy import Policy
+    from firvane.proxy.config.node import Config
+    from firvane.proxy.config.policy import Policy
 
 ENDS = {"in force": 0, "failed": 1}  # an outcome that stays, and the exit code
 LOOK_S = 0.1  # from one question for the outcome to the next
@@ -51,8 +51,8 @@
     has lost its folder is not founded again: it starts without it and learns from the others. Exit code 1
     where there are votes already.
     """
-    from firvane.config.policy import settings
-    from firvane.policy_text import digest_of
+    from firvane.proxy.config.policy import settings
+    from firvane.proxy.policy_text import digest_of
 
     read = _config(config)
     if read.policy is None:
@@ -74,7 +74,7 @@
     from importlib import import_module
 
     try:
-        store = import_module("firvane.quorum.store")
+        store = import_module("firvane.proxy.quorum.store")
     except ModuleNotFoundError:
         raise Bad("votes need more than a proxy does: pip install 'firvane[snapshots]'") from None
     store.found(folder, text, voters)
@@ -83,12 +83,12 @@
 def _config(file: str) -> Config:
     import os
 
-    from firvane import checked
     from firvane.cli.files import form_of
-    from firvane.config.file import read_file
-    from firvane.config.platform import read_config
+    from firvane.core import validation
+    from firvane.proxy.config.file import read_file
+    from firvane.proxy.config.platform import read_config
 
-    if form_of(checked.load(file)) != "platform":
+    if form_of(validation.load(file)) != "platform":
         return read_file(file)
     try:
         return read_config({**os.environ, "NODE_CONFIG": file})
@@ -112,12 +112,12 @@
     """
     import time
 
-    from firvane.cli import door
-    from firvane.config.node import misfits
-    from firvane.ops import calls
-    from firvane.policy_text import digest_of
+    from firvane.cli import admin_connection
+    from firvane.proxy.admin_api import calls
+    from firvane.proxy.config.node import misfits
+    from firvane.proxy.policy_text import digest_of
 
-    (address,) = door.addresses("policy propose", [at])
+    (address,) = admin_connection.addresses("policy propose", [at])
     text, said = _policy(file)
     digest = digest_of(text)
     if voters is None and said.voters:
@@ -163,11 +163,11 @@
     """The answer to a line that may be said twice; tried again up to a time, then `OSError`."""
     import time
 
-    from firvane.cli import door
+    from firvane.cli import admin_connection
 
     while True:
         try:
-            return door.call(address, line)
+            return admin_connection.call(address, line)
         except OSError:
             if time.monotonic() >= until:
                 raise
@@ -195,16 +195,16 @@
     """
     from pathlib import Path
 
-    from firvane.cli import door
-    from firvane.ops.calls import Call
-    from firvane.policy_text import digest_of
+    from firvane.cli import admin_connection
+    from firvane.proxy.admin_api.calls import Call
+    from firvane.proxy.policy_text import digest_of
 
-    (address,) = door.addresses("policy abort", [at])
+    (address,) = admin_connection.addresses("policy abort", [at])
     digest = change
     if Path(change).exists() or not re.fullmatch("[0-9a-f]{32}", change):
         digest = digest_of(_text(change)).hex()
     try:
-        answer = door.call(address, f"{Call.POLICY_ABORT.value} {digest}")
+        answer = admin_connection.call(address, f"{Call.POLICY_ABORT.value} {digest}")
     except OSError as error:
         why = f"{at} does not answer: {error.strerror or error}"
         _end(ctx, 3, f"{change}: unknown: {why}; ask again: firvane policy abort {digest} --at {at}")
@@ -221,9 +221,9 @@
 
     Exit code 1 where a proxy does not answer or has no [policy].
     """
-    from firvane.cli import door
+    from firvane.cli import admin_connection
 
-    ctx.exit(door.show("policy status", doors, "policy-status"))
+    ctx.exit(admin_connection.show("policy status", doors, "policy-status"))
 
 
 @command.command("history")
@@ -231,9 +231,9 @@
 @click.pass_context
 def history(ctx: click.Context, address: str) -> None:
     """The policies that have been in force, as the proxy at ADDRESS has learnt of them."""
-    from firvane.cli import door
+    from firvane.cli import admin_connection
 
-    ctx.exit(door.show("policy history", [address], "policy-history"))
+    ctx.exit(admin_connection.show("policy history", [address], "policy-history"))
 
 
 @command.command("diff")
@@ -250,8 +250,8 @@
     """The policy in a file, or in force at a door."""
     from pathlib import Path
 
-    from firvane.address import parse_address
-    from firvane.config.policy import parse
+    from firvane.core.address import parse_address
+    from firvane.proxy.config.policy import parse
 
     try:
         address = parse_address(given)
@@ -267,18 +267,20 @@
 
 def _in_force(address: Address) -> bytes:
     """The text in force at a door: the first digest that its status names; `OSError` where it gives none."""
-    from firvane.cli import door
-    from firvane.ops.calls import Call, got
-    from firvane.policy_text import digest_of
+    from firvane.cli import admin_connection
+    from firvane.proxy.admin_api.calls import Call, got
+    from firvane.proxy.policy_text import digest_of
 
-    answer = door.call(address, Call.POLICY_STATUS.value)
+    answer = admin_connection.call(address, Call.POLICY_STATUS.value)
     digest = re.search(r"\b[0-9a-f]{32}\b", answer)
     if answer.startswith("-") or digest is None:
         raise OSError(_why(answer) if answer.startswith("-") else "its status names no digest")
     text, length = b"", 1
     while len(text) < length:
         try:
-            length, piece = got(door.call(address, f"{Call.POLICY_GET.value} {digest[0]} {len(text)}"))
+            length, piece = got(
+                admin_connection.call(address, f"{Call.POLICY_GET.value} {digest[0]} {len(text)}")
+            )
         except ValueError as error:
             raise OSError(str(error)) from None
         text += piece
@@ -325,7 +327,7 @@
 
 
 def _shown(value: Any) -> str:
-    from firvane.checked import shown
+    from firvane.core.validation import shown
 
     if value is None:
         return OWN
@@ -338,14 +340,14 @@
 
 def _policy(file: str) -> tuple[bytes, Policy]:
     """The text in a file, and what it says; raises `Faults` or `Bad`."""
-    from firvane.config.policy import parse
+    from firvane.proxy.config.policy import parse
 
     text = _text(file)
     return text, parse(text, file)
 
 
 def _text(file: str) -> bytes:
-    from firvane.policy_text import MOST_TEXT
+    from firvane.proxy.policy_text import MOST_TEXT
 
     try:
         with open(file, "rb") as opened:
--- a/firvane/cli/progress.py
+++ b/firvane/cli/progress.py
@@ -7,8 +7,8 @@
 
 import click
 
-from firvane.rehearsal.result import Witness
-from firvane.rehearsal.summary import live_line
+from firvane.simulation.runner.result import Witness
+from firvane.simulation.runner.summary import live_line
 
 EVERY = 10.0  # s of the run between lines where there is no terminal
 
--- a/firvane/cli/recovery.py
+++ b/firvane/cli/recovery.py
@@ -23,6 +23,6 @@
 
     Exit code 1 where a proxy does not answer or has no recovery, 2 for what is no address.
     """
-    from firvane.cli import door
+    from firvane.cli import admin_connection
 
-    ctx.exit(door.show("recovery status", doors, "recovery"))
+    ctx.exit(admin_connection.show("recovery status", doors, "recovery"))
--- a/firvane/cli/rehearse.py
+++ b/firvane/cli/rehearse.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from click.shell_completion import CompletionItem
 
-    from firvane.emulation.scenario import Scenario
+    from firvane.simulation.emulation.scenario import Scenario
 
 
 def _complete(ctx: click.Context, param: click.Parameter, incomplete: str) -> list[CompletionItem]:
@@ -70,9 +70,9 @@
 
     from firvane.cli import Bad
     from firvane.cli.progress import Shown
-    from firvane.rehearsal.result import write
-    from firvane.rehearsal.run import rehearse
-    from firvane.rehearsal.summary import page
+    from firvane.simulation.runner.result import write
+    from firvane.simulation.runner.run import rehearse
+    from firvane.simulation.runner.summary import page
 
     shown = Shown()
     try:
@@ -92,7 +92,7 @@
     if json_file:
         write(json_file, result)
     if html_file:
-        from firvane.rehearsal.report import write_html
+        from firvane.simulation.runner.report import write_html
 
         write_html([result], html_file)
     ctx.exit(0 if result.well else 1)
@@ -106,7 +106,7 @@
         from firvane.cli.files import scenario
 
         return scenario(name), shlex.quote(name)
-    from firvane.emulation.draw import draw as drawn
+    from firvane.simulation.emulation.random_scenarios import draw as drawn
 
     assert draw is not None
     return drawn(draw), f"--draw {draw}"
--- a/firvane/cli/report.py
+++ b/firvane/cli/report.py
@@ -7,7 +7,7 @@
 import click
 
 if TYPE_CHECKING:
-    from firvane.rehearsal.result import Result
+    from firvane.simulation.runner.result import Result
 
 
 @click.command("report")
@@ -27,7 +27,7 @@
       firvane report now.json
       firvane report before.json after.json --html change.html
     """
-    from firvane.rehearsal.summary import page
+    from firvane.simulation.runner.summary import page
 
     results = [_read(file) for file in (first, second) if file]
     if len(results) == 1:
@@ -35,7 +35,7 @@
     else:
         _differences(first, results[0], str(second), results[1])
     if html:
-        from firvane.rehearsal.report import write_html
+        from firvane.simulation.runner.report import write_html
 
         write_html(results, html, [file for file in (first, second) if file])
     ctx.exit(0 if results[-1].well else 1)
@@ -43,7 +43,7 @@
 
 def _read(file: str) -> Result:
     from firvane.cli import Bad
-    from firvane.rehearsal.result import ResultError, read
+    from firvane.simulation.runner.result import ResultError, read
 
     try:
         return read(file)
@@ -56,7 +56,7 @@
 
 
 def _differences(first: str, a: Result, second: str, b: Result) -> None:
-    from firvane.emulation.compare import differences
+    from firvane.simulation.emulation.compare import differences
 
     paired = a.scenario.troubles == b.scenario.troubles and a.seed == b.seed
     for name, file, one in (("A", first, a), ("B", second, b)):
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -11,12 +11,12 @@
 import click
 
 from firvane.cli import Bad
-from firvane.text import plain
+from firvane.core.printable import plain
 
 if TYPE_CHECKING:
-    from firvane.rollout.chronicle import Chronicle
-    from firvane.rollout.plan import Plan
-    from firvane.rollout.words import Call, Kept, State
+    from firvane.proxy.rollout.event_log import Chronicle
+    from firvane.proxy.rollout.messages import Call, Kept, State
+    from firvane.proxy.rollout.plan import Plan
 
 PLAN = click.argument("plan", type=click.Path())
 COURSE = click.option("--course", type=click.Path(), help="the course's file; PLAN with .course otherwise")
@@ -49,8 +49,8 @@
     SIGTERM ends the place with its processes. Where the keeper alone is killed they serve on, and the keeper
     that is started next takes them over.
     """
-    from firvane import logs
-    from firvane.rollout import keeper
+    from firvane.core import logs
+    from firvane.proxy.rollout import supervisor as keeper
 
     return keeper.keep(file, logs.make())
 
@@ -68,9 +68,9 @@
 
     import uvloop
 
-    from firvane.checksum import Damaged
-    from firvane.rollout.chronicle import Ended, Taken
-    from firvane.rollout.controller import Controller
+    from firvane.core.checksum import Damaged
+    from firvane.proxy.rollout.controller import Controller
+    from firvane.proxy.rollout.event_log import Ended, Taken
 
     read, digest = _plan(plan)
     chronicle = _chronicle(plan, course)
@@ -114,8 +114,8 @@
 @click.pass_context
 def status(ctx: click.Context, plan: str, course: str | None) -> None:
     """Tell where the roll of PLAN is, who carries it out, and what each place says."""
-    from firvane.cli import door
-    from firvane.rollout import orders
+    from firvane.cli import admin_connection
+    from firvane.proxy.rollout import supervisor_calls
 
     read, digest = _plan(plan)
     chronicle = _chronicle(plan, course)
@@ -125,10 +125,12 @@
     holder = chronicle.holder()
     who = f"process {holder} carries it out" if holder else "nobody carries it out now"
     click.echo(plain(f"{plan}: {_sentence(kept)}; {who}"))
-    doors = door.addresses("rollout status", [one.door for one in read.place])
+    doors = admin_connection.addresses("rollout status", [one.door for one in read.place])
     for one, address in zip(read.place, doors, strict=True):
         try:
-            said = orders.heard(door.call(address, orders.line(orders.Order.STATUS)))
+            said = supervisor_calls.heard(
+                admin_connection.call(address, supervisor_calls.line(supervisor_calls.Order.STATUS))
+            )
             told = f"{said.get('state')}, version {said.get('version')}"
             if said.get("failed", "-") != "-":
                 told += f"; failed: {said['failed']}"
@@ -144,7 +146,7 @@
     @COURSE
     @click.pass_context
     def said(ctx: click.Context, plan: str, course: str | None) -> None:
-        from firvane.rollout.words import Call
+        from firvane.proxy.rollout.messages import Call
 
         _plan(plan)
         _tell(ctx, plan, _chronicle(plan, course), Call(word))
@@ -159,7 +161,7 @@
     """Leave a call for the roll, and wait until whoever carries it out has heard it."""
     import time
 
-    from firvane.rollout.words import ENDS
+    from firvane.proxy.rollout.messages import ENDS
 
     kept = _kept(ctx, plan, chronicle)
     if kept and kept.state in ENDS:
@@ -186,8 +188,8 @@
 @click.pass_context
 def report(ctx: click.Context, plan: str, course: str | None, html: str | None) -> None:
     """Tell what came to pass, with old and new side by side for each stage, and why it stopped."""
-    from firvane.atomic_write import write_atomically
     from firvane.cli import rollout_report
+    from firvane.core.atomic_write import write_atomically
 
     _plan(plan)
     chronicle = _chronicle(plan, course)
@@ -204,10 +206,10 @@
     """The plan in a file, and what its text goes by; raises `checked.Faults`."""
     from pathlib import Path
 
-    from firvane import checked
-    from firvane.rollout import plan
+    from firvane.core import validation
+    from firvane.proxy.rollout import plan
 
-    checked.load(file)  # tells a file that cannot be read, or is too long, as all others are told
+    validation.load(file)  # tells a file that cannot be read, or is too long, as all others are told
     text = Path(file).read_bytes()
     return plan.parse(text, file), plan.digest(text)
 
@@ -216,7 +218,7 @@
     from importlib import import_module
 
     try:
-        chronicle = import_module("firvane.rollout.chronicle")
+        chronicle = import_module("firvane.proxy.rollout.event_log")
     except ModuleNotFoundError:
         raise Bad("rolls need more than a proxy does: pip install 'firvane[snapshots]'") from None
     made: Chronicle = chronicle.Chronicle(course or f"{plan}.course")
@@ -224,7 +226,7 @@
 
 
 def _kept(ctx: click.Context, plan: str, chronicle: Chronicle) -> Kept | None:
-    from firvane.checksum import Damaged
+    from firvane.core.checksum import Damaged
 
     try:
         return chronicle.read()
--- a/firvane/cli/rollout_report.py
+++ b/firvane/cli/rollout_report.py
@@ -9,7 +9,7 @@
 from html import escape
 from typing import Any
 
-from firvane.rollout.words import edge
+from firvane.proxy.rollout.messages import edge
 
 SIDES = ("old", "new")
 COUNTED = ("taken", "in_time", "refused", "failed", "attempts", "cpu_s")
@@ -102,9 +102,9 @@
 
 def page(told: Told) -> str:
     """The report as HTML that stands alone."""
-    from firvane.rehearsal.style import style
-    from firvane.rehearsal.svg import Line, Plot, number, ticks
-    from firvane.rehearsal.tags import cells, figure, key, section
+    from firvane.simulation.runner.style import style
+    from firvane.simulation.runner.svg import Line, Plot, number, ticks
+    from firvane.simulation.runner.tags import cells, figure, key, section
 
     begin = min((at for at, _ in told.times), default=0.0)
     end = max((at for at, _ in told.times), default=1.0) - begin or 1.0
--- a/firvane/cli/scenarios.py
+++ b/firvane/cli/scenarios.py
@@ -18,7 +18,7 @@
     from importlib.resources import files
 
     from firvane.cli.files import scenario
-    from firvane.emulation import scenarios
+    from firvane.simulation.emulation import scenarios
 
     if name is not None:
         scenario(name)  # says what is wrong where there is none
--- a/firvane/cli/serve.py
+++ b/firvane/cli/serve.py
@@ -22,25 +22,26 @@
     """
     from functools import partial
 
-    from firvane import native, process_signals
+    from firvane.core import process_signals
+    from firvane.proxy import native
 
     process_signals.block()  # until the proxy listens for signals: one that comes in its start is not lost
     native.activate()  # before anything that is compiled is imported
 
     from firvane.__main__ import serve
-    from firvane.cli.room import make_room
-    from firvane.config.file import read_file
+    from firvane.cli.descriptor_limit import make_room
+    from firvane.proxy.config.file import read_file
 
     config = read_file(file)
     make_room(file, config.sockets)
     keeper = None
     if config.snapshot:
-        from firvane.snapshots.file import Keeper
+        from firvane.proxy.snapshots.file import Keeper
 
         keeper = partial(Keeper, config.snapshot, config.name)
     agreement = None
     if config.policy:
-        from firvane.quorum.driver import Policies
+        from firvane.proxy.quorum.driver import Policies
 
         agreement = Policies
     ctx.exit(serve(config, partial(read_file, file), keeper, agreement))
--- a/firvane/cli/snapshot.py
+++ b/firvane/cli/snapshot.py
@@ -7,7 +7,7 @@
 import click
 
 if TYPE_CHECKING:
-    from firvane.snapshots.types import Snapshot
+    from firvane.proxy.snapshots.types import Snapshot
 
 
 @click.group("snapshot", context_settings={"help_option_names": ["-h", "--help"]})
@@ -29,8 +29,8 @@
     import json
     import time
 
-    from firvane.snapshots.file import describe
-    from firvane.snapshots.types import TRUST, age
+    from firvane.proxy.snapshots.file import describe
+    from firvane.proxy.snapshots.types import TRUST, age
 
     snapshot = _read(file)
     told = describe(snapshot, age(snapshot, time.time()))
@@ -69,8 +69,8 @@
     from firvane.cli import Bad
 
     try:
-        from firvane.snapshots import file as files
-        from firvane.snapshots.format import Damaged
+        from firvane.proxy.snapshots import file as files
+        from firvane.proxy.snapshots.format import Damaged
     except ModuleNotFoundError:
         raise Bad("snapshots need more than a proxy does: pip install 'firvane[snapshots]'") from None
     try:
--- /dev/null
+++ b/firvane/core/__init__.py
@@ -0,0 +1,1 @@
+"""What the proxy and the router fleet share: engine, events, addresses, logs, durable files, signals."""
--- a/firvane/routing/pairs.py
+++ b/firvane/core/balancing/greedy_pairing.py
@@ -4,7 +4,7 @@
 
 from heapq import heappop, heapreplace
 
-from firvane.state import total
+from firvane.core.balancing.records import total
 
 
 def forecast(history: list[int]) -> float:
--- a/firvane/state.py
+++ b/firvane/core/balancing/records.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
 
-from firvane import interface as api
+from firvane.core import interface as api
 
 if TYPE_CHECKING:
     from mypy_extensions import i64  # the machine's own 64 bits, where this is compiled; at run time just int
--- a/firvane/routing/window.py
+++ b/firvane/core/balancing/window.py
@@ -9,8 +9,8 @@
 import math
 from collections.abc import Mapping
 
-from firvane.routing.pairs import pair
-from firvane.state import total
+from firvane.core.balancing.greedy_pairing import pair
+from firvane.core.balancing.records import total
 
 WINDOW = 0.25  # s between policies: well under the seconds over which demand moves
 GAIN, LEAK = 0.3, 0.85  # how fast shares follow the excess and forget it: rows are a window or two late
--- a/firvane/engine.py
+++ b/firvane/core/engine.py
@@ -26,10 +26,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any, Generic, Protocol, TypeVar
 
-from firvane import interface as api
-from firvane.endings import RESULTS, Ending
-from firvane.logs import LEVELS, QUIET, Log
-from firvane.tally import Counts, Tally
+from firvane.core import interface as api
+from firvane.core.logs import LEVELS, QUIET, Log
+from firvane.core.request_counters import Counts, Tally
+from firvane.core.terminations import RESULTS, Ending
 
 Q = TypeVar("Q")  # a request as the front holds it
 A = TypeVar("A")  # a target's answer as the front holds it
--- a/firvane/logs.py
+++ b/firvane/core/logs.py
@@ -23,7 +23,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from firvane.text import plain
+from firvane.core.printable import plain
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 FORMATS = ("logfmt", "json")
--- a/firvane/net/dial.py
+++ b/firvane/core/net/dialer.py
@@ -10,9 +10,9 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from firvane.endings import Ending
-from firvane.net.transport_pool import TransportPool
-from firvane.net.words import Quiet
+from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.transport_pool import TransportPool
+from firvane.core.terminations import Ending
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
 
--- a/firvane/net/http.py
+++ b/firvane/core/net/http.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from firvane.net.words import Stands, always
+from firvane.core.net.connection_checks import Stands, always
 
 Piece = bytes | bytearray
 Parser = httptools.HttpRequestParser | httptools.HttpResponseParser
--- a/firvane/net/upstream_run.py
+++ b/firvane/core/net/upstream_exchange.py
@@ -4,10 +4,10 @@
 
 from typing import Any, Generic, Protocol, TypeVar
 
-from firvane.endings import Ending
-from firvane.engine import Exchange
-from firvane.net.dial import Dialing
-from firvane.net.http import Message
+from firvane.core.engine import Exchange
+from firvane.core.net.dialer import Dialing
+from firvane.core.net.http import Message
+from firvane.core.terminations import Ending
 
 
 class RunConnection(Protocol):
--- a/firvane/endings.py
+++ b/firvane/core/terminations.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from firvane.interface import Result
+from firvane.core.interface import Result
 
 
 class Ending(Enum):
--- a/firvane/checked.py
+++ b/firvane/core/validation.py
@@ -21,7 +21,7 @@
 import msgspec
 from msgspec import inspect as mi
 
-from firvane.text import plain
+from firvane.core.printable import plain
 
 MOST = 512 * 1024  # bytes of a file: far beyond any that somebody writes
 DEEPEST = 32  # parts of a dotted key: the standard library's parser takes memory by their square
--- a/firvane/worker_threads.py
+++ b/firvane/core/worker_threads.py
@@ -6,7 +6,7 @@
 import socket
 from concurrent.futures import ThreadPoolExecutor
 
-from firvane import process_signals
+from firvane.core import process_signals
 
 
 def make_worker(name: str) -> ThreadPoolExecutor:
--- /dev/null
+++ b/firvane/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""The router fleet for language models: routers, controllers, and what they share."""
--- a/firvane/cluster/agent.py
+++ b/firvane/fleet/cluster/agent.py
@@ -7,13 +7,13 @@
 import random
 from collections.abc import Callable, Sequence
 
-from firvane.address import Address
-from firvane.cluster.core import ClusterCore, Effects, KnownMember, PayloadError
-from firvane.dissemination.items import Item
-from firvane.dissemination.machine import offer_everything
-from firvane.logs import Log
-from firvane.membership.members import Member, Role
-from firvane.transport.endpoint import Endpoint
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.cluster.core import ClusterCore, Effects, KnownMember, PayloadError
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.dissemination.machine import offer_everything
+from firvane.fleet.membership.members import Member, Role
+from firvane.fleet.transport.endpoint import Endpoint
 
 __all__ = ["Channel", "ClusterAgent", "Item", "KnownMember", "Member", "Role"]
 
--- a/firvane/cluster/applied.py
+++ b/firvane/fleet/cluster/applied.py
@@ -11,9 +11,9 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.cluster.envelope import EnvelopeError
-from firvane.membership.members import Member
+from firvane.core.address import Address
+from firvane.fleet.cluster.envelope import EnvelopeError
+from firvane.fleet.membership.members import Member
 
 FORMAT_VERSION = 1
 _REPORT = struct.Struct(">BQ")
--- a/firvane/cluster/core.py
+++ b/firvane/fleet/cluster/core.py
@@ -8,9 +8,9 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.cluster.applied import AppliedVersions
-from firvane.cluster.envelope import (
+from firvane.core.address import Address
+from firvane.fleet.cluster.applied import AppliedVersions
+from firvane.fleet.cluster.envelope import (
     ENVELOPE_OVERHEAD,
     SECTION_OVERHEAD,
     EnvelopeError,
@@ -19,15 +19,15 @@
     decode_envelope,
     encode_envelope,
 )
-from firvane.dissemination.codec import MessageError as DisseminationError
-from firvane.dissemination.items import Item
-from firvane.dissemination.machine import Dissemination, Output, offer_everything
-from firvane.dissemination.machine import Send as ItemSend
-from firvane.dissemination.peers import Peer, PeerSet
-from firvane.membership.codec import MessageError as MembershipError
-from firvane.membership.machine import Membership
-from firvane.membership.members import Member, MemberState, Role
-from firvane.membership.outbox import Send as MemberSend
+from firvane.fleet.dissemination.codec import MessageError as DisseminationError
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.dissemination.machine import Dissemination, Output, offer_everything
+from firvane.fleet.dissemination.machine import Send as ItemSend
+from firvane.fleet.dissemination.peers import Peer, PeerSet
+from firvane.fleet.membership.codec import MessageError as MembershipError
+from firvane.fleet.membership.machine import Membership
+from firvane.fleet.membership.members import Member, MemberState, Role
+from firvane.fleet.membership.outbox import Send as MemberSend
 
 MAX_PAYLOAD = 1200
 """Bytes up to which sections for one peer are put into one payload."""
--- a/firvane/cluster/reports.py
+++ b/firvane/fleet/cluster/reports.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from firvane.address import Address
-from firvane.cluster.core import KnownMember
-from firvane.configuration.codes import ResultCode
-from firvane.membership.members import Status
+from firvane.core.address import Address
+from firvane.fleet.cluster.core import KnownMember
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.membership.members import Status
 
 DECIMALS = 3  # of seconds
 
--- a/firvane/configuration/checker.py
+++ b/firvane/fleet/configuration/checker.py
@@ -5,13 +5,13 @@
 from collections.abc import Iterator
 from typing import Any
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, Document, alike, name_of
-from firvane.configuration.item import ItemError, read_entry
-from firvane.configuration.orders import MAX_PROBLEMS, Order, Problem, Result, invalid
-from firvane.configuration.schema import ItemSchemas
-from firvane.configuration.state import ConfigurationState
-from firvane.configuration.structure import item_place
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, Document, alike, name_of
+from firvane.fleet.configuration.item import ItemError, read_entry
+from firvane.fleet.configuration.orders import MAX_PROBLEMS, Order, Problem, Result, invalid
+from firvane.fleet.configuration.schema import ItemSchemas
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.configuration.structure import item_place
 
 ITEMS_PER_STEP = 8  # some 1 ms on a full core
 MAX_DEPTH = 32
--- a/firvane/configuration/delta.py
+++ b/firvane/fleet/configuration/delta.py
@@ -12,7 +12,7 @@
 import zlib
 from typing import Any
 
-from firvane.configuration.document import (
+from firvane.fleet.configuration.document import (
     Document,
     DocumentError,
     alike,
@@ -21,7 +21,7 @@
     name_of,
     parse_object,
 )
-from firvane.configuration.item import MAX_DOCUMENT_BYTES
+from firvane.fleet.configuration.item import MAX_DOCUMENT_BYTES
 
 DELTA_VERSION = 1
 COMPRESSION_LEVEL = 6
--- a/firvane/configuration/document.py
+++ b/firvane/fleet/configuration/document.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, OrderKind, Problem
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, OrderKind, Problem
 
 Document = dict[str, Any]
 
--- a/firvane/configuration/item.py
+++ b/firvane/fleet/configuration/item.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from firvane.configuration.routes import Configuration, ConfigurationEntry, Tenant, TenantsEntry
+from firvane.fleet.configuration.routes import Configuration, ConfigurationEntry, Tenant, TenantsEntry
 
 ITEM_VERSION = 1
 COMPRESSION_LEVEL = 6
--- a/firvane/configuration/order_history.py
+++ b/firvane/fleet/configuration/order_history.py
@@ -10,7 +10,7 @@
 import enum
 import struct
 
-from firvane.configuration.orders import DIGEST_BYTES, Order, RecordError
+from firvane.fleet.configuration.orders import DIGEST_BYTES, Order, RecordError
 
 REMEMBERED_ORDERS = 4096
 
--- a/firvane/configuration/orders.py
+++ b/firvane/fleet/configuration/orders.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from firvane.configuration.codes import ResultCode, code_of
+from firvane.fleet.configuration.codes import ResultCode, code_of
 
 RECORD_VERSION = 1
 MAX_BODY_BYTES = 8 * 1024 * 1024
--- a/firvane/configuration/recovered.py
+++ b/firvane/fleet/configuration/recovered.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from firvane.configuration.orders import Order, RecordError
+from firvane.fleet.configuration.orders import Order, RecordError
 
 
 class _VersionField(msgspec.Struct):
--- a/firvane/configuration/routes.py
+++ b/firvane/fleet/configuration/routes.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Struct, field
 
-from firvane.digest import digest
+from firvane.core.digest import digest
 
 DEFAULT_MAX_HEADER_BYTES = 16 * 1024
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
--- a/firvane/configuration/schema.py
+++ b/firvane/fleet/configuration/schema.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS
-from firvane.configuration.orders import Problem
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS
+from firvane.fleet.configuration.orders import Problem
 
 MAX_NUMBER = 2**53  # the largest whole number that every JSON reader keeps
 MAX_TEXT = 4096
--- a/firvane/configuration/state.py
+++ b/firvane/fleet/configuration/state.py
@@ -19,12 +19,12 @@
 
 from msgspec import Struct
 
-from firvane.configuration import document as documents
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.document import Document, DocumentError
-from firvane.configuration.item import MAX_DOCUMENT_BYTES, ItemError, pack_item, unpack_document
-from firvane.configuration.order_history import Fate, OrderHistory
-from firvane.configuration.orders import (
+from firvane.fleet.configuration import document as documents
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.document import Document, DocumentError
+from firvane.fleet.configuration.item import MAX_DOCUMENT_BYTES, ItemError, pack_item, unpack_document
+from firvane.fleet.configuration.order_history import Fate, OrderHistory
+from firvane.fleet.configuration.orders import (
     DIGEST_BYTES,
     MAX_BODY_BYTES,
     Order,
@@ -33,7 +33,7 @@
     Result,
     invalid,
 )
-from firvane.configuration.structure import find_problems
+from firvane.fleet.configuration.structure import find_problems
 
 __all__ = ["ConfigurationState", "Draft", "Order", "OrderKind", "Result"]
 
--- a/firvane/configuration/structure.py
+++ b/firvane/fleet/configuration/structure.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterator
 from typing import Any, TypeGuard
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, VERSION, Document
-from firvane.configuration.orders import MAX_VERSION, Problem
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, VERSION, Document
+from firvane.fleet.configuration.orders import MAX_VERSION, Problem
 
 NO_TEXT = "must be a text that is not empty"
 MAX_WEIGHT = 1e300  # keeps a sum of weights finite
--- a/firvane/controller/configuration_publisher.py
+++ b/firvane/fleet/controller/configuration_publisher.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from firvane.cluster.agent import Item
-from firvane.configuration.state import ConfigurationState
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.configuration.state import ConfigurationState
 
 CONFIGURATION_KEY = b"configuration"
 FOLLOWER_DELAY = 0.15  # s in which a version that the owner has published arrives here too
--- a/firvane/controller/configuration_service.py
+++ b/firvane/fleet/controller/configuration_service.py
@@ -16,15 +16,15 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.configuration.checker import Checker
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, Problem, RecordError, Result
-from firvane.configuration.schema import ItemSchemas
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.replication import Proposal, ProposalStatus
-from firvane.logs import Log
-from firvane.parts import CONFIGURATION_PART
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.configuration.checker import Checker
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, Problem, RecordError, Result
+from firvane.fleet.configuration.schema import ItemSchemas
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.replication import Proposal, ProposalStatus
+from firvane.fleet.partitions import CONFIGURATION_PART
 
 PROPOSE_TIMEOUT = 0.9  # s; an operator waits a second for an answer, more for a large body
 PROPOSE_TIMEOUT_PER_MEGABYTE = 1.0  # s
--- a/firvane/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -6,29 +6,29 @@
 from collections.abc import Awaitable, Callable, Sequence
 from functools import partial
 
-from firvane.address import Address
-from firvane.cluster.agent import Channel, ClusterAgent, Item, Member, Role
-from firvane.configuration.item import ItemError, read_tenants, unpack_document
-from firvane.configuration.recovered import recovered_version
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY, ConfigurationPublisher
-from firvane.controller.configuration_service import ConfigurationService
-from firvane.controller.failure_domains import FailureDomains
-from firvane.controller.fleet_service import FleetService
-from firvane.controller.http_server import HttpServer
-from firvane.controller.instance_poller import InstancePoller
-from firvane.controller.instance_records import InstanceRecords, service_of
-from firvane.controller.operator_api import OperatorApi
-from firvane.controller.options import ControllerOptions
-from firvane.controller.platform_client import PlatformClient
-from firvane.controller.record_keeper import RecordKeeper
-from firvane.controller.replicated_configuration import ReplicatedConfiguration
-from firvane.controller.replication import ReplicationHost, StateMachine
-from firvane.controller.service_part import ServicePart, ServiceRecord
-from firvane.controller.tenant_service import TenantService
-from firvane.logs import Log
-from firvane.parts import ALL_PARTS, CONFIGURATION_PART, POLL_DUTY, part_of
-from firvane.tenancy.floors import FloorsRecord
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Channel, ClusterAgent, Item, Member, Role
+from firvane.fleet.configuration.item import ItemError, read_tenants, unpack_document
+from firvane.fleet.configuration.recovered import recovered_version
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY, ConfigurationPublisher
+from firvane.fleet.controller.configuration_service import ConfigurationService
+from firvane.fleet.controller.failure_domains import FailureDomains
+from firvane.fleet.controller.fleet_service import FleetService
+from firvane.fleet.controller.http_server import HttpServer
+from firvane.fleet.controller.instance_poller import InstancePoller
+from firvane.fleet.controller.instance_records import InstanceRecords, service_of
+from firvane.fleet.controller.operator_api import OperatorApi
+from firvane.fleet.controller.options import ControllerOptions
+from firvane.fleet.controller.platform_client import PlatformClient
+from firvane.fleet.controller.record_keeper import RecordKeeper
+from firvane.fleet.controller.replicated_configuration import ReplicatedConfiguration
+from firvane.fleet.controller.replication import ReplicationHost, StateMachine
+from firvane.fleet.controller.service_part import ServicePart, ServiceRecord
+from firvane.fleet.controller.tenant_service import TenantService
+from firvane.fleet.partitions import ALL_PARTS, CONFIGURATION_PART, POLL_DUTY, part_of
+from firvane.fleet.tenancy.floors import FloorsRecord
 
 RETRY_START = 0.5  # s between attempts to listen or to open the disk
 HAND_OVER_SHARE = 0.2  # of the grace
--- a/firvane/controller/failure_domains.py
+++ b/firvane/fleet/controller/failure_domains.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterable, Mapping
 
-from firvane.address import Address
-from firvane.cluster.agent import Member
-from firvane.replication.spread import each_alone
+from firvane.core.address import Address
+from firvane.fleet.cluster.agent import Member
+from firvane.fleet.replication.spread import each_alone
 
 
 class FailureDomains:
--- a/firvane/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -15,9 +15,10 @@
 
 import msgspec
 
-from firvane.address import Address
-from firvane.cluster.agent import Item, KnownMember, Member, Role
-from firvane.cluster.reports import (
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Item, KnownMember, Member, Role
+from firvane.fleet.cluster.reports import (
     FleetAnswer,
     HandOverAnswer,
     PartReport,
@@ -25,15 +26,14 @@
     address_text,
     encode_members,
 )
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Problem
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY
-from firvane.controller.configuration_service import Outcome
-from firvane.controller.hand_over_order import BadOrderError, HandOver, read_order
-from firvane.controller.part_reports import part_report
-from firvane.controller.replication import GroupStatus, Transfer, TransferStart
-from firvane.logs import Log
-from firvane.parts import ALL_PARTS, CONFIGURATION_PART
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Problem
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY
+from firvane.fleet.controller.configuration_service import Outcome
+from firvane.fleet.controller.hand_over_order import BadOrderError, HandOver, read_order
+from firvane.fleet.controller.part_reports import part_report
+from firvane.fleet.controller.replication import GroupStatus, Transfer, TransferStart
+from firvane.fleet.partitions import ALL_PARTS, CONFIGURATION_PART
 
 HAND_OVER_TIMEOUT = 0.9  # s; an operator waits a second for an answer
 
--- a/firvane/controller/hand_over_order.py
+++ b/firvane/fleet/controller/hand_over_order.py
@@ -5,11 +5,11 @@
 import msgspec
 from msgspec import Struct
 
-from firvane.address import Address, parse_address
-from firvane.cluster.reports import HandOverOrder
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import MAX_VERSION, Problem
-from firvane.parts import ALL_PARTS
+from firvane.core.address import Address, parse_address
+from firvane.fleet.cluster.reports import HandOverOrder
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import MAX_VERSION, Problem
+from firvane.fleet.partitions import ALL_PARTS
 
 MAX_ORDER_BYTES = 1024
 
--- a/firvane/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -21,10 +21,10 @@
 import httptools
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.controller.responses import Response, encode_response
-from firvane.logs import Log
-from firvane.net.http import Fault, Message, Reader
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.core.net.http import Fault, Message, Reader
+from firvane.fleet.controller.responses import Response, encode_response
 
 Handler = Callable[[Message], Awaitable[Response]]
 BACKLOG = 128  # connections that the kernel holds until they are accepted
--- a/firvane/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -6,11 +6,11 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from firvane.cluster.agent import Item
-from firvane.controller.instance_records import InstanceRecords
-from firvane.controller.platform_client import PlatformError, PlatformReply
-from firvane.discovery.pages import CompleteList, Fetch, PageWalk, Pause, WalkStep
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.controller.instance_records import InstanceRecords
+from firvane.fleet.controller.platform_client import PlatformError, PlatformReply
+from firvane.fleet.discovery.pages import CompleteList, Fetch, PageWalk, Pause, WalkStep
 
 POLL_INTERVAL = 1.0  # s from the start of a poll to the start of the next
 LONGEST_PAUSE = 1.0  # s, whatever is asked for: a backend may begin to drain as soon as the list is back
--- a/firvane/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -10,11 +10,11 @@
 
 from __future__ import annotations
 
-from firvane.cluster.agent import Item
-from firvane.discovery.codec import InstanceRecordError, decode_instances, encode_instances
-from firvane.discovery.instances import InstanceTable
-from firvane.discovery.pages import CompleteList
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.discovery.codec import InstanceRecordError, decode_instances, encode_instances
+from firvane.fleet.discovery.instances import InstanceTable
+from firvane.fleet.discovery.pages import CompleteList
 
 INSTANCES_PREFIX = b"instances/"
 SEQUENCE_BITS = 32
--- a/firvane/controller/operator_api.py
+++ b/firvane/fleet/controller/operator_api.py
@@ -6,13 +6,13 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
 
-from firvane.address import Address
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import MAX_VERSION, Order, OrderKind, Problem
-from firvane.controller.configuration_service import ConfigurationService, Outcome
-from firvane.controller.fleet_service import FleetService
-from firvane.controller.responses import Response
-from firvane.net.http import Message
+from firvane.core.address import Address
+from firvane.core.net.http import Message
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import MAX_VERSION, Order, OrderKind, Problem
+from firvane.fleet.controller.configuration_service import ConfigurationService, Outcome
+from firvane.fleet.controller.fleet_service import FleetService
+from firvane.fleet.controller.responses import Response
 
 BASE_VERSION_FIELD = b"x-base-version"
 MAX_VERSION_DIGITS = 19
--- a/firvane/controller/options.py
+++ b/firvane/fleet/controller/options.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.tenancy.quota import QuotaRules
+from firvane.core.address import Address
+from firvane.fleet.tenancy.quota import QuotaRules
 
 SMALLEST_GROUP = 3
 
--- a/firvane/controller/part_reports.py
+++ b/firvane/fleet/controller/part_reports.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable
 
-from firvane.address import Address
-from firvane.cluster.reports import DECIMALS, PartReport, ReplicaReport, address_text, incarnation_text
-from firvane.controller.replication import GroupStatus
-from firvane.replication.replica import Role
-from firvane.replication.status import ReplicaStatus
+from firvane.core.address import Address
+from firvane.fleet.cluster.reports import DECIMALS, PartReport, ReplicaReport, address_text, incarnation_text
+from firvane.fleet.controller.replication import GroupStatus
+from firvane.fleet.replication.replica import Role
+from firvane.fleet.replication.status import ReplicaStatus
 
 CLOSED = "closed"
 VOTER, LEARNER, OUTSIDE = "voter", "learner", "outside"
--- a/firvane/controller/platform_client.py
+++ b/firvane/fleet/controller/platform_client.py
@@ -8,8 +8,8 @@
 import httptools
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.net.http import Fault, Message, Reader
+from firvane.core.address import Address
+from firvane.core.net.http import Fault, Message, Reader
 
 MOST_BODY = 4 * 1024 * 1024  # bytes of an answer
 REQUEST_TIMEOUT = 0.6  # s for one request, with the connection where there is none yet
--- a/firvane/controller/record_keeper.py
+++ b/firvane/fleet/controller/record_keeper.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from firvane.cluster.agent import Item
-from firvane.controller.instance_records import item_key, service_of
-from firvane.controller.replication import Proposal, ProposalStatus
-from firvane.controller.service_part import PartError, ServicePart, ServiceRecord
-from firvane.logs import Log
-from firvane.parts import part_of
+from firvane.core.logs import Log
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.controller.instance_records import item_key, service_of
+from firvane.fleet.controller.replication import Proposal, ProposalStatus
+from firvane.fleet.controller.service_part import PartError, ServicePart, ServiceRecord
+from firvane.fleet.partitions import part_of
 
 PROPOSE_TIMEOUT = 2.0  # s
 RETRY_DELAY = 1.0  # s after a proposal that was not committed
--- a/firvane/controller/replicated_configuration.py
+++ b/firvane/fleet/controller/replicated_configuration.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Result
-from firvane.configuration.state import ConfigurationState
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Result
+from firvane.fleet.configuration.state import ConfigurationState
 
 
 class ReplicatedConfiguration:
--- a/firvane/controller/replication.py
+++ b/firvane/fleet/controller/replication.py
@@ -22,23 +22,23 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.controller.replication_opening import JournalOpener, OpenedJournal
-from firvane.logs import Log
-from firvane.replication.codec import decode_payload, encode_payload, encoded_size
-from firvane.replication.core import Write
-from firvane.replication.entry_codec import encode_snapshot
-from firvane.replication.errors import DecodeError
-from firvane.replication.group import Actions, ReplicatedGroup
-from firvane.replication.messages import Envelope
-from firvane.replication.proposals import Proposal, ProposalStatus, StateMachine
-from firvane.replication.records import encode_birth, encode_write
-from firvane.replication.replica import Replica, ReplicaOptions
-from firvane.replication.spread import DomainOf, each_alone
-from firvane.replication.status import GroupStatus, group_status
-from firvane.replication.transfer import TransferStart
-from firvane.replication.types import Member, Timing
-from firvane.storage.writer import JournalWriter
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.controller.replication_opening import JournalOpener, OpenedJournal
+from firvane.fleet.replication.codec import decode_payload, encode_payload, encoded_size
+from firvane.fleet.replication.core import Write
+from firvane.fleet.replication.entry_codec import encode_snapshot
+from firvane.fleet.replication.errors import DecodeError
+from firvane.fleet.replication.group import Actions, ReplicatedGroup
+from firvane.fleet.replication.messages import Envelope
+from firvane.fleet.replication.proposals import Proposal, ProposalStatus, StateMachine
+from firvane.fleet.replication.records import encode_birth, encode_write
+from firvane.fleet.replication.replica import Replica, ReplicaOptions
+from firvane.fleet.replication.spread import DomainOf, each_alone
+from firvane.fleet.replication.status import GroupStatus, group_status
+from firvane.fleet.replication.transfer import TransferStart
+from firvane.fleet.replication.types import Member, Timing
+from firvane.fleet.storage.writer import JournalWriter
 
 __all__ = [
     "GroupStatus",
--- a/firvane/controller/replication_opening.py
+++ b/firvane/fleet/controller/replication_opening.py
@@ -10,15 +10,15 @@
 
 from msgspec import Struct
 
-from firvane import process_signals
-from firvane.logs import Log
-from firvane.replication.core import Recovered
-from firvane.replication.errors import DecodeError, UnknownRecordError
-from firvane.replication.records import decode_journal, encode_birth
-from firvane.replication.types import NOBODY
-from firvane.storage.errors import DamagedJournalError, UnknownFormatError
-from firvane.storage.filesystem import FileSystem, SystemFileSystem
-from firvane.storage.journal import Journal, create_journal, open_journal
+from firvane.core import process_signals
+from firvane.core.logs import Log
+from firvane.fleet.replication.core import Recovered
+from firvane.fleet.replication.errors import DecodeError, UnknownRecordError
+from firvane.fleet.replication.records import decode_journal, encode_birth
+from firvane.fleet.replication.types import NOBODY
+from firvane.fleet.storage.errors import DamagedJournalError, UnknownFormatError
+from firvane.fleet.storage.filesystem import FileSystem, SystemFileSystem
+from firvane.fleet.storage.journal import Journal, create_journal, open_journal
 
 RETRY_INTERVAL = 0.25  # seconds between two tries at a disk that refuses
 
--- a/firvane/controller/service_part.py
+++ b/firvane/fleet/controller/service_part.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from firvane.tenancy.floors import FLOORS_VERSION, Floors, FloorsError, FloorsRecord, unpack_floors
+from firvane.fleet.tenancy.floors import FLOORS_VERSION, Floors, FloorsError, FloorsRecord, unpack_floors
 
 RECORD_VERSION = 1
 SNAPSHOT_WITHOUT_FLOORS, SNAPSHOT_VERSION = 1, 2
--- a/firvane/controller/tenant_service.py
+++ b/firvane/fleet/controller/tenant_service.py
@@ -15,14 +15,14 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.configuration.routes import Tenant
-from firvane.logs import Log
-from firvane.parts import CONFIGURATION_PART
-from firvane.replication.proposals import Proposal
-from firvane.tenancy.floors import Floors, FloorsRecord
-from firvane.tenancy.messages import Ask, Grant, Proof, Question, Status, TenancyError, decode, encode
-from firvane.tenancy.quota import QuotaLedger, QuotaRules
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.partitions import CONFIGURATION_PART
+from firvane.fleet.replication.proposals import Proposal
+from firvane.fleet.tenancy.floors import Floors, FloorsRecord
+from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, TenancyError, decode, encode
+from firvane.fleet.tenancy.quota import QuotaLedger, QuotaRules
 
 PROOF_PATIENCE = 1.0  # s without a word of a majority after which this controller proves nothing
 FLOORS_INTERVAL = 0.2  # s between looks for floors that are to be moved
--- a/firvane/discovery/codec.py
+++ b/firvane/fleet/discovery/codec.py
@@ -9,8 +9,8 @@
 import zlib
 from collections.abc import Iterable
 
-from firvane.address import Address
-from firvane.discovery.instances import Instance, InstanceState, ModelVersion
+from firvane.core.address import Address
+from firvane.fleet.discovery.instances import Instance, InstanceState, ModelVersion
 
 RECORD_VERSION = 1
 COMPRESSION_LEVEL = 6
--- a/firvane/discovery/instances.py
+++ b/firvane/fleet/discovery/instances.py
@@ -17,7 +17,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 GONE_KEPT_S = 600.0
 
--- a/firvane/discovery/pages.py
+++ b/firvane/fleet/discovery/pages.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Struct
 
-from firvane.address import parse_address
-from firvane.discovery.instances import Instance, InstanceState, ModelVersion
+from firvane.core.address import parse_address
+from firvane.fleet.discovery.instances import Instance, InstanceState, ModelVersion
 
 LIST_PATH = "/instances"
 FIRST_PAUSE_S = 0.25
--- a/firvane/dissemination/codec.py
+++ b/firvane/fleet/dissemination/codec.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from firvane.dissemination.items import MAX_ITEMS, MAX_KEY_BYTES, Item
+from firvane.fleet.dissemination.items import MAX_ITEMS, MAX_KEY_BYTES, Item
 
 VERSION = 1
 _HEAD = struct.Struct(">BBH")
--- a/firvane/dissemination/machine.py
+++ b/firvane/fleet/dissemination/machine.py
@@ -20,12 +20,19 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.dissemination.codec import Kind, Message, Version, decode_message, encode_message, item_size
-from firvane.dissemination.items import Item, ItemStore
-from firvane.dissemination.peers import PeerSet
-from firvane.dissemination.requests import Request, Requests
-from firvane.dissemination.uploads import Uploads
+from firvane.core.address import Address
+from firvane.fleet.dissemination.codec import (
+    Kind,
+    Message,
+    Version,
+    decode_message,
+    encode_message,
+    item_size,
+)
+from firvane.fleet.dissemination.items import Item, ItemStore
+from firvane.fleet.dissemination.peers import PeerSet
+from firvane.fleet.dissemination.requests import Request, Requests
+from firvane.fleet.dissemination.uploads import Uploads
 
 PUSH_LIMIT = 1100
 """Bytes of an item, and of a message with several, up to which payloads are pushed unasked."""
--- a/firvane/dissemination/peers.py
+++ b/firvane/fleet/dissemination/peers.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 FANOUT = 3
 """Members to which something new is passed on."""
--- a/firvane/dissemination/requests.py
+++ b/firvane/fleet/dissemination/requests.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.dissemination.codec import Version
+from firvane.core.address import Address
+from firvane.fleet.dissemination.codec import Version
 
 ANSWER_TIMEOUT = 0.15
 """Seconds to wait for an answer before another source is asked."""
--- a/firvane/dissemination/uploads.py
+++ b/firvane/fleet/dissemination/uploads.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.dissemination.items import Item
-from firvane.dissemination.requests import SLOWEST_LINK
+from firvane.core.address import Address
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.dissemination.requests import SLOWEST_LINK
 
 RESEND_PAUSE = 0.1
 """Seconds, beside the time that a slow link takes, after which a payload is sent again to who asks again.
--- a/firvane/membership/codec.py
+++ b/firvane/fleet/membership/codec.py
@@ -14,8 +14,8 @@
 
 from msgspec import Struct
 
-from firvane.address import Address, pack_host, unpack_host
-from firvane.membership.members import Member, Record, Role, Status
+from firvane.core.address import Address, pack_host, unpack_host
+from firvane.fleet.membership.members import Member, Record, Role, Status
 
 VERSION = 1
 MAX_ZONE_BYTES = 63
--- a/firvane/membership/detector.py
+++ b/firvane/fleet/membership/detector.py
@@ -10,13 +10,13 @@
 import random
 from collections.abc import Sequence
 
-from firvane.address import Address
-from firvane.membership.codec import Kind, Message, encode_record
-from firvane.membership.members import Record, Status
-from firvane.membership.outbox import Outbox
-from firvane.membership.probes import Probe, Probes, Stage
-from firvane.membership.table import Entry
-from firvane.membership.view import EPSILON, MemberView
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import Kind, Message, encode_record
+from firvane.fleet.membership.members import Record, Status
+from firvane.fleet.membership.outbox import Outbox
+from firvane.fleet.membership.probes import Probe, Probes, Stage
+from firvane.fleet.membership.table import Entry
+from firvane.fleet.membership.view import EPSILON, MemberView
 
 HEARTBEAT_PERIOD = 0.5
 """Seconds between two heartbeats to the successor in the ring."""
--- a/firvane/membership/lost.py
+++ b/firvane/fleet/membership/failed_members.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 FIRST_PAUSE = 0.5
 MAX_PAUSE = 5.0
--- a/firvane/membership/machine.py
+++ b/firvane/fleet/membership/machine.py
@@ -20,13 +20,13 @@
 import random
 from collections.abc import Sequence
 
-from firvane.address import Address
-from firvane.membership.codec import Kind, Message, MessageError, decode_message, encode_message
-from firvane.membership.detector import HEARTBEAT_PERIOD, FailureDetector, some_members
-from firvane.membership.members import Member, MemberState, Status
-from firvane.membership.outbox import Outbox, Send, batches
-from firvane.membership.table import BUCKETS
-from firvane.membership.view import MemberView
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import Kind, Message, MessageError, decode_message, encode_message
+from firvane.fleet.membership.detector import HEARTBEAT_PERIOD, FailureDetector, some_members
+from firvane.fleet.membership.members import Member, MemberState, Status
+from firvane.fleet.membership.outbox import Outbox, Send, batches
+from firvane.fleet.membership.table import BUCKETS
+from firvane.fleet.membership.view import MemberView
 
 FREEZE_TIME = 1.5
 """Seconds without any input after which this process was frozen: it has a timer each `HEARTBEAT_PERIOD`."""
--- a/firvane/membership/members.py
+++ b/firvane/fleet/membership/members.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 
 class Role(enum.IntEnum):
--- a/firvane/membership/outbox.py
+++ b/firvane/fleet/membership/outbox.py
@@ -7,9 +7,9 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from firvane.address import Address
-from firvane.membership.codec import MAX_RECORDS, Message, encode_message
-from firvane.membership.view import MemberView
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import MAX_RECORDS, Message, encode_message
+from firvane.fleet.membership.view import MemberView
 
 BATCH_BYTES = 950
 """Bytes of records in one message, so that it fits a datagram with checksums, envelope and own record."""
--- a/firvane/membership/probes.py
+++ b/firvane/fleet/membership/probes.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 DIRECT_TIMEOUT = 0.25
 """Seconds to wait for the answer to a direct probe."""
--- a/firvane/membership/table.py
+++ b/firvane/fleet/membership/table.py
@@ -10,9 +10,9 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.membership.codec import encode_record
-from firvane.membership.members import Member, Record, Role, Stamp, Status
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import encode_record
+from firvane.fleet.membership.members import Member, Record, Role, Stamp, Status
 
 BUCKETS = 32
 """Checksums by which two tables are compared."""
--- a/firvane/membership/view.py
+++ b/firvane/fleet/membership/view.py
@@ -10,11 +10,11 @@
 
 from msgspec.structs import replace
 
-from firvane.address import Address
-from firvane.membership.codec import MAX_COUNTER, MAX_INCARNATION, encode_record
-from firvane.membership.lost import LostMembers
-from firvane.membership.members import Member, Record, Status
-from firvane.membership.table import Entry, Table
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import MAX_COUNTER, MAX_INCARNATION, encode_record
+from firvane.fleet.membership.failed_members import LostMembers
+from firvane.fleet.membership.members import Member, Record, Status
+from firvane.fleet.membership.table import Entry, Table
 
 SUSPICION_TIME = 1.0
 """Seconds from the first suspicion until a member counts as dead."""
--- a/firvane/placement/announcement.py
+++ b/firvane/fleet/placement/announcement.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable, Mapping
 
-from firvane.placement import health, outliers
-from firvane.placement.peers import Peers
-from firvane.placement.picture import STREAM_TOKENS, PeerLoad, Server
-from firvane.placement.rows import Entry, Read, Row, RowFlags, Section
-from firvane.placement.service import Service
-from firvane.placement.slices import UNIT
-from firvane.routing.pairs import forecast
-from firvane.routing.window import WINDOW
+from firvane.core.balancing.greedy_pairing import forecast
+from firvane.core.balancing.window import WINDOW
+from firvane.fleet.placement import health, outliers
+from firvane.fleet.placement.peers import Peers
+from firvane.fleet.placement.rows import Entry, Read, Row, RowFlags, Section
+from firvane.fleet.placement.server_view import STREAM_TOKENS, PeerLoad, Server
+from firvane.fleet.placement.service import Service
+from firvane.fleet.placement.slices import UNIT
 
 RECENT = 3  # windows that the rate of service looks back on
 SUSPECT_PART = 0.5  # of a suspect server's capacity that counts
--- a/firvane/placement/watch.py
+++ b/firvane/fleet/placement/attempt_timeouts.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterable
 
-from firvane.placement import health
-from firvane.placement.events import PromptRequest
-from firvane.placement.jobs import Attempt
-from firvane.placement.picture import Server
+from firvane.fleet.placement import health
+from firvane.fleet.placement.events import PromptRequest
+from firvane.fleet.placement.jobs import Attempt
+from firvane.fleet.placement.server_view import Server
 
 SILENT_FACTOR = 3.0  # times the expected time to the first event, after which silence is a sign
 BACKLOG_FACTOR = 1.5  # times the part of it that is work ahead
--- a/firvane/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -13,10 +13,11 @@
 import random
 from collections.abc import Callable
 
-from firvane import interface as api
-from firvane.placement import health, outliers, selection, watch
-from firvane.placement.budget import BudgetFigures
-from firvane.placement.events import (
+from firvane.core import interface as api
+from firvane.core.balancing.window import WINDOW
+from firvane.fleet.placement import attempt_timeouts, health, outliers, selection
+from firvane.fleet.placement.budget import BudgetFigures
+from firvane.fleet.placement.events import (
     InstancesChanged,
     PeersChanged,
     PlacementEvent,
@@ -24,15 +25,14 @@
     PromptRequest,
     ServiceInfo,
 )
-from firvane.placement.exchange import RowExchange
-from firvane.placement.holding import HoldQueue
-from firvane.placement.homes import make_prompt
-from firvane.placement.jobs import Attempt, Job
-from firvane.placement.picture import Server
-from firvane.placement.rows import RowFlags
-from firvane.placement.service import Service
-from firvane.placement.services import RetryLimits, Services
-from firvane.routing.window import WINDOW
+from firvane.fleet.placement.exchange import RowExchange
+from firvane.fleet.placement.hold_queue import HoldQueue
+from firvane.fleet.placement.homes import make_prompt
+from firvane.fleet.placement.jobs import Attempt, Job
+from firvane.fleet.placement.rows import RowFlags
+from firvane.fleet.placement.server_view import Server
+from firvane.fleet.placement.service import Service
+from firvane.fleet.placement.services import RetryLimits, Services
 
 WINDOW_TOKEN = 0  # of the timer
 MOST_SENDS = 8  # attempts of one request, those that reached nothing included
@@ -156,7 +156,7 @@
         job.reached += 1
         job.may_have_run += 1
         self.actions.append(api.Send(job.request.id, server.id))
-        self._set_timer(job, watch.first_look(attempt, job.request))
+        self._set_timer(job, attempt_timeouts.first_look(attempt, job.request))
         if attempt.tokens >= NOTICE_TOKENS:
             self.notice_owed = True
             if self.exchange.may_announce(now):
@@ -266,11 +266,11 @@
         for attempt in list(job.out.values()):
             service = job.service
             ahead = attempt.server.backlog(service.speeds.reading.value, now)
-            if watch.is_silent(attempt, service.ready, ahead, now):
+            if attempt_timeouts.is_silent(attempt, service.ready, ahead, now):
                 self._suspect(attempt.server, now)
-            lost = watch.is_lost(attempt, now)
+            lost = attempt_timeouts.is_lost(attempt, now)
             if not self._replace(job, attempt, service, lost, now):
-                self._set_timer(job, watch.next_look(attempt, now))
+                self._set_timer(job, attempt_timeouts.next_look(attempt, now))
 
     def _suspect(self, server: Server, now: float) -> None:
         """Nothing comes from a server; the peers hear of it at once."""
@@ -286,7 +286,9 @@
             return False
         elsewhere = selection.expected_first(service, server, service.unread(job.prompt, server), now)
         ahead = attempt.server.queue(service.speeds.reading.value, now)
-        if not lost and not watch.is_better_elsewhere(attempt, ahead, elsewhere, job.request.aim, now):
+        if not lost and not attempt_timeouts.is_better_elsewhere(
+            attempt, ahead, elsewhere, job.request.aim, now
+        ):
             return False
         if now + elsewhere > job.deadline:
             return False
--- a/firvane/placement/events.py
+++ b/firvane/fleet/placement/events.py
@@ -1,4 +1,4 @@
-"""Events of the prompt decisions beside those of `firvane.interface`. Times and spans are in seconds."""
+"""Events of the prompt decisions beside those of `firvane.core.interface`. Times and spans are in seconds."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from firvane import interface as api
-from firvane.discovery.instances import Instance
+from firvane.core import interface as api
+from firvane.fleet.discovery.instances import Instance
 
 
 class RequestKind(enum.Enum):
--- a/firvane/placement/exchange.py
+++ b/firvane/fleet/placement/exchange.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Iterable, Mapping
 
-from firvane import interface as api
-from firvane.placement import announcement
-from firvane.placement.events import PeersChanged
-from firvane.placement.peers import Peers
-from firvane.placement.rows import (
+from firvane.core import interface as api
+from firvane.fleet.placement import announcement
+from firvane.fleet.placement.events import PeersChanged
+from firvane.fleet.placement.peers import Peers
+from firvane.fleet.placement.rows import (
     Read,
     Row,
     RowError,
@@ -18,8 +18,8 @@
     encode_row,
     room_for_reads,
 )
-from firvane.placement.service import Service
-from firvane.placement.services import Services
+from firvane.fleet.placement.service import Service
+from firvane.fleet.placement.services import Services
 
 MOST_UNPLACED = 512  # reads that are kept until their servers are known
 
--- a/firvane/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -15,8 +15,8 @@
 from collections.abc import Iterable, Sequence
 from enum import Enum
 
-from firvane import interface as api
-from firvane.placement.picture import Server
+from firvane.core import interface as api
+from firvane.fleet.placement.server_view import Server
 
 FIRST_PAUSE, LONGEST_PAUSE = 0.3, 4.0  # s without requests after an ejection
 OTHERS_FACTOR = 3.0  # times as long a pause where another router's slice holds the server
--- a/firvane/placement/holding.py
+++ b/firvane/fleet/placement/hold_queue.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane.placement.jobs import Job
+from firvane.fleet.placement.jobs import Job
 
 
 class HoldQueue:
--- a/firvane/placement/homes.py
+++ b/firvane/fleet/placement/homes.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from firvane.state import mix
+from firvane.core.balancing.records import mix
 
 IDENTITY_MASK = (1 << 62) - 1  # a part's identity may be longer than a machine word
 LARGE_PART = 1000  # tokens: shared parts of as many decide the home whatever the own part is
--- a/firvane/placement/jobs.py
+++ b/firvane/fleet/placement/jobs.py
@@ -6,12 +6,12 @@
 
 from msgspec import Struct, field
 
-from firvane.placement.events import PromptRequest
-from firvane.placement.homes import Prompt
-from firvane.placement.picture import Server
+from firvane.fleet.placement.events import PromptRequest
+from firvane.fleet.placement.homes import Prompt
+from firvane.fleet.placement.server_view import Server
 
 if TYPE_CHECKING:
-    from firvane.placement.service import Service
+    from firvane.fleet.placement.service import Service
 
 
 class Attempt(Struct, eq=False):
--- a/firvane/placement/outliers.py
+++ b/firvane/fleet/placement/outliers.py
@@ -16,7 +16,7 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from firvane.placement.picture import Server
+from firvane.fleet.placement.server_view import Server
 
 LEAST_FAILURES = 3.0  # faded ones of all routers together, below which nothing is said of a server
 LEAST_SHARE = 0.25  # of the requests that fail
--- a/firvane/placement/peers.py
+++ b/firvane/fleet/placement/peers.py
@@ -10,8 +10,8 @@
 
 from msgspec import Struct
 
-from firvane.placement.rows import Row
-from firvane.routing.window import WINDOW
+from firvane.core.balancing.window import WINDOW
+from firvane.fleet.placement.rows import Row
 
 ROW_EVERY = 2  # windows between rows
 ROWS_HEARD = 28  # rows that a router hears in a window at the most
--- a/firvane/placement/selection.py
+++ b/firvane/fleet/placement/selection.py
@@ -15,14 +15,14 @@
 from collections.abc import Sequence
 from typing import TYPE_CHECKING
 
-from firvane.placement import health
-from firvane.placement.events import PromptRequest
-from firvane.placement.homes import Prompt
-from firvane.placement.jobs import Job
-from firvane.placement.picture import STREAM_TOKENS, Server
+from firvane.fleet.placement import health
+from firvane.fleet.placement.events import PromptRequest
+from firvane.fleet.placement.homes import Prompt
+from firvane.fleet.placement.jobs import Job
+from firvane.fleet.placement.server_view import STREAM_TOKENS, Server
 
 if TYPE_CHECKING:
-    from firvane.placement.service import Service
+    from firvane.fleet.placement.service import Service
 
 CAP = 1.25  # a server may hold this multiple of the mean load, and one request more
 HOME_AIM_PART = 0.5  # of the aim, up to which an expected first event at home is surely in time
--- a/firvane/placement/picture.py
+++ b/firvane/fleet/placement/server_view.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-from firvane.placement.homes import Prompt
+from firvane.fleet.placement.homes import Prompt
 
 STREAM_TOKENS = 64  # prompt tokens that one running stream weighs in a backend's load
 FADE_TIME = 1.0  # s by which counts of outcomes fade to a third
--- a/firvane/placement/service.py
+++ b/firvane/fleet/placement/service.py
@@ -5,17 +5,17 @@
 from collections.abc import Mapping, Sequence
 from zlib import crc32
 
-from firvane.discovery.instances import Instance, InstanceState
-from firvane.placement import health
-from firvane.placement.budget import RetryBudget
-from firvane.placement.events import RequestKind, ServiceInfo
-from firvane.placement.homes import LARGE_PART, HomeOrder, Prompt
-from firvane.placement.jobs import Attempt, Job
-from firvane.placement.picture import KEPT_SHARE, STREAM_TOKENS, KeptParts, Server
-from firvane.placement.rows import Read, Section
-from firvane.placement.selection import expected_first
-from firvane.placement.slices import Slices
-from firvane.placement.speeds import Speeds
+from firvane.fleet.discovery.instances import Instance, InstanceState
+from firvane.fleet.placement import health
+from firvane.fleet.placement.budget import RetryBudget
+from firvane.fleet.placement.events import RequestKind, ServiceInfo
+from firvane.fleet.placement.homes import LARGE_PART, HomeOrder, Prompt
+from firvane.fleet.placement.jobs import Attempt, Job
+from firvane.fleet.placement.rows import Read, Section
+from firvane.fleet.placement.selection import expected_first
+from firvane.fleet.placement.server_view import KEPT_SHARE, STREAM_TOKENS, KeptParts, Server
+from firvane.fleet.placement.slices import Slices
+from firvane.fleet.placement.throughput import Speeds
 
 MOST_COMPARED = 16  # servers that one choice compares at the most: the first in the key's order
 MOST_PARTS, LEAST_PARTS = 20_000, 64  # remembered over all servers; of one in any case
--- a/firvane/placement/services.py
+++ b/firvane/fleet/placement/services.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from firvane.placement.budget import RetryBudget, Sharers
-from firvane.placement.service import Service
+from firvane.fleet.placement.budget import RetryBudget, Sharers
+from firvane.fleet.placement.service import Service
 
 
 class RetryLimits(Struct, frozen=True):
--- a/firvane/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -9,12 +9,12 @@
 
 from collections.abc import Mapping, Sequence
 
-from firvane.placement.homes import rendezvous
-from firvane.placement.picture import Server
-from firvane.placement.rows import Section
-from firvane.routing import window
-from firvane.routing.slices import deal
-from firvane.state import mix, total
+from firvane.core.balancing import window
+from firvane.core.balancing.records import mix, total
+from firvane.core.balancing.slices import deal
+from firvane.fleet.placement.homes import rendezvous
+from firvane.fleet.placement.rows import Section
+from firvane.fleet.placement.server_view import Server
 
 UNIT = 1024.0  # tokens
 MOVE_SALT = 77  # tells the draw of moves from the hash of homes
--- a/firvane/replication/candidacy.py
+++ b/firvane/fleet/replication/candidacy.py
@@ -4,9 +4,9 @@
 
 import enum
 
-from firvane.replication.core import Core
-from firvane.replication.messages import Message, PreVote, PreVoteReply, Vote, VoteReply
-from firvane.replication.types import Member
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.messages import Message, PreVote, PreVoteReply, Vote, VoteReply
+from firvane.fleet.replication.types import Member
 
 
 class Phase(enum.Enum):
--- a/firvane/replication/codec.py
+++ b/firvane/fleet/replication/codec.py
@@ -10,10 +10,15 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from firvane.replication.entry_codec import decode_entries, decode_snapshot, encode_entry, encode_snapshot
-from firvane.replication.errors import DecodeError
-from firvane.replication.members_codec import decode_address, encode_address
-from firvane.replication.messages import (
+from firvane.fleet.replication.entry_codec import (
+    decode_entries,
+    decode_snapshot,
+    encode_entry,
+    encode_snapshot,
+)
+from firvane.fleet.replication.errors import DecodeError
+from firvane.fleet.replication.members_codec import decode_address, encode_address
+from firvane.fleet.replication.messages import (
     Append,
     AppendReply,
     Beacon,
--- a/firvane/replication/contact.py
+++ b/firvane/fleet/replication/contact.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from firvane.replication.replica import Replica
+from firvane.fleet.replication.replica import Replica
 
 CONTACT_INTERVAL = 0.3  # seconds between two reads
 ANSWER_PATIENCE = 0.4  # seconds after which a read without an answer is given up for a new one
--- a/firvane/replication/core.py
+++ b/firvane/fleet/replication/core.py
@@ -6,11 +6,11 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.replication.durability import WriteTracker
-from firvane.replication.log import ReplicatedLog
-from firvane.replication.messages import Message, Outgoing
-from firvane.replication.types import (
+from firvane.core.address import Address
+from firvane.fleet.replication.durability import WriteTracker
+from firvane.fleet.replication.log import ReplicatedLog
+from firvane.fleet.replication.messages import Message, Outgoing
+from firvane.fleet.replication.types import (
     NO_HARD_STATE,
     NOBODY,
     Entry,
--- a/firvane/replication/durability.py
+++ b/firvane/fleet/replication/durability.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.replication.types import HardState
+from firvane.fleet.replication.types import HardState
 
 
 class _PendingWrite(Struct):
--- a/firvane/replication/entry_codec.py
+++ b/firvane/fleet/replication/entry_codec.py
@@ -4,9 +4,9 @@
 
 import struct
 
-from firvane.replication.errors import DecodeError
-from firvane.replication.members_codec import decode_members, encode_members
-from firvane.replication.types import Entry, EntryKind, Snapshot
+from firvane.fleet.replication.errors import DecodeError
+from firvane.fleet.replication.members_codec import decode_members, encode_members
+from firvane.fleet.replication.types import Entry, EntryKind, Snapshot
 
 _ENTRY = struct.Struct("<QQBI")  # index, term, kind, length of the payload
 _SNAPSHOT = struct.Struct("<QQQBI")  # index, term, index of the members, length of the members, of the state
--- a/firvane/replication/following.py
+++ b/firvane/fleet/replication/following.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from firvane.replication.core import Core
-from firvane.replication.errors import ReplicationInvariantError
-from firvane.replication.messages import Append, AppendReply, InstallSnapshot
-from firvane.replication.types import Entry, Member
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.errors import ReplicationInvariantError
+from firvane.fleet.replication.messages import Append, AppendReply, InstallSnapshot
+from firvane.fleet.replication.types import Entry, Member
 
 
 class Follower:
--- a/firvane/replication/founding.py
+++ b/firvane/fleet/replication/founding.py
@@ -10,11 +10,11 @@
 
 from collections.abc import Sequence
 
-from firvane.address import Address
-from firvane.replication.core import Core
-from firvane.replication.members_codec import encode_members
-from firvane.replication.messages import Introduction
-from firvane.replication.types import Entry, EntryKind, Member
+from firvane.core.address import Address
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.members_codec import encode_members
+from firvane.fleet.replication.messages import Introduction
+from firvane.fleet.replication.types import Entry, EntryKind, Member
 
 FOUNDING_INDEX = 1
 FOUNDING_TERM = 0
--- a/firvane/replication/group.py
+++ b/firvane/fleet/replication/group.py
@@ -15,12 +15,12 @@
 
 from msgspec import Struct, field
 
-from firvane.address import Address
-from firvane.replication.contact import Contact
-from firvane.replication.core import Outputs, Write
-from firvane.replication.log import ENTRY_OVERHEAD
-from firvane.replication.messages import Message, Outgoing
-from firvane.replication.proposals import (
+from firvane.core.address import Address
+from firvane.fleet.replication.contact import Contact
+from firvane.fleet.replication.core import Outputs, Write
+from firvane.fleet.replication.log import ENTRY_OVERHEAD
+from firvane.fleet.replication.messages import Message, Outgoing
+from firvane.fleet.replication.proposals import (
     PendingProposal,
     PendingRead,
     Proposal,
@@ -28,9 +28,9 @@
     Resolved,
     StateMachine,
 )
-from firvane.replication.replica import Replica
-from firvane.replication.transfer import TransferStart
-from firvane.replication.types import EntryKind, Member
+from firvane.fleet.replication.replica import Replica
+from firvane.fleet.replication.transfer import TransferStart
+from firvane.fleet.replication.types import EntryKind, Member
 
 COMPACT_BYTES = 1_000_000  # applied since the last snapshot before the next; twice its size if larger
 COMPACT_ENTRIES = 64  # applied since then, however small: what a restart applies again takes its time
--- a/firvane/replication/leadership.py
+++ b/firvane/fleet/replication/leadership.py
@@ -4,16 +4,16 @@
 
 from collections.abc import Callable, Sequence
 
-from firvane.address import Address
-from firvane.replication.core import Core
-from firvane.replication.members_codec import encode_members
-from firvane.replication.membership import Membership
-from firvane.replication.membership_policy import Change, ChangeKind, MembershipPolicy
-from firvane.replication.messages import Append, AppendReply, Beacon, InstallSnapshot, TimeoutNow
-from firvane.replication.progress import Progress, quorum_value
-from firvane.replication.reads import LeaderReads
-from firvane.replication.transfer import TransferStart
-from firvane.replication.types import Entry, EntryKind, Member, quorum_of
+from firvane.core.address import Address
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.members_codec import encode_members
+from firvane.fleet.replication.membership import Membership
+from firvane.fleet.replication.membership_policy import Change, ChangeKind, MembershipPolicy
+from firvane.fleet.replication.messages import Append, AppendReply, Beacon, InstallSnapshot, TimeoutNow
+from firvane.fleet.replication.progress import Progress, quorum_value
+from firvane.fleet.replication.reads import LeaderReads
+from firvane.fleet.replication.transfer import TransferStart
+from firvane.fleet.replication.types import Entry, EntryKind, Member, quorum_of
 
 MAXIMUM_APPEND_BYTES = 1_000_000  # entries in one message; a single larger entry goes alone
 MAXIMUM_APPENDS_AT_ONCE = 8
--- a/firvane/replication/log.py
+++ b/firvane/fleet/replication/log.py
@@ -5,8 +5,8 @@
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
 
-from firvane.replication.members_codec import decode_members
-from firvane.replication.types import Entry, EntryKind, Members, Snapshot
+from firvane.fleet.replication.members_codec import decode_members
+from firvane.fleet.replication.types import Entry, EntryKind, Members, Snapshot
 
 ENTRY_OVERHEAD = 40  # bytes counted for an entry beside its payload
 
--- a/firvane/replication/members_codec.py
+++ b/firvane/fleet/replication/members_codec.py
@@ -6,9 +6,9 @@
 from collections.abc import Sequence
 from functools import lru_cache
 
-from firvane.address import Address
-from firvane.replication.errors import DecodeError
-from firvane.replication.types import Member, Members
+from firvane.core.address import Address
+from firvane.fleet.replication.errors import DecodeError
+from firvane.fleet.replication.types import Member, Members
 
 MAXIMUM_MEMBERS = 64
 ADDRESS_SIZE = 6
--- a/firvane/replication/membership.py
+++ b/firvane/fleet/replication/membership.py
@@ -6,11 +6,11 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.replication.core import Core
-from firvane.replication.membership_policy import Change, LearnerView, MembershipPolicy, VoterView
-from firvane.replication.progress import Progress
-from firvane.replication.types import Member
+from firvane.core.address import Address
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.membership_policy import Change, LearnerView, MembershipPolicy, VoterView
+from firvane.fleet.replication.progress import Progress
+from firvane.fleet.replication.types import Member
 
 
 class _Spare(Struct):
--- a/firvane/replication/membership_policy.py
+++ b/firvane/fleet/replication/membership_policy.py
@@ -21,8 +21,8 @@
 
 from msgspec import Struct
 
-from firvane.replication.spread import DomainOf, Spread, each_alone
-from firvane.replication.types import Member
+from firvane.fleet.replication.spread import DomainOf, Spread, each_alone
+from firvane.fleet.replication.types import Member
 
 SMALLEST_REDUCED = 2
 """A group of so many voters or fewer loses none before another one has been added."""
--- a/firvane/replication/messages.py
+++ b/firvane/fleet/replication/messages.py
@@ -4,8 +4,8 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.replication.types import Entry, Member, Snapshot
+from firvane.core.address import Address
+from firvane.fleet.replication.types import Entry, Member, Snapshot
 
 
 class PreVote(Struct):
--- a/firvane/replication/progress.py
+++ b/firvane/fleet/replication/progress.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.replication.types import Member
+from firvane.fleet.replication.types import Member
 
 LARGE_BYTES = 1_000  # larger messages travel over a connection, and smaller later ones may pass them
 LARGE_PATIENCE = 0.050  # seconds before a large message counts as lost, beside the time for its bytes
--- a/firvane/replication/proposals.py
+++ b/firvane/fleet/replication/proposals.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 
 class ProposalStatus(enum.Enum):
--- a/firvane/replication/reads.py
+++ b/firvane/fleet/replication/reads.py
@@ -4,9 +4,9 @@
 
 from msgspec import Struct
 
-from firvane.replication.core import Core, ReadReady
-from firvane.replication.messages import ReadReply
-from firvane.replication.types import Member
+from firvane.fleet.replication.core import Core, ReadReady
+from firvane.fleet.replication.messages import ReadReply
+from firvane.fleet.replication.types import Member
 
 MAXIMUM_READS = 1_024  # reads that wait at a leader; more are dropped, and their askers ask again
 
--- a/firvane/replication/records.py
+++ b/firvane/fleet/replication/records.py
@@ -5,10 +5,10 @@
 import struct
 from collections.abc import Iterable
 
-from firvane.replication.core import Recovered, Write
-from firvane.replication.entry_codec import decode_entries, decode_snapshot, encode_entry
-from firvane.replication.errors import DecodeError, UnknownRecordError
-from firvane.replication.types import Entry, HardState, Snapshot
+from firvane.fleet.replication.core import Recovered, Write
+from firvane.fleet.replication.entry_codec import decode_entries, decode_snapshot, encode_entry
+from firvane.fleet.replication.errors import DecodeError, UnknownRecordError
+from firvane.fleet.replication.types import Entry, HardState, Snapshot
 
 VERSION = 1
 _BIRTH = struct.Struct("<BBB")  # version, type, founder
--- a/firvane/replication/replica.py
+++ b/firvane/fleet/replication/replica.py
@@ -10,14 +10,14 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.replication.candidacy import Candidacy, Phase
-from firvane.replication.core import Core, Outputs, ReadReady, Recovered
-from firvane.replication.following import Follower
-from firvane.replication.founding import Founding
-from firvane.replication.leadership import Leadership
-from firvane.replication.membership_policy import MembershipPolicy
-from firvane.replication.messages import (
+from firvane.core.address import Address
+from firvane.fleet.replication.candidacy import Candidacy, Phase
+from firvane.fleet.replication.core import Core, Outputs, ReadReady, Recovered
+from firvane.fleet.replication.following import Follower
+from firvane.fleet.replication.founding import Founding
+from firvane.fleet.replication.leadership import Leadership
+from firvane.fleet.replication.membership_policy import MembershipPolicy
+from firvane.fleet.replication.messages import (
     Append,
     AppendReply,
     Beacon,
@@ -34,10 +34,10 @@
     Vote,
     VoteReply,
 )
-from firvane.replication.spread import DomainOf, each_alone
-from firvane.replication.succession import Succession
-from firvane.replication.types import DEFAULT_TIMING, NOBODY, Member, Snapshot, Timing
-from firvane.replication.voting import Voter
+from firvane.fleet.replication.spread import DomainOf, each_alone
+from firvane.fleet.replication.succession import Succession
+from firvane.fleet.replication.types import DEFAULT_TIMING, NOBODY, Member, Snapshot, Timing
+from firvane.fleet.replication.voting import Voter
 
 RETRY_AFTER_WITHDRAWAL = (0.1, 0.2)  # seconds, when another candidate was given way to
 
--- a/firvane/replication/spread.py
+++ b/firvane/fleet/replication/spread.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 
-from firvane.address import Address
-from firvane.replication.types import Member
+from firvane.core.address import Address
+from firvane.fleet.replication.types import Member
 
 DomainOf = Callable[[Address], str]
 
--- a/firvane/replication/status.py
+++ b/firvane/fleet/replication/status.py
@@ -4,11 +4,11 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.replication.group import ReplicatedGroup
-from firvane.replication.leadership import Leadership
-from firvane.replication.replica import Role
-from firvane.replication.types import Member
+from firvane.core.address import Address
+from firvane.fleet.replication.group import ReplicatedGroup
+from firvane.fleet.replication.leadership import Leadership
+from firvane.fleet.replication.replica import Role
+from firvane.fleet.replication.types import Member
 
 
 class ReplicaStatus(Struct, frozen=True):
--- a/firvane/replication/succession.py
+++ b/firvane/fleet/replication/succession.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.replication.core import Core
-from firvane.replication.messages import Leave, TimeoutNow
-from firvane.replication.types import Member
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.messages import Leave, TimeoutNow
+from firvane.fleet.replication.types import Member
 
 LEAVE_INTERVAL = 0.2  # seconds between two announcements of a departure
 TIMEOUT_NOW_REPEATS = 2
--- a/firvane/replication/types.py
+++ b/firvane/fleet/replication/types.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 NOBODY = 0
 """The incarnation that no replica has: no vote yet, or a message to whoever answers at an address."""
--- a/firvane/replication/voting.py
+++ b/firvane/fleet/replication/voting.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from firvane.address import Address
-from firvane.replication.core import Core
-from firvane.replication.messages import PreVote, PreVoteReply, Vote, VoteReply
-from firvane.replication.types import NOBODY, Member
+from firvane.core.address import Address
+from firvane.fleet.replication.core import Core
+from firvane.fleet.replication.messages import PreVote, PreVoteReply, Vote, VoteReply
+from firvane.fleet.replication.types import NOBODY, Member
 
 RESERVATION = 0.100  # seconds for which a pre-vote is promised to one candidate alone, against split votes
 
--- a/firvane/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -14,17 +14,17 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.cluster.agent import Member, Role
-from firvane.configuration.routes import Configuration, Route, Tenant
-from firvane.logs import Log
-from firvane.net.http import Message
-from firvane.parts import part_of
-from firvane.router.requests import prompt_tokens
-from firvane.tenancy.allowance import Allowances, request_cost
-from firvane.tenancy.freshness import NONCES, Freshness
-from firvane.tenancy.keys import AUTHORIZATION, KeyRing, bearer_key
-from firvane.tenancy.messages import (
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.core.net.http import Message
+from firvane.fleet.cluster.agent import Member, Role
+from firvane.fleet.configuration.routes import Configuration, Route, Tenant
+from firvane.fleet.partitions import part_of
+from firvane.fleet.router.requests import prompt_tokens
+from firvane.fleet.tenancy.allowance import Allowances, request_cost
+from firvane.fleet.tenancy.freshness import NONCES, Freshness
+from firvane.fleet.tenancy.keys import AUTHORIZATION, KeyRing, bearer_key
+from firvane.fleet.tenancy.messages import (
     Ask,
     Grant,
     Proof,
@@ -35,7 +35,7 @@
     decode,
     tenant_id,
 )
-from firvane.tenancy.messages import encode as encode_record
+from firvane.fleet.tenancy.messages import encode as encode_record
 
 HOLD_PART = 0.2  # of the aim, that a request waits for a proof or a grant
 SHORTEST_HOLD, LONGEST_HOLD = 0.04, 0.25  # s
--- a/firvane/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Sequence
 
-from firvane.discovery.instances import Instance, InstanceState, InstanceTable
-from firvane.engine import Engine
-from firvane.net.http import Message
-from firvane.placement.events import InstancesChanged
-from firvane.router.requests import ProxiedRequest
-from firvane.router.upstream import Upstreams
+from firvane.core.engine import Engine
+from firvane.core.net.http import Message
+from firvane.fleet.discovery.instances import Instance, InstanceState, InstanceTable
+from firvane.fleet.placement.events import InstancesChanged
+from firvane.fleet.router.requests import ProxiedRequest
+from firvane.fleet.router.upstream import Upstreams
 
 
 class Backends:
--- a/firvane/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -16,10 +16,9 @@
 
 import httptools
 
-from firvane.configuration.routes import Route, RouteTable
-from firvane.engine import Flow
-from firvane.net.dial import resets
-from firvane.net.http import (
+from firvane.core.engine import Flow
+from firvane.core.net.dialer import resets
+from firvane.core.net.http import (
     LAST_CHUNK,
     Buffered,
     Fault,
@@ -31,10 +30,11 @@
     answer_head,
     framed,
 )
-from firvane.router.admission import OPEN, Admitted
-from firvane.router.client_side import ClientSide
-from firvane.router.drain import LATE_PAUSE
-from firvane.router.requests import (
+from firvane.fleet.configuration.routes import Route, RouteTable
+from firvane.fleet.router.admission import OPEN, Admitted
+from firvane.fleet.router.client_side import ClientSide
+from firvane.fleet.router.drain import LATE_PAUSE
+from firvane.fleet.router.requests import (
     REQUEST_ID,
     ProxiedRequest,
     check_framing,
--- a/firvane/router/client_side.py
+++ b/firvane/fleet/router/client_side.py
@@ -5,14 +5,14 @@
 import asyncio
 from typing import Protocol
 
-from firvane.configuration.routes import Limits, RouteKind, RouteTable
-from firvane.engine import Engine
-from firvane.logs import QUIET, Log
-from firvane.net.http import Message
-from firvane.placement.events import PromptRequest, RequestKind
-from firvane.router.admission import Admission, Admitted
-from firvane.router.drain import Drain
-from firvane.router.requests import ProxiedRequest, prompt_shape
+from firvane.core.engine import Engine
+from firvane.core.logs import QUIET, Log
+from firvane.core.net.http import Message
+from firvane.fleet.configuration.routes import Limits, RouteKind, RouteTable
+from firvane.fleet.placement.events import PromptRequest, RequestKind
+from firvane.fleet.router.admission import Admission, Admitted
+from firvane.fleet.router.drain import Drain
+from firvane.fleet.router.requests import ProxiedRequest, prompt_shape
 
 DEFAULT_MAX_BODY = 4 * 1024 * 1024  # bytes
 DEFAULT_HEADER_TIMEOUT = 3.0  # s for a request from its first byte to its last
--- a/firvane/router/front.py
+++ b/firvane/fleet/router/front.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.configuration.routes import Limits, RouteTable
-from firvane.router.client import ClientConnection
-from firvane.router.client_side import ClientSide
+from firvane.fleet.configuration.routes import Limits, RouteTable
+from firvane.fleet.router.client import ClientConnection
+from firvane.fleet.router.client_side import ClientSide
 
 
 class Front(ClientSide):
--- a/firvane/router/peers.py
+++ b/firvane/fleet/router/peers.py
@@ -5,9 +5,9 @@
 import socket
 from collections.abc import Callable, Sequence
 
-from firvane.address import Address
-from firvane.cluster.agent import Member
-from firvane.placement.events import PeersChanged
+from firvane.core.address import Address
+from firvane.fleet.cluster.agent import Member
+from firvane.fleet.placement.events import PeersChanged
 
 
 def peer_number(address: Address) -> int:
--- a/firvane/router/readiness.py
+++ b/firvane/fleet/router/readiness.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import cast
 
-from firvane.router import members_call
-from firvane.router.members_call import MembersCall
+from firvane.fleet.router import members_call
+from firvane.fleet.router.members_call import MembersCall
 
 MAX_REQUEST = 8 * 1024  # bytes of one question
 END_OF_HEAD = b"\r\n\r\n"
--- a/firvane/router/requests.py
+++ b/firvane/fleet/router/requests.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
-from firvane.configuration.routes import Route
-from firvane.net.http import Fault, Message
+from firvane.core.net.http import Fault, Message
+from firvane.fleet.configuration.routes import Route
 
 REQUEST_ID = b"x-request-id"
 DEADLINE = b"x-deadline-ms"
--- a/firvane/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -8,28 +8,28 @@
 
 from msgspec.structs import asdict
 
-from firvane import interface as api
-from firvane.address import Address
-from firvane.cluster.agent import Channel, ClusterAgent, Item, Member, Role
-from firvane.cluster.reports import encode_members
-from firvane.configuration.item import read_item
-from firvane.configuration.routes import Configuration, RouteTable
-from firvane.discovery.codec import decode_instances
-from firvane.engine import Engine
-from firvane.logs import Log
-from firvane.net.dial import SocketDialer
-from firvane.net.http import Message
-from firvane.net.transport_pool import TransportPool
-from firvane.placement.balancer import PromptBalancer
-from firvane.placement.events import Progress, ServiceInfo
-from firvane.router.admission import Admission
-from firvane.router.backends import Backends
-from firvane.router.front import Front
-from firvane.router.members_call import MembersCall
-from firvane.router.peers import Peers, peer_number
-from firvane.router.readiness import ReadinessConnection
-from firvane.router.requests import ProxiedRequest
-from firvane.router.upstream import Upstreams
+from firvane.core import interface as api
+from firvane.core.address import Address
+from firvane.core.engine import Engine
+from firvane.core.logs import Log
+from firvane.core.net.dialer import SocketDialer
+from firvane.core.net.http import Message
+from firvane.core.net.transport_pool import TransportPool
+from firvane.fleet.cluster.agent import Channel, ClusterAgent, Item, Member, Role
+from firvane.fleet.cluster.reports import encode_members
+from firvane.fleet.configuration.item import read_item
+from firvane.fleet.configuration.routes import Configuration, RouteTable
+from firvane.fleet.discovery.codec import decode_instances
+from firvane.fleet.placement.balancer import PromptBalancer
+from firvane.fleet.placement.events import Progress, ServiceInfo
+from firvane.fleet.router.admission import Admission
+from firvane.fleet.router.backends import Backends
+from firvane.fleet.router.front import Front
+from firvane.fleet.router.members_call import MembersCall
+from firvane.fleet.router.peers import Peers, peer_number
+from firvane.fleet.router.readiness import ReadinessConnection
+from firvane.fleet.router.requests import ProxiedRequest
+from firvane.fleet.router.upstream import Upstreams
 
 CONFIGURATION_KEY = b"configuration"
 INSTANCES_PREFIX = b"instances/"
--- a/firvane/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from functools import partial
 
-from firvane.address import Address
-from firvane.endings import Ending
-from firvane.engine import Exchange
-from firvane.net.dial import Dialer
-from firvane.net.http import Message
-from firvane.net.upstream_run import UpstreamRun
-from firvane.router.requests import ProxiedRequest
-from firvane.router.upstream_connection import Pool, Run, UpstreamConnection
+from firvane.core.address import Address
+from firvane.core.engine import Exchange
+from firvane.core.net.dialer import Dialer
+from firvane.core.net.http import Message
+from firvane.core.net.upstream_exchange import UpstreamRun
+from firvane.core.terminations import Ending
+from firvane.fleet.router.requests import ProxiedRequest
+from firvane.fleet.router.upstream_connection import Pool, Run, UpstreamConnection
 
 CONNECT_TIMEOUT = 0.25  # s for a connection to a backend
 IDLE_PART = 0.6  # of the time that the backend names
--- a/firvane/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -11,7 +11,7 @@
 4. A connection is used again only after an exchange in perfect order: the request written whole, one answer,
    framed and complete, and not a byte beside it. A request that was turned away on it never uses it again: if
    the refusal comes a second time, its id would pass for the answer to the second try.
-5. Of a stream only whole events are passed on (`firvane.router.events`).
+5. Of a stream only whole events are passed on (`firvane.fleet.router.events`).
 """
 
 from __future__ import annotations
@@ -22,14 +22,14 @@
 
 import httptools
 
-from firvane.address import Address
-from firvane.endings import Ending
-from firvane.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
-from firvane.net.upstream_run import UpstreamRun, close_idle
-from firvane.net.words import Quiet
-from firvane.router.events import EventFramer
-from firvane.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
-from firvane.tenancy.keys import PRIVATE_FIELDS
+from firvane.core.address import Address
+from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
+from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
+from firvane.core.terminations import Ending
+from firvane.fleet.router.events import EventFramer
+from firvane.fleet.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
+from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
 
 HELD_ANSWER = 64 * 1024  # bytes of an answer that is no stream and is held until it is whole
 MAX_ANSWER = 64 * 1024 * 1024  # bytes of one answer
--- a/firvane/storage/frames.py
+++ b/firvane/fleet/storage/frames.py
@@ -15,7 +15,7 @@
 
 from msgspec import Struct
 
-from firvane.storage.errors import DamagedJournalError
+from firvane.fleet.storage.errors import DamagedJournalError
 
 MAGIC = b"FvJ\x01"
 MAXIMUM_FRAME = 128_000_000  # bytes of the records of one frame
--- a/firvane/storage/journal.py
+++ b/firvane/fleet/storage/journal.py
@@ -18,10 +18,10 @@
 
 from msgspec import Struct
 
-from firvane.storage.errors import DamagedJournalError, UnknownFormatError
-from firvane.storage.filesystem import File, FileSystem
-from firvane.storage.frames import MAGIC, encode_frame, read_frames
-from firvane.storage.snapshot_file import decode_snapshot_file, encode_snapshot_file
+from firvane.fleet.storage.errors import DamagedJournalError, UnknownFormatError
+from firvane.fleet.storage.filesystem import File, FileSystem
+from firvane.fleet.storage.frames import MAGIC, encode_frame, read_frames
+from firvane.fleet.storage.snapshot_file import decode_snapshot_file, encode_snapshot_file
 
 VERSION = 1
 _SEGMENT = "segment-"
--- a/firvane/storage/snapshot_file.py
+++ b/firvane/fleet/storage/snapshot_file.py
@@ -5,7 +5,7 @@
 import struct
 import zlib
 
-from firvane.storage.errors import DamagedJournalError
+from firvane.fleet.storage.errors import DamagedJournalError
 
 MAGIC = b"FvS\x01"
 _HEAD = struct.Struct("<4sIIQ")  # magic, length, checksum, identity
--- a/firvane/storage/writer.py
+++ b/firvane/fleet/storage/writer.py
@@ -15,8 +15,8 @@
 
 from msgspec import Struct, field
 
-from firvane import process_signals
-from firvane.storage.journal import Journal
+from firvane.core import process_signals
+from firvane.fleet.storage.journal import Journal
 
 RETRY_INTERVAL = 0.1  # seconds between two tries of what a disk has refused
 
--- a/firvane/tenancy/allowance.py
+++ b/firvane/fleet/tenancy/allowance.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from firvane.configuration.routes import Tenant
-from firvane.tenancy.quota import AHEAD_LASTS
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.tenancy.quota import AHEAD_LASTS
 
 AHEAD_TIME = 0.5  # s of expected use that is asked for in advance
 LEAST_AHEAD = 2.0  # requests of the present size, below which nothing is asked for in advance
--- a/firvane/tenancy/floors.py
+++ b/firvane/fleet/tenancy/floors.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from firvane.tenancy.messages import TENANT_ID_BYTES
+from firvane.fleet.tenancy.messages import TENANT_ID_BYTES
 
 FLOORS_VERSION = 2  # the first byte of a record; records of instances have another one
 MAX_FLOORS = 65_536
--- a/firvane/tenancy/freshness.py
+++ b/firvane/fleet/tenancy/freshness.py
@@ -14,8 +14,8 @@
 import random
 from collections.abc import Sequence
 
-from firvane.address import Address
-from firvane.tenancy.messages import Proof, Question
+from firvane.core.address import Address
+from firvane.fleet.tenancy.messages import Proof, Question
 
 SAFE_SHARE = 0.85  # of the time within which a removed key must be refused: clocks run at unequal rates
 RELAYED_SHARE = 0.5  # of the time that a proof lasts, up to which it is passed on
--- a/firvane/tenancy/keys.py
+++ b/firvane/fleet/tenancy/keys.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from firvane.configuration.routes import Tenant, key_digest
+from firvane.fleet.configuration.routes import Tenant, key_digest
 
 AUTHORIZATION = b"authorization"
 TENANT = b"x-tenant"
--- a/firvane/tenancy/messages.py
+++ b/firvane/fleet/tenancy/messages.py
@@ -9,8 +9,8 @@
 import struct
 from typing import NamedTuple
 
-from firvane.address import Address, pack_host, unpack_host
-from firvane.digest import digest
+from firvane.core.address import Address, pack_host, unpack_host
+from firvane.core.digest import digest
 
 TENANT_ID_BYTES = 8
 MAX_TOKENS = 0xFFFFFFFF
--- a/firvane/tenancy/quota.py
+++ b/firvane/fleet/tenancy/quota.py
@@ -27,10 +27,10 @@
 
 from msgspec import Struct, field
 
-from firvane.configuration.routes import Tenant
-from firvane.parts import part_of
-from firvane.tenancy.floors import REMOVED, Floors, FloorsRecord
-from firvane.tenancy.messages import Ask, Grant, Status, tenant_id
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.partitions import part_of
+from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
+from firvane.fleet.tenancy.messages import Ask, Grant, Status, tenant_id
 
 SIZE_PART = 0.5  # of a bucket, beyond the burst
 DEBT_PART = 0.25  # the most that one request may leave a bucket below nothing
--- a/firvane/transport/endpoint.py
+++ b/firvane/fleet/transport/endpoint.py
@@ -13,11 +13,11 @@
 
 from msgspec import Struct
 
-from firvane.address import Address
-from firvane.logs import Log
-from firvane.transport.frames import HEADER_SIZE, Frame, FrameError, decode_datagram, encode_header
-from firvane.transport.link import CLOSED_BY_PEER, IDLE, Link, set_options
-from firvane.transport.queue import FrameQueue
+from firvane.core.address import Address
+from firvane.core.logs import Log
+from firvane.fleet.transport.frames import HEADER_SIZE, Frame, FrameError, decode_datagram, encode_header
+from firvane.fleet.transport.link import CLOSED_BY_PEER, IDLE, Link, set_options
+from firvane.fleet.transport.queue import FrameQueue
 
 MAX_DATAGRAM_PAYLOAD = 1200
 """Payloads up to this many bytes go as datagrams, larger ones over a TCP link."""
--- a/firvane/transport/frames.py
+++ b/firvane/fleet/transport/frames.py
@@ -23,7 +23,7 @@
 
 from msgspec import Struct
 
-from firvane.address import Address, pack_host, unpack_host
+from firvane.core.address import Address, pack_host, unpack_host
 
 MAGIC = b"FV"
 VERSION = 1
--- a/firvane/transport/link.py
+++ b/firvane/fleet/transport/link.py
@@ -6,9 +6,9 @@
 import socket
 from typing import Protocol, cast
 
-from firvane.address import Address
-from firvane.transport.frames import Frame, FrameError, FrameReader
-from firvane.transport.queue import FrameQueue
+from firvane.core.address import Address
+from firvane.fleet.transport.frames import Frame, FrameError, FrameReader
+from firvane.fleet.transport.queue import FrameQueue
 
 USER_TIMEOUT_MS = 1500
 """`TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the connection is reset."""
--- a/firvane/localfleet/__main__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""`python -m firvane.localfleet` is the command `firvane-fleet`."""
-
-from firvane.localfleet import run
-
-run()
--- a/firvane/programs/controller.py
+++ b/firvane/programs/controller.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane import process_signals
+from firvane.core import process_signals
 
 if __name__ == "__main__":
     process_signals.block()  # a signal that comes while modules are imported waits until the loop listens
@@ -12,9 +12,10 @@
 
 import uvloop
 
-from firvane.controller.controller import Controller
-from firvane.controller.options import ControllerOptions
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.controller.controller import Controller
+from firvane.fleet.controller.options import ControllerOptions
+from firvane.fleet.tenancy.quota import QuotaRules
 from firvane.programs.logging import bridge_library_logs, make_log
 from firvane.programs.process import handle_process_events, new_incarnation, tune_collector
 from firvane.programs.settings import (
@@ -23,7 +24,6 @@
     SettingsError,
     load_or_exit,
 )
-from firvane.tenancy.quota import QuotaRules
 
 SIGNALS_BLOCKED = 1.0  # s at the most that signals wait for the start
 
--- a/firvane/programs/logging.py
+++ b/firvane/programs/logging.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from firvane.logs import Bridge, Log
+from firvane.core.logs import Bridge, Log
 
 KEY_ORDER = ("timestamp", "level", "program", "node", "event")
 
--- a/firvane/programs/process.py
+++ b/firvane/programs/process.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from firvane.logs import Log
+from firvane.core.logs import Log
 from firvane.programs.settings import Settings, load_again
 from firvane.programs.settings_watch import SettingsWatch
 
--- a/firvane/programs/router.py
+++ b/firvane/programs/router.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane import process_signals
+from firvane.core import process_signals
 
 if __name__ == "__main__":
     process_signals.block()  # a signal that comes while modules are imported waits until the loop listens
@@ -12,7 +12,8 @@
 
 import uvloop
 
-from firvane.logs import Log
+from firvane.core.logs import Log
+from firvane.fleet.router.router import Router, RouterSettings
 from firvane.programs.logging import bridge_library_logs, make_log
 from firvane.programs.process import handle_process_events, new_incarnation, tune_collector
 from firvane.programs.settings import (
@@ -21,7 +22,6 @@
     SettingsError,
     load_or_exit,
 )
-from firvane.router.router import Router, RouterSettings
 
 EXIT_FAILED = 1
 
--- a/firvane/programs/settings.py
+++ b/firvane/programs/settings.py
@@ -16,8 +16,8 @@
 
 import yaml
 
-from firvane.address import Address, parse_address
-from firvane.logs import Log
+from firvane.core.address import Address, parse_address
+from firvane.core.logs import Log
 
 PATH_VARIABLE = "FIRVANE_BOOT"
 EXIT_BAD_SETTINGS = 2
--- a/firvane/ops/calls.py
+++ b/firvane/proxy/admin_api/calls.py
@@ -18,7 +18,7 @@
 from itertools import pairwise
 from typing import NamedTuple
 
-from firvane.policy_text import MOST_TEXT
+from firvane.proxy.policy_text import MOST_TEXT
 
 LONGEST = 256
 PUT = 144  # bytes of a text in one `policy-put`: its line is as long as a line may be
--- a/firvane/ops/figures.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from firvane.tally import ANSWERS, Counts
+from firvane.core.request_counters import ANSWERS, Counts
 
 
 @dataclass
--- a/firvane/ops/desk.py
+++ b/firvane/proxy/admin_api/server.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import cast
 
-from firvane.ops.calls import Asked, Line, Useless, no
+from firvane.proxy.admin_api.calls import Asked, Line, Useless, no
 
 CALLERS = 16  # that may stand at once; one more, and the one that has stood longest without a call goes
 STAY = 5.0  # s that a caller may take for its line, or to read its answer
--- a/firvane/choice.py
+++ b/firvane/proxy/balancer.py
@@ -14,20 +14,20 @@
 from collections.abc import Callable, Collection, Iterable
 from zlib import crc32
 
-from firvane import interface as api
-from firvane.recovery import messages
-from firvane.recovery.recovery import Recovery
-from firvane.rooms import cold, quotas
-from firvane.rooms.evidence import CROWD, FADE, FAULTY, LONG, Evidence
-from firvane.routing import window
-from firvane.routing.large import Figures, Large
-from firvane.routing.listing import Listing, merge
-from firvane.routing.pairs import forecast
-from firvane.routing.ring import Ring
-from firvane.routing.slices import deal
-from firvane.routing.walk import walk
-from firvane.routing.window import WINDOW
-from firvane.state import Backend, Job, Row, mix, pack, total, unpack
+from firvane.core import interface as api
+from firvane.core.balancing import window
+from firvane.core.balancing.greedy_pairing import forecast
+from firvane.core.balancing.records import Backend, Job, Row, mix, pack, total, unpack
+from firvane.core.balancing.slices import deal
+from firvane.core.balancing.window import WINDOW
+from firvane.proxy.capacity import slow_start, tenant_admission
+from firvane.proxy.capacity.backend_estimates import CROWD, FADE, FAULTY, LONG, Evidence
+from firvane.proxy.recovery import messages
+from firvane.proxy.recovery.recovery import Recovery
+from firvane.proxy.routing.bounded_load import walk
+from firvane.proxy.routing.hash_ring import Ring
+from firvane.proxy.routing.large_slices import Figures, Large
+from firvane.proxy.routing.server_list import Listing, merge
 
 ROW_EVERY, SILENT = 2, 3  # windows from row to row (the design's r); rounds until a silent peer drops out
 ROWS_HEARD = 28  # rows that a proxy hears in a window at the most: the more proxies, the rarer their rows
@@ -196,11 +196,13 @@
         for tenant, unseen in enumerate(pressure.unseen[: len(self.tenants)]):
             self.tenants[tenant] += unseen
         asked = list(self.tenants.values())
-        self.actions.append(quotas.turn_away(self.settings, asked, SHARE_SPAN * self.part(), pressure, PAUSE))
+        self.actions.append(
+            tenant_admission.turn_away(self.settings, asked, SHARE_SPAN * self.part(), pressure, PAUSE)
+        )
 
     def part(self) -> float:
         """The part of all proxies' requests that comes here."""
-        return quotas.part(self.settings, self.rows, total(self.tenants.values()) / SHARE_SPAN)
+        return tenant_admission.part(self.settings, self.rows, total(self.tenants.values()) / SHARE_SPAN)
 
     def limit(self, job: Job) -> float:
         """The part of a server's room that a request may fill: what is worth less leaves some to the rest."""
@@ -355,7 +357,7 @@
             return Figures(power, max(ready_at, warm_at), math.inf, min(warm_at, soon))
         self.budget(server, now)
         ready_at = max(ready_at, self.heard_at)
-        rate, most = cold.rate(self.evidence, server, senders, now)
+        rate, most = slow_start.rate(self.evidence, server, senders, now)
         first, second = (max(ready_at, now + max(0.0, n - server.tokens) / rate) for n in (1.0, 2.0))
         return Figures(power, first, second if most >= 2.0 else math.inf, min(warm_at, soon, now + WINDOW))
 
@@ -386,7 +388,7 @@
     def budget(self, server: Backend, now: float) -> bool:
         """Whether the budget of a cold server's senders lets this proxy send to it."""
         senders = self.senders(server)
-        return senders > 0 and now >= self.heard_at and cold.refill(
+        return senders > 0 and now >= self.heard_at and slow_start.refill(
             self.evidence, server, senders, now, self.random)  # fmt: skip
 
     def senders(self, server: Backend) -> int:
--- a/firvane/rooms/evidence.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -32,9 +32,9 @@
 import math
 import random
 
-from firvane import interface as api
-from firvane.rooms import kinds
-from firvane.state import Backend, Mark
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, Mark
+from firvane.proxy.capacity import class_counts
 
 FADE = 3.0  # s that halve what was seen of slowness
 GUESS = 5.0  # s after the start in which rooms grow quickly; servers that come later start cold
@@ -108,7 +108,7 @@
         self.large = settings.proxies >= THIN
         self.pooled = self.large and settings.limits.peers
         self.counts = dict[int, int]()  # answers of warm servers since the start, by kind, to tell the peers
-        self.heard = kinds.Heard()
+        self.heard = class_counts.Heard()
         self.crowded = 0.0  # part of attempts that find no room
         self.lossy = 0.0  # part of attempts that are never answered though their box answers others
 
@@ -341,11 +341,11 @@
 
     def tell(self, now: float) -> bytes:
         """What the peers are to know of it, once a row."""
-        return kinds.pack(self.counts, now)
+        return class_counts.pack(self.counts, now)
 
     def told(self, sender: int, payload: bytes) -> bool:
         """Whether a message is a peer's counts; they are taken in. Raises as `kinds.unpack` does."""
-        if payload[:1] != kinds.MARK:
+        if payload[:1] != class_counts.MARK:
             return False
         for kind, answers in self.heard.more(sender, payload).items():
             if self.pooled:
--- a/firvane/rooms/skipped.py
+++ b/firvane/proxy/capacity/excluded_servers.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Iterable
 
-from firvane import interface as api
-from firvane.state import Backend
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
 
 MOMENT = 0.05  # s: a box that had no room just now is left alone for less
 
--- a/firvane/rooms/reports.py
+++ b/firvane/proxy/capacity/load_reports.py
@@ -16,8 +16,8 @@
 
 from typing import NamedTuple
 
-from firvane.rooms.evidence import AFTER, FAULT, FAULTY, GUESS, SLOW, Evidence, slowness
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
+from firvane.proxy.capacity.backend_estimates import AFTER, FAULT, FAULTY, GUESS, SLOW, Evidence, slowness
 
 MOST = 20  # answers that one sum counts for, where it moves a belief
 SPOILT, CUT = 0.02, 0.9  # part of the answers that fail where a box is short of room; what of it is left then
--- a/firvane/rooms/cold.py
+++ b/firvane/proxy/capacity/slow_start.py
@@ -14,8 +14,8 @@
 
 import random
 
-from firvane.rooms.evidence import Evidence
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
+from firvane.proxy.capacity.backend_estimates import Evidence
 
 BOLD = 1.25  # of what a cold box is thought able to: 1.6 kept the rule on all days tried, 1.9 did not
 BOLD_ALL = 1.8  # where all send and one room bounds them: twice that kept the rule on all days tried
--- a/firvane/rooms/quotas.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Mapping, Sequence
 
-from firvane import interface as api
-from firvane.state import Row, total
+from firvane.core import interface as api
+from firvane.core.balancing.records import Row, total
 
 
 def part(settings: api.Settings, rows: Mapping[int, Row], here: float) -> float:
--- a/firvane/config/checks.py
+++ b/firvane/proxy/config/checks.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from firvane.config.model import (
+from firvane.proxy.config.model import (
     Control,
     File,
     Limits,
@@ -19,7 +19,7 @@
     TargetGroup,
     Tenant,
 )
-from firvane.limits.costs import derive
+from firvane.proxy.limits.memory_costs import derive
 
 Found = Iterator[tuple[str, str]]
 
--- a/firvane/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -6,12 +6,12 @@
 from pathlib import Path
 from typing import Any
 
-from firvane import checked
-from firvane import interface as api
-from firvane.address import parse_address
-from firvane.config.checks import CHECKS
-from firvane.config.model import File, Recovery, RequestClass, TargetGroup
-from firvane.config.node import Config
+from firvane.core import interface as api
+from firvane.core import validation
+from firvane.core.address import parse_address
+from firvane.proxy.config.checks import CHECKS
+from firvane.proxy.config.model import File, Recovery, RequestClass, TargetGroup
+from firvane.proxy.config.node import Config
 
 TICK = 0.005  # s: what a deadline is met with, beside the loop's own lag
 REPEATS = {"safe": api.Repeat.SAFE, "keyed": api.Repeat.KEYED, "unsafe": api.Repeat.UNSAFE}
@@ -19,10 +19,10 @@
 
 def read_file(path: str | Path) -> Config:
     """The configuration in a file; raises `checked.Faults` with everything that is wrong with it."""
-    file = checked.read(path, File, CHECKS)
+    file = validation.read(path, File, CHECKS)
     if file.control:
         reason = "is for a control service: firvane control FILE; a proxy has none"
-        raise checked.Faults([checked.Fault(str(path), "control", reason)])
+        raise validation.Faults([validation.Fault(str(path), "control", reason)])
     return node(file)
 
 
--- a/firvane/config/node.py
+++ b/firvane/proxy/config/node.py
@@ -7,8 +7,8 @@
 from itertools import pairwise
 from typing import Any
 
-from firvane import interface as api
-from firvane.address import Address
+from firvane.core import interface as api
+from firvane.core.address import Address
 
 MOST_VOTERS = 5  # as in quorum/types.py, of which a proxy without [policy] loads nothing
 
--- a/firvane/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -7,13 +7,13 @@
 from dataclasses import fields, replace
 from typing import Any
 
-from firvane import interface as api
-from firvane.address import Address, parse_address
-from firvane.config.node import Config, PolicyTold
-from firvane.limits.costs import derive
-from firvane.limits.descriptors import LEAST
-from firvane.logs import FORMATS, LEVELS
-from firvane.settings import SHOWN, is_number, parse_settings, shape
+from firvane.core import interface as api
+from firvane.core.address import Address, parse_address
+from firvane.core.logs import FORMATS, LEVELS
+from firvane.proxy.config.node import Config, PolicyTold
+from firvane.proxy.limits.descriptors import LEAST
+from firvane.proxy.limits.memory_costs import derive
+from firvane.proxy.settings import SHOWN, is_number, parse_settings, shape
 
 DOOR = 20  # descriptors that the operators' door keeps, as in ops/desk.py
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # where the configuration says nothing
--- a/firvane/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -21,13 +21,13 @@
 
 import msgspec
 
-from firvane import checked
-from firvane import interface as api
-from firvane.config import checks
-from firvane.config import node as told
-from firvane.config.file import REPEATS, request_class
-from firvane.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, says
-from firvane.policy_text import MOST_TEXT
+from firvane.core import interface as api
+from firvane.core import validation
+from firvane.proxy.config import checks
+from firvane.proxy.config import node as told
+from firvane.proxy.config.file import REPEATS, request_class
+from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, says
+from firvane.proxy.policy_text import MOST_TEXT
 
 MS = 1000  # in a second
 # The key of a policy, and the field of the settings that it sets, with what it is multiplied by there.
@@ -67,8 +67,8 @@
 
 
 if TYPE_CHECKING:
-    from firvane.config.model import Part as PolicyLimits
-    from firvane.config.model import Part as PolicyRules
+    from firvane.proxy.config.model import Part as PolicyLimits
+    from firvane.proxy.config.model import Part as PolicyRules
 else:
     PolicyRules = _some("PolicyRules", Rules, RULES)
     PolicyLimits = _some("PolicyLimits", Limits, LIMITS)
@@ -99,22 +99,22 @@
         yield from told.misfits(policy.voters, max(policy.voters) + 1)
 
 
-CHECKS: checked.Checks = {RequestClass: checks.request_class, Policy: whole}
+CHECKS: validation.Checks = {RequestClass: checks.request_class, Policy: whole}
 
 
 def parse(text: bytes, name: str = "policy") -> Policy:
     """The policy in a text; raises `checked.Faults` with everything that is wrong with it."""
     if len(text) > MOST_TEXT:
-        raise checked.Faults([checked.Fault(name, "", f"larger than {MOST_TEXT >> 10} KiB")])
-    return checked.build(checked.parse(text, name), Policy, name, CHECKS)
+        raise validation.Faults([validation.Fault(name, "", f"larger than {MOST_TEXT >> 10} KiB")])
+    return validation.build(validation.parse(text, name), Policy, name, CHECKS)
 
 
 def settings(policy: Policy, base: api.Settings, name: str = "policy") -> api.Settings:
     """What a proxy decides by under a policy over its own settings, `base`; `Faults` where they don't fit."""
     if policy.voters:
-        faults = [checked.Fault(name, key, why) for key, why in told.misfits(policy.voters, base.proxies)]
+        faults = [validation.Fault(name, key, why) for key, why in told.misfits(policy.voters, base.proxies)]
         if faults:
-            raise checked.Faults(faults)
+            raise validation.Faults(faults)
     before = {cls.name: cls for cls in base.classes}
     said: dict[str, Any] = {}
     if policy.classes is not None:
--- a/firvane/config/reload.py
+++ b/firvane/proxy/config/reload.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.config.node import Config
-from firvane.interface import Settings
-from firvane.retune import waits
+from firvane.core.interface import Settings
+from firvane.proxy.config.node import Config
+from firvane.proxy.settings_reload import waits
 
 FIXED = ("listen", "peers", "ops")  # keys that a running proxy does not take over
 
--- a/firvane/control/ads.py
+++ b/firvane/proxy/control/ads.py
@@ -17,10 +17,10 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 from google.protobuf.message import DecodeError
 
-from firvane.control import wire
-from firvane.control.stream import Stream, TooMuch
-from firvane.control.types import Kind, State
-from firvane.logs import QUIET, Log
+from firvane.core.logs import QUIET, Log
+from firvane.proxy.control import stream_codec
+from firvane.proxy.control.stream import Stream, TooMuch
+from firvane.proxy.control.types import Kind, State
 
 WRITING = 64  # answers that are being written at once; one that takes longer than SLOW is not counted
 SLOW = 0.02  # s
@@ -49,7 +49,7 @@
 
     def go(self, name: str) -> None: ...
 
-    def reported(self, node: wire.Node, request: Any) -> None: ...
+    def reported(self, node: stream_codec.Node, request: Any) -> None: ...
 
     def may(self, names: frozenset[str]) -> bool:
         """Whether the owner of a certificate with these names may see the service."""
@@ -64,7 +64,7 @@
     def __init__(self, context: Any, delta: bool, peer: str, now: float) -> None:
         self.context, self.peer, self.began = context, peer, now
         self.stream = Stream(delta)
-        self.node: wire.Node | None = None
+        self.node: stream_codec.Node | None = None
         self.zone = -1
         self.counted = False
         self.rank = 9  # with which it waits to be written to; 9: it does not
@@ -163,7 +163,7 @@
     ) -> None:
         """`report` is the seconds between load reports."""
         self.loop, self.service, self.report, self.log = loop, service, report, log
-        self.writer = wire.Writer(service.name)
+        self.writer = stream_codec.Writer(service.name)
         self.pump = Pump(loop, self._next)
         self.sessions: set[Session] = set()
         self.ages: deque[float] = deque(maxlen=AGES)
@@ -175,10 +175,10 @@
         ads = "envoy.service.discovery.v3.AggregatedDiscoveryService"
         kinds = {
             f"/{ads}/StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                self._whole, wire.Request.FromString, None
+                self._whole, stream_codec.Request.FromString, None
             ),
             f"/{ads}/DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                self._delta, wire.DeltaRequest.FromString, None
+                self._delta, stream_codec.DeltaRequest.FromString, None
             ),
             "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats": (
                 grpc.stream_stream_rpc_method_handler(
@@ -289,7 +289,7 @@
             session.end(session.why)
 
     def _meet(self, session: Session, request: Any) -> None:
-        node = wire.read_node(request.node)
+        node = stream_codec.read_node(request.node)
         if not node.id:
             raise TooMuch("the first request names no node.id")
         zone = self.service.zone_of(node.zone)
@@ -301,7 +301,7 @@
     def _heard(self, session: Session, request: Any) -> None:
         stream = session.stream
         refusals = stream.refusals
-        kind = wire.read(stream, request)
+        kind = stream_codec.read(stream, request)
         if (at := session.sent_at.pop(request.response_nonce, None)) is not None:
             session.acked_at = self.loop.time()
             session.age = session.acked_at - at
@@ -316,10 +316,10 @@
     async def _loads(self, _: Any, context: Any) -> None:
         if not self._may(context, context.peer()):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "this certificate may not see it")
-        node: wire.Node | None = None
+        node: stream_codec.Node | None = None
         while (request := await context.read()) is not grpc.aio.EOF:
             if node is None:
-                node = wire.read_node(request.node)
+                node = stream_codec.read_node(request.node)
                 answer = lrs_pb2.LoadStatsResponse(
                     clusters=[self.service.name], report_endpoint_granularity=True
                 )
--- a/firvane/control/catalog.py
+++ b/firvane/proxy/control/catalog.py
@@ -13,10 +13,10 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from firvane import interface as api
-from firvane.control import plan, resources
-from firvane.control.types import NOWHERE, Assignment, Box, Kind, Locality, Resource, State
-from firvane.control.weights import divide, is_news
+from firvane.core import interface as api
+from firvane.proxy.control import resource_codec, route_settings
+from firvane.proxy.control.types import NOWHERE, Assignment, Box, Kind, Locality, Resource, State
+from firvane.proxy.control.weights import divide, is_news
 
 HISTORY = 64
 
@@ -44,7 +44,9 @@
         self.causes: tuple[str, ...] = ()  # of the last change
         self._told: dict[int, Assignment] = {}
         self._due: dict[int, Entry] = {}  # worked out, and not made into resources yet
-        self._endpoints = {zone: resources.Endpoints(self.zones) for zone in (NOWHERE, *range(len(zones)))}
+        self._endpoints = {
+            zone: resource_codec.Endpoints(self.zones) for zone in (NOWHERE, *range(len(zones)))
+        }
         self._boxes: tuple[Box, ...] = ()
         self._bounds: dict[int, int] = {}
         self._fixed: dict[Kind, list[Resource]] = {}
@@ -54,10 +56,10 @@
     def retune(self, settings: api.Settings) -> None:
         """Other settings: what depends on them alone is made anew, and told with the next state."""
         self.settings, name = settings, self.service
-        routes, keyed = plan.routes(settings), settings.warm_keys
+        routes, keyed = route_settings.routes(settings), settings.warm_keys
         self._fixed = {
-            Kind.LISTENER: [resources.listener(name, name)],
-            Kind.ROUTES: [resources.route_configuration(name, name, routes, keyed)],
+            Kind.LISTENER: [resource_codec.listener(name, name)],
+            Kind.ROUTES: [resource_codec.route_configuration(name, name, routes, keyed)],
         }
         self._stale = True  # all groups are to hear of it
 
@@ -119,16 +121,16 @@
 
     def _bound(self, zone: int, boxes: Sequence[Box], largest: Mapping[int, float]) -> int:
         """Grown at once, shrunk only when four times too large: each change makes a cluster anew."""
-        wanted, old = plan.bound(boxes, largest.get(zone, 0.0) or 1.0), self._bounds.get(zone, 0)
+        wanted, old = route_settings.bound(boxes, largest.get(zone, 0.0) or 1.0), self._bounds.get(zone, 0)
         return wanted if wanted > old or old >= 4 * wanted else old
 
     def _publish(self, zone: int, due: Entry) -> None:
         settings, name = self.settings, self.service
-        found = resources.by_kind(
+        found = resource_codec.by_kind(
             {
                 **self._fixed,
                 Kind.CLUSTER: [
-                    resources.cluster(
+                    resource_codec.cluster(
                         name,
                         settings.warm_keys,
                         self._bounds[zone],
@@ -138,7 +140,7 @@
                 Kind.ENDPOINTS: [self._endpoints[zone].make(name, due.assignment)],
             }
         )
-        versions = {kind: resources.set_version(found[kind]) for kind in Kind}
+        versions = {kind: resource_codec.set_version(found[kind]) for kind in Kind}
         self.states[zone] = State(found, versions, due.number, self.urgent, due.causes)
         kept = self.history.setdefault(zone, deque(maxlen=HISTORY))
         version = found[Kind.ENDPOINTS][name].version
--- a/firvane/control/keys.py
+++ b/firvane/proxy/control/certificates.py
@@ -18,8 +18,8 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-from firvane.config.model import Tls
-from firvane.logs import QUIET, Log
+from firvane.core.logs import QUIET, Log
+from firvane.proxy.config.model import Tls
 
 TEST_DAYS = 30
 SOON = timedelta(days=14)  # to its end, from when a certificate is warned of
--- a/firvane/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -12,20 +12,20 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any, Protocol
 
-from firvane import interface as api
-from firvane.address import Address
-from firvane.choice import Balancer
-from firvane.config.model import Control as Words
-from firvane.control import beliefs
-from firvane.control.catalog import Catalog
-from firvane.control.feedback import Feedback, split
-from firvane.control.ledger import Ledger
-from firvane.control.pace import Pace
-from firvane.control.panic import Panic
-from firvane.control.types import Box, Health, Report, State
-from firvane.control.weights import SUM
-from firvane.engine import Clock, Directory, Engine, Exchange, Handle, Post
-from firvane.logs import QUIET, Log
+from firvane.core import interface as api
+from firvane.core.address import Address
+from firvane.core.engine import Clock, Directory, Engine, Exchange, Handle, Post
+from firvane.core.logs import QUIET, Log
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.config.model import Control as Words
+from firvane.proxy.control import estimates
+from firvane.proxy.control.catalog import Catalog
+from firvane.proxy.control.debounce import Pace
+from firvane.proxy.control.load_feedback import Feedback, split
+from firvane.proxy.control.panic_threshold import Panic
+from firvane.proxy.control.receivers import Ledger
+from firvane.proxy.control.types import Box, Health, Report, State
+from firvane.proxy.control.weights import SUM
 
 # Places of boxes told to receivers a second, where nothing is urgent; s between such times at the most.
 PLACES, MOST_QUIET = 400_000.0, 5.0
@@ -148,10 +148,10 @@
     def _boxes(self) -> list[Box]:
         """As the module has them, and those that a doubtful list leaves out as they were."""
         places = [
-            beliefs.read(feedback.balancer, self.addresses, feedback.took, engine.now())
+            estimates.read(feedback.balancer, self.addresses, feedback.took, engine.now())
             for engine, feedback in zip(self.engines, self.feedbacks, strict=True)
         ]
-        boxes = {box.name: box for box in beliefs.joined(places)}
+        boxes = {box.name: box for box in estimates.joined(places)}
         for name in self.panic.held(self.clock.time()):
             if name not in boxes and name in self._kept:
                 boxes[name] = self._kept[name]
--- a/firvane/control/beliefs.py
+++ b/firvane/proxy/control/estimates.py
@@ -16,10 +16,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from firvane.address import Address
-from firvane.choice import Balancer
-from firvane.control.types import Box
-from firvane.rooms import cold
+from firvane.core.address import Address
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.capacity import slow_start
+from firvane.proxy.control.types import Box
 
 LEAST = 1e-3  # power is never less: a box is left alone for a reason, not for a small number
 TRIAL = 2.0  # requests a second to a box that is being tried again
@@ -39,7 +39,7 @@
         if is_cold:
             senders = balancer.senders(server)
             allowed = senders > 0 and now >= balancer.heard_at
-            part = cold.rate(balancer.evidence, server, senders, now)[0] if allowed else 0.0
+            part = slow_start.rate(balancer.evidence, server, senders, now)[0] if allowed else 0.0
             budget = part if budget is None else min(part, budget)
         elif server.fails > 1:
             budget = TRIAL
--- a/firvane/control/feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -9,8 +9,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from firvane.choice import Balancer
-from firvane.rooms.reports import Sum, take
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.capacity.load_reports import Sum, take
 
 SLOWLY = 0.2  # how far one sum moves the time that answers take
 
--- a/firvane/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -11,24 +11,27 @@
 
 import uvloop
 
-from firvane import checked, native
-from firvane.config.checks import CHECKS
-from firvane.config.file import node
-from firvane.config.model import Control as Words
-from firvane.config.model import File
-from firvane.config.node import Config
-from firvane.control.keys import Useless
-from firvane.control.service import Control
-from firvane.logs import Bridge
+from firvane.core import validation
+from firvane.core.logs import Bridge
+from firvane.proxy import native
+from firvane.proxy.config.checks import CHECKS
+from firvane.proxy.config.file import node
+from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.model import File
+from firvane.proxy.config.node import Config
+from firvane.proxy.control.certificates import Useless
+from firvane.proxy.control.service import Control
 
 Told = tuple[Config, Words]
 
 
 def read(path: str) -> Told:
     """What a file tells a control service; raises `checked.Faults`."""
-    file = checked.read(path, File, CHECKS)
+    file = validation.read(path, File, CHECKS)
     if file.control is None:
-        raise checked.Faults([checked.Fault(path, "control", "is missing: a table that names the service")])
+        raise validation.Faults(
+            [validation.Fault(path, "control", "is missing: a table that names the service")]
+        )
     return node(file), file.control
 
 
--- a/firvane/control/ledger.py
+++ b/firvane/proxy/control/receivers.py
@@ -18,8 +18,8 @@
 from collections.abc import Collection, Mapping
 from statistics import median
 
-from firvane.control.types import NOWHERE, Report
-from firvane.rooms.reports import Sum
+from firvane.proxy.capacity.load_reports import Sum
+from firvane.proxy.control.types import NOWHERE, Report
 
 KEEP = 15.0  # s that a receiver without a stream is still counted
 ASSUMED, MOST = 10.0, 100_000.0  # requests a second of a receiver that has not said; that one may say
--- a/firvane/control/resources.py
+++ b/firvane/proxy/control/resource_codec.py
@@ -22,8 +22,8 @@
 from envoy.type.v3 import percent_pb2
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 
-from firvane.control.plan import Route
-from firvane.control.types import DROP_CATEGORY, Assignment, Health, Kind, Locality, Place, Resource
+from firvane.proxy.control.route_settings import Route
+from firvane.proxy.control.types import DROP_CATEGORY, Assignment, Health, Kind, Locality, Place, Resource
 
 KEY_HEADER = "x-route-hash"
 RETRIES = 20.0  # in 100 requests that are open at a receiver: further tries beyond that are not made
--- a/firvane/control/plan.py
+++ b/firvane/proxy/control/route_settings.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from firvane import interface as api
-from firvane.control.types import Box
+from firvane.core import interface as api
+from firvane.proxy.control.types import Box
 
 SPARE, LEAST = 2.0, 64  # times its part of the room; requests open at one receiver that are always allowed
 
--- a/firvane/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -14,19 +14,19 @@
 import grpc
 import msgspec
 
-from firvane import interface as api
-from firvane import logs
-from firvane.config.model import Control as Words
-from firvane.config.node import Config
-from firvane.control import wire
-from firvane.control.ads import LONGEST, Ads
-from firvane.control.catalog import differences
-from firvane.control.core import Core
-from firvane.control.keys import Keys
-from firvane.control.types import State
-from firvane.limits.pauses import Pauses
-from firvane.net.peers import Peers
-from firvane.net.targets import ListReader, TargetGroup
+from firvane.core import interface as api
+from firvane.core import logs
+from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.node import Config
+from firvane.proxy.control import stream_codec
+from firvane.proxy.control.ads import LONGEST, Ads
+from firvane.proxy.control.catalog import differences
+from firvane.proxy.control.certificates import Keys
+from firvane.proxy.control.core import Core
+from firvane.proxy.control.types import State
+from firvane.proxy.limits.discovery_timing import Pauses
+from firvane.proxy.net.peer_datagrams import Peers
+from firvane.proxy.net.target_group import ListReader, TargetGroup
 
 REPORT = 5.0  # s from one line of figures in the log to the next
 GRACE = 1.0  # s for streams to end at a stop
@@ -107,9 +107,9 @@
         tls = self.core.words.tls
         return not (tls and tls.allow) or bool(names & set(tls.allow))
 
-    def reported(self, node: wire.Node, request: Any) -> None:
+    def reported(self, node: stream_codec.Node, request: Any) -> None:
         parts = partial(self.core.parts, self.zone_of(node.zone))
-        self.core.reported(node.id, *wire.read_reports(request, self.name, self.core.names, parts))
+        self.core.reported(node.id, *stream_codec.read_reports(request, self.name, self.core.names, parts))
 
     def _sweep(self) -> None:
         self.ads.sweep()
--- a/firvane/control/stream.py
+++ b/firvane/proxy/control/stream.py
@@ -23,7 +23,7 @@
 from collections.abc import Collection, Iterable, Mapping
 from typing import NamedTuple
 
-from firvane.control.types import Kind, Resource, State
+from firvane.proxy.control.types import Kind, Resource, State
 
 UNHEARD = 8  # answers of one kind without an ACK, after which a receiver is not listening
 MOST_NAMES = 10_000  # that one receiver may ask for of a kind
--- a/firvane/control/wire.py
+++ b/firvane/proxy/control/stream_codec.py
@@ -13,9 +13,9 @@
 from envoy.service.discovery.v3 import discovery_pb2
 from google.protobuf import any_pb2
 
-from firvane.control.stream import Push, Stream, write_version
-from firvane.control.types import DROP_CATEGORY, KINDS, Kind, Report
-from firvane.text import plain
+from firvane.core.printable import plain
+from firvane.proxy.control.stream import Push, Stream, write_version
+from firvane.proxy.control.types import DROP_CATEGORY, KINDS, Kind, Report
 
 KEPT = 64  # encodings that are kept: far more than differ at one time
 LONGEST = 200  # characters that are kept of a name or a reason
--- a/firvane/control/types.py
+++ b/firvane/proxy/control/types.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 NOWHERE = -1  # the zone of receivers that stand in none of ours
 DROP_CATEGORY = "no-room"  # of what receivers are told to give up at once
--- a/firvane/control/weights.py
+++ b/firvane/proxy/control/weights.py
@@ -15,8 +15,8 @@
 
 from collections.abc import Iterable, Mapping, Sequence
 
-from firvane.control.types import NOWHERE, Assignment, Box, Health, Locality, Place
-from firvane.routing.pairs import pair
+from firvane.core.balancing.greedy_pairing import pair
+from firvane.proxy.control.types import NOWHERE, Assignment, Box, Health, Locality, Place
 
 MARGIN = 0.15  # of a zone's target: an excess below that crosses no zone
 SUM, WHOLE = 100_000, 1000  # of the weights of a zone's places; of the weights of zones
--- a/firvane/optional_parts.py
+++ b/firvane/proxy/extensions.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from firvane import interface as api
-from firvane.ops.calls import Asked
+from firvane.core import interface as api
+from firvane.proxy.admin_api.calls import Asked
 
 AGREEING = 4  # descriptors kept for texts of policies, where there is an agreement on one
 
--- a/firvane/limits/costs.py
+++ b/firvane/proxy/limits/memory_costs.py
@@ -9,7 +9,7 @@
 import math
 from typing import NamedTuple
 
-from firvane.limits.descriptors import LEAST, Use, floors
+from firvane.proxy.limits.descriptors import LEAST, Use, floors
 
 MB = 1 << 20
 IDLE_CLIENT = 2_800  # a client connection: transport, parser, listener
--- a/firvane/measures.py
+++ b/firvane/proxy/metrics.py
@@ -17,9 +17,9 @@
 from math import floor, log2
 from typing import Any, NamedTuple
 
-from firvane import interface as api
-from firvane.engine import Flow
-from firvane.logs import Log
+from firvane.core import interface as api
+from firvane.core.engine import Flow
+from firvane.core.logs import Log
 
 PER_DOUBLING = 8  # buckets, as in rollout/words.py, of which a proxy loads nothing
 LEAST = 1e-6  # s: the lower edge of bucket 0
--- a/firvane/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from firvane.net.http import Buffered
-from firvane.net.words import Quiet, Stands
+from firvane.core.net.connection_checks import Quiet, Stands
+from firvane.core.net.http import Buffered
 
 IDLE = 60.0  # s between requests
 BUSY = 5  # the claim of a connection that is in use
--- a/firvane/net/client_side.py
+++ b/firvane/proxy/net/client_context.py
@@ -9,13 +9,13 @@
 
 import httptools
 
-from firvane import interface as api
-from firvane.engine import Engine, Flow
-from firvane.limits.gate import Gate
-from firvane.net.client_connection import ClientConnection
-from firvane.net.guard import Guard
-from firvane.net.http import Fault, Message, refusals, unescaped
-from firvane.tally import Counts
+from firvane.core import interface as api
+from firvane.core.engine import Engine, Flow
+from firvane.core.net.http import Fault, Message, refusals, unescaped
+from firvane.core.request_counters import Counts
+from firvane.proxy.limits.admission_gate import Gate
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.resource_monitor import Guard
 
 # Two values of one of these would let the proxy and a target go by different ones.
 SINGLE = frozenset((b"host", b"x-call-id", b"x-caller", b"x-budget-ms", b"x-route-hash", b"x-call-cost"))
--- a/firvane/net/listener.py
+++ b/firvane/proxy/net/client_requests.py
@@ -5,15 +5,15 @@
 import asyncio
 from typing import cast
 
-from firvane.engine import Flow
-from firvane.limits.account import SMALL, Held
-from firvane.limits.costs import FLOW, IDLE_CLIENT, WINDOW
-from firvane.limits.descriptors import Use
-from firvane.limits.overload import Measure
-from firvane.limits.turns import CHUNKED, DECIDE, READ_ONE
-from firvane.net.client_answers import LINGER, SLOW, STALLED, AnsweringConnection
-from firvane.net.client_connection import BUSY, IDLE
-from firvane.net.http import Fault, Message, Stream, bare_class, bare_tenant, is_again
+from firvane.core.engine import Flow
+from firvane.core.net.http import Fault, Message, Stream, bare_class, bare_tenant, is_again
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.loop_budget import CHUNKED, DECIDE, READ_ONE
+from firvane.proxy.limits.memory_account import SMALL, Held
+from firvane.proxy.limits.memory_costs import FLOW, IDLE_CLIENT, WINDOW
+from firvane.proxy.limits.overload import Measure
+from firvane.proxy.net.client_connection import BUSY, IDLE
+from firvane.proxy.net.client_responses import LINGER, SLOW, STALLED, AnsweringConnection
 
 READY_PATH = b"/up"
 FIRST = 2.85  # s from connecting on for the head of the first request, however late it began
