--- a/firvane/net/client_answers.py
+++ b/firvane/proxy/net/client_responses.py
@@ -4,13 +4,10 @@
 
 import httptools
 
-from firvane.engine import Flow
-from firvane.limits.account import Held
-from firvane.limits.costs import WINDOW
-from firvane.net.client_connection import IDLE, ClientConnection
-from firvane.net.client_side import ClientSide
-from firvane.net.dial import resets
-from firvane.net.http import (
+from firvane.core.engine import Flow
+from firvane.core.net.connection_checks import Quiet, Stands, always
+from firvane.core.net.dialer import resets
+from firvane.core.net.http import (
     LAST_CHUNK,
     Fault,
     Message,
@@ -21,8 +18,11 @@
     answer_head,
     framed,
 )
-from firvane.net.words import Quiet, Stands, always
-from firvane.tally import Counts
+from firvane.core.request_counters import Counts
+from firvane.proxy.limits.memory_account import Held
+from firvane.proxy.limits.memory_costs import WINDOW
+from firvane.proxy.net.client_connection import IDLE, ClientConnection
+from firvane.proxy.net.client_context import ClientSide
 
 SLOW, LINGER = 2.4, 2.0  # s for a whole request, the first from connecting on; to read the last answer
 AT_ONCE = 8 * 1024  # bytes of an answer that any connection takes at once: a new one may send ten packets
--- a/firvane/net/front.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -4,12 +4,12 @@
 
 import heapq
 
-from firvane.limits.descriptors import Use
-from firvane.limits.overload import Measure
-from firvane.net.client_connection import BUSY, IDLE
-from firvane.net.client_side import ClientSide
-from firvane.net.listener import Listener
-from firvane.net.words import Quiet, Stands, always
+from firvane.core.net.connection_checks import Quiet, Stands, always
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.overload import Measure
+from firvane.proxy.net.client_connection import BUSY, IDLE
+from firvane.proxy.net.client_context import ClientSide
+from firvane.proxy.net.client_requests import Listener
 
 # The same as `IDLE` where places run short, by the requests that a connection has brought: those
 # that ask once and stay would in the end keep out the clients that use theirs.
--- a/firvane/net/door.py
+++ b/firvane/proxy/net/listening_socket.py
@@ -9,10 +9,10 @@
 from functools import partial
 from typing import Protocol
 
-from firvane.logs import QUIET, Log
-from firvane.net.dial import is_quiet, stands
-from firvane.net.transport_pool import TransportPool
-from firvane.net.words import Quiet, Stands, always
+from firvane.core.logs import QUIET, Log
+from firvane.core.net.connection_checks import Quiet, Stands, always
+from firvane.core.net.dialer import is_quiet, stands
+from firvane.core.net.transport_pool import TransportPool
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
 ACCEPTS = 32  # accepted in one turn of the loop at the most
--- a/firvane/net/peers.py
+++ b/firvane/proxy/net/peer_datagrams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from firvane.limits.rates import Rates
+from firvane.proxy.limits.token_buckets import Rates
 
 MAX_DATAGRAM = 256
 RATE, BURST = 20.0, 20.0  # datagrams a second that a peer may send, ten times what it needs; at once
--- a/firvane/net/guard.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -10,15 +10,15 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from firvane import interface as api
-from firvane.limits.account import Account, Leases
-from firvane.limits.admission import Admission
-from firvane.limits.costs import MB, Bounds, derive
-from firvane.limits.descriptors import Descriptors, Use
-from firvane.limits.overload import Level, Measure, Overload, Resource
-from firvane.limits.turns import Turns
-from firvane.logs import QUIET, Log
-from firvane.net.http import MAX_BODY, MAX_HEAD
+from firvane.core import interface as api
+from firvane.core.logs import QUIET, Log
+from firvane.core.net.http import MAX_BODY, MAX_HEAD
+from firvane.proxy.limits.admission import Admission
+from firvane.proxy.limits.descriptors import Descriptors, Use
+from firvane.proxy.limits.loop_budget import Turns
+from firvane.proxy.limits.memory_account import Account, Leases
+from firvane.proxy.limits.memory_costs import MB, Bounds, derive
+from firvane.proxy.limits.overload import Level, Measure, Overload, Resource
 
 PERIOD = 0.25  # s from one look at what is used to the next
 LATE = 0.25  # of the shortest aim: a loop that is this late costs requests their worth
--- a/firvane/net/targets.py
+++ b/firvane/proxy/net/target_group.py
@@ -31,10 +31,10 @@
 
 import httptools
 
-from firvane import interface as api
-from firvane.address import Address, parse_address
-from firvane.limits.pauses import Heard, Pauses
-from firvane.logs import QUIET, Log
+from firvane.core import interface as api
+from firvane.core.address import Address, parse_address
+from firvane.core.logs import QUIET, Log
+from firvane.proxy.limits.discovery_timing import Heard, Pauses
 
 STATES = {"up": api.ServerState.UP, "draining": api.ServerState.DRAINING, "removed": api.ServerState.GONE}
 WORDS = {state: word for word, state in STATES.items()}
--- a/firvane/net/forward.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -21,15 +21,11 @@
 
 import httptools
 
-from firvane.endings import Ending
-from firvane.engine import Exchange
-from firvane.interface import Limits, Rules
-from firvane.limits.account import SMALL, Held
-from firvane.limits.costs import IDLE_TARGET, WINDOW
-from firvane.limits.descriptors import Use
-from firvane.net.dial import Dialer
-from firvane.net.guard import Guard
-from firvane.net.http import (
+from firvane.core.engine import Exchange
+from firvane.core.interface import Limits, Rules
+from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.dialer import Dialer
+from firvane.core.net.http import (
     LAST_CHUNK,
     Buffered,
     Fault,
@@ -40,8 +36,12 @@
     framed,
     request_head,
 )
-from firvane.net.upstream_run import UpstreamRun, close_idle
-from firvane.net.words import Quiet
+from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
+from firvane.core.terminations import Ending
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.memory_account import SMALL, Held
+from firvane.proxy.limits.memory_costs import IDLE_TARGET, WINDOW
+from firvane.proxy.net.resource_monitor import Guard
 
 IDLE_PART = 0.5  # of the idle time in the settings: a target may close sooner than that, never later
 STALL = 10.0  # s without a byte of a long answer from a target that is not held
--- a/firvane/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -10,34 +10,35 @@
 from dataclasses import replace
 from typing import Any
 
-from firvane import __version__, logs
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.config.node import Config
-from firvane.config.reload import check_open_flows, check_shape, waiting_for_start
-from firvane.engine import Engine
-from firvane.limits.account import Held
-from firvane.limits.costs import BOX, FLOW, MB
-from firvane.limits.descriptors import Use
-from firvane.limits.pauses import Pauses
-from firvane.measures import Errors, Measures, Used
-from firvane.net.dial import Dialer, SocketDialer
-from firvane.net.door import Door, LoopDoor, SocketDoor, adopt
-from firvane.net.forward import Forwards
-from firvane.net.front import Front
-from firvane.net.guard import Guard, OwnUsage, Usage
-from firvane.net.http import Message
-from firvane.net.peers import Peers
-from firvane.net.targets import ListReader, TargetGroup
-from firvane.net.transport_pool import TransportPool
-from firvane.ops import calls
-from firvane.ops.calls import Asked, Call
-from firvane.ops.desk import DESCRIPTORS, Desk
-from firvane.ops.figures import Figures, Loads
-from firvane.ops.states import Event, Life, State
-from firvane.optional_parts import AGREEING, Agreement, Keeper
-from firvane.retune import merged, retired
-from firvane.rooms.skipped import skipped
+from firvane import __version__
+from firvane.core import interface as api
+from firvane.core import logs
+from firvane.core.engine import Engine
+from firvane.core.net.dialer import Dialer, SocketDialer
+from firvane.core.net.http import Message
+from firvane.core.net.transport_pool import TransportPool
+from firvane.proxy.admin_api import calls
+from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.admin_api.lifecycle import Event, Life, State
+from firvane.proxy.admin_api.metrics import Figures, Loads
+from firvane.proxy.admin_api.server import DESCRIPTORS, Desk
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.capacity.excluded_servers import skipped
+from firvane.proxy.config.node import Config
+from firvane.proxy.config.reload import check_open_flows, check_shape, waiting_for_start
+from firvane.proxy.extensions import AGREEING, Agreement, Keeper
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.discovery_timing import Pauses
+from firvane.proxy.limits.memory_account import Held
+from firvane.proxy.limits.memory_costs import BOX, FLOW, MB
+from firvane.proxy.metrics import Errors, Measures, Used
+from firvane.proxy.net.connection_limiter import Front
+from firvane.proxy.net.listening_socket import Door, LoopDoor, SocketDoor, adopt
+from firvane.proxy.net.peer_datagrams import Peers
+from firvane.proxy.net.resource_monitor import Guard, OwnUsage, Usage
+from firvane.proxy.net.target_group import ListReader, TargetGroup
+from firvane.proxy.net.upstream_pool import Forwards
+from firvane.proxy.settings_reload import merged, retired
 
 LAME = 0.7  # s after SIGTERM for which clients may still come; SIGKILL is the longest deadline away from then
 COUNTED, MARGIN = 3.0, 0.2  # s: the longest that a deadline counts there; kept for the last answers
--- a/firvane/quorum/ballots.py
+++ b/firvane/proxy/quorum/ballots.py
@@ -21,9 +21,18 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from firvane.quorum.messages import Accept, Accepted, Decided, Message, Prepare, Promise, ballot_of, vote_of
-from firvane.quorum.types import NO_BALLOT, Ballot, Times, Value
-from firvane.quorum.votes import current, newest
+from firvane.proxy.quorum.messages import (
+    Accept,
+    Accepted,
+    Decided,
+    Message,
+    Prepare,
+    Promise,
+    ballot_of,
+    vote_of,
+)
+from firvane.proxy.quorum.types import NO_BALLOT, Ballot, Times, Value
+from firvane.proxy.quorum.votes import current, newest
 
 
 class Phase(Enum):
--- a/firvane/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -23,21 +23,21 @@
 from datetime import UTC, datetime
 from typing import Any, NamedTuple
 
-from firvane import interface as api
-from firvane.checked import Faults
-from firvane.config import policy as policies
-from firvane.ops import calls
-from firvane.ops.calls import Asked, Call
-from firvane.policy_text import digest_of
-from firvane.quorum import events
-from firvane.quorum.events import Event
-from firvane.quorum.fetch import Fetching
-from firvane.quorum.host import Host
-from firvane.quorum.member import Member
-from firvane.quorum.messages import MARK
-from firvane.quorum.store import REMEMBERED, Aside, Past, Store
-from firvane.quorum.types import Outcome, Times, Value
-from firvane.quorum.uploads import Uploads, Useless
+from firvane.core import interface as api
+from firvane.core.validation import Faults
+from firvane.proxy.admin_api import calls
+from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.config import policy as policies
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum import events
+from firvane.proxy.quorum.events import Event
+from firvane.proxy.quorum.fetch import Fetching
+from firvane.proxy.quorum.host import Host
+from firvane.proxy.quorum.member import Member
+from firvane.proxy.quorum.messages import MARK
+from firvane.proxy.quorum.store import REMEMBERED, Aside, Past, Store
+from firvane.proxy.quorum.types import Outcome, Times, Value
+from firvane.proxy.quorum.uploads import Uploads, Useless
 
 MOST_FETCHES = 4  # texts being got at once
 MOST_TEXTS = REMEMBERED + 14  # kept: those of the history, and the last that were proposed
--- a/firvane/quorum/elections.py
+++ b/firvane/proxy/quorum/elections.py
@@ -11,13 +11,13 @@
 
 from math import inf
 
-from firvane.quorum.ballots import Ballots
-from firvane.quorum.member_state import MemberState
-from firvane.quorum.messages import Accept, Prepare, Told
-from firvane.quorum.outbox import Outbox
-from firvane.quorum.renewal import make_answer
-from firvane.quorum.types import Value
-from firvane.quorum.votes import Votes, majority, newest, recovered
+from firvane.proxy.quorum.ballots import Ballots
+from firvane.proxy.quorum.member_state import MemberState
+from firvane.proxy.quorum.messages import Accept, Prepare, Told
+from firvane.proxy.quorum.outbox import Outbox
+from firvane.proxy.quorum.renewal import make_answer
+from firvane.proxy.quorum.types import Value
+from firvane.proxy.quorum.votes import Votes, majority, newest, recovered
 
 
 class Elections:
--- a/firvane/quorum/events.py
+++ b/firvane/proxy/quorum/events.py
@@ -9,7 +9,7 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-from firvane.quorum.types import Kept, Value
+from firvane.proxy.quorum.types import Kept, Value
 
 # Events
 
--- a/firvane/quorum/fetch.py
+++ b/firvane/proxy/quorum/fetch.py
@@ -15,12 +15,12 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import cast
 
-from firvane.address import Address
-from firvane.endings import Ending
-from firvane.net.dial import Dialer, Dialing
-from firvane.net.words import Quiet
-from firvane.ops.calls import Call, got
-from firvane.quorum.uploads import Gathered
+from firvane.core.address import Address
+from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.dialer import Dialer, Dialing
+from firvane.core.terminations import Ending
+from firvane.proxy.admin_api.calls import Call, got
+from firvane.proxy.quorum.uploads import Gathered
 
 LONGEST = 17 << 10  # bytes of an answer with one piece
 PATIENCE = 2.0  # s for one piece, from dialling on
--- a/firvane/quorum/gathering.py
+++ b/firvane/proxy/quorum/gathering.py
@@ -14,8 +14,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from firvane.quorum.messages import Here, Verdict
-from firvane.quorum.types import Times, Value
+from firvane.proxy.quorum.messages import Here, Verdict
+from firvane.proxy.quorum.types import Times, Value
 
 
 @dataclass
--- a/firvane/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from firvane import interface as api
-from firvane.config.node import Config
-from firvane.logs import Log
-from firvane.net.dial import Dialer
+from firvane.core import interface as api
+from firvane.core.logs import Log
+from firvane.core.net.dialer import Dialer
+from firvane.proxy.config.node import Config
 
 
 class Post(Protocol):
--- a/firvane/quorum/installation.py
+++ b/firvane/proxy/quorum/installation.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from math import inf
 
-from firvane.quorum import messages
-from firvane.quorum.events import Fetch, Swap
-from firvane.quorum.member_state import REMEMBERED, MemberState
-from firvane.quorum.messages import Verdict
-from firvane.quorum.outbox import Outbox
+from firvane.proxy.quorum import messages
+from firvane.proxy.quorum.events import Fetch, Swap
+from firvane.proxy.quorum.member_state import REMEMBERED, MemberState
+from firvane.proxy.quorum.messages import Verdict
+from firvane.proxy.quorum.outbox import Outbox
 
 
 class Installation:
--- a/firvane/quorum/leases.py
+++ b/firvane/proxy/quorum/leases.py
@@ -19,8 +19,8 @@
 from dataclasses import dataclass, field
 from math import inf
 
-from firvane.quorum.messages import Told
-from firvane.quorum.types import Standing, Times, Value, Window
+from firvane.proxy.quorum.messages import Told
+from firvane.proxy.quorum.types import Standing, Times, Value, Window
 
 
 def majority_read(
--- a/firvane/quorum/member.py
+++ b/firvane/proxy/quorum/member.py
@@ -11,12 +11,12 @@
 from contextlib import suppress
 from math import inf
 
-from firvane.quorum import messages
-from firvane.quorum.elections import Elections
-from firvane.quorum.events import Abort, Action, Checked, Event, Heard, Propose, Saved, Tick, Unsaved
-from firvane.quorum.installation import Installation
-from firvane.quorum.member_state import MemberState
-from firvane.quorum.messages import (
+from firvane.proxy.quorum import messages
+from firvane.proxy.quorum.elections import Elections
+from firvane.proxy.quorum.events import Abort, Action, Checked, Event, Heard, Propose, Saved, Tick, Unsaved
+from firvane.proxy.quorum.installation import Installation
+from firvane.proxy.quorum.member_state import MemberState
+from firvane.proxy.quorum.messages import (
     Accept,
     Accepted,
     Ask,
@@ -33,11 +33,11 @@
     ballot_of,
     value_of,
 )
-from firvane.quorum.outbox import Outbox
-from firvane.quorum.proposals import Proposals
-from firvane.quorum.renewal import LeaseRenewal
-from firvane.quorum.status import status
-from firvane.quorum.types import Kept, Outcome, Times, Value
+from firvane.proxy.quorum.outbox import Outbox
+from firvane.proxy.quorum.proposals import Proposals
+from firvane.proxy.quorum.renewal import LeaseRenewal
+from firvane.proxy.quorum.status import status
+from firvane.proxy.quorum.types import Kept, Outcome, Times, Value
 
 
 class Member:
--- a/firvane/quorum/member_state.py
+++ b/firvane/proxy/quorum/member_state.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 from math import inf
 
-from firvane.quorum.ballots import Ballots
-from firvane.quorum.events import Action, Note
-from firvane.quorum.gathering import Gathering
-from firvane.quorum.leases import Lease
-from firvane.quorum.messages import Told
-from firvane.quorum.types import Kept, Times, Value, Window
-from firvane.quorum.votes import Votes
+from firvane.proxy.quorum.ballots import Ballots
+from firvane.proxy.quorum.events import Action, Note
+from firvane.proxy.quorum.gathering import Gathering
+from firvane.proxy.quorum.leases import Lease
+from firvane.proxy.quorum.messages import Told
+from firvane.proxy.quorum.types import Kept, Times, Value, Window
+from firvane.proxy.quorum.votes import Votes
 
 REMEMBERED = 50  # epochs, proposals
 
--- a/firvane/quorum/messages.py
+++ b/firvane/proxy/quorum/messages.py
@@ -16,8 +16,8 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from firvane.policy_text import DIGEST
-from firvane.quorum.types import MOST_VOTERS, Ballot, Value
+from firvane.proxy.policy_text import DIGEST
+from firvane.proxy.quorum.types import MOST_VOTERS, Ballot, Value
 
 VERSION = 5
 MARK = bytes((VERSION,))
--- a/firvane/quorum/outbox.py
+++ b/firvane/proxy/quorum/outbox.py
@@ -13,11 +13,11 @@
 from collections.abc import Callable, Iterable
 from typing import NamedTuple
 
-from firvane.quorum import messages
-from firvane.quorum.events import Save, Say
-from firvane.quorum.member_state import MemberState
-from firvane.quorum.messages import Message
-from firvane.quorum.types import Kept
+from firvane.proxy.quorum import messages
+from firvane.proxy.quorum.events import Save, Say
+from firvane.proxy.quorum.member_state import MemberState
+from firvane.proxy.quorum.messages import Message
+from firvane.proxy.quorum.types import Kept
 
 Deliver = Callable[[int, Message, float], None]  # sender, message, now
 
--- a/firvane/quorum/proposals.py
+++ b/firvane/proxy/quorum/proposals.py
@@ -13,14 +13,14 @@
 from dataclasses import dataclass
 from math import inf
 
-from firvane.quorum import messages
-from firvane.quorum.ballots import Phase
-from firvane.quorum.events import Say
-from firvane.quorum.gathering import Gathering
-from firvane.quorum.member_state import REMEMBERED, MemberState
-from firvane.quorum.messages import Candidate, Here, Who
-from firvane.quorum.outbox import Outbox
-from firvane.quorum.types import MOST_VOTERS, Outcome, Value
+from firvane.proxy.quorum import messages
+from firvane.proxy.quorum.ballots import Phase
+from firvane.proxy.quorum.events import Say
+from firvane.proxy.quorum.gathering import Gathering
+from firvane.proxy.quorum.member_state import REMEMBERED, MemberState
+from firvane.proxy.quorum.messages import Candidate, Here, Who
+from firvane.proxy.quorum.outbox import Outbox
+from firvane.proxy.quorum.types import MOST_VOTERS, Outcome, Value
 
 
 @dataclass
--- a/firvane/quorum/renewal.py
+++ b/firvane/proxy/quorum/renewal.py
@@ -12,12 +12,12 @@
 
 from math import inf
 
-from firvane.quorum.gathering import bits
-from firvane.quorum.leases import majority_read
-from firvane.quorum.member_state import MemberState
-from firvane.quorum.messages import Ask, Here, Told, Who
-from firvane.quorum.outbox import Outbox
-from firvane.quorum.types import MOST_VOTERS, NO_BALLOT
+from firvane.proxy.quorum.gathering import bits
+from firvane.proxy.quorum.leases import majority_read
+from firvane.proxy.quorum.member_state import MemberState
+from firvane.proxy.quorum.messages import Ask, Here, Told, Who
+from firvane.proxy.quorum.outbox import Outbox
+from firvane.proxy.quorum.types import MOST_VOTERS, NO_BALLOT
 
 
 class LeaseRenewal:
--- a/firvane/quorum/status.py
+++ b/firvane/proxy/quorum/status.py
@@ -4,7 +4,7 @@
 
 from math import inf
 
-from firvane.quorum.member_state import MemberState
+from firvane.proxy.quorum.member_state import MemberState
 
 
 def status(state: MemberState, now: float) -> dict[str, str]:
--- a/firvane/quorum/store.py
+++ b/firvane/proxy/quorum/store.py
@@ -27,12 +27,12 @@
 
 import msgspec
 
-from firvane.atomic_write import write_atomically
-from firvane.checksum import Damaged, verify, with_header
-from firvane.logs import Log
-from firvane.policy_text import DIGEST, MOST_TEXT, digest_of
-from firvane.quorum.types import MOST_VOTERS, NO_BALLOT, Kept, Value
-from firvane.worker_threads import make_worker
+from firvane.core.atomic_write import write_atomically
+from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.logs import Log
+from firvane.core.worker_threads import make_worker
+from firvane.proxy.policy_text import DIGEST, MOST_TEXT, digest_of
+from firvane.proxy.quorum.types import MOST_VOTERS, NO_BALLOT, Kept, Value
 
 VOTES, HISTORY, LOCK, TEXT = "votes", "history", "lock", "text-"
 MAGIC_VOTES, MAGIC_HISTORY, FORMAT = b"FVPV", b"FVPH", 1
--- a/firvane/quorum/uploads.py
+++ b/firvane/proxy/quorum/uploads.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import TypeVar
 
-from firvane.policy_text import MOST_TEXT, digest_of
+from firvane.proxy.policy_text import MOST_TEXT, digest_of
 
 MOST_UPLOADS, KEPT = 4, 60.0
 
--- a/firvane/quorum/votes.py
+++ b/firvane/proxy/quorum/votes.py
@@ -20,8 +20,8 @@
 from dataclasses import dataclass, field
 from itertools import chain
 
-from firvane.quorum.messages import Accept, Accepted, Prepare, Promise, Told, ballot_of, vote_of
-from firvane.quorum.types import NO_BALLOT, Ballot, Kept, Times, Value, Window
+from firvane.proxy.quorum.messages import Accept, Accepted, Prepare, Promise, Told, ballot_of, vote_of
+from firvane.proxy.quorum.types import NO_BALLOT, Ballot, Kept, Times, Value, Window
 
 
 @dataclass
--- a/firvane/recovery/peers.py
+++ b/firvane/proxy/recovery/peers.py
@@ -24,9 +24,9 @@
 from collections.abc import Iterable
 from statistics import median
 
-from firvane.limits.rates import Rates
-from firvane.recovery.messages import Held
-from firvane.state import Backend, Row
+from firvane.core.balancing.records import Backend, Row
+from firvane.proxy.limits.token_buckets import Rates
+from firvane.proxy.recovery.messages import Held
 
 FEW, AGAIN, RATE, QUORUM = 15, 1.0, 20.0, 2
 BOUND = 4.0  # times by which peers may differ from memory
--- a/firvane/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -24,14 +24,14 @@
 import random
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 
-from firvane import interface as api
-from firvane.recovery import messages, steps
-from firvane.recovery.messages import Ask, Held, Loan
-from firvane.recovery.peers import AGAIN as ASK_AGAIN
-from firvane.recovery.peers import FEW, SPARE, Loans, Told, neediest
-from firvane.recovery.state_machine import CALM, PATIENCE, Event, RecoveryStateMachine, State
-from firvane.rooms.evidence import Evidence
-from firvane.state import Backend, Job, Row
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, Job, Row
+from firvane.proxy.capacity.backend_estimates import Evidence
+from firvane.proxy.recovery import messages, steps
+from firvane.proxy.recovery.messages import Ask, Held, Loan
+from firvane.proxy.recovery.peers import AGAIN as ASK_AGAIN
+from firvane.proxy.recovery.peers import FEW, SPARE, Loans, Told, neediest
+from firvane.proxy.recovery.state_machine import CALM, PATIENCE, Event, RecoveryStateMachine, State
 
 TRIAL = (0.15, 0.25)  # s from one trial of a box that does not answer to the next
 AGAIN, FOREIGN = 0.4, 0.7  # part of a room for who comes again; for keys of boxes of other homes
--- a/firvane/recovery/steps.py
+++ b/firvane/proxy/recovery/steps.py
@@ -18,8 +18,8 @@
 
 from __future__ import annotations
 
-from firvane import interface as api
-from firvane.state import Backend
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
 
 QUICK, LATE = 0.55, 0.8  # of the aim: an answer's time that allows more, and that is too much
 CUT, DEEP = 0.85, 0.6  # what an answer that is late leaves of a room; what a failure or a turn-away does
--- a/firvane/rollout/compare.py
+++ b/firvane/proxy/rollout/compare.py
@@ -22,8 +22,8 @@
 from dataclasses import dataclass, field
 from math import inf, log, sqrt
 
-from firvane.rollout.plan import Limits
-from firvane.rollout.words import Block, Counts, Finding, Side, Verdict
+from firvane.proxy.rollout.messages import Block, Counts, Finding, Side, Verdict
+from firvane.proxy.rollout.plan import Limits
 
 LEAST = 10  # observations: fewer tell nothing of their own scatter
 SLOPE_S = 10.0  # from one look at memory and descriptors to the next
--- a/firvane/rollout/controller.py
+++ b/firvane/proxy/rollout/controller.py
@@ -19,15 +19,11 @@
 from collections.abc import Callable, Coroutine, Sequence
 from typing import Any
 
-from firvane.address import Address, parse_address
-from firvane.rollout import measured, orders
-from firvane.rollout.chronicle import Chronicle, Taken
-from firvane.rollout.compare import Comparison, in_time_share
-from firvane.rollout.orders import Order
-from firvane.rollout.plan import Place, Plan
-from firvane.rollout.state_machine import RollStateMachine
-from firvane.rollout.trial import trial
-from firvane.rollout.words import (
+from firvane.core.address import Address, parse_address
+from firvane.proxy.rollout import measurements, supervisor_calls
+from firvane.proxy.rollout.compare import Comparison, in_time_share
+from firvane.proxy.rollout.event_log import Chronicle, Taken
+from firvane.proxy.rollout.messages import (
     Action,
     Ask,
     Back,
@@ -51,6 +47,10 @@
     Tried,
     Try,
 )
+from firvane.proxy.rollout.plan import Place, Plan
+from firvane.proxy.rollout.state_machine import RollStateMachine
+from firvane.proxy.rollout.supervisor_calls import Order
+from firvane.proxy.rollout.trial_start import trial
 
 TURN_S = 0.1  # from one look at time and calls to the next
 ASK_S = 0.25  # from a place's answer to the next question
@@ -93,7 +93,7 @@
         self.claimed = False
         self.order: Replace | Back | None = None  # that the place does not have yet
         self.given: Replace | Back | None = None  # of which nothing is known yet
-        self.sample: tuple[int, measured.Sample] | None = None  # the last one and its moment
+        self.sample: tuple[int, measurements.Sample] | None = None  # the last one and its moment
 
     def heard(self, status: dict[str, str]) -> None:
         self.status, self.silent = status, 0
@@ -234,7 +234,7 @@
         until = self.loop.time() + FIRST_S
         while not site.status and self.loop.time() < until:
             try:
-                site.heard(orders.heard(await call(site.door, orders.line(Order.STATUS))))
+                site.heard(supervisor_calls.heard(await call(site.door, supervisor_calls.line(Order.STATUS))))
             except (OSError, ValueError):
                 await asyncio.sleep(ASK_S)
 
@@ -250,11 +250,11 @@
 
     async def _visit(self, site: Site) -> None:
         if not site.claimed:
-            await self._told(site, orders.line(Order.CLAIM, self.name, self.machine.roll))
+            await self._told(site, supervisor_calls.line(Order.CLAIM, self.name, self.machine.roll))
             site.claimed = True
         if order := site.order:
             self.chronicle.mine()
-            answer = await self._told(site, orders.line(Order.REPLACE, order.version, order.roll))
+            answer = await self._told(site, supervisor_calls.line(Order.REPLACE, order.version, order.roll))
             if site.order is not order:
                 return
             if answer.startswith("+OK"):
@@ -263,7 +263,7 @@
                 site.order = None
                 self._hear(ReplaceFailed(site.name, answer.removeprefix("-ERR").strip()))
         given = site.given
-        site.heard(orders.heard(await call(site.door, orders.line(Order.STATUS))))
+        site.heard(supervisor_calls.heard(await call(site.door, supervisor_calls.line(Order.STATUS))))
         if site.order:
             return  # what it said is from before that
         status, busy = site.status, site.status.get("state") in BUSY
@@ -301,7 +301,9 @@
         moment, before = self.moments, site.sample
         version, pid = site.version, site.status.get("pid", "")
         try:
-            sample = measured.sample(await call(site.ops, "measures", min(WAIT_S, self.plan.compare.block_s)))
+            sample = measurements.sample(
+                await call(site.ops, "measures", min(WAIT_S, self.plan.compare.block_s))
+            )
         except (OSError, ValueError):
             return None
         site.sample = moment, sample
@@ -310,11 +312,11 @@
         if version not in (self.plan.roll.version, self.plan.roll.old):
             return None
         side = Side.NEW if version == self.plan.roll.version else Side.OLD
-        return measured.block(before[1], sample, at, site.place.zone, side, site.name)
+        return measurements.block(before[1], sample, at, site.place.zone, side, site.name)
 
     def _moment(self, blocks: list[Block], at: float) -> None:
         for block in blocks:
-            self.chronicle.note(self._stamp({"block": measured.flat(block)}))
+            self.chronicle.note(self._stamp({"block": measurements.flat(block)}))
         if self.observing:
             until, seen = self.observing
             seen += blocks
--- a/firvane/rollout/chronicle.py
+++ b/firvane/proxy/rollout/event_log.py
@@ -22,9 +22,9 @@
 
 import msgspec
 
-from firvane.atomic_write import write_atomically
-from firvane.checksum import Damaged, verify, with_header
-from firvane.rollout.words import Call, Kept
+from firvane.core.atomic_write import write_atomically
+from firvane.core.checksum import Damaged, verify, with_header
+from firvane.proxy.rollout.messages import Call, Kept
 
 MAGIC, FORMAT = b"FVRC", 1
 MOST = 1 << 20  # bytes of a course
--- a/firvane/rollout/measured.py
+++ b/firvane/proxy/rollout/measurements.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from firvane.rollout.words import Block, Counts, Side, Use
+from firvane.proxy.rollout.messages import Block, Counts, Side, Use
 
 FIELDS = ("taken", "in_time", "refused", "failed", "attempts")
 
--- a/firvane/rollout/plan.py
+++ b/firvane/proxy/rollout/plan.py
@@ -16,7 +16,7 @@
 
 from msgspec import Meta, Struct
 
-from firvane import checked
+from firvane.core import validation
 
 Positive = Annotated[float, Meta(gt=0)]
 Seconds = Annotated[float, Meta(ge=0)]
@@ -171,12 +171,12 @@
             yield f"stage[{n}].longest_s", f"must be above soak_s and compare.settle_s together, {least:g}"
 
 
-CHECKS: checked.Checks = {Plan: whole}
+CHECKS: validation.Checks = {Plan: whole}
 
 
 def parse(text: bytes, name: str = "plan") -> Plan:
     """The plan in a text; raises `checked.Faults` with everything that is wrong with it."""
-    return checked.build(checked.parse(text, name), Plan, name, CHECKS)
+    return validation.build(validation.parse(text, name), Plan, name, CHECKS)
 
 
 def digest(text: bytes) -> str:
--- a/firvane/rollout/probe.py
+++ b/firvane/proxy/rollout/readiness_probe.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterator, Sequence
 from pathlib import Path
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 LOOK_S = 0.01  # from one look for who has accepted to the next
 MOST = 1 << 16  # bytes of an answer that are looked at
--- a/firvane/rollout/slot.py
+++ b/firvane/proxy/rollout/slot.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field, replace
 from math import inf
 
-from firvane.rollout.slot_types import (
+from firvane.proxy.rollout.slot_types import (
     TABLE,
     Action,
     Event,
--- a/firvane/rollout/state_machine.py
+++ b/firvane/proxy/rollout/state_machine.py
@@ -22,9 +22,7 @@
 
 from dataclasses import dataclass
 
-from firvane.rollout.plan import Plan, Stage
-from firvane.rollout.transitions import FORWARD, STAYS, TABLE
-from firvane.rollout.words import (
+from firvane.proxy.rollout.messages import (
     ENDS,
     Action,
     Ask,
@@ -53,6 +51,8 @@
     Try,
     Verdict,
 )
+from firvane.proxy.rollout.plan import Plan, Stage
+from firvane.proxy.rollout.transitions import FORWARD, STAYS, TABLE
 
 KEEP_EVERY = 5.0  # s: so much of a stage's time a controller that dies forgets at the most
 
--- a/firvane/rollout/keeper.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -28,17 +28,16 @@
 
 import msgspec
 
-from firvane import checked
-from firvane.address import parse_address
-from firvane.atomic_write import write_atomically
-from firvane.checksum import Damaged, verify, with_header
-from firvane.logs import Log
-from firvane.ops.calls import LONGEST, Useless, lines, no, yes
-from firvane.rollout import probe, site
-from firvane.rollout.orders import Order, ordered, told
-from firvane.rollout.plan import Version
-from firvane.rollout.slot import Slot
-from firvane.rollout.slot_types import (
+from firvane.core import validation
+from firvane.core.address import parse_address
+from firvane.core.atomic_write import write_atomically
+from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.logs import Log
+from firvane.proxy.admin_api.calls import LONGEST, Useless, lines, no, yes
+from firvane.proxy.rollout import readiness_probe, supervisor_config
+from firvane.proxy.rollout.plan import Version
+from firvane.proxy.rollout.slot import Slot
+from firvane.proxy.rollout.slot_types import (
     Action,
     Keep,
     Kept,
@@ -51,6 +50,7 @@
     State,
     Terminate,
 )
+from firvane.proxy.rollout.supervisor_calls import Order, ordered, told
 
 MAGIC, FORMAT = b"FVPL", 1
 MARK = "FIRVANE_PLACE"  # in the environment of a place's processes: number, version, door, the state's file
@@ -95,7 +95,7 @@
     ) -> None:
         """Raises `checked.Faults` for a file of no use, `OSError` where another keeper has the place."""
         self.loop, self.path, self.over = loop, path, over
-        self.site = site.read(path)
+        self.site = supervisor_config.read(path)
         self.log = log.bind(place=self.site.name)
         self.state = os.path.abspath(self.site.state)
         self.listen, self.door = parse_address(self.site.listen), parse_address(self.site.door)
@@ -140,7 +140,7 @@
         self._turn()
 
     def _found(self) -> Iterator[tuple[Mark, int]]:
-        for pid, value in probe.marked(MARK):
+        for pid, value in readiness_probe.marked(MARK):
             number, version, door, state = [*value.split(" ", 3), "", "", ""][:4]
             with contextlib.suppress(OSError, ValueError):
                 if state == self.state:
@@ -269,12 +269,12 @@
             self.log.error("place_stuck", why=str(error))
 
     async def _ready(self, one: Process) -> None:
-        if await probe.ready(self.ops[one.mark.door], ASK_S):
+        if await readiness_probe.ready(self.ops[one.mark.door], ASK_S):
             self._do(self.place.ready(self.loop.time(), one.number))
 
     async def _probe(self, one: Process) -> None:
         pids = [child.pid for child in self.children.values()]
-        pid, is_well = await probe.served(self.listen, pids, ANSWER_S)
+        pid, is_well = await readiness_probe.served(self.listen, pids, ANSWER_S)
         # What was lost before anybody was seen to have it is laid to the new one: the other served so far.
         if pid == one.pid or (not pid and not is_well):
             self._do(self.place.probed(self.loop.time(), one.number, is_well))
@@ -304,7 +304,7 @@
                     if asked.word not in self.site.versions:
                         return no(f"unknown version: there are {', '.join(sorted(self.site.versions))}")
                     self._do(place.replace(now, asked.word, asked.roll))
-        except (Refused, checked.Faults) as error:
+        except (Refused, validation.Faults) as error:
             return no(str(error).splitlines()[0])
         except OSError as error:
             if (coming := place.coming) and not coming.pid:  # it was not started
@@ -314,7 +314,7 @@
         return yes(place.state.value)
 
     def _reread(self) -> None:
-        read = site.read(self.path)
+        read = supervisor_config.read(self.path)
         self.site = msgspec.structs.replace(self.site, versions=read.versions)
         self.place.times = read.times
 
--- a/firvane/rollout/orders.py
+++ b/firvane/proxy/rollout/supervisor_calls.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from firvane.ops.calls import LONGEST, Useless
+from firvane.proxy.admin_api.calls import LONGEST, Useless
 
 
 class Order(Enum):
--- a/firvane/rollout/site.py
+++ b/firvane/proxy/rollout/supervisor_config.py
@@ -15,10 +15,10 @@
 import msgspec
 from msgspec import Meta
 
-from firvane import checked
-from firvane.address import parse_address
-from firvane.rollout.plan import Name, Version
-from firvane.rollout.slot_types import Times
+from firvane.core import validation
+from firvane.core.address import parse_address
+from firvane.proxy.rollout.plan import Name, Version
+from firvane.proxy.rollout.slot_types import Times
 
 Span = Annotated[float, Meta(gt=0, le=3600)]
 
@@ -61,7 +61,7 @@
         yield "version", f"must be one of {', '.join(sorted(site.versions)) or 'the versions'}"
 
 
-CHECKS: checked.Checks = {Site: whole}
+CHECKS: validation.Checks = {Site: whole}
 
 
 def is_site(raw: object) -> bool:
@@ -71,4 +71,4 @@
 
 def read(path: str) -> Site:
     """The place in a file; raises `checked.Faults` with everything that is wrong with it."""
-    return checked.read(path, Site, CHECKS)
+    return validation.read(path, Site, CHECKS)
--- a/firvane/rollout/transitions.py
+++ b/firvane/proxy/rollout/transitions.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from firvane.rollout.words import Cause, State
+from firvane.proxy.rollout.messages import Cause, State
 
 TABLE: dict[State, dict[Cause, State]] = {
     State.PLANNED: {
--- a/firvane/rollout/trial.py
+++ b/firvane/proxy/rollout/trial_start.py
@@ -10,8 +10,8 @@
 import socket
 import subprocess
 
-from firvane.rollout import probe
-from firvane.rollout.plan import Version
+from firvane.proxy.rollout import readiness_probe
+from firvane.proxy.rollout.plan import Version
 
 LOOK_S = 0.05
 ANSWER_S = 2.0
@@ -45,13 +45,13 @@
             return f"it cannot be started: {error.filename or how.command[0]}: {error.strerror}"
         try:
             until = loop.time() + ready_s
-            while not await probe.ready(door, ANSWER_S):
+            while not await readiness_probe.ready(door, ANSWER_S):
                 if made.poll() is not None:
                     return f"it ended with code {made.returncode} at its start"
                 if loop.time() >= until:
                     return f"it is not ready after {ready_s:g} s"
                 await asyncio.sleep(LOOK_S)
-            while not (await probe.served(listen, (made.pid,), ANSWER_S))[1]:
+            while not (await readiness_probe.served(listen, (made.pid,), ANSWER_S))[1]:
                 if made.poll() is not None:
                     return f"it ended with code {made.returncode} under its first request"
                 if loop.time() >= until:
--- a/firvane/routing/walk.py
+++ b/firvane/proxy/routing/bounded_load.py
@@ -18,8 +18,8 @@
 
 from collections.abc import Collection, Iterator
 
-from firvane.routing.ring import Ring
-from firvane.state import Backend, mix
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.routing.hash_ring import Ring
 
 SMALL = 16  # servers whose order is worked out in full: costs no more than the looks
 NAMED = 16  # where a third of a slice are full all of these fail once in 40 million walks
--- a/firvane/routing/ring.py
+++ b/firvane/proxy/routing/hash_ring.py
@@ -23,7 +23,7 @@
 from bisect import bisect_left, insort
 from heapq import heappop, heappush
 
-from firvane.state import Backend, mix
+from firvane.core.balancing.records import Backend, mix
 
 POINTS = 64  # points of a server of mean size
 UNIT = 1 << 20  # parts of a weight of 1
--- a/firvane/routing/index.py
+++ b/firvane/proxy/routing/index.py
@@ -26,7 +26,7 @@
 from heapq import heapify, heappop, heappush
 from math import inf
 
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
 
 UNIT = 1 << 20  # parts of a power of 1
 LOOKS = 16  # servers of an order that are offered, at the most
--- a/firvane/routing/large.py
+++ b/firvane/proxy/routing/large_slices.py
@@ -17,9 +17,9 @@
 from random import Random
 from typing import NamedTuple
 
-from firvane.routing.index import Index
-from firvane.routing.walk import SMALL
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.bounded_load import SMALL
+from firvane.proxy.routing.index import Index
 
 
 class Figures(NamedTuple):
--- a/firvane/routing/heard.py
+++ b/firvane/proxy/routing/peer_load.py
@@ -12,9 +12,9 @@
 
 from __future__ import annotations
 
-from firvane.routing.names import LONG, TAG, Names
-from firvane.routing.rows import OLD, News
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.row_codec import OLD, News
+from firvane.proxy.routing.server_names import LONG, TAG, Names
 
 FORGOTTEN = 32  # rows
 MOST = 1024  # names
--- a/firvane/routing/rows.py
+++ b/firvane/proxy/routing/row_codec.py
@@ -21,8 +21,8 @@
 from collections.abc import Collection, Iterable, Sequence
 from typing import NamedTuple
 
-from firvane.routing.names import Names, long_name
-from firvane.state import ENTRY, ROW, Backend
+from firvane.core.balancing.records import ENTRY, ROW, Backend
+from firvane.proxy.routing.server_names import Names, long_name
 
 LARGEST = 256  # bytes of a row
 HEAD = struct.Struct("<BBBIHHHffffB")  # version to the rates, and the number of long entries
--- a/firvane/routing/listing.py
+++ b/firvane/proxy/routing/server_list.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
-from firvane import interface as api
-from firvane.state import Backend, fitting
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, fitting
 
 
 class Listing:
--- a/firvane/routing/names.py
+++ b/firvane/proxy/routing/server_names.py
@@ -9,7 +9,7 @@
 
 from __future__ import annotations
 
-from firvane.state import Backend
+from firvane.core.balancing.records import Backend
 
 PRIME = (1 << 61) - 1
 TAG, LONG = 1 << 32, 1 << 64  # added to old and long names, so that names of all kinds are keys of one dict
--- a/firvane/routing/subset.py
+++ b/firvane/proxy/routing/subset.py
@@ -25,7 +25,7 @@
 from dataclasses import dataclass
 from heapq import heapify, heapreplace
 
-from firvane.state import Backend, mix
+from firvane.core.balancing.records import Backend, mix
 
 TEAM = 8  # proxies
 LEAST = 8  # servers of a team, or there are fewer teams
--- a/firvane/settings.py
+++ b/firvane/proxy/settings.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Any
 
-from firvane.interface import (
+from firvane.core.interface import (
     Limits,
     Repeat,
     Reports,
--- a/firvane/retune.py
+++ b/firvane/proxy/settings_reload.py
@@ -15,7 +15,7 @@
 from dataclasses import replace
 from typing import Any
 
-from firvane.interface import RequestClass, Settings
+from firvane.core.interface import RequestClass, Settings
 
 PLACE = ("me", "proxies", "zone", "zones", "ask", "tick")
 
--- a/firvane/benchlink.py
+++ b/firvane/proxy/simulator_adapter.py
@@ -8,13 +8,12 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from firvane import native
+from firvane.proxy import native
 
 if __name__ == "__main__":
     native.activate()  # before anything that is compiled is imported
 
-from firvane.choice import Balancer
-from firvane.interface import (
+from firvane.core.interface import (
     Action,
     Cancel,
     ClientGone,
@@ -41,7 +40,8 @@
     TimerFired,
     Watch,
 )
-from firvane.settings import NS, parse_settings
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.settings import NS, parse_settings
 
 RESULTS = {
     200: Result.OK,
--- a/firvane/snapshots/file.py
+++ b/firvane/proxy/snapshots/file.py
@@ -20,12 +20,12 @@
 from pathlib import Path
 from typing import Any
 
-from firvane import interface as api
-from firvane.atomic_write import write_atomically
-from firvane.logs import Log
-from firvane.snapshots import format
-from firvane.snapshots.types import Snapshot, made, remembered
-from firvane.worker_threads import make_worker
+from firvane.core import interface as api
+from firvane.core.atomic_write import write_atomically
+from firvane.core.logs import Log
+from firvane.core.worker_threads import make_worker
+from firvane.proxy.snapshots import format
+from firvane.proxy.snapshots.types import Snapshot, made, remembered
 
 LEFT = 60.0  # s after which what stands aside is nobody's any more: a writing takes a moment
 Aside = Callable[[Callable[[], None]], None]  # runs it, off the loop's turns where there is a way
--- a/firvane/snapshots/format.py
+++ b/firvane/proxy/snapshots/format.py
@@ -13,10 +13,10 @@
 
 import msgspec
 
-from firvane.checksum import HEAD as HEAD
-from firvane.checksum import Damaged as Damaged
-from firvane.checksum import verify, with_header
-from firvane.snapshots.types import FORMAT, Snapshot
+from firvane.core.checksum import HEAD as HEAD
+from firvane.core.checksum import Damaged as Damaged
+from firvane.core.checksum import verify, with_header
+from firvane.proxy.snapshots.types import FORMAT, Snapshot
 
 MAGIC = b"FVSN"
 MOST = 16 << 20  # bytes that are read
--- a/firvane/snapshots/types.py
+++ b/firvane/proxy/snapshots/types.py
@@ -19,7 +19,7 @@
 
 from msgspec import Struct
 
-from firvane import interface as api
+from firvane.core import interface as api
 
 FORMAT = 2
 OLDEST = 7 * 86_400.0  # s from which on only the list is read
--- a/firvane/emulation/box.py
+++ b/firvane/simulation/emulation/backend.py
@@ -25,7 +25,7 @@
 from random import Random
 from typing import NamedTuple
 
-from firvane.emulation.scenario import Boxes, Kind
+from firvane.simulation.emulation.scenario import Boxes, Kind
 
 
 class Offer(NamedTuple):
--- a/firvane/emulation/checks.py
+++ b/firvane/simulation/emulation/checks.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from firvane.emulation.scenario import (
+from firvane.simulation.emulation.scenario import (
     Boxes,
     Community,
     Kind,
--- a/firvane/emulation/crowd.py
+++ b/firvane/simulation/emulation/clients.py
@@ -20,9 +20,9 @@
 from random import Random
 from typing import NamedTuple
 
-from firvane.emulation.chance import mix, named, part
-from firvane.emulation.network import Seat, seats
-from firvane.emulation.scenario import Load, Network, Proxies
+from firvane.simulation.emulation.network import Seat, seats
+from firvane.simulation.emulation.scenario import Load, Network, Proxies
+from firvane.simulation.emulation.seeded_random import mix, named, part
 
 CHUNK = 64  # arrivals drawn at once, in the mean
 LEAVES = 0x1EAF5  # told apart by it: the draws of who leaves
--- a/firvane/emulation/compare.py
+++ b/firvane/simulation/emulation/compare.py
@@ -21,7 +21,7 @@
 
 from msgspec import Struct
 
-from firvane.emulation.figures import OverTime, Series, ServiceResult
+from firvane.simulation.emulation.metrics import OverTime, Series, ServiceResult
 
 BLOCK = 5.0  # s
 LEAST = 6  # blocks
--- a/firvane/emulation/epochs.py
+++ b/firvane/simulation/emulation/epochs.py
@@ -25,7 +25,7 @@
 from math import inf
 from typing import Any, NamedTuple
 
-from firvane.emulation.records import (
+from firvane.simulation.emulation.records import (
     Abandoned,
     Arrived,
     Asked,
@@ -37,7 +37,7 @@
     Said,
     Shaded,
 )
-from firvane.emulation.verdict import Findings, Rule
+from firvane.simulation.emulation.verdict import Findings, Rule
 
 KEPT = 10.0  # s for which a request that has ended is remembered
 FIRST = 1  # the epoch in which a fleet is founded
--- a/firvane/emulation/lives.py
+++ b/firvane/simulation/emulation/incarnations.py
@@ -16,10 +16,10 @@
 
 from collections import deque
 
-from firvane.emulation.leaks import Floors
-from firvane.emulation.records import ProxyState, Sent, Told, Used
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.verdict import Findings, Rule
+from firvane.simulation.emulation.leaks import Floors
+from firvane.simulation.emulation.records import ProxyState, Sent, Told, Used
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.verdict import Findings, Rule
 
 LAME = 0.7  # s after the order to end for which clients may still come
 AWAKE = 0.1  # s after a stand-still in which it may still take up what came during it
--- a/firvane/emulation/judge.py
+++ b/firvane/simulation/emulation/judge.py
@@ -30,10 +30,9 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from firvane.emulation.cold import ColdBoxes
-from firvane.emulation.figures import Leavers
-from firvane.emulation.lives import LAME, Life, Lives
-from firvane.emulation.records import (
+from firvane.simulation.emulation.incarnations import LAME, Life, Lives
+from firvane.simulation.emulation.metrics import Leavers
+from firvane.simulation.emulation.records import (
     Abandoned,
     Answered,
     Arrived,
@@ -47,8 +46,9 @@
     Told,
     Used,
 )
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.verdict import Breach, Findings, Grade, Rule
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.verdict import Breach, Findings, Grade, Rule
+from firvane.simulation.emulation.warm_up import ColdBoxes
 
 SLACK = 0.05  # s by which every limit is longer
 GRACE = 1.0  # s after the word that a box drains or is gone
--- a/firvane/emulation/latency.py
+++ b/firvane/simulation/emulation/latency.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from firvane.emulation.figures import Series
+from firvane.simulation.emulation.metrics import Series
 
 LONGEST = 10_000_000  # µs that a latency is told up to
 DIGITS = 3  # that count
--- a/firvane/emulation/network.py
+++ b/firvane/simulation/emulation/network.py
@@ -5,7 +5,7 @@
 from random import Random
 from typing import NamedTuple
 
-from firvane.emulation.scenario import Network, Proxies
+from firvane.simulation.emulation.scenario import Network, Proxies
 
 
 class Seat(NamedTuple):
--- a/firvane/emulation/draw.py
+++ b/firvane/simulation/emulation/random_scenarios.py
@@ -9,8 +9,16 @@
 
 from msgspec.structs import replace
 
-from firvane.emulation.crowd import popularity
-from firvane.emulation.scenario import Boxes, Load, Network, Retries, Scenario, Trouble, TroubleKind
+from firvane.simulation.emulation.clients import popularity
+from firvane.simulation.emulation.scenario import (
+    Boxes,
+    Load,
+    Network,
+    Retries,
+    Scenario,
+    Trouble,
+    TroubleKind,
+)
 
 STAGED = ("power", "stall", "link", "away", "clock", "change")  # not drawn: staged where they are meant
 KINDS: tuple[TroubleKind, ...] = tuple(kind for kind in get_args(TroubleKind) if kind not in STAGED)
--- a/firvane/emulation/reference.py
+++ b/firvane/simulation/emulation/reference.py
@@ -19,14 +19,14 @@
 from math import inf, log
 from typing import Any
 
-from firvane.emulation.box import Box, End
-from firvane.emulation.chance import mix, named, part
-from firvane.emulation.crowd import Crowd, Try
-from firvane.emulation.network import seats
-from firvane.emulation.records import Asked
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.timeline import Action, Place, Step, Timeline
-from firvane.emulation.worth import Worth
+from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import Asked
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.seeded_random import mix, named, part
+from firvane.simulation.emulation.timeline import Action, Place, Step, Timeline
+from firvane.simulation.emulation.value import Worth
 
 SURE = 0.8  # of the time left that an answer may be expected to take: those that come later slow it
 PAUSE = 0.1  # s that who is refused is told to stay away
--- a/firvane/emulation/registry.py
+++ b/firvane/simulation/emulation/registry.py
@@ -13,8 +13,8 @@
 from math import inf
 from typing import NamedTuple
 
-from firvane.emulation.chance import mix, named, part
-from firvane.emulation.scenario import Network
+from firvane.simulation.emulation.scenario import Network
+from firvane.simulation.emulation.seeded_random import mix, named, part
 
 
 class Change(NamedTuple):
--- a/firvane/emulation/scenario.py
+++ b/firvane/simulation/emulation/scenario.py
@@ -2,7 +2,7 @@
 
 Plain values with the operators' own figures as defaults. Pairs are ranges from which each box, person or
 delay draws evenly. `_s` is seconds, `_ms` milliseconds, `share` and `part` are parts of one. Read from TOML
-by `firvane.checked`, which refuses what is unknown, of the wrong type or impossible.
+by `firvane.core.validation`, which refuses what is unknown, of the wrong type or impossible.
 """
 
 from __future__ import annotations
--- a/firvane/emulation/scenarios/__init__.py
+++ b/firvane/simulation/emulation/scenarios/__init__.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from firvane.emulation.scenario import Scenario
+from firvane.simulation.emulation.scenario import Scenario
 
 
 def scenario_names() -> list[str]:
--- a/firvane/emulation/service.py
+++ b/firvane/simulation/emulation/service.py
@@ -23,7 +23,8 @@
 
 from msgspec import Struct
 
-from firvane.emulation.figures import (
+from firvane.simulation.emulation.latency import Latencies
+from firvane.simulation.emulation.metrics import (
     MESSAGE,
     WEIGHTS,
     Attempts,
@@ -33,11 +34,10 @@
     Tries,
     Waste,
 )
-from firvane.emulation.latency import Latencies
-from firvane.emulation.records import Abandoned, Answered, Arrived, Asked, Finished, Probed, Record
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.usage import Usage
-from firvane.emulation.worth import Worth, merged
+from firvane.simulation.emulation.records import Abandoned, Answered, Arrived, Asked, Finished, Probed, Record
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.usage import Usage
+from firvane.simulation.emulation.value import Worth, merged
 
 REFUSALS = (429, 503)
 SPREAD = 6  # numbers of attempts told apart
--- a/firvane/emulation/timeline.py
+++ b/firvane/simulation/emulation/timeline.py
@@ -23,9 +23,9 @@
 from random import Random
 from typing import NamedTuple
 
-from firvane.emulation.network import seats
-from firvane.emulation.records import Shaded
-from firvane.emulation.scenario import Kind, Scenario, Trouble
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import Shaded
+from firvane.simulation.emulation.scenario import Kind, Scenario, Trouble
 
 
 class Action(Enum):
--- a/firvane/emulation/usage.py
+++ b/firvane/simulation/emulation/usage.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable
 from typing import Any
 
-from firvane.emulation.cold import Capacity
-from firvane.emulation.figures import BoxUse, ProxyUse, Series
-from firvane.emulation.records import Arrived, BoxState, Finished, Record, Sent, Used
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.worth import merged
+from firvane.simulation.emulation.metrics import BoxUse, ProxyUse, Series
+from firvane.simulation.emulation.records import Arrived, BoxState, Finished, Record, Sent, Used
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.value import merged
+from firvane.simulation.emulation.warm_up import Capacity
 
 
 class Usage:
--- a/firvane/emulation/worth.py
+++ b/firvane/simulation/emulation/value.py
@@ -14,9 +14,9 @@
 from collections.abc import Iterable
 from math import floor
 
-from firvane.emulation.figures import Series
-from firvane.emulation.records import Asked
-from firvane.emulation.scenario import Scenario
+from firvane.simulation.emulation.metrics import Series
+from firvane.simulation.emulation.records import Asked
+from firvane.simulation.emulation.scenario import Scenario
 
 WITHIN = 1.0  # worth of a unit of work within a community's share
 WINDOW = 10  # s
--- a/firvane/emulation/cold.py
+++ b/firvane/simulation/emulation/warm_up.py
@@ -16,9 +16,9 @@
 from collections import deque
 from typing import NamedTuple
 
-from firvane.emulation.records import Arrived, BoxState
-from firvane.emulation.scenario import Boxes
-from firvane.emulation.verdict import Findings, Grade, Rule
+from firvane.simulation.emulation.records import Arrived, BoxState
+from firvane.simulation.emulation.scenario import Boxes
+from firvane.simulation.emulation.verdict import Findings, Grade, Rule
 
 KNOWING_PART = 2 / 3
 NEAR = 0.8  # of the budget
--- a/firvane/localfleet/__init__.py
+++ b/firvane/simulation/localfleet/__init__.py
@@ -16,7 +16,7 @@
     """Entry of the command `firvane-fleet`; ends the process with the exit code."""
     import defopt  # only the command line needs it
 
-    from firvane.localfleet.command import fleet
+    from firvane.simulation.localfleet.command import fleet
 
     given = sys.argv[1:] if arguments is None else arguments
     for option in LIST_OPTIONS:
--- a/firvane/localfleet/backends.py
+++ b/firvane/simulation/localfleet/backends.py
@@ -5,14 +5,14 @@
 import asyncio
 from collections.abc import Callable
 
-from firvane.localfleet.instance_list import InstanceList, ListedInstance
-from firvane.localfleet.layout import ZONES, Layout
-from firvane.localfleet.model_connection import ServerState
-from firvane.localfleet.model_server import ModelServer
-from firvane.localfleet.platform_server import PlatformServer
-from firvane.localfleet.profiles import SERVICE, ServerProfile
-from firvane.localfleet.run_ledger import ServerRecords
-from firvane.localfleet.settings_files import PlatformTerms
+from firvane.simulation.localfleet.instance_list import InstanceList, ListedInstance
+from firvane.simulation.localfleet.layout import ZONES, Layout
+from firvane.simulation.localfleet.model_connection import ServerState
+from firvane.simulation.localfleet.model_server import ModelServer
+from firvane.simulation.localfleet.platform_server import PlatformServer
+from firvane.simulation.localfleet.profiles import SERVICE, ServerProfile
+from firvane.simulation.localfleet.run_ledger import ServerRecords
+from firvane.simulation.localfleet.settings_files import PlatformTerms
 
 CRASHED_LISTED_S = 2.0  # s for which the list still shows a server that is gone
 
--- a/firvane/localfleet/batch.py
+++ b/firvane/simulation/localfleet/batch.py
@@ -14,9 +14,9 @@
 import math
 from dataclasses import dataclass, field
 
-from firvane.localfleet.profiles import ServerProfile
-from firvane.localfleet.prompts import Prompt, PromptPart
-from firvane.localfleet.token_memory import TokenMemory
+from firvane.simulation.localfleet.profiles import ServerProfile
+from firvane.simulation.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.token_memory import TokenMemory
 
 
 class RejectionReason(enum.Enum):
--- a/firvane/localfleet/client_try.py
+++ b/firvane/simulation/localfleet/client_attempt.py
@@ -4,10 +4,10 @@
 
 import asyncio
 
-from firvane.localfleet.event_stream import StreamCheck, StreamError
-from firvane.localfleet.http_client import ClientConnection
-from firvane.localfleet.retries import TryEnd, TryResult
-from firvane.net.http import Message, Piece
+from firvane.core.net.http import Message, Piece
+from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
+from firvane.simulation.localfleet.http_client import ClientConnection
+from firvane.simulation.localfleet.retries import TryEnd, TryResult
 
 
 class Pauses:
--- a/firvane/localfleet/command.py
+++ b/firvane/simulation/localfleet/command.py
@@ -12,10 +12,10 @@
 
 import uvloop
 
-from firvane.localfleet.figures import RunFigures
-from firvane.localfleet.fleet import FleetOptions, LocalFleet
-from firvane.localfleet.fleet_run import StartError
-from firvane.localfleet.layout import (
+from firvane.simulation.localfleet.faults import TroubleError, parse_kill
+from firvane.simulation.localfleet.fleet import FleetOptions, LocalFleet
+from firvane.simulation.localfleet.fleet_run import StartError
+from firvane.simulation.localfleet.layout import (
     MAX_BACKENDS,
     MAX_CONTROLLERS,
     MAX_ROUTERS,
@@ -23,9 +23,9 @@
     find_free_ports,
     make_layout,
 )
-from firvane.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
-from firvane.localfleet.report_text import render
-from firvane.localfleet.troubles import TroubleError, parse_kill
+from firvane.simulation.localfleet.metrics import RunFigures
+from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
+from firvane.simulation.localfleet.report_text import render
 
 DONE = 0
 NOT_GOOD = 1
--- a/firvane/localfleet/config_operator.py
+++ b/firvane/simulation/localfleet/config_operator.py
@@ -8,10 +8,10 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from firvane.address import Address
-from firvane.localfleet.configurations import ConfigurationOrder, Configurations
-from firvane.localfleet.http_client import fetch
-from firvane.localfleet.operator_calls import CallEnded, CallStep, OperatorCall, SendTo
+from firvane.core.address import Address
+from firvane.simulation.localfleet.configurations import ConfigurationOrder, Configurations
+from firvane.simulation.localfleet.http_client import fetch
+from firvane.simulation.localfleet.operator_calls import CallEnded, CallStep, OperatorCall, SendTo
 
 CALL_TIMEOUT = 1.0  # s of silence
 READ_PATH = "/v1/config/read"
--- a/firvane/localfleet/configurations.py
+++ b/firvane/simulation/localfleet/configurations.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.localfleet.profiles import HEALTH_PATH, MODEL, SERVICE, RequestClass, ServerProfile
+from firvane.simulation.localfleet.profiles import HEALTH_PATH, MODEL, SERVICE, RequestClass, ServerProfile
 
 Document = dict[str, object]
 
--- a/firvane/localfleet/daemons.py
+++ b/firvane/simulation/localfleet/daemons.py
@@ -10,15 +10,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from firvane.localfleet.layout import DaemonRole, Layout, Node
-from firvane.localfleet.settings_files import PlatformTerms, settings_document, write_settings
+from firvane.simulation.localfleet.layout import DaemonRole, Layout, Node
+from firvane.simulation.localfleet.settings_files import PlatformTerms, settings_document, write_settings
 
 MODULES = {
     DaemonRole.ROUTER: "firvane.programs.router",
     DaemonRole.CONTROLLER: "firvane.programs.controller",
 }
 KEPT_VARIABLES = ("PATH", "HOME", "LANG")
-PACKAGE_PARENT = Path(__file__).resolve().parents[2]
+PACKAGE_PARENT = Path(__file__).resolve().parents[3]
 RESTART_AFTER = 1.0  # s from a kill, or an end of its own, to the next start
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ENDING_SIGNALS = (signal.SIGTERM, signal.SIGKILL)
--- a/firvane/localfleet/troubles.py
+++ b/firvane/simulation/localfleet/faults.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.localfleet.daemons import Daemon
-from firvane.localfleet.layout import DaemonRole
+from firvane.simulation.localfleet.daemons import Daemon
+from firvane.simulation.localfleet.layout import DaemonRole
 
 OWNER = "owner"  # the controller that acknowledged the last order
 
--- a/firvane/localfleet/fleet.py
+++ b/firvane/simulation/localfleet/fleet.py
@@ -6,10 +6,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from firvane.localfleet.backends import Backends
-from firvane.localfleet.configurations import Configurations
-from firvane.localfleet.daemons import RESTART_AFTER, Daemon
-from firvane.localfleet.figures import (
+from firvane.simulation.localfleet.backends import Backends
+from firvane.simulation.localfleet.configurations import Configurations
+from firvane.simulation.localfleet.daemons import RESTART_AFTER, Daemon
+from firvane.simulation.localfleet.faults import Kill, choose_victim
+from firvane.simulation.localfleet.fleet_run import FleetRun
+from firvane.simulation.localfleet.layout import DaemonRole, Layout
+from firvane.simulation.localfleet.load import Load
+from firvane.simulation.localfleet.metrics import (
     RouterKill,
     RunFigures,
     class_figures,
@@ -17,14 +21,10 @@
     server_fields,
     verdict_fields,
 )
-from firvane.localfleet.fleet_run import FleetRun
-from firvane.localfleet.layout import DaemonRole, Layout
-from firvane.localfleet.load import Load
-from firvane.localfleet.profiles import RequestClass, ServerProfile
-from firvane.localfleet.run_ledger import judge
-from firvane.localfleet.schedule import draw_schedule
-from firvane.localfleet.settings_files import GRACE_S, PlatformTerms
-from firvane.localfleet.troubles import Kill, choose_victim
+from firvane.simulation.localfleet.profiles import RequestClass, ServerProfile
+from firvane.simulation.localfleet.run_ledger import judge
+from firvane.simulation.localfleet.schedule import draw_schedule
+from firvane.simulation.localfleet.settings_files import GRACE_S, PlatformTerms
 
 START_TIMEOUT = 20.0  # s until all routers are ready
 READ_BACK_TIMEOUT = 5.0  # s
--- a/firvane/localfleet/fleet_run.py
+++ b/firvane/simulation/localfleet/fleet_run.py
@@ -5,13 +5,13 @@
 import asyncio
 from abc import ABC, abstractmethod
 
-from firvane.localfleet.backends import Backends
-from firvane.localfleet.config_operator import ConfigOperator
-from firvane.localfleet.configurations import Configurations
-from firvane.localfleet.ingress import Ingress
-from firvane.localfleet.layout import DaemonRole, Layout
-from firvane.localfleet.loop_delay import LoopDelay
-from firvane.localfleet.readiness import ReadinessProber
+from firvane.simulation.localfleet.backends import Backends
+from firvane.simulation.localfleet.config_operator import ConfigOperator
+from firvane.simulation.localfleet.configurations import Configurations
+from firvane.simulation.localfleet.ingress import Ingress
+from firvane.simulation.localfleet.layout import DaemonRole, Layout
+from firvane.simulation.localfleet.loop_delay import LoopDelay
+from firvane.simulation.localfleet.readiness import ReadinessProber
 
 
 class StartError(Exception):
--- a/firvane/localfleet/http_client.py
+++ b/firvane/simulation/localfleet/http_client.py
@@ -9,8 +9,8 @@
 
 import httptools
 
-from firvane.address import Address
-from firvane.net.http import Fault, Message, Piece, Reader
+from firvane.core.address import Address
+from firvane.core.net.http import Fault, Message, Piece, Reader
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes
 
--- a/firvane/localfleet/http_server.py
+++ b/firvane/simulation/localfleet/http_server.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from firvane.net.http import LAST_CHUNK, Fault, Message, Reader, framed, status_line
+from firvane.core.net.http import LAST_CHUNK, Fault, Message, Reader, framed, status_line
 
 MAX_BODY = 8 * 1024 * 1024  # bytes of one request
 Header = tuple[bytes, bytes]
--- a/firvane/localfleet/ingress.py
+++ b/firvane/simulation/localfleet/ingress.py
@@ -9,7 +9,7 @@
 import zlib
 from collections.abc import Sequence
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 MISSES = 2
 
--- a/firvane/localfleet/instance_list.py
+++ b/firvane/simulation/localfleet/instance_list.py
@@ -7,8 +7,8 @@
 import json
 from dataclasses import dataclass, replace
 
-from firvane.address import Address
-from firvane.localfleet.profiles import MODEL
+from firvane.core.address import Address
+from firvane.simulation.localfleet.profiles import MODEL
 
 OK = 200
 BAD_REQUEST = 400
--- a/firvane/localfleet/layout.py
+++ b/firvane/simulation/localfleet/layout.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from firvane.address import Address
+from firvane.core.address import Address
 
 ZONES = ("zone-a", "zone-b", "zone-c")
 REGION = "here"
--- a/firvane/localfleet/load.py
+++ b/firvane/simulation/localfleet/load.py
@@ -8,16 +8,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.address import Address
-from firvane.localfleet.client_try import ClientTry, Pauses
-from firvane.localfleet.event_stream import StreamCheck
-from firvane.localfleet.http_client import ClientConnection
-from firvane.localfleet.ingress import Ingress
-from firvane.localfleet.outcomes import RequestRecord
-from firvane.localfleet.request_message import compose_request
-from firvane.localfleet.retries import TryEnd, TryResult, retry_pause
-from firvane.localfleet.run_ledger import SentTry
-from firvane.localfleet.schedule import PlannedRequest
+from firvane.core.address import Address
+from firvane.simulation.localfleet.client_attempt import ClientTry, Pauses
+from firvane.simulation.localfleet.event_stream import StreamCheck
+from firvane.simulation.localfleet.http_client import ClientConnection
+from firvane.simulation.localfleet.ingress import Ingress
+from firvane.simulation.localfleet.outcomes import RequestRecord
+from firvane.simulation.localfleet.request_message import compose_request
+from firvane.simulation.localfleet.retries import TryEnd, TryResult, retry_pause
+from firvane.simulation.localfleet.run_ledger import SentTry
+from firvane.simulation.localfleet.schedule import PlannedRequest
 
 CONNECT_TIMEOUT = 1.0  # s
 IDLE_TIMEOUT = 5.0  # s that a client keeps a connection without a request
--- a/firvane/localfleet/figures.py
+++ b/firvane/simulation/localfleet/metrics.py
@@ -9,11 +9,11 @@
 
 from hdrh.histogram import HdrHistogram  # type: ignore[import-untyped]
 
-from firvane.localfleet.config_operator import OperatorRecord
-from firvane.localfleet.daemons import Daemon
-from firvane.localfleet.outcomes import Outcome, RequestRecord
-from firvane.localfleet.retries import TryEnd
-from firvane.localfleet.run_ledger import ServerRecords, Verdict
+from firvane.simulation.localfleet.config_operator import OperatorRecord
+from firvane.simulation.localfleet.daemons import Daemon
+from firvane.simulation.localfleet.outcomes import Outcome, RequestRecord
+from firvane.simulation.localfleet.retries import TryEnd
+from firvane.simulation.localfleet.run_ledger import ServerRecords, Verdict
 
 LONGEST_MS = 3_600_000
 SIGNIFICANT_DIGITS = 3
--- a/firvane/localfleet/model_connection.py
+++ b/firvane/simulation/localfleet/model_connection.py
@@ -6,12 +6,12 @@
 import enum
 from typing import Protocol
 
-from firvane.localfleet.http_server import Header, ServerConnection
-from firvane.localfleet.instance_list import ListedInstance
-from firvane.localfleet.profiles import HEALTH_PATH, ServerProfile
-from firvane.localfleet.prompts import Prompt, PromptError, parse_prompt
-from firvane.localfleet.run_ledger import ServerRecords
-from firvane.net.http import Message
+from firvane.core.net.http import Message
+from firvane.simulation.localfleet.http_server import Header, ServerConnection
+from firvane.simulation.localfleet.instance_list import ListedInstance
+from firvane.simulation.localfleet.profiles import HEALTH_PATH, ServerProfile
+from firvane.simulation.localfleet.prompts import Prompt, PromptError, parse_prompt
+from firvane.simulation.localfleet.run_ledger import ServerRecords
 
 WEIGHTS_VERSION = 1
 NOT_EXECUTED: Header = (b"X-Not-Executed", b"1")
--- a/firvane/localfleet/model_server.py
+++ b/firvane/simulation/localfleet/model_server.py
@@ -8,7 +8,8 @@
 import zlib
 from dataclasses import dataclass
 
-from firvane.localfleet.batch import (
+from firvane.core.net.http import Message
+from firvane.simulation.localfleet.batch import (
     Batch,
     Job,
     Output,
@@ -18,15 +19,14 @@
     TimedOut,
     event_count,
 )
-from firvane.localfleet.event_stream import StreamEvent
-from firvane.localfleet.http_server import Header
-from firvane.localfleet.instance_list import ListedInstance
-from firvane.localfleet.lagged_report import LaggedReport
-from firvane.localfleet.model_connection import WEIGHTS_VERSION, ModelConnection, ServerState
-from firvane.localfleet.profiles import MODEL, ServerProfile
-from firvane.localfleet.prompts import Prompt
-from firvane.localfleet.run_ledger import PROMPT_HEADERS, Run, ServerRecords, fingerprint
-from firvane.net.http import Message
+from firvane.simulation.localfleet.event_stream import StreamEvent
+from firvane.simulation.localfleet.http_server import Header
+from firvane.simulation.localfleet.instance_list import ListedInstance
+from firvane.simulation.localfleet.lagged_report import LaggedReport
+from firvane.simulation.localfleet.model_connection import WEIGHTS_VERSION, ModelConnection, ServerState
+from firvane.simulation.localfleet.profiles import MODEL, ServerProfile
+from firvane.simulation.localfleet.prompts import Prompt
+from firvane.simulation.localfleet.run_ledger import PROMPT_HEADERS, Run, ServerRecords, fingerprint
 
 DEFAULT_PRIORITY = 5
 LONGEST_TIME = 600.0  # s that a request without a deadline may take
--- a/firvane/localfleet/operator_calls.py
+++ b/firvane/simulation/localfleet/operator_calls.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from urllib.parse import urlsplit
 
-from firvane.address import Address, parse_address
+from firvane.core.address import Address, parse_address
 
 MAX_REDIRECTS = 2
 MAX_CLIENT_ERRORS = 3
--- a/firvane/localfleet/outcomes.py
+++ b/firvane/simulation/localfleet/outcomes.py
@@ -5,9 +5,9 @@
 import enum
 from dataclasses import dataclass
 
-from firvane.address import Address
-from firvane.localfleet.profiles import RequestClass
-from firvane.localfleet.retries import TryEnd, TryResult
+from firvane.core.address import Address
+from firvane.simulation.localfleet.profiles import RequestClass
+from firvane.simulation.localfleet.retries import TryEnd, TryResult
 
 NOWHERE: Address = ("", 0)
 NOT_ENDED = TryResult(TryEnd.OUT_OF_TIME)
--- a/firvane/localfleet/platform_server.py
+++ b/firvane/simulation/localfleet/platform_server.py
@@ -5,10 +5,10 @@
 import asyncio
 from urllib.parse import parse_qs, urlsplit
 
-from firvane.address import Address
-from firvane.localfleet.http_server import ServerConnection
-from firvane.localfleet.instance_list import InstanceList
-from firvane.net.http import Message
+from firvane.core.address import Address
+from firvane.core.net.http import Message
+from firvane.simulation.localfleet.http_server import ServerConnection
+from firvane.simulation.localfleet.instance_list import InstanceList
 
 LIST_PATH = "/instances"
 
--- a/firvane/localfleet/readiness.py
+++ b/firvane/simulation/localfleet/readiness.py
@@ -4,9 +4,9 @@
 
 import asyncio
 
-from firvane.localfleet.http_client import fetch
-from firvane.localfleet.ingress import Ingress
-from firvane.localfleet.layout import Layout, Node
+from firvane.simulation.localfleet.http_client import fetch
+from firvane.simulation.localfleet.ingress import Ingress
+from firvane.simulation.localfleet.layout import Layout, Node
 
 PATH = "/v1/readiness"
 INTERVAL = 1.0  # s
--- a/firvane/localfleet/report_text.py
+++ b/firvane/simulation/localfleet/report_text.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from firvane.localfleet.figures import ClassFigures, DaemonFigures, RunFigures
+from firvane.simulation.localfleet.metrics import ClassFigures, DaemonFigures, RunFigures
 
 MOST_PROBLEMS = 5  # lines shown of one daemon's log
 LONGEST_LINE = 200
--- a/firvane/localfleet/request_message.py
+++ b/firvane/simulation/localfleet/request_message.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.localfleet.profiles import MODEL
-from firvane.localfleet.run_ledger import PROMPT_HEADERS, SentTry, fingerprint
-from firvane.localfleet.schedule import PlannedRequest
+from firvane.simulation.localfleet.profiles import MODEL
+from firvane.simulation.localfleet.run_ledger import PROMPT_HEADERS, SentTry, fingerprint
+from firvane.simulation.localfleet.schedule import PlannedRequest
 
 
 def compose_request(
--- a/firvane/localfleet/run_ledger.py
+++ b/firvane/simulation/localfleet/run_ledger.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from firvane.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.prompts import PromptPart
 
 PROMPT_HEADERS = ("x-model", "x-token-count", "x-prompt-prefix")
 
--- a/firvane/localfleet/schedule.py
+++ b/firvane/simulation/localfleet/schedule.py
@@ -7,8 +7,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.localfleet.profiles import RequestClass
-from firvane.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.profiles import RequestClass
+from firvane.simulation.localfleet.prompts import Prompt, PromptPart
 
 SIZE_SPREAD = 0.7  # standard deviation of the logarithm of sizes
 LARGEST = 4.0  # of a size's mean
--- a/firvane/localfleet/settings_files.py
+++ b/firvane/simulation/localfleet/settings_files.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from firvane.address import Address
-from firvane.localfleet.layout import REGION, ZONES, DaemonRole, Layout, Node
+from firvane.core.address import Address
+from firvane.simulation.localfleet.layout import REGION, ZONES, DaemonRole, Layout, Node
 
 MACHINE_CLASSES = {DaemonRole.ROUTER: "edge", DaemonRole.CONTROLLER: "core"}
 SERVED = {DaemonRole.ROUTER: "edge", DaemonRole.CONTROLLER: "control_plane"}
--- a/firvane/localfleet/stand_ins.py
+++ b/firvane/simulation/localfleet/stand_ins.py
@@ -1,6 +1,7 @@
 """Model servers and the platform's list alone, for daemons that are started by hand.
 
-`python -m firvane.localfleet.stand_ins` serves at the addresses of `deploy/fleet.example` until interrupted.
+`python -m firvane.simulation.localfleet.stand_ins` serves at the addresses of `deploy/fleet.example` until
+interrupted.
 """
 
 from __future__ import annotations
@@ -8,10 +9,10 @@
 import asyncio
 import contextlib
 
-from firvane.localfleet.backends import Backends
-from firvane.localfleet.layout import MAX_BACKENDS, Layout, Ports, make_layout
-from firvane.localfleet.profiles import ServerProfile
-from firvane.localfleet.settings_files import PlatformTerms
+from firvane.simulation.localfleet.backends import Backends
+from firvane.simulation.localfleet.layout import MAX_BACKENDS, Layout, Ports, make_layout
+from firvane.simulation.localfleet.profiles import ServerProfile
+from firvane.simulation.localfleet.settings_files import PlatformTerms
 
 EXAMPLE_PORT = 7300  # the first of the ports in deploy/fleet.example
 
--- a/firvane/localfleet/token_memory.py
+++ b/firvane/simulation/localfleet/token_memory.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.prompts import PromptPart
 
 
 @dataclass(slots=True)
--- a/firvane/rehearsal/arrivals.py
+++ b/firvane/simulation/runner/arrivals.py
@@ -16,8 +16,8 @@
 from enum import Enum
 from typing import Any, Protocol
 
-from firvane.rehearsal.process import Process, ProcessLoop
-from firvane.rehearsal.zones import Network
+from firvane.simulation.runner.process import Process, ProcessLoop
+from firvane.simulation.runner.zones import Network
 
 READ = 256 * 1024  # bytes of one read, as asyncio's own transports read
 
--- a/firvane/rehearsal/boxes.py
+++ b/firvane/simulation/runner/backends.py
@@ -14,12 +14,12 @@
 
 import httptools
 
-from firvane.emulation.box import Box, Done, End
-from firvane.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Record
-from firvane.net.http import Fault, Message, Reader
-from firvane.rehearsal.clock import Clock, Timer
-from firvane.rehearsal.doors import Address, Door, Doors, reset
-from firvane.rehearsal.wire import Ask, Jobs, quick_ask
+from firvane.core.net.http import Fault, Message, Reader
+from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Record
+from firvane.simulation.runner.clock import Clock, Timer
+from firvane.simulation.runner.listeners import Address, Door, Doors, reset
+from firvane.simulation.runner.wire import Ask, Jobs, quick_ask
 
 Sink = Callable[[Record], None]
 
--- a/firvane/rehearsal/charts.py
+++ b/firvane/simulation/runner/charts.py
@@ -7,10 +7,10 @@
 from math import log10
 from typing import Any, NamedTuple
 
-from firvane.emulation.figures import BoxUse, OverTime, Series
-from firvane.rehearsal.result import Result
-from firvane.rehearsal.svg import Band, Line, Plot, number, over_time, table, ticks
-from firvane.rehearsal.tags import grid, key, section
+from firvane.simulation.emulation.metrics import BoxUse, OverTime, Series
+from firvane.simulation.runner.result import Result
+from firvane.simulation.runner.svg import Band, Line, Plot, number, over_time, table, ticks
+from firvane.simulation.runner.tags import grid, key, section
 
 COLD = 0.98  # of its most: a box that can do less is marked as cold or slow
 GROUPS = 12  # communities that get a plot of their own
--- a/firvane/rehearsal/child.py
+++ b/firvane/simulation/runner/child.py
@@ -1,4 +1,4 @@
-"""One process of stand-ins in a live run: `python -m firvane.rehearsal.child FD`, started by `live.py`.
+"""One process of stand-ins in a live run: `python -m firvane.simulation.runner.child FD`, from `live.py`.
 
 It is told over the socket FD what it is, and ends when that socket does: no run leaves it behind.
 """
@@ -15,14 +15,14 @@
 import msgspec
 import uvloop
 
-from firvane.emulation.records import Record
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.clock import UVLOOP, Clock
-from firvane.rehearsal.doors import socket_doors
-from firvane.rehearsal.emulated_fleet import Fleet
-from firvane.rehearsal.members import Members
-from firvane.rehearsal.pipe import BATCH_S, Pipe, pack
-from firvane.rehearsal.plan import Plan
+from firvane.simulation.emulation.records import Record
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.client_load import Members
+from firvane.simulation.runner.clock import UVLOOP, Clock
+from firvane.simulation.runner.emulated_fleet import Fleet
+from firvane.simulation.runner.listeners import socket_doors
+from firvane.simulation.runner.pipe import BATCH_S, Pipe, pack
+from firvane.simulation.runner.plan import Plan
 
 
 class Child:
--- a/firvane/rehearsal/members.py
+++ b/firvane/simulation/runner/client_load.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable
 
-from firvane.emulation.crowd import Crowd
-from firvane.emulation.network import seats
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.timeline import Action, Step, Timeline
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clients import Clients
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.plan import Plan
-from firvane.rehearsal.steps import Act, play, seals
+from firvane.simulation.emulation.clients import Crowd
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.timeline import Action, Step, Timeline
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clients import Clients
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.plan import Plan
+from firvane.simulation.runner.steps import Act, play, seals
 
 
 class Members:
--- a/firvane/rehearsal/clients.py
+++ b/firvane/simulation/runner/clients.py
@@ -13,15 +13,15 @@
 from collections.abc import Callable, Iterator
 from math import floor
 
-from firvane.emulation.crowd import Crowd, Leave, Try
-from firvane.emulation.records import Abandoned, Answered, Asked
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.connections import FINE, Bank, Connection, Run
-from firvane.rehearsal.doors import reset
-from firvane.rehearsal.front import Front
-from firvane.rehearsal.plan import Address
-from firvane.rehearsal.wire import Seals
+from firvane.simulation.emulation.clients import Crowd, Leave, Try
+from firvane.simulation.emulation.records import Abandoned, Answered, Asked
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.connections import FINE, Bank, Connection, Run
+from firvane.simulation.runner.ingress import Front
+from firvane.simulation.runner.listeners import reset
+from firvane.simulation.runner.plan import Address
+from firvane.simulation.runner.wire import Seals
 
 SLACK_S = 0.05  # s beyond a deadline in which an answer still counts
 VANISH = (0.05, 0.5)  # part of its time after which a client goes that does not wait
--- a/firvane/rehearsal/connections.py
+++ b/firvane/simulation/runner/connections.py
@@ -14,14 +14,14 @@
 
 import httptools
 
-from firvane.emulation.crowd import Try
-from firvane.emulation.records import Decided
-from firvane.net.http import Fault, Reader
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock, Timer
-from firvane.rehearsal.doors import Address
-from firvane.rehearsal.front import Front, Seen
-from firvane.rehearsal.wire import Seals, field, head_of, quick_answer
+from firvane.core.net.http import Fault, Reader
+from firvane.simulation.emulation.clients import Try
+from firvane.simulation.emulation.records import Decided
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock, Timer
+from firvane.simulation.runner.ingress import Front, Seen
+from firvane.simulation.runner.listeners import Address
+from firvane.simulation.runner.wire import Seals, field, head_of, quick_answer
 
 CROSSED_S = 0.05  # s after a request in which the end of its connection may have been on its way already
 SLOW_S = 0.1  # s for which a slow reader leaves its answer lying
--- a/firvane/rehearsal/discovery.py
+++ b/firvane/simulation/runner/discovery.py
@@ -14,13 +14,13 @@
 from math import inf
 from typing import Any, cast
 
-from firvane.emulation.records import Told
-from firvane.emulation.registry import Change, Registry
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock, Timer
-from firvane.rehearsal.doors import Address, Door, Doors
-from firvane.rehearsal.plan import text
-from firvane.rehearsal.wire import END_OF_HEAD
+from firvane.simulation.emulation.records import Told
+from firvane.simulation.emulation.registry import Change, Registry
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock, Timer
+from firvane.simulation.runner.listeners import Address, Door, Doors
+from firvane.simulation.runner.plan import text
+from firvane.simulation.runner.wire import END_OF_HEAD
 
 BEAT_S = 2.0  # s from one empty line to the next while nothing changes
 OLDER_S = 2.0  # s for which an agent that has come back with an older list knows no better
--- a/firvane/rehearsal/emulated_fleet.py
+++ b/firvane/simulation/runner/emulated_fleet.py
@@ -6,20 +6,20 @@
 from functools import partial
 from typing import Any
 
-from firvane.emulation.box import Box
-from firvane.emulation.chance import named
-from firvane.emulation.network import Links, seats
-from firvane.emulation.registry import Registry
-from firvane.emulation.scenario import Kind, Scenario
-from firvane.emulation.timeline import TOLD, Action, Step, Timeline
-from firvane.rehearsal.boxes import Host, Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.discovery import Agent
-from firvane.rehearsal.doors import Address, Doors
-from firvane.rehearsal.plan import Plan
-from firvane.rehearsal.relay import Relay
-from firvane.rehearsal.steps import Act, play, seals
-from firvane.rehearsal.wire import Jobs
+from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.network import Links, seats
+from firvane.simulation.emulation.registry import Registry
+from firvane.simulation.emulation.scenario import Kind, Scenario
+from firvane.simulation.emulation.seeded_random import named
+from firvane.simulation.emulation.timeline import TOLD, Action, Step, Timeline
+from firvane.simulation.runner.backends import Host, Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.discovery import Agent
+from firvane.simulation.runner.listeners import Address, Doors
+from firvane.simulation.runner.plan import Plan
+from firvane.simulation.runner.relay import Relay
+from firvane.simulation.runner.steps import Act, play, seals
+from firvane.simulation.runner.wire import Jobs
 
 
 class Fleet:
--- a/firvane/rehearsal/front.py
+++ b/firvane/simulation/runner/ingress.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import TypeVar, cast
 
-from firvane.emulation.crowd import Try
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.doors import Address
+from firvane.simulation.emulation.clients import Try
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.listeners import Address
 
 ASK_UP_S = 0.05  # s from one look whether a proxy is ready to the next
 NOTICE_S = (2.0, 3.7)  # s till it is noticed that a proxy has died
--- a/firvane/rehearsal/link.py
+++ b/firvane/simulation/runner/link.py
@@ -12,8 +12,8 @@
 import asyncio
 from typing import Any
 
-from firvane.rehearsal.arrivals import Arrivals, Hosts, Item, Mark
-from firvane.rehearsal.process import PROCESS
+from firvane.simulation.runner.arrivals import Arrivals, Hosts, Item, Mark
+from firvane.simulation.runner.process import PROCESS
 
 Address = tuple[str, int]
 
--- a/firvane/rehearsal/live.py
+++ b/firvane/simulation/runner/live.py
@@ -21,14 +21,14 @@
 import msgspec
 import uvloop
 
-from firvane.emulation.network import seats
-from firvane.emulation.records import Record
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.clock import LATE_S, UVLOOP, Clock
-from firvane.rehearsal.machines import Machines, environment, with_parent
-from firvane.rehearsal.pipe import Merger, Pipe, unpack
-from firvane.rehearsal.plan import Plan, claim_net
-from firvane.rehearsal.tier import Tier
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import Record
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.clock import LATE_S, UVLOOP, Clock
+from firvane.simulation.runner.machines import Machines, environment, with_parent
+from firvane.simulation.runner.pipe import Merger, Pipe, unpack
+from firvane.simulation.runner.plan import Plan, claim_net
+from firvane.simulation.runner.tier import Tier
 
 READY_S = 30.0  # s for which clients wait for all proxies at the start
 LEAD_S = 0.2  # s from the word that the clients begin to their first try
@@ -65,7 +65,7 @@
         self.latest = 0.0
         ours, theirs = socket.socketpair()
         with theirs:
-            command = [sys.executable, "-m", "firvane.rehearsal.child", str(theirs.fileno())]
+            command = [sys.executable, "-m", "firvane.simulation.runner.child", str(theirs.fileno())]
             self.process = subprocess.Popen(
                 command,
                 env=environment(),
--- a/firvane/rehearsal/machines.py
+++ b/firvane/simulation/runner/machines.py
@@ -15,10 +15,10 @@
 from typing import Any
 
 import firvane
-from firvane.emulation.records import Used
-from firvane.emulation.scenario import Proxies
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
+from firvane.simulation.emulation.records import Used
+from firvane.simulation.emulation.scenario import Proxies
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
 
 OLD_S = 30 * 86_400.0  # s by which a snapshot is old that is said to be
 SAMPLE_S = 0.5  # s from one look at what a proxy uses to the next
@@ -66,7 +66,7 @@
     if memory == "lost":
         path.unlink(missing_ok=True)
     elif memory in ("torn", "old") and path.exists():
-        from firvane.snapshots.format import aged  # what `snapshots` installs, of which few have need
+        from firvane.proxy.snapshots.format import aged  # what `snapshots` installs, of which few have need
 
         whole = path.read_bytes()
         path.write_bytes(whole[: len(whole) // 2] if memory == "torn" else aged(whole, OLD_S))
--- a/firvane/rehearsal/pipe.py
+++ b/firvane/simulation/runner/pipe.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from firvane.emulation import records
-from firvane.emulation.records import Record
+from firvane.simulation.emulation import records
+from firvane.simulation.emulation.records import Record
 
 HEAD = struct.Struct("!I")
 KINDS: tuple[type[Any], ...] = (
--- a/firvane/rehearsal/plan.py
+++ b/firvane/simulation/runner/plan.py
@@ -14,8 +14,8 @@
 import socket
 from typing import Any
 
-from firvane.emulation.network import Seat
-from firvane.emulation.scenario import Scenario
+from firvane.simulation.emulation.network import Seat
+from firvane.simulation.emulation.scenario import Scenario
 
 Address = tuple[str, int]
 
--- a/firvane/rehearsal/policies.py
+++ b/firvane/simulation/runner/policies.py
@@ -21,14 +21,14 @@
 
 import msgspec
 
-from firvane.emulation.records import Proposed, Said
-from firvane.emulation.scenario import Scenario
-from firvane.ops.calls import puts
-from firvane.policy_text import digest_of
-from firvane.rehearsal.asker import Question
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.plan import ATTEMPTS, Address
+from firvane.proxy.admin_api.calls import puts
+from firvane.proxy.policy_text import digest_of
+from firvane.simulation.emulation.records import Proposed, Said
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.plan import ATTEMPTS, Address
+from firvane.simulation.runner.state_poller import Question
 
 POLL_S, HANGS_S, ELSEWHERE_S = (
     0.25,
@@ -97,7 +97,7 @@
 
 def found(disk: Path, scenario: Scenario, names: Sequence[str]) -> None:
     """Make the voters' first files, before the fleet starts."""
-    from firvane.quorum import store  # what `snapshots` installs, of which few have need
+    from firvane.proxy.quorum import store
 
     voters = range(scenario.proxies.voters)
     for voter in voters:
--- a/firvane/rehearsal/receiver_link.py
+++ b/firvane/simulation/runner/receiver_link.py
@@ -9,7 +9,7 @@
 import grpc
 from envoy.service.load_stats.v3 import lrs_pb2
 
-from firvane.rehearsal.receiver import Receiver
+from firvane.simulation.runner.receiver import Receiver
 
 ADS = "/envoy.service.discovery.v3.AggregatedDiscoveryService/"
 LOADS = "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats"
--- a/firvane/rehearsal/relay.py
+++ b/firvane/simulation/runner/relay.py
@@ -9,10 +9,10 @@
 import asyncio
 from typing import Any, Protocol, cast
 
-from firvane.emulation.records import Sent
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.plan import Address, Plan
+from firvane.simulation.emulation.records import Sent
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.plan import Address, Plan
 
 LONGEST = 256  # bytes; a longer one is against the rules and goes nowhere
 
--- a/firvane/rehearsal/report.py
+++ b/firvane/simulation/runner/report.py
@@ -12,15 +12,15 @@
 from html import escape
 from typing import NamedTuple
 
-from firvane.atomic_write import write_atomically
-from firvane.emulation.compare import BLOCK, differences
-from firvane.emulation.verdict import Breach
-from firvane.rehearsal import charts
-from firvane.rehearsal.charts import LATENCY, Shown
-from firvane.rehearsal.result import Result
-from firvane.rehearsal.style import style
-from firvane.rehearsal.svg import number
-from firvane.rehearsal.tags import Cell, cells, figure, key, section
+from firvane.core.atomic_write import write_atomically
+from firvane.simulation.emulation.compare import BLOCK, differences
+from firvane.simulation.emulation.verdict import Breach
+from firvane.simulation.runner import charts
+from firvane.simulation.runner.charts import LATENCY, Shown
+from firvane.simulation.runner.result import Result
+from firvane.simulation.runner.style import style
+from firvane.simulation.runner.svg import number
+from firvane.simulation.runner.tags import Cell, cells, figure, key, section
 
 COLOURS = ("one", "two")
 
--- a/firvane/rehearsal/result.py
+++ b/firvane/simulation/runner/result.py
@@ -20,17 +20,17 @@
 import msgspec
 from msgspec import Struct
 
-from firvane.atomic_write import write_atomically
-from firvane.emulation.epochs import Epochs
-from firvane.emulation.figures import Leavers, ServiceResult
-from firvane.emulation.judge import Judge
-from firvane.emulation.network import seats
-from firvane.emulation.records import Record, Shaded, Stated
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.service import Progress, Service
-from firvane.emulation.verdict import Breach, Findings, Grade
-from firvane.quorum.types import Times
-from firvane.rehearsal import policies
+from firvane.core.atomic_write import write_atomically
+from firvane.proxy.quorum.types import Times
+from firvane.simulation.emulation.epochs import Epochs
+from firvane.simulation.emulation.judge import Judge
+from firvane.simulation.emulation.metrics import Leavers, ServiceResult
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import Record, Shaded, Stated
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.service import Progress, Service
+from firvane.simulation.emulation.verdict import Breach, Findings, Grade
+from firvane.simulation.runner import policies
 
 FORMAT = 1
 OVER = "over"  # of a recovery: the ordinary way of things
--- a/firvane/rehearsal/rolling.py
+++ b/firvane/simulation/runner/rolling.py
@@ -14,20 +14,9 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from firvane.emulation.network import Seat
-from firvane.emulation.records import Rolled
-from firvane.emulation.scenario import Roll, Scenario
-from firvane.emulation.timeline import Action as Deed
-from firvane.emulation.timeline import Step
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.tier import Tier
-from firvane.rehearsal.versions import Fault
-from firvane.rehearsal.virtual_proxy import VirtualProxy
-from firvane.rollout import measured, plan
-from firvane.rollout.compare import Comparison, in_time_share
-from firvane.rollout.state_machine import RollStateMachine
-from firvane.rollout.words import (
+from firvane.proxy.rollout import measurements, plan
+from firvane.proxy.rollout.compare import Comparison, in_time_share
+from firvane.proxy.rollout.messages import (
     Action,
     Back,
     Before,
@@ -49,6 +38,17 @@
     Try,
     Verdict,
 )
+from firvane.proxy.rollout.state_machine import RollStateMachine
+from firvane.simulation.emulation.network import Seat
+from firvane.simulation.emulation.records import Rolled
+from firvane.simulation.emulation.scenario import Roll, Scenario
+from firvane.simulation.emulation.timeline import Action as Deed
+from firvane.simulation.emulation.timeline import Step
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.tier import Tier
+from firvane.simulation.runner.versions import Fault
+from firvane.simulation.runner.virtual_proxy import VirtualProxy
 
 TICK_S = 0.5
 OLD, NEW = "old", "new"
@@ -126,7 +126,7 @@
         self.runs: dict[str, str] = {}  # and what is running
         self.up: set[str] = set()  # those that are ready
         self.orders: dict[str, Replace | Back] = {}
-        self.samples: dict[str, measured.Sample] = {}
+        self.samples: dict[str, measurements.Sample] = {}
         self.faults: dict[str, list[Fault]] = {OLD: [], NEW: []}
         self.earlier = 0  # requests before the roll
         self.machine: RollStateMachine | None = None
@@ -267,10 +267,10 @@
             said = machine.proxy and machine.proxy.front.measures
             if not said:
                 continue
-            one = measured.sample(said.text())  # type: ignore[attr-defined]
+            one = measurements.sample(said.text())  # type: ignore[attr-defined]
             old, self.samples[name] = self.samples.get(name), one
             side = Side.NEW if self.runs[name] == NEW else Side.OLD
-            block = measured.block(old, one, now, self.zones[name], side, name) if old else None
+            block = measurements.block(old, one, now, self.zones[name], side, name) if old else None
             if block:
                 blocks.append(block)
         if self.before_until >= 0:
--- a/firvane/rehearsal/run.py
+++ b/firvane/simulation/runner/run.py
@@ -16,24 +16,24 @@
 from pathlib import Path
 from typing import Any
 
-from firvane import logs
-from firvane.config.platform import read_config
-from firvane.emulation.network import Links, seats
-from firvane.emulation.records import Record, Used
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.doors import Address
-from firvane.rehearsal.emulated_fleet import Fleet
-from firvane.rehearsal.live import NoVerdict, excuse, live
-from firvane.rehearsal.machines import spoil
-from firvane.rehearsal.members import Members
-from firvane.rehearsal.plan import Plan
-from firvane.rehearsal.result import ClockName, Result, Witness
-from firvane.rehearsal.rolling import Rolling
-from firvane.rehearsal.tier import Tier
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.virtual_proxy import VirtualProxy
-from firvane.rehearsal.zones import Zones
+from firvane.core import logs
+from firvane.proxy.config.platform import read_config
+from firvane.simulation.emulation.network import Links, seats
+from firvane.simulation.emulation.records import Record, Used
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.client_load import Members
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.emulated_fleet import Fleet
+from firvane.simulation.runner.listeners import Address
+from firvane.simulation.runner.live import NoVerdict, excuse, live
+from firvane.simulation.runner.machines import spoil
+from firvane.simulation.runner.plan import Plan
+from firvane.simulation.runner.result import ClockName, Result, Witness
+from firvane.simulation.runner.rolling import Rolling
+from firvane.simulation.runner.tier import Tier
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.virtual_proxy import VirtualProxy
+from firvane.simulation.runner.zones import Zones
 
 WALL = 1_800_000_000.0  # Unix time at which virtual time begins
 READY_S = 30.0  # s for which clients wait for all proxies at the start
--- a/firvane/rehearsal/stand_ins.py
+++ b/firvane/simulation/runner/stand_ins.py
@@ -10,13 +10,13 @@
 import msgspec
 import uvloop
 
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import UVLOOP, Clock
-from firvane.rehearsal.doors import Address, socket_doors
-from firvane.rehearsal.emulated_fleet import Fleet
-from firvane.rehearsal.plan import Plan
-from firvane.rehearsal.wire import AnyJobs
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import UVLOOP, Clock
+from firvane.simulation.runner.emulated_fleet import Fleet
+from firvane.simulation.runner.listeners import Address, socket_doors
+from firvane.simulation.runner.plan import Plan
+from firvane.simulation.runner.wire import AnyJobs
 
 
 class OwnPlan(Plan):
--- a/firvane/rehearsal/asker.py
+++ b/firvane/simulation/runner/state_poller.py
@@ -10,10 +10,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from firvane.emulation.records import InUse, Stated
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.plan import Address
+from firvane.simulation.emulation.records import InUse, Stated
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.plan import Address
 
 ASK_S = 0.25  # from one question to the next
 RECOVERY, POLICY = "recovery", "policy-status"
--- a/firvane/rehearsal/steps.py
+++ b/firvane/simulation/runner/steps.py
@@ -8,10 +8,10 @@
 
 from collections.abc import Callable, Sequence
 
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.timeline import Action, Step
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.wire import Seals
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.timeline import Action, Step
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.wire import Seals
 
 Act = Callable[[float, Step], None]
 
--- a/firvane/rehearsal/style.py
+++ b/firvane/simulation/runner/style.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane.rehearsal.svg import SHADES
+from firvane.simulation.runner.svg import SHADES
 
 LIGHT = {
     "paper": "#ffffff", "ink": "#1c2430", "soft": "#5b6675", "rule": "#e3e7ec", "panel": "#f6f8fa",
--- a/firvane/rehearsal/summary.py
+++ b/firvane/simulation/runner/summary.py
@@ -10,10 +10,10 @@
 from statistics import fmean
 from textwrap import wrap
 
-from firvane.emulation.figures import BoxUse, Series
-from firvane.emulation.service import Progress
-from firvane.emulation.verdict import Breach
-from firvane.rehearsal.result import Result
+from firvane.simulation.emulation.metrics import BoxUse, Series
+from firvane.simulation.emulation.service import Progress
+from firvane.simulation.emulation.verdict import Breach
+from firvane.simulation.runner.result import Result
 
 COLUMNS, ROWS = 80, 40
 BREACHES, COMMUNITIES, LANES, ROWS_OF_BOXES, PROXIES = 3, 12, 4, 10, 4  # told at the most
--- a/firvane/rehearsal/svg.py
+++ b/firvane/simulation/runner/svg.py
@@ -12,7 +12,7 @@
 from math import ceil, floor, log10
 from typing import NamedTuple, TypeVar
 
-from firvane.emulation.figures import Series
+from firvane.simulation.emulation.metrics import Series
 
 T = TypeVar("T")
 
--- a/firvane/rehearsal/tier.py
+++ b/firvane/simulation/runner/tier.py
@@ -6,17 +6,17 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from firvane.emulation.chance import named
-from firvane.emulation.network import Seat, seats
-from firvane.emulation.records import Proposed, ProxyState
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.timeline import Action, Step, Timeline
-from firvane.rehearsal import asker, policies
-from firvane.rehearsal.boxes import Sink
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.plan import Plan, configuration
-from firvane.rehearsal.policies import Operator, Script
-from firvane.rehearsal.steps import Act, play
+from firvane.simulation.emulation.network import Seat, seats
+from firvane.simulation.emulation.records import Proposed, ProxyState
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.seeded_random import named
+from firvane.simulation.emulation.timeline import Action, Step, Timeline
+from firvane.simulation.runner import policies, state_poller
+from firvane.simulation.runner.backends import Sink
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.plan import Plan, configuration
+from firvane.simulation.runner.policies import Operator, Script
+from firvane.simulation.runner.steps import Act, play
 
 LAME_S = 0.7  # s after an order to end
 COUNTED_S = 3.0  # s, the longest that a deadline counts till it is killed
@@ -86,8 +86,8 @@
         self.ready: set[str] = set()  # that have been ready once
         self.is_over = False
         doors = [(seat.name, plan.ops(number)) for number, seat in enumerate(self.seats)]
-        asked = [asker.recovery] if scenario.proxies.recovery else []
-        asked += [asker.policy] if scenario.proxies.voters else []
+        asked = [state_poller.recovery] if scenario.proxies.recovery else []
+        asked += [state_poller.policy] if scenario.proxies.voters else []
         self.askers = [ask(clock, name, door, sink) for ask in asked for name, door in doors]
         self.doors, self.operators = doors, list[Operator]()
         self.script = Script(clock, len(self.seats), self._reload)
--- a/firvane/rehearsal/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -17,7 +17,7 @@
 from struct import Struct
 from typing import Any, Literal
 
-from firvane.measures import Used
+from firvane.proxy.metrics import Used
 
 VersionName = Literal[
     "same",  # the program as it is
--- a/firvane/rehearsal/virtual.py
+++ b/firvane/simulation/runner/virtual.py
@@ -21,10 +21,10 @@
 from heapq import heapify, heappop, heappush
 from typing import Any, NoReturn, TypeVar
 
-from firvane.rehearsal.arrivals import Arrivals
-from firvane.rehearsal.memory import Listening, Memory, Parcel
-from firvane.rehearsal.process import PROCESS, Process, ProcessLoop, Turn, host_here
-from firvane.rehearsal.zones import Network, Same
+from firvane.simulation.runner.arrivals import Arrivals
+from firvane.simulation.runner.process import PROCESS, Process, ProcessLoop, Turn, host_here
+from firvane.simulation.runner.virtual_network import Listening, Memory, Parcel
+from firvane.simulation.runner.zones import Network, Same
 
 T = TypeVar("T")
 Callback = Callable[..., Any]
--- a/firvane/rehearsal/memory.py
+++ b/firvane/simulation/runner/virtual_network.py
@@ -13,10 +13,10 @@
 from contextvars import Context, copy_context
 from typing import Any
 
-from firvane.rehearsal.arrivals import Mark
-from firvane.rehearsal.link import FIRST_RETRY, LAST_RETRY, Address, End
-from firvane.rehearsal.process import PROCESS, Process, ProcessLoop
-from firvane.rehearsal.zones import Network
+from firvane.simulation.runner.arrivals import Mark
+from firvane.simulation.runner.link import FIRST_RETRY, LAST_RETRY, Address, End
+from firvane.simulation.runner.process import PROCESS, Process, ProcessLoop
+from firvane.simulation.runner.zones import Network
 
 Factory = Callable[[], asyncio.BaseProtocol]
 
--- a/firvane/rehearsal/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -11,17 +11,17 @@
 from functools import partial
 from typing import Any, Generic, TypeVar, cast
 
-from firvane.config.node import Config
-from firvane.endings import Ending
-from firvane.logs import Log
-from firvane.net.dial import Dialing
-from firvane.net.door import Accept, LoopDoor
-from firvane.net.guard import Usage
-from firvane.net.words import Quiet, always
-from firvane.proxy import Proxy
-from firvane.rehearsal.memory import Memory
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import VirtualLoop
+from firvane.core.logs import Log
+from firvane.core.net.connection_checks import Quiet, always
+from firvane.core.net.dialer import Dialing
+from firvane.core.terminations import Ending
+from firvane.proxy.config.node import Config
+from firvane.proxy.net.listening_socket import Accept, LoopDoor
+from firvane.proxy.net.resource_monitor import Usage
+from firvane.proxy.proxy import Proxy
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.virtual_network import Memory
 
 log = logging.getLogger(__name__)
 
@@ -147,12 +147,14 @@
         dialer = MemoryDialer(self.loop.memory, host)
         keeper = None
         if config.snapshot:
-            from firvane.snapshots.file import Keeper  # what `snapshots` installs, of which few have need
+            from firvane.proxy.snapshots.file import (
+                Keeper,  # what `snapshots` installs, of which few have need
+            )
 
             keeper = partial(Keeper, config.snapshot, config.name, aside=lambda work: work())
         agreement = None
         if config.policy:
-            from firvane.quorum.driver import Policies
+            from firvane.proxy.quorum.driver import Policies
 
             agreement = partial(Policies, aside=lambda work: work(), clock=self.loop.time)
         make = partial(
--- a/firvane/soak/__init__.py
+++ b/firvane/simulation/soak/__init__.py
@@ -15,6 +15,6 @@
 
     import defopt  # only the command line needs it
 
-    from firvane.soak.command import soak
+    from firvane.simulation.soak.command import soak
 
     sys.exit(int(defopt.run(soak, argv=arguments, argparse_kwargs={"prog": "firvane-soak"})))
--- /dev/null
+++ b/firvane/simulation/soak/__main__.py
@@ -0,0 +1,5 @@
+"""`python -m firvane.simulation.soak`."""
+
+from firvane.simulation.soak import run
+
+run()
--- a/firvane/soak/backends.py
+++ b/firvane/simulation/soak/backends.py
@@ -5,17 +5,17 @@
 import asyncio
 import random
 
-from firvane.localfleet.backends import Backends
-from firvane.localfleet.instance_list import ListedInstance
-from firvane.localfleet.layout import Layout
-from firvane.localfleet.model_connection import ModelConnection
-from firvane.localfleet.model_server import ModelServer, request_fingerprint
-from firvane.localfleet.profiles import ServerProfile
-from firvane.localfleet.run_ledger import Run, ServerRecords
-from firvane.localfleet.settings_files import PlatformTerms
-from firvane.net.http import Message
-from firvane.soak.plan import FaultMode
-from firvane.soak.records import Arrival, Record, RunEnd
+from firvane.core.net.http import Message
+from firvane.simulation.localfleet.backends import Backends
+from firvane.simulation.localfleet.instance_list import ListedInstance
+from firvane.simulation.localfleet.layout import Layout
+from firvane.simulation.localfleet.model_connection import ModelConnection
+from firvane.simulation.localfleet.model_server import ModelServer, request_fingerprint
+from firvane.simulation.localfleet.profiles import ServerProfile
+from firvane.simulation.localfleet.run_ledger import Run, ServerRecords
+from firvane.simulation.localfleet.settings_files import PlatformTerms
+from firvane.simulation.soak.plan import FaultMode
+from firvane.simulation.soak.records import Arrival, Record, RunEnd
 
 LONGEST_UNTIL_CUT = 0.6  # s after which an answer that is to be cut has been
 
--- a/firvane/soak/clients.py
+++ b/firvane/simulation/soak/clients.py
@@ -8,14 +8,14 @@
 import zlib
 from collections.abc import Sequence
 
-from firvane.address import Address
-from firvane.localfleet.ingress import Ingress
-from firvane.localfleet.layout import Layout
-from firvane.localfleet.request_message import compose_request
-from firvane.localfleet.run_ledger import SentTry
-from firvane.localfleet.schedule import PlannedRequest
-from firvane.soak.connection import Exchange, SoakConnection
-from firvane.soak.records import Record, TryEnd, TryRecord
+from firvane.core.address import Address
+from firvane.simulation.localfleet.ingress import Ingress
+from firvane.simulation.localfleet.layout import Layout
+from firvane.simulation.localfleet.request_message import compose_request
+from firvane.simulation.localfleet.run_ledger import SentTry
+from firvane.simulation.localfleet.schedule import PlannedRequest
+from firvane.simulation.soak.connection import Exchange, SoakConnection
+from firvane.simulation.soak.records import Record, TryEnd, TryRecord
 
 CONNECT_TIMEOUT = 1.0  # s
 LONGEST_PIECE_PAUSE = 2.0  # s between two parts of a request
--- a/firvane/soak/command.py
+++ b/firvane/simulation/soak/command.py
@@ -14,14 +14,14 @@
 
 import uvloop
 
-from firvane.localfleet.daemons import PACKAGE_PARENT
-from firvane.localfleet.fleet_run import StartError
-from firvane.soak.judge import Terms, Violation, judge
-from firvane.soak.plan import SIZES, Plan, draw_plan, plan_from_json
-from firvane.soak.player import Played, Player
-from firvane.soak.records import TryEnd
-from firvane.soak.shrink import shrink
-from firvane.soak.story import tell
+from firvane.simulation.localfleet.daemons import PACKAGE_PARENT
+from firvane.simulation.localfleet.fleet_run import StartError
+from firvane.simulation.soak.event_trace import tell
+from firvane.simulation.soak.judge import Terms, Violation, judge
+from firvane.simulation.soak.plan import SIZES, Plan, draw_plan, plan_from_json
+from firvane.simulation.soak.player import Played, Player
+from firvane.simulation.soak.records import TryEnd
+from firvane.simulation.soak.shrink import shrink
 
 DONE = 0
 BROKEN = 1
--- a/firvane/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -8,9 +8,9 @@
 
 import httptools
 
-from firvane.localfleet.event_stream import StreamCheck, StreamError
-from firvane.net.http import Fault, Message, Reader
-from firvane.soak.records import TryEnd, TryRecord
+from firvane.core.net.http import Fault, Message, Reader
+from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
+from firvane.simulation.soak.records import TryEnd, TryRecord
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes
 
--- a/firvane/soak/story.py
+++ b/firvane/simulation/soak/event_trace.py
@@ -5,9 +5,9 @@
 import re
 from collections.abc import Iterator
 
-from firvane.soak.judge import Violation
-from firvane.soak.player import Played
-from firvane.soak.records import UNKNOWN, TryRecord
+from firvane.simulation.soak.judge import Violation
+from firvane.simulation.soak.player import Played
+from firvane.simulation.soak.records import UNKNOWN, TryRecord
 
 BEFORE, AFTER = 9.0, 1.0  # s around a moment for which signals are told
 MOST_LOG_LINES = 12
--- a/firvane/soak/judge.py
+++ b/firvane/simulation/soak/judge.py
@@ -21,7 +21,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from firvane.soak.records import (
+from firvane.simulation.soak.records import (
     Arrival,
     ProcessEvent,
     Record,
@@ -30,7 +30,7 @@
     TryEnd,
     TryRecord,
 )
-from firvane.soak.retry_rule import RetryRule
+from firvane.simulation.soak.retry_rule import RetryRule
 
 
 @dataclass(frozen=True, slots=True)
--- a/firvane/soak/player.py
+++ b/firvane/simulation/soak/player.py
@@ -8,19 +8,19 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from firvane.localfleet.configurations import Configurations
-from firvane.localfleet.daemons import PACKAGE_PARENT, Daemon, problems_in_log
-from firvane.localfleet.fleet_run import FleetRun
-from firvane.localfleet.layout import DaemonRole, find_free_ports, make_layout
-from firvane.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS, RequestClass, ServerProfile
-from firvane.localfleet.run_ledger import judge as compare_runs
-from firvane.localfleet.schedule import PlannedRequest, draw_schedule
-from firvane.localfleet.settings_files import GRACE_S, PlatformTerms
-from firvane.soak.backends import Faults, make_backends
-from firvane.soak.clients import Clients
-from firvane.soak.plan import Plan, Step, StepKind
-from firvane.soak.processes import SoakProcess
-from firvane.soak.records import Record
+from firvane.simulation.localfleet.configurations import Configurations
+from firvane.simulation.localfleet.daemons import PACKAGE_PARENT, Daemon, problems_in_log
+from firvane.simulation.localfleet.fleet_run import FleetRun
+from firvane.simulation.localfleet.layout import DaemonRole, find_free_ports, make_layout
+from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS, RequestClass, ServerProfile
+from firvane.simulation.localfleet.run_ledger import judge as compare_runs
+from firvane.simulation.localfleet.schedule import PlannedRequest, draw_schedule
+from firvane.simulation.localfleet.settings_files import GRACE_S, PlatformTerms
+from firvane.simulation.soak.backends import Faults, make_backends
+from firvane.simulation.soak.clients import Clients
+from firvane.simulation.soak.plan import Plan, Step, StepKind
+from firvane.simulation.soak.processes import SoakProcess
+from firvane.simulation.soak.records import Record
 
 START_TIMEOUT = 90.0  # s until all routers are ready, on a busy machine too
 READ_BACK_TIMEOUT = 10.0  # s
--- a/firvane/soak/processes.py
+++ b/firvane/simulation/soak/processes.py
@@ -6,9 +6,9 @@
 import signal
 from pathlib import Path
 
-from firvane.localfleet.daemons import Daemon
-from firvane.localfleet.signal_state import survives
-from firvane.soak.records import ProcessEvent, Record, SignalKind, Usage
+from firvane.simulation.localfleet.daemons import Daemon
+from firvane.simulation.localfleet.signal_state import survives
+from firvane.simulation.soak.records import ProcessEvent, Record, SignalKind, Usage
 
 START_AFTER_END = 0.3  # s from an end in order to the next start
 QUOTA_PERIOD = 0.1  # s
--- a/firvane/soak/shrink.py
+++ b/firvane/simulation/soak/shrink.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from firvane.soak.plan import Plan
+from firvane.simulation.soak.plan import Plan
 
 
 def shrink(plan: Plan, still_fails: Callable[[Plan], bool], most_plays: int) -> Plan:
--- a/firvane/soak/__main__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""`python -m firvane.soak`."""
-
-from firvane.soak import run
-
-run()
--- a/tests/admin/stand_in.py
+++ b/tests/admin/stand_in.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from firvane.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer, ReplicaReport
-from firvane.configuration.codes import ResultCode
+from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer, ReplicaReport
+from firvane.fleet.configuration.codes import ResultCode
 
 HOST = "127.0.0.1"
 
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -4,7 +4,6 @@
 
 import pytest
 
-from firvane.address import Address
 from firvane.admin.calls import (
     FIRST_PAUSE_S,
     LONGEST_PAUSE_S,
@@ -14,6 +13,7 @@
     GivenUp,
     Reply,
 )
+from firvane.core.address import Address
 
 A: Address = ("10.0.0.1", 80)
 B: Address = ("10.0.0.2", 80)
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -15,12 +15,12 @@
 from firvane.admin import client
 from firvane.admin.answers import AnswerError, read_answer, read_version
 from firvane.admin.calls import Attempt, CallWalk, Reply
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, OrderKind, Problem, Result
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.configuration_service import Outcome
-from firvane.controller.operator_api import encode_outcome
-from tests.configuration.documents import change, route, whole
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, OrderKind, Problem, Result
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.configuration_service import Outcome
+from firvane.fleet.controller.operator_api import encode_outcome
+from tests.fleet.configuration.documents import change, route, whole
 
 A, B = "10.0.0.1:80", "10.0.0.2:80"
 KINDS = {"/v1/config/replace": OrderKind.REPLACE, "/v1/config/modify": OrderKind.MODIFY}
--- a/tests/admin/test_fleet_commands.py
+++ b/tests/admin/test_fleet_commands.py
@@ -11,10 +11,10 @@
 
 from firvane import admin
 from firvane.admin import client
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Problem
-from firvane.controller.configuration_service import Outcome
-from firvane.controller.operator_api import encode_outcome
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Problem
+from firvane.fleet.controller.configuration_service import Outcome
+from firvane.fleet.controller.operator_api import encode_outcome
 from tests.admin.stand_in import Canned, Controller, head, member, part, running
 
 HAND_OVER = "/v1/fleet/hand-over"
--- a/tests/admin/test_fleet_views.py
+++ b/tests/admin/test_fleet_views.py
@@ -7,7 +7,7 @@
 from firvane.admin.answers import AnswerError
 from firvane.admin.fleet_views import merge_parts, merge_versions, read_members, read_parts
 from firvane.admin.tables import cell, format_table, seconds
-from firvane.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
 from tests.admin.stand_in import head, member, part
 
 
--- a/tests/admin/test_real_fleet.py
+++ b/tests/admin/test_real_fleet.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from firvane import admin
-from firvane.localfleet.daemons import Daemon
-from firvane.localfleet.layout import Layout, find_free_ports, make_layout
-from firvane.localfleet.settings_files import PlatformTerms
-from tests.configuration.documents import whole
+from firvane.simulation.localfleet.daemons import Daemon
+from firvane.simulation.localfleet.layout import Layout, find_free_ports, make_layout
+from firvane.simulation.localfleet.settings_files import PlatformTerms
+from tests.fleet.configuration.documents import whole
 
 PATIENCE = 15.0  # s until something that must happen is missed
 LOOK_AGAIN = 0.05  # s between looks at what no event announces
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -13,10 +13,10 @@
 
 from firvane.cli import COMMANDS, main
 from firvane.cli.progress import Shown
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.result import Witness
-from tests.config.samples import CONFIG, SCENARIO
-from tests.net_helpers import seeded
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.result import Witness
+from tests.proxy.config.samples import CONFIG, SCENARIO
+from tests.proxy.net.helpers import seeded
 
 ROOT = Path(__file__).parent.parent.parent
 
@@ -91,7 +91,7 @@
 def test_the_examples_and_the_scenarios_that_come_along_have_no_fault(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    files = [*ROOT.glob("deploy/*.example.toml"), *ROOT.glob("firvane/emulation/scenarios/*.toml")]
+    files = [*ROOT.glob("deploy/*.example.toml"), *ROOT.glob("firvane/simulation/emulation/scenarios/*.toml")]
     code, out, err = told(capsys, "check", *map(str, files))
     assert code == 0 and not err and out.count("\n") == len(files) > 5
 
@@ -115,7 +115,7 @@
     # The proxy lives in a few megabytes, and whoever asks for help does not wait for what only a run needs.
     probe = "import sys, {}; print(*(m for m in {} if m in sys.modules))"
     heavy = ["msgspec", "hdrh", "numpy", "matplotlib", "structlog"]
-    heavy += ["firvane.checked", "firvane.rehearsal", "firvane.quorum"]
+    heavy += ["firvane.core.validation", "firvane.simulation.runner", "firvane.proxy.quorum"]
     for module, unwanted in (("firvane.cli", heavy), ("firvane.__main__", [*heavy, "click", "tomllib"])):
         run = [sys.executable, "-c", probe.format(module, unwanted)]
         assert subprocess.run(run, capture_output=True, text=True, check=True, cwd=ROOT).stdout.split() == []
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -12,13 +12,13 @@
 
 import pytest
 
-from firvane.cli import door as doors
+from firvane.cli import admin_connection as doors
 from firvane.cli import policy as module
-from firvane.ops import calls
-from firvane.ops.calls import Asked, Call, Line, Put, Useless
-from firvane.policy_text import digest_of
+from firvane.proxy.admin_api import calls
+from firvane.proxy.admin_api.calls import Asked, Call, Line, Put, Useless
+from firvane.proxy.policy_text import digest_of
 from tests.cli.test_command import told
-from tests.config.test_policy import TIER
+from tests.proxy.config.test_policy import TIER
 
 BASE = 'voters = [0, 2]\n[limits]\nattempts = 2\n[[tenants]]\nname = "a"\nshare = 0.5\nquota_rps = 10\n'
 NEXT = '[limits]\nattempts = 3\nprobes = true\n[[tenants]]\nname = "a"\nshare = 0.25\n[[tenants]]\nname = "b"'
@@ -252,9 +252,9 @@
             raise FileExistsError(17, "File exists")
         made.append((folder, text, voters))
 
-    store = ModuleType("firvane.quorum.store")
+    store = ModuleType("firvane.proxy.quorum.store")
     store.found = found  # type: ignore[attr-defined]
-    monkeypatch.setitem(sys.modules, "firvane.quorum.store", store)
+    monkeypatch.setitem(sys.modules, "firvane.proxy.quorum.store", store)
     for config, policy, words in (
         (TIER[: TIER.index("[policy]")], NEXT, "policy: is missing"),
         (TIER + "voters = [1, 2]\n", NEXT, "is proxy 0, and only the voters (1, 2)"),
--- a/tests/cli/test_running.py
+++ b/tests/cli/test_running.py
@@ -14,10 +14,10 @@
 import pytest
 
 from firvane.cli import main
-from firvane.rehearsal.plan import claim_net
-from tests.config.samples import CONFIG, SCENARIO
-from tests.net_helpers import run
-from tests.test_program import said, where
+from firvane.simulation.runner.plan import claim_net
+from tests.proxy.config.samples import CONFIG, SCENARIO
+from tests.proxy.net.helpers import run
+from tests.proxy.test_program import said, where
 
 Reader = asyncio.StreamReader
 LOAD = "request_class = 'read'\ndeadline_s = 60.0"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from firvane import native
+from firvane.proxy import native
 
 pytest_plugins = ("tests.known_reds",)
 
@@ -23,7 +23,7 @@
 
 @pytest.fixture(autouse=True)
 def signals_as_they_were() -> Iterator[None]:
-    """`firvane serve` blocks signals from its first line on (`firvane.process_signals`).
+    """`firvane serve` blocks signals from its first line on (`firvane.core.process_signals`).
 
     Played in this process, on a file of no use, it would leave them blocked for all tests that follow, and
     for every process they start.
--- a/tests/test_http.py
+++ b/tests/core/net/test_http.py
@@ -11,15 +11,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.engine import Flow
-from firvane.limits.turns import BEHIND, DECIDE, READ_ONE, TURN
-from firvane.net import http
-from firvane.net.front import Front
-from firvane.net.listener import Listener
-from firvane.tally import Tally
+from firvane.core import interface as api
+from firvane.core.engine import Flow
+from firvane.core.net import http
+from firvane.core.request_counters import Tally
+from firvane.proxy.limits.loop_budget import BEHIND, DECIDE, READ_ONE, TURN
+from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.net.connection_limiter import Front
 from tests.helpers import settings
-from tests.net_helpers import PAY, READ, Clock, Wire, cut, garbage, guard, make_places, places, seeded
+from tests.proxy.net.helpers import PAY, READ, Clock, Wire, cut, garbage, guard, make_places, places, seeded
 
 HEAD = "GET /read/x?a=1 HTTP/1.1\r\nHost: app\r\nX-Call-Id: 9b1f\r\nX-Caller: acme\r\nX-Budget-Ms: 480\r\n"
 GET = (HEAD + "X-Route-Hash: 7f\r\nX-Call-Cost: 12000\r\nX-Again: 1\r\n\r\n").encode()
--- a/tests/test_address.py
+++ b/tests/core/test_address.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.address import pack_host, unpack_host
+from firvane.core.address import pack_host, unpack_host
 
 
 @given(st.binary(min_size=4, max_size=4))
--- a/tests/test_engine.py
+++ b/tests/core/test_engine.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane import logs
-from firvane.endings import RESULTS, Ending
-from firvane.engine import Engine, Flow
+from firvane.core import interface as api
+from firvane.core import logs
+from firvane.core.engine import Engine, Flow
+from firvane.core.terminations import RESULTS, Ending
 from tests.helpers import changes, full_list, server, settings
-from tests.net_helpers import Clock, Parties
+from tests.proxy.net.helpers import Clock, Parties
 
 
 class Script:
--- a/tests/test_logs.py
+++ b/tests/core/test_logs.py
@@ -13,8 +13,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import logs
-from tests.net_helpers import seeded
+from firvane.core import logs
+from tests.proxy.net.helpers import seeded
 
 
 def lines(form: str, level: str = "info") -> tuple[logs.Log, list[str]]:
--- a/tests/test_process_signals.py
+++ b/tests/core/test_process_signals.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from firvane import logs, process_signals
-from firvane.controller.replication_opening import JournalOpener, OpenedJournal
-from firvane.process_signals import SIGNALS
-from firvane.quorum.store import Store
-from firvane.snapshots.file import Keeper
-from firvane.storage.writer import JournalWriter
+from firvane.core import logs, process_signals
+from firvane.core.process_signals import SIGNALS
+from firvane.fleet.controller.replication_opening import JournalOpener, OpenedJournal
+from firvane.fleet.storage.writer import JournalWriter
+from firvane.proxy.quorum.store import Store
+from firvane.proxy.snapshots.file import Keeper
 from tests.signal_masks import blocked_signals
 
 TIME_LIMIT = 20.0  # s, only for a thread that hangs
@@ -73,7 +73,7 @@
 
 def test_the_module_that_blocks_signals_imports_nothing_that_takes_time() -> None:
     """Until it is imported a signal meets the default action."""
-    code = "import sys, firvane.process_signals; print(*sys.modules)"
+    code = "import sys, firvane.core.process_signals; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert not SLOW_MODULES & set(done.stdout.split())
 
--- a/tests/config/test_checked.py
+++ b/tests/core/test_validation.py
@@ -12,8 +12,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import checked
-from tests.net_helpers import seeded
+from firvane.core import validation
+from tests.proxy.net.helpers import seeded
 
 
 class Part(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
@@ -37,8 +37,8 @@
 
 
 def lines(text: str) -> list[str]:
-    with pytest.raises(checked.Faults) as caught:
-        checked.build(checked.parse(text.encode(), "f"), Whole, "f", {Part: order})
+    with pytest.raises(validation.Faults) as caught:
+        validation.build(validation.parse(text.encode(), "f"), Whole, "f", {Part: order})
     return str(caught.value).splitlines()
 
 
@@ -87,7 +87,7 @@
         ("count = 1\npair = [nan, 1]", "given nan"),
         ("count = 1\non = 1979-05-27", "given 1979-05-27"),
         ('"\\u0007 key" = 1', r'"\u0007 key": unknown key'),
-        ("y" * (checked.MOST + 1), "larger than"),
+        ("y" * (validation.MOST + 1), "larger than"),
     ],
 )
 def test_a_file_of_no_use_is_one_line(text: str, words: str) -> None:
@@ -97,30 +97,30 @@
 
 def test_very_many_faults_are_counted() -> None:
     found = lines("\n".join(f"k{i} = 1" for i in range(500)))
-    assert len(found) == checked.NAMED + 1 and found[-1] == f"f: {501 - checked.NAMED} more faults"
+    assert len(found) == validation.NAMED + 1 and found[-1] == f"f: {501 - validation.NAMED} more faults"
 
 
 @pytest.mark.parametrize("name", ["missing.toml", ".", "a\0b", "\udcff"])
 def test_what_cannot_be_opened_is_a_fault(name: str, tmp_path: Path) -> None:
-    with pytest.raises(checked.Faults, match="cannot be read"):
-        checked.read(f"{tmp_path}/{name}", Whole)
+    with pytest.raises(validation.Faults, match="cannot be read"):
+        validation.read(f"{tmp_path}/{name}", Whole)
 
 
 def test_bytes_that_are_not_text_are_a_fault_and_a_mark_in_front_is_none(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_bytes(b"count = 1 # \xff")
-    with pytest.raises(checked.Faults, match="not UTF-8 at byte 12"):
-        checked.read(path, Whole)
+    with pytest.raises(validation.Faults, match="not UTF-8 at byte 12"):
+        validation.read(path, Whole)
     path.write_bytes(b"\xef\xbb\xbfcount = 1")
-    assert checked.read(path, Whole) == Whole(count=1)
+    assert validation.read(path, Whole) == Whole(count=1)
 
 
 @seeded
 @given(st.binary(max_size=300) | st.text(alphabet='abc=.[]{}"\n\\ 1#\x00\u2028', max_size=80).map(str.encode))
 def test_any_bytes_give_a_value_or_faults_of_one_line_each(data: bytes) -> None:
     try:
-        checked.build(checked.parse(data, "f"), Whole, "f", {Part: order})
-    except checked.Faults as faults:
+        validation.build(validation.parse(data, "f"), Whole, "f", {Part: order})
+    except validation.Faults as faults:
         assert len(str(faults).splitlines()) == len(faults.faults) > 0
 
 
@@ -145,8 +145,8 @@
     except msgspec.ValidationError:
         wanted = None
     try:
-        assert checked.build(raw, Whole, "f") == wanted
-    except checked.Faults:
+        assert validation.build(raw, Whole, "f") == wanted
+    except validation.Faults:
         assert wanted is None
 
 
@@ -160,7 +160,7 @@
     ],
 )
 def test_the_platform_s_form_of_recovery_is_checked(given: object, why: str) -> None:
-    from firvane.config.platform import _recovery
+    from firvane.proxy.config.platform import _recovery
 
     with pytest.raises(ValueError, match=f"^{why}$"):
         _recovery(given)
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -23,15 +23,15 @@
 
 import uvloop
 
-from firvane import logs
-from firvane.config.platform import read_config
-from firvane.endings import Ending
-from firvane.limits.descriptors import Use
-from firvane.net.dial import Dialing
-from firvane.net.forward import SETTLE
-from firvane.net.guard import OwnUsage, Usage
-from firvane.proxy import Proxy
-from tests.net_helpers import endpoint
+from firvane.core import logs
+from firvane.core.net.dialer import Dialing
+from firvane.core.terminations import Ending
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.net.resource_monitor import OwnUsage, Usage
+from firvane.proxy.net.upstream_pool import SETTLE
+from firvane.proxy.proxy import Proxy
+from tests.proxy.net.helpers import endpoint
 
 ROOT = Path(__file__).resolve().parents[2]
 LIMIT = 20.0  # s after which what a test waits for will not come
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -5,26 +5,26 @@
 from tests.crossings.mutants import Mutant
 
 FILE = "tests/crossings/test_attempts.py"
-ENGINE, FORWARD = "firvane/engine.py", "firvane/net/forward.py"
+ENGINE, FORWARD = "firvane/core/engine.py", "firvane/proxy/net/upstream_pool.py"
 
 MUTANTS = [
     Mutant(
         "a lost attempt is given up only where another may follow",
-        "firvane/choice.py",
+        "firvane/proxy/balancer.py",
         "                job.out = out  # guards",
         "                self.actions.append(api.Cancel(job.request.id, attempt))  # guards",
         f"{FILE} -k lost_attempt",
     ),
     Mutant(
         "and not before its end is told where two may not be out",
-        "firvane/choice.py",
+        "firvane/proxy/balancer.py",
         "if other and limits.second_copies:  # else",
         "if other:  # else",
-        "tests/test_choice.py -k lost_attempt",
+        "tests/proxy/test_balancer.py -k lost_attempt",
     ),
     Mutant(
         "no repeat is written after the time in which it is known again",
-        "firvane/state.py",
+        "firvane/core/balancing/records.py",
         "            return self.kept_until\n",
         "            return math.inf\n",
         f"{FILE} -k time_for_repeats",
@@ -66,14 +66,14 @@
     ),
     Mutant(
         "a body arrives as it was sent, whatever connection it goes on",
-        "firvane/net/listener.py",
+        "firvane/proxy/net/client_requests.py",
         "        self.upload.feed(message.taken())\n",
         "",
         f"{FILE} -k arrives_as_it_was_sent",
     ),
     Mutant(
         "what is sent behind a body in chunks is none of it",
-        "firvane/net/http.py",
+        "firvane/core/net/http.py",
         "            if not (message and message.status):",
         "            if not self.in_chunks():",
         f"{FILE} -k none_of_it",
@@ -160,11 +160,11 @@
         ENGINE,
         "forward.number < limits.max_attempts and",
         "True and",
-        "tests/test_engine.py -k over_the_cap",
+        "tests/core/test_engine.py -k over_the_cap",
     ),
     Mutant(
         "a class that is unsafe to repeat is not sent again where it may have run",
-        "firvane/choice.py",
+        "firvane/proxy/balancer.py",
         "return not job.maybe or cls.repeat is api.Repeat.SAFE or",
         "return True or",
         f"{FILE} -k reset-in-mid-body",
--- a/tests/crossings/mutants/closes.py
+++ b/tests/crossings/mutants/closes.py
@@ -5,7 +5,7 @@
 from tests.crossings.mutants import Mutant
 
 HERE = "tests/crossings/test_closes.py::"
-ANSWERS = "firvane/net/client_answers.py"
+ANSWERS = "firvane/proxy/net/client_responses.py"
 MUTANTS = [
     Mutant(
         "an answer that ends with its connection does not pass for whole where it was cut",
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -3,8 +3,8 @@
 from tests.crossings.mutants import Mutant
 
 ENDS, HANDS = "tests/crossings/test_ends.py::", "tests/crossings/test_handovers.py::"
-PROXY, MAIN, DOOR = "firvane/proxy.py", "firvane/__main__.py", "firvane/net/door.py"
-STATES = "firvane/ops/states.py"
+PROXY, MAIN, DOOR = "firvane/proxy/proxy.py", "firvane/__main__.py", "firvane/proxy/net/listening_socket.py"
+STATES = "firvane/proxy/admin_api/lifecycle.py"
 
 MUTANTS = [
     Mutant(
@@ -58,7 +58,7 @@
     ),
     Mutant(
         "half a request is answered before the end",
-        "firvane/net/listener.py",
+        "firvane/proxy/net/client_requests.py",
         "        if self.started and not self.owes():",
         "        if False:",
         f"{ENDS}test_half_a_request_is_refused_before_the_end",
@@ -107,28 +107,28 @@
     ),
     Mutant(
         "a request that arrives as idle connections close is answered",
-        "firvane/net/front.py",
+        "firvane/proxy/net/connection_limiter.py",
         "            if connection.asked and connection.is_idle() and connection.quiet():",
         "            if connection.asked and connection.is_idle():",
         f"{ENDS}test_a_request_that_arrives_as_idle_connections_are_closed_is_answered",
     ),
     Mutant(
         "who has yet to ask its first is left to do so",
-        "firvane/net/front.py",
+        "firvane/proxy/net/connection_limiter.py",
         "            if connection.asked and connection.is_idle() and connection.quiet():",
         "            if connection.is_idle() and connection.quiet():",
         f"{ENDS}test_who_has_yet_to_ask_is_served_up_to_the_end",
     ),
     Mutant(
         "a fault at a connection costs no hand",
-        "firvane/net/transport_pool.py",
+        "firvane/core/net/transport_pool.py",
         "            except Exception as error:\n                # A fault",
         "            except OSError as error:\n                # A fault",
         f"{ENDS}test_a_fault_at_a_connection_costs_none_of_the_makers",
     ),
     Mutant(
         "what comes after the last moment is answered at once",
-        "firvane/net/listener.py",
+        "firvane/proxy/net/client_requests.py",
         "min(self.front.loop.time() + left + more, self.front.last)",
         "self.front.loop.time() + left + more",
         f"{ENDS}test_what_comes_after_the_last_moment_is_refused_at_once",
@@ -177,7 +177,7 @@
     ),
     Mutant(
         "a class that is dropped keeps its number",
-        "firvane/retune.py",
+        "firvane/proxy/settings_reload.py",
         "    classes, numbers = list(old.classes), list[int]()",
         "    classes, numbers = [], list[int]()\n    known = {}",
         f"{HANDS}test_a_class_that_is_dropped_keeps_what_is_open_and_what_is_being_read",
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -4,7 +4,11 @@
 
 from tests.crossings.mutants import Mutant
 
-TARGETS, PAUSES, FORWARD = "firvane/net/targets.py", "firvane/limits/pauses.py", "firvane/net/forward.py"
+TARGETS, PAUSES, FORWARD = (
+    "firvane/proxy/net/target_group.py",
+    "firvane/proxy/limits/discovery_timing.py",
+    "firvane/proxy/net/upstream_pool.py",
+)
 TESTS = "tests/crossings/test_lists.py"
 
 MUTANTS = [
@@ -19,12 +23,12 @@
         f"{TESTS}::test_a_name_with_half_a_character_is_a_bad_list",
     ),
     Mutant(
-        "no weight of a list is divided by as 0", "firvane/state.py",
+        "no weight of a list is divided by as 0", "firvane/core/balancing/records.py",
         "min(MOST, max(LEAST, weight))", "min(MOST, weight)",
         f"{TESTS}::test_no_weight_of_a_list_stops_a_proxy",
     ),
     Mutant(
-        "a proxy can read its own row, whatever a list's weights are", "firvane/state.py",
+        "a proxy can read its own row, whatever a list's weights are", "firvane/core/balancing/records.py",
         "    rates = [min(rate, 0.99 * TOLD) for rate in rates]\n", "",
         f"{TESTS}::test_no_weight_of_a_list_stops_a_proxy",
     ),
@@ -92,7 +96,7 @@
     Mutant(
         "an agent that was away is called again soon", PAUSES,
         "FIRST, LONGEST = 0.1, 0.2", "FIRST, LONGEST = 0.1, 2.0",
-        "tests/limits/test_pauses.py::test_a_free_call_is_made_at_once_and_soon_again",
+        "tests/proxy/limits/test_discovery_timing.py::test_a_free_call_is_made_at_once_and_soon_again",
     ),
     Mutant(
         "a watch that was given up while dialled asks nothing", TARGETS,
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -12,12 +12,12 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.endings import Ending
-from firvane.limits.descriptors import Use
-from firvane.net.dial import SocketDialer
-from firvane.net.forward import SETTLE, Connection, Forwards
-from firvane.net.transport_pool import TransportPool
+from firvane.core import interface as api
+from firvane.core.net.dialer import SocketDialer
+from firvane.core.net.transport_pool import TransportPool
+from firvane.core.terminations import Ending
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards
 from tests.crossings.harness import (
     CHUNKED,
     ERROR,
@@ -36,8 +36,8 @@
     rig,
 )
 from tests.helpers import RULES
-from tests.net_helpers import Ended, guard
-from tests.test_forward import request as message
+from tests.proxy.net.helpers import Ended, guard
+from tests.proxy.net.test_upstream_pool import request as message
 
 LEAVES = pytest.mark.parametrize("how", ["fin", "reset"])
 CANCEL = pytest.mark.parametrize("cancel", [True, False], ids=["cancel", "no-cancel"])
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -13,8 +13,8 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.limits.account import SMALL, Held
+from firvane.core import interface as api
+from firvane.proxy.limits.memory_account import SMALL, Held
 from tests.crossings.harness import ERROR, FULL, MS, OK, Link, Rig, a_class, params, play, request, rig
 
 HOW = pytest.mark.parametrize("how", ["fin", "reset"])
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from firvane.net.client_answers import AT_ONCE
+from firvane.proxy.net.client_responses import AT_ONCE
 from tests.crossings.harness import CHUNKED, Link, Rig, play, request, rig
 
 MORE = request("c2")  # what its client sends behind the request whose answer is the last
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from firvane.net.door import ACCEPTS
-from firvane.net.transport_pool import MAKERS
-from firvane.process_signals import SIGNALS
-from firvane.proxy import LAME
+from firvane.core.net.transport_pool import MAKERS
+from firvane.core.process_signals import SIGNALS
+from firvane.proxy.net.listening_socket import ACCEPTS
+from firvane.proxy.proxy import LAME
 from tests.crossings.harness import (
     ERROR,
     FULL,
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from firvane import proxy as wired
+from firvane.proxy import proxy as wired
 from tests.crossings.harness import (
     MS,
     OK,
@@ -30,7 +30,7 @@
     request,
     rig,
 )
-from tests.net_helpers import endpoint
+from tests.proxy.net.helpers import endpoint
 
 # Longer than a process takes to start on a busy machine, which requests here have to wait for.
 SETTINGS = params(classes=[a_class("read", **{"slo-ns": 5_000 * MS, "give-up-ns": 20_000 * MS})])
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -14,11 +14,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.endings import Ending
-from firvane.limits import pauses
-from firvane.net import targets
-from firvane.net.http import Message
-from firvane.net.targets import BadList, Gatherer, Lines
+from firvane.core.net.http import Message
+from firvane.core.terminations import Ending
+from firvane.proxy.limits import discovery_timing
+from firvane.proxy.net import target_group
+from firvane.proxy.net.target_group import BadList, Gatherer, Lines
 from tests.crossings.harness import (
     CHUNKED,
     ERROR,
@@ -37,7 +37,7 @@
     request,
     rig,
 )
-from tests.net_helpers import Ended, Wire, cut, endpoint, places, seeded
+from tests.proxy.net.helpers import Ended, Wire, cut, endpoint, places, seeded
 
 # Nothing new from the list's word on, and nothing is closed for having been idle.
 AT_ONCE = params(obligations={"drain-grace-ns": 0}, limits={"conn-idle-ns": 1_000_000 * MS})
@@ -71,13 +71,13 @@
 
 
 def test_a_list_that_comes_byte_by_byte_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked, real = [0], targets.brackets
+    looked, real = [0], target_group.brackets
 
     def counted(lines: list[bytes]) -> list[bytes | None]:
         looked[0] += sum(map(len, lines))
         return real(lines)
 
-    monkeypatch.setattr(targets, "brackets", counted)
+    monkeypatch.setattr(target_group, "brackets", counted)
     text = json.dumps(whole(1, *(endpoint(f"s{n}", n) for n in range(1, 100))), indent=2).encode() + b"\n"
     gatherer = Gatherer(1 << 20)
     came = [line for at in range(len(text)) for line in gatherer.cut(text[at : at + 1])]
@@ -184,7 +184,7 @@
 def test_a_watch_that_falls_silent_is_opened_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fall: Callable[[Watch], Awaitable[None]]
 ) -> None:
-    monkeypatch.setattr(pauses, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_timing, "SILENCE", 0.3)
 
     async def work() -> None:
         async with rig(tmp_path) as made:
@@ -225,8 +225,11 @@
             waiting = await made.agent.watch(headed=False)
             asked = made.loop.time()
             group = made.proxy.group
-            assert group.watch and group.pauses.silent_at(group.watch.heard) > asked + pauses.SILENCE - 1.0
-            await asyncio.sleep(3 * pauses.ANSWER)
+            assert (
+                group.watch
+                and group.pauses.silent_at(group.watch.heard) > asked + discovery_timing.SILENCE - 1.0
+            )
+            await asyncio.sleep(3 * discovery_timing.ANSWER)
             assert not made.agent.waiting()
             await waiting.send(CHUNKED)
             await waiting.tell(1, *made.entries())
@@ -241,7 +244,7 @@
 ) -> None:
     # It stands still in a call of its own, or while it reads another connection: then it comes to its timers
     # before it reads the watch's.
-    monkeypatch.setattr(pauses, "SILENCE", 0.4)
+    monkeypatch.setattr(discovery_timing, "SILENCE", 0.4)
 
     async def work() -> None:
         async with rig(tmp_path) as made:
@@ -357,7 +360,7 @@
             port = made.agent.port
             made.agent.close()  # the watch ends, and dials are refused from here on
             group = made.proxy.group
-            await made.see(lambda: group.pauses.pause == pauses.LONGEST)
+            await made.see(lambda: group.pauses.pause == discovery_timing.LONGEST)
             back = Agent.__new__(Agent)
             back.loop, back.links = made.loop, []
             back.sock = socket.create_server(("127.0.0.1", port), backlog=64)
@@ -522,7 +525,7 @@
             await watch.tell(20, *made.entries()[:1], snapshot=False)
             again = await made.agent.watch()
             assert again.query == "watch=1&from=0"
-            assert group.servers["s1"].state is targets.STATES["draining"]
+            assert group.servers["s1"].state is target_group.STATES["draining"]
             await again.tell(20, *made.entries(s2="draining"))
             await made.see(lambda: group.index == 20)
 
@@ -761,7 +764,7 @@
 def test_discovery_comes_back_into_a_release(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Down: the open watch falls silent, calls made meanwhile are never answered. Back, with targets that
     # drain: the proxy hears at once, and nothing goes to them from then on.
-    monkeypatch.setattr(pauses, "SILENCE", 0.4)
+    monkeypatch.setattr(discovery_timing, "SILENCE", 0.4)
 
     async def work() -> None:
         async with rig(tmp_path, 2, AT_ONCE) as made:
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -24,14 +24,14 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane import logs
-from firvane.config.platform import read_config
-from firvane.endings import Ending
-from firvane.engine import Flow
-from firvane.limits.overload import Measure, Resource
-from firvane.net.http import Message
-from firvane.proxy import Proxy
+from firvane.core import interface as api
+from firvane.core import logs
+from firvane.core.engine import Flow
+from firvane.core.net.http import Message
+from firvane.core.terminations import Ending
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.limits.overload import Measure, Resource
+from firvane.proxy.proxy import Proxy
 from tests.crossings.harness import (
     ERROR,
     FULL,
@@ -800,7 +800,7 @@
     "montego", "falmouth",
 ]  # fmt: skip
 # Stand-ins for a fleet, and the help of the operators' commands: no proxy loads them.
-ASIDE = ("emulation", "cli", "rehearsal", "control", "rollout")
+ASIDE = ("cli", "simulation/emulation", "simulation/runner", "proxy/control", "proxy/rollout")
 
 
 def test_no_name_of_a_deployment_stands_in_the_program() -> None:
@@ -810,7 +810,9 @@
         rf"(?<![\w-])({'|'.join(sorted(map(re.escape, names), key=len, reverse=True))})(?![\w-])"
     )
     files = [
-        f for f in (ROOT / "firvane").rglob("*.py") if f.relative_to(ROOT / "firvane").parts[0] not in ASIDE
+        f
+        for f in (ROOT / "firvane").rglob("*.py")
+        if not any(f.is_relative_to(ROOT / "firvane" / aside) for aside in ASIDE)
     ]
     files.append(ROOT / "deploy/balancer.toml")
     for file in files:
--- a/tests/cluster/test_agent.py
+++ b/tests/fleet/cluster/test_agent.py
@@ -10,9 +10,9 @@
 import pytest
 import uvloop
 
-from firvane import logs
-from firvane.address import Address
-from firvane.cluster.agent import Channel, ClusterAgent, Item, Member, Role
+from firvane.core import logs
+from firvane.core.address import Address
+from firvane.fleet.cluster.agent import Channel, ClusterAgent, Item, Member, Role
 
 TIMEOUT = 5.0
 
--- a/tests/cluster/test_applied.py
+++ b/tests/fleet/cluster/test_applied.py
@@ -8,12 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.cluster.applied import REPORT_BYTES, AppliedReport, AppliedVersions
-from firvane.cluster.core import KnownMember
-from firvane.cluster.envelope import EnvelopeError, Plane, Section, encode_envelope
-from firvane.membership.members import Role, Status
-from tests.cluster.world import Process, World
-from tests.membership.strategies import make_member
+from firvane.fleet.cluster.applied import REPORT_BYTES, AppliedReport, AppliedVersions
+from firvane.fleet.cluster.core import KnownMember
+from firvane.fleet.cluster.envelope import EnvelopeError, Plane, Section, encode_envelope
+from firvane.fleet.membership.members import Role, Status
+from tests.fleet.cluster.world import Process, World
+from tests.fleet.membership.strategies import make_member
 
 ONE = make_member(1, incarnation=10)
 
--- a/tests/cluster/test_core.py
+++ b/tests/fleet/cluster/test_core.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.address import Address
-from firvane.cluster.core import MAX_PAYLOAD, ClusterCore, PayloadError
-from firvane.cluster.envelope import Plane, Section, decode_envelope, encode_envelope
-from firvane.dissemination.items import Item
-from firvane.membership.members import Member, Role
+from firvane.core.address import Address
+from firvane.fleet.cluster.core import MAX_PAYLOAD, ClusterCore, PayloadError
+from firvane.fleet.cluster.envelope import Plane, Section, decode_envelope, encode_envelope
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.membership.members import Member, Role
 
 ONE, TWO = ("10.0.0.1", 7300), ("10.0.0.2", 7300)
 
--- a/tests/cluster/test_envelope.py
+++ b/tests/fleet/cluster/test_envelope.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.cluster.envelope import (
+from firvane.fleet.cluster.envelope import (
     MAX_SECTIONS,
     EnvelopeError,
     Plane,
--- a/tests/cluster/test_world.py
+++ b/tests/fleet/cluster/test_world.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.dissemination.items import Item
-from firvane.membership.members import Role
-from tests.cluster.world import Process, World
+from firvane.core.address import Address
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.membership.members import Role
+from tests.fleet.cluster.world import Process, World
 
 KEY = b"configuration"
 SLOW_LINK = 5e6 / 8
--- a/tests/cluster/world.py
+++ b/tests/fleet/cluster/world.py
@@ -11,13 +11,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from firvane.address import Address
-from firvane.cluster.core import MAX_PAYLOAD, ClusterCore, Effects
-from firvane.cluster.envelope import Plane, Section, encode_envelope
-from firvane.dissemination.items import Item
-from firvane.membership.codec import Kind, Message, encode_message, encode_record
-from firvane.membership.members import Member, Record, Role, Status
-from firvane.transport.frames import HEADER_SIZE
+from firvane.core.address import Address
+from firvane.fleet.cluster.core import MAX_PAYLOAD, ClusterCore, Effects
+from firvane.fleet.cluster.envelope import Plane, Section, encode_envelope
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.membership.codec import Kind, Message, encode_message, encode_record
+from firvane.fleet.membership.members import Member, Record, Role, Status
+from firvane.fleet.transport.frames import HEADER_SIZE
 
 PORT = 7300
 ZONES = ("apapa", "ikeja", "lekki", "yaba")
--- a/tests/configuration/documents.py
+++ b/tests/fleet/configuration/documents.py
@@ -5,7 +5,7 @@
 import json
 from typing import Any
 
-from firvane.configuration.orders import Order, OrderKind
+from firvane.fleet.configuration.orders import Order, OrderKind
 
 LIMITS = {
     "max_header_bytes": 16384,
--- a/tests/configuration/test_checker.py
+++ b/tests/fleet/configuration/test_checker.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from firvane.configuration import checker as checkers
-from firvane.configuration.checker import Checker
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import MAX_PROBLEMS, Problem, Result
-from firvane.configuration.schema import ItemSchemas
-from firvane.configuration.state import ConfigurationState
-from tests.configuration.documents import (
+from firvane.fleet.configuration import checker as checkers
+from firvane.fleet.configuration.checker import Checker
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import MAX_PROBLEMS, Problem, Result
+from firvane.fleet.configuration.schema import ItemSchemas
+from firvane.fleet.configuration.state import ConfigurationState
+from tests.fleet.configuration.documents import (
     LIMITS,
     change,
     modification,
@@ -180,9 +180,10 @@
 
 def test_routers_load_neither_cerberus_nor_the_checks() -> None:
     code = (
-        "import sys, firvane.configuration.item, firvane.discovery.codec\n"
-        "assert not {'cerberus', 'hashlib', 'asyncio', 'firvane.configuration.state'} & set(sys.modules)\n"
-        "import firvane.configuration.checker\n"
+        "import sys, firvane.fleet.configuration.item, firvane.fleet.discovery.codec\n"
+        "unwanted = {'cerberus', 'hashlib', 'asyncio', 'firvane.fleet.configuration.state'}\n"
+        "assert not unwanted & set(sys.modules)\n"
+        "import firvane.fleet.configuration.checker\n"
         "assert 'cerberus' not in sys.modules\n"
     )
     subprocess.run([sys.executable, "-c", code], check=True, cwd=sys.path[0] or ".")
--- a/tests/configuration/test_codes.py
+++ b/tests/fleet/configuration/test_codes.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from firvane.configuration.codes import ResultCode, code_of
+from firvane.fleet.configuration.codes import ResultCode, code_of
 
-TABLE = Path(__file__).parents[2] / "docs" / "result-codes.md"
+TABLE = Path(__file__).parents[3] / "docs" / "result-codes.md"
 
 
 def test_the_docs_hold_every_code_with_its_status_and_meaning() -> None:
--- a/tests/configuration/test_delta.py
+++ b/tests/fleet/configuration/test_delta.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.configuration.delta import DeltaError, apply_delta, make_delta
-from firvane.configuration.document import encode
-from tests.configuration.documents import route, service, whole
+from firvane.fleet.configuration.delta import DeltaError, apply_delta, make_delta
+from firvane.fleet.configuration.document import encode
+from tests.fleet.configuration.documents import route, service, whole
 
 
 def text(document: Any) -> bytes:
--- a/tests/configuration/test_docs.py
+++ b/tests/fleet/configuration/test_docs.py
@@ -6,11 +6,11 @@
 import re
 from pathlib import Path
 
-from firvane.configuration.checker import Checker
-from firvane.configuration.orders import Order, OrderKind, Result
-from firvane.configuration.state import ConfigurationState
+from firvane.fleet.configuration.checker import Checker
+from firvane.fleet.configuration.orders import Order, OrderKind, Result
+from firvane.fleet.configuration.state import ConfigurationState
 
-PAGE = Path(__file__).parents[2] / "docs" / "configuration.md"
+PAGE = Path(__file__).parents[3] / "docs" / "configuration.md"
 KINDS = {"replace": OrderKind.REPLACE, "modify": OrderKind.MODIFY}
 
 
--- a/tests/configuration/test_oracle.py
+++ b/tests/fleet/configuration/test_oracle.py
@@ -12,12 +12,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.configuration.checker import Checker
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.item import read_item
-from firvane.configuration.orders import Order, OrderKind, Result
-from firvane.configuration.state import ConfigurationState
-from tests.configuration.documents import LIMITS, route, service, split, whole
+from firvane.fleet.configuration.checker import Checker
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.item import read_item
+from firvane.fleet.configuration.orders import Order, OrderKind, Result
+from firvane.fleet.configuration.state import ConfigurationState
+from tests.fleet.configuration.documents import LIMITS, route, service, split, whole
 
 Document = dict[str, Any]
 
--- a/tests/configuration/test_orders.py
+++ b/tests/fleet/configuration/test_orders.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import (
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import (
     MAX_BODY_BYTES,
     MAX_PROBLEMS,
     MAX_VERSION,
--- a/tests/configuration/test_recovered.py
+++ b/tests/fleet/configuration/test_recovered.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from firvane.configuration.orders import Order, OrderKind
-from firvane.configuration.recovered import recovered_version
-from firvane.configuration.state import ConfigurationState
-from tests.configuration.documents import change, route, whole
+from firvane.fleet.configuration.orders import Order, OrderKind
+from firvane.fleet.configuration.recovered import recovered_version
+from firvane.fleet.configuration.state import ConfigurationState
+from tests.fleet.configuration.documents import change, route, whole
 
 
 def order(kind: OrderKind, base: int, document: Any) -> bytes:
--- a/tests/configuration/test_routes.py
+++ b/tests/fleet/configuration/test_routes.py
@@ -11,9 +11,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.configuration.item import ItemError, pack_item, read_document, read_item
-from firvane.configuration.routes import Configuration, Engine, Limits, RouteKind, RouteTable, Target
-from tests.configuration.documents import route, service, split, whole
+from firvane.fleet.configuration.item import ItemError, pack_item, read_document, read_item
+from firvane.fleet.configuration.routes import Configuration, Engine, Limits, RouteKind, RouteTable, Target
+from tests.fleet.configuration.documents import route, service, split, whole
 
 
 def read(document: Any) -> Configuration:
--- a/tests/configuration/test_state.py
+++ b/tests/fleet/configuration/test_state.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from firvane.configuration import state as states
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.item import pack_item, read_item
-from firvane.configuration.order_history import REMEMBERED_ORDERS
-from firvane.configuration.orders import MAX_BODY_BYTES, Order, OrderKind, RecordError, Result
-from firvane.configuration.state import ConfigurationState
-from tests.configuration.documents import (
+from firvane.fleet.configuration import state as states
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.item import pack_item, read_item
+from firvane.fleet.configuration.order_history import REMEMBERED_ORDERS
+from firvane.fleet.configuration.orders import MAX_BODY_BYTES, Order, OrderKind, RecordError, Result
+from firvane.fleet.configuration.state import ConfigurationState
+from tests.fleet.configuration.documents import (
     LIMITS,
     change,
     modification,
--- a/tests/configuration/test_tenants.py
+++ b/tests/fleet/configuration/test_tenants.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from firvane.configuration.checker import Checker
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.item import ItemError, read_document, read_item, read_tenants
-from firvane.configuration.orders import Order, Result
-from firvane.configuration.routes import Tenant, key_digest
-from firvane.configuration.state import ConfigurationState
-from tests.configuration.documents import change, modification, replacement, route, whole
+from firvane.fleet.configuration.checker import Checker
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.item import ItemError, read_document, read_item, read_tenants
+from firvane.fleet.configuration.orders import Order, Result
+from firvane.fleet.configuration.routes import Tenant, key_digest
+from firvane.fleet.configuration.state import ConfigurationState
+from tests.fleet.configuration.documents import change, modification, replacement, route, whole
 
 
 def tenant(name: str = "huka270", **changes: Any) -> dict[str, Any]:
--- a/tests/controller/changes.py
+++ b/tests/fleet/controller/changes.py
@@ -1,6 +1,6 @@
 """Hundreds of changes on three whole controllers: what they cost on disks, and how long members need after.
 
-`python -m tests.controller.changes CHANGES ROUTES` prints the figures of one such day.
+`python -m tests.fleet.controller.changes CHANGES ROUTES` prints the figures of one such day.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 
 import uvloop
 
-from firvane.parts import CONFIGURATION_PART
-from tests.controller.test_controller import Core, document, until_true
+from firvane.fleet.partitions import CONFIGURATION_PART
+from tests.fleet.controller.test_controller import Core, document, until_true
 
 SIZE_SEEN_EVERY = 10  # changes between two looks at the disks
 
--- a/tests/controller/fleet_rig.py
+++ b/tests/fleet/controller/fleet_rig.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from firvane.address import Address
-from firvane.cluster.agent import Item, KnownMember, Member, Role
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY
-from firvane.controller.fleet_service import FleetService
-from firvane.controller.replication import GroupStatus, Transfer, TransferStart
-from firvane.logs import QUIET
-from firvane.membership.members import MemberState, Status
-from firvane.parts import ALL_PARTS
-from firvane.replication.replica import Role as ReplicaRole
-from firvane.replication.status import ReplicaStatus
-from firvane.replication.types import Member as Replica
+from firvane.core.address import Address
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Item, KnownMember, Member, Role
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY
+from firvane.fleet.controller.fleet_service import FleetService
+from firvane.fleet.controller.replication import GroupStatus, Transfer, TransferStart
+from firvane.fleet.membership.members import MemberState, Status
+from firvane.fleet.partitions import ALL_PARTS
+from firvane.fleet.replication.replica import Role as ReplicaRole
+from firvane.fleet.replication.status import ReplicaStatus
+from firvane.fleet.replication.types import Member as Replica
 
 OWN: Address = ("10.0.0.1", 7300)
 OTHER: Address = ("10.0.0.2", 7300)
--- a/tests/controller/test_backup.py
+++ b/tests/fleet/controller/test_backup.py
@@ -7,10 +7,10 @@
 import shutil
 from pathlib import Path
 
-from firvane.cluster.agent import ClusterAgent, Member, Role
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY
-from firvane.logs import QUIET
-from tests.controller.test_controller import Core, document, play, until, until_true
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import ClusterAgent, Member, Role
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY
+from tests.fleet.controller.test_controller import Core, document, play, until, until_true
 
 ALL = (1, 2, 3)
 
--- a/tests/controller/test_changes.py
+++ b/tests/fleet/controller/test_changes.py
@@ -8,10 +8,10 @@
 import pytest
 import uvloop
 
-from firvane.controller import replication as hosts
-from firvane.replication import group as groups
-from tests.controller.changes import ChangingCore, play_changes
-from tests.controller.test_controller import Core
+from firvane.fleet.controller import replication as hosts
+from firvane.fleet.replication import group as groups
+from tests.fleet.controller.changes import ChangingCore, play_changes
+from tests.fleet.controller.test_controller import Core
 
 CHANGES, ROUTES = 240, 20
 COMPACT_BYTES = 20_000  # a snapshot every few dozen changes
--- a/tests/controller/test_configuration_publisher.py
+++ b/tests/fleet/controller/test_configuration_publisher.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from firvane.cluster.agent import Item
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.item import read_item
-from firvane.configuration.orders import Order, OrderKind, RecordError, Result
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY, ConfigurationPublisher
-from firvane.controller.replicated_configuration import ReplicatedConfiguration
-from firvane.logs import QUIET
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.item import read_item
+from firvane.fleet.configuration.orders import Order, OrderKind, RecordError, Result
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY, ConfigurationPublisher
+from firvane.fleet.controller.replicated_configuration import ReplicatedConfiguration
 
 
 def order(base: int, version: int) -> Order:
--- a/tests/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -13,15 +13,15 @@
 
 import uvloop
 
-from firvane import logs
-from firvane.address import Address
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY
-from firvane.controller.controller import Controller
-from firvane.controller.instance_records import item_key
-from firvane.controller.options import ControllerOptions
-from firvane.discovery.codec import decode_instances
-from firvane.parts import ALL_PARTS, part_of
-from tests.controller.test_operator_api import document
+from firvane.core import logs
+from firvane.core.address import Address
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY
+from firvane.fleet.controller.controller import Controller
+from firvane.fleet.controller.instance_records import item_key
+from firvane.fleet.controller.options import ControllerOptions
+from firvane.fleet.discovery.codec import decode_instances
+from firvane.fleet.partitions import ALL_PARTS, part_of
+from tests.fleet.controller.test_operator_api import document
 
 PATIENCE = 15.0  # s until something that must happen is missed
 LOOK_AGAIN = 0.02  # s between looks at what no event announces
--- a/tests/controller/test_failure_domains.py
+++ b/tests/fleet/controller/test_failure_domains.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from firvane.cluster.agent import Member, Role
-from firvane.controller.failure_domains import FailureDomains
+from firvane.fleet.cluster.agent import Member, Role
+from firvane.fleet.controller.failure_domains import FailureDomains
 
 REGIONS = {"ikeja": "lagos", "yaba": "lagos", "asokoro": "abuja"}
 
--- a/tests/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from firvane.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
-from firvane.configuration.codes import ResultCode
-from firvane.parts import ALL_PARTS
-from tests.controller.test_controller import Core, play, until, until_true
+from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.partitions import ALL_PARTS
+from tests.fleet.controller.test_controller import Core, play, until, until_true
 
 HAND_OVER = "/v1/fleet/hand-over"
 
--- a/tests/controller/test_fleet_service.py
+++ b/tests/fleet/controller/test_fleet_service.py
@@ -11,15 +11,15 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.address import Address
-from firvane.cluster.reports import MembersAnswer, PartsAnswer, ReplicaReport
-from firvane.configuration.codes import ResultCode
-from firvane.controller.configuration_service import Outcome
-from firvane.controller.hand_over_order import MAX_ORDER_BYTES, BadOrderError, HandOver, read_order
-from firvane.controller.replication import TransferStart
-from firvane.membership.members import Status
-from firvane.membership.view import MAX_MEMBERS
-from tests.controller.fleet_rig import (
+from firvane.core.address import Address
+from firvane.fleet.cluster.reports import MembersAnswer, PartsAnswer, ReplicaReport
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.controller.configuration_service import Outcome
+from firvane.fleet.controller.hand_over_order import MAX_ORDER_BYTES, BadOrderError, HandOver, read_order
+from firvane.fleet.controller.replication import TransferStart
+from firvane.fleet.membership.members import Status
+from firvane.fleet.membership.view import MAX_MEMBERS
+from tests.fleet.controller.fleet_rig import (
     CLOSED_PART,
     OTHER,
     OTHER_PART,
--- a/tests/controller/test_hand_out.py
+++ b/tests/fleet/controller/test_hand_out.py
@@ -7,13 +7,13 @@
 import random
 from pathlib import Path
 
-from firvane.cluster.agent import Channel, ClusterAgent, Item, Member, Role
-from firvane.controller.configuration_publisher import CONFIGURATION_KEY
-from firvane.controller.instance_records import item_key
-from firvane.controller.replication import CONTACT_PATIENCE
-from firvane.logs import QUIET
-from firvane.parts import ALL_PARTS, CONFIGURATION_PART
-from tests.controller.test_controller import Core, document, play, until, until_true
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Channel, ClusterAgent, Item, Member, Role
+from firvane.fleet.controller.configuration_publisher import CONFIGURATION_KEY
+from firvane.fleet.controller.instance_records import item_key
+from firvane.fleet.controller.replication import CONTACT_PATIENCE
+from firvane.fleet.partitions import ALL_PARTS, CONFIGURATION_PART
+from tests.fleet.controller.test_controller import Core, document, play, until, until_true
 
 ROUTER_NUMBER = 77
 MORE_THAN_A_DIGEST = 2.5  # s in which a process that is told anything has learned it
--- a/tests/controller/test_http_server.py
+++ b/tests/fleet/controller/test_http_server.py
@@ -12,10 +12,10 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from firvane.controller.http_server import CONTINUE, Bounds, Connection, HttpServer, State
-from firvane.controller.responses import Response
-from firvane.logs import QUIET
-from firvane.net.http import Message
+from firvane.core.logs import QUIET
+from firvane.core.net.http import Message
+from firvane.fleet.controller.http_server import CONTINUE, Bounds, Connection, HttpServer, State
+from firvane.fleet.controller.responses import Response
 
 on_any_machine = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 LoopFactory = Callable[[], asyncio.AbstractEventLoop]
--- a/tests/controller/test_instance_poller.py
+++ b/tests/fleet/controller/test_instance_poller.py
@@ -5,11 +5,11 @@
 import asyncio
 import json
 
-from firvane.cluster.agent import Item
-from firvane.controller.instance_poller import LONGEST_PAUSE, POLL_INTERVAL, InstancePoller
-from firvane.controller.instance_records import InstanceRecords
-from firvane.controller.platform_client import PlatformError, PlatformReply
-from firvane.logs import QUIET
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.controller.instance_poller import LONGEST_PAUSE, POLL_INTERVAL, InstancePoller
+from firvane.fleet.controller.instance_records import InstanceRecords
+from firvane.fleet.controller.platform_client import PlatformError, PlatformReply
 
 Answer = PlatformReply | PlatformError
 
--- a/tests/controller/test_instance_records.py
+++ b/tests/fleet/controller/test_instance_records.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from firvane.cluster.agent import Item
-from firvane.controller.instance_records import SEQUENCE_BITS, InstanceRecords, item_key, service_of
-from firvane.discovery.codec import decode_instances
-from firvane.discovery.instances import Instance, InstanceState
-from firvane.discovery.pages import CompleteList
-from firvane.logs import QUIET
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.controller.instance_records import SEQUENCE_BITS, InstanceRecords, item_key, service_of
+from firvane.fleet.discovery.codec import decode_instances
+from firvane.fleet.discovery.instances import Instance, InstanceState
+from firvane.fleet.discovery.pages import CompleteList
 
 
 def instance(number: int, service: str = "a", state: InstanceState = InstanceState.READY) -> Instance:
--- a/tests/controller/test_old_formats.py
+++ b/tests/fleet/controller/test_old_formats.py
@@ -7,21 +7,21 @@
 
 import pytest
 
-from firvane import logs
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.replicated_configuration import ReplicatedConfiguration
-from firvane.controller.replication_opening import OpenedJournal, open_or_create
-from firvane.logs import QUIET
-from firvane.replication.group import ReplicatedGroup
-from firvane.replication.records import encode_birth
-from firvane.replication.replica import Replica, ReplicaOptions
-from firvane.replication.types import HardState, Member
-from firvane.storage import journal as journals
-from firvane.storage.errors import UnknownFormatError
-from firvane.storage.filesystem import SystemFileSystem
-from firvane.storage.journal import create_journal
-from tests.controller.test_configuration_publisher import order
+from firvane.core import logs
+from firvane.core.logs import QUIET
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.replicated_configuration import ReplicatedConfiguration
+from firvane.fleet.controller.replication_opening import OpenedJournal, open_or_create
+from firvane.fleet.replication.group import ReplicatedGroup
+from firvane.fleet.replication.records import encode_birth
+from firvane.fleet.replication.replica import Replica, ReplicaOptions
+from firvane.fleet.replication.types import HardState, Member
+from firvane.fleet.storage import journal as journals
+from firvane.fleet.storage.errors import UnknownFormatError
+from firvane.fleet.storage.filesystem import SystemFileSystem
+from firvane.fleet.storage.journal import create_journal
+from tests.fleet.controller.test_configuration_publisher import order
 
 FORMAT_1 = Path(__file__).parent / "data" / "journal_format_1" / "group-0"
 """Written by the code before orders were remembered with their bases: versions 3, 4 in the snapshot, then 9
--- a/tests/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -9,17 +9,17 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, OrderKind
-from firvane.configuration.state import ConfigurationState
-from firvane.controller.configuration_service import ConfigurationService
-from firvane.controller.operator_api import CALLS, OperatorApi
-from firvane.controller.replication import Proposal, ProposalStatus
-from firvane.controller.responses import Response
-from firvane.logs import QUIET
-from firvane.net.http import Message
-from tests.controller.fleet_rig import OTHER_PART, FleetRig
+from firvane.core.address import Address
+from firvane.core.logs import QUIET
+from firvane.core.net.http import Message
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, OrderKind
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.fleet.controller.configuration_service import ConfigurationService
+from firvane.fleet.controller.operator_api import CALLS, OperatorApi
+from firvane.fleet.controller.replication import Proposal, ProposalStatus
+from firvane.fleet.controller.responses import Response
+from tests.fleet.controller.fleet_rig import OTHER_PART, FleetRig
 
 OWN = ("10.0.0.1", 7300)
 OTHER = ("10.0.0.2", 7300)
--- a/tests/controller/test_parts.py
+++ b/tests/fleet/controller/test_parts.py
@@ -1,6 +1,6 @@
 """The parts of the control state."""
 
-from firvane.parts import ALL_PARTS, CONFIGURATION_PART, part_of
+from firvane.fleet.partitions import ALL_PARTS, CONFIGURATION_PART, part_of
 
 
 def test_a_name_has_the_same_part_everywhere() -> None:
--- a/tests/controller/test_platform_client.py
+++ b/tests/fleet/controller/test_platform_client.py
@@ -8,7 +8,7 @@
 import pytest
 import uvloop
 
-from firvane.controller.platform_client import PlatformClient, PlatformError, PlatformReply
+from firvane.fleet.controller.platform_client import PlatformClient, PlatformError, PlatformReply
 
 Script = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
--- a/tests/controller/test_record_keeper.py
+++ b/tests/fleet/controller/test_record_keeper.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-from firvane.cluster.agent import Item
-from firvane.controller.instance_records import item_key
-from firvane.controller.record_keeper import RecordKeeper
-from firvane.controller.replication import Proposal, ProposalStatus
-from firvane.controller.service_part import ServicePart, ServiceRecord
-from firvane.logs import QUIET
-from firvane.parts import part_of
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Item
+from firvane.fleet.controller.instance_records import item_key
+from firvane.fleet.controller.record_keeper import RecordKeeper
+from firvane.fleet.controller.replication import Proposal, ProposalStatus
+from firvane.fleet.controller.service_part import ServicePart, ServiceRecord
+from firvane.fleet.partitions import part_of
 
 SERVICE = "a"
 PART = part_of(SERVICE)
--- a/tests/controller/test_service_part.py
+++ b/tests/fleet/controller/test_service_part.py
@@ -8,8 +8,8 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from firvane.controller import service_part
-from firvane.controller.service_part import KEPT, SUPERSEDED, PartError, ServicePart, ServiceRecord
+from firvane.fleet.controller import service_part
+from firvane.fleet.controller.service_part import KEPT, SUPERSEDED, PartError, ServicePart, ServiceRecord
 
 on_any_machine = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 RECORDS = st.builds(
--- a/tests/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -6,14 +6,14 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
-from firvane.address import Address
-from firvane.configuration.routes import Tenant
-from firvane.controller.tenant_service import PROOF_PATIENCE, TenantService
-from firvane.logs import QUIET
-from firvane.parts import CONFIGURATION_PART, part_of
-from firvane.replication.proposals import Proposal, ProposalStatus
-from firvane.tenancy.floors import Floors, FloorsRecord, unpack_floors
-from firvane.tenancy.messages import (
+from firvane.core.address import Address
+from firvane.core.logs import QUIET
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.controller.tenant_service import PROOF_PATIENCE, TenantService
+from firvane.fleet.partitions import CONFIGURATION_PART, part_of
+from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.tenancy.floors import Floors, FloorsRecord, unpack_floors
+from firvane.fleet.tenancy.messages import (
     Ask,
     Grant,
     Proof,
@@ -24,7 +24,7 @@
     encode,
     tenant_id,
 )
-from firvane.tenancy.quota import QuotaRules
+from firvane.fleet.tenancy.quota import QuotaRules
 
 OWN: Address = ("10.0.0.1", 1)
 OTHER: Address = ("10.0.0.2", 1)
--- a/tests/discovery/test_codec.py
+++ b/tests/fleet/discovery/test_codec.py
@@ -11,14 +11,14 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.discovery import codec
-from firvane.discovery.codec import (
+from firvane.fleet.discovery import codec
+from firvane.fleet.discovery.codec import (
     MAX_RECORD_BYTES,
     InstanceRecordError,
     decode_instances,
     encode_instances,
 )
-from firvane.discovery.instances import Instance, InstanceState, ModelVersion
+from firvane.fleet.discovery.instances import Instance, InstanceState, ModelVersion
 
 texts = st.text(max_size=60).filter(lambda text: len(text.encode("utf-8", "replace")) <= 255)
 plain_texts = texts.filter(lambda text: not any("\ud800" <= letter <= "\udfff" for letter in text))
--- a/tests/discovery/test_instances.py
+++ b/tests/fleet/discovery/test_instances.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from firvane.discovery.instances import GONE_KEPT_S, Instance, InstanceState, InstanceTable
+from firvane.fleet.discovery.instances import GONE_KEPT_S, Instance, InstanceState, InstanceTable
 
 READY, DRAINING, GONE = InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE
 
--- a/tests/discovery/test_pages.py
+++ b/tests/fleet/discovery/test_pages.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from firvane.discovery.instances import InstanceState, ModelVersion
-from firvane.discovery.pages import (
+from firvane.fleet.discovery.instances import InstanceState, ModelVersion
+from firvane.fleet.discovery.pages import (
     FIRST_PAUSE_S,
     LONGEST_PAUSE_S,
     LONGEST_WALK_S,
--- a/tests/discovery/test_table_oracle.py
+++ b/tests/fleet/discovery/test_table_oracle.py
@@ -8,8 +8,8 @@
 import pytest
 from msgspec.structs import replace
 
-from firvane.discovery.codec import decode_instances, encode_instances
-from firvane.discovery.instances import Instance, InstanceState, InstanceTable
+from firvane.fleet.discovery.codec import decode_instances, encode_instances
+from firvane.fleet.discovery.instances import Instance, InstanceState, InstanceTable
 
 SERVICES = ("writer", "reader")
 
--- a/tests/dissemination/test_codec.py
+++ b/tests/fleet/dissemination/test_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.dissemination.codec import (
+from firvane.fleet.dissemination.codec import (
     Kind,
     Message,
     MessageError,
@@ -17,7 +17,7 @@
     encode_message,
     item_size,
 )
-from firvane.dissemination.items import Item
+from firvane.fleet.dissemination.items import Item
 
 keys = st.binary(max_size=255)
 numbers = st.integers(0, 2**64 - 1)
--- a/tests/dissemination/test_items.py
+++ b/tests/fleet/dissemination/test_items.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.dissemination.items import MAX_ITEMS, Item, ItemStore
+from firvane.fleet.dissemination.items import MAX_ITEMS, Item, ItemStore
 
 items = st.builds(Item, st.sampled_from((b"", b"a", b"b", b"ab")), st.integers(0, 5), st.binary(max_size=2))
 
--- a/tests/dissemination/test_machine.py
+++ b/tests/fleet/dissemination/test_machine.py
@@ -6,11 +6,18 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.dissemination.codec import Kind, Message, MessageError, Version, decode_message, encode_message
-from firvane.dissemination.items import Item
-from firvane.dissemination.machine import BUSY_PERIOD, BUSY_TIME, CALM_PERIOD, Dissemination, Output
-from firvane.dissemination.peers import FANOUT, Peer, PeerSet
+from firvane.core.address import Address
+from firvane.fleet.dissemination.codec import (
+    Kind,
+    Message,
+    MessageError,
+    Version,
+    decode_message,
+    encode_message,
+)
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.dissemination.machine import BUSY_PERIOD, BUSY_TIME, CALM_PERIOD, Dissemination, Output
+from firvane.fleet.dissemination.peers import FANOUT, Peer, PeerSet
 
 SMALL, LARGE = Item(b"small", 3, b"x" * 30), Item(b"large", 5, b"y" * 30_000)
 
--- a/tests/dissemination/test_peers.py
+++ b/tests/fleet/dissemination/test_peers.py
@@ -5,8 +5,8 @@
 import random
 from collections import Counter
 
-from firvane.address import Address
-from firvane.dissemination.peers import FANOUT, MAX_SOURCES, Peer, PeerSet
+from firvane.core.address import Address
+from firvane.fleet.dissemination.peers import FANOUT, MAX_SOURCES, Peer, PeerSet
 
 RNG = random.Random(1)
 
--- a/tests/dissemination/test_requests.py
+++ b/tests/fleet/dissemination/test_requests.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.dissemination.codec import Version
-from firvane.dissemination.items import Item
-from firvane.dissemination.requests import (
+from firvane.fleet.dissemination.codec import Version
+from firvane.fleet.dissemination.items import Item
+from firvane.fleet.dissemination.requests import (
     ANSWER_TIMEOUT,
     MAX_ATTEMPTS,
     MAX_WAITERS,
@@ -14,7 +14,7 @@
     Request,
     Requests,
 )
-from firvane.dissemination.uploads import MAX_UPLOADS, RESEND_PAUSE, Uploads
+from firvane.fleet.dissemination.uploads import MAX_UPLOADS, RESEND_PAUSE, Uploads
 
 ONE, TWO, THREE = (("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1))
 KEY = b"configuration"
--- a/tests/membership/strategies.py
+++ b/tests/fleet/membership/strategies.py
@@ -4,8 +4,8 @@
 
 from hypothesis import strategies as st
 
-from firvane.membership.codec import MAX_COUNTER, MAX_INCARNATION
-from firvane.membership.members import Member, Record, Role, Status
+from firvane.fleet.membership.codec import MAX_COUNTER, MAX_INCARNATION
+from firvane.fleet.membership.members import Member, Record, Role, Status
 
 addresses = st.tuples(st.ip_addresses(v=4).map(str), st.integers(1, 65535))
 zones = st.text(max_size=15)
--- a/tests/membership/test_codec.py
+++ b/tests/fleet/membership/test_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.membership.codec import (
+from firvane.fleet.membership.codec import (
     MAX_BUCKETS,
     MAX_RECORDS,
     Kind,
@@ -18,8 +18,8 @@
     encode_message,
     encode_record,
 )
-from firvane.membership.members import Record, Status
-from tests.membership.strategies import addresses, make_member, records
+from firvane.fleet.membership.members import Record, Status
+from tests.fleet.membership.strategies import addresses, make_member, records
 
 PROBE_KINDS = (Kind.PROBE, Kind.ACK, Kind.PROBE_REQUEST)
 words = st.integers(0, 2**32 - 1)
--- a/tests/membership/test_lost.py
+++ b/tests/fleet/membership/test_failed_members.py
@@ -5,7 +5,7 @@
 import itertools
 import random
 
-from firvane.membership.lost import LIFETIME, MAX_LOST, MAX_PAUSE, MIN_INTERVAL, LostMembers
+from firvane.fleet.membership.failed_members import LIFETIME, MAX_LOST, MAX_PAUSE, MIN_INTERVAL, LostMembers
 
 
 def play(lost: LostMembers, begin: float, end: float) -> list[tuple[float, tuple[str, int]]]:
