--- a/tests/membership/test_machine.py
+++ b/tests/fleet/membership/test_machine.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.membership.codec import Kind, Message, MessageError, decode_message, encode_message
-from firvane.membership.machine import FREEZE_TIME, MAX_JOIN_PAUSE, Membership
-from firvane.membership.members import Member, Record, Role, Status
-from firvane.membership.outbox import Send
-from firvane.membership.probes import DIRECT_TIMEOUT, INDIRECT_TIMEOUT
-from tests.membership.strategies import make_member
+from firvane.core.address import Address
+from firvane.fleet.membership.codec import Kind, Message, MessageError, decode_message, encode_message
+from firvane.fleet.membership.machine import FREEZE_TIME, MAX_JOIN_PAUSE, Membership
+from firvane.fleet.membership.members import Member, Record, Role, Status
+from firvane.fleet.membership.outbox import Send
+from firvane.fleet.membership.probes import DIRECT_TIMEOUT, INDIRECT_TIMEOUT
+from tests.fleet.membership.strategies import make_member
 
 STEP = 0.01
 
--- a/tests/membership/test_table.py
+++ b/tests/fleet/membership/test_table.py
@@ -5,9 +5,9 @@
 import random
 import zlib
 
-from firvane.membership.members import Member, Role, Status
-from firvane.membership.table import Entry, Table
-from tests.membership.strategies import make_member
+from firvane.fleet.membership.members import Member, Role, Status
+from firvane.fleet.membership.table import Entry, Table
+from tests.fleet.membership.strategies import make_member
 
 
 def ring_key(member: Member) -> tuple[str, int, tuple[str, int]]:
--- a/tests/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.membership.codec import MAX_COUNTER, MAX_INCARNATION
-from firvane.membership.lost import FIRST_PAUSE
-from firvane.membership.members import Record, Status
-from firvane.membership.view import MAX_MEMBERS, SUSPICION_TIME, TOMBSTONE_TIME, MemberView
-from tests.membership.strategies import make_member
+from firvane.fleet.membership.codec import MAX_COUNTER, MAX_INCARNATION
+from firvane.fleet.membership.failed_members import FIRST_PAUSE
+from firvane.fleet.membership.members import Record, Status
+from firvane.fleet.membership.view import MAX_MEMBERS, SUSPICION_TIME, TOMBSTONE_TIME, MemberView
+from tests.fleet.membership.strategies import make_member
 
 OWN, OTHER = make_member(0, incarnation=10), make_member(1, incarnation=10)
 NOW = 100.0
@@ -199,6 +199,6 @@
 
 
 def _own_record(view: MemberView) -> Record:
-    from firvane.membership.codec import Kind, Message, decode_message, encode_message
+    from firvane.fleet.membership.codec import Kind, Message, decode_message, encode_message
 
     return decode_message(encode_message(Message(Kind.NOTICE), [view.own_record()])).records[0]
--- a/tests/placement/baselines.py
+++ b/tests/fleet/placement/baselines.py
@@ -5,10 +5,10 @@
 import random
 from zlib import crc32
 
-from firvane import interface as api
-from firvane.discovery.instances import InstanceState
-from firvane.placement.events import InstancesChanged, PlacementEvent, PromptRequest
-from firvane.state import mix
+from firvane.core import interface as api
+from firvane.core.balancing.records import mix
+from firvane.fleet.discovery.instances import InstanceState
+from firvane.fleet.placement.events import InstancesChanged, PlacementEvent, PromptRequest
 
 
 class Baseline:
--- a/tests/placement/helpers.py
+++ b/tests/fleet/placement/helpers.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-from firvane import interface as api
-from firvane.discovery.instances import Instance, InstanceState
-from firvane.placement.balancer import PromptBalancer
-from firvane.placement.events import (
+from firvane.core import interface as api
+from firvane.fleet.discovery.instances import Instance, InstanceState
+from firvane.fleet.placement.balancer import PromptBalancer
+from firvane.fleet.placement.events import (
     InstancesChanged,
     PeersChanged,
     PromptRequest,
--- a/tests/placement/lab.py
+++ b/tests/fleet/placement/lab.py
@@ -1,8 +1,8 @@
 """A laboratory for placement: clients, routers with the decisions, and emulated servers in simulated time.
 
 Worth is counted as the users do: whole within the aim and without long pauses, less when late, nothing
-otherwise; a price is set on shared parts that are read again. `python -m tests.placement.lab` prints for
-several days what each way to place is worth.
+otherwise; a price is set on shared parts that are read again. `python -m tests.fleet.placement.lab` prints
+for several days what each way to place is worth.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from firvane import interface as api
-from firvane.placement.balancer import PromptBalancer
-from tests.placement import baselines
-from tests.placement.emulated_server import Profile
-from tests.placement.lab_day import Day, Result, Trouble
-from tests.placement.lab_router import Decisions
-from tests.placement.lab_world import World
+from firvane.core import interface as api
+from firvane.fleet.placement.balancer import PromptBalancer
+from tests.fleet.placement import baselines
+from tests.fleet.placement.emulated_server import Profile
+from tests.fleet.placement.lab_day import Day, Result, Trouble
+from tests.fleet.placement.lab_router import Decisions
+from tests.fleet.placement.lab_world import World
 
 
 def decide(config: api.Settings, seed: int, now: float) -> Decisions:
--- a/tests/placement/lab_day.py
+++ b/tests/fleet/placement/lab_day.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass, field
 
-from tests.placement.emulated_server import Profile, ReadLog
+from tests.fleet.placement.emulated_server import Profile, ReadLog
 
 PRICE_READ_AGAIN = 0.94  # of 1,000 tokens of shared parts
 
--- a/tests/placement/lab_router.py
+++ b/tests/fleet/placement/lab_router.py
@@ -6,13 +6,13 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any, Protocol
 
-from firvane import interface as api
-from firvane.placement.events import PlacementEvent, Progress, PromptRequest, RequestKind
-from tests.placement.emulated_server import EmulatedServer, Parts, Run
-from tests.placement.lab_day import Kind
+from firvane.core import interface as api
+from firvane.fleet.placement.events import PlacementEvent, Progress, PromptRequest, RequestKind
+from tests.fleet.placement.emulated_server import EmulatedServer, Parts, Run
+from tests.fleet.placement.lab_day import Kind
 
 if TYPE_CHECKING:
-    from tests.placement.lab_world import World
+    from tests.fleet.placement.lab_world import World
 
 SERVICE = "model"
 LINK = 0.0014  # s one way between processes
--- a/tests/placement/lab_world.py
+++ b/tests/fleet/placement/lab_world.py
@@ -9,13 +9,13 @@
 
 import simpy
 
-from firvane import interface as api
-from firvane.discovery.instances import Instance, InstanceState
-from firvane.placement.events import InstancesChanged, PeersChanged, ServiceInfo
-from tests.placement.emulated_server import EmulatedServer, ReadLog
-from tests.placement.helpers import settings
-from tests.placement.lab_day import Day, Kind, Result, Tally, Trouble, lognormal
-from tests.placement.lab_router import LINK, SERVICE, Ask, Decisions, Flow, RouterHost
+from firvane.core import interface as api
+from firvane.fleet.discovery.instances import Instance, InstanceState
+from firvane.fleet.placement.events import InstancesChanged, PeersChanged, ServiceInfo
+from tests.fleet.placement.emulated_server import EmulatedServer, ReadLog
+from tests.fleet.placement.helpers import settings
+from tests.fleet.placement.lab_day import Day, Kind, Result, Tally, Trouble, lognormal
+from tests.fleet.placement.lab_router import LINK, SERVICE, Ask, Decisions, Flow, RouterHost
 
 CLIENT_LINK = 0.003  # s one way to clients
 LIST_LAG = 2.0  # s until routers know of a change of the list
--- a/tests/placement/test_silence.py
+++ b/tests/fleet/placement/test_attempt_timeouts.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.placement import health
-from firvane.placement.events import Progress
-from firvane.placement.picture import PeerLoad
-from firvane.placement.rows import decode_row
-from tests.placement.helpers import SERVICE, Harness, letter, only
+from firvane.core import interface as api
+from firvane.fleet.placement import health
+from firvane.fleet.placement.events import Progress
+from firvane.fleet.placement.rows import decode_row
+from firvane.fleet.placement.server_view import PeerLoad
+from tests.fleet.placement.helpers import SERVICE, Harness, letter, only
 
 
 def warm(one: Harness, count: int = 40) -> None:
--- a/tests/placement/test_balancer.py
+++ b/tests/fleet/placement/test_balancer.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.discovery.instances import InstanceState
-from firvane.placement.events import InstancesChanged, PromptRequest, RequestKind
-from tests.placement.helpers import SERVICE, Harness, instance, instances, letter, only
+from firvane.core import interface as api
+from firvane.fleet.discovery.instances import InstanceState
+from firvane.fleet.placement.events import InstancesChanged, PromptRequest, RequestKind
+from tests.fleet.placement.helpers import SERVICE, Harness, instance, instances, letter, only
 
 NEVER_RAN = [api.Result.FULL, api.Result.NO_PLACE, api.Result.CONNECT_FAILED, api.Result.MOOT]
 
--- a/tests/placement/test_budget.py
+++ b/tests/fleet/placement/test_budget.py
@@ -4,8 +4,8 @@
 
 import random
 
-from firvane.placement.budget import RESERVE, SHARER_MEMORY, RetryBudget, Sharers
-from firvane.soak.retry_rule import RetryRule
+from firvane.fleet.placement.budget import RESERVE, SHARER_MEMORY, RetryBudget, Sharers
+from firvane.simulation.soak.retry_rule import RetryRule
 
 RATIO, SLACK, WINDOW = 0.2, 50.0, 10.0
 RULE = RetryRule(RATIO, SLACK, WINDOW)
--- a/tests/placement/test_exchange.py
+++ b/tests/fleet/placement/test_exchange.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.placement import health
-from firvane.placement.events import InstancesChanged, PeersChanged
-from firvane.placement.peers import ROWS_HEARD, Peers
-from firvane.placement.rows import Entry, Row, RowFlags, decode_row, encode_row
-from firvane.routing.window import WINDOW
-from tests.placement.helpers import SERVICE, Harness, instances, letter, only
+from firvane.core import interface as api
+from firvane.core.balancing.window import WINDOW
+from firvane.fleet.placement import health
+from firvane.fleet.placement.events import InstancesChanged, PeersChanged
+from firvane.fleet.placement.peers import ROWS_HEARD, Peers
+from firvane.fleet.placement.rows import Entry, Row, RowFlags, decode_row, encode_row
+from tests.fleet.placement.helpers import SERVICE, Harness, instances, letter, only
 
 
 def pair() -> tuple[Harness, Harness]:
--- a/tests/placement/test_fuzz.py
+++ b/tests/fleet/placement/test_fuzz.py
@@ -7,10 +7,16 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.discovery.instances import InstanceState
-from firvane.placement.events import InstancesChanged, PeersChanged, Progress, PromptRequest, RequestKind
-from tests.placement.helpers import SERVICE, Harness, instance, letter, request
+from firvane.core import interface as api
+from firvane.fleet.discovery.instances import InstanceState
+from firvane.fleet.placement.events import (
+    InstancesChanged,
+    PeersChanged,
+    Progress,
+    PromptRequest,
+    RequestKind,
+)
+from tests.fleet.placement.helpers import SERVICE, Harness, instance, letter, request
 
 ENDS = [api.Result.OK] * 6 + [
     api.Result.ERROR,
--- a/tests/placement/test_health.py
+++ b/tests/fleet/placement/test_health.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.placement import health
-from firvane.placement.health import Signal
-from firvane.placement.picture import KeptParts, PeerLoad, Server
+from firvane.core import interface as api
+from firvane.fleet.placement import health
+from firvane.fleet.placement.health import Signal
+from firvane.fleet.placement.server_view import KeptParts, PeerLoad, Server
 
 NOW = 100.0
 
--- a/tests/placement/test_homes.py
+++ b/tests/fleet/placement/test_homes.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.placement.homes import HomeOrder, make_prompt, rendezvous
+from firvane.fleet.placement.homes import HomeOrder, make_prompt, rendezvous
 
 CHAINS = st.lists(st.tuples(st.integers(0, 1 << 80), st.integers(0, 60_000)), max_size=8)
 
--- a/tests/placement/test_lab.py
+++ b/tests/fleet/placement/test_lab.py
@@ -7,10 +7,10 @@
 import pytest
 import simpy
 
-from tests.placement.emulated_server import EmulatedServer, Profile, ReadLog, Run
-from tests.placement.lab import DAYS, WAYS
-from tests.placement.lab_day import Result
-from tests.placement.lab_world import World
+from tests.fleet.placement.emulated_server import EmulatedServer, Profile, ReadLog, Run
+from tests.fleet.placement.lab import DAYS, WAYS
+from tests.fleet.placement.lab_day import Result
+from tests.fleet.placement.lab_world import World
 
 SHORT = 10.0  # s
 
--- a/tests/placement/test_outliers.py
+++ b/tests/fleet/placement/test_outliers.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.placement import health, outliers
-from firvane.placement.picture import KeptParts, PeerLoad, Server
-from tests.placement.helpers import Harness, only
+from firvane.core import interface as api
+from firvane.fleet.placement import health, outliers
+from firvane.fleet.placement.server_view import KeptParts, PeerLoad, Server
+from tests.fleet.placement.helpers import Harness, only
 
 NOW = 100.0
 ROUTERS = 5
--- a/tests/placement/test_repeats_over_lives.py
+++ b/tests/fleet/placement/test_repeats_over_lives.py
@@ -11,11 +11,11 @@
 import random
 from dataclasses import dataclass, field
 
-from firvane import interface as api
-from firvane.placement.balancer import PromptBalancer
-from firvane.placement.events import InstancesChanged, PeersChanged, RequestKind, ServiceInfo
-from firvane.soak.retry_rule import RetryRule
-from tests.placement.helpers import SERVICE, instances, request, settings
+from firvane.core import interface as api
+from firvane.fleet.placement.balancer import PromptBalancer
+from firvane.fleet.placement.events import InstancesChanged, PeersChanged, RequestKind, ServiceInfo
+from firvane.simulation.soak.retry_rule import RetryRule
+from tests.fleet.placement.helpers import SERVICE, instances, request, settings
 
 RULE = RetryRule(ratio=0.2, slack=52.0, window=10.0)
 ROUTERS, BACKENDS = 6, 5
--- a/tests/placement/test_rows.py
+++ b/tests/fleet/placement/test_rows.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.placement.rows import (
+from firvane.fleet.placement.rows import (
     AGE_UNIT,
     FAILURE_UNIT,
     LARGEST,
--- a/tests/placement/test_selection.py
+++ b/tests/fleet/placement/test_selection.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from firvane import interface as api
-from firvane.placement.events import ServiceInfo
-from firvane.placement.picture import PeerLoad
-from tests.placement.helpers import SERVICE, Harness, letter, only
+from firvane.core import interface as api
+from firvane.fleet.placement.events import ServiceInfo
+from firvane.fleet.placement.server_view import PeerLoad
+from tests.fleet.placement.helpers import SERVICE, Harness, letter, only
 
 
 def sent(one: Harness, **fields: object) -> str:
--- a/tests/placement/test_picture.py
+++ b/tests/fleet/placement/test_server_view.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.placement.homes import Prompt, make_prompt
-from firvane.placement.picture import STREAM_TOKENS, KeptParts, PeerLoad, Server
+from firvane.fleet.placement.homes import Prompt, make_prompt
+from firvane.fleet.placement.server_view import STREAM_TOKENS, KeptParts, PeerLoad, Server
 
 SPEED = 10_000.0  # tokens a second
 
--- a/tests/placement/test_slices.py
+++ b/tests/fleet/placement/test_slices.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.placement.picture import KeptParts, Server
-from firvane.placement.rows import Section
-from firvane.placement.slices import UNIT, Slices
+from firvane.fleet.placement.rows import Section
+from firvane.fleet.placement.server_view import KeptParts, Server
+from firvane.fleet.placement.slices import UNIT, Slices
 
 
 def servers(count: int) -> list[Server]:
--- a/tests/placement/test_speeds.py
+++ b/tests/fleet/placement/test_throughput.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.placement.speeds import RunningMedian, Speeds
+from firvane.fleet.placement.throughput import RunningMedian, Speeds
 
 
 def test_a_median_follows_its_samples_and_no_outlier() -> None:
--- a/tests/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from firvane.address import Address
-from tests.replication.process import Machine
-from tests.replication.settings import WeakMoment
-from tests.replication.world import World
+from firvane.core.address import Address
+from tests.fleet.replication.process import Machine
+from tests.fleet.replication.settings import WeakMoment
+from tests.fleet.replication.world import World
 
 BLOWS = (
     "power_cycle_here",
--- a/tests/replication/histories.py
+++ b/tests/fleet/replication/histories.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from tests.replication.oracle import ViolationError
-from tests.replication.scenarios import SCENARIOS
-from tests.replication.settings import CROWDED, Settings, WeakMoment, settings_of
-from tests.replication.world import limits_of, play
+from tests.fleet.replication.oracle import ViolationError
+from tests.fleet.replication.scenarios import SCENARIOS
+from tests.fleet.replication.settings import CROWDED, Settings, WeakMoment, settings_of
+from tests.fleet.replication.world import limits_of, play
 
 
 class Ending(enum.Enum):
--- a/tests/replication/membership_model.py
+++ b/tests/fleet/replication/membership_model.py
@@ -13,13 +13,13 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, replace
 
-from firvane.replication.membership_policy import (
+from firvane.fleet.replication.membership_policy import (
     ChangeKind,
     LearnerView,
     MembershipPolicy,
     VoterView,
 )
-from firvane.replication.types import Member, quorum_of
+from firvane.fleet.replication.types import Member, quorum_of
 
 LONG = 10.0  # seconds for which a voter has been silent
 
--- a/tests/replication/mutant.py
+++ b/tests/fleet/replication/mutant.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tests.replication.mutation import Edit
+from tests.fleet.replication.mutation import Edit
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,5 +32,5 @@
     *edits: tuple[str, str, str],
 ) -> Mutant:
     """A mutant; an edit is a module of `firvane`, the old text and the new one."""
-    changes = tuple(Edit(f"firvane.{module}", old, new) for module, old, new in edits)
+    changes = tuple(Edit(f"firvane.fleet.{module}", old, new) for module, old, new in edits)
     return Mutant(name, breaks, kind, tuple(seeds), shown_by, changes)
--- a/tests/replication/mutants.py
+++ b/tests/fleet/replication/mutants.py
@@ -1,4 +1,4 @@
-"""Deliberate faults against the simulated worlds: `python -m tests.replication.mutants` plays all, and tells.
+"""Deliberate faults against the simulated worlds: `python -m tests.fleet.replication.mutants` plays all.
 
 A mutant is caught where the unchanged code passes all its histories, and one of them at least ends with a
 broken promise. A crash of the changed code, or of the worlds, catches nothing.
@@ -12,12 +12,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tests.replication.mutant import Mutant
-from tests.replication.mutants_contact import CONTACT
-from tests.replication.mutants_elections import ELECTIONS, LEASES
-from tests.replication.mutants_log import REPLICATION, SNAPSHOTS
-from tests.replication.mutants_storage import ANSWERS, STORAGE, SUPERFLUOUS
-from tests.replication.mutation import Edit, loaded_histories
+from tests.fleet.replication.mutant import Mutant
+from tests.fleet.replication.mutants_contact import CONTACT
+from tests.fleet.replication.mutants_elections import ELECTIONS, LEASES
+from tests.fleet.replication.mutants_log import REPLICATION, SNAPSHOTS
+from tests.fleet.replication.mutants_storage import ANSWERS, STORAGE, SUPERFLUOUS
+from tests.fleet.replication.mutation import Edit, loaded_histories
 
 MUTANTS = (*CONTACT, *ELECTIONS, *LEASES, *REPLICATION, *SNAPSHOTS, *ANSWERS, *STORAGE)
 
--- a/tests/replication/mutants_contact.py
+++ b/tests/fleet/replication/mutants_contact.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.replication.mutant import mutant
+from tests.fleet.replication.mutant import mutant
 
 CONTACT = (
     mutant(
--- a/tests/replication/mutation.py
+++ b/tests/fleet/replication/mutation.py
@@ -13,22 +13,22 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 RELOADED = (
-    "firvane.replication",
-    "firvane.storage",
-    "firvane.controller.replication_opening",
-    "tests.replication.faults",
-    "tests.replication.histories",
-    "tests.replication.oracle",
-    "tests.replication.process",
-    "tests.replication.scenarios",
-    "tests.replication.settings",
-    "tests.replication.simulated_disk",
-    "tests.replication.synced_log",
-    "tests.replication.world",
+    "firvane.fleet.replication",
+    "firvane.fleet.storage",
+    "firvane.fleet.controller.replication_opening",
+    "tests.fleet.replication.faults",
+    "tests.fleet.replication.histories",
+    "tests.fleet.replication.oracle",
+    "tests.fleet.replication.process",
+    "tests.fleet.replication.scenarios",
+    "tests.fleet.replication.settings",
+    "tests.fleet.replication.simulated_disk",
+    "tests.fleet.replication.synced_log",
+    "tests.fleet.replication.world",
 )
-HISTORIES = "tests.replication.histories"
+HISTORIES = "tests.fleet.replication.histories"
 
 
 class SourceMismatchError(Exception):
@@ -90,7 +90,7 @@
 
 @contextlib.contextmanager
 def loaded_histories(edits: Sequence[Edit]) -> Iterator[types.ModuleType]:
-    """`tests.replication.histories` over freshly loaded code with these edits; undone afterwards."""
+    """`tests.fleet.replication.histories` over freshly loaded code with these edits; undone afterwards."""
     unknown = [edit.module for edit in edits if not _is_reloaded(edit.module)]
     if unknown:
         raise SourceMismatchError(f"modules that are not loaded anew: {unknown}")
--- a/tests/replication/oracle.py
+++ b/tests/fleet/replication/oracle.py
@@ -7,8 +7,8 @@
 from bisect import bisect_right
 from collections.abc import Callable, Iterable
 
-from firvane.replication.proposals import Proposal, ProposalStatus
-from firvane.replication.types import Members
+from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.types import Members
 
 _COMMAND = struct.Struct("<Q")
 
--- a/tests/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -8,27 +8,27 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from firvane.address import Address
-from firvane.controller.replication_opening import open_or_create
-from firvane.logs import QUIET
-from firvane.replication.core import Write
-from firvane.replication.entry_codec import encode_snapshot
-from firvane.replication.errors import ReplicationInvariantError
-from firvane.replication.group import Actions, ReplicatedGroup
-from firvane.replication.members_codec import decode_members
-from firvane.replication.messages import AppendReply, Envelope, Outgoing, VoteReply
-from firvane.replication.proposals import Proposal
-from firvane.replication.records import encode_birth, encode_write
-from firvane.replication.replica import Replica, ReplicaOptions
-from firvane.replication.types import NOBODY, EntryKind, Member, Members, quorum_of
-from firvane.storage.writer import JournalWriter
-from tests.replication.oracle import Ledger, Promise, ViolationError, require
-from tests.replication.settings import SYNC, WeakMoment
-from tests.replication.simulated_disk import PowerCut, SimulatedDisk
-from tests.replication.synced_log import SyncedLog
+from firvane.core.address import Address
+from firvane.core.logs import QUIET
+from firvane.fleet.controller.replication_opening import open_or_create
+from firvane.fleet.replication.core import Write
+from firvane.fleet.replication.entry_codec import encode_snapshot
+from firvane.fleet.replication.errors import ReplicationInvariantError
+from firvane.fleet.replication.group import Actions, ReplicatedGroup
+from firvane.fleet.replication.members_codec import decode_members
+from firvane.fleet.replication.messages import AppendReply, Envelope, Outgoing, VoteReply
+from firvane.fleet.replication.proposals import Proposal
+from firvane.fleet.replication.records import encode_birth, encode_write
+from firvane.fleet.replication.replica import Replica, ReplicaOptions
+from firvane.fleet.replication.types import NOBODY, EntryKind, Member, Members, quorum_of
+from firvane.fleet.storage.writer import JournalWriter
+from tests.fleet.replication.oracle import Ledger, Promise, ViolationError, require
+from tests.fleet.replication.settings import SYNC, WeakMoment
+from tests.fleet.replication.simulated_disk import PowerCut, SimulatedDisk
+from tests.fleet.replication.synced_log import SyncedLog
 
 if TYPE_CHECKING:
-    from tests.replication.world import World
+    from tests.fleet.replication.world import World
 
 FOLDER = "/data/group-0"
 CALLS_BEFORE_THE_END = (
@@ -62,7 +62,7 @@
 
 
 class Process:
-    """One life of a controller: a thin driver as `firvane.controller.replication` is one."""
+    """One life of a controller: a thin driver as `firvane.fleet.controller.replication` is one."""
 
     def __init__(self, world: World, machine: Machine, founder: bool) -> None:
         self.world = world
--- a/tests/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Sequence
 
-from firvane.replication.types import DEFAULT_TIMING
-from tests.replication.oracle import Promise, require
-from tests.replication.process import Machine, Process
-from tests.replication.settings import CROWDED, Settings
-from tests.replication.world import HAND_OUT_PATIENCE, World, limits_of
+from firvane.fleet.replication.types import DEFAULT_TIMING
+from tests.fleet.replication.oracle import Promise, require
+from tests.fleet.replication.process import Machine, Process
+from tests.fleet.replication.settings import CROWDED, Settings
+from tests.fleet.replication.world import HAND_OUT_PATIENCE, World, limits_of
 
 ROUNDS = 4  # how often the trouble comes in one history
 LONG_CUT = 20.0  # seconds
--- a/tests/replication/settings.py
+++ b/tests/fleet/replication/settings.py
@@ -6,7 +6,7 @@
 import random
 from dataclasses import dataclass
 
-from firvane.replication.types import DEFAULT_TIMING, Timing
+from firvane.fleet.replication.types import DEFAULT_TIMING, Timing
 
 SYNC = 0.005  # seconds
 CROWDED = Timing(election_maximum=0.303, pre_vote_minimum=0.050, pre_vote_maximum=0.052)  # elections collide
--- a/tests/replication/simulated_disk.py
+++ b/tests/fleet/replication/simulated_disk.py
@@ -31,7 +31,7 @@
 
 
 class SimulatedDisk:
-    """Implements `firvane.storage.filesystem.FileSystem`. `budget`: changing calls until `PowerCut`."""
+    """Implements `firvane.fleet.storage.filesystem.FileSystem`. `budget`: changing calls until `PowerCut`."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
--- a/tests/replication/synced_log.py
+++ b/tests/fleet/replication/synced_log.py
@@ -4,8 +4,8 @@
 
 from dataclasses import dataclass, field
 
-from firvane.replication.core import Recovered, Write
-from firvane.replication.types import NO_HARD_STATE, Entry, HardState, Snapshot
+from firvane.fleet.replication.core import Recovered, Write
+from firvane.fleet.replication.types import NO_HARD_STATE, Entry, HardState, Snapshot
 
 
 @dataclass
--- a/tests/replication/test_contact.py
+++ b/tests/fleet/replication/test_contact.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from firvane.replication.contact import CONTACT_INTERVAL, FED_WITHIN
-from firvane.replication.group import APPLY_AT_ONCE, COMPACT_ENTRIES, Actions
-from firvane.replication.proposals import Proposal, ProposalStatus
-from tests.replication.process import Process
-from tests.replication.scenarios import calm_world, owner_of
-from tests.replication.settings import Settings
-from tests.replication.world import World, limits_of
+from firvane.fleet.replication.contact import CONTACT_INTERVAL, FED_WITHIN
+from firvane.fleet.replication.group import APPLY_AT_ONCE, COMPACT_ENTRIES, Actions
+from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from tests.fleet.replication.process import Process
+from tests.fleet.replication.scenarios import calm_world, owner_of
+from tests.fleet.replication.settings import Settings
+from tests.fleet.replication.world import World, limits_of
 
 PATIENCE = 1.0  # seconds
 CALM = Settings(machines=4, loss=0.0, doubled=0.0, late=0.0, sync_time=0.001)
--- a/tests/replication/test_membership_model.py
+++ b/tests/fleet/replication/test_membership_model.py
@@ -1,6 +1,6 @@
 """The voters of a group as a model that is explored whole, and the deliberate faults that it finds.
 
-More by `python -m tests.replication.test_membership_model`.
+More by `python -m tests.fleet.replication.test_membership_model`.
 """
 
 from __future__ import annotations
@@ -11,8 +11,8 @@
 
 import pytest
 
-from firvane.replication.types import quorum_of
-from tests.replication.membership_model import (
+from firvane.fleet.replication.types import quorum_of
+from tests.fleet.replication.membership_model import (
     Bounds,
     BrokenModelError,
     LogEntry,
--- a/tests/replication/test_membership_policy.py
+++ b/tests/fleet/replication/test_membership_policy.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.replication.membership_policy import (
+from firvane.core.address import Address
+from firvane.fleet.replication.membership_policy import (
     Change,
     ChangeKind,
     LearnerView,
     MembershipPolicy,
     VoterView,
 )
-from firvane.replication.types import Member, quorum_of
+from firvane.fleet.replication.types import Member, quorum_of
 
 LEARN_AFTER, REPLACE_AFTER, WELL_WITHIN = 1.2, 2.0, 0.3
 ZONES = "abc"
--- a/tests/replication/test_mutants.py
+++ b/tests/fleet/replication/test_mutants.py
@@ -1,4 +1,4 @@
-"""The worlds find deliberate faults of the code; all histories: `python -m tests.replication.mutants`."""
+"""The worlds find deliberate faults of the code; all: `python -m tests.fleet.replication.mutants`."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 import pytest
 
-from tests.replication.mutant import Mutant, mutant
-from tests.replication.mutants import MUTANTS, SUPERFLUOUS, Trial
-from tests.replication.mutation import Edit, SourceMismatchError, edited_source
+from tests.fleet.replication.mutant import Mutant, mutant
+from tests.fleet.replication.mutants import MUTANTS, SUPERFLUOUS, Trial
+from tests.fleet.replication.mutation import Edit, SourceMismatchError, edited_source
 
+READS = "firvane.fleet.replication.reads"
 TRIAL = Trial()  # plays each history of the unchanged code once for all tests
 
 
@@ -62,9 +63,13 @@
 
 def test_a_text_that_is_not_there_once_fails_loudly() -> None:
     with pytest.raises(SourceMismatchError, match="0 places"):
-        edited_source("firvane.replication.reads", [Edit("firvane.replication.reads", "no such text", "")])
+        edited_source(
+            "firvane.fleet.replication.reads", [Edit("firvane.fleet.replication.reads", "no such text", "")]
+        )
     with pytest.raises(SourceMismatchError, match="places"):
-        edited_source("firvane.replication.reads", [Edit("firvane.replication.reads", "self", "")])
+        edited_source(
+            "firvane.fleet.replication.reads", [Edit("firvane.fleet.replication.reads", "self", "")]
+        )
 
 
 def test_a_mutant_leaves_no_trace() -> None:
@@ -76,4 +81,4 @@
         name: module for name, module in sys.modules.items() if "replication" in name or "storage" in name
     }
     assert before == after
-    assert before["firvane.replication.core"] is sys.modules["firvane.replication"].core
+    assert before["firvane.fleet.replication.core"] is sys.modules["firvane.fleet.replication"].core
--- a/tests/replication/test_progress.py
+++ b/tests/fleet/replication/test_progress.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from firvane.replication.progress import LARGE_BYTES, Progress
-from firvane.replication.types import Member
+from firvane.fleet.replication.progress import LARGE_BYTES, Progress
+from firvane.fleet.replication.types import Member
 
 
 def progress() -> Progress:
--- a/tests/replication/test_scenarios.py
+++ b/tests/fleet/replication/test_scenarios.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from tests.replication.histories import Ending, outcome
-from tests.replication.scenarios import SCENARIOS
+from tests.fleet.replication.histories import Ending, outcome
+from tests.fleet.replication.scenarios import SCENARIOS
 
 HISTORIES = 3  # of three, five and seven machines where the scenario has them
 
--- a/tests/replication/test_transfer.py
+++ b/tests/fleet/replication/test_transfer.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.replication.replica import Role
-from firvane.replication.status import GroupStatus, group_status
-from firvane.replication.transfer import TransferStart
-from tests.replication.faults import Faults
-from tests.replication.world import Process, Settings, World
+from firvane.core.address import Address
+from firvane.fleet.replication.replica import Role
+from firvane.fleet.replication.status import GroupStatus, group_status
+from firvane.fleet.replication.transfer import TransferStart
+from tests.fleet.replication.faults import Faults
+from tests.fleet.replication.world import Process, Settings, World
 
 HANDED_OVER = 0.2  # seconds, less than the shortest election takes
 CALM = Settings(loss=0.0, doubled=0.0, late=0.0)
--- a/tests/replication/test_world.py
+++ b/tests/fleet/replication/test_world.py
@@ -1,14 +1,14 @@
 """Groups of replicas through drawn troubles: no promise is broken in any of a fixed set of histories.
 
-Thousands more are played by `python -m tests.replication.world COUNT FIRST`.
+Thousands more are played by `python -m tests.fleet.replication.world COUNT FIRST`.
 """
 
 from __future__ import annotations
 
 import pytest
 
-from tests.replication.histories import KINDS
-from tests.replication.world import play
+from tests.fleet.replication.histories import KINDS
+from tests.fleet.replication.world import play
 
 HISTORIES = 30
 LATE_ELECTION = 9001294  # a leader elected 2 s before the end has yet to wait for a voter that is no more
--- a/tests/replication/world.py
+++ b/tests/fleet/replication/world.py
@@ -1,7 +1,7 @@
 """A simulated world for one replication group: machines, disks, clocks, a network, faults, clients.
 
 The replicas, the journals and the writer are the real ones; time is simulated, and all else is drawn from the
-seed. `python -m tests.replication.world 5000` plays so many seeds and prints those that fail.
+seed. `python -m tests.fleet.replication.world 5000` plays so many seeds and prints those that fail.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from collections.abc import Callable, Iterator, Sequence
 from unittest.mock import patch
 
-from firvane.address import Address
-from firvane.replication import group as group_module
-from firvane.replication import leadership as leadership_module
-from firvane.replication import voting as voting_module
-from firvane.replication.codec import decode_payload, encode_payload
-from firvane.replication.messages import Envelope
-from firvane.replication.proposals import Proposal, ProposalStatus
-from firvane.replication.types import Member, quorum_of
-from tests.replication.oracle import Oracle, Promise, ViolationError, command, require
-from tests.replication.process import Machine, Process
-from tests.replication.settings import SYNC, Settings, WeakMoment, settings_of
-from tests.replication.simulated_disk import SimulatedDisk
-from tests.replication.synced_log import SyncedLog
+from firvane.core.address import Address
+from firvane.fleet.replication import group as group_module
+from firvane.fleet.replication import leadership as leadership_module
+from firvane.fleet.replication import voting as voting_module
+from firvane.fleet.replication.codec import decode_payload, encode_payload
+from firvane.fleet.replication.messages import Envelope
+from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.types import Member, quorum_of
+from tests.fleet.replication.oracle import Oracle, Promise, ViolationError, command, require
+from tests.fleet.replication.process import Machine, Process
+from tests.fleet.replication.settings import SYNC, Settings, WeakMoment, settings_of
+from tests.fleet.replication.simulated_disk import SimulatedDisk
+from tests.fleet.replication.synced_log import SyncedLog
 
 LINK = 0.0014  # seconds one way
 CLOCK_SKEW = 0.045  # rates between 1 - and 1 + this: a ratio below the bound of 1.1
@@ -388,7 +388,7 @@
 
 def play(seed: int, settings: Settings | None = None) -> World:
     """Play one seed to its end."""
-    from tests.replication.faults import Faults
+    from tests.fleet.replication.faults import Faults
 
     settings = settings or settings_of(seed)
     with limits_of(settings):
--- a/tests/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -7,16 +7,16 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
 
-from firvane import interface as api
-from firvane.configuration.routes import Configuration, Route, RouteKind, RouteTable, Target
-from firvane.engine import Engine
-from firvane.net.dial import SocketDialer
-from firvane.net.http import Message
-from firvane.net.transport_pool import TransportPool
-from firvane.router.front import Front
-from firvane.router.requests import ProxiedRequest
-from firvane.router.router import NoDirectory, engine_settings
-from firvane.router.upstream import Upstreams
+from firvane.core import interface as api
+from firvane.core.engine import Engine
+from firvane.core.net.dialer import SocketDialer
+from firvane.core.net.http import Message
+from firvane.core.net.transport_pool import TransportPool
+from firvane.fleet.configuration.routes import Configuration, Route, RouteKind, RouteTable, Target
+from firvane.fleet.router.front import Front
+from firvane.fleet.router.requests import ProxiedRequest
+from firvane.fleet.router.router import NoDirectory, engine_settings
+from firvane.fleet.router.upstream import Upstreams
 
 REQUEST = (
     b"POST /p/a HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: %s\r\nX-Deadline-Ms: 5000\r\n"
--- a/tests/router/test_admission.py
+++ b/tests/fleet/router/test_admission.py
@@ -9,13 +9,13 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.cluster.agent import Member, Role
-from firvane.configuration.routes import Configuration, RouteTable, Tenant, key_digest
-from firvane.logs import QUIET
-from firvane.router.admission import LONGEST_HOLD, Admission
-from firvane.tenancy.messages import Ask, Grant, Proof, Question, Status, decode, encode
-from tests.router.helpers import Backend, Rig, request_id, rig, route
+from firvane.core.address import Address
+from firvane.core.logs import QUIET
+from firvane.fleet.cluster.agent import Member, Role
+from firvane.fleet.configuration.routes import Configuration, RouteTable, Tenant, key_digest
+from firvane.fleet.router.admission import LONGEST_HOLD, Admission
+from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, decode, encode
+from tests.fleet.router.helpers import Backend, Rig, request_id, rig, route
 
 OWN: Address = ("10.1.0.1", 1)
 CONTROLLERS = [Member(("10.0.0.1", 1), Role.CONTROLLER, "z1", None, 1)]
--- a/tests/router/test_backends.py
+++ b/tests/fleet/router/test_backends.py
@@ -6,10 +6,10 @@
 
 from msgspec.structs import replace
 
-from firvane.address import Address
-from firvane.discovery.instances import Instance, InstanceState
-from firvane.placement.events import InstancesChanged
-from firvane.router.backends import Backends
+from firvane.core.address import Address
+from firvane.fleet.discovery.instances import Instance, InstanceState
+from firvane.fleet.placement.events import InstancesChanged
+from firvane.fleet.router.backends import Backends
 
 ONE = Instance("i-1", "s", ("10.0.0.1", 80), "z", 4, InstanceState.READY)
 TWO = Instance("i-2", "s", ("10.0.0.2", 80), "z", 4, InstanceState.READY)
--- a/tests/router/test_drain.py
+++ b/tests/fleet/router/test_drain.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from firvane.router.drain import Drain
-from tests.router.helpers import REQUEST, STREAM_HEAD, Backend, Rig, chunk, event, request_id, rig
+from firvane.fleet.router.drain import Drain
+from tests.fleet.router.helpers import REQUEST, STREAM_HEAD, Backend, Rig, chunk, event, request_id, rig
 
 LAST_CHUNK = b"0\r\n\r\n"
 SENT_LATEST = 3.0  # s after SIGTERM; a request that is sent later has to be answered whole
--- a/tests/router/test_drain_figures.py
+++ b/tests/fleet/router/test_drain_figures.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Any
 
-from firvane.logs import Log
-from tests.router.helpers import REQUEST, STREAM_HEAD, Backend, chunk, event, request_id, rig
+from firvane.core.logs import Log
+from tests.fleet.router.helpers import REQUEST, STREAM_HEAD, Backend, chunk, event, request_id, rig
 
 
 class Recorded(Log):
--- a/tests/router/test_events.py
+++ b/tests/fleet/router/test_events.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.router.events import EventFramer
+from firvane.fleet.router.events import EventFramer
 
 EVENTS = [b"id: %d\ndata: %s\n\n" % (number, b"x" * number) for number in range(1, 9)]
 BODY = b"".join(EVENTS)
--- a/tests/router/test_members_call.py
+++ b/tests/fleet/router/test_members_call.py
@@ -8,7 +8,7 @@
 
 import uvloop
 
-from firvane.router.members_call import (
+from firvane.fleet.router.members_call import (
     ANSWER_LIFETIME,
     MAX_UNREAD,
     OVERLOADED,
@@ -16,7 +16,7 @@
     MembersCall,
     encode_answer,
 )
-from firvane.router.readiness import NOT_FOUND, READY, ReadinessConnection
+from firvane.fleet.router.readiness import NOT_FOUND, READY, ReadinessConnection
 
 MEMBERS = b"GET /v1/fleet/members HTTP/1.1\r\nHost: a\r\n\r\n"
 READINESS = b"GET /v1/readiness HTTP/1.1\r\nHost: a\r\n\r\n"
--- a/tests/router/test_proxying.py
+++ b/tests/fleet/router/test_proxying.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from firvane.configuration.routes import Configuration
-from tests.router.helpers import (
+from firvane.fleet.configuration.routes import Configuration
+from tests.fleet.router.helpers import (
     REQUEST,
     STREAM_HEAD,
     Backend,
--- a/tests/router/test_requests.py
+++ b/tests/fleet/router/test_requests.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.net.http import Fault, Message
-from firvane.router.requests import check_framing, client_deadline_ms, prompt_shape
+from firvane.core.net.http import Fault, Message
+from firvane.fleet.router.requests import check_framing, client_deadline_ms, prompt_shape
 
 
 def message(**fields: bytes) -> Message:
--- a/tests/router/test_silent_streams.py
+++ b/tests/fleet/router/test_silent_streams.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.router.helpers import REQUEST, STREAM_HEAD, Backend, chunk, event, request_id, rig, route
+from tests.fleet.router.helpers import REQUEST, STREAM_HEAD, Backend, chunk, event, request_id, rig, route
 
 LAST_CHUNK = b"0\r\n\r\n"
 LONG = 60.0  # s of silence
--- a/tests/router/test_upstream_model.py
+++ b/tests/fleet/router/test_upstream_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tests.router.upstream_model import KINDS, play
+from tests.fleet.router.upstream_model import KINDS, play
 
 HISTORIES = 60
 
--- a/tests/router/upstream_model.py
+++ b/tests/fleet/router/upstream_model.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from firvane.endings import RESULTS, Ending
-from firvane.net.http import Message, Piece, Stream
-from firvane.router.requests import ProxiedRequest
-from firvane.router.upstream import Upstreams
-from tests.router.helpers import route
+from firvane.core.net.http import Message, Piece, Stream
+from firvane.core.terminations import RESULTS, Ending
+from firvane.fleet.router.requests import ProxiedRequest
+from firvane.fleet.router.upstream import Upstreams
+from tests.fleet.router.helpers import route
 
 BACKENDS = ("a", "b", "c")
 BODY = b"x" * 40
--- a/tests/storage/test_filesystem.py
+++ b/tests/fleet/storage/test_filesystem.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.storage.filesystem import SystemFileSystem
+from firvane.fleet.storage.filesystem import SystemFileSystem
 
 
 @pytest.mark.parametrize("exists", [False, True])
--- a/tests/storage/test_journal.py
+++ b/tests/fleet/storage/test_journal.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from firvane.storage.errors import DamagedJournalError
-from firvane.storage.filesystem import SystemFileSystem
-from firvane.storage.journal import create_journal, open_journal
+from firvane.fleet.storage.errors import DamagedJournalError
+from firvane.fleet.storage.filesystem import SystemFileSystem
+from firvane.fleet.storage.journal import create_journal, open_journal
 
 IDENTITY = 7
 SNAPSHOT = b"state after both orders"
--- a/tests/tenancy/test_allowance.py
+++ b/tests/fleet/tenancy/test_allowance.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from firvane.configuration.routes import Tenant
-from firvane.tenancy.allowance import AHEAD_TIME, GIVEN_BACK_LASTS, Allowances, request_cost
-from firvane.tenancy.quota import AHEAD_LASTS
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.tenancy.allowance import AHEAD_TIME, GIVEN_BACK_LASTS, Allowances, request_cost
+from firvane.fleet.tenancy.quota import AHEAD_LASTS
 
 
 def test_requests_or_tokens_are_counted() -> None:
--- a/tests/tenancy/test_floors.py
+++ b/tests/fleet/tenancy/test_floors.py
@@ -6,15 +6,15 @@
 
 import pytest
 
-from firvane.controller.service_part import (
+from firvane.fleet.controller.service_part import (
     KEPT,
     SUPERSEDED,
     PartError,
     ServicePart,
     ServiceRecord,
 )
-from firvane.tenancy.floors import REMOVED, FloorsError, FloorsRecord, unpack_floors
-from firvane.tenancy.messages import tenant_id
+from firvane.fleet.tenancy.floors import REMOVED, FloorsError, FloorsRecord, unpack_floors
+from firvane.fleet.tenancy.messages import tenant_id
 
 ONE, TWO = tenant_id("one"), tenant_id("two")
 
--- a/tests/tenancy/test_freshness.py
+++ b/tests/fleet/tenancy/test_freshness.py
@@ -16,9 +16,9 @@
 
 import pytest
 
-from firvane.address import Address
-from firvane.tenancy.freshness import PATIENCE, QUESTIONS_IN_TIME, Freshness
-from firvane.tenancy.messages import Proof, Question
+from firvane.core.address import Address
+from firvane.fleet.tenancy.freshness import PATIENCE, QUESTIONS_IN_TIME, Freshness
+from firvane.fleet.tenancy.messages import Proof, Question
 
 REVOKE = 5.0
 CONTROLLERS: list[Address] = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
--- a/tests/tenancy/test_keys.py
+++ b/tests/fleet/tenancy/test_keys.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from firvane.configuration.routes import Tenant, key_digest
-from firvane.tenancy.keys import KeyRing, bearer_key
+from firvane.fleet.configuration.routes import Tenant, key_digest
+from firvane.fleet.tenancy.keys import KeyRing, bearer_key
 
 
 @pytest.mark.parametrize(
--- a/tests/tenancy/test_messages.py
+++ b/tests/fleet/tenancy/test_messages.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.tenancy.messages import (
+from firvane.fleet.tenancy.messages import (
     MAX_TOKENS,
     Ask,
     Grant,
--- a/tests/tenancy/test_quota.py
+++ b/tests/fleet/tenancy/test_quota.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from firvane.configuration.routes import Tenant
-from firvane.parts import part_of
-from firvane.tenancy.allowance import Allowances
-from firvane.tenancy.floors import REMOVED, Floors, FloorsRecord
-from firvane.tenancy.messages import Ask, Grant, Status, tenant_id
-from firvane.tenancy.quota import AHEAD_PART, BURST_PART, DEBT_PART, SIZE_PART, QuotaLedger, QuotaRules
+from firvane.fleet.configuration.routes import Tenant
+from firvane.fleet.partitions import part_of
+from firvane.fleet.tenancy.allowance import Allowances
+from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
+from firvane.fleet.tenancy.messages import Ask, Grant, Status, tenant_id
+from firvane.fleet.tenancy.quota import AHEAD_PART, BURST_PART, DEBT_PART, SIZE_PART, QuotaLedger, QuotaRules
 
 RULES = QuotaRules(8.0, 0.1, 110_000.0)
 TENANT = Tenant("huka270", rate=40_000.0, burst=40_000.0, counts_tokens=True)
--- a/tests/transport/test_endpoint.py
+++ b/tests/fleet/transport/test_endpoint.py
@@ -9,11 +9,11 @@
 
 import pytest
 
-from firvane import logs
-from firvane.address import Address
-from firvane.transport import endpoint as endpoint_module
-from firvane.transport.endpoint import MAX_DATAGRAM_PAYLOAD, Endpoint
-from firvane.transport.frames import Frame, encode_frame, encode_header
+from firvane.core import logs
+from firvane.core.address import Address
+from firvane.fleet.transport import endpoint as endpoint_module
+from firvane.fleet.transport.endpoint import MAX_DATAGRAM_PAYLOAD, Endpoint
+from firvane.fleet.transport.frames import Frame, encode_frame, encode_header
 
 TIMEOUT = 5.0
 LARGE = bytes(range(256)) * 400
--- a/tests/transport/test_frames.py
+++ b/tests/fleet/transport/test_frames.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.transport.frames import (
+from firvane.fleet.transport.frames import (
     HEADER_SIZE,
     MAX_PAYLOAD,
     Frame,
--- a/tests/transport/test_queue.py
+++ b/tests/fleet/transport/test_queue.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.transport.queue import FrameQueue
+from firvane.fleet.transport.queue import FrameQueue
 
 MAX_BYTES, MAX_FRAMES = 50, 5
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from firvane import interface as api
-from firvane.choice import Balancer
+from firvane.core import interface as api
+from firvane.proxy.balancer import Balancer
 
 SAFE = api.RequestClass("read", aim=0.5, deadline=2.0, worth=1.0, repeat=api.Repeat.SAFE)
 UNSAFE = api.RequestClass("pay", aim=0.5, deadline=2.0, worth=4.0, repeat=api.Repeat.UNSAFE)
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from firvane import logs
+from firvane.core import logs
 from firvane.programs import settings
 
 MINIMAL = {
--- a/tests/ops/test_calls.py
+++ b/tests/proxy/admin_api/test_calls.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.ops.calls import (
+from firvane.proxy.admin_api.calls import (
     CALLS,
     GOT,
     LONGEST,
@@ -28,8 +28,8 @@
     piece,
     puts,
 )
-from firvane.policy_text import MOST_TEXT, digest_of
-from tests.net_helpers import cut, garbage, places, seeded
+from firvane.proxy.policy_text import MOST_TEXT, digest_of
+from tests.proxy.net.helpers import cut, garbage, places, seeded
 
 D = "00112233445566778899aabbccddeeff"
 DIGEST = bytes.fromhex(D)
--- a/tests/ops/test_states.py
+++ b/tests/proxy/admin_api/test_lifecycle.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.ops.states import MEANING, TABLE, Event, Life, State
+from firvane.proxy.admin_api.lifecycle import MEANING, TABLE, Event, Life, State
 
 
 def after(*events: Event) -> Life:
--- a/tests/ops/test_replace.py
+++ b/tests/proxy/admin_api/test_replace.py
@@ -10,9 +10,9 @@
 import sys
 from pathlib import Path
 
-from tests.net_helpers import run
-from tests.ops.test_desk import ask
-from tests.test_program import address, agent, config, said, where
+from tests.proxy.admin_api.test_server import ask
+from tests.proxy.net.helpers import run
+from tests.proxy.test_program import address, agent, config, said, where
 
 CLIENTS, AFTER = 2, 50  # at once, which one target takes from the start; requests of each afterwards
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Call-Id: %d-%d\r\nX-Budget-Ms: 60000\r\n\r\n"
--- a/tests/ops/test_desk.py
+++ b/tests/proxy/admin_api/test_server.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from firvane import proxy as proxies
-from firvane.config.platform import read_config
-from firvane.logs import QUIET
-from firvane.ops import desk
-from firvane.ops.desk import CALLERS
-from firvane.proxy import Proxy
-from tests.net_helpers import endpoint, run
-from tests.test_program import config
+from firvane.core.logs import QUIET
+from firvane.proxy import proxy as proxies
+from firvane.proxy.admin_api import server
+from firvane.proxy.admin_api.server import CALLERS
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.proxy import Proxy
+from tests.proxy.net.helpers import endpoint, run
+from tests.proxy.test_program import config
 
 
 async def ask(address: tuple[str, int], *pieces: bytes) -> bytes:
@@ -63,7 +63,7 @@
 def test_silent_callers_keep_nobody_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against hundreds that call and say nothing, or half a call, while one asks. None of them goes by
     # itself: who asks is answered because the oldest make room, however long that takes on a busy machine.
-    monkeypatch.setattr(desk, "STAY", 3600.0)
+    monkeypatch.setattr(server, "STAY", 3600.0)
 
     async def work() -> None:
         proxy = Proxy(asyncio.get_running_loop(), told(tmp_path), log=QUIET)
--- a/tests/rooms/test_evidence.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 
 from benchmarks.small_world import SITUATIONS, Situation, World
-from firvane import interface as api
-from firvane.rooms import kinds, quotas
-from firvane.rooms.cold import refill
-from firvane.rooms.evidence import LATE, LIGHT, LONG, RARE, SHOWN, SLOW, Evidence
-from firvane.rooms.skipped import skipped
-from firvane.state import Backend, Job, pack, unpack
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, Job, pack, unpack
+from firvane.proxy.capacity import class_counts, tenant_admission
+from firvane.proxy.capacity.backend_estimates import LATE, LIGHT, LONG, RARE, SHOWN, SLOW, Evidence
+from firvane.proxy.capacity.excluded_servers import skipped
+from firvane.proxy.capacity.slow_start import refill
 from tests.helpers import RULES, SAFE, server, settings, started
-from tests.net_helpers import seeded
-from tests.routing.samples import KEYS
+from tests.proxy.net.helpers import seeded
+from tests.proxy.routing.samples import KEYS
 
 
 def evidence() -> tuple[Evidence, Backend]:
@@ -187,7 +187,7 @@
             made.ended(warm, None, api.Outcome(window, 0, "a", api.Result.OK, 0.05, True), now)
         if window % 2 == 0:
             for peer in range(1, 5):
-                assert made.told(peer, kinds.pack({0: 1000 * peer + 5 * window}, now))
+                assert made.told(peer, class_counts.pack({0: 1000 * peer + 5 * window}, now))
         made.weigh([warm], 80.0, 1.0, 0.25)
     assert made.rates[0] == pytest.approx(4 * 5 / 0.25, rel=0.1)
 
@@ -203,7 +203,7 @@
                 made.sent(warm, 0, None, (window, n), now)
                 if n:
                     made.ended(warm, None, api.Outcome(window, n, "a", api.Result.OK, 0.05, True), now)
-            made.told(1, kinds.pack({0: 390 * window}, now))  # heard where proxies hear one another
+            made.told(1, class_counts.pack({0: 390 * window}, now))  # heard where proxies hear one another
             made.weigh([warm], 1600.0, 1.0, 0.25)
             made.ended(warm, None, api.Outcome(window, 0, "a", api.Result.CANCELLED, 0.05, True), now)
         return made.rates[0]
@@ -278,9 +278,9 @@
 @seeded
 @given(st.binary(max_size=64), st.booleans())
 def test_counts_that_are_none_are_refused_and_change_nothing(payload: bytes, marked: bool) -> None:
-    heard = kinds.Heard()
+    heard = class_counts.Heard()
     if marked:
-        payload = kinds.MARK + payload
+        payload = class_counts.MARK + payload
     try:
         heard.more(1, payload)
     except (ValueError, struct.error):
@@ -288,12 +288,14 @@
 
 
 def test_counts_lost_late_or_begun_anew_add_up() -> None:
-    heard = kinds.Heard()
-    assert heard.more(1, kinds.pack({0: 50, 1: 5}, 1.0)) == {0: 0, 1: 0}  # long ago, for all one knows
-    assert heard.more(1, kinds.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
-    assert heard.more(1, kinds.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
-    assert heard.more(1, kinds.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
-    assert heard.more(1, kinds.pack({n: n for n in range(300)}, 5.0)).keys() == set(range(kinds.MOST))
+    heard = class_counts.Heard()
+    assert heard.more(1, class_counts.pack({0: 50, 1: 5}, 1.0)) == {0: 0, 1: 0}  # long ago, for all one knows
+    assert heard.more(1, class_counts.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
+    assert heard.more(1, class_counts.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
+    assert heard.more(1, class_counts.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
+    assert heard.more(1, class_counts.pack({n: n for n in range(300)}, 5.0)).keys() == set(
+        range(class_counts.MOST)
+    )
 
 
 def test_keys_go_to_kinds_by_what_these_can_do_and_move_seldom() -> None:
@@ -378,10 +380,10 @@
     tenants = (api.Tenant("lagos", quota=60.0), api.Tenant("abuja", quota=40.0))
     alone = settings(proxies=10, tenants=tenants, limits=api.Limits(max_attempts=4))
     rows = {0: unpack(pack(0, 0, 1.0, (0, 1.0, here / 4, here / 4, here), []), 1.0)}
-    assert quotas.part(alone, rows, here) == pytest.approx(expected)
+    assert tenant_admission.part(alone, rows, here) == pytest.approx(expected)
     heard = settings(proxies=10, tenants=tenants)
-    assert quotas.part(heard, rows | {1: rows[0]}, here) == 0.5
-    assert quotas.part(settings(proxies=4, limits=alone.limits), rows, here) == 0.25
+    assert tenant_admission.part(heard, rows | {1: rows[0]}, here) == 0.5
+    assert tenant_admission.part(settings(proxies=4, limits=alone.limits), rows, here) == 0.25
 
 
 @pytest.mark.parametrize("what", SITUATIONS, ids=lambda what: what.name)
--- a/tests/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -17,29 +17,29 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import checked
-from firvane import interface as api
-from firvane.config.checks import CHECKS
-from firvane.config.file import node
-from firvane.config.model import File
-from firvane.config.node import Config
-from firvane.config.platform import read_config
-from firvane.emulation.checks import CHECKS as SCENARIO_CHECKS
-from firvane.emulation.scenario import Scenario
-from tests.config.samples import CONFIG, SCENARIO
-from tests.net_helpers import seeded
-from tests.test_program import config as platform
-
-ROOT = Path(__file__).parent.parent.parent
+from firvane.core import interface as api
+from firvane.core import validation
+from firvane.proxy.config.checks import CHECKS
+from firvane.proxy.config.file import node
+from firvane.proxy.config.model import File
+from firvane.proxy.config.node import Config
+from firvane.proxy.config.platform import read_config
+from firvane.simulation.emulation.checks import CHECKS as SCENARIO_CHECKS
+from firvane.simulation.emulation.scenario import Scenario
+from tests.proxy.config.samples import CONFIG, SCENARIO
+from tests.proxy.net.helpers import seeded
+from tests.proxy.test_program import config as platform
+
+ROOT = Path(__file__).parent.parent.parent.parent
 EXAMPLE = (ROOT / "deploy" / "firvane.example.toml").read_text()
 
 
 def read(text: str) -> Config:
-    return node(checked.build(checked.parse(text.encode(), "f"), File, "f", CHECKS))
+    return node(validation.build(validation.parse(text.encode(), "f"), File, "f", CHECKS))
 
 
 def lines(text: str) -> list[str]:
-    with pytest.raises(checked.Faults) as caught:
+    with pytest.raises(validation.Faults) as caught:
         read(text)
     return [line.removeprefix("f: ") for line in caught.value.lines()]
 
@@ -61,7 +61,9 @@
     others = 'discovery|name = "lagos|share|quota_rps|listen = .*7946|me|everyone|addresses|seed'
     raw = tomllib.loads(re.sub(f"^({others}).*", "", shown, flags=re.MULTILINE))
     with_all = CONFIG + '[recovery]\n[policy]\nfolder = "x"\ndoors = ["127.0.0.1:1"]\n'
-    default = json.loads(msgspec.json.encode(checked.build(checked.parse(with_all.encode(), "f"), File, "f")))
+    default = json.loads(
+        msgspec.json.encode(validation.build(validation.parse(with_all.encode(), "f"), File, "f"))
+    )
     compared = 0
     shown_otherwise = {"limits": ("second_copies",), "recovery": ("snapshot",), "policy": ("folder", "doors")}
     for table in ("rules", "log", "limits", "recovery", "policy"):
@@ -170,9 +172,9 @@
     ],
 )
 def test_an_impossible_scenario_is_told(old: str, new: str, line: str) -> None:
-    with pytest.raises(checked.Faults) as caught:
+    with pytest.raises(validation.Faults) as caught:
         text = SCENARIO.replace(old, new).encode()
-        checked.build(checked.parse(text, "f"), Scenario, "f", SCENARIO_CHECKS)
+        validation.build(validation.parse(text, "f"), Scenario, "f", SCENARIO_CHECKS)
     assert f"f: {line}" in caught.value.lines()
 
 
--- a/tests/test_platform.py
+++ b/tests/proxy/config/test_platform.py
@@ -17,10 +17,10 @@
 
 import pytest
 
-from tests.net_helpers import run
-from tests.test_program import address, agent, config, said, where
+from tests.proxy.net.helpers import run
+from tests.proxy.test_program import address, agent, config, said, where
 
-ROOT = Path(__file__).resolve().parents[1]
+ROOT = Path(__file__).resolve().parents[3]
 WATCH = """
 import os, sys
 PROGRAMS = ("subprocess.Popen", "os.exec", "os.fork", "os.forkpty", "os.posix_spawn", "os.spawn", "os.system")
--- a/tests/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -12,19 +12,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import checked
-from firvane import interface as api
-from firvane.config import policy as module
-from firvane.config.node import MOST_VOTERS, PolicyTold
-from firvane.config.platform import read_config
-from firvane.config.policy import Policy, parse, render, settings
-from firvane.policy_text import MOST_TEXT
-from firvane.quorum import types
-from tests.config.samples import CONFIG
-from tests.config.test_file import lines, read
+from firvane.core import interface as api
+from firvane.core import validation
+from firvane.proxy.config import policy as module
+from firvane.proxy.config.node import MOST_VOTERS, PolicyTold
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.config.policy import Policy, parse, render, settings
+from firvane.proxy.policy_text import MOST_TEXT
+from firvane.proxy.quorum import types
 from tests.helpers import settings as plain
-from tests.net_helpers import seeded
-from tests.test_program import config as platform
+from tests.proxy.config.samples import CONFIG
+from tests.proxy.config.test_file import lines, read
+from tests.proxy.net.helpers import seeded
+from tests.proxy.test_program import config as platform
 
 DOORS = [f"127.0.0.1:{port}" for port in (7, 8, 9)]
 PEERS = [f"127.0.0.1:{port}" for port in (1, 2, 3)]
@@ -117,7 +117,7 @@
     ],
 )  # fmt: skip
 def test_all_faults_of_a_policy_are_told_at_once(text: str, whys: list[str]) -> None:
-    with pytest.raises(checked.Faults) as caught:
+    with pytest.raises(validation.Faults) as caught:
         parse(text.encode(), "p")
     assert list(caught.value.lines()) == [f"p: {why}" for why in whys]
 
@@ -127,9 +127,9 @@
 def test_hostile_bytes_are_a_policy_or_faults(data: bytes, place: int) -> None:
     whole = render(plain())
     for text in (data, whole[:place] + data + whole[place + 9 :], whole[:place]):
-        with contextlib.suppress(checked.Faults):
+        with contextlib.suppress(validation.Faults):
             assert isinstance(parse(text), Policy)
-    with pytest.raises(checked.Faults, match="says nothing"):
+    with pytest.raises(validation.Faults, match="says nothing"):
         parse(b"")
 
 
@@ -137,9 +137,9 @@
     late, keyless = replace(plain().classes[0], aim=9.0), replace(plain().classes[0], repeat=KEYED)
     tenants = (api.Tenant("\ud800"),), (api.Tenant("a", 2.0),)
     for base in (*(plain(classes=(c,)) for c in (late, keyless)), *(plain(tenants=t) for t in tenants)):
-        with pytest.raises(checked.Faults):
+        with pytest.raises(validation.Faults):
             render(base)
-    with pytest.raises(checked.Faults, match="voters: names proxy 3, and there are 3"):
+    with pytest.raises(validation.Faults, match="voters: names proxy 3, and there are 3"):
         settings(parse(b"voters = [0, 3]"), plain(proxies=3))
 
 
--- a/tests/control/helpers.py
+++ b/tests/proxy/control/helpers.py
@@ -7,12 +7,12 @@
 
 from envoy.service.discovery.v3 import discovery_pb2
 
-from firvane.control import resources, wire
-from firvane.control.plan import Route
-from firvane.control.stream import Push, Stream
-from firvane.control.types import Box, Kind, Resource, State
-from firvane.control.weights import divide
-from firvane.rehearsal.receiver import Receiver
+from firvane.proxy.control import resource_codec, stream_codec
+from firvane.proxy.control.route_settings import Route
+from firvane.proxy.control.stream import Push, Stream
+from firvane.proxy.control.types import Box, Kind, Resource, State
+from firvane.proxy.control.weights import divide
+from firvane.simulation.runner.receiver import Receiver
 
 ZONES = ("a", "b")
 
@@ -25,23 +25,23 @@
 def state(clusters: dict[str, Sequence[Box]], number: int = 1, urgent: int = 0, way: str = "") -> State:
     """One cluster for each name, with routes and a listener of that name; or routes `way` to the first."""
     made: dict[Kind, list[Resource]] = {kind: [] for kind in Kind}
-    endpoints = resources.Endpoints(ZONES)
+    endpoints = resource_codec.Endpoints(ZONES)
     for name, boxes in clusters.items():
-        made[Kind.CLUSTER].append(resources.cluster(name, True, 64, 0.25))
+        made[Kind.CLUSTER].append(resource_codec.cluster(name, True, 64, 0.25))
         made[Kind.ENDPOINTS].append(endpoints.make(name, divide(boxes, {0: 10.0})[0]))
         routes = [Route("read", 2.0, 2, True)]
         if not way or not made[Kind.ROUTES]:
-            made[Kind.ROUTES].append(resources.route_configuration(way or name, name, routes, True))
-        made[Kind.LISTENER].append(resources.listener(name, name))
-    found = resources.by_kind(made)
-    return State(found, {kind: resources.set_version(found[kind]) for kind in Kind}, number, urgent)
+            made[Kind.ROUTES].append(resource_codec.route_configuration(way or name, name, routes, True))
+        made[Kind.LISTENER].append(resource_codec.listener(name, name))
+    found = resource_codec.by_kind(made)
+    return State(found, {kind: resource_codec.set_version(found[kind]) for kind in Kind}, number, urgent)
 
 
 class Pair:
     """A receiver and its stream; bytes go between them when told to."""
 
     def __init__(self, receiver: Receiver) -> None:
-        self.receiver, self.writer = receiver, wire.Writer("test")
+        self.receiver, self.writer = receiver, stream_codec.Writer("test")
         self.stream = Stream(receiver.delta)
         self.on_way: list[bytes] = []  # to the receiver
         self.said: list[Push] = []
@@ -56,7 +56,7 @@
         if not self.receiver.delta:
             form = discovery_pb2.DiscoveryRequest
         for data in self.receiver.requests():
-            wire.read(self.stream, form.FromString(data))
+            stream_codec.read(self.stream, form.FromString(data))
 
     def push(self, now: State) -> bool:
         """One answer, if one is due."""
--- a/tests/control/live.py
+++ b/tests/proxy/control/live.py
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from firvane import checked, logs
-from firvane.config.checks import CHECKS
-from firvane.config.file import node
-from firvane.config.model import File
-from firvane.control.service import Control
-from firvane.rehearsal.receiver import Receiver
-from firvane.rehearsal.receiver_link import Link
-from tests.net_helpers import HANG
+from firvane.core import logs, validation
+from firvane.proxy.config.checks import CHECKS
+from firvane.proxy.config.file import node
+from firvane.proxy.config.model import File
+from firvane.proxy.control.service import Control
+from firvane.simulation.runner.receiver import Receiver
+from firvane.simulation.runner.receiver_link import Link
+from tests.proxy.net.helpers import HANG
 
 PATIENCE = HANG  # s: only a failure waits for it
 
@@ -108,7 +108,7 @@
     """A service that is not started yet; its log goes into `lines`."""
     raw = {**FILE, "target_group": {"discovery": discovery}, **more}
     raw["control"] = {**FILE["control"], **more.get("control", {})}
-    file = checked.build(msgspec.to_builtins(raw), File, "test.toml", CHECKS)
+    file = validation.build(msgspec.to_builtins(raw), File, "test.toml", CHECKS)
     assert file.control
     log = logs.make("info", "logfmt", lines.append)
     return Control(asyncio.get_running_loop(), node(file), file.control, log=log)
--- a/tests/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -10,19 +10,19 @@
 from hypothesis import given, settings, strategies
 from hypothesis.strategies import composite
 
-from firvane import interface as api
-from firvane.control import beliefs, plan
-from firvane.control.catalog import Catalog, differences
-from firvane.control.feedback import Feedback, Reported, split
-from firvane.control.ledger import Ledger
-from firvane.control.pace import Pace
-from firvane.control.panic import Panic
-from firvane.control.types import NOWHERE, Assignment, Box, Health, Report
-from firvane.control.weights import DROPS, SUM, divide, fill, is_news
-from firvane.rooms.reports import Sum
-from tests.control.helpers import box
+from firvane.core import interface as api
+from firvane.proxy.capacity.load_reports import Sum
+from firvane.proxy.control import estimates, route_settings
+from firvane.proxy.control.catalog import Catalog, differences
+from firvane.proxy.control.debounce import Pace
+from firvane.proxy.control.load_feedback import Feedback, Reported, split
+from firvane.proxy.control.panic_threshold import Panic
+from firvane.proxy.control.receivers import Ledger
+from firvane.proxy.control.types import NOWHERE, Assignment, Box, Health, Report
+from firvane.proxy.control.weights import DROPS, SUM, divide, fill, is_news
 from tests.helpers import changes, full_list, server, started
 from tests.helpers import settings as made_settings
+from tests.proxy.control.helpers import box
 
 
 @composite
@@ -117,13 +117,13 @@
 def test_the_module_s_beliefs_are_read_and_its_drains_and_doubts_kept() -> None:
     balancer = started("abc")
     addresses = {name: ("127.0.0.1", port) for port, name in enumerate("abcd")}
-    assert [one.name for one in beliefs.read(balancer, addresses, {}, 100.0)] == ["a", "b", "c"]
+    assert [one.name for one in estimates.read(balancer, addresses, {}, 100.0)] == ["a", "b", "c"]
     balancer.handle(changes(server("a", state=api.ServerState.DRAINING), server("d", up_since=100.0)), 100.1)
-    found = {one.name: one for one in beliefs.read(balancer, addresses, {}, 101.0)}
+    found = {one.name: one for one in estimates.read(balancer, addresses, {}, 101.0)}
     assert set(found) == {"b", "c", "d"} and found["d"].budget is not None and found["b"].budget is None
     balancer.servers["b"].retry_at = 200.0
-    assert {one.name for one in beliefs.read(balancer, addresses, {}, 101.0) if one.doubted} == {"b"}
-    assert not beliefs.read(balancer, {}, {}, 101.0)  # without an address nobody can be sent there
+    assert {one.name for one in estimates.read(balancer, addresses, {}, 101.0) if one.doubted} == {"b"}
+    assert not estimates.read(balancer, {}, {}, 101.0)  # without an address nobody can be sent there
 
 
 def test_reports_count_in_the_module_as_its_own_forwards_do() -> None:
@@ -164,10 +164,10 @@
 def test_what_several_places_believe_adds_up() -> None:
     one = [box(1, budget=2.0, cold=True), box(2), box(3, budget=4.0, doubted=True)]
     other = [box(1, budget=0.0, cold=True), box(2, budget=9.0), box(3, budget=1.0)]
-    found = {one.name: one for one in beliefs.joined([one, other])}
+    found = {one.name: one for one in estimates.joined([one, other])}
     assert (found["b1"].budget, found["b1"].power, found["b1"].room) == (2.0, 8.0, 8.0)
     assert found["b2"].budget is None and found["b3"].doubted and not found["b1"].doubted
-    assert beliefs.joined([one]) == one
+    assert estimates.joined([one]) == one
 
 
 def listed(*names: str) -> dict[str, Report]:
@@ -285,13 +285,16 @@
 
 
 def test_classes_become_routes_and_room_a_bound() -> None:
-    found = {route.name: route for route in plan.routes(made_settings())}
+    found = {route.name: route for route in route_settings.routes(made_settings())}
     assert found["read"].anything and found["export"].anything and not found["pay"].anything
     assert not found["index"].anything and found["read"].retries == 3
-    assert plan.bound([box(1, room=4.0)], 1.0) == 64 and plan.bound([box(1, room=500.0)], 0.5) == 512
+    assert (
+        route_settings.bound([box(1, room=4.0)], 1.0) == 64
+        and route_settings.bound([box(1, room=500.0)], 0.5) == 512
+    )
 
 
 def test_lists_come_in_any_order_of_words() -> None:
     balancer = started("ab")
     balancer.handle(full_list(server("b")), 101.0)
-    assert [one.name for one in beliefs.read(balancer, {"a": ("x", 1), "b": ("x", 2)}, {}, 101.0)] == ["b"]
+    assert [one.name for one in estimates.read(balancer, {"a": ("x", 1), "b": ("x", 2)}, {}, 101.0)] == ["b"]
--- a/tests/control/test_grpc_client.py
+++ b/tests/proxy/control/test_grpc_client.py
@@ -11,8 +11,8 @@
 
 import grpc
 
-from tests.control.live import PATIENCE, Stage, stage
-from tests.net_helpers import run
+from tests.proxy.control.live import PATIENCE, Stage, stage
+from tests.proxy.net.helpers import run
 
 CLIENT = """
 import json, sys
--- a/tests/control/test_service.py
+++ b/tests/proxy/control/test_service.py
@@ -14,14 +14,14 @@
 from click.testing import CliRunner
 
 from firvane.cli.control import command
-from firvane.config.model import Tls
-from firvane.control.keys import Keys, Useless, load, make_authority, make_certificate
-from firvane.control.service import Control
-from firvane.control.types import Kind
-from firvane.rehearsal.receiver import ENDPOINTS, Way
-from firvane.rehearsal.receiver_link import ADS
-from tests.control.live import Stage, ports, stage
-from tests.net_helpers import run
+from firvane.proxy.config.model import Tls
+from firvane.proxy.control.certificates import Keys, Useless, load, make_authority, make_certificate
+from firvane.proxy.control.service import Control
+from firvane.proxy.control.types import Kind
+from firvane.simulation.runner.receiver import ENDPOINTS, Way
+from firvane.simulation.runner.receiver_link import ADS
+from tests.proxy.control.live import Stage, ports, stage
+from tests.proxy.net.helpers import run
 
 
 def at_rest(service: Control) -> bool:
--- a/tests/control/test_stream.py
+++ b/tests/proxy/control/test_stream.py
@@ -7,11 +7,11 @@
 from hypothesis import settings, strategies
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from firvane.control import wire
-from firvane.control.stream import UNHEARD, Stream, TooMuch
-from firvane.control.types import Kind, State
-from firvane.rehearsal.receiver import CLUSTER, ENDPOINTS, Way
-from tests.control.helpers import Pair, box, receiver, state
+from firvane.proxy.control import stream_codec
+from firvane.proxy.control.stream import UNHEARD, Stream, TooMuch
+from firvane.proxy.control.types import Kind, State
+from firvane.simulation.runner.receiver import CLUSTER, ENDPOINTS, Way
+from tests.proxy.control.helpers import Pair, box, receiver, state
 
 FORMS = pytest.mark.parametrize(
     ("delta", "proxy"), [(False, True), (False, False), (True, True), (True, False)]
@@ -142,13 +142,13 @@
     push = one.next(now)
     assert push and not one.ask(Kind.ENDPOINTS, [], "", "77", "refused") and one.refusals == 0
     assert one.watches[Kind.ENDPOINTS].names == {"web"}
-    assert wire.read(one, discovery_pb2.DiscoveryRequest(type_url="of/nobody")) is None
+    assert stream_codec.read(one, discovery_pb2.DiscoveryRequest(type_url="of/nobody")) is None
     with pytest.raises(TooMuch):
         one.ask(Kind.ENDPOINTS, map(str, range(20_000)), "", push.nonce, None)
 
 
 def test_answers_are_made_once_for_all_receivers() -> None:
-    now, writer, nonces = state({"web": TWO}), wire.Writer("test"), set()
+    now, writer, nonces = state({"web": TWO}), stream_codec.Writer("test"), set()
     for n in range(5):
         one = Stream()
         one.ask(Kind.ENDPOINTS, ["other"] * n, "", "", None)  # their nonces differ
--- a/tests/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -11,25 +11,25 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.endings import Ending
-from firvane.limits.account import SMALL, Held, Leases
-from firvane.limits.descriptors import Use
-from firvane.net import door as doors
-from firvane.net.client_connection import BUSY
-from firvane.net.door import SocketDoor
-from firvane.net.forward import Pool, Run
-from firvane.net.front import Front
-from firvane.net.http import MAX_BODY, bare_tenant, is_again
-from firvane.net.listener import Listener
-from firvane.net.peers import BURST, Peers
-from firvane.net.targets import BadList, Lines, ListReader
-from firvane.net.transport_pool import TransportPool
+from firvane.core import interface as api
+from firvane.core.net.http import MAX_BODY, bare_tenant, is_again
+from firvane.core.net.transport_pool import TransportPool
+from firvane.core.terminations import Ending
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.memory_account import SMALL, Held, Leases
+from firvane.proxy.net import listening_socket as doors
+from firvane.proxy.net.client_connection import BUSY
+from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.net.connection_limiter import Front
+from firvane.proxy.net.listening_socket import SocketDoor
+from firvane.proxy.net.peer_datagrams import BURST, Peers
+from firvane.proxy.net.target_group import BadList, Lines, ListReader
+from firvane.proxy.net.upstream_pool import Pool, Run
+from tests.core.net.test_http import GET, POST, Taken, answer, listener, statuses, turn
 from tests.helpers import settings
-from tests.net_helpers import PAY, READ, Clock, Ended, Wire, endpoint, guard, make_places, run, seeded
-from tests.test_forward import connected, unwired
-from tests.test_forward import request as a_request
-from tests.test_http import GET, POST, Taken, answer, listener, statuses, turn
+from tests.proxy.net.helpers import PAY, READ, Clock, Ended, Wire, endpoint, guard, make_places, run, seeded
+from tests.proxy.net.test_upstream_pool import connected, unwired
+from tests.proxy.net.test_upstream_pool import request as a_request
 
 LARGE = POST.replace(b"Length: 4", b"Length: 20000").replace(b"body", b"")
 
--- a/tests/limits/test_pauses.py
+++ b/tests/proxy/limits/test_discovery_timing.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.limits.pauses import FIRST, LONGEST, MOST, SILENCE, Heard, Pauses
-from firvane.net.targets import LOOK
+from firvane.proxy.limits.discovery_timing import FIRST, LONGEST, MOST, SILENCE, Heard, Pauses
+from firvane.proxy.net.target_group import LOOK
 
 RATE, WAIT = 8.0, 2.0  # calls a second that one service answers; s after which one that waits there fails
 
--- a/tests/limits/test_account.py
+++ b/tests/proxy/limits/test_memory_account.py
@@ -6,11 +6,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.limits.account import Account, Held, Leases
-from firvane.limits.costs import BOX, FLOW, IDLE_TARGET, MB, derive
-from firvane.limits.descriptors import LEAST, Descriptors, Use
-from firvane.limits.rates import Rates
-from tests.net_helpers import seeded
+from firvane.proxy.limits.descriptors import LEAST, Descriptors, Use
+from firvane.proxy.limits.memory_account import Account, Held, Leases
+from firvane.proxy.limits.memory_costs import BOX, FLOW, IDLE_TARGET, MB, derive
+from firvane.proxy.limits.token_buckets import Rates
+from tests.proxy.net.helpers import seeded
 
 
 def test_pressure_comes_at_the_high_mark_and_goes_at_the_low_one() -> None:
--- a/tests/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.limits.admission import Admission
-from firvane.limits.gate import Gate
-from firvane.limits.overload import CALM_FOR, GIVES_UP, UP, Level, Measure, Overload, Resource
-from firvane.limits.turns import DECIDE, LEAST_LINE, READ_ONE, REFUSALS, SHARE, TURN, Turns
+from firvane.core import interface as api
+from firvane.proxy.limits.admission import Admission
+from firvane.proxy.limits.admission_gate import Gate
+from firvane.proxy.limits.loop_budget import DECIDE, LEAST_LINE, READ_ONE, REFUSALS, SHARE, TURN, Turns
+from firvane.proxy.limits.overload import CALM_FOR, GIVES_UP, UP, Level, Measure, Overload, Resource
 from tests.helpers import started
-from tests.net_helpers import seeded
+from tests.proxy.net.helpers import seeded
 
 
 def test_each_step_is_told_once_and_levels_come_back_one_by_one() -> None:
--- a/tests/net_helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -13,10 +13,10 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.endings import Ending
-from firvane.limits.descriptors import Descriptors, Use
-from firvane.net.guard import Guard, Usage
+from firvane.core import interface as api
+from firvane.core.terminations import Ending
+from firvane.proxy.limits.descriptors import Descriptors, Use
+from firvane.proxy.net.resource_monitor import Guard, Usage
 from tests.helpers import settings
 
 seeded = hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
--- a/tests/test_long.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -11,14 +11,14 @@
 
 import pytest
 
-from firvane.config.platform import read_config
-from firvane.limits.account import Held
-from firvane.logs import QUIET
-from firvane.ops.states import Event
-from firvane.proxy import Proxy
-from tests.net_helpers import endpoint, run
-from tests.test_benchlink import PARAMS
-from tests.test_program import config
+from firvane.core.logs import QUIET
+from firvane.proxy.admin_api.lifecycle import Event
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.limits.memory_account import Held
+from firvane.proxy.proxy import Proxy
+from tests.proxy.net.helpers import endpoint, run
+from tests.proxy.test_program import config
+from tests.proxy.test_simulator_adapter import PARAMS
 
 BODY = bytes(range(256)) * 4096  # 1 MiB
 BUDGET = 60_000  # ms: nothing here ends because a busy machine was late
--- a/tests/test_targets.py
+++ b/tests/proxy/net/test_target_group.py
@@ -11,11 +11,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.address import parse_address
-from firvane.net.peers import Peers
-from firvane.net.targets import BadList, Lines, ListReader, TargetGroup
-from tests.net_helpers import Clock, Wire, cut, endpoint, garbage, places, run, seeded
+from firvane.core import interface as api
+from firvane.core.address import parse_address
+from firvane.proxy.net.peer_datagrams import Peers
+from firvane.proxy.net.target_group import BadList, Lines, ListReader, TargetGroup
+from tests.proxy.net.helpers import Clock, Wire, cut, endpoint, garbage, places, run, seeded
 
 READER = ListReader(("a", "b"), ("big", "small"))
 
--- a/tests/test_forward.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -9,15 +9,15 @@
 import httptools
 import pytest
 
-from firvane import interface as api
-from firvane.endings import Ending
-from firvane.limits.descriptors import Use
-from firvane.net.dial import SocketDialer
-from firvane.net.forward import SETTLE, Connection, Forwards, Pool, Run
-from firvane.net.http import Message, Reader
-from firvane.net.transport_pool import TransportPool
+from firvane.core import interface as api
+from firvane.core.net.dialer import SocketDialer
+from firvane.core.net.http import Message, Reader
+from firvane.core.net.transport_pool import TransportPool
+from firvane.core.terminations import Ending
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards, Pool, Run
 from tests.helpers import RULES
-from tests.net_helpers import Clock, Ended, Wire, guard, run
+from tests.proxy.net.helpers import Clock, Ended, Wire, guard, run
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 TOO_MANY = b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
--- a/tests/quorum/small_fleet.py
+++ b/tests/proxy/quorum/small_fleet.py
@@ -8,18 +8,18 @@
 from pathlib import Path
 from typing import Any
 
-from firvane.config import policy as policies
-from firvane.config.node import Config, PolicyTold
-from firvane.ops import calls
-from firvane.policy_text import digest_of
-from firvane.quorum.store import found
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.virtual_proxy import VirtualProxy
-from firvane.settings import parse_settings
-from tests.net_helpers import endpoint
-from tests.rehearsal.virtual_helpers import Noted
-from tests.test_benchlink import PARAMS
+from firvane.proxy.admin_api import calls
+from firvane.proxy.config import policy as policies
+from firvane.proxy.config.node import Config, PolicyTold
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum.store import found
+from firvane.proxy.settings import parse_settings
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.virtual_proxy import VirtualProxy
+from tests.proxy.net.helpers import endpoint
+from tests.proxy.test_simulator_adapter import PARAMS
+from tests.simulation.runner.virtual_helpers import Noted
 
 ASK = b"GET /%s/x HTTP/1.1\r\nX-Call-Id: %d\r\nX-Budget-Ms: 1900\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
--- a/tests/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -12,17 +12,17 @@
 
 import pytest
 
-from firvane.ops import calls
-from firvane.policy_text import digest_of
-from firvane.proxy import Proxy
-from firvane.quorum import driver, store
-from firvane.quorum.driver import Policies
-from firvane.quorum.types import Times, Value
-from firvane.rehearsal.virtual import VirtualLoop
-from tests.net_helpers import run
-from tests.ops.test_desk import ask
-from tests.quorum.small_fleet import ASK, CLIENT, Fleet, Lines, Tier
-from tests.rehearsal.virtual_helpers import Net, Noted, virtual
+from firvane.proxy.admin_api import calls
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.proxy import Proxy
+from firvane.proxy.quorum import driver, store
+from firvane.proxy.quorum.driver import Policies
+from firvane.proxy.quorum.types import Times, Value
+from firvane.simulation.runner.virtual import VirtualLoop
+from tests.proxy.admin_api.test_server import ask
+from tests.proxy.net.helpers import run
+from tests.proxy.quorum.small_fleet import ASK, CLIENT, Fleet, Lines, Tier
+from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
 
 CLASS = '[[classes]]\nname = "%s"\naim_ms = 500\ndeadline_ms = 2000\nrepeat = "safe"\n'
 OTHER = ("remembers_keys = true\n" + CLASS % "other").encode()
--- a/tests/quorum/test_edges.py
+++ b/tests/proxy/quorum/test_edges.py
@@ -7,14 +7,14 @@
 
 import pytest
 
-from firvane.policy_text import digest_of
-from firvane.quorum.ballots import Ballots
-from firvane.quorum.events import Abort, Fetch, Propose, Tick
-from firvane.quorum.member import Member
-from firvane.quorum.messages import Accept, Accepted, Promise, Told, unpack
-from firvane.quorum.types import NO_BALLOT, Ballot, Kept, Outcome, Times, Value
-from firvane.quorum.votes import Votes, recovered
-from tests.quorum.world import World
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum.ballots import Ballots
+from firvane.proxy.quorum.events import Abort, Fetch, Propose, Tick
+from firvane.proxy.quorum.member import Member
+from firvane.proxy.quorum.messages import Accept, Accepted, Promise, Told, unpack
+from firvane.proxy.quorum.types import NO_BALLOT, Ballot, Kept, Outcome, Times, Value
+from firvane.proxy.quorum.votes import Votes, recovered
+from tests.proxy.quorum.world import World
 
 BASE = Value(1, digest_of(b"base"), (0, 1, 2, 3, 4))
 ONE, OTHER = (Value(2, digest_of(text), BASE.voters) for text in (b"one", b"other"))
--- a/tests/quorum/test_fetch.py
+++ b/tests/proxy/quorum/test_fetch.py
@@ -10,17 +10,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.net.dial import SocketDialer
-from firvane.net.transport_pool import TransportPool
-from firvane.ops import calls
-from firvane.policy_text import MOST_TEXT, digest_of
-from firvane.quorum.fetch import PATIENCE, Fetching
-from firvane.quorum.uploads import KEPT, MOST_UPLOADS, Uploads, Useless
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.virtual_proxy import MemoryDialer
-from tests.net_helpers import run
-from tests.rehearsal.virtual_helpers import Net, Noted, virtual
+from firvane.core.net.dialer import SocketDialer
+from firvane.core.net.transport_pool import TransportPool
+from firvane.proxy.admin_api import calls
+from firvane.proxy.policy_text import MOST_TEXT, digest_of
+from firvane.proxy.quorum.fetch import PATIENCE, Fetching
+from firvane.proxy.quorum.uploads import KEPT, MOST_UPLOADS, Uploads, Useless
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.virtual_proxy import MemoryDialer
+from tests.proxy.net.helpers import run
+from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
 
 TEXT = random.Random(1).randbytes(MOST_TEXT)
 DIGEST = digest_of(TEXT)
@@ -92,7 +92,7 @@
 
 def test_a_wrong_text_would_pass_if_nobody_looked_at_its_digest(monkeypatch: pytest.MonkeyPatch) -> None:
     # The mutant for "has another": the test above sees it.
-    monkeypatch.setattr("firvane.quorum.uploads.digest_of", lambda text: DIGEST)
+    monkeypatch.setattr("firvane.proxy.quorum.uploads.digest_of", lambda text: DIGEST)
     with pytest.raises(AssertionError):
         test_a_holder_that_is_of_no_use_is_passed_over("has another")
 
--- a/tests/quorum/test_member_machine.py
+++ b/tests/proxy/quorum/test_member_machine.py
@@ -9,10 +9,10 @@
 from hypothesis import HealthCheck, Phase, given, settings
 from hypothesis import strategies as st
 
-from firvane.quorum.member import Member
-from firvane.quorum.proposals import Proposals
-from firvane.quorum.types import Outcome, Times
-from tests.quorum.world import FAULTS_S, SHORT, Trouble, World
+from firvane.proxy.quorum.member import Member
+from firvane.proxy.quorum.proposals import Proposals
+from firvane.proxy.quorum.types import Outcome, Times
+from tests.proxy.quorum.world import FAULTS_S, SHORT, Trouble, World
 
 
 @dataclass(frozen=True)
--- a/tests/quorum/test_model.py
+++ b/tests/proxy/quorum/test_model.py
@@ -12,7 +12,7 @@
 
 def load() -> Any:
     """The explorer, which is no module of a package."""
-    path = Path(__file__).resolve().parents[2] / "tools" / "model_policy.py"
+    path = Path(__file__).resolve().parents[3] / "tools" / "model_policy.py"
     spec = importlib.util.spec_from_file_location("model_policy", path)
     assert spec and spec.loader
     module = importlib.util.module_from_spec(spec)
--- a/tests/quorum/test_store.py
+++ b/tests/proxy/quorum/test_store.py
@@ -12,11 +12,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.checksum import Damaged, verify, with_header
-from firvane.policy_text import MOST_TEXT, digest_of
-from firvane.quorum import store as module
-from firvane.quorum.store import FORMAT, MAGIC_VOTES, REMEMBERED, Past, Store, found
-from firvane.quorum.types import Ballot, Kept, Value
+from firvane.core.checksum import Damaged, verify, with_header
+from firvane.proxy.policy_text import MOST_TEXT, digest_of
+from firvane.proxy.quorum import store as module
+from firvane.proxy.quorum.store import FORMAT, MAGIC_VOTES, REMEMBERED, Past, Store, found
+from firvane.proxy.quorum.types import Ballot, Kept, Value
 
 TEXT = b"retry_after = true\n"
 NEXT = Value(2, digest_of(b"next"), (0, 1, 2))
--- a/tests/quorum/world.py
+++ b/tests/proxy/quorum/world.py
@@ -6,12 +6,12 @@
 from typing import NamedTuple
 
 from benchmarks.policy_members import Change, Drawn, Make, Members
-from firvane.emulation.records import Proposed
-from firvane.emulation.verdict import Findings
-from firvane.policy_text import digest_of
-from firvane.quorum import events
-from firvane.quorum.member import Member
-from firvane.quorum.types import Outcome, Times, Value
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum import events
+from firvane.proxy.quorum.member import Member
+from firvane.proxy.quorum.types import Outcome, Times, Value
+from firvane.simulation.emulation.records import Proposed
+from firvane.simulation.emulation.verdict import Findings
 
 # A lease of a second in place of three, and all else with it: the same events in a third of the time.
 SHORT = Times(lease=1.0, trip=0.1, gather=4.0)
--- a/tests/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -9,11 +9,11 @@
 from dataclasses import replace
 from typing import Any
 
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.emulation.box import Box, End
-from firvane.emulation.scenario import Boxes, Kind
-from firvane.recovery.state_machine import State
+from firvane.core import interface as api
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.recovery.state_machine import State
+from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.scenario import Boxes, Kind
 from tests.helpers import settings
 
 WARM = Boxes(warm_s=8.0, cold_share=0.13)
--- a/tests/recovery/test_histories.py
+++ b/tests/proxy/recovery/test_histories.py
@@ -17,10 +17,10 @@
     run_state_machine_as_test,
 )
 
-from firvane import interface as api
-from firvane.recovery import messages
-from firvane.recovery.messages import Held, Loan
-from tests.recovery.small_fleet import WARM, SmallFleet
+from firvane.core import interface as api
+from firvane.proxy.recovery import messages
+from firvane.proxy.recovery.messages import Held, Loan
+from tests.proxy.recovery.small_fleet import WARM, SmallFleet
 
 CORES = [4, 2, 4, 2, 2, 8]
 APART = 0.25  # s from one event to the next
--- a/tests/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -9,16 +9,16 @@
 import pytest
 from _pytest.outcomes import Failed
 
-from firvane import checksum
-from firvane import interface as api
-from firvane.recovery import peers, recovery, steps
-from firvane.recovery.peers import Told
-from firvane.recovery.recovery import Recovery
-from firvane.recovery.state_machine import TABLE, Event, State
-from firvane.snapshots import file, types
-from firvane.state import Backend
-from tests.recovery import test_histories, test_peers, test_small_fleet, test_steps
-from tests.snapshots import test_snapshots
+from firvane.core import checksum
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
+from firvane.proxy.recovery import peers, recovery, steps
+from firvane.proxy.recovery.peers import Told
+from firvane.proxy.recovery.recovery import Recovery
+from firvane.proxy.recovery.state_machine import TABLE, Event, State
+from firvane.proxy.snapshots import file, types
+from tests.proxy.recovery import test_histories, test_peers, test_small_fleet, test_steps
+from tests.proxy.snapshots import test_snapshots
 
 
 class Mutant(NamedTuple):
--- a/tests/recovery/test_peers.py
+++ b/tests/proxy/recovery/test_peers.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.recovery import messages
-from firvane.recovery.messages import Ask, Held, Loan
-from firvane.recovery.peers import BOUND, FRESH, LENT, QUORUM, Loans, Told, neediest
-from firvane.state import Backend, Row
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, Row
+from firvane.proxy.recovery import messages
+from firvane.proxy.recovery.messages import Ask, Held, Loan
+from firvane.proxy.recovery.peers import BOUND, FRESH, LENT, QUORUM, Loans, Told, neediest
 
 FEW = st.dictionaries(st.integers(0, 0xFFFF), st.integers(0, 0xFFFF).map(lambda n: n / 10), max_size=30)
 
@@ -109,8 +109,8 @@
 
 
 def recovery(**more: Any) -> Any:
-    from firvane.recovery.recovery import Recovery
-    from firvane.rooms.evidence import Evidence
+    from firvane.proxy.capacity.backend_estimates import Evidence
+    from firvane.proxy.recovery.recovery import Recovery
     from tests.helpers import settings as made
 
     told_ = made(proxies=6, recovery=api.Recovery(), **more)
--- a/tests/recovery/test_small_fleet.py
+++ b/tests/proxy/recovery/test_small_fleet.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from firvane.recovery import messages
-from firvane.recovery.peers import FEW
-from firvane.recovery.state_machine import State
-from tests.recovery.small_fleet import SmallFleet
+from firvane.proxy.recovery import messages
+from firvane.proxy.recovery.peers import FEW
+from firvane.proxy.recovery.state_machine import State
+from tests.proxy.recovery.small_fleet import SmallFleet
 
 
 def test_each_box_is_tried_by_one_proxy_while_none_answers() -> None:
--- a/tests/recovery/test_state_machine.py
+++ b/tests/proxy/recovery/test_state_machine.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from firvane.recovery.state_machine import TABLE, Event, RecoveryStateMachine, State
+from firvane.proxy.recovery.state_machine import TABLE, Event, RecoveryStateMachine, State
 
 WAY = {  # events that lead to each state from the start
     State.LISTLESS: [],
--- a/tests/recovery/test_steps.py
+++ b/tests/proxy/recovery/test_steps.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.emulation.box import Box, End
-from firvane.emulation.scenario import Boxes, Kind
-from firvane.recovery import steps
-from firvane.state import Backend
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
+from firvane.proxy.recovery import steps
+from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.scenario import Boxes, Kind
 
 AIM = 0.5
 
--- a/tests/rollout/helpers.py
+++ b/tests/proxy/rollout/helpers.py
@@ -7,9 +7,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from firvane.rollout.plan import Limits, Place, Plan, Roll, Stage, Version
-from firvane.rollout.state_machine import RollStateMachine
-from firvane.rollout.words import (
+from firvane.proxy.rollout.messages import (
     ENDS,
     Action,
     Back,
@@ -32,6 +30,8 @@
     Verdict,
     bucket,
 )
+from firvane.proxy.rollout.plan import Limits, Place, Plan, Roll, Stage, Version
+from firvane.proxy.rollout.state_machine import RollStateMachine
 
 OLD, NEW = "a", "b"
 
--- a/tests/rollout/test_compare.py
+++ b/tests/proxy/rollout/test_compare.py
@@ -10,11 +10,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.rollout import compare
-from firvane.rollout.compare import Comparison, half_width
-from firvane.rollout.plan import Limits
-from firvane.rollout.words import Finding, Side, Verdict, bucket, edge
-from tests.rollout.helpers import traffic
+from firvane.proxy.rollout import compare
+from firvane.proxy.rollout.compare import Comparison, half_width
+from firvane.proxy.rollout.messages import Finding, Side, Verdict, bucket, edge
+from firvane.proxy.rollout.plan import Limits
+from tests.proxy.rollout.helpers import traffic
 
 HARMS = [
     ("refused", 0.05, "refused"),
--- a/tests/rollout/test_plan.py
+++ b/tests/proxy/rollout/test_plan.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from firvane import checked
 from firvane.cli import main
-from firvane.rollout.plan import digest, parse
+from firvane.core import validation
+from firvane.proxy.rollout.plan import digest, parse
 
 PLAN = """
 [roll]
@@ -50,7 +50,7 @@
     ],
 )  # fmt: skip
 def test_every_fault_of_a_plan_is_told_at_once(old: str, new: str, keys: list[str]) -> None:
-    with pytest.raises(checked.Faults) as found:
+    with pytest.raises(validation.Faults) as found:
         parse(PLAN.replace(old, new).encode())
     assert [fault.key for fault in found.value.faults] == keys
 
--- a/tests/rollout/test_slot.py
+++ b/tests/proxy/rollout/test_slot.py
@@ -11,11 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.ops.calls import Useless
-from firvane.rollout import orders
-from firvane.rollout.orders import Order, Ordered
-from firvane.rollout.slot import DEATHS, Slot
-from firvane.rollout.slot_types import (
+from firvane.proxy.admin_api.calls import Useless
+from firvane.proxy.rollout import supervisor_calls
+from firvane.proxy.rollout.slot import DEATHS, Slot
+from firvane.proxy.rollout.slot_types import (
     TABLE,
     Action,
     Event,
@@ -29,6 +28,7 @@
     Terminate,
     Times,
 )
+from firvane.proxy.rollout.supervisor_calls import Order, Ordered
 
 TIMES = Times(ready=2.0, prove=0.5, end=1.0)
 STEP = 0.1
@@ -315,19 +315,21 @@
 
 @pytest.mark.parametrize("order", Order)
 def test_a_call_is_read_as_it_is_said(order: Order) -> None:
-    word = "v2.1" if {"VERSION", "NAME"} & set(orders.FORMS[order].split()) else ""
-    roll = 7 if "ROLL" in orders.FORMS[order] else 0
-    said = orders.line(order, word, roll)
-    assert orders.ordered(said.encode()) == Ordered(order, word, roll)
+    word = "v2.1" if {"VERSION", "NAME"} & set(supervisor_calls.FORMS[order].split()) else ""
+    roll = 7 if "ROLL" in supervisor_calls.FORMS[order] else 0
+    said = supervisor_calls.line(order, word, roll)
+    assert supervisor_calls.ordered(said.encode()) == Ordered(order, word, roll)
     for wrong in (f"{said} more", said.replace("7", "-7"), "place-nothing", "", "x" * 300):
         if wrong != said:
             with pytest.raises(Useless):
-                orders.ordered(wrong.encode())
+                supervisor_calls.ordered(wrong.encode())
 
 
 def test_a_status_is_heard_as_it_is_told() -> None:
     told = World(Slot, 2).place.status()
-    assert orders.heard(orders.told(told) + "\n.\n") == {name: str(value) for name, value in told.items()}
+    assert supervisor_calls.heard(supervisor_calls.told(told) + "\n.\n") == {
+        name: str(value) for name, value in told.items()
+    }
     for wrong in ("-ERR busy\n", "", "state serving\n"):
         with pytest.raises(ValueError):
-            orders.heard(wrong)
+            supervisor_calls.heard(wrong)
--- a/tests/rollout/test_state_machine.py
+++ b/tests/proxy/rollout/test_state_machine.py
@@ -9,9 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from firvane.rollout.state_machine import RollStateMachine
-from firvane.rollout.transitions import FORWARD, STAYS, TABLE, transitions
-from firvane.rollout.words import (
+from firvane.proxy.rollout.messages import (
     ENDS,
     Before,
     Call,
@@ -23,7 +21,9 @@
     Tried,
     Verdict,
 )
-from tests.rollout.helpers import NEW, OLD, World, a_plan
+from firvane.proxy.rollout.state_machine import RollStateMachine
+from firvane.proxy.rollout.transitions import FORWARD, STAYS, TABLE, transitions
+from tests.proxy.rollout.helpers import NEW, OLD, World, a_plan
 
 NAMES = st.integers(0, 5).map("p{}".format)
 
--- a/tests/rollout/test_trial.py
+++ b/tests/proxy/rollout/test_trial.py
@@ -4,9 +4,9 @@
 
 import sys
 
-from firvane.rollout.plan import Version
-from firvane.rollout.trial import trial
-from tests.net_helpers import run
+from firvane.proxy.rollout.plan import Version
+from firvane.proxy.rollout.trial_start import trial
+from tests.proxy.net.helpers import run
 
 # A version that tries for its operators' door as anybody else would before it takes that itself.
 PROGRAM = """
--- a/tests/routing/samples.py
+++ b/tests/proxy/routing/samples.py
@@ -8,9 +8,9 @@
 from typing import Any
 from zlib import crc32
 
-from firvane import interface as api
-from firvane.routing.ring import POINTS, SPREAD, UNIT
-from firvane.state import Backend, mix
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.routing.hash_ring import POINTS, SPREAD, UNIT
 
 KEYS = [mix(number, 4711) for number in range(20_000)]
 
--- a/tests/routing/test_walk.py
+++ b/tests/proxy/routing/test_bounded_load.py
@@ -5,10 +5,10 @@
 from collections import Counter
 from itertools import islice
 
-from firvane.routing.ring import Ring
-from firvane.routing.walk import NAMED, SMALL, walk
-from firvane.state import Backend, mix
-from tests.routing.samples import KEYS, box, fleet, operations
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.routing.bounded_load import NAMED, SMALL, walk
+from firvane.proxy.routing.hash_ring import Ring
+from tests.proxy.routing.samples import KEYS, box, fleet, operations
 
 
 def ring_of(servers: list[Backend]) -> Ring:
--- a/tests/routing/test_ring.py
+++ b/tests/proxy/routing/test_hash_ring.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.routing.ring import POINTS, Ring
-from firvane.state import Backend
-from tests.net_helpers import seeded
-from tests.routing.samples import KEYS, box, fleet, operations, plain_ring
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.hash_ring import POINTS, Ring
+from tests.proxy.net.helpers import seeded
+from tests.proxy.routing.samples import KEYS, box, fleet, operations, plain_ring
 
 
 def ring_of(servers: list[Backend]) -> Ring:
--- a/tests/routing/test_index.py
+++ b/tests/proxy/routing/test_index.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.routing.index import UNIT, Index
-from firvane.state import Backend
-from tests.net_helpers import seeded
-from tests.routing.samples import KEYS, box, operations
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.index import UNIT, Index
+from tests.proxy.net.helpers import seeded
+from tests.proxy.routing.samples import KEYS, box, operations
 
 spans = st.sampled_from([0.0, 0.0, 0.0, 0.05, 0.4, inf])
 notes = st.tuples(
--- a/tests/routing/test_pick.py
+++ b/tests/proxy/routing/test_pick.py
@@ -1,6 +1,6 @@
 """A decision with the structures against the plain one over all servers of the slice.
 
-`python -m tests.routing.test_pick FIRST COUNT` plays as many histories as one likes, from that seed on.
+`python -m tests.proxy.routing.test_pick FIRST COUNT` plays as many histories as one likes, from that seed on.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 
 from benchmarks.routing import model, route
 from benchmarks.routing_model import CAP, Model, power
-from firvane.routing.walk import SMALL
-from firvane.state import Backend, mix
-from tests.routing.samples import box, operations
+from firvane.core.balancing.records import Backend, mix
+from firvane.proxy.routing.bounded_load import SMALL
+from tests.proxy.routing.samples import box, operations
 
 
 def plain_pick(
--- a/tests/routing/test_rows.py
+++ b/tests/proxy/routing/test_row_codec.py
@@ -10,13 +10,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.routing.heard import FORGOTTEN, MOST, Heard
-from firvane.routing.names import Names, long_name
-from firvane.routing.rows import ASK, KNOWS, LARGEST, Head, Teller, pack_new, pack_old, unpack
-from firvane.routing.send_schedule import ALL, FAR, NEAR, ROUND, SILENT, SendSchedule
-from firvane.state import Backend
-from tests.net_helpers import garbage, seeded
-from tests.routing.samples import box, fleet, operations
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.peer_load import FORGOTTEN, MOST, Heard
+from firvane.proxy.routing.row_codec import ASK, KNOWS, LARGEST, Head, Teller, pack_new, pack_old, unpack
+from firvane.proxy.routing.send_schedule import ALL, FAR, NEAR, ROUND, SILENT, SendSchedule
+from firvane.proxy.routing.server_names import Names, long_name
+from tests.proxy.net.helpers import garbage, seeded
+from tests.proxy.routing.samples import box, fleet, operations
 
 HEAD = Head(ASK, 2, 1_700_000_000_123, 70_000, 12.5, 30.0, 31.0, 99.0, 41)
 
--- a/tests/routing/test_subset.py
+++ b/tests/proxy/routing/test_subset.py
@@ -9,11 +9,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.routing.ring import Ring
-from firvane.routing.subset import TEAM, Deal, Dealer, reach, some
-from firvane.state import Backend
-from tests.net_helpers import seeded
-from tests.routing.samples import KEYS, box, fleet, operations
+from firvane.core.balancing.records import Backend
+from firvane.proxy.routing.hash_ring import Ring
+from firvane.proxy.routing.subset import TEAM, Deal, Dealer, reach, some
+from tests.proxy.net.helpers import seeded
+from tests.proxy.routing.samples import KEYS, box, fleet, operations
 
 LIMIT = 128
 
--- a/tests/routing/test_wheel.py
+++ b/tests/proxy/routing/test_timer_wheel.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.routing.wheel import FEWEST, Wheel
-from tests.net_helpers import seeded
-from tests.routing.samples import operations
+from firvane.proxy.routing.timer_wheel import FEWEST, Wheel
+from tests.proxy.net.helpers import seeded
+from tests.proxy.routing.samples import operations
 
 RESOLUTION = 0.005
 steps = st.lists(
--- a/tests/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -7,11 +7,11 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.routing.index import UNIT
+from firvane.core import interface as api
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.routing.index import UNIT
 from tests.helpers import changes, full_list, outcome, sends, settings
-from tests.routing.samples import KEYS
+from tests.proxy.routing.samples import KEYS
 
 
 def entries(random: Random, names: list[str]) -> list[api.Server]:
--- a/tests/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -16,15 +16,24 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
 from firvane.cli import main
-from firvane.recovery.recovery import Recovery
-from firvane.recovery.steps import MOST_FIRST
-from firvane.rooms.evidence import Evidence
-from firvane.snapshots import format
-from firvane.snapshots.file import Keeper, read
-from firvane.snapshots.types import FORMAT, HALF_ROOM, HALF_SCALE, OLDEST, TRUST, Box, Snapshot, remembered
-from firvane.state import Backend
+from firvane.core import interface as api
+from firvane.core.balancing.records import Backend
+from firvane.proxy.capacity.backend_estimates import Evidence
+from firvane.proxy.recovery.recovery import Recovery
+from firvane.proxy.recovery.steps import MOST_FIRST
+from firvane.proxy.snapshots import format
+from firvane.proxy.snapshots.file import Keeper, read
+from firvane.proxy.snapshots.types import (
+    FORMAT,
+    HALF_ROOM,
+    HALF_SCALE,
+    OLDEST,
+    TRUST,
+    Box,
+    Snapshot,
+    remembered,
+)
 from tests.helpers import settings as made
 
 NOW = 1.8e9
@@ -35,9 +44,9 @@
 )  # fmt: skip
 WRITER = """
 import sys
-from firvane.logs import QUIET
-from firvane.snapshots.file import Keeper
-from firvane import interface as api
+from firvane.core.logs import QUIET
+from firvane.proxy.snapshots.file import Keeper
+from firvane.core import interface as api
 keeper = Keeper(sys.argv[1], "p", QUIET, aside=lambda work: work())
 print("up", flush=True)
 n = 0
--- a/tests/test_choice.py
+++ b/tests/proxy/test_balancer.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.choice import MAX_ENTRIES, WINDOW, Balancer, forecast
-from firvane.rooms.cold import BOLD_ALL
-from firvane.routing.pairs import pair
-from firvane.state import ENTRY, ROW, Job, unpack
+from firvane.core import interface as api
+from firvane.core.balancing.greedy_pairing import pair
+from firvane.core.balancing.records import ENTRY, ROW, Job, unpack
+from firvane.proxy.balancer import MAX_ENTRIES, WINDOW, Balancer, forecast
+from firvane.proxy.capacity.slow_start import BOLD_ALL
 from tests.helpers import (
     CLASSES,
     RULES,
--- a/tests/test_limits.py
+++ b/tests/proxy/test_decision_module.py
@@ -2,8 +2,16 @@
 
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
-MODULE = (ROOT / "firvane" / "choice.py").read_text()
+ROOT = Path(__file__).parent.parent.parent
+CHECKED = (
+    "firvane/**/*.py",
+    "tests/*.py",
+    "tests/core/**/*.py",
+    "tests/proxy/*.py",
+    "tests/proxy/config/*.py",
+    "tests/proxy/net/*.py",
+)
+MODULE = (ROOT / "firvane" / "proxy" / "balancer.py").read_text()
 
 
 def test_module_is_short() -> None:
@@ -11,7 +19,7 @@
 
 
 def test_lines_are_short() -> None:
-    for path in (*ROOT.glob("firvane/**/*.py"), *ROOT.glob("tests/*.py")):
+    for path in (file for pattern in CHECKED for file in ROOT.glob(pattern)):
         assert all(len(line) <= 110 for line in path.read_text().splitlines()), path
 
 
--- a/tests/ops/test_measures.py
+++ b/tests/proxy/test_metrics.py
@@ -9,13 +9,14 @@
 import pytest
 from msgspec import structs
 
-from firvane import logs, measures
-from firvane.emulation.records import Answered, Record
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.net.guard import Usage
-from firvane.ops.calls import Asked, Call
-from firvane.proxy import Proxy
-from firvane.rehearsal import run, tier, virtual_proxy
+from firvane.core import logs
+from firvane.proxy import metrics
+from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.net.resource_monitor import Usage
+from firvane.proxy.proxy import Proxy
+from firvane.simulation.emulation.records import Answered, Record
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.runner import run, tier, virtual_proxy
 
 # For a while more than the boxes can do, and connections that break: answers of all kinds.
 DAY = Scenario(
@@ -85,7 +86,7 @@
 
 @pytest.mark.parametrize(("part", "get"), [("unseen", True), ("failed", False)])
 def test_a_count_that_is_left_out_is_found(monkeypatch: pytest.MonkeyPatch, part: str, get: bool) -> None:
-    where: Any = measures.Measures if part == "unseen" else measures.Counted
+    where: Any = metrics.Measures if part == "unseen" else metrics.Counted
     passed_on = (lambda *args: None) if part == "unseen" else (lambda counted: counted.client.failed())
     monkeypatch.setattr(where, part, passed_on)
     assert not agrees(*played(monkeypatch, get=get))
@@ -95,12 +96,12 @@
     ("latency", "number"), [(0.0, 0), (1e-6, 0), (2e-6, 8), (0.0010239999, 79), (0.001024, 80), (2.5, 170)]
 )
 def test_buckets_are_eight_to_a_doubling(latency: float, number: int) -> None:
-    assert measures.bucket(latency) == number
+    assert metrics.bucket(latency) == number
 
 
 def test_errors_are_counted_whoever_the_log_is_bound_to() -> None:
     lines: list[str] = []
-    log = measures.Errors(logs.make("error", write=lines.append, wall=lambda: 0.0))
+    log = metrics.Errors(logs.make("error", write=lines.append, wall=lambda: 0.0))
     bound = log.bind(proxy="p").bind(flow=1)
     bound.warning("odd")
     bound.error("bad")
--- a/tests/test_native.py
+++ b/tests/proxy/test_native.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from firvane import native
-from tests.test_benchlink import PARAMS, batch
+from firvane.proxy import native
+from tests.proxy.test_simulator_adapter import PARAMS, batch
 
 ROOT = Path(native.ROOT)
 FORM = Path(native.place()) / native.digest()
@@ -41,7 +41,7 @@
 
 def histories() -> str:
     """A digest of all that the decisions do over drawn events: exact to the last bit of each number."""
-    from tests.test_rules import CONFIGS, drive
+    from tests.proxy.test_rules import CONFIGS, drive
 
     seen = hashlib.sha256()
     for seed in range(10):
@@ -59,7 +59,7 @@
 
 def whole_run() -> str:
     """The hash of a rehearsal with troubles of all kinds: every byte of real proxies in virtual time."""
-    from tests.rehearsal.test_run import ROUGH, hashed
+    from tests.simulation.runner.test_run import ROUGH, hashed
 
     return hashed(ROUGH, 3)
 
@@ -74,7 +74,7 @@
 
 
 ALONE = """
-from firvane import native
+from firvane.proxy import native
 on = native.activate().on
 from tests import test_native
 print(on, test_native.{}())
@@ -93,8 +93,8 @@
 
 @compiled
 def test_the_wire_says_the_same_compiled() -> None:
-    there, said = python("-m", "firvane.benchlink", told=wire())
-    here, other = python("-m", "firvane.benchlink", told=wire(), FIRVANE_NATIVE="0")
+    there, said = python("-m", "firvane.proxy.simulator_adapter", told=wire())
+    here, other = python("-m", "firvane.proxy.simulator_adapter", told=wire(), FIRVANE_NATIVE="0")
     assert "native on=true" in said and "native on=false" in other
     assert there == here and "issue" in there
 
@@ -102,17 +102,17 @@
 @compiled
 def test_a_fault_in_compiled_code_is_told_with_its_lines() -> None:
     code = (
-        "from firvane import native; assert native.activate().on\n"
-        "from firvane.choice import Balancer\n"
+        "from firvane.proxy import native; assert native.activate().on\n"
+        "from firvane.proxy.balancer import Balancer\n"
         "from tests.helpers import settings\n"
-        "from firvane import interface as api\n"
+        "from firvane.core import interface as api\n"
         "import traceback\n"
         "balancer = Balancer(settings(), 1, 0.0)\n"
         "try: balancer.handle(api.Request(1, 99, 1.0), 0.0)\n"
         "except IndexError: traceback.print_exc()\n"
     )
     told = python("-c", code)[1]
-    assert 'firvane/choice.py", line ' in told and "in on_request" in told
+    assert 'firvane/proxy/balancer.py", line ' in told and "in on_request" in told
     assert "self.settings.classes[request.cls]" in told
 
 
@@ -132,7 +132,7 @@
 def why(root: Path, **environment: str) -> str:
     """What a program that starts there says, after a whole batch on the interpreted decisions."""
     answers, said = python(
-        "-m", "firvane.benchlink", root=root, told=wire(), PYTHONPATH=str(root), **environment
+        "-m", "firvane.proxy.simulator_adapter", root=root, told=wire(), PYTHONPATH=str(root), **environment
     )
     assert all(json.loads(line)["actions"] for line in answers.splitlines()[:1])
     assert "native on=false" in said
@@ -144,7 +144,7 @@
     assert "FIRVANE_NATIVE=0" in why(checkout, FIRVANE_NATIVE="0")
 
 
-@pytest.mark.parametrize("name", [*native.RECIPE, "firvane/choice.py"])
+@pytest.mark.parametrize("name", [*native.RECIPE, "firvane/proxy/balancer.py"])
 def test_a_form_of_other_sources_is_never_used(checkout: Path, name: str) -> None:
     with open(checkout / name, "a") as file:
         file.write("\n")
--- a/tests/test_program.py
+++ b/tests/proxy/test_program.py
@@ -14,8 +14,8 @@
 import pytest
 
 from firvane.__main__ import main, read_config
-from tests.net_helpers import endpoint, run
-from tests.test_benchlink import PARAMS
+from tests.proxy.net.helpers import endpoint, run
+from tests.proxy.test_simulator_adapter import PARAMS
 
 # Classes whose requests a busy machine has time for: nothing is judged by how long an answer took.
 PATIENT = [{**cls, "give-up-ns": 60_000_000_000} for cls in PARAMS["classes"]]
--- a/tests/test_rules.py
+++ b/tests/proxy/test_rules.py
@@ -14,8 +14,8 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from firvane import interface as api
-from firvane.choice import Balancer
+from firvane.core import interface as api
+from firvane.proxy.balancer import Balancer
 from tests.helpers import CLASSES, RULES, full_list, server, settings
 
 NEVER_RAN = {api.Result.FULL, api.Result.NO_PLACE, api.Result.CONNECT_FAILED, api.Result.MOOT}
@@ -209,7 +209,7 @@
 
 def test_same_events_same_actions_whatever_the_hash_seed() -> None:
     code = (
-        "import hashlib, random; from tests.test_rules import CONFIGS, drive;"
+        "import hashlib, random; from tests.proxy.test_rules import CONFIGS, drive;"
         "print(hashlib.sha256(repr([drive(random.Random(s), 300, c) for c in CONFIGS for s in (1, 2)])"
         ".encode()).hexdigest())"
     )
--- a/tests/test_retune.py
+++ b/tests/proxy/test_settings_reload.py
@@ -11,15 +11,15 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.config.platform import read_config
-from firvane.logs import QUIET
-from firvane.net.http import Fault, Message
-from firvane.proxy import Proxy
-from firvane.retune import merged, retired
+from firvane.core import interface as api
+from firvane.core.logs import QUIET
+from firvane.core.net.http import Fault, Message
+from firvane.proxy.config.platform import read_config
+from firvane.proxy.proxy import Proxy
+from firvane.proxy.settings_reload import merged, retired
 from tests.helpers import settings
-from tests.net_helpers import PAY, READ, run
-from tests.test_program import config
+from tests.proxy.net.helpers import PAY, READ, run
+from tests.proxy.test_program import config
 
 
 def test_a_number_stands_for_one_class_as_long_as_the_process_lives() -> None:
--- a/tests/test_benchlink.py
+++ b/tests/proxy/test_simulator_adapter.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from firvane import interface as api
-from firvane.benchlink import Link, serve
-from firvane.settings import parse_settings
+from firvane.core import interface as api
+from firvane.proxy.settings import parse_settings
+from firvane.proxy.simulator_adapter import Link, serve
 
 PARAMS: dict[str, Any] = {
     "me": 0,
--- a/tests/rig/test_answers.py
+++ b/tests/rig/test_answers.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 
 from benchmarks.rig.answers import Answer, Answers
-from tests.net_helpers import cut, garbage, places, seeded
+from tests.proxy.net.helpers import cut, garbage, places, seeded
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nX-Other: 9\r\n\r\nhello"
 INTERIM = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/tests/rig/test_figures.py
+++ b/tests/rig/test_figures.py
@@ -10,7 +10,7 @@
 from benchmarks.rig.proxy import LAG, WEIGHT_STEP, Limits, settings
 from benchmarks.rig.soak import Soak
 from benchmarks.rig.watch import Watch
-from firvane.settings import parse_settings
+from firvane.proxy.settings import parse_settings
 
 
 def row(**more: Any) -> dict[str, Any]:
--- a/tests/rig/test_load.py
+++ b/tests/rig/test_load.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from benchmarks.rig.load import Load, Phase, Spec, schedule
-from tests.net_helpers import run
+from tests.proxy.net.helpers import run
 
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[bool]]
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
--- a/tests/rig/test_scene.py
+++ b/tests/rig/test_scene.py
@@ -9,7 +9,7 @@
 from benchmarks.rig import memory, scene
 from benchmarks.rig.procs import ROOT, Cores
 from benchmarks.rig.proxy import Limits
-from tests.net_helpers import HANG
+from tests.proxy.net.helpers import HANG
 
 
 def run(work: Coroutine[Any, Any, dict[str, Any]]) -> dict[str, Any]:
--- a/tests/rig/test_stand_ins.py
+++ b/tests/rig/test_stand_ins.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from benchmarks.rig.answers import Answers
-from benchmarks.rig.boxes import FLOOD, Box, Fleet
+from benchmarks.rig.backends import FLOOD, Box, Fleet
 from benchmarks.rig.discovery import Agent
-from tests.net_helpers import run
+from tests.proxy.net.helpers import run
 
 
 async def ask(port: int, query: bytes, size: int) -> bytes:
--- a/tests/signal_masks.py
+++ b/tests/signal_masks.py
@@ -5,8 +5,8 @@
 import signal
 from pathlib import Path
 
-from firvane.localfleet.signal_state import SignalField, signals_in
-from firvane.process_signals import SIGNALS
+from firvane.core.process_signals import SIGNALS
+from firvane.simulation.localfleet.signal_state import SignalField, signals_in
 
 
 def blocked_signals(status: str) -> set[signal.Signals]:
--- a/tests/emulation/histories.py
+++ b/tests/simulation/emulation/histories.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from typing import Any
 
-from firvane.emulation import records as r
-from firvane.emulation.judge import Judge
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.verdict import Breach, Grade, Rule
+from firvane.simulation.emulation import records as r
+from firvane.simulation.emulation.judge import Judge
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.verdict import Breach, Grade, Rule
 
 REPLAY = "firvane rehearse some --virtual --seed 7"
 SOME = Scenario(name="some", seconds=30.0, warm_up_s=0.0)
--- a/tests/emulation/test_box.py
+++ b/tests/simulation/emulation/test_backend.py
@@ -10,9 +10,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.emulation.box import Box, Done, End
-from firvane.emulation.scenario import Boxes, Kind
-from tests.net_helpers import seeded
+from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.scenario import Boxes, Kind
+from tests.proxy.net.helpers import seeded
 
 KIND = Kind(name="plain", share=1.0, cores=2, speed=(1.0, 1.0))
 PLAIN = Boxes(
--- a/tests/emulation/test_crowd.py
+++ b/tests/simulation/emulation/test_clients.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.emulation.crowd import Crowd, Try
-from firvane.emulation.scenario import Load, Network, Proxies, Retries
-from tests.net_helpers import seeded
+from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.scenario import Load, Network, Proxies, Retries
+from tests.proxy.net.helpers import seeded
 
 
 def crowd(load: Load | None = None, seed: int = 1, proxies: int = 3) -> Crowd:
--- a/tests/emulation/test_compare.py
+++ b/tests/simulation/emulation/test_compare.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from firvane.emulation.compare import Difference, differences, interval, student
-from firvane.emulation.figures import ServiceResult
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.service import Service
+from firvane.simulation.emulation.compare import Difference, differences, interval, student
+from firvane.simulation.emulation.metrics import ServiceResult
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.service import Service
 
 
 def run(series: list[float]) -> ServiceResult:
--- a/tests/emulation/test_epochs.py
+++ b/tests/simulation/emulation/test_epochs.py
@@ -9,10 +9,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.emulation.epochs import Epochs
-from firvane.emulation.records import Abandoned, Decided, InUse, Proposed, Record, Said, Shaded
-from firvane.emulation.verdict import Findings, Grade, Rule
-from tests.emulation.histories import arrived, asked, in_order, proxy
+from firvane.simulation.emulation.epochs import Epochs
+from firvane.simulation.emulation.records import Abandoned, Decided, InUse, Proposed, Record, Said, Shaded
+from firvane.simulation.emulation.verdict import Findings, Grade, Rule
+from tests.simulation.emulation.histories import arrived, asked, in_order, proxy
 
 NAMES = tuple(f"p{number}" for number in range(5))
 SLACK, CHANGE, END = 0.4, 20.0, 60.0
--- a/tests/emulation/test_judge.py
+++ b/tests/simulation/emulation/test_judge.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from firvane.emulation.judge import Judge
-from firvane.emulation.leaks import Floors
-from firvane.emulation.records import Abandoned, Asked, Dropped, Record, Sent, Used
-from firvane.emulation.scenario import Load, Network, Scenario
-from firvane.emulation.verdict import SHOWN, Grade, Rule
-from tests.emulation.histories import (
+from firvane.simulation.emulation.judge import Judge
+from firvane.simulation.emulation.leaks import Floors
+from firvane.simulation.emulation.records import Abandoned, Asked, Dropped, Record, Sent, Used
+from firvane.simulation.emulation.scenario import Load, Network, Scenario
+from firvane.simulation.emulation.verdict import SHOWN, Grade, Rule
+from tests.simulation.emulation.histories import (
     REPLAY,
     SOME,
     answered,
--- a/tests/emulation/test_network.py
+++ b/tests/simulation/emulation/test_network.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.emulation.network import Links
-from firvane.emulation.registry import Change, Registry
-from firvane.emulation.scenario import Network
-from tests.net_helpers import seeded
+from firvane.simulation.emulation.network import Links
+from firvane.simulation.emulation.registry import Change, Registry
+from firvane.simulation.emulation.scenario import Network
+from tests.proxy.net.helpers import seeded
 
 
 def test_ways_are_alike_in_both_directions_and_cuts_add_up() -> None:
--- a/tests/emulation/test_reference.py
+++ b/tests/simulation/emulation/test_reference.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from firvane.emulation.box import Box
-from firvane.emulation.reference import Reference
-from firvane.emulation.scenario import Boxes, Load, Scenario, Trouble
-from firvane.rehearsal.run import rehearse
+from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.reference import Reference
+from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
+from firvane.simulation.runner.run import rehearse
 
 POWER = Trouble(kind="power", at_s=4.0, for_s=2.0, part=1.0)
 
--- a/tests/emulation/test_service.py
+++ b/tests/simulation/emulation/test_service.py
@@ -9,12 +9,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.emulation import records as r
-from firvane.emulation.figures import ServiceResult
-from firvane.emulation.scenario import Scenario
-from firvane.emulation.service import Service
-from tests.emulation.histories import answered, arrived, asked, box, finished, in_order
-from tests.net_helpers import seeded
+from firvane.simulation.emulation import records as r
+from firvane.simulation.emulation.metrics import ServiceResult
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.emulation.service import Service
+from tests.proxy.net.helpers import seeded
+from tests.simulation.emulation.histories import answered, arrived, asked, box, finished, in_order
 
 DAY = Scenario(name="day", seconds=16.0, warm_up_s=2.5)
 
--- a/tests/emulation/test_timeline.py
+++ b/tests/simulation/emulation/test_timeline.py
@@ -12,11 +12,11 @@
 from hypothesis import strategies as st
 
 from benchmarks.fleet import asked, fleet, serve
-from firvane.emulation.draw import KINDS, balance, draw
-from firvane.emulation.scenario import Boxes, Scenario, Trouble, TroubleKind
-from firvane.emulation.scenarios import load_named, scenario_names
-from firvane.emulation.timeline import Action, Step, Timeline
-from tests.net_helpers import seeded
+from firvane.simulation.emulation.random_scenarios import KINDS, balance, draw
+from firvane.simulation.emulation.scenario import Boxes, Scenario, Trouble, TroubleKind
+from firvane.simulation.emulation.scenarios import load_named, scenario_names
+from firvane.simulation.emulation.timeline import Action, Step, Timeline
+from tests.proxy.net.helpers import seeded
 
 
 def plan(*troubles: Trouble, boxes: int = 14) -> Timeline:
--- a/tests/localfleet/test_batch.py
+++ b/tests/simulation/localfleet/test_batch.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.localfleet.batch import (
+from firvane.simulation.localfleet.batch import (
     Batch,
     Job,
     Output,
@@ -20,8 +20,8 @@
     event_count,
     tokens_within,
 )
-from firvane.localfleet.profiles import ServerProfile
-from firvane.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.profiles import ServerProfile
+from firvane.simulation.localfleet.prompts import Prompt, PromptPart
 
 PROFILE = ServerProfile(
     slots=2,
--- a/tests/localfleet/test_command.py
+++ b/tests/simulation/localfleet/test_command.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from firvane.localfleet import run
-from firvane.localfleet.command import BAD_USAGE, fleet
+from firvane.simulation.localfleet import run
+from firvane.simulation.localfleet.command import BAD_USAGE, fleet
 
 TIME_LIMIT = 60.0  # s, only for a run that hangs
 
@@ -19,7 +19,7 @@
 def test_a_small_fleet_serves_everything(tmp_path: Path) -> None:
     """One run with a kill of the configuration's owner; it leaves no process and no folder behind."""
     figures = tmp_path / "figures.json"
-    command = [sys.executable, "-m", "firvane.localfleet", "--routers", "2", "--controllers", "1"]
+    command = [sys.executable, "-m", "firvane.simulation.localfleet", "--routers", "2", "--controllers", "1"]
     command += ["--backends", "2", "--seconds", "2.5", "--kill", "owner@0.3", "--json", str(figures)]
     done = subprocess.run(
         command,
--- a/tests/localfleet/test_event_stream.py
+++ b/tests/simulation/localfleet/test_event_stream.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.localfleet.event_stream import StreamCheck, StreamError, StreamEvent, parse_event
+from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError, StreamEvent, parse_event
 
 DIGEST = 0xC0FFEE
 
--- a/tests/localfleet/test_ingress.py
+++ b/tests/simulation/localfleet/test_ingress.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane.localfleet.ingress import Ingress
+from firvane.simulation.localfleet.ingress import Ingress
 
 ROUTERS = [(f"127.0.0.{number}", 80) for number in range(1, 5)]
 
--- a/tests/localfleet/test_instance_list.py
+++ b/tests/simulation/localfleet/test_instance_list.py
@@ -4,8 +4,8 @@
 
 import json
 
-from firvane.discovery.pages import CompleteList, Fetch, PageWalk
-from firvane.localfleet.instance_list import InstanceList, ListedInstance, ListedState
+from firvane.fleet.discovery.pages import CompleteList, Fetch, PageWalk
+from firvane.simulation.localfleet.instance_list import InstanceList, ListedInstance, ListedState
 
 LAG = 0.8
 
--- a/tests/localfleet/test_lagged_report.py
+++ b/tests/simulation/localfleet/test_lagged_report.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from firvane.localfleet.lagged_report import LaggedReport
+from firvane.simulation.localfleet.lagged_report import LaggedReport
 
 
 def test_the_report_shows_what_was() -> None:
--- a/tests/localfleet/test_layout.py
+++ b/tests/simulation/localfleet/test_layout.py
@@ -7,16 +7,16 @@
 import pytest
 import yaml
 
-from firvane.localfleet.layout import DaemonRole, Node, Ports, make_layout
-from firvane.localfleet.settings_files import PlatformTerms, settings_document, write_settings
-from firvane.localfleet.stand_ins import example_layout
-from firvane.localfleet.troubles import Kill, TroubleError, parse_kill
 from firvane.programs.controller import controller_options
 from firvane.programs.router import router_settings
 from firvane.programs.settings import load_settings
+from firvane.simulation.localfleet.faults import Kill, TroubleError, parse_kill
+from firvane.simulation.localfleet.layout import DaemonRole, Node, Ports, make_layout
+from firvane.simulation.localfleet.settings_files import PlatformTerms, settings_document, write_settings
+from firvane.simulation.localfleet.stand_ins import example_layout
 
 LAYOUT = make_layout(5, 4, Ports(20_000))
-EXAMPLES = Path(__file__).parents[2] / "deploy" / "fleet.example"
+EXAMPLES = Path(__file__).parents[3] / "deploy" / "fleet.example"
 
 
 def test_each_process_has_an_address_of_its_own() -> None:
--- a/tests/localfleet/test_figures.py
+++ b/tests/simulation/localfleet/test_metrics.py
@@ -5,19 +5,19 @@
 import dataclasses
 import json
 
-from firvane.localfleet.config_operator import OperatorRecord
-from firvane.localfleet.daemons import parse_usage, problems_in_log
-from firvane.localfleet.figures import (
+from firvane.simulation.localfleet.config_operator import OperatorRecord
+from firvane.simulation.localfleet.daemons import parse_usage, problems_in_log
+from firvane.simulation.localfleet.metrics import (
     DaemonFigures,
     RouterKill,
     RunFigures,
     class_figures,
     percentiles,
 )
-from firvane.localfleet.outcomes import Outcome, RequestRecord
-from firvane.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
-from firvane.localfleet.report_text import render
-from firvane.localfleet.retries import TryEnd, TryResult
+from firvane.simulation.localfleet.outcomes import Outcome, RequestRecord
+from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
+from firvane.simulation.localfleet.report_text import render
+from firvane.simulation.localfleet.retries import TryEnd, TryResult
 
 ROUTER = ("127.0.0.101", 80)
 
--- a/tests/localfleet/test_model_server.py
+++ b/tests/simulation/localfleet/test_model_server.py
@@ -7,14 +7,14 @@
 from collections.abc import AsyncIterator, Mapping
 from contextlib import asynccontextmanager
 
-from firvane.localfleet.event_stream import StreamCheck, parse_event
-from firvane.localfleet.http_client import ClientConnection, Response, fetch
-from firvane.localfleet.instance_list import ListedInstance
-from firvane.localfleet.layout import find_free_ports
-from firvane.localfleet.model_connection import ServerState
-from firvane.localfleet.model_server import ModelServer
-from firvane.localfleet.profiles import ServerProfile
-from firvane.localfleet.run_ledger import ServerRecords
+from firvane.simulation.localfleet.event_stream import StreamCheck, parse_event
+from firvane.simulation.localfleet.http_client import ClientConnection, Response, fetch
+from firvane.simulation.localfleet.instance_list import ListedInstance
+from firvane.simulation.localfleet.layout import find_free_ports
+from firvane.simulation.localfleet.model_connection import ServerState
+from firvane.simulation.localfleet.model_server import ModelServer
+from firvane.simulation.localfleet.profiles import ServerProfile
+from firvane.simulation.localfleet.run_ledger import ServerRecords
 
 QUICK = ServerProfile(slots=1, queue=1, step_ms=0.5, connection_limit=3)
 SLOW = ServerProfile(slots=1, queue=0, step_ms=60_000.0)
--- a/tests/localfleet/test_operator_calls.py
+++ b/tests/simulation/localfleet/test_operator_calls.py
@@ -7,12 +7,12 @@
 
 import pytest
 
-from firvane.configuration.codes import ResultCode
-from firvane.configuration.orders import Order, OrderKind, Result
-from firvane.configuration.state import ConfigurationState
-from firvane.localfleet.configurations import Configurations
-from firvane.localfleet.operator_calls import CallEnded, OperatorCall, SendTo
-from firvane.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS, ServerProfile
+from firvane.fleet.configuration.codes import ResultCode
+from firvane.fleet.configuration.orders import Order, OrderKind, Result
+from firvane.fleet.configuration.state import ConfigurationState
+from firvane.simulation.localfleet.configurations import Configurations
+from firvane.simulation.localfleet.operator_calls import CallEnded, OperatorCall, SendTo
+from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS, ServerProfile
 
 A, B, C = (("127.0.0.1", 80), ("127.0.0.2", 80), ("127.0.0.3", 80))
 
@@ -93,7 +93,7 @@
 
 
 def test_the_example_is_the_first_configuration() -> None:
-    example = Path(__file__).parents[2] / "deploy" / "fleet.example" / "configuration.json"
+    example = Path(__file__).parents[3] / "deploy" / "fleet.example" / "configuration.json"
     order = Configurations((LONG_PROMPTS, SHORT_PROMPTS), ServerProfile()).first()
     assert json.loads(example.read_text()) == json.loads(order.body)
 
--- a/tests/localfleet/test_prompts.py
+++ b/tests/simulation/localfleet/test_prompts.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.localfleet.prompts import Prompt, PromptError, PromptPart, parse_prompt
+from firvane.simulation.localfleet.prompts import Prompt, PromptError, PromptPart, parse_prompt
 
 PARTS = st.lists(st.builds(PromptPart, st.integers(0, 2**32 - 1), st.integers(1, 100_000)), max_size=64)
 
--- a/tests/localfleet/test_retries.py
+++ b/tests/simulation/localfleet/test_retries.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from firvane.localfleet.retries import PAUSE, TryEnd, TryResult, retry_pause
+from firvane.simulation.localfleet.retries import PAUSE, TryEnd, TryResult, retry_pause
 
 
 def answered(status: int, retry_after: float | None = None) -> TryResult:
--- a/tests/localfleet/test_run_ledger.py
+++ b/tests/simulation/localfleet/test_run_ledger.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from firvane.localfleet.prompts import PromptPart
-from firvane.localfleet.run_ledger import ReadingLedger, Run, SentTry, Verdict, fingerprint, judge
+from firvane.simulation.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.run_ledger import ReadingLedger, Run, SentTry, Verdict, fingerprint, judge
 
 MARK = 7
 
--- a/tests/localfleet/test_schedule.py
+++ b/tests/simulation/localfleet/test_schedule.py
@@ -4,9 +4,9 @@
 
 import dataclasses
 
-from firvane.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
-from firvane.localfleet.prompts import parse_prompt
-from firvane.localfleet.schedule import draw_schedule
+from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
+from firvane.simulation.localfleet.prompts import parse_prompt
+from firvane.simulation.localfleet.schedule import draw_schedule
 
 KINDS = (LONG_PROMPTS, SHORT_PROMPTS)
 
--- a/tests/localfleet/test_signal_state.py
+++ b/tests/simulation/localfleet/test_signal_state.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from firvane.localfleet.signal_state import SignalField, signals_in, survives
+from firvane.simulation.localfleet.signal_state import SignalField, signals_in, survives
 
 STATUS = "Name:\tx\nSigBlk:\t0000000000004001\nSigIgn:\t0000000000000000\nSigCgt:\t0000000000000002\n"
 DEALS = {
--- a/tests/localfleet/test_signals.py
+++ b/tests/simulation/localfleet/test_signals.py
@@ -10,10 +10,10 @@
 import signal
 from pathlib import Path
 
-from firvane.localfleet.daemons import Daemon
-from firvane.localfleet.layout import find_free_ports, make_layout
-from firvane.localfleet.settings_files import PlatformTerms
-from firvane.process_signals import SIGNALS
+from firvane.core.process_signals import SIGNALS
+from firvane.simulation.localfleet.daemons import Daemon
+from firvane.simulation.localfleet.layout import find_free_ports, make_layout
+from firvane.simulation.localfleet.settings_files import PlatformTerms
 from tests.signal_masks import blocked_by_thread
 
 TIME_LIMIT = 30.0  # s, only for a run that hangs
--- a/tests/localfleet/test_token_memory.py
+++ b/tests/simulation/localfleet/test_token_memory.py
@@ -5,8 +5,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.localfleet.prompts import PromptPart
-from firvane.localfleet.token_memory import TokenMemory
+from firvane.simulation.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.token_memory import TokenMemory
 
 A, B, C = PromptPart(1, 100), PromptPart(2, 50), PromptPart(3, 80)
 
--- a/tests/rehearsal/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -14,19 +14,19 @@
 from typing import Any, NamedTuple
 from unittest.mock import patch
 
-from firvane import interface as api
-from firvane.choice import Balancer
-from firvane.config import platform
-from firvane.emulation.scenario import Boxes, Load, Scenario, Trouble
-from firvane.emulation.verdict import Grade, Rule
-from firvane.engine import Engine
-from firvane.net import forward, peers
-from firvane.net.forward import Forwards
-from firvane.net.front import Front
-from firvane.net.listener import Listener
-from firvane.net.peers import Peers
-from firvane.proxy import Proxy
-from firvane.rooms.evidence import Evidence
+from firvane.core import interface as api
+from firvane.core.engine import Engine
+from firvane.proxy.balancer import Balancer
+from firvane.proxy.capacity.backend_estimates import Evidence
+from firvane.proxy.config import platform
+from firvane.proxy.net import peer_datagrams, upstream_pool
+from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.net.connection_limiter import Front
+from firvane.proxy.net.peer_datagrams import Peers
+from firvane.proxy.net.upstream_pool import Forwards
+from firvane.proxy.proxy import Proxy
+from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
+from firvane.simulation.emulation.verdict import Grade, Rule
 
 SEED = 5
 
@@ -199,7 +199,7 @@
 
 def pad(self: Peers, tell: Any, peer: int | None, payload: bytes) -> None:
     """Rows for the peers grow beyond what a datagram may hold."""
-    with patch.object(peers, "MAX_DATAGRAM", 1000):
+    with patch.object(peer_datagrams, "MAX_DATAGRAM", 1000):
         tell(self, peer, payload.ljust(257, b"\0"))
 
 
@@ -223,7 +223,7 @@
     Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(Front, "accept", believe)]),
     Mutant("a leak of flows", Rule.LEAK, CALM, [(Engine, "_forget", keep(5))]),
     Mutant("a leak of sockets", Rule.LEAK, LONG, [(Forwards, "park", keep(2))]),
-    Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(forward, "request_head", forge)]),
+    Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(upstream_pool, "request_head", forge)]),
     Mutant("an end that waits for nobody", Rule.LOST, RESTART, [(Proxy, "drain", end_at_once)]),
     Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(Peers, "tell", pad)]),
 )  # fmt: skip
--- a/tests/rehearsal/samples.py
+++ b/tests/simulation/runner/samples.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from firvane.emulation.records import Record, Shaded, Used
-from firvane.emulation.scenario import Scenario, Trouble
-from firvane.rehearsal.result import Result, Witness
-from tests.emulation import histories as h
+from firvane.simulation.emulation.records import Record, Shaded, Used
+from firvane.simulation.emulation.scenario import Scenario, Trouble
+from firvane.simulation.runner.result import Result, Witness
+from tests.simulation.emulation import histories as h
 
 SILENT = Trouble(kind="silent", at_s=10.0, for_s=8.0)
 DAY = Scenario(name="sample", about="<b>Some</b> boxes fall silent.", seconds=40.0, troubles=(SILENT,))
--- a/tests/rehearsal/standin_helpers.py
+++ b/tests/simulation/runner/standin_helpers.py
@@ -8,16 +8,16 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from firvane.emulation.box import Box
-from firvane.emulation.crowd import Crowd
-from firvane.emulation.records import Record
-from firvane.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries
-from firvane.rehearsal.boxes import Host
-from firvane.rehearsal.clients import Clients
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.wire import Seals
-from tests.rehearsal.virtual_helpers import CLIENT, Net, Noted, virtual
+from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.clients import Crowd
+from firvane.simulation.emulation.records import Record
+from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries
+from firvane.simulation.runner.backends import Host
+from firvane.simulation.runner.clients import Clients
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.wire import Seals
+from tests.simulation.runner.virtual_helpers import CLIENT, Net, Noted, virtual
 
 R = TypeVar("R")
 SEALS = Seals(1, "view", 100)
--- a/tests/rehearsal/test_leavers.py
+++ b/tests/simulation/runner/test_client_disconnects.py
@@ -6,14 +6,14 @@
 from msgspec.structs import replace
 
 from benchmarks.rehearsals import shortened
-from firvane.config.platform import parse_settings
-from firvane.emulation.judge import LEFT_PART
-from firvane.emulation.scenario import Proxies, Scenario
-from firvane.emulation.scenarios import load_named
-from firvane.emulation.verdict import Rule
-from firvane.rehearsal.plan import settings
-from firvane.rehearsal.run import rehearse
-from firvane.rehearsal.summary import page
+from firvane.proxy.config.platform import parse_settings
+from firvane.simulation.emulation.judge import LEFT_PART
+from firvane.simulation.emulation.scenario import Proxies, Scenario
+from firvane.simulation.emulation.scenarios import load_named
+from firvane.simulation.emulation.verdict import Rule
+from firvane.simulation.runner.plan import settings
+from firvane.simulation.runner.run import rehearse
+from firvane.simulation.runner.summary import page
 
 DAY = load_named("clients-leave")
 BURSTS = replace(DAY, load=replace(DAY.load, leave_beat_s=1.0, leave_s=(0.02, 0.6)))
--- a/tests/rehearsal/test_clients.py
+++ b/tests/simulation/runner/test_clients.py
@@ -9,11 +9,11 @@
 import pytest
 from msgspec.structs import replace
 
-from firvane.emulation.records import Abandoned, Answered, Asked
-from firvane.emulation.scenario import Load
-from firvane.rehearsal.clients import SLACK_S, Clients
-from firvane.rehearsal.connections import CROSSED_S, SLOW_S
-from tests.rehearsal.standin_helpers import NO_RETRIES, SEALS, Bench, HandProxy, benched, serve
+from firvane.simulation.emulation.records import Abandoned, Answered, Asked
+from firvane.simulation.emulation.scenario import Load
+from firvane.simulation.runner.clients import SLACK_S, Clients
+from firvane.simulation.runner.connections import CROSSED_S, SLOW_S
+from tests.simulation.runner.standin_helpers import NO_RETRIES, SEALS, Bench, HandProxy, benched, serve
 
 LOAD = Load(rate=20.0, request_class="view", body_bytes=100, retries=NO_RETRIES, connections=4)
 Answers = Callable[[HandProxy, str], None]
--- a/tests/rehearsal/test_discovery.py
+++ b/tests/simulation/runner/test_discovery.py
@@ -8,13 +8,13 @@
 
 import pytest
 
-from firvane.emulation.records import Told
-from firvane.emulation.registry import Registry
-from firvane.emulation.scenario import Network
-from firvane.rehearsal.discovery import BEAT_S, COUNTS_S, Agent
-from firvane.rehearsal.virtual import VirtualLoop
-from tests.rehearsal.standin_helpers import Bench, benched
-from tests.rehearsal.virtual_helpers import Noted
+from firvane.simulation.emulation.records import Told
+from firvane.simulation.emulation.registry import Registry
+from firvane.simulation.emulation.scenario import Network
+from firvane.simulation.runner.discovery import BEAT_S, COUNTS_S, Agent
+from firvane.simulation.runner.virtual import VirtualLoop
+from tests.simulation.runner.standin_helpers import Bench, benched
+from tests.simulation.runner.virtual_helpers import Noted
 
 ADDRESS = ("10.0.0.9", 8500)
 LATE = 2.0
--- a/tests/rehearsal/test_faults.py
+++ b/tests/simulation/runner/test_faults.py
@@ -10,16 +10,16 @@
 import msgspec
 import pytest
 
-from firvane.emulation.records import ProxyState, Record, Sent, Told
-from firvane.emulation.scenario import Boxes, Load, Network, Proxies, Scenario, Trouble
-from firvane.emulation.timeline import Action, Timeline
-from firvane.rehearsal.live import check
-from firvane.rehearsal.machines import spoil
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.run import play_virtual
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.snapshots import format
-from firvane.snapshots.types import Snapshot
+from firvane.proxy.snapshots import format
+from firvane.proxy.snapshots.types import Snapshot
+from firvane.simulation.emulation.records import ProxyState, Record, Sent, Told
+from firvane.simulation.emulation.scenario import Boxes, Load, Network, Proxies, Scenario, Trouble
+from firvane.simulation.emulation.timeline import Action, Timeline
+from firvane.simulation.runner.live import check
+from firvane.simulation.runner.machines import spoil
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.run import play_virtual
+from firvane.simulation.runner.virtual import VirtualLoop
 
 
 def day(*troubles: Trouble, seconds: float = 6.0, proxies: int = 3, **network: Any) -> Scenario:
--- a/tests/rehearsal/test_live.py
+++ b/tests/simulation/runner/test_live.py
@@ -13,21 +13,21 @@
 import pytest
 from msgspec.structs import replace
 
-from firvane.emulation.records import Answered, Arrived, Asked, ProxyState, Record, Told, Used
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.emulation.timeline import Action, Step
-from firvane.emulation.verdict import Rule
-from firvane.rehearsal.live import Health, LiveRun, excuse
-from firvane.rehearsal.machines import used
-from firvane.rehearsal.pipe import KINDS, Merger, pack, unpack
-from firvane.rehearsal.plan import claim_net
-from firvane.rehearsal.result import Witness
-from firvane.rehearsal.run import rehearse
-from firvane.rehearsal.stand_ins import serve_stand_ins
-from tests.net_helpers import run
-from tests.rehearsal.virtual_helpers import Noted
-
-ROOT = Path(__file__).parents[2]
+from firvane.simulation.emulation.records import Answered, Arrived, Asked, ProxyState, Record, Told, Used
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.emulation.timeline import Action, Step
+from firvane.simulation.emulation.verdict import Rule
+from firvane.simulation.runner.live import Health, LiveRun, excuse
+from firvane.simulation.runner.machines import used
+from firvane.simulation.runner.pipe import KINDS, Merger, pack, unpack
+from firvane.simulation.runner.plan import claim_net
+from firvane.simulation.runner.result import Witness
+from firvane.simulation.runner.run import rehearse
+from firvane.simulation.runner.stand_ins import serve_stand_ins
+from tests.proxy.net.helpers import run
+from tests.simulation.runner.virtual_helpers import Noted
+
+ROOT = Path(__file__).parents[3]
 SMALL = Scenario(
     name="small",
     seconds=3.0,
@@ -103,8 +103,8 @@
     a test that plays a command of the program in this process may leave it blocked."""
     code = (
         "from msgspec.structs import replace\n"
-        "from tests.rehearsal.test_live import SMALL, shown\n"
-        "from firvane.rehearsal.live import live\n"
+        "from tests.simulation.runner.test_live import SMALL, shown\n"
+        "from firvane.simulation.runner.live import live\n"
         "live(replace(SMALL, seconds=3600.0), 1, shown)\n"  # it ends by the signal alone
     )
     before = signal.getsignal(signal.SIGINT)
--- a/tests/rehearsal/test_mutants.py
+++ b/tests/simulation/runner/test_mutants.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from firvane.emulation.verdict import Grade
-from firvane.rehearsal.run import rehearse
-from tests.rehearsal.mutants import MUTANTS, SEED, Mutant
+from firvane.simulation.emulation.verdict import Grade
+from firvane.simulation.runner.run import rehearse
+from tests.simulation.runner.mutants import MUTANTS, SEED, Mutant
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
--- a/tests/rehearsal/test_policies.py
+++ b/tests/simulation/runner/test_policies.py
@@ -7,16 +7,16 @@
 
 import pytest
 
-from firvane.emulation.records import InUse, Record, Said
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.emulation.verdict import Rule
-from firvane.net.listener import Listener
-from firvane.quorum.driver import Policies
-from firvane.quorum.leases import Lease
-from firvane.quorum.member import Member, Saved
-from firvane.quorum.types import Outcome
-from firvane.rehearsal.result import Result, Witness
-from firvane.rehearsal.run import play_virtual
+from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.quorum.driver import Policies
+from firvane.proxy.quorum.leases import Lease
+from firvane.proxy.quorum.member import Member, Saved
+from firvane.proxy.quorum.types import Outcome
+from firvane.simulation.emulation.records import InUse, Record, Said
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.emulation.verdict import Rule
+from firvane.simulation.runner.result import Result, Witness
+from firvane.simulation.runner.run import play_virtual
 
 CHANGE = Trouble(kind="change", at_s=3.0, proxy=0, attempts=1, deadline_s=1.5, quota=1.1)
 AGAIN = Trouble(kind="change", at_s=12.0, proxy=1, aim_s=0.4)
@@ -101,7 +101,7 @@
 def silence(monkeypatch: pytest.MonkeyPatch) -> None:
     """What became of a proposal is never said."""
     monkeypatch.setattr(Member, "outcome", lambda self, digest: (Outcome.OPEN, "who knows"))
-    monkeypatch.setattr("firvane.rehearsal.result.CHANGE_S", 12.0)
+    monkeypatch.setattr("firvane.simulation.runner.result.CHANGE_S", 12.0)
 
 
 def words_of_failure(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rehearsal/test_recovery.py
+++ b/tests/simulation/runner/test_recovery.py
@@ -9,12 +9,12 @@
 import pytest
 
 from benchmarks.situations import played
-from firvane.emulation.records import Answered, Record
-from firvane.emulation.reference import Reference
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.rehearsal.report import write_html
-from firvane.rehearsal.result import Result
-from firvane.rehearsal.run import rehearse
+from firvane.simulation.emulation.records import Answered, Record
+from firvane.simulation.emulation.reference import Reference
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.runner.report import write_html
+from firvane.simulation.runner.result import Result
+from firvane.simulation.runner.run import rehearse
 
 
 def day(*troubles: Trouble, recovery: bool = True, seconds: float = 24.0) -> Scenario:
--- a/tests/rehearsal/test_report.py
+++ b/tests/simulation/runner/test_report.py
@@ -9,12 +9,12 @@
 import msgspec
 import pytest
 
-from firvane.emulation.scenario import Scenario
-from firvane.rehearsal.report import html, write_html
-from firvane.rehearsal.result import Result, Witness
-from firvane.rehearsal.svg import Band, lanes_of, number, over_time, table, ticks
-from tests.emulation.histories import answered, asked
-from tests.rehearsal.samples import DAY, sample
+from firvane.simulation.emulation.scenario import Scenario
+from firvane.simulation.runner.report import html, write_html
+from firvane.simulation.runner.result import Result, Witness
+from firvane.simulation.runner.svg import Band, lanes_of, number, over_time, table, ticks
+from tests.simulation.emulation.histories import answered, asked
+from tests.simulation.runner.samples import DAY, sample
 
 
 def checked(page: str) -> str:
--- a/tests/rehearsal/test_result.py
+++ b/tests/simulation/runner/test_result.py
@@ -9,8 +9,16 @@
 import msgspec
 import pytest
 
-from firvane.rehearsal.result import FORMAT, ResultError, Witness, read, replay_command, result_hash, write
-from tests.rehearsal.samples import DAY, history, sample
+from firvane.simulation.runner.result import (
+    FORMAT,
+    ResultError,
+    Witness,
+    read,
+    replay_command,
+    result_hash,
+    write,
+)
+from tests.simulation.runner.samples import DAY, history, sample
 
 
 def test_the_hash_is_that_of_the_records_to_the_bit_and_in_their_order() -> None:
--- a/tests/rehearsal/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -8,11 +8,11 @@
 
 import pytest
 
-from firvane.emulation.records import Answered, ProxyState, Record, Rolled
-from firvane.emulation.scenario import Boxes, Load, Proxies, Roll, Scenario, Trouble
-from firvane.rehearsal import rolling, versions
-from firvane.rehearsal.run import play_virtual, rehearse
-from firvane.routing import rows
+from firvane.proxy.routing import row_codec
+from firvane.simulation.emulation.records import Answered, ProxyState, Record, Rolled
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Roll, Scenario, Trouble
+from firvane.simulation.runner import rolling, versions
+from firvane.simulation.runner.run import play_virtual, rehearse
 
 
 def day(version: str, **more: Any) -> Scenario:
@@ -86,8 +86,8 @@
 @pytest.mark.parametrize("new", [False, True])
 def test_rows_that_are_misread_are_rows_still(new: bool) -> None:
     # Guards against a fault that harms nobody, as peers throw away what cannot be.
-    head = rows.Head(0, 1, 7, 3, 1.0, 2.0, 3.0, 4.0, 5)
-    row = rows.pack_new(head, True, [(9, 2)], []) if new else rows.pack_old(head, [(9, 2)])
+    head = row_codec.Head(0, 1, 7, 3, 1.0, 2.0, 3.0, 4.0, 5)
+    row = row_codec.pack_new(head, True, [(9, 2)], []) if new else row_codec.pack_old(head, [(9, 2)])
     told: list[bytes] = []
     proxy = SimpleNamespace(
         loop=SimpleNamespace(time=lambda: 0.0),
@@ -97,7 +97,7 @@
     )
     versions.Fault(proxy, "misread", 1.0, 1, lambda: None)
     proxy.peers.tell(None, row)
-    right, wrong = rows.unpack(row, 0.0), rows.unpack(told[0], 0.0)
+    right, wrong = row_codec.unpack(row, 0.0), row_codec.unpack(told[0], 0.0)
     assert (wrong.zone, wrong.sequence, wrong.arrivals) == (right.zone, right.sequence, 40 * right.arrivals)
     assert right.out == [(9, 2)] and wrong.out == [(9, 80)]
 
--- a/tests/rehearsal/test_run.py
+++ b/tests/simulation/runner/test_run.py
@@ -10,13 +10,13 @@
 
 from msgspec.structs import replace
 
-from firvane.emulation.records import Answered, Arrived, BoxState, ProxyState, Record, Shaded, Told
-from firvane.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
-from firvane.rehearsal.emulated_fleet import Fleet
-from firvane.rehearsal.plan import Plan
-from firvane.rehearsal.result import Witness, result_hash
-from firvane.rehearsal.run import play_virtual, rehearse
-from tests.rehearsal.standin_helpers import Bench, benched
+from firvane.simulation.emulation.records import Answered, Arrived, BoxState, ProxyState, Record, Shaded, Told
+from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
+from firvane.simulation.runner.emulated_fleet import Fleet
+from firvane.simulation.runner.plan import Plan
+from firvane.simulation.runner.result import Witness, result_hash
+from firvane.simulation.runner.run import play_virtual, rehearse
+from tests.simulation.runner.standin_helpers import Bench, benched
 
 SMALL = Scenario(
     name="small",
@@ -47,7 +47,7 @@
 )
 ALONE = """
 import sys
-from tests.rehearsal.test_run import ROUGH, hashed
+from tests.simulation.runner.test_run import ROUGH, hashed
 print(hashed(ROUGH, 3))
 """
 
@@ -70,7 +70,7 @@
     here = hashed(ROUGH, 3)
     assert hashed(ROUGH, 3) == here != hashed(ROUGH, 4)
     # Another process orders its sets in another way and has other addresses in memory.
-    env = {**os.environ, "PYTHONHASHSEED": "7", "PYTHONPATH": str(Path(__file__).parents[2])}
+    env = {**os.environ, "PYTHONHASHSEED": "7", "PYTHONPATH": str(Path(__file__).parents[3])}
     command = [sys.executable, "-c", ALONE]
     there = subprocess.run(command, env=env, capture_output=True, text=True, check=True, timeout=60)
     assert there.stdout.strip() == here
--- a/tests/rehearsal/test_shipped.py
+++ b/tests/simulation/runner/test_shipped.py
@@ -7,8 +7,8 @@
 
 from benchmarks.rehearsals import shortened
 from benchmarks.situations import SITUATIONS, Check, Sight, played
-from firvane.emulation.scenario import Boxes, Load, Scenario, Trouble
-from firvane.emulation.scenarios import load_named, scenario_names
+from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
+from firvane.simulation.emulation.scenarios import load_named, scenario_names
 
 SHORT = 5.0  # s
 FEW = 30.0  # requests a second
--- a/tests/rehearsal/test_standins.py
+++ b/tests/simulation/runner/test_standins.py
@@ -10,15 +10,15 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Sent
-from firvane.rehearsal.doors import Door, SocketDoor, reset
-from firvane.rehearsal.plan import Plan, claim_net
-from firvane.rehearsal.relay import Relay
-from firvane.rehearsal.wire import AnyJobs, Ask, Seals, field, head_of, quick_answer, quick_ask
-from tests.net_helpers import run as on_sockets
-from tests.net_helpers import seeded
-from tests.rehearsal.standin_helpers import BOXES, SEALS, Bench, benched, request
-from tests.rehearsal.virtual_helpers import Noted
+from firvane.simulation.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Sent
+from firvane.simulation.runner.listeners import Door, SocketDoor, reset
+from firvane.simulation.runner.plan import Plan, claim_net
+from firvane.simulation.runner.relay import Relay
+from firvane.simulation.runner.wire import AnyJobs, Ask, Seals, field, head_of, quick_answer, quick_ask
+from tests.proxy.net.helpers import run as on_sockets
+from tests.proxy.net.helpers import seeded
+from tests.simulation.runner.standin_helpers import BOXES, SEALS, Bench, benched, request
+from tests.simulation.runner.virtual_helpers import Noted
 
 # What a request and its answer say
 
--- a/tests/rehearsal/test_summary.py
+++ b/tests/simulation/runner/test_summary.py
@@ -5,11 +5,11 @@
 import msgspec
 import pytest
 
-from firvane.emulation.service import Progress
-from firvane.emulation.verdict import Breach, Grade, Rule
-from firvane.rehearsal.result import Result, Shade, Witness
-from firvane.rehearsal.summary import COLUMNS, ROWS, live_line, page
-from tests.rehearsal.samples import DAY, sample
+from firvane.simulation.emulation.service import Progress
+from firvane.simulation.emulation.verdict import Breach, Grade, Rule
+from firvane.simulation.runner.result import Result, Shade, Witness
+from firvane.simulation.runner.summary import COLUMNS, ROWS, live_line, page
+from tests.simulation.runner.samples import DAY, sample
 
 
 def lines_of(result: Result) -> list[str]:
--- a/tests/rehearsal/test_virtual.py
+++ b/tests/simulation/runner/test_virtual.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import FEW, Deadlock, NotVirtual, Stuck, VirtualLoop
-from tests.net_helpers import seeded
-from tests.rehearsal.virtual_helpers import Net, Noted, virtual
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import FEW, Deadlock, NotVirtual, Stuck, VirtualLoop
+from tests.proxy.net.helpers import seeded
+from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
 
 
 @virtual
--- a/tests/rehearsal/test_memory.py
+++ b/tests/simulation/runner/test_virtual_network.py
@@ -12,15 +12,15 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.rehearsal.arrivals import READ
-from firvane.rehearsal.doors import reset
-from firvane.rehearsal.link import HIGH, WINDOW
-from firvane.rehearsal.memory import MOST_DATAGRAMS
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import VirtualLoop as Loop
-from firvane.rehearsal.zones import Zones
-from tests.net_helpers import run, seeded
-from tests.rehearsal.virtual_helpers import CLIENT, SERVER, Filled, Net, Noted, pair, virtual
+from firvane.simulation.runner.arrivals import READ
+from firvane.simulation.runner.link import HIGH, WINDOW
+from firvane.simulation.runner.listeners import reset
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import VirtualLoop as Loop
+from firvane.simulation.runner.virtual_network import MOST_DATAGRAMS
+from firvane.simulation.runner.zones import Zones
+from tests.proxy.net.helpers import run, seeded
+from tests.simulation.runner.virtual_helpers import CLIENT, SERVER, Filled, Net, Noted, pair, virtual
 
 RESET = "ConnectionResetError"
 ACTS = ["write", "lines", "pause", "resume", "cut", "heal", "wait"]
--- a/tests/rehearsal/test_virtual_proxy.py
+++ b/tests/simulation/runner/test_virtual_proxy.py
@@ -14,15 +14,15 @@
 
 import pytest
 
-from firvane.config.platform import Config
-from firvane.endings import Ending
-from firvane.rehearsal.process import Process
-from firvane.rehearsal.virtual import VirtualLoop
-from firvane.rehearsal.virtual_proxy import KILLED, MemoryDialer, VirtualProxy
-from firvane.settings import parse_settings
-from tests.net_helpers import endpoint
-from tests.rehearsal.virtual_helpers import CLIENT, SERVER, Net, Noted, virtual
-from tests.test_benchlink import PARAMS
+from firvane.core.terminations import Ending
+from firvane.proxy.config.platform import Config
+from firvane.proxy.settings import parse_settings
+from firvane.simulation.runner.process import Process
+from firvane.simulation.runner.virtual import VirtualLoop
+from firvane.simulation.runner.virtual_proxy import KILLED, MemoryDialer, VirtualProxy
+from tests.proxy.net.helpers import endpoint
+from tests.proxy.test_simulator_adapter import PARAMS
+from tests.simulation.runner.virtual_helpers import CLIENT, SERVER, Net, Noted, virtual
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s"
 ASK = "GET /read/x HTTP/1.1\r\nX-Call-Id: {0}\r\nX-Route-Hash: {1}\r\nX-Budget-Ms: 1900\r\n\r\n"
@@ -202,13 +202,13 @@
 
 
 def test_two_runs_are_alike_whatever_the_hashes_are() -> None:
-    code = "from tests.rehearsal.test_virtual_proxy import print_transcript as run; run()"
+    code = "from tests.simulation.runner.test_virtual_proxy import print_transcript as run; run()"
     runs = []
     for seed in ("2", "4"):  # under which a set of the boxes has other orders
         done = subprocess.run(
             [sys.executable, "-c", code],
             env={**os.environ, "PYTHONHASHSEED": seed},
-            cwd=Path(__file__).parents[2],
+            cwd=Path(__file__).parents[3],
             capture_output=True,
             check=True,
             timeout=60,
--- a/tests/rehearsal/virtual_helpers.py
+++ b/tests/simulation/runner/virtual_helpers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, cast
 
-from firvane.rehearsal.virtual import VirtualLoop
+from firvane.simulation.runner.virtual import VirtualLoop
 
 SERVER, CLIENT = ("10.0.0.1", 80), "10.0.0.2"
 
--- a/tests/soak/faults.py
+++ b/tests/simulation/soak/faults.py
@@ -1,6 +1,6 @@
 """Deliberate faults of the program, each of which the soak must catch within ten seeds.
 
-    .venv/bin/python -m tests.soak.faults [--seeds N] [--jobs N] [NAME ...]
+    .venv/bin/python -m tests.simulation.soak.faults [--seeds N] [--jobs N] [NAME ...]
 
 Each is played in a copy of the package, seed after seed, until a run breaks the rule that it should. The
 command prints a table, and ends with 1 where one survives. `test_faults.py` holds the table to the sources.
@@ -19,9 +19,9 @@
 
 import defopt
 
-from firvane.soak.plan import SIZES, FaultMode, Plan, Size, Step, StepKind
+from firvane.simulation.soak.plan import SIZES, FaultMode, Plan, Size, Step, StepKind
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 SEEDS = 10
 RUN_LIMIT = 180.0  # s for one seed
 
@@ -56,21 +56,21 @@
     Fault(
         "takes requests until its last moment after SIGTERM",
         "LOST",
-        "firvane/router/drain.py",
+        "firvane/fleet/router/drain.py",
         "began + min(TAKEN_FOR, TAKEN_PART * (end_by - began))",
         "end_by",
     ),
     Fault(
         "cuts what it took after SIGTERM",
         "LOST",
-        "firvane/router/front.py",
+        "firvane/fleet/router/front.py",
         "            if connection.is_idle():\n                connection.close()\n",
         "            connection.close()\n",
     ),
     Fault(
         "says that the connection closes although a request stands behind",
         "LOST",
-        "firvane/router/client.py",
+        "firvane/fleet/router/client.py",
         "return self.keep and (not self.front.drain.has_begun or self._has_more())",
         "return self.keep and not self.front.drain.has_begun",
         RESTARTS_IN_SERIES,
@@ -79,14 +79,14 @@
     Fault(
         "acknowledges the other one of two orders under one number",
         "CONFIG",
-        "firvane/configuration/state.py",
+        "firvane/fleet/configuration/state.py",
         "    Fate.NOT_TAKEN: ResultCode.CONFLICT,\n",
         "    Fate.NOT_TAKEN: ResultCode.ACCEPTED,\n",
     ),
     Fault(
         "a budget of each process, not of the fleet",
         "BUDGET",
-        "firvane/placement/budget.py",
+        "firvane/fleet/placement/budget.py",
         "RESERVE * self.slack / self.sharers.count(now)",
         "RESERVE * self.slack",
         FAIL_LATE,
@@ -95,21 +95,21 @@
     Fault(
         "a budget that each new configuration resets",
         "BUDGET",
-        "firvane/placement/service.py",
+        "firvane/fleet/placement/service.py",
         "        self.info = info\n",
         "        self.info = info\n        self.budget._tokens = self.budget.slack\n",
     ),
     Fault(
         "a budget that begins anew with each process",
         "BUDGET",
-        "firvane/placement/budget.py",
+        "firvane/fleet/placement/budget.py",
         "        self._tokens = 0.0\n",
         "        self._tokens = slack\n",
     ),
     Fault(
         "a repeat is not counted where its connection broke before the head",
         "BUDGET",
-        "firvane/placement/balancer.py",
+        "firvane/fleet/placement/balancer.py",
         "        if outcome.result.never_ran and outcome",
         "        if (outcome.result.never_ran or outcome.result is api.Result.RESET) and outcome",
         RESET_ALL,
@@ -117,35 +117,35 @@
     Fault(
         "one backend more than max_attempts",
         "ATTEMPTS",
-        "firvane/placement/jobs.py",
+        "firvane/fleet/placement/jobs.py",
         "        return self.reached < self.request.max_attempts\n",
         "        return self.reached <= self.request.max_attempts\n",
     ),
     Fault(
         "sends again what may run once",
         "TWICE",
-        "firvane/placement/jobs.py",
+        "firvane/fleet/placement/jobs.py",
         "        return self.may_have_run == 0 or self.request.repeatable\n",
         "        return True\n",
     ),
     Fault(
         "says that it has not run although it may have",
         "REFUSED",
-        "firvane/placement/balancer.py",
+        "firvane/fleet/placement/balancer.py",
         "        if job.may_have_run or job.begun:\n",
         "        if job.begun:\n",
     ),
     Fault(
         "a cut answer ends as if it were whole",
         "MIXED",
-        "firvane/router/client.py",
+        "firvane/fleet/router/client.py",
         "        self._report_cut()\n        self.flow",
         "        self._report_cut()\n        self.last()\n        self.flow",
     ),
     Fault(
         "ends later than its grace",
         "END",
-        "firvane/router/router.py",
+        "firvane/fleet/router/router.py",
         "END_MARGIN = 0.8 ",
         "END_MARGIN = -1.5 ",
         HANG_AND_END,
@@ -188,7 +188,7 @@
 
 def _soak(fault: Fault, seed: int, program_root: Path) -> str:
     """The rules that one seed breaks with the package in this folder."""
-    command = [sys.executable, "-m", "firvane.soak", "--program-root", str(program_root)]
+    command = [sys.executable, "-m", "firvane.simulation.soak", "--program-root", str(program_root)]
     if fault.steps:
         plan = program_root / "plan.json"
         plan.write_text(Plan(seed, fault.size, fault.steps).to_json())
--- a/tests/soak/test_command.py
+++ b/tests/simulation/soak/test_command.py
@@ -6,12 +6,20 @@
 
 import pytest
 
-from firvane.soak.command import BAD_USAGE, Outcome, soak, summary
-from firvane.soak.judge import Violation
-from firvane.soak.plan import SIZES, draw_plan
-from firvane.soak.player import Played
-from firvane.soak.records import Arrival, ProcessEvent, Record, RunEnd, SignalKind, TryEnd, TryRecord
-from firvane.soak.story import tell
+from firvane.simulation.soak.command import BAD_USAGE, Outcome, soak, summary
+from firvane.simulation.soak.event_trace import tell
+from firvane.simulation.soak.judge import Violation
+from firvane.simulation.soak.plan import SIZES, draw_plan
+from firvane.simulation.soak.player import Played
+from firvane.simulation.soak.records import (
+    Arrival,
+    ProcessEvent,
+    Record,
+    RunEnd,
+    SignalKind,
+    TryEnd,
+    TryRecord,
+)
 
 
 def test_bad_usage_is_told(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/soak/test_connection.py
+++ b/tests/simulation/soak/test_connection.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from firvane.localfleet.event_stream import StreamEvent
-from firvane.soak.connection import Exchange, SoakConnection
-from firvane.soak.records import TryEnd, TryRecord
+from firvane.simulation.localfleet.event_stream import StreamEvent
+from firvane.simulation.soak.connection import Exchange, SoakConnection
+from firvane.simulation.soak.records import TryEnd, TryRecord
 
 DIGEST = 7
 
--- a/tests/soak/test_faults.py
+++ b/tests/simulation/soak/test_faults.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from tests.soak.faults import FAULTS, Fault
+from tests.simulation.soak.faults import FAULTS, Fault
 
-ROOT = Path(__file__).resolve().parents[2]
+ROOT = Path(__file__).resolve().parents[3]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.name)
--- a/tests/soak/test_judge.py
+++ b/tests/simulation/soak/test_judge.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from firvane.soak.judge import Terms, judge
-from firvane.soak.records import (
+from firvane.simulation.soak.judge import Terms, judge
+from firvane.simulation.soak.records import (
     Arrival,
     ProcessEvent,
     Record,
@@ -17,7 +17,7 @@
     TryRecord,
     Usage,
 )
-from firvane.soak.retry_rule import RetryRule
+from firvane.simulation.soak.retry_rule import RetryRule
 
 TERMS = Terms()
 TERM_AT = 100.0
--- a/tests/soak/test_plan.py
+++ b/tests/simulation/soak/test_plan.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from firvane.soak.plan import SIZES, Plan, Size, Step, StepKind, draw_plan, plan_from_json
-from firvane.soak.shrink import shrink
+from firvane.simulation.soak.plan import SIZES, Plan, Size, Step, StepKind, draw_plan, plan_from_json
+from firvane.simulation.soak.shrink import shrink
 
 
 def test_a_seed_draws_one_plan_and_others_draw_others() -> None:
--- a/tests/soak/test_retry_rule.py
+++ b/tests/simulation/soak/test_retry_rule.py
@@ -4,7 +4,7 @@
 
 import random
 
-from firvane.soak.retry_rule import RetryRule
+from firvane.simulation.soak.retry_rule import RetryRule
 
 
 def count(times: list[float], start: float, span: float) -> int:
--- a/tests/soak/test_small_soak.py
+++ b/tests/simulation/soak/test_small_soak.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from firvane.soak.command import play
-from firvane.soak.plan import SIZES, Plan, draw_plan, plan_from_json
-from firvane.soak.records import TryEnd
-from firvane.soak.story import tell
+from firvane.simulation.soak.command import play
+from firvane.simulation.soak.event_trace import tell
+from firvane.simulation.soak.plan import SIZES, Plan, draw_plan, plan_from_json
+from firvane.simulation.soak.records import TryEnd
 
 SEEDS = (3, 8, 10)
 PLANS = Path(__file__).parent / "plans"
--- a/tests/test_tests.py
+++ b/tests/test_tests.py
@@ -4,7 +4,7 @@
 
 import signal
 
-from firvane import process_signals
+from firvane.core import process_signals
 
 BEFORE = signal.pthread_sigmask(signal.SIG_BLOCK, ())
 
--- a/tests/together/governed.py
+++ b/tests/together/governed.py
@@ -19,15 +19,15 @@
 
 from msgspec.structs import replace
 
-from firvane.emulation.epochs import Epochs
-from firvane.emulation.records import Abandoned, Asked, Decided, Proposed, ProxyState, Record, Said
-from firvane.emulation.verdict import Findings, Grade, Rule
-from firvane.ops import calls
-from firvane.policy_text import digest_of
-from firvane.quorum.messages import MARK, Message, unpack
-from firvane.quorum.types import Times
-from firvane.rehearsal import policies
-from firvane.rehearsal.steps import seals
+from firvane.proxy.admin_api import calls
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum.messages import MARK, Message, unpack
+from firvane.proxy.quorum.types import Times
+from firvane.simulation.emulation.epochs import Epochs
+from firvane.simulation.emulation.records import Abandoned, Asked, Decided, Proposed, ProxyState, Record, Said
+from firvane.simulation.emulation.verdict import Findings, Grade, Rule
+from firvane.simulation.runner import policies
+from firvane.simulation.runner.steps import seals
 from tests.together.harness import DEADLINE, Together, small, together
 
 TIMES = Times(lease=1.0, trip=0.25)  # trips as wide as a lease allows: the machine may be busy
--- a/tests/together/harness.py
+++ b/tests/together/harness.py
@@ -18,19 +18,19 @@
 from pathlib import Path
 from typing import Any, TypeVar
 
-from firvane.cli.door import call
-from firvane.emulation.network import seats
-from firvane.emulation.records import Answered, Arrived, BoxState, Record, Told
-from firvane.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
-from firvane.emulation.timeline import Action, Step
-from firvane.rehearsal.clock import Clock
-from firvane.rehearsal.doors import socket_doors
-from firvane.rehearsal.emulated_fleet import Fleet
-from firvane.rehearsal.machines import Machines
-from firvane.rehearsal.members import Members
-from firvane.rehearsal.plan import Plan, claim_net
-from firvane.rehearsal.tier import Tier
-from firvane.snapshots.file import read
+from firvane.cli.admin_connection import call
+from firvane.proxy.snapshots.file import read
+from firvane.simulation.emulation.network import seats
+from firvane.simulation.emulation.records import Answered, Arrived, BoxState, Record, Told
+from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
+from firvane.simulation.emulation.timeline import Action, Step
+from firvane.simulation.runner.client_load import Members
+from firvane.simulation.runner.clock import Clock
+from firvane.simulation.runner.emulated_fleet import Fleet
+from firvane.simulation.runner.listeners import socket_doors
+from firvane.simulation.runner.machines import Machines
+from firvane.simulation.runner.plan import Plan, claim_net
+from firvane.simulation.runner.tier import Tier
 
 DEADLINE = 40.0  # s after which what a test waits for will not come
 LOOK = 0.02  # s from one look to the next
--- a/tests/together/mutants.py
+++ b/tests/together/mutants.py
@@ -9,12 +9,12 @@
 import sys
 from collections.abc import Callable
 
-from firvane import native
+from firvane.proxy import native
 
 native.activate()  # before anything that is compiled is imported
 
-from firvane.quorum import leases, proposals, store  # noqa: E402
-from firvane.quorum.types import Outcome  # noqa: E402
+from firvane.proxy.quorum import leases, proposals, store  # noqa: E402
+from firvane.proxy.quorum.types import Outcome  # noqa: E402
 
 
 def heeds_no_lease() -> None:
--- a/tests/together/rolling.py
+++ b/tests/together/rolling.py
@@ -14,15 +14,15 @@
 from pathlib import Path
 from typing import Any
 
-from firvane.cli.door import call
-from firvane.emulation.records import Abandoned, Arrived, Record
-from firvane.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
-from firvane.rehearsal.machines import environment, with_parent
-from firvane.rehearsal.steps import seals
-from firvane.rollout import orders, probe
-from firvane.rollout.chronicle import Chronicle
-from firvane.rollout.keeper import MARK
-from firvane.rollout.words import Kept
+from firvane.cli.admin_connection import call
+from firvane.proxy.rollout import readiness_probe, supervisor_calls
+from firvane.proxy.rollout.event_log import Chronicle
+from firvane.proxy.rollout.messages import Kept
+from firvane.proxy.rollout.supervisor import MARK
+from firvane.simulation.emulation.records import Abandoned, Arrived, Record
+from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
+from firvane.simulation.runner.machines import environment, with_parent
+from firvane.simulation.runner.steps import seals
 from tests.together.harness import Together, enough_descriptors, together
 
 CLI = [sys.executable, "-c", "from firvane.cli import run; run()", "rollout"]
@@ -155,7 +155,7 @@
         """End all of them. They are gone once it returns, and another suite may have their addresses."""
         for number in list(self.processes):
             self.kill(number)
-        for pid, value in list(probe.marked(MARK)):
+        for pid, value in list(readiness_probe.marked(MARK)):
             if str(self.whole.folder) in value:
                 with contextlib.suppress(ProcessLookupError):
                     end(pid)
@@ -288,7 +288,7 @@
     async def place(self, number: int) -> dict[str, str]:
         """What its keeper says; {} where it says nothing."""
         try:
-            return orders.heard(await asyncio.to_thread(call, self.doors[number], "place-status"))
+            return supervisor_calls.heard(await asyncio.to_thread(call, self.doors[number], "place-status"))
         except (OSError, ValueError):
             return {}
 
--- a/tests/together/test_policy.py
+++ b/tests/together/test_policy.py
@@ -11,13 +11,13 @@
 
 import pytest
 
-from firvane.emulation.verdict import Rule
-from firvane.policy_text import digest_of
-from firvane.quorum import messages
-from firvane.quorum.messages import Message
-from firvane.quorum.types import Times
-from firvane.rehearsal.machines import ROOT
-from firvane.rehearsal.plan import text as spelt
+from firvane.proxy.policy_text import digest_of
+from firvane.proxy.quorum import messages
+from firvane.proxy.quorum.messages import Message
+from firvane.proxy.quorum.types import Times
+from firvane.simulation.emulation.verdict import Rule
+from firvane.simulation.runner.machines import ROOT
+from firvane.simulation.runner.plan import text as spelt
 from tests.together.governed import AGAIN, Governed, governed, text
 from tests.together.harness import run
 
--- a/tests/together/test_power.py
+++ b/tests/together/test_power.py
@@ -8,10 +8,10 @@
 
 import pytest
 
-from firvane.recovery.state_machine import State
-from firvane.snapshots import format
-from firvane.snapshots.file import read
-from firvane.snapshots.types import FORMAT
+from firvane.proxy.recovery.state_machine import State
+from firvane.proxy.snapshots import format
+from firvane.proxy.snapshots.file import read
+from firvane.proxy.snapshots.types import FORMAT
 from tests.together.harness import Together, run, small, together
 
 ALL = (0, 1, 2)
--- a/tests/together/test_rollout.py
+++ b/tests/together/test_rollout.py
@@ -16,8 +16,8 @@
 
 import pytest
 
-from firvane.rollout.keeper import MARK
-from firvane.rollout.words import Kept, State
+from firvane.proxy.rollout.messages import Kept, State
+from firvane.proxy.rollout.supervisor import MARK
 from tests.together.rolling import STAGES, Fleets, Keepers, Rolling
 
 STEPS = 12  # more steps than a roll of these has: it would not end
--- a/tests/together/versions.py
+++ b/tests/together/versions.py
@@ -39,7 +39,7 @@
 
 def refuses() -> None:
     """Every second request is refused, as if too many were open."""
-    from firvane.engine import Engine
+    from firvane.core.engine import Engine
 
     take, numbers = Engine.take, count()
 
--- a/tools/build_native.py
+++ b/tools/build_native.py
@@ -1,4 +1,4 @@
-"""Compiles the modules that `firvane/native.py` names, with mypyc, into `.native/<digest>/` of this checkout.
+"""Compile with mypyc the modules that `firvane/proxy/native.py` names, into `.native/<digest>/`.
 
     .venv/bin/python tools/build_native.py
 
@@ -23,7 +23,7 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[0] = str(ROOT)  # in place of this folder
 
-from firvane import native  # noqa: E402
+from firvane.proxy import native  # noqa: E402
 
 LONGEST = 900.0  # s for everything: the platform gives 20 minutes
 KEPT = 4  # compiled forms that are kept: of branches that one goes back and forth between
@@ -32,7 +32,7 @@
 FLAGS = "-O1 -g0 -fwrapv -ffp-contract=off"
 TRIAL = """
 import importlib, sys
-from firvane import native
+from firvane.proxy import native
 found = native.Finder(sys.argv[1])
 sys.meta_path.insert(0, found)
 for name in native.MODULES:
--- a/tools/model_policy.py
+++ b/tools/model_policy.py
@@ -39,12 +39,12 @@
 if __name__ == "__main__":
     sys.path[0] = ROOT  # in place of this folder
 
-from firvane.policy_text import digest_of  # noqa: E402
-from firvane.quorum.ballots import Ballots, Phase  # noqa: E402
-from firvane.quorum.leases import Lease, majority_read  # noqa: E402
-from firvane.quorum.messages import Accept, Accepted, Decided, Prepare, Promise, Told  # noqa: E402
-from firvane.quorum.types import NO_BALLOT, Ballot, Kept, Times, Value, Window  # noqa: E402
-from firvane.quorum.votes import Votes, majority, newest, recovered  # noqa: E402
+from firvane.proxy.policy_text import digest_of  # noqa: E402
+from firvane.proxy.quorum.ballots import Ballots, Phase  # noqa: E402
+from firvane.proxy.quorum.leases import Lease, majority_read  # noqa: E402
+from firvane.proxy.quorum.messages import Accept, Accepted, Decided, Prepare, Promise, Told  # noqa: E402
+from firvane.proxy.quorum.types import NO_BALLOT, Ballot, Kept, Times, Value, Window  # noqa: E402
+from firvane.proxy.quorum.votes import Votes, majority, newest, recovered  # noqa: E402
 
 VOTERS = (0, 1, 2)
 LEARNER = 3
