--- a/firvane/cli/__init__.py
+++ b/firvane/cli/__init__.py
@@ -110,9 +110,9 @@
         where = f"{error.filename}: " if error.filename else ""
         return _tell([f"firvane: {plain(f'{where}{error.strerror or error}')}"], 1)
     except ValueError as error:
-        from firvane.core.validation import Faults  # a command has loaded it where it raises any
+        from firvane.core.validation import ValidationError  # a command has loaded it where it raises any
 
-        if isinstance(error, Faults):
+        if isinstance(error, ValidationError):
             return _tell(list(error.lines()), 2)
         raise
 
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -26,7 +26,7 @@
     for file in files:
         try:
             click.echo(f"{file}: {look(file)}")
-        except validation.Faults as found:
+        except validation.ValidationError as found:
             faults += found.lines()
     for line in faults:
         click.echo(line, err=True)
@@ -34,7 +34,7 @@
 
 
 def look(file: str) -> str:
-    """What a file holds, in a few words; raises `checked.Faults`."""
+    """What a file holds, in a few words; raises `validation.ValidationError`."""
     from firvane.cli.files import form_of
     from firvane.core import validation
 
@@ -53,7 +53,7 @@
             told = read_config({"NODE_CONFIG": file})
         except (ValueError, OSError) as error:
             why = str(error).removeprefix(file).lstrip(": ")
-            raise validation.Faults([validation.Fault(file, "", why)]) from None
+            raise validation.ValidationError([validation.Violation(file, "", why)]) from None
         return f"the platform's configuration of {told.name}, {len(told.settings.classes)} classes"
     if form == "policy":
         from pathlib import Path
--- a/firvane/cli/files.py
+++ b/firvane/cli/files.py
@@ -39,7 +39,7 @@
 
 
 def scenario(name: str) -> Scenario:
-    """A scenario that comes along, by name, or a file; raises `checked.Faults` or `Bad`."""
+    """A scenario that comes along, by name, or a file; raises `validation.ValidationError` or `Bad`."""
     from firvane.simulation.emulation.checks import CHECKS
     from firvane.simulation.emulation.scenarios import load_named, scenario_names
 
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -327,7 +327,7 @@
 
 
 def _shown(value: Any) -> str:
-    from firvane.core.validation import shown
+    from firvane.core.validation import format_value
 
     if value is None:
         return OWN
@@ -335,11 +335,11 @@
         return ", ".join(map(str, value))
     if isinstance(value, dict):
         return ", ".join(value) or "none"
-    return f"{value:.10g}" if isinstance(value, float) else shown(value)
+    return f"{value:.10g}" if isinstance(value, float) else format_value(value)
 
 
 def _policy(file: str) -> tuple[bytes, Policy]:
-    """The text in a file, and what it says; raises `Faults` or `Bad`."""
+    """The text in a file, and what it says; raises `ValidationError` or `Bad`."""
     from firvane.proxy.config.policy import parse
 
     text = _text(file)
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -203,7 +203,7 @@
 
 
 def _plan(file: str) -> tuple[Plan, str]:
-    """The plan in a file, and what its text goes by; raises `checked.Faults`."""
+    """The plan in a file, and what its text goes by; raises `validation.ValidationError`."""
     from pathlib import Path
 
     from firvane.core import validation
--- a/firvane/core/validation.py
+++ b/firvane/core/validation.py
@@ -2,11 +2,12 @@
 
 Rules that hold here and nowhere else:
 
-1. Whatever the bytes, the outcome is a value or `Faults`; nothing else is raised.
+1. Whatever the bytes, the outcome is a value or `ValidationError`; nothing else is raised.
 2. A fault is one line: file, key, what is wrong, what was given; for an unknown key the nearest known one.
 3. A part that is faulty hides no fault of another. What is checked across keys is checked in each part whose
    own keys are well, whatever else its checks and those of its parts find.
-4. What is read is bounded: `MOST` bytes, `DEEPEST` levels of dotted keys, `NAMED` faults in full.
+4. What is read is bounded: `MAX_FILE_BYTES` bytes, `MAX_KEY_DEPTH` levels of dotted keys,
+   `MAX_LISTED_VIOLATIONS` violations in full.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 
 from firvane.core.printable import plain
 
-MOST = 512 * 1024  # bytes of a file: far beyond any that somebody writes
-DEEPEST = 32  # parts of a dotted key: the standard library's parser takes memory by their square
-NAMED = 100  # faults named one by one
-SHOWN = 60  # characters shown of what was given
+MAX_FILE_BYTES = 512 * 1024  # bytes of a file: far beyond any that somebody writes
+MAX_KEY_DEPTH = 32  # parts of a dotted key: the standard library's parser takes memory by their square
+MAX_LISTED_VIOLATIONS = 100  # faults named one by one
+MAX_SHOWN_CHARS = 60  # characters shown of what was given
 # One part of such a key, wherever it stands, in strings too. Possessive and bounded, so linear in time.
-PART = r"""(?:[A-Za-z0-9_-]++|"(?:\\.|[^"\\\n]){0,200}+"|'[^'\n]{0,200}+')"""
-TOO_DEEP = re.compile(rf"(?<![A-Za-z0-9_-])(?:{PART}[ \t]*+\.[ \t]*+){{{DEEPEST}}}")
-PLACE = re.compile(r" \(at (line \d+, column \d+|end of document)\)$")
+KEY_PART_PATTERN = r"""(?:[A-Za-z0-9_-]++|"(?:\\.|[^"\\\n]){0,200}+"|'[^'\n]{0,200}+')"""
+TOO_DEEP_PATTERN = re.compile(rf"(?<![A-Za-z0-9_-])(?:{KEY_PART_PATTERN}[ \t]*+\.[ \t]*+){{{MAX_KEY_DEPTH}}}")
+LOCATION_PATTERN = re.compile(r" \(at (line \d+, column \d+|end of document)\)$")
 
 T = TypeVar("T")
 # Looks across the keys of a struct that are each well: pairs of a key in it ("" for all of it) and a reason.
@@ -38,7 +39,7 @@
 Checks = Mapping[type, Check]
 
 
-class Fault(NamedTuple):
+class Violation(NamedTuple):
     """One thing that is wrong. `key` is a dotted path with indices, "" for the file as a whole."""
 
     file: str
@@ -54,38 +55,39 @@
         return plain(f"{text}; did you mean {self.nearest}?" if self.nearest else text)
 
 
-class Faults(ValueError):  # noqa: N818 - the file's, not the program's
+class ValidationError(ValueError):
     """Why a file is of no use: every fault, in the order of the file's struct."""
 
-    def __init__(self, faults: Sequence[Fault]) -> None:
-        self.faults = tuple(faults)
+    def __init__(self, violations: Sequence[Violation]) -> None:
+        self.violations = tuple(violations)
         super().__init__("\n".join(self.lines()))
 
     def lines(self) -> Iterator[str]:
-        """One line for each fault, the last of them for all beyond `NAMED`."""
-        yield from map(str, self.faults[:NAMED])
-        if len(self.faults) > NAMED:
-            yield f"{plain(self.faults[0].file)}: {len(self.faults) - NAMED} more faults"
+        """One line for each fault, the last of them for all beyond `MAX_LISTED_VIOLATIONS`."""
+        yield from map(str, self.violations[:MAX_LISTED_VIOLATIONS])
+        if len(self.violations) > MAX_LISTED_VIOLATIONS:
+            unlisted = len(self.violations) - MAX_LISTED_VIOLATIONS
+            yield f"{plain(self.violations[0].file)}: {unlisted} more faults"
 
 
 def read(path: str | Path, kind: type[T], checks: Checks | None = None) -> T:
-    """The struct that a file holds; raises `Faults`."""
+    """The struct that a file holds; raises `ValidationError`."""
     return build(load(path), kind, str(path), checks)
 
 
 def load(path: str | Path) -> dict[str, Any]:
-    """The bare data of a file, TOML or JSON by its content; raises `Faults`."""
+    """The bare data of a file, TOML or JSON by its content; raises `ValidationError`."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except (OSError, ValueError) as error:  # ValueError: a name with a zero byte in it
         reason = getattr(error, "strerror", None) or str(error)
-        raise Faults([Fault(str(path), "", f"cannot be read: {reason}")]) from None
+        raise ValidationError([Violation(str(path), "", f"cannot be read: {reason}")]) from None
     return parse(data, str(path))
 
 
 def parse(data: bytes, file: str) -> dict[str, Any]:
-    """The bare data in some bytes; raises `Faults` under the file's name."""
+    """The bare data in some bytes; raises `ValidationError` under the file's name."""
     try:
         return _parse(data)
     except RecursionError:
@@ -94,22 +96,22 @@
         reason = f"not UTF-8 at byte {error.start}"
     except ValueError as error:  # TOML's and msgspec's errors are among these
         reason = str(error).partition("; use sys.")[0]
-        if place := PLACE.search(reason):
+        if place := LOCATION_PATTERN.search(reason):
             reason = f"{place[1]}: {reason[: place.start()]}"
-    raise Faults([Fault(file, "", reason)])
+    raise ValidationError([Violation(file, "", reason)])
 
 
 def _parse(data: bytes) -> dict[str, Any]:
-    if len(data) > MOST:
-        raise ValueError(f"larger than {MOST // 1024} KiB, the most that is read")
+    if len(data) > MAX_FILE_BYTES:
+        raise ValueError(f"larger than {MAX_FILE_BYTES // 1024} KiB, the most that is read")
     data = data.removeprefix(b"\xef\xbb\xbf")
     if data.lstrip()[:1] == b"{":
         return _json(data)  # a JSON object is no TOML
     import tomllib  # only where there is TOML to read
 
     text = data.decode("utf-8")
-    if TOO_DEEP.search(text):
-        raise ValueError(f"nested too deep: a key has more than {DEEPEST} parts")
+    if TOO_DEEP_PATTERN.search(text):
+        raise ValueError(f"nested too deep: a key has more than {MAX_KEY_DEPTH} parts")
     return tomllib.loads(text)
 
 
@@ -122,18 +124,18 @@
 
 
 def build(raw: Any, kind: type[T], file: str, checks: Checks | None = None) -> T:
-    """The struct that bare data stands for; raises `Faults` with all that is wrong with it."""
-    walk = _Walk(file, checks or {})
-    walk.value(raw, mi.type_info(kind), "")
-    if walk.faults:
-        raise Faults(walk.faults)
+    """The struct that bare data stands for; raises `ValidationError` with all that is wrong with it."""
+    validator = _Validator(file, checks or {})
+    validator.value(raw, mi.type_info(kind), "")
+    if validator.violations:
+        raise ValidationError(validator.violations)
     try:
         return msgspec.convert(raw, kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise Faults([Fault(file, "", str(error))]) from None
+        raise ValidationError([Violation(file, "", str(error))]) from None
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """What was given, short and on one line."""
     match value:
         case bool():
@@ -145,8 +147,8 @@
         case int() | float():
             return str(value)
         case str():
-            text = json.dumps(value[:SHOWN], ensure_ascii=False)
-            return text if len(value) <= SHOWN else text[:-1] + '..."'
+            text = json.dumps(value[:MAX_SHOWN_CHARS], ensure_ascii=False)
+            return text if len(value) <= MAX_SHOWN_CHARS else text[:-1] + '..."'
         case list():
             return f"a list of {len(value)}"
         case dict():
@@ -154,24 +156,24 @@
     return str(value)  # TOML's dates and times
 
 
-def join(path: str, key: str) -> str:
+def join_key(path: str, key: str) -> str:
     """The path of a key within what stands at another path."""
     if not re.fullmatch(r"[\w.\[\]-]+", key):
-        key = json.dumps(key[:SHOWN], ensure_ascii=False)
+        key = json.dumps(key[:MAX_SHOWN_CHARS], ensure_ascii=False)
     return f"{path}.{key}" if path and key[:1] != "[" else path + key
 
 
-class _Walk:
+class _Validator:
     """Holds bare data against a type, and notes each fault with its path."""
 
     def __init__(self, file: str, checks: Checks) -> None:
         self.file, self.checks = file, checks
-        self.faults: list[Fault] = []
-        self.broken = 0  # of these: what keeps a part from being made at all
+        self.violations: list[Violation] = []
+        self.blocking = 0  # of these: what keeps a part from being made at all
 
-    def note(self, path: str, reason: str, given: str = "", nearest: str = "") -> None:
-        self.faults.append(Fault(self.file, path, reason, given, nearest))
-        self.broken += 1
+    def add_violation(self, path: str, reason: str, given: str = "", nearest: str = "") -> None:
+        self.violations.append(Violation(self.file, path, reason, given, nearest))
+        self.blocking += 1
 
     def value(self, raw: Any, type_: mi.Type, path: str, means: str = "") -> None:
         """`means` says in words what the type's pattern asks for."""
@@ -192,66 +194,66 @@
                 if not _fits(raw, type_):
                     one_of = type_.values if isinstance(type_, mi.LiteralType) else ()
                     nearest = _nearest(raw, map(str, one_of)) if isinstance(raw, str) else ""
-                    self.note(path, f"must be {expected(type_, means)}", shown(raw), nearest)
+                    self.add_violation(path, f"must be {expected(type_, means)}", format_value(raw), nearest)
 
     def _struct(self, raw: Any, type_: mi.StructType, path: str) -> None:
         if not isinstance(raw, dict):
-            self.note(path, f"must be {expected(type_)}", shown(raw))
+            self.add_violation(path, f"must be {expected(type_)}", format_value(raw))
             return
-        before = self.broken
+        before = self.blocking
         known = {field.encode_name: field for field in type_.fields}
         for key, field in known.items():
             if key in raw:
-                self.value(raw[key], field.type, join(path, key))
+                self.value(raw[key], field.type, join_key(path, key))
             elif field.required:
-                self.note(join(path, key), f"is missing: {expected(field.type)}")
+                self.add_violation(join_key(path, key), f"is missing: {expected(field.type)}")
         if type_.forbid_unknown_fields:
             for key in raw:
                 if key not in known:
-                    nearest = _nearest(key, known) if len(self.faults) < NAMED else ""
-                    self.note(join(path, key), "unknown key", nearest=nearest)
-        if before == self.broken and (check := self.checks.get(type_.cls)):
+                    nearest = _nearest(key, known) if len(self.violations) < MAX_LISTED_VIOLATIONS else ""
+                    self.add_violation(join_key(path, key), "unknown key", nearest=nearest)
+        if before == self.blocking and (check := self.checks.get(type_.cls)):
             for key, reason in check(msgspec.convert(raw, type_.cls)):
-                self.faults.append(Fault(self.file, join(path, key) if key else path, reason))
+                self.violations.append(Violation(self.file, join_key(path, key) if key else path, reason))
 
     def _list(self, raw: Any, type_: Any, path: str) -> None:
         fixed = type_.item_types if isinstance(type_, mi.TupleType) else None
         least, most = (len(fixed),) * 2 if fixed is not None else (type_.min_length, type_.max_length)
         wrong = not isinstance(raw, list) or len(raw) < (least or 0) or (most is not None and len(raw) > most)
         if wrong:
-            self.note(path, f"must be {expected(type_)}", shown(raw))
+            self.add_violation(path, f"must be {expected(type_)}", format_value(raw))
             return
         for index, item in enumerate(raw):
             self.value(item, fixed[index] if fixed is not None else type_.item_type, f"{path}[{index}]")
 
     def _dict(self, raw: Any, type_: mi.DictType, path: str) -> None:
         if not isinstance(raw, dict):
-            self.note(path, f"must be {expected(type_)}", shown(raw))
+            self.add_violation(path, f"must be {expected(type_)}", format_value(raw))
             return
         for key, item in raw.items():
-            self.value(item, type_.value_type, join(path, str(key)))
+            self.value(item, type_.value_type, join_key(path, str(key)))
 
     def _union(self, raw: Any, type_: mi.UnionType, path: str, means: str) -> None:
         """Well where one of the types is; else the faults of the one that comes nearest are told."""
-        tries: list[list[Fault]] = []
-        faults, broken = self.faults, self.broken
+        tries: list[list[Violation]] = []
+        violations, blocking = self.violations, self.blocking
         for one in type_.types:
-            self.faults, self.broken = [], 0
+            self.violations, self.blocking = [], 0
             self.value(raw, one, path, means)
-            if not self.broken:  # it is of this type, though its checks may have found something
-                self.faults, self.broken = faults + self.faults, broken
+            if not self.blocking:  # it is of this type, though its checks may have found something
+                self.violations, self.blocking = violations + self.violations, blocking
                 return
-            tries.append(self.faults)
-        self.faults, self.broken = faults, broken
+            tries.append(self.violations)
+        self.violations, self.blocking = violations, blocking
         if tries:
             # A fault further down means that the value is of that kind; the kinds come in no order of worth.
-            deep = [faults for faults in tries if any(fault.key != path for fault in faults)]
+            deep = [violations for violations in tries if any(fault.key != path for fault in violations)]
             if deep:
                 least = min(deep, key=len)
-                self.faults += least
-                self.broken += len(least)
+                self.violations += least
+                self.blocking += len(least)
             else:
-                self.note(path, f"must be {expected(type_, means)}", shown(raw))
+                self.add_violation(path, f"must be {expected(type_, means)}", format_value(raw))
 
 
 def _form(type_: mi.Metadata) -> str:
@@ -262,7 +264,7 @@
 def _nearest(key: str, known: Iterable[str]) -> str:
     from difflib import get_close_matches  # only where somebody has made a mistake
 
-    found = get_close_matches(key[:SHOWN], list(known), 1)
+    found = get_close_matches(key[:MAX_SHOWN_CHARS], list(known), 1)
     return found[0] if found else ""
 
 
@@ -325,9 +327,9 @@
                 return means
             return "a text that is not empty" if type_.min_length else "a text"
         case mi.LiteralType():
-            return "one of " + ", ".join(map(shown, type_.values))
+            return "one of " + ", ".join(map(format_value, type_.values))
         case mi.EnumType():
-            return "one of " + ", ".join(shown(one.value) for one in type_.cls)
+            return "one of " + ", ".join(format_value(one.value) for one in type_.cls)
         case mi.StructType() | mi.DictType():
             return "a table"
         case mi.TupleType():
--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -18,11 +18,11 @@
 
 
 def read_file(path: str | Path) -> Config:
-    """The configuration in a file; raises `checked.Faults` with everything that is wrong with it."""
+    """The configuration in a file; raises `ValidationError` with everything that is wrong with it."""
     file = validation.read(path, File, CHECKS)
     if file.control:
         reason = "is for a control service: firvane control FILE; a proxy has none"
-        raise validation.Faults([validation.Fault(str(path), "control", reason)])
+        raise validation.ValidationError([validation.Violation(str(path), "control", reason)])
     return node(file)
 
 
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -103,18 +103,22 @@
 
 
 def parse(text: bytes, name: str = "policy") -> Policy:
-    """The policy in a text; raises `checked.Faults` with everything that is wrong with it."""
+    """The policy in a text; raises `validation.ValidationError` with everything that is wrong with it."""
     if len(text) > MOST_TEXT:
-        raise validation.Faults([validation.Fault(name, "", f"larger than {MOST_TEXT >> 10} KiB")])
+        raise validation.ValidationError(
+            [validation.Violation(name, "", f"larger than {MOST_TEXT >> 10} KiB")]
+        )
     return validation.build(validation.parse(text, name), Policy, name, CHECKS)
 
 
 def settings(policy: Policy, base: api.Settings, name: str = "policy") -> api.Settings:
     """What a proxy decides by under a policy over its own settings, `base`; `Faults` where they don't fit."""
     if policy.voters:
-        faults = [validation.Fault(name, key, why) for key, why in told.misfits(policy.voters, base.proxies)]
+        faults = [
+            validation.Violation(name, key, why) for key, why in told.misfits(policy.voters, base.proxies)
+        ]
         if faults:
-            raise validation.Faults(faults)
+            raise validation.ValidationError(faults)
     before = {cls.name: cls for cls in base.classes}
     said: dict[str, Any] = {}
     if policy.classes is not None:
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -26,11 +26,11 @@
 
 
 def read(path: str) -> Told:
-    """What a file tells a control service; raises `checked.Faults`."""
+    """What a file tells a control service; raises `validation.ValidationError`."""
     file = validation.read(path, File, CHECKS)
     if file.control is None:
-        raise validation.Faults(
-            [validation.Fault(path, "control", "is missing: a table that names the service")]
+        raise validation.ValidationError(
+            [validation.Violation(path, "control", "is missing: a table that names the service")]
         )
     return node(file), file.control
 
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -24,7 +24,7 @@
 from typing import Any, NamedTuple
 
 from firvane.core import interface as api
-from firvane.core.validation import Faults
+from firvane.core.validation import ValidationError
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import Asked, Call
 from firvane.proxy.config import policy as policies
@@ -259,8 +259,8 @@
         try:
             policy = policies.parse(text)
             settings = policies.settings(policy, self.base)
-        except Faults as faults:
-            return Checked("; ".join(faults.lines()))
+        except ValidationError as error:
+            return Checked("; ".join(error.lines()))
         why = self.host.fits(settings)
         return Checked(why) if why else Checked("", settings, policy.voters)
 
--- a/firvane/proxy/rollout/plan.py
+++ b/firvane/proxy/rollout/plan.py
@@ -175,7 +175,7 @@
 
 
 def parse(text: bytes, name: str = "plan") -> Plan:
-    """The plan in a text; raises `checked.Faults` with everything that is wrong with it."""
+    """The plan in a text; raises `validation.ValidationError` with everything that is wrong with it."""
     return validation.build(validation.parse(text, name), Plan, name, CHECKS)
 
 
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -93,7 +93,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, path: str, log: Log, over: Callable[[], None] = lambda: None
     ) -> None:
-        """Raises `checked.Faults` for a file of no use, `OSError` where another keeper has the place."""
+        """Raises `ValidationError` for a file of no use, `OSError` where another keeper has the place."""
         self.loop, self.path, self.over = loop, path, over
         self.site = supervisor_config.read(path)
         self.log = log.bind(place=self.site.name)
@@ -304,7 +304,7 @@
                     if asked.word not in self.site.versions:
                         return no(f"unknown version: there are {', '.join(sorted(self.site.versions))}")
                     self._do(place.replace(now, asked.word, asked.roll))
-        except (Refused, validation.Faults) as error:
+        except (Refused, validation.ValidationError) as error:
             return no(str(error).splitlines()[0])
         except OSError as error:
             if (coming := place.coming) and not coming.pid:  # it was not started
--- a/firvane/proxy/rollout/supervisor_config.py
+++ b/firvane/proxy/rollout/supervisor_config.py
@@ -70,5 +70,5 @@
 
 
 def read(path: str) -> Site:
-    """The place in a file; raises `checked.Faults` with everything that is wrong with it."""
+    """The place in a file; raises `validation.ValidationError` with everything that is wrong with it."""
     return validation.read(path, Site, CHECKS)
--- a/tests/core/test_validation.py
+++ b/tests/core/test_validation.py
@@ -37,7 +37,7 @@
 
 
 def lines(text: str) -> list[str]:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         validation.build(validation.parse(text.encode(), "f"), Whole, "f", {Part: order})
     return str(caught.value).splitlines()
 
@@ -87,7 +87,7 @@
         ("count = 1\npair = [nan, 1]", "given nan"),
         ("count = 1\non = 1979-05-27", "given 1979-05-27"),
         ('"\\u0007 key" = 1', r'"\u0007 key": unknown key'),
-        ("y" * (validation.MOST + 1), "larger than"),
+        ("y" * (validation.MAX_FILE_BYTES + 1), "larger than"),
     ],
 )
 def test_a_file_of_no_use_is_one_line(text: str, words: str) -> None:
@@ -97,19 +97,22 @@
 
 def test_very_many_faults_are_counted() -> None:
     found = lines("\n".join(f"k{i} = 1" for i in range(500)))
-    assert len(found) == validation.NAMED + 1 and found[-1] == f"f: {501 - validation.NAMED} more faults"
+    assert (
+        len(found) == validation.MAX_LISTED_VIOLATIONS + 1
+        and found[-1] == f"f: {501 - validation.MAX_LISTED_VIOLATIONS} more faults"
+    )
 
 
 @pytest.mark.parametrize("name", ["missing.toml", ".", "a\0b", "\udcff"])
 def test_what_cannot_be_opened_is_a_fault(name: str, tmp_path: Path) -> None:
-    with pytest.raises(validation.Faults, match="cannot be read"):
+    with pytest.raises(validation.ValidationError, match="cannot be read"):
         validation.read(f"{tmp_path}/{name}", Whole)
 
 
 def test_bytes_that_are_not_text_are_a_fault_and_a_mark_in_front_is_none(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_bytes(b"count = 1 # \xff")
-    with pytest.raises(validation.Faults, match="not UTF-8 at byte 12"):
+    with pytest.raises(validation.ValidationError, match="not UTF-8 at byte 12"):
         validation.read(path, Whole)
     path.write_bytes(b"\xef\xbb\xbfcount = 1")
     assert validation.read(path, Whole) == Whole(count=1)
@@ -120,8 +123,8 @@
 def test_any_bytes_give_a_value_or_faults_of_one_line_each(data: bytes) -> None:
     try:
         validation.build(validation.parse(data, "f"), Whole, "f", {Part: order})
-    except validation.Faults as faults:
-        assert len(str(faults).splitlines()) == len(faults.faults) > 0
+    except validation.ValidationError as faults:
+        assert len(str(faults).splitlines()) == len(faults.violations) > 0
 
 
 scalars = st.none() | st.booleans() | st.integers(-2, 12) | st.floats() | st.sampled_from(["", "fast", "b"])
@@ -146,7 +149,7 @@
         wanted = None
     try:
         assert validation.build(raw, Whole, "f") == wanted
-    except validation.Faults:
+    except validation.ValidationError:
         assert wanted is None
 
 
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -39,7 +39,7 @@
 
 
 def lines(text: str) -> list[str]:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         read(text)
     return [line.removeprefix("f: ") for line in caught.value.lines()]
 
@@ -172,7 +172,7 @@
     ],
 )
 def test_an_impossible_scenario_is_told(old: str, new: str, line: str) -> None:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         text = SCENARIO.replace(old, new).encode()
         validation.build(validation.parse(text, "f"), Scenario, "f", SCENARIO_CHECKS)
     assert f"f: {line}" in caught.value.lines()
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -117,7 +117,7 @@
     ],
 )  # fmt: skip
 def test_all_faults_of_a_policy_are_told_at_once(text: str, whys: list[str]) -> None:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         parse(text.encode(), "p")
     assert list(caught.value.lines()) == [f"p: {why}" for why in whys]
 
@@ -127,9 +127,9 @@
 def test_hostile_bytes_are_a_policy_or_faults(data: bytes, place: int) -> None:
     whole = render(plain())
     for text in (data, whole[:place] + data + whole[place + 9 :], whole[:place]):
-        with contextlib.suppress(validation.Faults):
+        with contextlib.suppress(validation.ValidationError):
             assert isinstance(parse(text), Policy)
-    with pytest.raises(validation.Faults, match="says nothing"):
+    with pytest.raises(validation.ValidationError, match="says nothing"):
         parse(b"")
 
 
@@ -137,9 +137,9 @@
     late, keyless = replace(plain().classes[0], aim=9.0), replace(plain().classes[0], repeat=KEYED)
     tenants = (api.Tenant("\ud800"),), (api.Tenant("a", 2.0),)
     for base in (*(plain(classes=(c,)) for c in (late, keyless)), *(plain(tenants=t) for t in tenants)):
-        with pytest.raises(validation.Faults):
+        with pytest.raises(validation.ValidationError):
             render(base)
-    with pytest.raises(validation.Faults, match="voters: names proxy 3, and there are 3"):
+    with pytest.raises(validation.ValidationError, match="voters: names proxy 3, and there are 3"):
         settings(parse(b"voters = [0, 3]"), plain(proxies=3))
 
 
--- a/tests/proxy/control/test_config.py
+++ b/tests/proxy/control/test_config.py
@@ -36,17 +36,17 @@
 ) -> None:
     given = {"target_group": {"discovery": "127.0.0.1:1"}, "control": {"service": "web", **control}}
     raw = {**FILE, **given, **more}
-    with pytest.raises(validation.Faults) as found:
+    with pytest.raises(validation.ValidationError) as found:
         validation.build(raw, File, "test.toml", CHECKS)
-    assert says in str(found.value) and len(found.value.faults) == 1
+    assert says in str(found.value) and len(found.value.violations) == 1
 
 
 def test_the_example_is_read_by_the_service_and_not_by_a_proxy(tmp_path: Path) -> None:
     config, words = read(str(EXAMPLE))
     assert words.service == "lagos-web" and config.listen == ("127.0.0.1", 18000)
-    with pytest.raises(validation.Faults, match="firvane control FILE"):
+    with pytest.raises(validation.ValidationError, match="firvane control FILE"):
         read_file(EXAMPLE)
     plain = tmp_path / "firvane.toml"
     plain.write_text(EXAMPLE.read_text().replace("[control]", "[rules]").replace('service = "lagos-web"', ""))
-    with pytest.raises(validation.Faults, match="control: is missing"):
+    with pytest.raises(validation.ValidationError, match="control: is missing"):
         read(str(plain))
--- a/tests/proxy/rollout/test_plan.py
+++ b/tests/proxy/rollout/test_plan.py
@@ -50,9 +50,9 @@
     ],
 )  # fmt: skip
 def test_every_fault_of_a_plan_is_told_at_once(old: str, new: str, keys: list[str]) -> None:
-    with pytest.raises(validation.Faults) as found:
+    with pytest.raises(validation.ValidationError) as found:
         parse(PLAN.replace(old, new).encode())
-    assert [fault.key for fault in found.value.faults] == keys
+    assert [fault.key for fault in found.value.violations] == keys
 
 
 def test_check_knows_a_plan(tmp_path: Path, capsys: Any) -> None:
