--- a/firvane/simulation/localfleet/batch.py
+++ b/firvane/simulation/localfleet/batch.py
@@ -4,7 +4,7 @@
    most `chunk_tokens` of the prompts that are still to be read are read. The more runs, the longer it lasts.
 2. The more urgent (a lower number) enter first; where there is no room they displace less urgent ones.
 3. Where memory runs out, the newest request among the least urgent is preempted. It waits again, keeps what
-   it has written, and its prompt is read anew but for the parts that are still kept.
+   it has written, and its prompt is read anew but for the chunks that are still cached.
 4. A request has run once its first token is out. Only one that has not may be rejected.
 """
 
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 from firvane.simulation.localfleet.profiles import ServerProfile
-from firvane.simulation.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.prompts import Prompt, PromptChunk
 from firvane.simulation.localfleet.token_memory import TokenMemory
 
 
 class RejectionReason(enum.Enum):
-    """Why a request was turned away without having run."""
+    """Why a request was rejected without having run."""
 
     FULL = "full"
     TOO_LARGE = "larger than the memory"
@@ -63,17 +63,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PartRead:
-    """A part of a prompt was read whole, since it was not kept here."""
+class ChunkPrefilled:
+    """A chunk of a prompt was read completely, since it was not cached here."""
 
-    part: PromptPart
+    part: PromptChunk
 
 
-Output = Rejected | Produced | TimedOut | PartRead
+Output = Rejected | Produced | TimedOut | ChunkPrefilled
 
 
 def event_count(output_tokens: int, stride: int) -> int:
-    """Events of a whole stream: the first has one token, each other one up to `stride`."""
+    """Events of a complete stream: the first has one token, each other one up to `stride`."""
     return 1 + math.ceil((output_tokens - 1) / stride)
 
 
@@ -89,10 +89,10 @@
     job: Job
     order: int  # of arrival
     written: int  # tokens that are out
-    locked: list[PromptPart] = field(default_factory=list)
-    unread: list[PromptPart] = field(default_factory=list)
-    unread_tokens: int = 0  # of the first unread part, or of its own output where it takes a stream up
-    reread_output: int = 0  # tokens written before that have to be read
+    locked: list[PromptChunk] = field(default_factory=list)
+    chunks_to_prefill: list[PromptChunk] = field(default_factory=list)
+    chunk_tokens_left: int = 0  # of the first unread part, or of its own output where it takes a stream up
+    output_to_prefill: int = 0  # tokens written before that have to be read
     private: int = 0  # tokens held beside the locked parts
     began: bool = False  # a token has come out here
 
@@ -104,7 +104,7 @@
     @property
     def reads(self) -> bool:
         """Whether part of its prompt is still to be read."""
-        return bool(self.unread) or self.reread_output > 0
+        return bool(self.chunks_to_prefill) or self.output_to_prefill > 0
 
 
 class Batch:
@@ -117,7 +117,7 @@
         self._waiting: list[_Task] = []
         self._running: list[_Task] = []
         self._arrivals = 0
-        self._step_reading: list[tuple[_Task, int]] = []  # what the step under way reads
+        self._step_prefill: list[tuple[_Task, int]] = []  # what the step under way reads
         self._outputs: list[Output] = []
 
     @property
@@ -131,7 +131,7 @@
         return len(self._running)
 
     def submit(self, job: Job, now: float) -> list[Output]:
-        """Take a job, or turn it or a less urgent one away."""
+        """Take a job, or reject it or a less urgent one."""
         profile = self.profile
         self._arrivals += 1
         before = tokens_within(job.events_before, job.prompt.output_tokens, profile.stride)
@@ -157,7 +157,7 @@
                 if task.job.number == number:
                     tasks.remove(task)
                     self._release(task)
-                    self._step_reading = [entry for entry in self._step_reading if entry[0] is not task]
+                    self._step_prefill = [entry for entry in self._step_prefill if entry[0] is not task]
                     return
 
     def advance(self, now: float) -> list[Output]:
@@ -180,29 +180,29 @@
         if not self._running:
             self.next_step = None
             return
-        self._step_reading = self._plan_reading()
-        read = sum(tokens for _, tokens in self._step_reading)
+        self._step_prefill = self._plan_prefill()
+        read = sum(tokens for _, tokens in self._step_prefill)
         profile = self.profile
         duration_ms = profile.step_ms + profile.step_ms_per_request * len(self._running)
         self.next_step = now + (duration_ms + read / profile.prefill_tokens_per_ms) / 1000
 
-    def _plan_reading(self) -> list[tuple[_Task, int]]:
+    def _plan_prefill(self) -> list[tuple[_Task, int]]:
         left = self.profile.chunk_tokens
         plan: list[tuple[_Task, int]] = []
         for task in sorted(self._running, key=lambda each: each.rank):
             if task.reads and left > 0:
-                tokens = min(left, self._unread_total(task))
+                tokens = min(left, self._prefill_backlog(task))
                 plan.append((task, tokens))
                 left -= tokens
         return plan
 
     @staticmethod
-    def _unread_total(task: _Task) -> int:
-        behind = sum(part.tokens for part in task.unread[1:])
-        return task.unread_tokens + behind + task.reread_output
+    def _prefill_backlog(task: _Task) -> int:
+        behind = sum(part.tokens for part in task.chunks_to_prefill[1:])
+        return task.chunk_tokens_left + behind + task.output_to_prefill
 
     def _finish_step(self, now: float) -> None:
-        reading, self._step_reading = self._step_reading, []
+        reading, self._step_prefill = self._step_prefill, []
         decoding = [task for task in self._running if not task.reads]
         for task, tokens in reading:
             self._read(task, tokens)
@@ -213,21 +213,21 @@
                 self._write_token(task)
 
     def _read(self, task: _Task, tokens: int) -> None:
-        while tokens > 0 and task.unread:
-            read = min(tokens, task.unread_tokens)
-            task.unread_tokens -= read
+        while tokens > 0 and task.chunks_to_prefill:
+            read = min(tokens, task.chunk_tokens_left)
+            task.chunk_tokens_left -= read
             tokens -= read
-            if task.unread_tokens == 0:
-                self._complete_part(task)
-        task.reread_output -= min(tokens, task.reread_output)
+            if task.chunk_tokens_left == 0:
+                self._complete_chunk(task)
+        task.output_to_prefill -= min(tokens, task.output_to_prefill)
 
-    def _complete_part(self, task: _Task) -> None:
-        part = task.unread.pop(0)
+    def _complete_chunk(self, task: _Task) -> None:
+        part = task.chunks_to_prefill.pop(0)
         self.memory.keep(part)
         task.private -= part.tokens
         task.locked.append(part)
-        task.unread_tokens = task.unread[0].tokens if task.unread else 0
-        self._outputs.append(PartRead(part))
+        task.chunk_tokens_left = task.chunks_to_prefill[0].tokens if task.chunks_to_prefill else 0
+        self._outputs.append(ChunkPrefilled(part))
 
     def _write_token(self, task: _Task) -> None:
         while not self.memory.reserve(1):
@@ -267,25 +267,25 @@
     def _admit(self) -> None:
         while self._waiting:
             task = min(self._waiting, key=lambda each: each.rank)
-            while not self._place(task):
+            while not self._admit_task(task):
                 victim = max(self._running, key=lambda each: each.rank, default=None)
                 if victim is None or victim.job.priority <= task.job.priority:
                     return
                 self._preempt(victim)
 
-    def _place(self, task: _Task) -> bool:
+    def _admit_task(self, task: _Task) -> bool:
         """Let a waiting task in where there is a slot and memory for its prompt."""
         if len(self._running) >= self.profile.slots:
             return False
         parts = task.job.prompt.parts
-        kept = self.memory.lock_kept(parts)
+        kept = self.memory.lock_cached(parts)
         needed = sum(part.tokens for part in parts[kept:]) + task.written
         if not self.memory.reserve(needed):
             self.memory.unlock(parts[:kept])
             return False
-        task.locked, task.unread = list(parts[:kept]), list(parts[kept:])
-        task.unread_tokens = task.unread[0].tokens if task.unread else 0
-        task.private, task.reread_output = needed, task.written
+        task.locked, task.chunks_to_prefill = list(parts[:kept]), list(parts[kept:])
+        task.chunk_tokens_left = task.chunks_to_prefill[0].tokens if task.chunks_to_prefill else 0
+        task.private, task.output_to_prefill = needed, task.written
         self._waiting.remove(task)
         self._running.append(task)
         return True
@@ -298,5 +298,5 @@
     def _release(self, task: _Task) -> None:
         self.memory.free(task.private)
         self.memory.unlock(task.locked)
-        task.private, task.locked, task.unread = 0, [], []
-        task.unread_tokens = task.reread_output = 0
+        task.private, task.locked, task.chunks_to_prefill = 0, [], []
+        task.chunk_tokens_left = task.output_to_prefill = 0
--- a/firvane/simulation/localfleet/client_attempt.py
+++ b/firvane/simulation/localfleet/client_attempt.py
@@ -1,4 +1,4 @@
-"""One try of a client: a request on a connection, its stream checked as it comes, its end awaited."""
+"""One attempt of a client: a request on a connection, its stream checked as it comes, its end awaited."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from firvane.core.net.http import Message, Piece
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
-from firvane.simulation.localfleet.http_client import ClientConnection
-from firvane.simulation.localfleet.retries import TryEnd, TryResult
+from firvane.simulation.localfleet.http_client import ClientConnection, is_success
+from firvane.simulation.localfleet.retries import AttemptEnd, AttemptResult
 
 
-class Pauses:
-    """When events of one request came, over all its tries (s of the loop's clock)."""
+class EventTiming:
+    """When events of one request came, over all its attempts (s of the loop's clock)."""
 
     def __init__(self) -> None:
         self.first: float | None = None
@@ -27,8 +27,8 @@
         self._latest = now
 
 
-class ClientTry:
-    """Sends a request and waits for the end of its answer, for silence, or for the deadline."""
+class ClientAttempt:
+    """Sends a request and waits for the end of its answer, for a timeout, or for the deadline."""
 
     def __init__(
         self,
@@ -36,17 +36,17 @@
         connection: ClientConnection,
         request_id: bytes,
         stream: StreamCheck,
-        pauses: Pauses,
+        timing: EventTiming,
     ) -> None:
         self._loop, self._connection = loop, connection
-        self._request_id, self._stream, self._pauses = request_id, stream, pauses
+        self._request_id, self._stream, self._timing = request_id, stream, timing
         self._status = 0
         self._retry_after: float | None = None
         self._moved = 0.0
-        self._end: asyncio.Future[TryResult] = loop.create_future()
+        self._end: asyncio.Future[AttemptResult] = loop.create_future()
 
-    async def run(self, request: bytes, silence: float, deadline: float) -> TryResult:
-        """The end of the try; `silence` is in seconds, `deadline` a time of the loop."""
+    async def run(self, request: bytes, silence: float, deadline: float) -> AttemptResult:
+        """The end of the attempt; `silence` is in seconds, `deadline` a time of the loop."""
         self._stream.begin_answer()
         self._moved = self._loop.time()
         self._connection.send(request, self)
@@ -54,7 +54,7 @@
             limit = min(self._moved + silence, deadline)
             if limit <= self._loop.time():
                 self._connection.abandon()
-                self._finish(TryEnd.OUT_OF_TIME if limit == deadline else TryEnd.SILENT)
+                self._finish(AttemptEnd.OUT_OF_TIME if limit == deadline else AttemptEnd.SILENT)
                 break
             await asyncio.wait((self._end,), timeout=limit - self._loop.time())
         return self._end.result()
@@ -65,46 +65,46 @@
         """Check the head; an answer that belongs to another request is wrong."""
         self._status = message.status
         self._retry_after = _retry_after(message)
-        if 200 <= message.status < 300:
+        if is_success(message.status):
             if message.fields.get(b"x-request-id") != self._request_id:
                 self._wrong("an answer to another request")
             elif not message.fields.get(b"x-server-seal"):
                 self._wrong("a success without a seal")
 
     def on_body(self, pieces: list[Piece]) -> None:
-        """Check the events that are whole."""
+        """Check the complete events."""
         self._moved = self._loop.time()
-        if not 200 <= self._status < 300:
+        if not is_success(self._status):
             return
         try:
             for _ in range(self._stream.feed(b"".join(pieces))):
-                self._pauses.note(self._moved)
+                self._timing.note(self._moved)
         except StreamError as error:
             self._wrong(str(error))
 
     def on_complete(self, message: Message) -> None:
         """The answer has ended in order."""
-        if not 200 <= self._status < 300:
-            self._finish(TryEnd.ANSWERED)
+        if not is_success(self._status):
+            self._finish(AttemptEnd.ANSWERED)
             return
         try:
             self._stream.end_answer()
         except StreamError as error:
             self._wrong(str(error))
         else:
-            self._finish(TryEnd.SERVED)
+            self._finish(AttemptEnd.SERVED)
 
     def on_broken(self, reason: str) -> None:
         """The connection has ended."""
-        self._finish(TryEnd.BROKEN, reason)
+        self._finish(AttemptEnd.BROKEN, reason)
 
     def _wrong(self, detail: str) -> None:
         self._connection.abandon()
-        self._finish(TryEnd.WRONG, detail)
+        self._finish(AttemptEnd.WRONG, detail)
 
-    def _finish(self, end: TryEnd, detail: str = "") -> None:
+    def _finish(self, end: AttemptEnd, detail: str = "") -> None:
         if not self._end.done():
-            self._end.set_result(TryResult(end, self._status, self._retry_after, detail))
+            self._end.set_result(AttemptResult(end, self._status, self._retry_after, detail))
 
 
 def _retry_after(message: Message) -> float | None:
--- a/firvane/simulation/localfleet/command.py
+++ b/firvane/simulation/localfleet/command.py
@@ -12,7 +12,7 @@
 
 import uvloop
 
-from firvane.simulation.localfleet.faults import TroubleError, parse_kill
+from firvane.simulation.localfleet.faults import FaultSpecError, parse_kill
 from firvane.simulation.localfleet.fleet import FleetOptions, LocalFleet
 from firvane.simulation.localfleet.fleet_run import StartError
 from firvane.simulation.localfleet.layout import (
@@ -23,7 +23,7 @@
     find_free_ports,
     make_layout,
 )
-from firvane.simulation.localfleet.metrics import RunFigures
+from firvane.simulation.localfleet.metrics import RunMetrics
 from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
 from firvane.simulation.localfleet.report_text import render
 
@@ -83,7 +83,7 @@
             ),
             kill,
         )
-    except (TroubleError, ValueError, OSError) as error:
+    except (FaultSpecError, ValueError, OSError) as error:
         print(error, file=sys.stderr)
         return BAD_USAGE
     folder = Path(tempfile.mkdtemp(prefix="firvane-fleet-"))
@@ -121,19 +121,19 @@
     """One run on a loop of its own; the exit code."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            figures = runner.run(_run(layout, options, folder))
+            metrics = runner.run(_run(layout, options, folder))
     except StartError as error:
         print(error, file=sys.stderr)
         return NOT_STARTED
     except (KeyboardInterrupt, asyncio.CancelledError):
         return INTERRUPTED
-    print(render(figures))
+    print(render(metrics))
     if json:
-        json.write_text(figures.as_json() + "\n")
-    return DONE if figures.good else NOT_GOOD
+        json.write_text(metrics.as_json() + "\n")
+    return DONE if metrics.good else NOT_GOOD
 
 
-async def _run(layout: Layout, options: FleetOptions, folder: Path) -> RunFigures:
+async def _run(layout: Layout, options: FleetOptions, folder: Path) -> RunMetrics:
     """Play, and end everything in order when SIGTERM comes as well."""
     playing = asyncio.current_task()
     assert playing
--- a/firvane/simulation/localfleet/config_operator.py
+++ b/firvane/simulation/localfleet/config_operator.py
@@ -13,7 +13,7 @@
 from firvane.simulation.localfleet.http_client import fetch
 from firvane.simulation.localfleet.operator_calls import CallEnded, CallStep, OperatorCall, SendTo
 
-CALL_TIMEOUT = 1.0  # s of silence
+CALL_TIMEOUT = 1.0  # s without an answer
 READ_PATH = "/v1/config/read"
 
 
@@ -27,7 +27,7 @@
     rivals: int = 0  # pairs of different orders under one number, sent at once
     rivals_both_taken: int = 0  # of these, pairs of which both were acknowledged
     rivals_both_refused: int = 0  # and of which none was
-    slowest_s: float = 0.0  # of the acknowledged ones but the first, from its first try
+    slowest_s: float = 0.0  # of the acknowledged ones but the first, from its first attempt
     first_s: float = 0.0  # the same of the first one
     read_back: bool = False  # the newest acknowledged configuration was read at the end
 
@@ -99,7 +99,7 @@
     async def _order(self, order: ConfigurationOrder) -> None:
         ended = await self._send(order)
         if ended.taken:
-            self._note_taken(order, ended)
+            self._note_accepted(order, ended)
         else:
             self.record.refused.append(ended.status)
 
@@ -111,7 +111,7 @@
         self.record.rivals_both_taken += len(taken) > 1
         self.record.rivals_both_refused += not taken
         for order, ended in taken[:1]:
-            self._note_taken(order, ended)
+            self._note_accepted(order, ended)
 
     async def _send(self, order: ConfigurationOrder) -> CallEnded:
         self.record.orders += 1
@@ -119,7 +119,7 @@
         ended, _ = await self._call("POST", order.path, headers, order.body)
         return ended
 
-    def _note_taken(self, order: ConfigurationOrder, ended: CallEnded) -> None:
+    def _note_accepted(self, order: ConfigurationOrder, ended: CallEnded) -> None:
         self.record.acknowledged += 1
         self.owner = ended.address
         self._configurations.acknowledged(order)
--- a/firvane/simulation/localfleet/configurations.py
+++ b/firvane/simulation/localfleet/configurations.py
@@ -47,13 +47,13 @@
         "path_prefix": kind.path_prefix,
         "kind": "streaming",
         "timeout_ms": round(kind.deadline * 1000),
-        "target_latency_ms": round(kind.aim * 1000),
+        "target_latency_ms": round(kind.latency_target * 1000),
         "priority": kind.priority,
         "service": SERVICE,
         "max_attempts": kind.max_attempts,
         "session_affinity": True,
         "stream_resume": kind.resumable,
-        "gap_aim_ms": round(kind.gap_aim * 1000),
+        "gap_aim_ms": round(kind.gap_target * 1000),
     }
 
 
--- a/firvane/simulation/localfleet/daemons.py
+++ b/firvane/simulation/localfleet/daemons.py
@@ -159,7 +159,7 @@
         _signal(process, number)
         done, _ = await asyncio.wait((watch,), timeout=grace)
         if not done:
-            self.own_ends.append(-signal.SIGKILL)  # it does not end when it is told to
+            self.own_ends.append(-signal.SIGKILL)  # it does not end when it gets SIGTERM
             _signal(process, signal.SIGKILL)
             await watch
 
--- a/firvane/simulation/localfleet/event_stream.py
+++ b/firvane/simulation/localfleet/event_stream.py
@@ -60,7 +60,7 @@
         self._partial = b""
 
     def feed(self, data: bytes) -> int:
-        """How many whole events have come with these bytes; `StreamError` for a wrong one."""
+        """How many complete events have come with these bytes; `StreamError` for a wrong one."""
         *whole, self._partial = (self._partial + data).split(END_OF_EVENT)
         if len(self._partial) > MAX_EVENT:
             raise StreamError("an event without an end")
--- a/firvane/simulation/localfleet/faults.py
+++ b/firvane/simulation/localfleet/faults.py
@@ -11,7 +11,7 @@
 OWNER = "owner"  # the controller that acknowledged the last order
 
 
-class TroubleError(ValueError):
+class FaultSpecError(ValueError):
     """A trouble cannot be read, or names no daemon of the fleet."""
 
 
@@ -29,9 +29,9 @@
     try:
         at = float(second)
     except ValueError:
-        raise TroubleError(f"{text!r} is not ROLE@SECOND") from None
+        raise FaultSpecError(f"{text!r} is not ROLE@SECOND") from None
     if victim not in (*DaemonRole, OWNER, *names):
-        raise TroubleError(f"{victim!r} is neither router, controller, owner nor a daemon's name")
+        raise FaultSpecError(f"{victim!r} is neither router, controller, owner nor a daemon's name")
     return Kill(victim, at)
 
 
@@ -42,5 +42,5 @@
     else:
         chosen = [daemon for daemon in daemons if kill.victim in (daemon.node.name, daemon.node.role)]
     if not chosen:
-        raise TroubleError(f"no daemon is {kill.victim!r}")
+        raise FaultSpecError(f"no daemon is {kill.victim!r}")
     return min(chosen, key=lambda daemon: (not daemon.runs, daemon.starts))
--- a/firvane/simulation/localfleet/fleet.py
+++ b/firvane/simulation/localfleet/fleet.py
@@ -15,9 +15,9 @@
 from firvane.simulation.localfleet.load import Load
 from firvane.simulation.localfleet.metrics import (
     RouterKill,
-    RunFigures,
-    class_figures,
-    daemon_figures,
+    RunMetrics,
+    class_metrics,
+    daemon_metrics,
     server_fields,
     verdict_fields,
 )
@@ -61,7 +61,7 @@
         self._began = self._loop.time()
         self._ready_after = 0.0
 
-    async def play(self) -> RunFigures:
+    async def play(self) -> RunMetrics:
         """Start everything, play the load, end everything; `StartError` where it does not get ready."""
         await self._run(self._options.backends, START_TIMEOUT)
         return self._figures()
@@ -120,24 +120,24 @@
         ending = [daemon for daemon in self._daemons if daemon.node.role is role]
         await asyncio.gather(*(daemon.stop(GRACE_S + END_MARGIN) for daemon in ending))
 
-    def _figures(self) -> RunFigures:
+    def _figures(self) -> RunMetrics:
         records, instances = self._load.records, self._backends.instances
         kills = self._router_kills
         by_class = [
-            class_figures(kind.name, [each for each in records if each.kind is kind], kills)
+            class_metrics(kind.name, [each for each in records if each.kind is kind], kills)
             for kind in self._options.kinds
         ]
-        verdict = judge(self._backends.records.runs, self._load.tries)
-        return RunFigures(
+        verdict = judge(self._backends.records.runs, self._load.attempts)
+        return RunMetrics(
             ready_s=round(self._ready_after, 3),
             classes=by_class,
-            total=class_figures("all", records, kills),
+            total=class_metrics("all", records, kills),
             **verdict_fields(verdict),
             unasked_bytes=self._load.unasked_bytes,
             **server_fields(self._backends.records),
             list_calls=instances.calls,
             list_calls_refused=instances.refused,
             operator=self._operator.record,
-            daemons=[daemon_figures(daemon) for daemon in self._daemons],
+            daemons=[daemon_metrics(daemon) for daemon in self._daemons],
             stand_in_delay_ms=round(self._delay.longest * 1000, 1),
         )
--- a/firvane/simulation/localfleet/http_client.py
+++ b/firvane/simulation/localfleet/http_client.py
@@ -5,6 +5,7 @@
 import asyncio
 from collections.abc import Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Protocol, cast
 
 import httptools
@@ -12,7 +13,12 @@
 from firvane.core.address import Address
 from firvane.core.net.http import Fault, Message, Piece, Reader
 
-MAX_ANSWER = 16 * 1024 * 1024  # bytes
+MAX_ANSWER_BYTES = 16 * 1024 * 1024
+
+
+def is_success(status: int) -> bool:
+    """Whether a status is a success (RFC 9110, 15.3); False for 0, where no head has come."""
+    return HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
 
 
 class AnswerSink(Protocol):
@@ -35,16 +41,16 @@
     """One connection; a request at a time."""
 
     def __init__(self) -> None:
-        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
+        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
         self._sink: AnswerSink | None = None
-        self._head_told = False
+        self._head_passed = False
         self.closed = False
         self.unasked = 0  # bytes that came while no request was waiting
         self.transport: asyncio.Transport
 
     def send(self, request: bytes, sink: AnswerSink) -> None:
         """Write a request; its answer goes to the sink."""
-        self._sink, self._head_told = sink, False
+        self._sink, self._head_passed = sink, False
         self.transport.write(request)
 
     def abandon(self) -> None:
@@ -58,17 +64,20 @@
         self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
 
     def connection_lost(self, error: Exception | None) -> None:
+        """End the answer under way: complete if it has no length (RFC 9112, 6.3), else broken."""
         self.closed = True
         message = self._reader.message
         if error is None and message and not message.framed and not self._reader.in_head:
-            self._complete(message)  # without a length, an answer ends with its connection
+            self._complete(message)
         else:
             self._break("connection lost")
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of the answer; bytes while none is due close the connection."""
         if self._sink is None:
             self.unasked += len(data)
             self.close()
@@ -86,8 +95,8 @@
         message = done[0] if done else self._reader.message
         if message is None or self._sink is None or (not done and self._reader.in_head):
             return
-        if not self._head_told:
-            self._head_told = True
+        if not self._head_passed:
+            self._head_passed = True
             self._sink.on_head(message)
         if self._sink and (pieces := message.taken()):
             self._sink.on_body(pieces)
@@ -113,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer; header names are in lower case."""
+    """A complete answer; header names are in lower case."""
 
     status: int
     headers: Mapping[bytes, bytes]
     body: bytes
 
 
-class _WholeAnswer:
+class _ResponseCollector:
     """Gathers one answer."""
 
     def __init__(self, future: asyncio.Future[Response]) -> None:
@@ -151,7 +160,12 @@
     body: bytes = b"",
     timeout: float,
 ) -> Response:
-    """One call on a connection of its own; `OSError` or `TimeoutError` (s) where it has no whole answer."""
+    """One call on a connection of its own; `timeout` is in seconds.
+
+    Raises:
+        OSError: it gets no complete answer.
+        TimeoutError: it gets none in time.
+    """
     loop = asyncio.get_running_loop()
     lines = [f"{method} {target} HTTP/1.1", f"Host: {address[0]}:{address[1]}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
@@ -162,7 +176,7 @@
         _, connection = await loop.create_connection(ClientConnection, *address)
         try:
             future: asyncio.Future[Response] = loop.create_future()
-            connection.send(head + body, _WholeAnswer(future))
+            connection.send(head + body, _ResponseCollector(future))
             return await future
         finally:
             connection.abandon()
--- a/firvane/simulation/localfleet/http_server.py
+++ b/firvane/simulation/localfleet/http_server.py
@@ -26,11 +26,11 @@
         self.transport: asyncio.Transport
 
     def on_request(self, request: Message) -> None:
-        """Take a whole request; it is over with `respond` or `end_stream`."""
+        """Take a complete request; it is over with `respond` or `end_stream`."""
         raise NotImplementedError
 
     def on_answered(self) -> None:
-        """An answer is written whole."""
+        """An answer is written completely."""
 
     def on_end(self) -> None:
         """The connection has ended."""
@@ -45,7 +45,7 @@
     def respond(
         self, status: int, headers: Sequence[Header] = (), body: bytes = b"", *, close: bool = False
     ) -> None:
-        """A whole answer."""
+        """A complete answer."""
         self._write_head(status, [*headers, (b"Content-Length", b"%d" % len(body))], close)
         self.transport.write(body)
         self._finish(close)
@@ -54,7 +54,7 @@
         """The head of an answer in chunks."""
         self._write_head(200, [*headers, (b"Transfer-Encoding", b"chunked")], close)
 
-    def write_piece(self, piece: bytes) -> None:
+    def write_chunk(self, piece: bytes) -> None:
         """One chunk of it."""
         self.transport.writelines(framed([piece], chunked=True))
 
@@ -88,14 +88,17 @@
     # The transport's side
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The client has gone; called by the event loop."""
         self.closing = True
         self.on_end()
         self._request = None
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of requests."""
         self._pending += data
         self._advance()
 
--- a/firvane/simulation/localfleet/ingress.py
+++ b/firvane/simulation/localfleet/ingress.py
@@ -21,7 +21,7 @@
         self._misses = {router: MISSES for router in routers}
 
     def note(self, router: Address, ready: bool) -> None:
-        """Take the answer to a question; silence counts as no."""
+        """Take the answer to a question; a timeout counts as no."""
         self._misses[router] = 0 if ready else self._misses[router] + 1
 
     @property
--- a/firvane/simulation/localfleet/instance_list.py
+++ b/firvane/simulation/localfleet/instance_list.py
@@ -14,6 +14,7 @@
 BAD_REQUEST = 400
 TOO_MANY_REQUESTS = 429
 TOKEN_PREFIX = "p-"
+MAX_TOKEN_DIGITS = 8
 
 
 class ListedState(enum.StrEnum):
@@ -128,4 +129,6 @@
         if page_token is None:
             return 0
         digits = page_token.removeprefix(TOKEN_PREFIX)
-        return int(digits) if digits.isascii() and digits.isdigit() and len(digits) < 9 else None
+        return (
+            int(digits) if digits.isascii() and digits.isdigit() and len(digits) <= MAX_TOKEN_DIGITS else None
+        )
--- a/firvane/simulation/localfleet/lagged_report.py
+++ b/firvane/simulation/localfleet/lagged_report.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-SAMPLE_INTERVAL = 0.05  # s between two samples that are kept
+SAMPLE_INTERVAL = 0.05  # s between two samples that are stored
 
 
 class LaggedReport:
@@ -15,11 +15,11 @@
         self._lag, self._first = lag, first
         self._samples: deque[tuple[float, dict[str, object]]] = deque()
 
-    def note(self, now: float, figures: dict[str, object]) -> None:
+    def note(self, now: float, metrics: dict[str, object]) -> None:
         """Take a sample; one that follows another too soon replaces nothing and is dropped."""
         if self._samples and now - self._samples[-1][0] < SAMPLE_INTERVAL:
             return
-        self._samples.append((now, figures))
+        self._samples.append((now, metrics))
         self._drop_old(now)
 
     def read(self, now: float) -> dict[str, object]:
--- a/firvane/simulation/localfleet/layout.py
+++ b/firvane/simulation/localfleet/layout.py
@@ -13,9 +13,13 @@
 ZONES = ("zone-a", "zone-b", "zone-c")
 REGION = "here"
 INTERNAL_PORTS = 4
-FIRST_PORT, LAST_PORT = 20_000, 31_000  # below the ports that the system gives to clients
-MAX_CONTROLLERS, MAX_ROUTERS, MAX_BACKENDS = 9, 100, 100
-FIRST_CONTROLLER_HOST, FIRST_ROUTER_HOST = 11, 101  # 127.0.0.x
+FIRST_PORT = 20_000  # below the ports that the system gives to clients
+LAST_PORT = 31_000
+MAX_CONTROLLERS = 9
+MAX_ROUTERS = 100
+MAX_BACKENDS = 100
+FIRST_CONTROLLER_HOST = 11  # 127.0.0.x
+FIRST_ROUTER_HOST = 101  # 127.0.0.x
 FIRST_BACKEND_HOST = 11  # 127.0.1.x
 PLATFORM_HOST = "127.0.2.1"
 MAX_SEEDS = 3
--- a/firvane/simulation/localfleet/load.py
+++ b/firvane/simulation/localfleet/load.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 
 from firvane.core.address import Address
-from firvane.simulation.localfleet.client_attempt import ClientTry, Pauses
+from firvane.simulation.localfleet.client_attempt import ClientAttempt, EventTiming
 from firvane.simulation.localfleet.event_stream import StreamCheck
 from firvane.simulation.localfleet.http_client import ClientConnection
 from firvane.simulation.localfleet.ingress import Ingress
 from firvane.simulation.localfleet.outcomes import RequestRecord
 from firvane.simulation.localfleet.request_message import compose_request
-from firvane.simulation.localfleet.retries import TryEnd, TryResult, retry_pause
-from firvane.simulation.localfleet.run_ledger import SentTry
+from firvane.simulation.localfleet.retries import AttemptEnd, AttemptResult, retry_delay
+from firvane.simulation.localfleet.run_ledger import SentAttempt
 from firvane.simulation.localfleet.schedule import PlannedRequest
 
 CONNECT_TIMEOUT = 1.0  # s
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: Ingress, seed: int) -> None:
         self.records: list[RequestRecord] = []
-        self.tries: dict[bytes, SentTry] = {}
+        self.attempts: dict[bytes, SentAttempt] = {}
         self.unasked_bytes = 0
         self._loop, self._ingress = loop, ingress
         self._random = random.Random(seed)
@@ -51,7 +51,7 @@
         self.close()
 
     def close(self) -> None:
-        """End the connections that are kept."""
+        """End the kept-alive connections."""
         for kept in self._idle.values():
             for idle in kept:
                 self._drop(idle.connection)
@@ -62,35 +62,35 @@
         kind = planned.kind
         record = RequestRecord(kind, intended)
         self.records.append(record)
-        stream, pauses = StreamCheck(zlib.crc32(planned.body())), Pauses()
+        stream, timing = StreamCheck(zlib.crc32(planned.body())), EventTiming()
         deadline = intended + kind.deadline
         for attempt in range(1 + kind.retries):
-            record.begin_try(self._ingress.choose(planned.client, attempt), self._loop.time())
-            result = await self._try(planned, record, stream, pauses, deadline)
+            record.begin_attempt(self._ingress.choose(planned.client, attempt), self._loop.time())
+            result = await self._attempt(planned, record, stream, timing, deadline)
             left = deadline - self._loop.time()
-            pause = retry_pause(result, kind.resumable, kind.retries - attempt, left)
+            pause = retry_delay(result, kind.resumable, kind.retries - attempt, left)
             if pause is None:
                 break
             await asyncio.sleep(pause)
-        record.end(result, self._loop.time(), pauses.first, pauses.longest)
+        record.end(result, self._loop.time(), timing.first, timing.longest)
 
-    async def _try(
+    async def _attempt(
         self,
         planned: PlannedRequest,
         record: RequestRecord,
         stream: StreamCheck,
-        pauses: Pauses,
+        timing: EventTiming,
         deadline: float,
-    ) -> TryResult:
+    ) -> AttemptResult:
         router = record.last_router
-        connection = await self._connect(planned.client, router, fresh=record.tries > 1)
+        connection = await self._connect(planned.client, router, fresh=record.attempts > 1)
         if connection is None:
-            return TryResult(TryEnd.NOT_CONNECTED)
+            return AttemptResult(AttemptEnd.NOT_CONNECTED)
         request_id = b"%016x" % self._random.getrandbits(64)
         left_ms = int((deadline - self._loop.time()) * 1000)
         request, sent = compose_request(planned, request_id, stream.last_number, left_ms)
-        self.tries[request_id] = sent
-        trying = ClientTry(self._loop, connection, request_id, stream, pauses)
+        self.attempts[request_id] = sent
+        trying = ClientAttempt(self._loop, connection, request_id, stream, timing)
         result = await trying.run(request, planned.kind.silence, deadline)
         sent.promised = result.promised
         self._put_back(planned.client, router, connection)
@@ -99,7 +99,7 @@
     # Connections
 
     async def _connect(self, client: int, router: Address, *, fresh: bool) -> ClientConnection | None:
-        """A connection that is kept, or a new one; None where none comes up."""
+        """A kept-alive connection, or a new one; None where none comes up."""
         kept = self._idle.get((client, router), [])
         while kept and not fresh:
             idle = kept.pop()
--- a/firvane/simulation/localfleet/metrics.py
+++ b/firvane/simulation/localfleet/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a run: what clients got, what servers did, what daemons cost; as text and as JSON."""
+"""The metrics of a run: what clients got, what servers did, what daemons cost; as text and as JSON."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from firvane.simulation.localfleet.config_operator import OperatorRecord
 from firvane.simulation.localfleet.daemons import Daemon
 from firvane.simulation.localfleet.outcomes import Outcome, RequestRecord
-from firvane.simulation.localfleet.retries import TryEnd
+from firvane.simulation.localfleet.retries import AttemptEnd
 from firvane.simulation.localfleet.run_ledger import ServerRecords, Verdict
 
 LONGEST_MS = 3_600_000
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClassFigures:
+class ClassMetrics:
     """What became of one class of requests, or of all."""
 
     name: str
@@ -70,14 +70,14 @@
     at: float
 
 
-def class_figures(name: str, records: Sequence[RequestRecord], kills: Sequence[RouterKill]) -> ClassFigures:
-    """The figures of these requests."""
+def class_metrics(name: str, records: Sequence[RequestRecord], kills: Sequence[RouterKill]) -> ClassMetrics:
+    """The metrics of these requests."""
     counts = dict.fromkeys(Outcome, 0)
     for record in records:
         counts[record.outcome] += 1
-    cut = [each for each in records if any(each.was_cut_by(kill.front, kill.at) for kill in kills)]
+    cut = [each for each in records if any(each.was_broken_by(kill.front, kill.at) for kill in kills)]
     served = [each for each in records if each.outcome in (Outcome.IN_TIME, Outcome.LATE)]
-    return ClassFigures(
+    return ClassMetrics(
         name=name,
         asked=len(records),
         in_time=counts[Outcome.IN_TIME],
@@ -85,15 +85,15 @@
         refused=counts[Outcome.REFUSED],
         failed=counts[Outcome.FAILED],
         cut_by_kills=len(cut),
-        wrong=sum(each.last.end is TryEnd.WRONG for each in records),
-        retries=sum(max(0, each.tries - 1) for each in records),
+        wrong=sum(each.last.end is AttemptEnd.WRONG for each in records),
+        retries=sum(max(0, each.attempts - 1) for each in records),
         first_event_ms=percentiles(each.first_event for each in served if each.first_event is not None),
-        pause_ms=percentiles(each.longest_pause for each in served),
+        pause_ms=percentiles(each.longest_gap for each in served),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class DaemonFigures:
+class DaemonMetrics:
     """What one daemon has used over all its lives."""
 
     name: str
@@ -104,9 +104,9 @@
     problems: list[str]  # errors in its log
 
 
-def daemon_figures(daemon: Daemon) -> DaemonFigures:
-    """The figures of a daemon that has been ended."""
-    return DaemonFigures(
+def daemon_metrics(daemon: Daemon) -> DaemonMetrics:
+    """The metrics of a daemon that has been ended."""
+    return DaemonMetrics(
         daemon.node.name,
         daemon.starts,
         list(daemon.own_ends),
@@ -117,12 +117,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunFigures:
-    """Everything that is told of a run."""
+class RunMetrics:
+    """Everything that is reported of a run."""
 
     ready_s: float  # from the start of the daemons until all routers were ready
-    classes: list[ClassFigures]
-    total: ClassFigures
+    classes: list[ClassMetrics]
+    total: ClassMetrics
     doubled: int
     ran_after_refusal: int
     unasked: int
@@ -138,7 +138,7 @@
     list_calls: int
     list_calls_refused: int
     operator: OperatorRecord
-    daemons: list[DaemonFigures]
+    daemons: list[DaemonMetrics]
     stand_in_delay_ms: float  # the longest time for which the stand-ins' own loop was held up
 
     @property
@@ -169,13 +169,13 @@
         return [sentence for sentence, holds in found.items() if holds]
 
     def as_json(self) -> str:
-        """All figures."""
+        """All metrics."""
         document = {"good": self.good, "faults": self.faults(), **dataclasses.asdict(self)}
         return json.dumps(document, indent=2)
 
 
 def verdict_fields(verdict: Verdict) -> dict[str, int]:
-    """The judgement as numbers, by the names of `RunFigures`."""
+    """The judgement as numbers, by the names of `RunMetrics`."""
     return {
         "doubled": len(verdict.doubled),
         "ran_after_refusal": len(verdict.ran_after_refusal),
@@ -187,7 +187,7 @@
 
 
 def server_fields(records: ServerRecords) -> dict[str, int]:
-    """What servers recorded, by the names of `RunFigures`."""
+    """What servers recorded, by the names of `RunMetrics`."""
     return {
         "prompt_tokens_read": records.reading.tokens_read,
         "prompt_tokens_read_again": records.reading.tokens_read_again,
--- a/firvane/simulation/localfleet/model_connection.py
+++ b/firvane/simulation/localfleet/model_connection.py
@@ -37,13 +37,17 @@
     connections: set[ModelConnection]
 
     @property
-    def is_full(self) -> bool: ...
+    def is_full(self) -> bool:
+        """Whether no further request fits into slots and queue."""
 
-    def report(self) -> bytes: ...
+    def report(self) -> bytes:
+        """The body of `GET /v1/report`."""
 
-    def submit(self, connection: ModelConnection, request: Message, prompt: Prompt) -> None: ...
+    def submit(self, connection: ModelConnection, request: Message, prompt: Prompt) -> None:
+        """Hand a request to the batch."""
 
-    def cancel(self, number: int) -> None: ...
+    def cancel(self, number: int) -> None:
+        """Nobody waits for this job any more."""
 
 
 class ModelConnection(ServerConnection):
@@ -58,6 +62,7 @@
         self.closes_after = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Count the connection, or break it off where the server holds as many as it may."""
         super().connection_made(transport)
         server = self._server
         if len(server.connections) >= server.profile.connection_limit:
@@ -68,6 +73,7 @@
         self._await_idle_end()
 
     def on_end(self) -> None:
+        """The caller has gone: its job is cancelled."""
         self._server.connections.discard(self)
         if self._timer:
             self._timer.cancel()
@@ -76,6 +82,7 @@
             self._server.cancel(job)
 
     def on_request(self, request: Message) -> None:
+        """Answer a health check or a report at once; hand anything else to the batch."""
         self._request_id = request.fields.get(b"x-request-id", b"")
         path = request.url.partition(b"?")[0]
         if request.method == b"GET" and path == HEALTH_PATH.encode():
@@ -83,11 +90,11 @@
         elif request.method == b"GET" and path == REPORT_PATH:
             self.respond(200, [(b"Content-Type", b"application/json")], self._server.report())
         elif refusal := self._refusal(request):
-            self.turn_away(refusal)
+            self.reject(refusal)
         else:
             self._run(request)
 
-    def turn_away(self, status: int) -> None:
+    def reject(self, status: int) -> None:
         """Answer that the request has not run and never will."""
         self._server.records.rejected += 1
         close = self._server.state is not ServerState.SERVING
@@ -121,11 +128,12 @@
                 request.fields.get(b"x-token-count", b""), request.fields.get(b"x-prompt-prefix", b"")
             )
         except PromptError:
-            self.turn_away(400)
+            self.reject(400)
             return
         self._server.submit(self, request, prompt)
 
     def on_answered(self) -> None:
+        """An answer has been written: the connection is idle."""
         self._await_idle_end()
 
     def _await_idle_end(self) -> None:
--- a/firvane/simulation/localfleet/model_server.py
+++ b/firvane/simulation/localfleet/model_server.py
@@ -11,9 +11,9 @@
 from firvane.core.net.http import Message
 from firvane.simulation.localfleet.batch import (
     Batch,
+    ChunkPrefilled,
     Job,
     Output,
-    PartRead,
     Produced,
     Rejected,
     TimedOut,
@@ -29,6 +29,7 @@
 from firvane.simulation.localfleet.run_ledger import PROMPT_HEADERS, Run, ServerRecords, fingerprint
 
 DEFAULT_PRIORITY = 5
+MAX_NUMBER_DIGITS = 9  # of a number in a header
 LONGEST_TIME = 600.0  # s that a request without a deadline may take
 CLOSE_ONE_IN = 200  # answers that end their connection now and then
 
@@ -150,7 +151,7 @@
 
     def _act(self, outputs: list[Output]) -> None:
         for output in outputs:
-            if isinstance(output, PartRead):
+            if isinstance(output, ChunkPrefilled):
                 self.records.reading.note(output.part)
             elif isinstance(output, Produced):
                 self._produce(output)
@@ -169,14 +170,14 @@
             self.records.runs.append(work.run)
             connection.closes_after = self.closes_connections
             connection.begin_stream(self._stream_headers(output.job, work), close=connection.closes_after)
-        connection.write_piece(StreamEvent(output.event, work.digest, output.last).encode())
+        connection.write_chunk(StreamEvent(output.event, work.digest, output.last).encode())
         if output.last:
             self._forget(output.job)
             connection.end_stream(close=connection.closes_after)
 
     def _reject(self, output: Rejected) -> None:
         if work := self._forget(output.job):
-            work.connection.turn_away(503)
+            work.connection.reject(503)
 
     def _time_out(self, output: TimedOut) -> None:
         work = self._forget(output.job)
@@ -220,7 +221,7 @@
 
 def _number(request: Message, name: bytes, default: int) -> int:
     text = request.fields.get(name, b"")
-    return int(text) if text.isdigit() and len(text) < 10 else default
+    return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else default
 
 
 def request_fingerprint(request: Message, body: bytes) -> int:
--- a/firvane/simulation/localfleet/operator_calls.py
+++ b/firvane/simulation/localfleet/operator_calls.py
@@ -1,15 +1,16 @@
 """How the operator's calls go from controller to controller. Pure.
 
 1. A 307 is followed twice, to the address in `Location`.
-2. After silence, a failure, a 5xx, a 408 or a 429 the call goes unchanged to the next controller, after a
+2. After a timeout, a failure, a 5xx, a 408 or a 429 the call goes unchanged to the next controller, after a
    pause that grows.
-3. 400, 409, 412, 413 and 422 end it at once, any other 4xx at the third try.
+3. 400, 409, 412, 413 and 422 end it at once, any other 4xx at the third attempt.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from dataclasses import dataclass
+from http import HTTPStatus
 from urllib.parse import urlsplit
 
 from firvane.core.address import Address, parse_address
@@ -40,7 +41,7 @@
     @property
     def taken(self) -> bool:
         """Whether the call was answered with success."""
-        return self.status == 200
+        return self.status == HTTPStatus.OK
 
 
 CallStep = SendTo | CallEnded
@@ -63,11 +64,11 @@
 
     def answered(self, status: int, location: str | None) -> CallStep:
         """Take an answer."""
-        if status == 307:
+        if status == HTTPStatus.TEMPORARY_REDIRECT:
             return self._redirected(location)
-        if status >= 500 or status in MOVE_ON:
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in MOVE_ON:
             return self.failed()
-        if 400 <= status < 500 and status not in FINAL:
+        if status >= HTTPStatus.BAD_REQUEST and status not in FINAL:
             self._client_errors += 1
             if self._client_errors < MAX_CLIENT_ERRORS:
                 return self.failed()
--- a/firvane/simulation/localfleet/outcomes.py
+++ b/firvane/simulation/localfleet/outcomes.py
@@ -7,14 +7,14 @@
 
 from firvane.core.address import Address
 from firvane.simulation.localfleet.profiles import RequestClass
-from firvane.simulation.localfleet.retries import TryEnd, TryResult
+from firvane.simulation.localfleet.retries import AttemptEnd, AttemptResult
 
 NOWHERE: Address = ("", 0)
-NOT_ENDED = TryResult(TryEnd.OUT_OF_TIME)
+NOT_ENDED = AttemptResult(AttemptEnd.OUT_OF_TIME)
 
 
 class Outcome(enum.Enum):
-    """The end of a request with all its tries."""
+    """The end of a request with all its attempts."""
 
     IN_TIME = "in time"
     LATE = "late"  # served, but its first event or a pause took too long
@@ -29,36 +29,38 @@
     kind: RequestClass
     intended: float
     outcome: Outcome = Outcome.FAILED
-    tries: int = 0
+    attempts: int = 0
     first_event: float | None = None  # from the intended send
-    longest_pause: float = 0.0
+    longest_gap: float = 0.0
     ended: float = 0.0
     last_router: Address = NOWHERE
     last_began: float = 0.0
-    last: TryResult = NOT_ENDED
+    last: AttemptResult = NOT_ENDED
 
-    def begin_try(self, router: Address, now: float) -> None:
-        """A try begins at this router."""
-        self.tries += 1
+    def begin_attempt(self, router: Address, now: float) -> None:
+        """An attempt begins at this router."""
+        self.attempts += 1
         self.last_router, self.last_began = router, now
 
-    def end(self, result: TryResult, now: float, first_event_at: float | None, longest_pause: float) -> None:
-        """Take the end of the last try; `first_event_at` is None where no event came."""
-        self.last, self.ended, self.longest_pause = result, now, longest_pause
+    def end(
+        self, result: AttemptResult, now: float, first_event_at: float | None, longest_gap: float
+    ) -> None:
+        """Take the end of the last attempt; `first_event_at` is None where no event came."""
+        self.last, self.ended, self.longest_gap = result, now, longest_gap
         if first_event_at is not None:
             self.first_event = first_event_at - self.intended
         self.outcome = self._judge(result)
 
-    def _judge(self, result: TryResult) -> Outcome:
+    def _judge(self, result: AttemptResult) -> Outcome:
         if result.promised:
             return Outcome.REFUSED
-        if result.end is not TryEnd.SERVED:
+        if result.end is not AttemptEnd.SERVED:
             return Outcome.FAILED
-        begins_in_time = self.first_event is not None and self.first_event <= self.kind.aim
-        flows_in_time = self.longest_pause <= self.kind.gap_aim
+        begins_in_time = self.first_event is not None and self.first_event <= self.kind.latency_target
+        flows_in_time = self.longest_gap <= self.kind.gap_target
         return Outcome.IN_TIME if begins_in_time and flows_in_time else Outcome.LATE
 
-    def was_cut_by(self, router: Address, at: float) -> bool:
-        """Whether the last try was under way at this router when it was killed at this time."""
+    def was_broken_by(self, router: Address, at: float) -> bool:
+        """Whether the last attempt was under way at this router when it was killed at this time."""
         under_way = self.last_began <= at <= self.ended
         return self.outcome is Outcome.FAILED and self.last_router == router and under_way
--- a/firvane/simulation/localfleet/profiles.py
+++ b/firvane/simulation/localfleet/profiles.py
@@ -41,8 +41,8 @@
     own_tokens: float
     output_tokens: float
     body_bytes: int
-    aim: float  # from the intended send to the first event
-    gap_aim: float  # between two events
+    latency_target: float  # from the intended send to the first event
+    gap_target: float  # between two events
     deadline: float
     priority: int
     max_attempts: int
@@ -52,7 +52,7 @@
     @property
     def silence(self) -> float:
         """The time without an event after which a client gives its stream up."""
-        return max(2.0, 4 * self.aim, 8 * self.gap_aim)
+        return max(2.0, 4 * self.latency_target, 8 * self.gap_target)
 
 
 LONG_PROMPTS = RequestClass(
@@ -65,8 +65,8 @@
     own_tokens=3_720,
     output_tokens=120,
     body_bytes=34_000,
-    aim=0.8,
-    gap_aim=0.2,
+    latency_target=0.8,
+    gap_target=0.2,
     deadline=10.0,
     priority=1,
     max_attempts=1,
@@ -82,8 +82,8 @@
     own_tokens=291,
     output_tokens=45,
     body_bytes=770,
-    aim=0.4,
-    gap_aim=0.2,
+    latency_target=0.4,
+    gap_target=0.2,
     deadline=5.0,
     priority=0,
     max_attempts=2,
--- a/firvane/simulation/localfleet/prompts.py
+++ b/firvane/simulation/localfleet/prompts.py
@@ -6,6 +6,9 @@
 
 MAX_PARTS = 64
 MAX_TOKENS = 10_000_000  # of one part, or of an answer
+MAX_NUMBER_DIGITS = 16
+DECIMAL = 10  # base of counts of tokens
+HEXADECIMAL = 16  # base of the names of chunks
 
 
 class PromptError(ValueError):
@@ -13,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PromptPart:
-    """A part of a prompt; requests whose prompts begin alike share parts, by `id`."""
+class PromptChunk:
+    """A chunk of a prompt; requests whose prompts begin alike share parts, by `id`."""
 
     id: int
     tokens: int
@@ -24,7 +27,7 @@
 class Prompt:
     """What a model server has to read and to write for one request."""
 
-    parts: tuple[PromptPart, ...]
+    parts: tuple[PromptChunk, ...]
     output_tokens: int
 
     @property
@@ -46,7 +49,7 @@
 def parse_prompt(token_count: bytes, prefix: bytes) -> Prompt:
     """The prompt that two header values describe; `PromptError` where they make no sense."""
     tokens_in, _, tokens_out = token_count.partition(b",")
-    parts = tuple(_parse_part(text) for text in prefix.split(b",")[: MAX_PARTS + 1]) if prefix else ()
+    parts = tuple(_parse_chunk(text) for text in prefix.split(b",")[: MAX_PARTS + 1]) if prefix else ()
     prompt = Prompt(parts, _parse_number(tokens_out, 10))
     if len(parts) > MAX_PARTS:
         raise PromptError(f"more than {MAX_PARTS} parts")
@@ -57,21 +60,21 @@
     return prompt
 
 
-def _parse_part(text: bytes) -> PromptPart:
+def _parse_chunk(text: bytes) -> PromptChunk:
     name, _, tokens = text.strip().partition(b":")
-    part = PromptPart(_parse_number(name, 16), _parse_number(tokens, 10))
+    part = PromptChunk(_parse_number(name, HEXADECIMAL), _parse_number(tokens, DECIMAL))
     if part.tokens < 1:
         raise PromptError("a part without tokens")
     return part
 
 
 def _parse_number(text: bytes, base: int) -> int:
-    if not text.isalnum() or len(text) > 16:
+    if not text.isalnum() or len(text) > MAX_NUMBER_DIGITS:
         raise PromptError(f"{text!r} is not a number")
     try:
         number = int(text, base)
     except ValueError:
         raise PromptError(f"{text!r} is not a number") from None
-    if base == 10 and number > MAX_TOKENS:
+    if base == DECIMAL and number > MAX_TOKENS:
         raise PromptError(f"{number} tokens are too many")
     return number
--- a/firvane/simulation/localfleet/readiness.py
+++ b/firvane/simulation/localfleet/readiness.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from http import HTTPStatus
 
 from firvane.simulation.localfleet.http_client import fetch
 from firvane.simulation.localfleet.ingress import Ingress
@@ -39,7 +40,7 @@
         ports = self._layout.ports
         try:
             response = await fetch((node.host, ports.readiness), PATH, timeout=TIMEOUT)
-            ready = response.status == 200
+            ready = response.status == HTTPStatus.OK
         except (OSError, TimeoutError):
             ready = False
         self._ingress.note((node.host, ports.front), ready)
--- a/firvane/simulation/localfleet/report_text.py
+++ b/firvane/simulation/localfleet/report_text.py
@@ -1,81 +1,81 @@
-"""The figures of a run as lines for a terminal."""
+"""The metrics of a run as lines for a terminal."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from firvane.simulation.localfleet.metrics import ClassFigures, DaemonFigures, RunFigures
+from firvane.simulation.localfleet.metrics import ClassMetrics, DaemonMetrics, RunMetrics
 
 MOST_PROBLEMS = 5  # lines shown of one daemon's log
 LONGEST_LINE = 200
 
 
-def render(figures: RunFigures) -> str:
+def render(metrics: RunMetrics) -> str:
     """The whole report."""
     lines = [
-        f"All routers were ready after {figures.ready_s:.2f} s.",
+        f"All routers were ready after {metrics.ready_s:.2f} s.",
         "",
-        *_request_lines(figures),
+        *_request_lines(metrics),
         "",
-        *_server_lines(figures),
+        *_server_lines(metrics),
         "",
-        *_daemon_lines(figures.daemons),
+        *_daemon_lines(metrics.daemons),
         "",
-        f"The stand-ins' own loop was held up for {figures.stand_in_delay_ms:.0f} ms at the longest.",
+        f"The stand-ins' own loop was held up for {metrics.stand_in_delay_ms:.0f} ms at the longest.",
     ]
-    faults = figures.faults()
+    faults = metrics.faults()
     lines += [f"Fault: {fault}." for fault in faults]
     if not faults:
         lines.append("Everything was served, and no request ran twice.")
     return "\n".join(lines)
 
 
-def _request_lines(figures: RunFigures) -> list[str]:
+def _request_lines(metrics: RunMetrics) -> list[str]:
     header = ["requests", "asked", "in time", "late", "refused", "failed", "retries"]
     header += ["first event: p50", "p95", "p99 ms", "pause: p99 ms"]
-    lines = _table([header, *map(_class_row, (*figures.classes, figures.total))])
-    if figures.total.cut_by_kills:
+    lines = _table([header, *map(_class_row, (*metrics.classes, metrics.total))])
+    if metrics.total.cut_by_kills:
         lines.append(
-            f"Of those failed, {figures.total.cut_by_kills} were under way at a router as it was killed."
+            f"Of those failed, {metrics.total.cut_by_kills} were under way at a router as it was killed."
         )
     return lines
 
 
-def _class_row(figures: ClassFigures) -> list[str]:
-    first = figures.first_event_ms
+def _class_row(metrics: ClassMetrics) -> list[str]:
+    first = metrics.first_event_ms
     numbers = (
-        figures.asked,
-        figures.in_time,
-        figures.late,
-        figures.refused,
-        figures.failed,
-        figures.retries,
+        metrics.asked,
+        metrics.in_time,
+        metrics.late,
+        metrics.refused,
+        metrics.failed,
+        metrics.retries,
         first.p50,
         first.p95,
         first.p99,
-        figures.pause_ms.p99,
+        metrics.pause_ms.p99,
     )
-    return [figures.name, *(f"{number:,}" for number in numbers)]
+    return [metrics.name, *(f"{number:,}" for number in numbers)]
 
 
-def _server_lines(figures: RunFigures) -> list[str]:
-    operator = figures.operator
+def _server_lines(metrics: RunMetrics) -> list[str]:
+    operator = metrics.operator
     read_back = "read back at the end" if operator.read_back else "NOT read back at the end"
     return [
-        f"Runs: {figures.doubled} doubled; as they may be: {figures.resumed} resumed, "
-        f"{figures.repeated} repeated.",
-        f"Prompt tokens: {figures.prompt_tokens_read:,} read, "
-        f"{figures.prompt_tokens_read_again:,} of them again.",
-        f"Servers: {figures.rejected_by_servers} requests turned away, "
-        f"{figures.cancelled_at_servers} cancelled, {figures.server_connections} connections.",
-        f"List: {figures.list_calls} calls, {figures.list_calls_refused} over the rate.",
+        f"Runs: {metrics.doubled} doubled; as they may be: {metrics.resumed} resumed, "
+        f"{metrics.repeated} repeated.",
+        f"Prompt tokens: {metrics.prompt_tokens_read:,} read, "
+        f"{metrics.prompt_tokens_read_again:,} of them again.",
+        f"Servers: {metrics.rejected_by_servers} requests turned away, "
+        f"{metrics.cancelled_at_servers} cancelled, {metrics.server_connections} connections.",
+        f"List: {metrics.list_calls} calls, {metrics.list_calls_refused} over the rate.",
         f"Configuration: {operator.acknowledged} of {operator.orders} orders acknowledged, "
         f"the first after {operator.first_s * 1000:.0f} ms, others after {operator.slowest_s * 1000:.0f} ms "
         f"at the most; {read_back}.",
     ]
 
 
-def _daemon_lines(daemons: Sequence[DaemonFigures]) -> list[str]:
+def _daemon_lines(daemons: Sequence[DaemonMetrics]) -> list[str]:
     header = ["daemon", "memory MB", "processor s", "starts"]
     rows = [
         [each.name, f"{each.peak_mb:.1f}", f"{each.processor_s:.2f}", str(each.starts)] for each in daemons
--- a/firvane/simulation/localfleet/request_message.py
+++ b/firvane/simulation/localfleet/request_message.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from firvane.simulation.localfleet.profiles import MODEL
-from firvane.simulation.localfleet.run_ledger import PROMPT_HEADERS, SentTry, fingerprint
+from firvane.simulation.localfleet.run_ledger import PROMPT_HEADERS, SentAttempt, fingerprint
 from firvane.simulation.localfleet.schedule import PlannedRequest
 
 
 def compose_request(
     planned: PlannedRequest, request_id: bytes, last_event: int, left_ms: int
-) -> tuple[bytes, SentTry]:
+) -> tuple[bytes, SentAttempt]:
     """The bytes of a request, and what is remembered of it; `last_event` is 0 where nothing is resumed."""
     kind, body = planned.kind, planned.body()
     target = f"{kind.path_prefix}{planned.number % kind.subjects}"
@@ -30,4 +30,4 @@
     lines = [f"POST {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
     values = [prompt[name].encode() for name in PROMPT_HEADERS]
     mark = fingerprint(b"POST", target.encode(), values, body)
-    return "\r\n".join([*lines, "", ""]).encode() + body, SentTry(kind.resumable, mark)
+    return "\r\n".join([*lines, "", ""]).encode() + body, SentAttempt(kind.resumable, mark)
--- a/firvane/simulation/localfleet/retries.py
+++ b/firvane/simulation/localfleet/retries.py
@@ -1,4 +1,4 @@
-"""What a client does after a try that was not served.
+"""What a client does after an attempt that was not served.
 
 1. A repeatable request is tried again after any failure, any other only where it surely has not run: after a
    refusal, or where no connection came up.
@@ -18,8 +18,8 @@
 SMALLEST_REST = 0.05  # s; with less left no retry is made
 
 
-class TryEnd(enum.Enum):
-    """How a try has ended."""
+class AttemptEnd(enum.Enum):
+    """How an attempt has ended."""
 
     SERVED = "served"
     ANSWERED = "answered"  # with another status than a success
@@ -31,29 +31,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TryResult:
-    """The end of a try; `status` is 0 where no head came, `retry_after` is in seconds."""
+class AttemptResult:
+    """The end of an attempt; `status` is 0 where no head came, `retry_after` is in seconds."""
 
-    end: TryEnd
+    end: AttemptEnd
     status: int = 0
     retry_after: float | None = None
     detail: str = ""
 
     @property
     def promised(self) -> bool:
-        """Whether the client was told that the request has not run."""
-        return self.end is TryEnd.ANSWERED and self.status in PROMISES
+        """Whether the client was informed that the request has not run."""
+        return self.end is AttemptEnd.ANSWERED and self.status in PROMISES
 
 
-def retry_pause(result: TryResult, repeatable: bool, retries_left: int, time_left: float) -> float | None:
-    """Seconds until the next try; None where there is none."""
+def retry_delay(result: AttemptResult, repeatable: bool, retries_left: int, time_left: float) -> float | None:
+    """Seconds until the next attempt; None where there is none."""
     if retries_left <= 0 or time_left <= SMALLEST_REST:
         return None
-    if result.end in (TryEnd.SERVED, TryEnd.OUT_OF_TIME, TryEnd.WRONG):
+    if result.end in (AttemptEnd.SERVED, AttemptEnd.OUT_OF_TIME, AttemptEnd.WRONG):
         return None
-    if result.end is TryEnd.ANSWERED and result.status in FINAL:
+    if result.end is AttemptEnd.ANSWERED and result.status in FINAL:
         return None
-    surely_not_run = result.promised or result.end is TryEnd.NOT_CONNECTED
+    surely_not_run = result.promised or result.end is AttemptEnd.NOT_CONNECTED
     if not (repeatable or surely_not_run):
         return None
     asked = PAUSE if result.retry_after is None else result.retry_after
--- a/firvane/simulation/localfleet/run_ledger.py
+++ b/firvane/simulation/localfleet/run_ledger.py
@@ -1,6 +1,7 @@
 """What the model servers ran, held against what clients sent.
 
-A *try* is one request with an id of its own. The judgement is made after the end, from both sides' records.
+An *attempt* is one request with an id of its own. The judgement is made after the end, from the records of
+both sides.
 """
 
 from __future__ import annotations
@@ -10,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from firvane.simulation.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.prompts import PromptChunk
 
 PROMPT_HEADERS = ("x-model", "x-token-count", "x-prompt-prefix")
 
@@ -31,8 +32,8 @@
 
 
 @dataclass(slots=True)
-class SentTry:
-    """A try of a client."""
+class SentAttempt:
+    """An attempt of a client."""
 
     repeatable: bool
     fingerprint: int
@@ -41,13 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The ids of tries with which something went wrong, and what was repeated as it may be."""
+    """The ids of attempts with which something went wrong, and what was repeated as it may be."""
 
     doubled: tuple[bytes, ...] = ()  # ran more than once although they may not be repeated
-    ran_after_refusal: tuple[bytes, ...] = ()  # ran although the client was told they had not; not repeatable
+    ran_after_refusal: tuple[
+        bytes, ...
+    ] = ()  # ran although the client was informed they had not; not repeatable
     unasked: tuple[bytes, ...] = ()  # ran, and no client has sent them
     altered: tuple[bytes, ...] = ()  # reached a server with another path, body or prompt
-    repeated: int = 0  # further runs of repeatable tries from the start
+    repeated: int = 0  # further runs of repeatable attempts from the start
     resumed: int = 0  # runs that took a stream up, for the system or for a client
 
     @property
@@ -56,8 +59,8 @@
         return not (self.doubled or self.ran_after_refusal or self.unasked or self.altered)
 
 
-def judge(runs: Iterable[Run], sent: Mapping[bytes, SentTry]) -> Verdict:
-    """Compare all runs with all tries."""
+def judge(runs: Iterable[Run], sent: Mapping[bytes, SentAttempt]) -> Verdict:
+    """Compare all runs with all attempts."""
     counts: Counter[bytes] = Counter()
     doubled: dict[bytes, None] = {}
     refused: dict[bytes, None] = {}
@@ -85,15 +88,15 @@
 
 
 @dataclass(slots=True)
-class ReadingLedger:
+class PrefillCounter:
     """Prompt tokens that were read by all servers together."""
 
     tokens_read: int = 0
     tokens_read_again: int = 0  # of parts that some server had read before
     _known: set[int] = field(default_factory=set)
 
-    def note(self, part: PromptPart) -> None:
-        """A server has read this part whole."""
+    def note(self, part: PromptChunk) -> None:
+        """A server has read this chunk completely."""
         self.tokens_read += part.tokens
         if part.id in self._known:
             self.tokens_read_again += part.tokens
@@ -105,7 +108,7 @@
     """What all model servers record together."""
 
     runs: list[Run] = field(default_factory=list)
-    reading: ReadingLedger = field(default_factory=ReadingLedger)
-    rejected: int = 0  # requests turned away with a promise
+    reading: PrefillCounter = field(default_factory=PrefillCounter)
+    rejected: int = 0  # requests rejected with a promise
     cancelled: int = 0  # requests whose connection closed while they waited or ran
     connections: int = 0  # ever accepted
--- a/firvane/simulation/localfleet/schedule.py
+++ b/firvane/simulation/localfleet/schedule.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from firvane.simulation.localfleet.profiles import RequestClass
-from firvane.simulation.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.prompts import Prompt, PromptChunk
 
 SIZE_SPREAD = 0.7  # standard deviation of the logarithm of sizes
 LARGEST = 4.0  # of a size's mean
@@ -55,14 +55,14 @@
 def _draw_prompt(kind: RequestClass, number: int, rng: random.Random, seed: int) -> Prompt:
     subject = rng.randrange(kind.subjects)
     shared = _part(f"{seed}/{kind.name}/subject/{subject}", kind.shared_tokens)
-    own = PromptPart(zlib.crc32(f"{seed}/{kind.name}/own/{number}".encode()), _size(kind.own_tokens, rng))
+    own = PromptChunk(zlib.crc32(f"{seed}/{kind.name}/own/{number}".encode()), _size(kind.own_tokens, rng))
     return Prompt((shared, own), _size(kind.output_tokens, rng))
 
 
-def _part(name: str, mean: float) -> PromptPart:
+def _part(name: str, mean: float) -> PromptChunk:
     """A shared part; its size follows from its name."""
     number = zlib.crc32(name.encode())
-    return PromptPart(number, _size(mean, random.Random(number)))
+    return PromptChunk(number, _size(mean, random.Random(number)))
 
 
 def _size(mean: float, rng: random.Random) -> int:
--- a/firvane/simulation/localfleet/token_memory.py
+++ b/firvane/simulation/localfleet/token_memory.py
@@ -1,9 +1,10 @@
-"""The memory of one model server, counted in tokens: parts of prompts that it keeps, and what requests hold.
+"""The memory of one model server, counted in tokens: its prefix cache, and what requests hold.
 
-1. A part that a running request uses is locked and cannot give way. Others are kept until their room is
+1. A chunk that a running request uses is locked and cannot give way. Others stay cached until their space is
    needed; the least recently used gives way first.
-2. A kept part saves its reading only where all parts before it in the prompt are kept as well.
-3. What a request has read or written itself is private until a part is read whole; then the part is kept.
+2. A cached chunk saves its prefill only where all chunks before it in the prompt are cached as well.
+3. What a request has read or written itself is private until a chunk is prefilled completely; then that is
+   cached.
 """
 
 from __future__ import annotations
@@ -12,11 +13,11 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from firvane.simulation.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.prompts import PromptChunk
 
 
 @dataclass(slots=True)
-class _LockedPart:
+class _LockedChunk:
     tokens: int
     users: int
 
@@ -26,7 +27,7 @@
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
-        self._locked: dict[int, _LockedPart] = {}
+        self._locked: dict[int, _LockedChunk] = {}
         self._idle: OrderedDict[int, int] = OrderedDict()  # id to tokens, least recently used first
         self._idle_tokens = 0
         self._in_use = 0  # private tokens and those of locked parts
@@ -36,12 +37,12 @@
         """Tokens that cannot give way now."""
         return self._in_use
 
-    def keeps(self, part: PromptPart) -> bool:
-        """Whether the part is kept, locked or not."""
+    def keeps(self, part: PromptChunk) -> bool:
+        """Whether the chunk is cached, locked or not."""
         return part.id in self._locked or part.id in self._idle
 
-    def lock_kept(self, parts: Sequence[PromptPart]) -> int:
-        """Lock the parts at the beginning that are kept; how many there are."""
+    def lock_cached(self, parts: Sequence[PromptChunk]) -> int:
+        """Lock the leading chunks that are cached; return how many."""
         count = 0
         for part in parts:
             if not self.keeps(part):
@@ -62,16 +63,16 @@
         """Give private room back."""
         self._in_use -= tokens
 
-    def keep(self, part: PromptPart) -> None:
-        """A part was read whole into private room: it is kept now, locked by its reader."""
+    def keep(self, part: PromptChunk) -> None:
+        """A chunk was prefilled into private memory: it is cached now, locked by its reader."""
         self._in_use -= part.tokens
         if self.keeps(part):
             self._lock(part)  # somebody else was sooner
         else:
             self._in_use += part.tokens
-            self._locked[part.id] = _LockedPart(part.tokens, 1)
+            self._locked[part.id] = _LockedChunk(part.tokens, 1)
 
-    def unlock(self, parts: Sequence[PromptPart]) -> None:
+    def unlock(self, parts: Sequence[PromptChunk]) -> None:
         """A request that had locked these parts has ended. The first ones count as the most recently used."""
         for part in reversed(parts):
             locked = self._locked[part.id]
@@ -82,7 +83,7 @@
                 self._idle[part.id] = locked.tokens
                 self._idle_tokens += locked.tokens
 
-    def _lock(self, part: PromptPart) -> None:
+    def _lock(self, part: PromptChunk) -> None:
         locked = self._locked.get(part.id)
         if locked:
             locked.users += 1
@@ -90,7 +91,7 @@
         tokens = self._idle.pop(part.id)
         self._idle_tokens -= tokens
         self._in_use += tokens
-        self._locked[part.id] = _LockedPart(tokens, 1)
+        self._locked[part.id] = _LockedChunk(tokens, 1)
 
     def _evict(self) -> None:
         while self._in_use + self._idle_tokens > self.capacity:
--- a/firvane/simulation/soak/__init__.py
+++ b/firvane/simulation/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A soak: the real daemons as processes, under clients that do not let go and troubles that overlap.
+"""A soak: the real daemons as processes, under persistent clients and overlapping faults.
 
 A plan is drawn from a seed, played, and judged afterwards by what clients and stand-ins wrote down; the judge
 knows the rules of the protocol and nothing of the daemons. `docs/soak.md` says what is played and judged.
--- a/firvane/simulation/soak/backends.py
+++ b/firvane/simulation/soak/backends.py
@@ -39,7 +39,7 @@
                 return mode
         return None
 
-    def time_until_cut(self) -> float:
+    def time_until_break(self) -> float:
         """Seconds until an answer is cut."""
         return self._dice.uniform(0.0, LONGEST_UNTIL_CUT)
 
@@ -60,6 +60,7 @@
         self.soak_record, self.faults = record, faults
 
     def make_connection(self) -> ModelConnection:
+        """A connection that writes down what arrives on it."""
         return SoakServerConnection(self)
 
 
@@ -72,6 +73,7 @@
         self._arrival: Arrival | None = None
 
     def on_request(self, request: Message) -> None:
+        """Write down the arrival; run it, or fail it as the plan says."""
         request_id = request.fields.get(b"x-request-id", b"")
         if not request_id:
             super().on_request(request)
@@ -83,10 +85,10 @@
         if mode in (None, FaultMode.CUT):
             super().on_request(request)
             if mode is FaultMode.CUT:
-                self._soak.loop.call_later(self._soak.faults.time_until_cut(), self._cut, self._arrival)
+                self._soak.loop.call_later(self._soak.faults.time_until_break(), self._cut, self._arrival)
         elif mode is FaultMode.SHED:
             self._request_id = request_id
-            self.turn_away(503)
+            self.reject(503)
         else:
             mark = request_fingerprint(request, b"".join(request.body))
             self._soak.records.runs.append(Run(request_id, self._soak.instance.id, 0, mark))
@@ -102,19 +104,23 @@
         if self._arrival is arrival and self.busy and not self.closing:
             self.break_off()
 
-    def turn_away(self, status: int) -> None:
+    def reject(self, status: int) -> None:
+        """Write down and answer that the request has not run."""
         self._note(RunEnd.TURNED_AWAY)
-        super().turn_away(status)
+        super().reject(status)
 
     def on_answered(self) -> None:
+        """Write down that the answer is complete."""
         self._note(RunEnd.ANSWERED)
         super().on_answered()
 
     def break_off(self) -> None:
+        """Write down and break the connection."""
         self._note(RunEnd.BROKE_OFF)
         super().break_off()
 
     def on_end(self) -> None:
+        """Write down that the caller has gone."""
         self._note(RunEnd.CANCELLED)
         super().on_end()
 
--- a/firvane/simulation/soak/clients.py
+++ b/firvane/simulation/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that do not let go: kept connections are used until they end, whatever was said on them."""
+"""Persistent clients: kept-alive connections are used until they end, whatever was said on them."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from firvane.simulation.localfleet.ingress import Ingress
 from firvane.simulation.localfleet.layout import Layout
 from firvane.simulation.localfleet.request_message import compose_request
-from firvane.simulation.localfleet.run_ledger import SentTry
+from firvane.simulation.localfleet.run_ledger import SentAttempt
 from firvane.simulation.localfleet.schedule import PlannedRequest
 from firvane.simulation.soak.connection import Exchange, SoakConnection
-from firvane.simulation.soak.records import Record, TryEnd, TryRecord
+from firvane.simulation.soak.records import AttemptEnd, AttemptRecord, Record
 
 CONNECT_TIMEOUT = 1.0  # s
 LONGEST_PIECE_PAUSE = 2.0  # s between two parts of a request
@@ -53,7 +53,7 @@
 
     def __init__(self, layout: Layout, ingress: Ingress, record: Record, seed: int) -> None:
         self.record = record
-        self.sent: dict[bytes, SentTry] = {}
+        self.sent: dict[bytes, SentAttempt] = {}
         self._loop = asyncio.get_running_loop()
         self._layout, self._ingress, self._seed = layout, ingress, seed
         self._names = {
@@ -126,7 +126,7 @@
         if connection is None:
             self._attempt += 1
             for exchange, _ in composed:
-                exchange.finish(TryEnd.NOT_CONNECTED, self._loop.time())
+                exchange.finish(AttemptEnd.NOT_CONNECTED, self._loop.time())
             return
         for exchange, data in composed:
             connection.add(exchange)
@@ -146,9 +146,9 @@
         kind = planned.kind
         request_id = b"%016x" % self._dice.getrandbits(64)
         data, sent = compose_request(planned, request_id, 0, int(kind.deadline * 1000))
-        record = TryRecord(request_id.decode(), kind.name, kind.resumable, kind.max_attempts)
+        record = AttemptRecord(request_id.decode(), kind.name, kind.resumable, kind.max_attempts)
         self._clients.sent[request_id] = sent
-        self._clients.record.tries[record.id] = record
+        self._clients.record.attempts[record.id] = record
         return Exchange(record, zlib.crc32(planned.body())), data
 
     async def _connect(self) -> SoakConnection | None:
@@ -169,7 +169,7 @@
             data = data[cut:]
         connection.write(exchange, data, last=True)
 
-    async def _read_nothing(self, connection: SoakConnection, record: TryRecord) -> None:
+    async def _read_nothing(self, connection: SoakConnection, record: AttemptRecord) -> None:
         if connection.closed or connection.transport.is_closing():
             return
         connection.transport.pause_reading()
@@ -180,7 +180,7 @@
 
     async def _await_end(self, connection: SoakConnection, exchange: Exchange) -> None:
         record = exchange.record
-        begun = record.sent_whole if record.sent_whole < float("inf") else self._loop.time()
+        begun = record.sent_completely if record.sent_completely < float("inf") else self._loop.time()
         limit = self._clients.sent[record.id.encode()]
         record.deadline = begun + (10.0 if not limit.repeatable else 5.0)
         try:
@@ -188,6 +188,6 @@
                 await exchange.ended.wait()
         except TimeoutError:
             connection.leave("its time is over")
-            exchange.finish(TryEnd.LEFT, self._loop.time(), "its time is over")
-        if record.end is TryEnd.WHOLE and record.status in PROMISES:
+            exchange.finish(AttemptEnd.LEFT, self._loop.time(), "its time is over")
+        if record.end is AttemptEnd.WHOLE and record.status in PROMISES:
             limit.promised = True
--- a/firvane/simulation/soak/command.py
+++ b/firvane/simulation/soak/command.py
@@ -20,7 +20,7 @@
 from firvane.simulation.soak.judge import Terms, Violation, judge
 from firvane.simulation.soak.plan import SIZES, Plan, draw_plan, plan_from_json
 from firvane.simulation.soak.player import Played, Player
-from firvane.simulation.soak.records import TryEnd
+from firvane.simulation.soak.records import AttemptEnd
 from firvane.simulation.soak.shrink import shrink
 
 DONE = 0
@@ -121,14 +121,14 @@
 def summary(plan: Plan, outcome: Outcome) -> str:
     """One line: what was played and what was broken."""
     record = outcome.played.record
-    ends = Counter(each.end for each in record.tries.values() if each.end)
+    ends = Counter(each.end for each in record.attempts.values() if each.end)
     rules = Counter(violation.rule for violation in outcome.violations)
     kinds = Counter(step.kind.value for step in plan.steps)
     told = " ".join(f"{kind}:{count}" for kind, count in sorted(kinds.items()))
     broken = " ".join(f"{rule}:{count}" for rule, count in sorted(rules.items())) or "none"
-    counted = " ".join(f"{end.name.lower()}={ends[end]}" for end in TryEnd)
+    counted = " ".join(f"{end.name.lower()}={ends[end]}" for end in AttemptEnd)
     return (
-        f"seed {plan.seed}: broken {broken}; {len(record.tries)} requests ({counted}), "
+        f"seed {plan.seed}: broken {broken}; {len(record.attempts)} requests ({counted}), "
         f"{len(record.arrivals)} arrivals, {record.orders_acknowledged} orders; {told}; "
         f"delay {record.clock_delay * 1000:.0f} ms"
     )
--- a/firvane/simulation/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -10,15 +10,14 @@
 
 from firvane.core.net.http import Fault, Message, Reader
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
-from firvane.simulation.soak.records import TryEnd, TryRecord
-
-MAX_ANSWER = 16 * 1024 * 1024  # bytes
+from firvane.simulation.localfleet.http_client import MAX_ANSWER_BYTES, is_success
+from firvane.simulation.soak.records import AttemptEnd, AttemptRecord
 
 
 class Exchange:
     """One request on a connection, and the answer that comes for it."""
 
-    def __init__(self, record: TryRecord, digest: int) -> None:
+    def __init__(self, record: AttemptRecord, digest: int) -> None:
         self.record = record
         self.ended = asyncio.Event()
         self.begun = asyncio.Event()  # the head of the answer is here
@@ -28,23 +27,23 @@
         """Check the head; an answer that belongs to another request is wrong."""
         self.record.status = message.status
         self.begun.set()
-        if 200 <= message.status < 300:
+        if is_success(message.status):
             if message.fields.get(b"x-request-id") != self.record.id.encode():
                 raise StreamError("an answer to another request")
             if not message.fields.get(b"x-server-seal"):
                 raise StreamError("a success without a seal")
 
     def on_body(self, data: bytes) -> None:
-        """Check the events that are whole."""
-        if 200 <= self.record.status < 300:
+        """Check the complete events."""
+        if is_success(self.record.status):
             self._stream.feed(data)
 
     def on_complete(self) -> None:
         """The answer has ended in order."""
-        if 200 <= self.record.status < 300:
+        if is_success(self.record.status):
             self._stream.end_answer()
 
-    def finish(self, end: TryEnd, now: float, detail: str = "") -> None:
+    def finish(self, end: AttemptEnd, now: float, detail: str = "") -> None:
         """The end of the request for its client; only the first one counts."""
         if self.record.end is None:
             self.record.end, self.record.ended, self.record.detail = end, now, detail
@@ -56,17 +55,18 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: str) -> None:
         self._loop, self.router = loop, router
-        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
+        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
         self._waiting: deque[Exchange] = deque()
-        self._head_told = False
+        self._head_passed = False
         self.requests = 0
         self.made = loop.time()
         self.closed = False
-        self.told_to_close = False  # an answer said that it is the last
+        self.asked_to_close = False  # an answer said that it is the last
         self.unasked = 0  # bytes that came while no request was waiting
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport; called by the event loop."""
         self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
 
     def add(self, exchange: Exchange) -> None:
@@ -87,25 +87,27 @@
         self.transport.write(data)
         record.sent = min(record.sent, now)
         if last:
-            record.sent_whole = now
+            record.sent_completely = now
 
     def leave(self, detail: str) -> None:
         """The client closes the connection, whatever is under way."""
         now = self._loop.time()
         for exchange in self._waiting:
-            exchange.finish(TryEnd.LEFT, now, detail)
+            exchange.finish(AttemptEnd.LEFT, now, detail)
         self._end()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """End all requests under way; an answer without a length is complete now (RFC 9112, 6.3)."""
         message = self._reader.message
         if error is None and message and not message.framed and not self._reader.in_head:
-            self._complete(message)  # without a length, an answer ends with its connection
+            self._complete(message)
         self.closed = True
         for exchange in self._waiting:
-            exchange.finish(TryEnd.BROKEN, self._loop.time(), f"connection ended ({error or 'closed'})")
+            exchange.finish(AttemptEnd.BROKEN, self._loop.time(), f"connection ended ({error or 'closed'})")
         self._waiting.clear()
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes of the answers."""
         try:
             self._reader.feed(data)
             self._pass_on()
@@ -124,30 +126,30 @@
             self.unasked += 1
             return
         exchange = self._waiting[0]
-        if not self._head_told:
-            self._head_told = True
+        if not self._head_passed:
+            self._head_passed = True
             if len(self._waiting) > 1:
                 self._waiting[1].record.head_before = self._loop.time()
-            self.told_to_close = self.told_to_close or not message.keep
+            self.asked_to_close = self.asked_to_close or not message.keep
             exchange.on_head(message)
         if pieces := message.taken():
             exchange.on_body(b"".join(pieces))
 
     def _complete(self, message: Message) -> None:
-        self._head_told = False
+        self._head_passed = False
         if not self._waiting:
             return
         exchange = self._waiting[0]
         exchange.on_complete()
         self._waiting.popleft()
         now = self._loop.time()
-        exchange.finish(TryEnd.WHOLE, now)
+        exchange.finish(AttemptEnd.WHOLE, now)
         if self._waiting:
             self._waiting[0].record.turn = now
 
     def _wrong(self, detail: str) -> None:
         if self._waiting:
-            self._waiting.popleft().finish(TryEnd.WRONG, self._loop.time(), detail)
+            self._waiting.popleft().finish(AttemptEnd.WRONG, self._loop.time(), detail)
         else:
             self.unasked += 1
         self.leave("after a wrong answer")
--- a/firvane/simulation/soak/event_trace.py
+++ b/firvane/simulation/soak/event_trace.py
@@ -7,9 +7,10 @@
 
 from firvane.simulation.soak.judge import Violation
 from firvane.simulation.soak.player import Played
-from firvane.simulation.soak.records import UNKNOWN, TryRecord
+from firvane.simulation.soak.records import UNKNOWN, AttemptRecord
 
-BEFORE, AFTER = 9.0, 1.0  # s around a moment for which signals are told
+SHOWN_BEFORE_S = 9.0
+SHOWN_AFTER_S = 1.0
 MOST_LOG_LINES = 12
 REQUEST_IN_LOG = re.compile(r"request=([0-9a-f]+)")
 
@@ -28,9 +29,9 @@
 
 def _events(violation: Violation, played: Played) -> Iterator[tuple[float, str]]:
     record = played.record
-    if each := record.tries.get(violation.request):
-        yield from _of_try(each)
-        for other in record.tries.values():
+    if each := record.attempts.get(violation.request):
+        yield from _of_attempt(each)
+        for other in record.attempts.values():
             if other is not each and (other.router, other.connected) == (each.router, each.connected):
                 yield from _of_neighbour(other)
     for arrival in record.arrivals:
@@ -39,21 +40,21 @@
             if arrival.ended < UNKNOWN:
                 yield arrival.ended, f"at {arrival.backend}: {arrival.end.value}"
     for event in record.processes:
-        near = violation.at - BEFORE <= event.at <= violation.at + AFTER
+        near = violation.at - SHOWN_BEFORE_S <= event.at <= violation.at + SHOWN_AFTER_S
         if event.daemon == violation.daemon and near:
             yield event.at, f"{event.daemon}: {event.kind.value} {event.code or ''}".rstrip()
 
 
-def _of_try(each: TryRecord) -> Iterator[tuple[float, str]]:
+def _of_attempt(each: AttemptRecord) -> Iterator[tuple[float, str]]:
     if each.connected < UNKNOWN:
         yield each.connected, f"its client's connection to {each.router} is made"
     if each.sent < UNKNOWN:
         yield each.sent, f"request {each.id} ({each.kind}, number {each.number} there): first byte"
-    if each.sent_whole < UNKNOWN:
-        yield each.sent_whole, "its last byte"
+    if each.sent_completely < UNKNOWN:
+        yield each.sent_completely, "its last byte"
     if each.head_before < UNKNOWN:
         yield each.head_before, "the head of the answer before it"
-    if each.sent_whole < each.turn < UNKNOWN:
+    if each.sent_completely < each.turn < UNKNOWN:
         yield each.turn, "the answer before it is whole"
     if each.blind_until:
         yield each.blind_until, "its client reads again"
@@ -61,7 +62,7 @@
         yield each.ended, f"for its client: {each.end.value}, status {each.status}, {each.detail}"
 
 
-def _of_neighbour(other: TryRecord) -> Iterator[tuple[float, str]]:
+def _of_neighbour(other: AttemptRecord) -> Iterator[tuple[float, str]]:
     """Another request on the same connection."""
     if other.sent < UNKNOWN:
         yield other.sent, f"on the same connection: request {other.id} ({other.kind}, number {other.number})"
--- a/firvane/simulation/soak/judge.py
+++ b/firvane/simulation/soak/judge.py
@@ -2,13 +2,13 @@
 
 | rule | sentence of the pages |
 | --- | --- |
-| LOST | around a SIGTERM a process has read a whole request, and the connection ends without a whole answer |
+| LOST | around a SIGTERM a process has read a request, and the connection ends without a complete answer |
 | BUDGET | repeats at a service in any window exceed the ratio of its requests and the slack |
 | ATTEMPTS | a request runs on more backends than its route's `max_attempts` |
 | TWICE | what may not be repeated runs more than once |
 | REFUSED | what was answered with a promise that it has not run has run, or runs later |
 | UNASKED | a backend is sent what no client has sent, or something else |
-| MIXED | a client gets an answer that is not its own or not whole, or bytes that it did not ask for |
+| MIXED | a client gets an answer that is not its own or incomplete, or bytes that it did not ask for |
 | CONFIG | an order is refused, two under one number are both taken, what was acknowledged is not read back |
 | END | a process ends by itself, with a status that is not 0, or later than its grace |
 | LOG | a line on standard error is an error, or no line of the log |
@@ -23,12 +23,12 @@
 
 from firvane.simulation.soak.records import (
     Arrival,
+    AttemptEnd,
+    AttemptRecord,
     ProcessEvent,
     Record,
     RunEnd,
     SignalKind,
-    TryEnd,
-    TryRecord,
 )
 from firvane.simulation.soak.retry_rule import RetryRule
 
@@ -43,7 +43,7 @@
     excused_until: float = (
         3.0  # after SIGTERM: what was sent by then may be cut in the last part of the grace
     )
-    last_part: float = 1 / 6  # of the grace
+    last_phase: float = 1 / 6  # of the grace
     after_grace: float = 1.0
     retry: RetryRule = field(default_factory=lambda: RetryRule(ratio=0.2, slack=52.0, window=10.0))
     memory_mb: float = 120.0
@@ -91,8 +91,8 @@
 def _lost(record: Record, terms: Terms) -> Iterator[Violation]:
     arrivals = arrivals_by_request(record.arrivals)
     processes = _by_daemon(record.processes)
-    for each in record.tries.values():
-        if each.end is not TryEnd.BROKEN or each.sent_whole > each.ended:
+    for each in record.attempts.values():
+        if each.end is not AttemptEnd.BROKEN or each.sent_completely > each.ended:
             continue
         events = processes.get(each.router, [])
         term = _term_before(events, each.ended, terms)
@@ -100,7 +100,7 @@
             continue
         if not (arrivals.get(each.id) or _was_read(each, terms, record.clock_delay)):
             continue
-        after, lasted = each.sent_whole - term, each.ended - each.sent_whole
+        after, lasted = each.sent_completely - term, each.ended - each.sent_completely
         text = f"sent {after:.3f} s after SIGTERM of {each.router}, cut {lasted:.3f} s later"
         yield Violation("LOST", each.ended, text, each.id, each.router)
 
@@ -120,7 +120,7 @@
     return term
 
 
-def _was_read(each: TryRecord, terms: Terms, delay: float) -> bool:
+def _was_read(each: AttemptRecord, terms: Terms, delay: float) -> bool:
     """Whether the process must have read a request that it did not pass on.
 
     What comes behind another request is read once that one is answered, and never where it was not. Where it
@@ -128,14 +128,14 @@
     """
     if each.turn > each.ended:
         return False
-    if each.sent_whole + terms.loss_slack + delay < each.head_before <= each.ended:
+    if each.sent_completely + terms.loss_slack + delay < each.head_before <= each.ended:
         return True
-    readable = max(each.sent_whole, each.turn, each.blind_until)
+    readable = max(each.sent_completely, each.turn, each.blind_until)
     return each.ended - readable > terms.loss_slack + delay
 
 
 def _is_excused(
-    each: TryRecord, arrivals: list[Arrival], events: list[ProcessEvent], term: float, terms: Terms
+    each: AttemptRecord, arrivals: list[Arrival], events: list[ProcessEvent], term: float, terms: Terms
 ) -> bool:
     if each.ended >= each.deadline - terms.deadline_margin:
         return True
@@ -144,16 +144,18 @@
     begins = each.sent - terms.contact
     if any(event.kind in TROUBLES and begins <= event.at <= each.ended for event in events):
         return True
-    in_last_part = term + terms.grace * (1.0 - terms.last_part)
-    works = any(arrival.at <= each.ended and arrival.ended >= in_last_part for arrival in arrivals)
-    return works and each.ended >= in_last_part and each.sent_whole <= term + terms.excused_until
+    in_last_phase = term + terms.grace * (1.0 - terms.last_phase)
+    works = any(arrival.at <= each.ended and arrival.ended >= in_last_phase for arrival in arrivals)
+    return works and each.ended >= in_last_phase and each.sent_completely <= term + terms.excused_until
 
 
 # BUDGET, ATTEMPTS
 
 
 def _budget(record: Record, terms: Terms) -> Iterator[Violation]:
-    requests = sorted(each.sent for each in record.tries.values() if each.end is not TryEnd.NOT_CONNECTED)
+    requests = sorted(
+        each.sent for each in record.attempts.values() if each.end is not AttemptEnd.NOT_CONNECTED
+    )
     seen: set[str] = set()
     repeats: list[float] = []
     for arrival in sorted(record.arrivals, key=lambda each: each.at):
@@ -168,7 +170,7 @@
 
 def _attempts(record: Record) -> Iterator[Violation]:
     for request, arrivals in arrivals_by_request(record.arrivals).items():
-        sent = record.tries.get(request)
+        sent = record.attempts.get(request)
         backends = {arrival.backend for arrival in arrivals if arrival.end is not RunEnd.TURNED_AWAY}
         if sent and len(backends) > sent.max_attempts:
             text = f"ran on {len(backends)} backends, {sent.max_attempts} allowed"
@@ -184,8 +186,8 @@
 
 
 def _mixed(record: Record) -> Iterator[Violation]:
-    for each in record.tries.values():
-        if each.end is TryEnd.WRONG:
+    for each in record.attempts.values():
+        if each.end is AttemptEnd.WRONG:
             yield Violation("MIXED", each.ended, each.detail, each.id, each.router)
     if record.unasked_bytes:
         yield Violation("MIXED", 0.0, f"{record.unasked_bytes} bytes came to clients without a request")
--- a/firvane/simulation/soak/plan.py
+++ b/firvane/simulation/soak/plan.py
@@ -12,7 +12,8 @@
 from dataclasses import asdict, dataclass, replace
 from typing import Any
 
-ROUTER, CONTROLLER = "router", "controller"
+ROUTER = "router"
+CONTROLLER = "controller"
 
 
 class StepKind(enum.StrEnum):
@@ -36,7 +37,7 @@
     """How a backend fails a request."""
 
     ERROR = "error"  # it runs, and ends with 500
-    SHED = "shed"  # turned away, has not run
+    SHED = "shed"  # rejected, has not run
     RESET = "reset"  # the connection ends at once
     CUT = "cut"  # it ends in the middle of the answer
     HANG = "hang"  # no answer comes
@@ -143,7 +144,7 @@
 
 
 def restart_in_start(dice: random.Random, size: Size) -> Iterator[Step]:
-    """A router is told to end while it starts."""
+    """A router gets SIGTERM while it starts."""
     yield Step(
         _begin(dice, size), StepKind.TERM_IN_START, dice.choice(routers(size)), dice.uniform(0.05, 1.5)
     )
--- a/firvane/simulation/soak/records.py
+++ b/firvane/simulation/soak/records.py
@@ -8,7 +8,7 @@
 UNKNOWN = float("inf")
 
 
-class TryEnd(enum.Enum):
+class AttemptEnd(enum.Enum):
     """How a request has ended for its client."""
 
     WHOLE = "a whole answer"
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class TryRecord:
+class AttemptRecord:
     """One request with an id of its own, as its client saw it."""
 
     id: str
@@ -30,14 +30,14 @@
     connected: float = UNKNOWN
     number: int = 0  # of the request on its connection, from 1
     sent: float = UNKNOWN  # its first byte
-    sent_whole: float = UNKNOWN  # its last byte
-    turn: float = UNKNOWN  # when the answer before it on the connection was whole, if there is one
+    sent_completely: float = UNKNOWN  # its last byte
+    turn: float = UNKNOWN  # when the answer before it on the connection was complete, if there is one
     head_before: float = UNKNOWN  # when the head of that answer came, if it came after this was begun
     blind_until: float = 0.0  # the client read nothing until then, and did not see the connection's end
     deadline: float = UNKNOWN
     status: int = 0
     ended: float = UNKNOWN
-    end: TryEnd | None = None
+    end: AttemptEnd | None = None
     detail: str = ""
 
 
@@ -102,7 +102,7 @@
 class Record:
     """Everything that the judge is given."""
 
-    tries: dict[str, TryRecord] = field(default_factory=dict)
+    attempts: dict[str, AttemptRecord] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     processes: list[ProcessEvent] = field(default_factory=list)
     usage: list[Usage] = field(default_factory=list)
--- a/tests/simulation/localfleet/test_batch.py
+++ b/tests/simulation/localfleet/test_batch.py
@@ -10,9 +10,9 @@
 
 from firvane.simulation.localfleet.batch import (
     Batch,
+    ChunkPrefilled,
     Job,
     Output,
-    PartRead,
     Produced,
     Rejected,
     RejectionReason,
@@ -21,7 +21,7 @@
     tokens_within,
 )
 from firvane.simulation.localfleet.profiles import ServerProfile
-from firvane.simulation.localfleet.prompts import Prompt, PromptPart
+from firvane.simulation.localfleet.prompts import Prompt, PromptChunk
 
 PROFILE = ServerProfile(
     slots=2,
@@ -33,12 +33,12 @@
     chunk_tokens=100,
     stride=4,
 )
-SHARED = PromptPart(1, 150)
+SHARED = PromptChunk(1, 150)
 FAR = 1e9
 
 
-def prompt(own: int = 50, out: int = 5, number: int = 100, shared: PromptPart | None = None) -> Prompt:
-    parts = (PromptPart(number, own),)
+def prompt(own: int = 50, out: int = 5, number: int = 100, shared: PromptChunk | None = None) -> Prompt:
+    parts = (PromptChunk(number, own),)
     return Prompt((shared, *parts) if shared else parts, out)
 
 
@@ -64,7 +64,7 @@
     assert batch.submit(Job(1, Prompt((SHARED,), 5), 5, FAR), 0.0) == []
     outputs = play(batch)
     # 100 tokens in a step of 10 + 10 ms, 50 in one of 10 + 5, four more steps of 10 for four tokens.
-    assert outputs[0] == (pytest.approx(0.035), PartRead(SHARED))
+    assert outputs[0] == (pytest.approx(0.035), ChunkPrefilled(SHARED))
     assert outputs[1] == (pytest.approx(0.035), Produced(1, 1, last=False))
     assert outputs[2] == (pytest.approx(0.075), Produced(1, 2, last=True))
     assert len(outputs) == 3
@@ -76,8 +76,8 @@
     batch.submit(Job(1, prompt(shared=SHARED), 5, FAR), 0.0)
     play(batch)
     batch.submit(Job(2, prompt(number=101, shared=SHARED), 5, FAR), 1.0)
-    read = [output.part for _, output in play(batch) if isinstance(output, PartRead)]
-    assert read == [PromptPart(101, 50)]
+    read = [output.part for _, output in play(batch) if isinstance(output, ChunkPrefilled)]
+    assert read == [PromptChunk(101, 50)]
 
 
 @pytest.mark.parametrize(
@@ -146,7 +146,7 @@
         assert [each.event for each in events(outputs, number)] == [1, 2, 3, 4]
     ends = {each.job: at for at, each in outputs if isinstance(each, Produced) and each.last}
     assert ends[1] < ends[2]
-    read = [output.part.id for _, output in outputs if isinstance(output, PartRead)]
+    read = [output.part.id for _, output in outputs if isinstance(output, ChunkPrefilled)]
     assert read.count(1002) == 2  # read anew
 
 
@@ -199,7 +199,7 @@
     outputs += [output for _, output in play(batch)]
     assert batch.active == batch.queued == batch.memory.in_use == 0
     for number, (_, out, *_) in enumerate(drawn):
-        mine = [each for each in outputs if not isinstance(each, PartRead) and each.job == number]
+        mine = [each for each in outputs if not isinstance(each, ChunkPrefilled) and each.job == number]
         numbers = [each.event for each in mine if isinstance(each, Produced)]
         assert numbers == list(range(1, len(numbers) + 1))
         ends = [each for each in mine if not isinstance(each, Produced) or each.last]
--- a/tests/simulation/localfleet/test_command.py
+++ b/tests/simulation/localfleet/test_command.py
@@ -18,9 +18,9 @@
 
 def test_a_small_fleet_serves_everything(tmp_path: Path) -> None:
     """One run with a kill of the configuration's owner; it leaves no process and no folder behind."""
-    figures = tmp_path / "figures.json"
+    metrics = tmp_path / "figures.json"
     command = [sys.executable, "-m", "firvane.simulation.localfleet", "--routers", "2", "--controllers", "1"]
-    command += ["--backends", "2", "--seconds", "2.5", "--kill", "owner@0.3", "--json", str(figures)]
+    command += ["--backends", "2", "--seconds", "2.5", "--kill", "owner@0.3", "--json", str(metrics)]
     done = subprocess.run(
         command,
         env={**os.environ, "TMPDIR": str(tmp_path)},
@@ -31,7 +31,7 @@
     )
     assert done.returncode == 0, done.stdout + done.stderr
     assert "no request ran twice" in done.stdout
-    found = json.loads(figures.read_text())
+    found = json.loads(metrics.read_text())
     total = found["total"]
     assert total["asked"] > 50
     assert total["in_time"] + total["late"] == total["asked"]
@@ -43,7 +43,7 @@
         "router-2": 1,
     }
     assert all(daemon["peak_mb"] > 5 and daemon["processor_s"] > 0 for daemon in found["daemons"])
-    assert list(tmp_path.iterdir()) == [figures]
+    assert list(tmp_path.iterdir()) == [metrics]
     assert not daemons_of(tmp_path)
 
 
--- a/tests/simulation/localfleet/test_layout.py
+++ b/tests/simulation/localfleet/test_layout.py
@@ -10,7 +10,7 @@
 from firvane.programs.controller import controller_options
 from firvane.programs.router import router_settings
 from firvane.programs.settings import load_settings
-from firvane.simulation.localfleet.faults import Kill, TroubleError, parse_kill
+from firvane.simulation.localfleet.faults import FaultSpecError, Kill, parse_kill
 from firvane.simulation.localfleet.layout import DaemonRole, Node, Ports, make_layout
 from firvane.simulation.localfleet.settings_files import PlatformTerms, settings_document, write_settings
 from firvane.simulation.localfleet.stand_ins import example_layout
@@ -60,5 +60,5 @@
     assert parse_kill("owner@0.5", names) == Kill("owner", 0.5)
     assert parse_kill("controller-2@1", names) == Kill("controller-2", 1.0)
     for text in ("router", "router@", "router@x", "model@3", "router-9@3", "@"):
-        with pytest.raises(TroubleError):
+        with pytest.raises(FaultSpecError):
             parse_kill(text, names)
--- a/tests/simulation/localfleet/test_metrics.py
+++ b/tests/simulation/localfleet/test_metrics.py
@@ -8,46 +8,46 @@
 from firvane.simulation.localfleet.config_operator import OperatorRecord
 from firvane.simulation.localfleet.daemons import parse_usage, problems_in_log
 from firvane.simulation.localfleet.metrics import (
-    DaemonFigures,
+    DaemonMetrics,
     RouterKill,
-    RunFigures,
-    class_figures,
+    RunMetrics,
+    class_metrics,
     percentiles,
 )
 from firvane.simulation.localfleet.outcomes import Outcome, RequestRecord
 from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
 from firvane.simulation.localfleet.report_text import render
-from firvane.simulation.localfleet.retries import TryEnd, TryResult
+from firvane.simulation.localfleet.retries import AttemptEnd, AttemptResult
 
 ROUTER = ("127.0.0.101", 80)
 
 
 def record(
-    end: TryEnd, status: int = 200, first: float | None = 0.1, pause: float = 0.01, began: float = 10.0
+    end: AttemptEnd, status: int = 200, first: float | None = 0.1, pause: float = 0.01, began: float = 10.0
 ) -> RequestRecord:
     """A request of one try, sent as intended; `first` is the time to its first event."""
     made = RequestRecord(LONG_PROMPTS, began)
-    made.begin_try(ROUTER, began)
-    made.end(TryResult(end, status), began + 1, None if first is None else began + first, pause)
+    made.begin_attempt(ROUTER, began)
+    made.end(AttemptResult(end, status), began + 1, None if first is None else began + first, pause)
     return made
 
 
-SERVED = record(TryEnd.SERVED)
+SERVED = record(AttemptEnd.SERVED)
 
 
 def test_outcomes() -> None:
     assert SERVED.outcome is Outcome.IN_TIME
-    assert record(TryEnd.SERVED, first=LONG_PROMPTS.aim + 0.01).outcome is Outcome.LATE
-    assert record(TryEnd.SERVED, pause=LONG_PROMPTS.gap_aim + 0.01).outcome is Outcome.LATE
-    assert record(TryEnd.ANSWERED, 503, None).outcome is Outcome.REFUSED
-    assert record(TryEnd.ANSWERED, 502, None).outcome is Outcome.FAILED
-    assert record(TryEnd.BROKEN).outcome is Outcome.FAILED
+    assert record(AttemptEnd.SERVED, first=LONG_PROMPTS.latency_target + 0.01).outcome is Outcome.LATE
+    assert record(AttemptEnd.SERVED, pause=LONG_PROMPTS.gap_target + 0.01).outcome is Outcome.LATE
+    assert record(AttemptEnd.ANSWERED, 503, None).outcome is Outcome.REFUSED
+    assert record(AttemptEnd.ANSWERED, 502, None).outcome is Outcome.FAILED
+    assert record(AttemptEnd.BROKEN).outcome is Outcome.FAILED
 
 
 def test_latency_counts_from_the_intended_send() -> None:
     made = RequestRecord(SHORT_PROMPTS, 10.0)
-    made.begin_try(ROUTER, 12.0)
-    made.end(TryResult(TryEnd.SERVED, 200), 12.5, 12.1, 0.0)
+    made.begin_attempt(ROUTER, 12.0)
+    made.end(AttemptResult(AttemptEnd.SERVED, 200), 12.5, 12.1, 0.0)
     assert made.first_event is not None and abs(made.first_event - 2.1) < 1e-9
     assert made.outcome is Outcome.LATE
 
@@ -59,17 +59,22 @@
 
 
 def test_class_figures_know_what_a_kill_has_cut() -> None:
-    records = [SERVED, record(TryEnd.BROKEN), record(TryEnd.BROKEN, began=30.0), record(TryEnd.WRONG)]
-    figures = class_figures("all", records, [RouterKill(ROUTER, 10.5)])
-    assert (figures.asked, figures.in_time, figures.failed) == (4, 1, 3)
-    assert (figures.cut_by_kills, figures.wrong) == (2, 1)
-    assert not figures.all_served
+    records = [
+        SERVED,
+        record(AttemptEnd.BROKEN),
+        record(AttemptEnd.BROKEN, began=30.0),
+        record(AttemptEnd.WRONG),
+    ]
+    metrics = class_metrics("all", records, [RouterKill(ROUTER, 10.5)])
+    assert (metrics.asked, metrics.in_time, metrics.failed) == (4, 1, 3)
+    assert (metrics.cut_by_kills, metrics.wrong) == (2, 1)
+    assert not metrics.all_served
 
 
-def run_figures(**changes: object) -> RunFigures:
-    total = class_figures("all", [SERVED], [])
-    daemon = DaemonFigures("router-1", 1, [], 30.0, 0.5, [])
-    good = RunFigures(
+def run_figures(**changes: object) -> RunMetrics:
+    total = class_metrics("all", [SERVED], [])
+    daemon = DaemonMetrics("router-1", 1, [], 30.0, 0.5, [])
+    good = RunMetrics(
         ready_s=1.0,
         classes=[total],
         total=total,
@@ -96,9 +101,9 @@
 
 def test_a_good_run_and_what_makes_one_bad() -> None:
     assert run_figures().good
-    crashed = DaemonFigures("router-1", 2, [1], 30.0, 0.5, ["Traceback"])
+    crashed = DaemonMetrics("router-1", 2, [1], 30.0, 0.5, ["Traceback"])
     bad: list[dict[str, object]] = [
-        {"total": class_figures("all", [record(TryEnd.BROKEN)], [])},
+        {"total": class_metrics("all", [record(AttemptEnd.BROKEN)], [])},
         {"doubled": 1},
         {"ran_after_refusal": 1},
         {"unasked": 1},
@@ -109,14 +114,14 @@
         {"daemons": [crashed]},
     ]
     for changes in bad:
-        figures = run_figures(**changes)
-        assert len(figures.faults()) == 1, changes
-        assert figures.faults()[0] in render(figures)
-        assert json.loads(figures.as_json())["good"] is False
+        metrics = run_figures(**changes)
+        assert len(metrics.faults()) == 1, changes
+        assert metrics.faults()[0] in render(metrics)
+        assert json.loads(metrics.as_json())["good"] is False
 
 
 def test_a_report_names_daemons_and_what_their_logs_say() -> None:
-    daemon = DaemonFigures("router-1", 2, [1], 33.3, 0.51, ["Traceback (most recent call last):"])
+    daemon = DaemonMetrics("router-1", 2, [1], 33.3, 0.51, ["Traceback (most recent call last):"])
     text = render(run_figures(daemons=[daemon]))
     assert "router-1: Traceback" in text
     assert "33.3" in text
--- a/tests/simulation/localfleet/test_operator_calls.py
+++ b/tests/simulation/localfleet/test_operator_calls.py
@@ -37,8 +37,8 @@
     call = OperatorCall([A, B, C], 1)
     steps = [call.answered(status, None) for _ in range(4)]
     assert [step.address for step in steps] == [C, A, B, C]
-    pauses = [step.pause for step in steps if isinstance(step, SendTo)]
-    assert pauses == sorted(set(pauses))
+    timing = [step.pause for step in steps if isinstance(step, SendTo)]
+    assert timing == sorted(set(timing))
 
 
 @pytest.mark.parametrize("status", [200, 400, 409, 412, 413, 422])
--- a/tests/simulation/localfleet/test_prompts.py
+++ b/tests/simulation/localfleet/test_prompts.py
@@ -6,13 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.simulation.localfleet.prompts import Prompt, PromptError, PromptPart, parse_prompt
+from firvane.simulation.localfleet.prompts import Prompt, PromptChunk, PromptError, parse_prompt
 
-PARTS = st.lists(st.builds(PromptPart, st.integers(0, 2**32 - 1), st.integers(1, 100_000)), max_size=64)
+PARTS = st.lists(st.builds(PromptChunk, st.integers(0, 2**32 - 1), st.integers(1, 100_000)), max_size=64)
 
 
 @given(PARTS, st.integers(1, 10_000))
-def test_what_is_written_is_read(parts: list[PromptPart], output: int) -> None:
+def test_what_is_written_is_read(parts: list[PromptChunk], output: int) -> None:
     prompt = Prompt(tuple(parts), output)
     assert parse_prompt(prompt.token_count_header.encode(), prompt.prefix_header.encode()) == prompt
 
@@ -21,7 +21,7 @@
     prompt = parse_prompt(b"1460,80", b"5c1e07a2:800,91bd3f06:410,e4402b7d:250")
     assert prompt.tokens == 1460
     assert prompt.output_tokens == 80
-    assert prompt.parts[0] == PromptPart(0x5C1E07A2, 800)
+    assert prompt.parts[0] == PromptChunk(0x5C1E07A2, 800)
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/localfleet/test_retries.py
+++ b/tests/simulation/localfleet/test_retries.py
@@ -4,47 +4,47 @@
 
 import pytest
 
-from firvane.simulation.localfleet.retries import PAUSE, TryEnd, TryResult, retry_pause
+from firvane.simulation.localfleet.retries import PAUSE, AttemptEnd, AttemptResult, retry_delay
 
 
-def answered(status: int, retry_after: float | None = None) -> TryResult:
-    return TryResult(TryEnd.ANSWERED, status, retry_after)
+def answered(status: int, retry_after: float | None = None) -> AttemptResult:
+    return AttemptResult(AttemptEnd.ANSWERED, status, retry_after)
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_promise_lets_every_request_be_tried_again(status: int) -> None:
-    assert retry_pause(answered(status), False, 1, 5.0) == PAUSE
+    assert retry_delay(answered(status), False, 1, 5.0) == PAUSE
 
 
 @pytest.mark.parametrize(
     "result",
-    [answered(502), answered(504), TryResult(TryEnd.BROKEN), TryResult(TryEnd.SILENT)],
+    [answered(502), answered(504), AttemptResult(AttemptEnd.BROKEN), AttemptResult(AttemptEnd.SILENT)],
     ids=["502", "504", "broken", "silent"],
 )
-def test_what_promises_nothing_is_repeated_only_where_it_may_be(result: TryResult) -> None:
-    assert retry_pause(result, False, 1, 5.0) is None
-    assert retry_pause(result, True, 1, 5.0) == PAUSE
+def test_what_promises_nothing_is_repeated_only_where_it_may_be(result: AttemptResult) -> None:
+    assert retry_delay(result, False, 1, 5.0) is None
+    assert retry_delay(result, True, 1, 5.0) == PAUSE
 
 
 def test_no_connection_means_that_nothing_ran() -> None:
-    assert retry_pause(TryResult(TryEnd.NOT_CONNECTED), False, 1, 5.0) == PAUSE
+    assert retry_delay(AttemptResult(AttemptEnd.NOT_CONNECTED), False, 1, 5.0) == PAUSE
 
 
 @pytest.mark.parametrize("status", [400, 401, 404, 413, 431])
 def test_some_answers_are_final(status: int) -> None:
-    assert retry_pause(answered(status), True, 1, 5.0) is None
+    assert retry_delay(answered(status), True, 1, 5.0) is None
 
 
-@pytest.mark.parametrize("end", [TryEnd.SERVED, TryEnd.OUT_OF_TIME, TryEnd.WRONG])
-def test_some_ends_are_final(end: TryEnd) -> None:
-    assert retry_pause(TryResult(end, 200), True, 1, 5.0) is None
+@pytest.mark.parametrize("end", [AttemptEnd.SERVED, AttemptEnd.OUT_OF_TIME, AttemptEnd.WRONG])
+def test_some_ends_are_final(end: AttemptEnd) -> None:
+    assert retry_delay(AttemptResult(end, 200), True, 1, 5.0) is None
 
 
 def test_retry_after_is_honoured_up_to_a_third_of_the_time_left() -> None:
-    assert retry_pause(answered(503, 0.4), False, 1, 3.0) == 0.4
-    assert retry_pause(answered(503, 9.0), False, 1, 3.0) == pytest.approx(1.0)
+    assert retry_delay(answered(503, 0.4), False, 1, 3.0) == 0.4
+    assert retry_delay(answered(503, 9.0), False, 1, 3.0) == pytest.approx(1.0)
 
 
 def test_retries_and_time_run_out() -> None:
-    assert retry_pause(answered(503), True, 0, 5.0) is None
-    assert retry_pause(answered(503), True, 1, 0.01) is None
+    assert retry_delay(answered(503), True, 0, 5.0) is None
+    assert retry_delay(answered(503), True, 1, 0.01) is None
--- a/tests/simulation/localfleet/test_run_ledger.py
+++ b/tests/simulation/localfleet/test_run_ledger.py
@@ -2,8 +2,15 @@
 
 from __future__ import annotations
 
-from firvane.simulation.localfleet.prompts import PromptPart
-from firvane.simulation.localfleet.run_ledger import ReadingLedger, Run, SentTry, Verdict, fingerprint, judge
+from firvane.simulation.localfleet.prompts import PromptChunk
+from firvane.simulation.localfleet.run_ledger import (
+    PrefillCounter,
+    Run,
+    SentAttempt,
+    Verdict,
+    fingerprint,
+    judge,
+)
 
 MARK = 7
 
@@ -13,42 +20,42 @@
 
 
 def test_what_ran_once_as_it_was_sent_is_clean() -> None:
-    sent = {b"a": SentTry(False, MARK), b"b": SentTry(True, MARK), b"c": SentTry(False, MARK)}
+    sent = {b"a": SentAttempt(False, MARK), b"b": SentAttempt(True, MARK), b"c": SentAttempt(False, MARK)}
     verdict = judge([run(b"a"), run(b"b")], sent)
     assert verdict == Verdict()
     assert verdict.clean
 
 
 def test_a_second_run_doubles_what_may_not_be_repeated() -> None:
-    sent = {b"a": SentTry(False, MARK), b"b": SentTry(False, MARK)}
+    sent = {b"a": SentAttempt(False, MARK), b"b": SentAttempt(False, MARK)}
     verdict = judge([run(b"a"), run(b"b"), run(b"a"), run(b"a")], sent)
     assert verdict.doubled == (b"a",)
     assert not verdict.clean
 
 
 def test_a_stream_that_may_not_be_taken_up_is_doubled_by_it() -> None:
-    assert judge([run(b"a"), run(b"a", 3)], {b"a": SentTry(False, MARK)}).doubled == (b"a",)
+    assert judge([run(b"a"), run(b"a", 3)], {b"a": SentAttempt(False, MARK)}).doubled == (b"a",)
 
 
 def test_what_may_be_repeated_is_counted_and_no_fault() -> None:
-    verdict = judge([run(b"a"), run(b"a"), run(b"a", 2)], {b"a": SentTry(True, MARK)})
+    verdict = judge([run(b"a"), run(b"a"), run(b"a", 2)], {b"a": SentAttempt(True, MARK)})
     assert verdict.clean
     assert (verdict.repeated, verdict.resumed) == (1, 1)
 
 
 def test_a_stream_taken_up_by_a_new_try_counts_as_resumed() -> None:
-    sent = {b"a": SentTry(True, MARK), b"b": SentTry(True, MARK)}
+    sent = {b"a": SentAttempt(True, MARK), b"b": SentAttempt(True, MARK)}
     assert judge([run(b"a"), run(b"b", 2)], sent).resumed == 1
 
 
 def test_a_run_behind_a_refusal_breaks_a_promise() -> None:
-    sent = {b"a": SentTry(False, MARK, promised=True), b"b": SentTry(True, MARK, promised=True)}
+    sent = {b"a": SentAttempt(False, MARK, promised=True), b"b": SentAttempt(True, MARK, promised=True)}
     verdict = judge([run(b"a"), run(b"b")], sent)
     assert verdict.ran_after_refusal == (b"a",)
 
 
 def test_unasked_and_altered_runs_are_told() -> None:
-    verdict = judge([run(b"x"), run(b"a", mark=8)], {b"a": SentTry(False, MARK)})
+    verdict = judge([run(b"x"), run(b"a", mark=8)], {b"a": SentAttempt(False, MARK)})
     assert verdict.unasked == (b"x",)
     assert verdict.altered == (b"a",)
 
@@ -66,7 +73,7 @@
 
 
 def test_parts_that_any_server_had_read_count_as_read_again() -> None:
-    ledger = ReadingLedger()
-    for part in (PromptPart(1, 10), PromptPart(2, 5), PromptPart(1, 10)):
+    ledger = PrefillCounter()
+    for part in (PromptChunk(1, 10), PromptChunk(2, 5), PromptChunk(1, 10)):
         ledger.note(part)
     assert (ledger.tokens_read, ledger.tokens_read_again) == (25, 10)
--- a/tests/simulation/localfleet/test_token_memory.py
+++ b/tests/simulation/localfleet/test_token_memory.py
@@ -5,13 +5,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.simulation.localfleet.prompts import PromptPart
+from firvane.simulation.localfleet.prompts import PromptChunk
 from firvane.simulation.localfleet.token_memory import TokenMemory
 
-A, B, C = PromptPart(1, 100), PromptPart(2, 50), PromptPart(3, 80)
+A, B, C = PromptChunk(1, 100), PromptChunk(2, 50), PromptChunk(3, 80)
 
 
-def read(memory: TokenMemory, part: PromptPart) -> None:
+def read(memory: TokenMemory, part: PromptChunk) -> None:
     """Read a part as a request does; it stays locked."""
     assert memory.reserve(part.tokens)
     memory.keep(part)
@@ -19,11 +19,11 @@
 
 def test_a_part_that_was_read_is_kept_for_the_next_request() -> None:
     memory = TokenMemory(200)
-    assert memory.lock_kept([A, B]) == 0
+    assert memory.lock_cached([A, B]) == 0
     read(memory, A)
     memory.unlock([A])
     assert memory.in_use == 0
-    assert memory.lock_kept([A, B]) == 1
+    assert memory.lock_cached([A, B]) == 1
     assert memory.in_use == A.tokens
 
 
@@ -31,7 +31,7 @@
     memory = TokenMemory(200)
     read(memory, B)
     memory.unlock([B])
-    assert memory.lock_kept([A, B]) == 0
+    assert memory.lock_cached([A, B]) == 0
 
 
 def test_the_least_recently_used_part_gives_way() -> None:
@@ -39,7 +39,7 @@
     for part in (A, B):
         read(memory, part)
         memory.unlock([part])
-    memory.lock_kept([A])
+    memory.lock_cached([A])
     memory.unlock([A])
     assert memory.reserve(C.tokens + 20)
     assert not memory.keeps(B)
@@ -80,12 +80,12 @@
 def test_any_course_agrees_with_a_plain_count(course: list[tuple[int, bool]]) -> None:
     """Requests of one part each come and go; what is in use is what the running ones hold."""
     memory = TokenMemory(300)
-    running: list[PromptPart] = []
+    running: list[PromptChunk] = []
     for number, ends in course:
-        part = PromptPart(number, 40 + 10 * number)
+        part = PromptChunk(number, 40 + 10 * number)
         if ends and running:
             memory.unlock([running.pop(0)])
-        elif memory.lock_kept([part]):
+        elif memory.lock_cached([part]):
             running.append(part)
         elif memory.reserve(part.tokens):
             memory.keep(part)
--- a/tests/simulation/soak/test_command.py
+++ b/tests/simulation/soak/test_command.py
@@ -13,12 +13,12 @@
 from firvane.simulation.soak.player import Played
 from firvane.simulation.soak.records import (
     Arrival,
+    AttemptEnd,
+    AttemptRecord,
     ProcessEvent,
     Record,
     RunEnd,
     SignalKind,
-    TryEnd,
-    TryRecord,
 )
 
 
@@ -35,10 +35,10 @@
 
 def played() -> Played:
     record = Record()
-    attempt = TryRecord("00a1", "short", True, 2, router="router-1", number=1)
-    attempt.connected, attempt.sent, attempt.sent_whole = 103.0, 104.0, 104.5
-    attempt.ended, attempt.end, attempt.status = 107.2, TryEnd.BROKEN, 200
-    record.tries["00a1"] = attempt
+    attempt = AttemptRecord("00a1", "short", True, 2, router="router-1", number=1)
+    attempt.connected, attempt.sent, attempt.sent_completely = 103.0, 104.0, 104.5
+    attempt.ended, attempt.end, attempt.status = 107.2, AttemptEnd.BROKEN, 200
+    record.attempts["00a1"] = attempt
     record.arrivals = [
         Arrival("00a1", "i-1", 104.6, 107.1, RunEnd.CANCELLED),
         Arrival("00b2", "i-2", 104.7, 104.8, RunEnd.ANSWERED),
--- a/tests/simulation/soak/test_connection.py
+++ b/tests/simulation/soak/test_connection.py
@@ -8,7 +8,7 @@
 
 from firvane.simulation.localfleet.event_stream import StreamEvent
 from firvane.simulation.soak.connection import Exchange, SoakConnection
-from firvane.simulation.soak.records import TryEnd, TryRecord
+from firvane.simulation.soak.records import AttemptEnd, AttemptRecord
 
 DIGEST = 7
 
@@ -58,7 +58,7 @@
         connection.connection_made(pipe)  # type: ignore[arg-type]
 
         def ask(name: str) -> Exchange:
-            exchange = Exchange(TryRecord(name, "short", True, 2), DIGEST)
+            exchange = Exchange(AttemptRecord(name, "short", True, 2), DIGEST)
             connection.add(exchange)
             connection.write(exchange, b"request", last=True)
             return exchange
@@ -76,7 +76,7 @@
         for place in range(len(data)):
             clock.now += 0.01
             connection.data_received(data[place : place + 1])
-        assert first.record.end is second.record.end is TryEnd.WHOLE
+        assert first.record.end is second.record.end is AttemptEnd.WHOLE
         assert second.record.turn == first.record.ended < second.record.ended
         assert 10.0 < second.record.head_before < second.record.turn
         assert first.record.head_before == float("inf")
@@ -100,8 +100,8 @@
         ) -> None:
             first, second = ask("a"), ask("b")
             connection.data_received(data)
-            assert first.record.end is TryEnd.WRONG, data
-            assert second.record.end is TryEnd.LEFT and connection.closed
+            assert first.record.end is AttemptEnd.WRONG, data
+            assert second.record.end is AttemptEnd.LEFT and connection.closed
 
         scene(play)
 
@@ -113,7 +113,7 @@
         clock.now = 12.0
         connection.connection_lost(None)
         for exchange in (first, second):
-            assert exchange.record.end is TryEnd.BROKEN and exchange.record.ended == 12.0
+            assert exchange.record.end is AttemptEnd.BROKEN and exchange.record.ended == 12.0
         assert first.record.status == 200 and second.record.status == 0 and connection.closed
 
     scene(play)
@@ -133,8 +133,8 @@
     def play(connection: SoakConnection, clock: Clock, ask: Callable[[str], Exchange]) -> None:
         first = ask("a")
         connection.data_received(refusal(close=True))
-        assert first.record.end is TryEnd.WHOLE and first.record.status == 503
-        assert connection.told_to_close and not connection.closed  # and the client goes on
+        assert first.record.end is AttemptEnd.WHOLE and first.record.status == 503
+        assert connection.asked_to_close and not connection.closed  # and the client goes on
 
     scene(play)
 
@@ -143,7 +143,7 @@
     def play(connection: SoakConnection, clock: Clock, ask: Callable[[str], Exchange]) -> None:
         first = ask("a")
         connection.leave("enough")
-        assert first.record.end is TryEnd.LEFT
+        assert first.record.end is AttemptEnd.LEFT
         late = ask("b")
         assert late.record.sent == float("inf")
 
--- a/tests/simulation/soak/test_judge.py
+++ b/tests/simulation/soak/test_judge.py
@@ -9,12 +9,12 @@
 from firvane.simulation.soak.judge import Terms, judge
 from firvane.simulation.soak.records import (
     Arrival,
+    AttemptEnd,
+    AttemptRecord,
     ProcessEvent,
     Record,
     RunEnd,
     SignalKind,
-    TryEnd,
-    TryRecord,
     Usage,
 )
 from firvane.simulation.soak.retry_rule import RetryRule
@@ -24,12 +24,12 @@
 ROUTER = "router-1"
 
 
-def attempt(**changes: object) -> TryRecord:
+def attempt(**changes: object) -> AttemptRecord:
     """A request sent 4 s after SIGTERM and cut at the end of the drain."""
-    made = TryRecord("a", "short", repeatable=True, max_attempts=2, router=ROUTER, number=1)
-    made.connected = made.turn = made.sent = made.sent_whole = TERM_AT + 4.0
+    made = AttemptRecord("a", "short", repeatable=True, max_attempts=2, router=ROUTER, number=1)
+    made.connected = made.turn = made.sent = made.sent_completely = TERM_AT + 4.0
     made.deadline, made.status = TERM_AT + 20.0, 200
-    made.ended, made.end = TERM_AT + 7.2, TryEnd.BROKEN
+    made.ended, made.end = TERM_AT + 7.2, AttemptEnd.BROKEN
     return dataclasses.replace(made, **changes)  # type: ignore[arg-type]
 
 
@@ -50,8 +50,8 @@
     ]
 
 
-def record(*tries: TryRecord, arrivals: tuple[Arrival, ...] = (), **fields: object) -> Record:
-    made = Record(tries={each.id: each for each in tries}, arrivals=list(arrivals), processes=drained())
+def record(*attempts: AttemptRecord, arrivals: tuple[Arrival, ...] = (), **fields: object) -> Record:
+    made = Record(attempts={each.id: each for each in attempts}, arrivals=list(arrivals), processes=drained())
     made.read_back = True
     for name, value in fields.items():
         setattr(made, name, value)
@@ -63,7 +63,7 @@
 
 
 def test_a_record_in_order_breaks_nothing() -> None:
-    assert rules(record(attempt(end=TryEnd.WHOLE), arrivals=(arrival(end=RunEnd.ANSWERED),))) == []
+    assert rules(record(attempt(end=AttemptEnd.WHOLE), arrivals=(arrival(end=RunEnd.ANSWERED),))) == []
 
 
 # LOST
@@ -81,10 +81,10 @@
 
 
 def test_what_was_sent_in_time_may_be_cut_while_its_backend_is_at_work_at_the_end() -> None:
-    sent = {"sent": TERM_AT + 3.0, "sent_whole": TERM_AT + 3.0, "turn": TERM_AT + 3.0}
+    sent = {"sent": TERM_AT + 3.0, "sent_completely": TERM_AT + 3.0, "turn": TERM_AT + 3.0}
     at_work = arrival(at=TERM_AT + 3.01)
     assert rules(record(attempt(**sent), arrivals=(at_work,))) == []
-    later = {**sent, "sent_whole": TERM_AT + 3.001}
+    later = {**sent, "sent_completely": TERM_AT + 3.001}
     assert rules(record(attempt(**later), arrivals=(at_work,))) == ["LOST"]
     not_at_work = arrival(at=TERM_AT + 3.01, ended=TERM_AT + 6.6)
     assert rules(record(attempt(**sent), arrivals=(not_at_work,))) == ["LOST"]
@@ -124,10 +124,10 @@
     "fields",
     (
         {"deadline": TERM_AT + 7.2},
-        {"end": TryEnd.LEFT},
-        {"end": TryEnd.NOT_CONNECTED},
-        {"end": TryEnd.WHOLE},
-        {"sent_whole": float("inf")},
+        {"end": AttemptEnd.LEFT},
+        {"end": AttemptEnd.NOT_CONNECTED},
+        {"end": AttemptEnd.WHOLE},
+        {"sent_completely": float("inf")},
         {"router": "router-2"},
         {"ended": TERM_AT + TERMS.grace + TERMS.after_grace + 0.01, "deadline": 1e9},
     ),
@@ -168,20 +168,20 @@
 
 def test_the_budget_counts_all_arrivals_but_the_first() -> None:
     terms = Terms(retry=RetryRule(0.2, 1.0, 10.0))
-    tries = [
-        attempt(id=f"r{number}", sent=60.0 + 0.1 * number, end=TryEnd.WHOLE, max_attempts=9)
+    attempts = [
+        attempt(id=f"r{number}", sent=60.0 + 0.1 * number, end=AttemptEnd.WHOLE, max_attempts=9)
         for number in range(10)
     ]
-    firsts = [Arrival(each.id, "i-1", each.sent, each.sent, RunEnd.ANSWERED) for each in tries]
+    firsts = [Arrival(each.id, "i-1", each.sent, each.sent, RunEnd.ANSWERED) for each in attempts]
     repeats = [Arrival(f"r{number}", "i-2", 61.5, 61.6, RunEnd.TURNED_AWAY) for number in range(4)]
-    assert rules(record(*tries, arrivals=(*firsts, *repeats[:3])), terms) == []
-    assert rules(record(*tries, arrivals=(*firsts, *repeats)), terms) == ["BUDGET"]
-    tries[9].end = TryEnd.NOT_CONNECTED
-    assert rules(record(*tries, arrivals=(*firsts, *repeats[:3])), terms) == ["BUDGET"]
+    assert rules(record(*attempts, arrivals=(*firsts, *repeats[:3])), terms) == []
+    assert rules(record(*attempts, arrivals=(*firsts, *repeats)), terms) == ["BUDGET"]
+    attempts[9].end = AttemptEnd.NOT_CONNECTED
+    assert rules(record(*attempts, arrivals=(*firsts, *repeats[:3])), terms) == ["BUDGET"]
 
 
 def test_more_backends_than_the_route_allows() -> None:
-    done = attempt(end=TryEnd.WHOLE)
+    done = attempt(end=AttemptEnd.WHOLE)
     on = [arrival(backend=f"i-{number}", end=RunEnd.ANSWERED) for number in range(3)]
     assert rules(record(done, arrivals=tuple(on))) == ["ATTEMPTS"]
     on[1].end = RunEnd.TURNED_AWAY
@@ -221,7 +221,7 @@
 
 
 def test_a_wrong_answer_is_mixed() -> None:
-    assert rules(record(attempt(end=TryEnd.WRONG))) == ["MIXED"]
+    assert rules(record(attempt(end=AttemptEnd.WRONG))) == ["MIXED"]
 
 
 @pytest.mark.parametrize(
--- a/tests/simulation/soak/test_small_soak.py
+++ b/tests/simulation/soak/test_small_soak.py
@@ -15,7 +15,7 @@
 from firvane.simulation.soak.command import play
 from firvane.simulation.soak.event_trace import tell
 from firvane.simulation.soak.plan import SIZES, Plan, draw_plan, plan_from_json
-from firvane.simulation.soak.records import TryEnd
+from firvane.simulation.soak.records import AttemptEnd
 
 SEEDS = (3, 8, 10)
 PLANS = Path(__file__).parent / "plans"
@@ -26,8 +26,8 @@
     outcome = play(plan)
     stories = "\n\n".join(tell(violation, outcome.played) for violation in outcome.violations)
     assert not outcome.violations, stories
-    ends = [each.end for each in outcome.played.record.tries.values()]
-    assert ends.count(TryEnd.WHOLE) > 100  # it was played
+    ends = [each.end for each in outcome.played.record.attempts.values()]
+    assert ends.count(AttemptEnd.WHOLE) > 100  # it was played
 
 
 @pytest.mark.parametrize("seed", SEEDS)
