--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -37,13 +37,17 @@
 def settings(api: Any, me: int) -> Any:
     """A proxy of the bank; half of the requests have keys, which are worth going by."""
     classes = (
-        api.RequestClass("read", aim=0.5, deadline=2.0, worth=2.0, repeat=api.Repeat.SAFE),
-        api.RequestClass("pay", aim=0.5, deadline=2.0, repeat=api.Repeat.UNSAFE),
+        api.RequestClass(
+            "read", latency_target=0.5, deadline=2.0, value=2.0, idempotency=api.Idempotency.SAFE
+        ),
+        api.RequestClass("pay", latency_target=0.5, deadline=2.0, idempotency=api.Idempotency.UNSAFE),
     )
-    rules = api.Rules(0.02, drain_grace=1.0, start_capacity=0.3, cold=8.0, fall_multiple=3.0, fall_window=1.0)
-    limits = api.Limits(max_attempts=3, cancel=True, second_copies=True, peers=True, max_retry_after=1.0)
+    rules = api.Rules(
+        0.02, drain_grace=1.0, start_capacity=0.3, slow_start=8.0, fall_multiple=3.0, fall_window=1.0
+    )
+    limits = api.Limits(max_attempts=3, cancel=True, hedging=True, peers=True, max_retry_after=1.0)
     return api.Settings(
-        me=me, proxies=PROXIES, tick=0.005, classes=classes, rules=rules, limits=limits, warm_keys=True
+        me=me, proxies=PROXIES, tick=0.005, classes=classes, rules=rules, limits=limits, key_affinity=True
     )
 
 
@@ -66,13 +70,13 @@
                 kept += 1
                 seen.update(repr(action).encode())
             if type(action) is api.SetTimer:
-                heapq.heappush(due, (now + action.span, numbers, me, api.TimerFired(action.token)))
+                heapq.heappush(due, (now + action.delay, numbers, me, api.TimerFired(action.token)))
             elif type(action) is api.Send:
                 tries[action.id] = tries.get(action.id, -1) + 1
                 took = TOOK * rng.uniform(0.5, 1.5)
                 end = api.Outcome(action.id, tries[action.id], action.server, api.Result.OK, took, True)
                 heapq.heappush(due, (now + took, numbers, me, end))
-            elif type(action) is api.Tell:
+            elif type(action) is api.SendToPeer:
                 for other in range(PROXIES):
                     if other != me:
                         row = api.PeerMessage(me, action.payload)
@@ -98,7 +102,7 @@
         requests += 1
         key = f"k{rng.randrange(KEYS)}" if requests % 2 else None
         event = api.Request(requests, requests % 4 == 0, 2.0, key)
-        event.cls = int(event.cls)
+        event.class_id = int(event.class_id)
         at = clock()
         actions = bank[requests % PROXIES].handle(event, now)
         spent += clock() - at
--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -44,7 +44,7 @@
         actions = one.handle(asked, now)
         spent += time.process_time() - began
         out += [action for action in actions if isinstance(action, api.Send)]
-        rows += [action.payload for action in actions if isinstance(action, api.Tell)]
+        rows += [action.payload for action in actions if isinstance(action, api.SendToPeer)]
         if len(out) > IN_FLIGHT:
             send = out.pop(0)
             began = time.process_time()
@@ -53,7 +53,7 @@
             spent += time.process_time() - began
         if number % 8 == 0:
             actions = one.handle(api.TimerFired(0), now)
-            rows += [action.payload for action in actions if isinstance(action, api.Tell)]
+            rows += [action.payload for action in actions if isinstance(action, api.SendToPeer)]
     began = time.process_time()
     for payload in rows:
         peers[1].handle(api.PeerMessage(1, payload), now)
--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -355,17 +355,17 @@
         self.kinds = [kind.name for kind in world.boxes_as.kinds]
         boxes, load = world.boxes_as, world.load
         self.settings = api.Settings(
-            me=me, proxies=count, tick=0.005, zone=me % len(zones), zones=len(zones), warm_keys=True,
-            classes=(api.RequestClass(CLASS, load.aim_s, load.deadline_s, repeat=api.Repeat.SAFE),),
+            me=me, proxies=count, tick=0.005, zone=me % len(zones), zones=len(zones), key_affinity=True,
+            classes=(api.RequestClass(CLASS, load.aim_s, load.deadline_s, idempotency=api.Idempotency.SAFE),),
             rules=api.Rules(0.02, 1.0, boxes.cold_share, boxes.warm_s, boxes.fall_multiple, boxes.fall_s),
             limits=api.Limits(
-                3, cancel=True, second_copies=True, peers=True, retry_after=True, max_retry_after=1.2
+                3, cancel=True, hedging=True, peers=True, retry_after=True, max_retry_after=1.2
             ),
             tenants=tuple(
                 api.Tenant(one.name, one.share, load.quota * one.share * load.rate)
                 for one in load.communities
             ),
-            over_share_worth=load.over_share_worth,
+            over_quota_value=load.over_share_worth,
         )  # fmt: skip
 
     def tell(self, peer: int | None, payload: bytes) -> None:
@@ -389,7 +389,7 @@
     def listen(self) -> None:
         if changes := self.world.registry.due(self.name, self.world.clock.now):
             self.version = changes[-1].version
-            self.heard(self.news(changes, api.ListKind.CHANGES))
+            self.heard(self.news(changes, api.ListKind.INCREMENTAL))
 
     def heard(self, news: api.ServerList) -> None:
         raise NotImplementedError
--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -41,7 +41,7 @@
 FLEETS, TIERS = (10, 32, 128, 512, 2048, 10_000), (1, 50, 500)
 KEYS = [f"member-{number}" for number in range(5000)]
 KEY_HASHES = [hash_of(number) for number in range(200)]
-CLASS = api.RequestClass("view", aim=0.5, deadline=2.5, repeat=api.Repeat.SAFE)
+CLASS = api.RequestClass("view", latency_target=0.5, deadline=2.5, idempotency=api.Idempotency.SAFE)
 RULES = api.Rules(0.02, 1.0, 0.13, 22.0, 2.5, 3.0)
 
 
@@ -73,8 +73,8 @@
 
 def tier(boxes: int, proxies: int) -> Balancer:
     """A balancer that has heard of all boxes and of all other proxies."""
-    limits = api.Limits(max_attempts=3, cancel=True, second_copies=True, peers=True, max_retry_after=1.2)
-    settings = api.Settings(0, proxies, 0.005, (CLASS,), RULES, limits, zones=ZONES, warm_keys=True)
+    limits = api.Limits(max_attempts=3, cancel=True, hedging=True, peers=True, max_retry_after=1.2)
+    settings = api.Settings(0, proxies, 0.005, (CLASS,), RULES, limits, zones=ZONES, key_affinity=True)
     balancer = Balancer(settings, 7, NOW)
     balancer.start(NOW)
     balancer.handle(api.ServerList(api.ListKind.COMPLETE, 1, tuple(map(entry, range(boxes)))), NOW)
@@ -158,7 +158,7 @@
         state["backends"], state["model"] = backends, Model(dealt.slices, reach(0, dealt, LIMIT), NOW)
 
     def told(news: list[api.Server]) -> None:
-        state["balancer"].handle(api.ServerList(api.ListKind.CHANGES, 2, tuple(news)), NOW + 1.0)
+        state["balancer"].handle(api.ServerList(api.ListKind.INCREMENTAL, 2, tuple(news)), NOW + 1.0)
 
     def leave(count: int) -> None:
         for server in state["backends"][:count]:
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -41,10 +41,10 @@
     began = time.process_time()
     for _ in range(ROUNDS):
         sender.now += WINDOW
-        payload = only(sender.give(api.TimerFired(0)), api.Tell)
+        payload = only(sender.give(api.TimerFired(0)), api.SendToPeer)
     made = (time.process_time() - began) / ROUNDS
     while not payload:
-        payload = only(sender.window(), api.Tell)
+        payload = only(sender.window(), api.SendToPeer)
     row = payload[0].payload
     heard = time_to_hear(receiver, row, routers)
     judged = time_to_judge(receiver, routers)
--- a/benchmarks/small_world.py
+++ b/benchmarks/small_world.py
@@ -26,9 +26,9 @@
 COLD, START = 8.0, 0.3  # s of warm-up by the rules, and the part that a box does at its start
 ROW_S = 0.01  # s that a row takes
 
-READ = api.RequestClass("read", aim=AIM, deadline=DEADLINE, repeat=api.Repeat.SAFE)
+READ = api.RequestClass("read", latency_target=AIM, deadline=DEADLINE, idempotency=api.Idempotency.SAFE)
 RULES = api.Rules(0.02, 0.25, START, COLD, 3.0, 1.0, 10.0)
-LIMITS = api.Limits(3, cancel=True, second_copies=True, peers=True, max_retry_after=1.2)
+LIMITS = api.Limits(3, cancel=True, hedging=True, peers=True, max_retry_after=1.2)
 
 
 @dataclass(frozen=True)
@@ -130,7 +130,7 @@
 
     def join(self) -> None:
         self.boxes["x"] = Work(speed=0.5, since=self.now)
-        self.tell([api.Server("x", kind=9, up_since=self.now)], api.ListKind.CHANGES)
+        self.tell([api.Server("x", kind=9, up_since=self.now)], api.ListKind.INCREMENTAL)
 
     def restart(self, name: str) -> None:
         box = self.boxes[name]
@@ -150,12 +150,12 @@
                 self.send(action)
             elif isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                self.at(self.now + action.span, lambda fired=fired: self.give(proxy, fired))  # type: ignore[misc]
+                self.at(self.now + action.delay, lambda fired=fired: self.give(proxy, fired))  # type: ignore[misc]
             elif isinstance(action, api.Cancel) and (key := (action.id, action.attempt)) in self.out:
                 self.at(self.now, lambda key=key: self.end(key, api.Result.CANCELLED))  # type: ignore[misc]
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.refused += 1
-            elif isinstance(action, api.Tell) and not (self.what.cut and self.is_wrong):
+            elif isinstance(action, api.SendToPeer) and not (self.what.cut and self.is_wrong):
                 for other in range(self.what.proxies):
                     if other != proxy and action.peer in (None, other):
                         row = api.PeerMessage(proxy, action.payload)
@@ -170,7 +170,7 @@
             return
         if box.inside >= PLACES:
             self.away += 1
-            self.at(self.now + 0.001, lambda: self.end(key, api.Result.FULL))
+            self.at(self.now + 0.001, lambda: self.end(key, api.Result.OVERLOADED))
             return
         box.inside += 1
         core = box.cores.index(min(box.cores))
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -28,12 +28,12 @@
 RULES = api.Rules(0.02, 1.0, 0.13, 22.0, 2.5, 3.0)
 SETTINGS = api.Settings(
     me=0, proxies=1, tick=0.005, classes=(api.RequestClass("read", 0.5, 2.0),), rules=RULES,
-    limits=api.Limits(3), recovery=api.Recovery(),
+    limits=api.Limits(3), recovery=api.RecoveryOptions(),
 )  # fmt: skip
 
 
-def held(number: float, boxes: int) -> api.Remembered:
-    return api.Remembered(0.0, 1.0, {}, {f"box-{i}": number for i in range(boxes)})
+def held(number: float, boxes: int) -> api.RestoredEstimates:
+    return api.RestoredEstimates(0.0, 1.0, {}, {f"box-{i}": number for i in range(boxes)})
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -90,7 +90,7 @@
     import asyncio
 
     evidence = Evidence(SETTINGS, random.Random(1), 0.0)
-    recovery = Recovery(api.Recovery(), SETTINGS, evidence, random.Random(1), 0.0)
+    recovery = Recovery(api.RecoveryOptions(), SETTINGS, evidence, random.Random(1), 0.0)
     servers = [Backend(api.Server(f"box-{n}", up_since=1e9 + n), n, 1.0, 1e9 + n) for n in range(boxes)]
     recovery.proven = set(servers)
     reader = ListReader(("a",), ("k",))
--- a/firvane/core/balancing/records.py
+++ b/firvane/core/balancing/records.py
@@ -135,8 +135,8 @@
         connection came up late: the box would run it again.
         """
         if not self.maybe:
-            self.group, self.kept_until = entry.group(self.cls.scope), now + self.cls.window
-        elif self.cls.repeat is api.Repeat.KEYED:
+            self.group, self.kept_until = entry.dedup_group(self.cls.dedup_scope), now + self.cls.dedup_window
+        elif self.cls.idempotency is api.Idempotency.KEYED:
             return self.kept_until
         return math.inf
 
--- a/firvane/core/engine.py
+++ b/firvane/core/engine.py
@@ -292,16 +292,16 @@
         self._busy = False
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             api.Send: self._send,
-            api.Refuse: self._refuse,
+            api.Reject: self._refuse,
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
-            api.Tell: lambda action: self.post.tell(action.peer, action.payload),
+            api.SendToPeer: lambda action: self.post.tell(action.peer, action.payload),
             api.Probe: self._probe,
             api.CloseIdle: lambda action: self.targets.close_idle(action.server),
             api.Watch: lambda action: self.directory.refresh(),
             api.Fetch: lambda action: self.directory.refresh(),
-            api.TurnAway: self._turn_away,
+            api.ShedLoad: self._turn_away,
             api.Log: lambda action: self.log.info(action.event, **(action.fields or {"text": action.text})),
         }
 
@@ -322,20 +322,20 @@
 
     def take(self, flow: Flow[Q, A], request: api.Request) -> None:
         """A new flow; the engine numbers it and sets what is left of its time."""
-        flow.counts = self.tally.of(self.settings.classes[request.cls].name)
-        if self.owed >= self.settings.limits.max_open:
+        flow.counts = self.tally.of(self.settings.classes[request.class_id].name)
+        if self.owed >= self.settings.limits.max_open_requests:
             self.endings["over the cap on open flows"] += 1
             flow.counts.dropped += 1
             flow.open = False
             flow.client.refused(0.0)
             return
         flow.id = request.id = self._next_id = (self._next_id + 1) & 0xFFFFFFFF
-        request.left = max(0.0, flow.deadline - self.clock.time())
+        request.time_left = max(0.0, flow.deadline - self.clock.time())
         self.flows[flow.id] = flow
         self.owed += 1
         if self.tracing:
             flow.log = self.log.bind(flow=flow.id, call=flow.name.decode("latin-1"))
-            flow.log.debug("flow_taken", cls=request.cls, left_ms=1000 * request.left)
+            flow.log.debug("flow_taken", cls=request.class_id, left_ms=1000 * request.time_left)
         flow.timer = self.clock.call_at(flow.deadline, self._deadline, flow)
         self.give(request)
 
@@ -356,7 +356,7 @@
         for flow in list(self.flows.values()):
             if flow.open and (flow.bounded or not flow.begun) and flow.deadline > last:
                 self._due(flow, last)
-                self.give(api.Hastened(flow.id, max(0.0, last - now)))
+                self.give(api.DeadlineShortened(flow.id, max(0.0, last - now)))
 
     def _due(self, flow: Flow[Q, A], deadline: float) -> None:
         """The flow has another deadline than before, and so has what is on its way for it."""
@@ -416,12 +416,12 @@
             return
         limits, now = self.settings.limits, self.clock.time()
         deadline = flow.deadline if action.timeout <= 0 else min(flow.deadline, now + action.timeout)
-        forward = Forward(self, flow, action.server, now, deadline, action.by - self.offset)
+        forward = Forward(self, flow, action.server, now, deadline, action.start_before - self.offset)
         flow.forwards.append(forward)
         flow.live += 1
         allowed = flow.open and forward.number < limits.max_attempts and action.server in self.known
         allowed = allowed and not flow.spent and not flow.begun
-        if not allowed or (flow.live > 1 and not limits.second_copies):
+        if not allowed or (flow.live > 1 and not limits.hedging):
             forward.ended(Ending.NOT_ALLOWED)
             return
         if deadline < flow.deadline:
@@ -430,7 +430,7 @@
         if not forward.over:
             forward.handle = handle
 
-    def _refuse(self, action: api.Refuse) -> None:
+    def _refuse(self, action: api.Reject) -> None:
         flow = self.flows.get(action.id)
         if flow and flow.open and not flow.begun:
             self.endings["refused"] += 1
@@ -459,13 +459,13 @@
 
     def _set_timer(self, action: api.SetTimer) -> None:
         event = api.TimerFired(action.token)
-        timer = self.clock.call_at(self.clock.time() + max(0.0, action.span), self.give, event)
+        timer = self.clock.call_at(self.clock.time() + max(0.0, action.delay), self.give, event)
         if action.request is not None and (flow := self.flows.get(action.request)):
             flow.timers.append(timer)  # most requests end long before it, and one that fires costs far more
 
-    def _turn_away(self, action: api.TurnAway) -> None:
+    def _turn_away(self, action: api.ShedLoad) -> None:
         if self.gate:
-            self.gate.turn_away(action.parts, action.retry_after, action.again)
+            self.gate.turn_away(action.fractions, action.retry_after, action.include_retries)
 
     def _probe(self, action: api.Probe) -> None:
         now = self.clock.time()
@@ -480,7 +480,7 @@
         flow = forward.flow
         if not flow.spent:
             flow.spent = True
-            self.give(api.Spent(flow.id))
+            self.give(api.BodyConsumed(flow.id))
             self._withdraw(flow, forward)
 
     def forward_written(self, forward: Forward[Q, A]) -> None:
@@ -561,7 +561,7 @@
         if not probing.over:
             probing.over = True
             took = self.clock.time() - probing.since
-            self.give(api.Probed(probing.target, RESULTS[ending], took))
+            self.give(api.ProbeResult(probing.target, RESULTS[ending], took))
 
     def _deadline(self, flow: Flow[Q, A]) -> None:
         """The last resort: whatever the decisions did, a flow is answered by its deadline."""
--- a/firvane/core/interface.py
+++ b/firvane/core/interface.py
@@ -11,7 +11,7 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a second run of a request does."""
 
     SAFE = "safe"
@@ -19,7 +19,7 @@
     UNSAFE = "unsafe"
 
 
-class Scope(Enum):
+class DedupScope(Enum):
     """The servers that together drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -27,10 +27,10 @@
     CELL = "cell"
 
 
-class Reports(Enum):
+class LoadReportSource(Enum):
     """Where servers' load reports are found."""
 
-    ANSWERS = "answers"
+    RESPONSES = "answers"
     PROBES = "probes"
     NONE = "none"
 
@@ -38,10 +38,10 @@
 class ListKind(Enum):
     """What a server list event holds: the changes, everything, an old copy, or news of a failed call."""
 
-    CHANGES = "changes"
+    INCREMENTAL = "changes"
     COMPLETE = "complete"
     CACHED = "cached"
-    LOST = "lost"
+    FAILED = "lost"
 
 
 class ServerState(Enum):
@@ -57,18 +57,18 @@
 
     OK = "ok"
     ERROR = "error"
-    FULL = "full"
-    NO_PLACE = "no_place"  # the server's table of connections is full: it turned away a new one
+    OVERLOADED = "full"
+    CONNECTIONS_FULL = "no_place"  # the server's table of connections is full: it turned away a new one
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
     UNKNOWN = "unknown"
 
     @property
     def never_ran(self) -> bool:
-        return self in (Result.FULL, Result.NO_PLACE, Result.CONNECT_FAILED, Result.MOOT)
+        return self in (Result.OVERLOADED, Result.CONNECTIONS_FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
 
 
 @dataclass(slots=True, frozen=True)
@@ -76,15 +76,15 @@
     """A class of requests: its aim, its worth, and what a repeat of it may do."""
 
     name: str
-    aim: float
+    latency_target: float
     deadline: float
-    worth: float = 1.0
-    late_share: float = 0.0
-    repeat: Repeat = Repeat.UNSAFE
-    scope: Scope = Scope.ALL
-    window: float = 0.0
+    value: float = 1.0
+    late_value_fraction: float = 0.0
+    idempotency: Idempotency = Idempotency.UNSAFE
+    dedup_scope: DedupScope = DedupScope.ALL
+    dedup_window: float = 0.0
     stream: bool = False
-    aim_stretch: float = 0.0
+    latency_target_stretch: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,8 +92,8 @@
     """A tenant's share of the service and the rate that it stands for over all proxies."""
 
     name: str
-    share: float = 0.0
-    quota: float = 0.0
+    quota_share: float = 0.0
+    quota_rps: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -103,7 +103,7 @@
     answer_slack: float
     drain_grace: float
     start_capacity: float
-    cold: float
+    slow_start: float
     fall_multiple: float
     fall_window: float
     ask_within: float = 0.0
@@ -115,19 +115,19 @@
 
     max_attempts: int
     cancel: bool = False
-    second_copies: bool = False
+    hedging: bool = False
     peers: bool = False
     probes: bool = False
     retry_after: bool = False
     max_retry_after: float = 0.0
-    max_open: int = 1 << 30
+    max_open_requests: int = 1 << 30
     connect_timeout: float = 0.25
-    connection_idle: float = 60.0
+    connection_idle_timeout: float = 60.0
     requests_per_connection: int = 1
 
 
 @dataclass(slots=True, frozen=True)
-class Recovery:
+class RecoveryOptions:
     """The parts of a recovery from a power loss, each of which may be switched off."""
 
     trials: bool = True  # a box is tried by its home first, and not by all
@@ -137,14 +137,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Remembered:
+class RestoredEstimates:
     """What was kept from a life before this one, as it may be believed now."""
 
     age: float  # s since it was kept
     scale: float = 0.0  # answers a second and weight of a warm server; 0: not known
     kinds: Mapping[str, float] = field(default_factory=dict)  # the same by kind, by its name
-    rooms: Mapping[str, float] = field(default_factory=dict)  # of servers, by id
-    starts: Mapping[str, float] = field(default_factory=dict)  # their last starts, by id
+    capacities: Mapping[str, float] = field(default_factory=dict)  # of servers, by id
+    start_times: Mapping[str, float] = field(default_factory=dict)  # their last starts, by id
 
 
 @dataclass(slots=True, frozen=True)
@@ -163,13 +163,13 @@
     ask: bool = False
     weighted: bool = True
     live_weights: bool = False
-    reports: Reports = Reports.NONE
+    load_report_source: LoadReportSource = LoadReportSource.NONE
     report_fields: tuple[str, ...] = ()
     counted_by_work: bool = False
-    over_share_worth: float = 1.0
-    warm_keys: bool = False
-    prices: Mapping[str, float] = field(default_factory=dict)
-    recovery: Recovery | None = None  # off
+    over_quota_value: float = 1.0
+    key_affinity: bool = False
+    costs: Mapping[str, float] = field(default_factory=dict)
+    recovery: RecoveryOptions | None = None  # off
 
 
 @dataclass(slots=True)
@@ -184,9 +184,9 @@
     weight: float = 1.0
     zone: int = 0
 
-    def group(self, scope: Scope) -> int:
+    def dedup_group(self, scope: DedupScope) -> int:
         """The servers that drop a keyed request's repeats together with this one."""
-        return 0 if scope is Scope.ALL else self.zone if scope is Scope.ZONE else self.cell
+        return 0 if scope is DedupScope.ALL else self.zone if scope is DedupScope.ZONE else self.cell
 
 
 @dataclass(slots=True)
@@ -203,8 +203,8 @@
     """A client's request; it is owed one final answer within `left`."""
 
     id: int
-    cls: int
-    left: float
+    class_id: int
+    time_left: float
     key: str | None = None
     tenant: int | None = None
     work: float | None = None
@@ -220,7 +220,7 @@
     attempt: int
     server: str
     result: Result
-    took: float
+    duration: float
     finished: bool
     load: Mapping[str, float] = field(default_factory=dict)
 
@@ -232,22 +232,22 @@
     id: int
     attempt: int
     server: str
-    took: float
+    duration: float
 
 
 @dataclass(slots=True)
-class Spent:
+class BodyConsumed:
     """Part of a request's body has gone on and is held no more: it cannot be sent again."""
 
     id: int
 
 
 @dataclass(slots=True)
-class Hastened:
+class DeadlineShortened:
     """The proxy ends sooner than the request's time: its answer is owed within `left`."""
 
     id: int
-    left: float
+    time_left: float
 
 
 @dataclass(slots=True)
@@ -273,23 +273,25 @@
 
 
 @dataclass(slots=True)
-class Probed:
+class ProbeResult:
     """The result of a probe."""
 
     server: str
     result: Result
-    took: float
+    duration: float
     load: Mapping[str, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Pressure:
+class OverloadSignal:
     """What the proxy itself cannot carry: said whenever that changes, and each period while it lasts."""
 
-    part: float  # of the requests that come, beyond what its turns are enough for
-    over_share: bool  # what exceeds a tenant's share is to go in any case
-    copies: bool  # second copies are affordable
-    unseen: tuple[int, ...] = ()  # requests turned away since the last time, by tenant, that were not shown
+    excess_fraction: float  # of the requests that come, beyond what its turns are enough for
+    shed_over_quota: bool  # what exceeds a tenant's share is to go in any case
+    hedging_allowed: bool  # second copies are affordable
+    rejected_unseen: tuple[
+        int, ...
+    ] = ()  # requests turned away since the last time, by tenant, that were not shown
 
 
 Event = (
@@ -297,13 +299,13 @@
     | Request
     | Outcome
     | StreamStarted
-    | Spent
-    | Hastened
+    | BodyConsumed
+    | DeadlineShortened
     | ClientGone
     | TimerFired
     | PeerMessage
-    | Probed
-    | Pressure
+    | ProbeResult
+    | OverloadSignal
 )
 
 
@@ -317,11 +319,11 @@
     id: int
     server: str
     timeout: float = 0.0
-    by: float = math.inf
+    start_before: float = math.inf
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: trying again is harmless."""
 
     id: int
@@ -344,7 +346,7 @@
 
 
 @dataclass(slots=True)
-class Tell:
+class SendToPeer:
     """Send bytes to one proxy, or to all where `peer` is None."""
 
     peer: int | None
@@ -355,7 +357,7 @@
 class SetTimer:
     """Ask for a TimerFired after `span`; not needed any more once the request it is for has ended."""
 
-    span: float
+    delay: float
     token: int
     request: int | None = None
 
@@ -396,12 +398,14 @@
 
 
 @dataclass(slots=True)
-class TurnAway:
-    """Refuse these parts of what comes unseen, until told otherwise: by tenant, or one part for all."""
+class ShedLoad:
+    """Reject these parts of what comes unseen, until told otherwise: by tenant, or one part for all."""
 
-    parts: tuple[float, ...]
+    fractions: tuple[float, ...]
     retry_after: float = 0.0
-    again: bool = False  # marked retries as well: whoever was told to come that late comes too late
+    include_retries: bool = False  # marked retries as well: whoever was told to come that late comes too late
 
 
-Action = Send | Refuse | Fail | Cancel | Tell | SetTimer | Probe | CloseIdle | Watch | Fetch | Log | TurnAway
+Action = (
+    Send | Reject | Fail | Cancel | SendToPeer | SetTimer | Probe | CloseIdle | Watch | Fetch | Log | ShedLoad
+)
--- a/firvane/core/terminations.py
+++ b/firvane/core/terminations.py
@@ -33,8 +33,8 @@
 RESULTS: dict[Ending, Result] = {
     Ending.SERVED: Result.OK,
     Ending.SERVER_ERROR: Result.ERROR,
-    Ending.TURNED_AWAY: Result.FULL,
-    Ending.NO_PLACE: Result.NO_PLACE,
+    Ending.TURNED_AWAY: Result.OVERLOADED,
+    Ending.NO_PLACE: Result.CONNECTIONS_FULL,
     Ending.AT_FAULT: Result.ERROR,
     Ending.BAD_ANSWER: Result.ERROR,
     Ending.REFUSED: Result.CONNECT_FAILED,
@@ -43,8 +43,8 @@
     Ending.BROKE_SENT: Result.RESET,
     Ending.OVERDUE: Result.TIMEOUT,
     Ending.CANCELLED: Result.CANCELLED,
-    Ending.NO_SOCKET: Result.MOOT,
-    Ending.TOO_LATE: Result.MOOT,
-    Ending.WITHDRAWN: Result.MOOT,
-    Ending.NOT_ALLOWED: Result.MOOT,
+    Ending.NO_SOCKET: Result.NOT_SENT,
+    Ending.TOO_LATE: Result.NOT_SENT,
+    Ending.WITHDRAWN: Result.NOT_SENT,
+    Ending.NOT_ALLOWED: Result.NOT_SENT,
 }
--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -76,7 +76,7 @@
             api.Outcome: self._on_outcome,
             api.StreamStarted: self._on_started,
             api.ClientGone: self._on_client_gone,
-            api.Hastened: self._on_hastened,
+            api.DeadlineShortened: self._on_hastened,
             api.TimerFired: self._on_timer,
             api.PeerMessage: self._on_row,
             InstancesChanged: self._on_instances,
@@ -111,9 +111,9 @@
 
     def _on_request(self, request: PromptRequest, now: float) -> None:
         prompt = make_prompt(request.chain, request.tokens_in, self.random.getrandbits(32))
-        hold = min(HOLD_PART * request.aim, HOLD_LONGEST, request.left / 4)
+        hold = min(HOLD_PART * request.aim, HOLD_LONGEST, request.time_left / 4)
         service = self.services.draw(request.services)
-        job = Job(request, prompt, service, now + request.left, now + hold)
+        job = Job(request, prompt, service, now + request.time_left, now + hold)
         self.jobs[request.id] = job
         service.budget.note_request(now)
         if service.is_known and not service.ready:
@@ -174,7 +174,7 @@
 
     def _refuse(self, job: Job, retry_after: float) -> None:
         self._close(job)
-        self.actions.append(api.Refuse(job.request.id, retry_after))
+        self.actions.append(api.Reject(job.request.id, retry_after))
 
     def _close(self, job: Job) -> None:
         """No answer is owed any more: what is still out is waste."""
@@ -198,7 +198,7 @@
         attempt = self.attempts.get((event.id, event.attempt))
         if attempt is None:
             return
-        attempt.service.started(attempt, event.took, now)
+        attempt.service.started(attempt, event.duration, now)
         if job := self.jobs.get(event.id):
             job.begun = True
             others = [number for number in job.out if number != event.attempt]
@@ -223,7 +223,7 @@
         if failed and outliers.note_failure(attempt.server, attempt.sent_at, now):
             self.notice_owed = True
         service.ended(attempt, now)
-        if outcome.result.never_ran and outcome.result is not api.Result.FULL and attempt.repeat:
+        if outcome.result.never_ran and outcome.result is not api.Result.OVERLOADED and attempt.repeat:
             service.budget.refund(now)
         if job:
             self._settle(job, attempt, outcome, now)
@@ -234,7 +234,7 @@
         """What the end of an attempt means to its request."""
         if outcome.result.never_ran:
             job.may_have_run -= 1
-            job.reached -= outcome.result is not api.Result.FULL
+            job.reached -= outcome.result is not api.Result.OVERLOADED
         was_out = job.out.pop(attempt.number, None) is not None
         if outcome.finished:
             self._close(job)
@@ -245,9 +245,9 @@
         if job := self.jobs.get(event.id):
             self._close(job)
 
-    def _on_hastened(self, event: api.Hastened, now: float) -> None:
+    def _on_hastened(self, event: api.DeadlineShortened, now: float) -> None:
         if job := self.jobs.get(event.id):
-            job.deadline = min(job.deadline, now + event.left)
+            job.deadline = min(job.deadline, now + event.time_left)
 
     # Timers
 
--- a/firvane/fleet/placement/exchange.py
+++ b/firvane/fleet/placement/exchange.py
@@ -35,14 +35,14 @@
         self.own_row_at = now
         self._unplaced: list[Read] = []  # of servers that are not known yet
 
-    def announce(self, flags: RowFlags, held: int, now: float, peer: int | None = None) -> api.Tell:
+    def announce(self, flags: RowFlags, held: int, now: float, peer: int | None = None) -> api.SendToPeer:
         """The own row, to one peer or to all; it is kept as announced, since peers decide by that."""
         zone, services = self.peers.zones().get(self.me, 0), list(self.services.values())
         row = announcement.make_row(services, self.me, zone, held, flags, now)
         self.own_row, self.own_row_at = row, now
         most = room_for_reads(len(row.sections), len(row.entries))
         pick = announcement.take_reads if peer is None else announcement.latest_reads
-        return api.Tell(peer, encode_row(row._replace(reads=pick(services, most))))
+        return api.SendToPeer(peer, encode_row(row._replace(reads=pick(services, most))))
 
     def may_announce(self, now: float) -> bool:
         """Whether a row out of turn is within the bound on rows heard."""
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -42,7 +42,7 @@
 
 SIGNALS = {
     api.Result.CONNECT_FAILED: Signal.UNREACHABLE,
-    api.Result.NO_PLACE: Signal.FAULTY,
+    api.Result.CONNECTIONS_FULL: Signal.FAULTY,
     api.Result.RESET: Signal.BROKEN,
     api.Result.TIMEOUT: Signal.BROKEN,
     api.Result.ERROR: Signal.FAULTY,
@@ -83,7 +83,7 @@
         if not started:
             server.outcomes.note(True, now)
         note_alive(server, now)
-    elif result is api.Result.FULL:
+    elif result is api.Result.OVERLOADED:
         note_full(server, now)
     elif result is api.Result.TIMEOUT and started:
         pass  # its client's time was over
--- a/firvane/fleet/router/client_side.py
+++ b/firvane/fleet/router/client_side.py
@@ -69,8 +69,8 @@
         shape = prompt_shape(request.message)
         return PromptRequest(
             id=-1,
-            cls=0,
-            left=0.0,
+            class_id=0,
+            time_left=0.0,
             services=tuple((target.service, target.weight) for target in route.targets),
             chain=shape.chain,
             tokens_in=shape.tokens_in,
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -302,11 +302,13 @@
 
 def engine_settings(number: int) -> api.Settings:
     """The engine's settings in the fleet: limits of single requests come with their routes."""
-    anything = api.RequestClass("prompt", aim=1.0, deadline=3600.0)
-    rules = api.Rules(0.02, drain_grace=0.0, start_capacity=1.0, cold=0.0, fall_multiple=1.0, fall_window=1.0)
+    anything = api.RequestClass("prompt", latency_target=1.0, deadline=3600.0)
+    rules = api.Rules(
+        0.02, drain_grace=0.0, start_capacity=1.0, slow_start=0.0, fall_multiple=1.0, fall_window=1.0
+    )
     limits = api.Limits(
-        max_attempts=MAX_ATTEMPTS, cancel=True, peers=True, retry_after=True, max_open=MAX_OPEN
+        max_attempts=MAX_ATTEMPTS, cancel=True, peers=True, retry_after=True, max_open_requests=MAX_OPEN
     )
     return api.Settings(
-        me=number, proxies=1, tick=0.001, classes=(anything,), rules=rules, limits=limits, warm_keys=True
+        me=number, proxies=1, tick=0.001, classes=(anything,), rules=rules, limits=limits, key_affinity=True
     )
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -20,6 +20,7 @@
 from firvane.core.balancing.records import Backend, Job, Row, mix, pack, total, unpack
 from firvane.core.balancing.slices import deal
 from firvane.core.balancing.window import WINDOW
+from firvane.core.interface import DedupScope, Idempotency
 from firvane.proxy.capacity import slow_start, tenant_admission
 from firvane.proxy.capacity.backend_estimates import CROWD, FADE, FAULTY, LONG, Evidence
 from firvane.proxy.recovery import messages
@@ -67,13 +68,13 @@
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
             api.Request: self.on_request,
-            api.Hastened: self.on_hastened,
+            api.DeadlineShortened: self.on_hastened,
             api.Outcome: self.on_outcome,
-            api.Pressure: self.on_pressure,
+            api.OverloadSignal: self.on_pressure,
             api.PeerMessage: self.on_row,
             api.ServerList: self.on_list,
         }
-        self.copies, self.sizes = settings.limits.second_copies, dict[int, float]()  # of kinds on the ring
+        self.copies, self.sizes = settings.limits.hedging, dict[int, float]()  # of kinds on the ring
         self.watching, self.ask_at, self.ask_wait = not settings.ask, 0.0, 0.0
 
     def start(self, now: float) -> list[api.Action]:
@@ -97,32 +98,33 @@
             if isinstance(event, api.StreamStarted):  # it is the client's now: its other attempts are waste
                 job.out.pop(event.attempt, None)
             self.close(job)
-        elif isinstance(event, api.Spent) and (job := self.jobs.get(event.id)):
+        elif isinstance(event, api.BodyConsumed) and (job := self.jobs.get(event.id)):
             job.spent = True
         return self.actions
 
     def retune(self, settings: api.Settings) -> None:
         """Go on by other settings, in which the numbers that are in use mean the same."""
-        self.settings, self.copies = settings, settings.limits.second_copies
+        self.settings, self.copies = settings, settings.limits.hedging
         self.tenants = {i: self.tenants.get(i, 0.0) for i in range(len(settings.tenants))}
         self.evidence.retune(settings)
 
     def on_request(self, request: api.Request, now: float) -> None:
         spread = self.random.getrandbits(32) if request.key is None else crc32(request.key.encode())
-        cls = self.settings.classes[request.cls]
-        job = Job(request, cls, now + request.left, now + min(HOLD * cls.aim, request.left / 4), spread)
+        cls = self.settings.classes[request.class_id]
+        patience = now + min(HOLD * cls.latency_target, request.time_left / 4)
+        job = Job(request, cls, now + request.time_left, patience, spread)
         self.jobs[request.id] = job
         self.arrived[-1] += 1
         if request.tenant in self.tenants and not request.is_retry:
             self.tenants[request.tenant] += 1.0
         # The deadline timer: early enough that a batch a tick late still answers in time.
-        self.wake(job, max(0.0, request.left - 2 * self.settings.tick))
+        self.wake(job, max(0.0, request.time_left - 2 * self.settings.tick))
         self.place(job, now)
 
-    def on_hastened(self, hastened: api.Hastened, now: float) -> None:
+    def on_hastened(self, hastened: api.DeadlineShortened, now: float) -> None:
         if job := self.jobs.get(hastened.id):
-            job.deadline = min(job.deadline, now + hastened.left)
-            self.wake(job, max(0.0, hastened.left - 2 * self.settings.tick))
+            job.deadline = min(job.deadline, now + hastened.time_left)
+            self.wake(job, max(0.0, hastened.time_left - 2 * self.settings.tick))
 
     def wake(self, job: Job, span: float) -> None:
         self.actions.append(api.SetTimer(span, job.request.id + 1, job.request.id))
@@ -133,7 +135,7 @@
         if not over and (server := self.choose(job, now, limit)):
             self.send(job, server, now)
         elif over or now >= job.patience or (
-            (job.maybe and job.cls.repeat is api.Repeat.UNSAFE) or self.choose(job, now, math.inf)
+            (job.maybe and job.cls.idempotency is Idempotency.UNSAFE) or self.choose(job, now, math.inf)
         ):  # fmt: skip
             self.finish(job, now)  # also where servers could have it, but none has room
         else:
@@ -151,7 +153,7 @@
 
     def doubt(self, job: Job, now: float) -> None:
         """A second copy where the first seems lost, or the server that has it gone."""
-        limits, out, wait = self.settings.limits, job.out, DOUBT * job.cls.aim
+        limits, out, wait = self.settings.limits, job.out, DOUBT * job.cls.latency_target
         attempt, name = next(iter(out.items()))
         server, mark = self.servers.get(name), self.evidence.marks.get((job.request.id, attempt))
         copies = self.copies and self.evidence.crowded < CROWD and not (self.recovery and self.recovery.on)
@@ -166,7 +168,7 @@
                 job.out = out  # guards what may not be repeated: nobody follows it, and its answer may come
             elif limits.cancel:
                 self.actions.append(api.Cancel(job.request.id, attempt))
-            if other and limits.second_copies:  # else not before its end is told
+            if other and limits.hedging:  # else not before its end is told
                 self.send(job, other, now)
             else:
                 self.wake(job, mark.usual)
@@ -190,10 +192,10 @@
             else:  # guards one that is found lost by what is heard later: it is looked at again
                 self.wake(job, mark.usual)
 
-    def on_pressure(self, pressure: api.Pressure, now: float) -> None:
+    def on_pressure(self, pressure: api.OverloadSignal, now: float) -> None:
         """Say whom to turn away unseen: first what exceeds a tenant's share, then everyone alike."""
-        self.copies = pressure.copies and self.settings.limits.second_copies
-        for tenant, unseen in enumerate(pressure.unseen[: len(self.tenants)]):
+        self.copies = pressure.hedging_allowed and self.settings.limits.hedging
+        for tenant, unseen in enumerate(pressure.rejected_unseen[: len(self.tenants)]):
             self.tenants[tenant] += unseen
         asked = list(self.tenants.values())
         self.actions.append(
@@ -206,41 +208,44 @@
 
     def limit(self, job: Job) -> float:
         """The part of a server's room that a request may fill: what is worth less leaves some to the rest."""
-        worth, classes = job.cls.worth, self.settings.classes
+        worth, classes = job.cls.value, self.settings.classes
         if (tenant := job.request.tenant) in self.tenants and (
-            (quota := self.settings.tenants[tenant].quota)
+            (quota := self.settings.tenants[tenant].quota_rps)
             and self.tenants[tenant] * self.random.random() > SHARE_SPAN * quota * self.part()
         ):  # fmt: skip
-            worth *= self.settings.over_share_worth  # as many of a tenant's requests as exceed its share
+            worth *= self.settings.over_quota_value  # as many of a tenant's requests as exceed its share
         worth *= self.recovery.part(job) if self.recovery else 1.0
-        return LEAST + (1.0 - LEAST) * worth / max(cls.worth for cls in classes)
+        return LEAST + (1.0 - LEAST) * worth / max(cls.value for cls in classes)
 
     def send(self, job: Job, server: Backend, now: float) -> None:
         job.out[job.sent] = server.entry.id
         job.tried.add(server.salt)
         by = job.begins_by(server.entry, now)
         request, attempt = job.request, (job.request.id, job.sent)
-        mark = self.evidence.sent(server, request.cls, request.work, attempt, now)
+        mark = self.evidence.sent(server, request.class_id, request.work, attempt, now)
         job.sent, job.maybe = job.sent + 1, job.maybe + 1
         if server.fails > 1 or server.faulty > FAULTY:
             server.retry_at = now + 1.0  # one trial at a time
         if self.evidence.is_cold(server, now):
             server.tokens -= 1
         self.large.mark(server)
-        self.actions.append(api.Send(job.request.id, server.entry.id, by=by))
-        if self.settings.limits.second_copies and not job.out.keys() - {job.sent - 1}:
-            first_look = min(DOUBT * job.cls.aim, self.evidence.late(mark.usual))
+        self.actions.append(api.Send(job.request.id, server.entry.id, start_before=by))
+        if self.settings.limits.hedging and not job.out.keys() - {job.sent - 1}:
+            first_look = min(DOUBT * job.cls.latency_target, self.evidence.late(mark.usual))
             self.wake(job, first_look)
 
     def legal(self, job: Job, server: Backend, now: float) -> bool:
         """The gate that every send passes: the four rules, and nothing else."""
         cls, limits = job.cls, self.settings.limits
         if server.entry.state is not api.ServerState.UP or job.sent >= limits.max_attempts or (
-            now >= job.deadline or (job.out and not limits.second_copies) or self.held_back(server, now)
+            now >= job.deadline or (job.out and not limits.hedging) or self.held_back(server, now)
         ):  # fmt: skip
             return False
-        kept = server.entry.group(cls.scope) == job.group and now < job.kept_until - self.settings.tick
-        return not job.maybe or cls.repeat is api.Repeat.SAFE or (cls.repeat is api.Repeat.KEYED and kept)
+        if not job.maybe or cls.idempotency is Idempotency.SAFE:
+            return True
+        same_group = server.entry.dedup_group(cls.dedup_scope) == job.group
+        is_deduplicated = same_group and now < job.kept_until - self.settings.tick
+        return cls.idempotency is Idempotency.KEYED and is_deduplicated
 
     def held_back(self, server: Backend, now: float) -> bool:
         """Whether one that has just started, or may have, is sent nothing from here now."""
@@ -256,12 +261,13 @@
 
     def finish(self, job: Job, now: float) -> None:
         """The final answer: a refusal where a further try is known to be harmless, a failure otherwise."""
-        keyed = job.cls.repeat is api.Repeat.KEYED and job.cls.scope is api.Scope.ALL
-        harmless = not job.maybe or keyed or job.cls.repeat is api.Repeat.SAFE
-        pause = PAUSE * job.cls.aim * self.random.uniform(0.5, 1.5)  # spread, or they return as one
+        keyed = job.cls.idempotency is Idempotency.KEYED and job.cls.dedup_scope is DedupScope.ALL
+        harmless = not job.maybe or keyed or job.cls.idempotency is Idempotency.SAFE
+        # Spread, or the clients return as one.
+        pause = PAUSE * job.cls.latency_target * self.random.uniform(0.5, 1.5)
         pause = min(pause, self.settings.limits.max_retry_after)
         pause = self.recovery.pause(job, pause, now) if self.recovery else pause
-        self.actions.append(api.Refuse(job.request.id, pause) if harmless else api.Fail(job.request.id))
+        self.actions.append(api.Reject(job.request.id, pause) if harmless else api.Fail(job.request.id))
         self.close(job)
 
     def close(self, job: Job) -> None:
@@ -308,7 +314,7 @@
 
     def home(self, job: Job) -> tuple[int, Backend | None]:
         """The slice that a request belongs to before moves, and its server there if its key names one."""
-        if job.request.key is None or not self.settings.warm_keys:
+        if job.request.key is None or not self.settings.key_affinity:
             return self.settings.me, None
         # Servers do less for a key met lately, and by proxy its repeats would scatter: they go by the key.
         first = self.ring.owner(job.hash)
@@ -316,7 +322,7 @@
 
     def find(self, job: Job, first: Backend | None, number: int, now: float, limit: float) -> Backend | None:
         """Of a slice: as `pick`, but by index where it is large."""
-        grouped = job.maybe and job.cls.repeat is api.Repeat.KEYED  # few may have it: all are looked at
+        grouped = job.maybe and job.cls.idempotency is Idempotency.KEYED  # few may have it: all are looked at
         index = None if grouped else self.large.index(number, now)
         if index is None:
             return self.pick(job, first, self.slices.get(number, []), now, limit)
@@ -330,7 +336,7 @@
         mine, spares = number == self.settings.me, self.large.spares
         if mine and (spare := spares.emptiest(1.0, lambda s: fits(s) and s.tokens >= 2)):
             return spare
-        heavy = (job.request.work or 0.0) > HEAVY * job.cls.aim  # it would be late on a slow core
+        heavy = (job.request.work or 0.0) > HEAVY * job.cls.latency_target  # it would be late on a slow core
         kinds = index.quick(self.evidence.pace, QUICK, tried) if heavy else None
         share = CAP * index.mean(kinds, tried)
 
@@ -352,7 +358,7 @@
         soon = now + RENEW if server.slow > 1.5 and server.slow_at > now - 4 * FADE else math.inf
         if not self.evidence.is_cold(server, now) or (self.recovery and self.recovery.stepped(server)):
             return Figures(power, ready_at, math.inf, soon)
-        warm_at = (server.since or 0.0) + self.settings.rules.cold
+        warm_at = (server.since or 0.0) + self.settings.rules.slow_start
         if not (senders := self.senders(server)):
             return Figures(power, max(ready_at, warm_at), math.inf, min(warm_at, soon))
         self.budget(server, now)
@@ -371,7 +377,7 @@
         spare = [s for s in spare if s.own < s.room]
         if spare or not free:
             return next(iter(spare), None)  # a cold server whose budget allows more than its keys bring
-        if job.request.work and job.request.work > HEAVY * job.cls.aim:  # it would be late on a slow core
+        if job.request.work and job.request.work > HEAVY * job.cls.latency_target:  # late on a slow core
             kinds = {s.entry.kind: self.evidence.pace.get(s.entry.kind, 1.0) for s in free}
             fast = min(kinds.values())
             free = [s for s in free if kinds[s.entry.kind] <= QUICK * fast]
@@ -412,7 +418,7 @@
         if self.windows % self.row_every == 0:
             self.announce(now, 0)
             if self.evidence.pooled:
-                self.actions.append(api.Tell(None, self.evidence.tell(now)))
+                self.actions.append(api.SendToPeer(None, self.evidence.tell(now)))
         self.arrived, self.served = [*self.arrived, 0][-HISTORY:], [*self.served, 0][-HISTORY:]
         for n in self.rows.keys() - {self.settings.me}:
             if self.rows[n].at < now - SILENT * self.row_every * WINDOW:
@@ -440,7 +446,7 @@
         payload = pack(flags, self.settings.zone, now, figures, out)
         self.rows[self.settings.me] = unpack(payload, now)
         if self.settings.limits.peers and self.settings.proxies > 1:
-            self.actions.append(api.Tell(peer, payload))
+            self.actions.append(api.SendToPeer(peer, payload))
 
     def on_row(self, message: api.PeerMessage, now: float) -> None:
         try:
@@ -514,13 +520,13 @@
         """The step over the rows as announced: what moves from slice to slice in the next window."""
         load = {n: total((s.told + s.peers) / s.homes for s in slice_) for n, slice_ in self.slices.items()}
         grown = {n: window.growth(r.forecast, r.arrivals, r.served, now - r.at) for n, r in self.rows.items()}
-        load = window.ahead(load, grown, self.settings.warm_keys)  # keys spread all demand alike
+        load = window.ahead(load, grown, self.settings.key_affinity)  # keys spread all demand alike
         mu, zones = {n: r.mu for n, r in self.rows.items()}, {n: r.zone for n, r in self.rows.items()}
         self.shares = window.step(load, mu, zones, self.shares)
         self.moves = window.moves(self.shares)
 
     def on_list(self, news: api.ServerList, now: float) -> None:
-        if news.kind is api.ListKind.LOST:
+        if news.kind is api.ListKind.FAILED:
             self.watching, self.ask_wait = not self.settings.ask, min(4.0, max(0.5, self.ask_wait * 2))
             self.ask_at = now + self.ask_wait * self.random.uniform(0.5, 1.0)
             return
--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -96,7 +96,7 @@
     def __init__(self, settings: api.Settings, dice: random.Random, now: float) -> None:
         """`dice` draws the spread of retry times; times are in seconds."""
         self.settings, self.random, self.started = settings, dice, now
-        self.typical = [cls.aim / 2 for cls in settings.classes]  # s that an answer takes
+        self.typical = [cls.latency_target / 2 for cls in settings.classes]  # s that an answer takes
         self.pace = dict[int, float]()  # s that a second of work takes, queues included, by kind of server
         self.kinds = dict[int, float]()  # what a server of each kind can do, of `best`
         self.flows = dict[int, Flow]()
@@ -116,7 +116,7 @@
         """Other settings, in which a class that is known has its number still; what was learnt is kept."""
         known = {cls.name: took for cls, took in zip(self.settings.classes, self.typical, strict=True)}
         new = settings.classes[len(self.typical) :]
-        self.typical += [min(cls.aim, known.get(cls.name, cls.aim / 2)) for cls in new]
+        self.typical += [min(cls.latency_target, known.get(cls.name, cls.latency_target / 2)) for cls in new]
         before, self.settings = self.settings, settings
         if settings.limits.peers is not before.limits.peers:
             # Guards against taking one's own answers for those of all, or the other way round, where a SIGHUP
@@ -140,12 +140,12 @@
         return 1 if self.settings.limits.peers else self.settings.proxies
 
     def is_cold(self, server: Backend, now: float) -> bool:
-        return server.since is not None and now < server.since + self.settings.rules.cold
+        return server.since is not None and now < server.since + self.settings.rules.slow_start
 
     def able(self, server: Backend, now: float) -> float:
         """The part of its all that a cold server can do: what the rules allow for, or more where it shows."""
         rules = self.settings.rules
-        age = min(1.0, max(0.0, now - (server.since or 0.0)) / rules.cold)
+        age = min(1.0, max(0.0, now - (server.since or 0.0)) / rules.slow_start)
         sure = age + rules.start_capacity * (1.0 - age)
         took, work = self.quick.get(server.entry.kind, (0.0, 0.0))
         if server.timed < ENOUGH or not work or not server.took:
@@ -212,7 +212,7 @@
         if server is None or mark is None:
             return False
         result, close, lost = outcome.result, False, mark.lost
-        if result not in (api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.MOOT):
+        if result not in (api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.NOT_SENT):
             gap = min(1.0, now - self._owing_since(mark, server))
             server.gap = server.gap + 0.2 * (gap - server.gap) if server.gap else gap
             server.heard_at = now
@@ -223,8 +223,8 @@
                 if other.at >= mark.at:
                     break
                 other.passed += 1
-        if self.large and result in (api.Result.OK, api.Result.FULL):
-            self.crowded += CROWDING * ((result is api.Result.FULL) - self.crowded)
+        if self.large and result in (api.Result.OK, api.Result.OVERLOADED):
+            self.crowded += CROWDING * ((result is api.Result.OVERLOADED) - self.crowded)
         failed = result is api.Result.ERROR and not outcome.finished
         if not self.large and (failed or result is api.Result.OK):
             self._judged(server, failed, now)
@@ -234,19 +234,19 @@
                 self.counts[server.entry.kind] = self.counts.get(server.entry.kind, 0) + 1
             self.lossy -= FORGET * self.lossy
             close = now < server.crowded_at + CROWDED
-            self._answered(server, request, outcome.took, now)
+            self._answered(server, request, outcome.duration, now)
         elif result in (api.Result.CONNECT_FAILED, api.Result.RESET):
-            close = self._broke(server, result, outcome.took, now)
-        elif result is api.Result.NO_PLACE:
+            close = self._broke(server, result, outcome.duration, now)
+        elif result is api.Result.CONNECTIONS_FULL:
             self._unplaced(server, now)
-        elif result is api.Result.FULL:
+        elif result is api.Result.OVERLOADED:
             if now > server.cut_at + 0.1:
                 server.room, server.cut_at = max(1.0, 0.85 * server.room), now
             server.retry_at = max(server.retry_at, now + 0.03)
         if request and not lost:
-            self._timed(server, request, result, outcome.took, now)
+            self._timed(server, request, result, outcome.duration, now)
             if result is api.Result.OK and request.work:
-                self._paced(server, request.work, outcome.took, now)
+                self._paced(server, request.work, outcome.duration, now)
         return close
 
     def _answered(self, server: Backend, request: api.Request | None, took: float, now: float) -> None:
@@ -257,7 +257,7 @@
         server.unplaced = 0
         if server.fails:
             server.fails, server.downs, server.retry_at = 0, 0, now  # what kept it out is disproved
-        aim = self.settings.classes[request.cls].aim if request else took
+        aim = self.settings.classes[request.class_id].latency_target if request else took
         if request and took > SLOW * aim and (request.work or 0.0) < LIGHT * aim:
             if now > server.cut_at + aim:  # what waits there would be late: as if turned away
                 server.room, server.cut_at = max(1.0, 0.9 * server.room), now
@@ -291,9 +291,9 @@
             pace, kind = took / request.work, server.entry.kind
             self.pace[kind] = self.pace.get(kind, 1.0) * 0.98 + 0.02 * min(10.0, pace)
         if result in (api.Result.OK, api.Result.TIMEOUT):
-            typical = self.typical[request.cls]
+            typical = self.typical[request.class_id]
             if result is api.Result.OK:
-                self.typical[request.cls] += 0.01 * (took - typical)
+                self.typical[request.class_id] += 0.01 * (took - typical)
             ratio = min(8.0, took / typical)
             server.slow, server.slow_at = 0.8 * slowness(server, now) + 0.2 * ratio, now
 
--- a/firvane/proxy/capacity/tenant_admission.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -18,7 +18,7 @@
     """
     even = 1.0 / settings.proxies
     if not settings.limits.peers:
-        return max(even, here / (total(tenant.quota for tenant in settings.tenants) or math.inf))
+        return max(even, here / (total(tenant.quota_rps for tenant in settings.tenants) or math.inf))
     every = total(row.arrivals for row in rows.values())  # 0 at the start
     return rows[settings.me].arrivals / every if every else even
 
@@ -34,14 +34,14 @@
 
 
 def turn_away(
-    settings: api.Settings, asked: Sequence[float], span: float, pressure: api.Pressure, pause: float
-) -> api.TurnAway:
+    settings: api.Settings, asked: Sequence[float], span: float, pressure: api.OverloadSignal, pause: float
+) -> api.ShedLoad:
     """Whom to turn away unseen: `asked` requests by tenant within `span` s of their quotas' worth; who is
     sent away stays away for `pause` of the aim at least."""
-    allowed = [tenant.quota * span for tenant in settings.tenants]
-    each = parts(asked, allowed, pressure.part, pressure.over_share)
+    allowed = [tenant.quota_rps * span for tenant in settings.tenants]
+    each = parts(asked, allowed, pressure.excess_fraction, pressure.shed_over_quota)
     # While that lasts whoever returns soon is turned away again, at a cost to those who could be served.
     most = settings.limits.max_retry_after
-    aim = max(cls.aim for cls in settings.classes)
-    pause = min(most, pause * aim + 2.0 * pressure.part * most)
-    return api.TurnAway(tuple(each) or (pressure.part,), pause, again=pause > aim)
+    aim = max(cls.latency_target for cls in settings.classes)
+    pause = min(most, pause * aim + 2.0 * pressure.excess_fraction * most)
+    return api.ShedLoad(tuple(each) or (pressure.excess_fraction,), pause, include_retries=pause > aim)
--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -14,7 +14,7 @@
 from firvane.proxy.config.node import Config
 
 TICK = 0.005  # s: what a deadline is met with, beside the loop's own lag
-REPEATS = {"safe": api.Repeat.SAFE, "keyed": api.Repeat.KEYED, "unsafe": api.Repeat.UNSAFE}
+REPEATS = {"safe": api.Idempotency.SAFE, "keyed": api.Idempotency.KEYED, "unsafe": api.Idempotency.UNSAFE}
 
 
 def read_file(path: str | Path) -> Config:
@@ -85,20 +85,20 @@
 def request_class(cls: RequestClass) -> api.RequestClass:
     return api.RequestClass(
         name=cls.name,
-        aim=cls.aim_ms / 1000,
+        latency_target=cls.aim_ms / 1000,
         deadline=cls.deadline_ms / 1000,
-        worth=cls.worth,
-        late_share=cls.late_share,
-        repeat=REPEATS[cls.repeat],
-        scope=api.Scope(cls.repeats_dropped_by),
-        window=cls.repeats_dropped_for_s,
+        value=cls.worth,
+        late_value_fraction=cls.late_share,
+        idempotency=REPEATS[cls.repeat],
+        dedup_scope=api.DedupScope(cls.repeats_dropped_by),
+        dedup_window=cls.repeats_dropped_for_s,
     )
 
 
-def _recovery(given: Recovery | None) -> api.Recovery | None:
+def _recovery(given: Recovery | None) -> api.RecoveryOptions | None:
     if given is None:
         return None
-    return api.Recovery(given.trials, given.steps, given.first_tries, given.ask)
+    return api.RecoveryOptions(given.trials, given.steps, given.first_tries, given.ask)
 
 
 def _settings(file: File, zones: tuple[str, ...]) -> api.Settings:
@@ -115,26 +115,26 @@
             answer_slack=rules.answer_slack_ms / 1000,
             drain_grace=rules.drain_grace_s,
             start_capacity=rules.start_capacity,
-            cold=rules.cold_s,
+            slow_start=rules.cold_s,
             fall_multiple=rules.fall_multiple,
             fall_window=rules.fall_s,
         ),
         limits=api.Limits(
             max_attempts=limits.attempts,
             cancel=limits.cancel,
-            second_copies=limits.second_copies,
+            hedging=limits.second_copies,
             peers=tier is not None,
             probes=limits.probes,
             retry_after=limits.retry_after,
             max_retry_after=limits.most_retry_after_s,
-            max_open=limits.open_flows,
+            max_open_requests=limits.open_flows,
             connect_timeout=limits.connect_ms / 1000,
-            connection_idle=limits.target_idle_s,
+            connection_idle_timeout=limits.target_idle_s,
         ),
         tenants=tuple(api.Tenant(t.name, t.share, t.quota_rps) for t in file.tenants),
         zone=zones.index(file.zone) if file.zone in zones else 0,
         zones=max(1, len(zones)),
-        over_share_worth=file.over_share_worth,
-        warm_keys=file.remembers_keys,
+        over_quota_value=file.over_share_worth,
+        key_affinity=file.remembers_keys,
         recovery=_recovery(file.recovery),
     )
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -137,13 +137,13 @@
     )
 
 
-def _recovery(given: Any) -> api.Recovery | None:
+def _recovery(given: Any) -> api.RecoveryOptions | None:
     """Which parts of a recovery from a power loss are on; `ValueError` for a part that there is not."""
     if given is None:
         return None
     if not isinstance(given, dict):
         raise ValueError("recovery is not an object")
-    wanted: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.Recovery)}
+    wanted: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
     wanted |= {"snapshot": str, "snapshot_every": (int, float)}
     given = {key: value for key, value in given.items() if value is not None}
     for key, value in given.items():
@@ -152,7 +152,7 @@
         spans = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
         if not isinstance(value, wanted[key]) or not spans:
             raise ValueError(f"recovery.{key} is {value!r}")
-    return api.Recovery(**{key: given[key] for key in given if wanted[key] is bool})
+    return api.RecoveryOptions(**{key: given[key] for key in given if wanted[key] is bool})
 
 
 def _policy(given: Any) -> PolicyTold | None:
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -35,20 +35,20 @@
     "answer_slack_ms": ("answer_slack", MS),
     "drain_grace_s": ("drain_grace", 0),
     "start_capacity": ("start_capacity", 0),
-    "cold_s": ("cold", 0),
+    "cold_s": ("slow_start", 0),
     "fall_multiple": ("fall_multiple", 0),
     "fall_s": ("fall_window", 0),
 }
 LIMITS = {
-    "open_flows": ("max_open", 0),
+    "open_flows": ("max_open_requests", 0),
     "attempts": ("max_attempts", 0),
-    "second_copies": ("second_copies", 0),
+    "second_copies": ("hedging", 0),
     "cancel": ("cancel", 0),
     "probes": ("probes", 0),
     "retry_after": ("retry_after", 0),
     "most_retry_after_s": ("max_retry_after", 0),
     "connect_ms": ("connect_timeout", MS),
-    "target_idle_s": ("connection_idle", 0),
+    "target_idle_s": ("connection_idle_timeout", 0),
 }
 Fields = Mapping[str, tuple[str, int]]
 
@@ -122,9 +122,9 @@
     if policy.tenants is not None:
         said["tenants"] = tuple(api.Tenant(t.name, t.share, t.quota_rps) for t in policy.tenants)
     if policy.over_share_worth is not None:
-        said["over_share_worth"] = policy.over_share_worth
+        said["over_quota_value"] = policy.over_share_worth
     if policy.remembers_keys is not None:
-        said["warm_keys"] = policy.remembers_keys
+        said["key_affinity"] = policy.remembers_keys
     return replace(
         base,
         rules=replace(base.rules, **_said(policy.rules, RULES)),
@@ -139,9 +139,11 @@
     if before is None:
         return made
     # How long a key is remembered says nothing of a class without keys, and a policy may not say it.
-    keyless = api.Repeat.KEYED not in (made.repeat, before.repeat)
-    window = before.window if keyless else made.window
-    return replace(made, stream=before.stream, aim_stretch=before.aim_stretch, window=window)
+    keyless = api.Idempotency.KEYED not in (made.idempotency, before.idempotency)
+    window = before.dedup_window if keyless else made.dedup_window
+    return replace(
+        made, stream=before.stream, latency_target_stretch=before.latency_target_stretch, dedup_window=window
+    )
 
 
 def _said(part: Part | None, fields: Fields) -> dict[str, Any]:
@@ -163,8 +165,8 @@
 
 
 def _lines(base: api.Settings) -> Iterator[str]:
-    yield f"over_share_worth = {_value(base.over_share_worth)}"
-    yield f"remembers_keys = {_value(base.warm_keys)}"
+    yield f"over_share_worth = {_value(base.over_quota_value)}"
+    yield f"remembers_keys = {_value(base.key_affinity)}"
     if not base.tenants:
         yield "tenants = []"
     for title, part, fields in (("rules", base.rules, RULES), ("limits", base.limits, LIMITS)):
@@ -176,19 +178,19 @@
     for cls in base.classes:
         yield "\n[[classes]]"
         yield f"name = {_value(cls.name)}"
-        yield f"aim_ms = {_value(_times(cls.aim, MS))}"
+        yield f"aim_ms = {_value(_times(cls.latency_target, MS))}"
         yield f"deadline_ms = {_value(_times(cls.deadline, MS))}"
-        yield f"repeat = {_value(repeats[cls.repeat])}"
-        yield f"repeats_dropped_by = {_value(cls.scope.value)}"
-        if cls.repeat is api.Repeat.KEYED:
-            yield f"repeats_dropped_for_s = {_value(cls.window)}"
-        yield f"worth = {_value(cls.worth)}"
-        yield f"late_share = {_value(cls.late_share)}"
+        yield f"repeat = {_value(repeats[cls.idempotency])}"
+        yield f"repeats_dropped_by = {_value(cls.dedup_scope.value)}"
+        if cls.idempotency is api.Idempotency.KEYED:
+            yield f"repeats_dropped_for_s = {_value(cls.dedup_window)}"
+        yield f"worth = {_value(cls.value)}"
+        yield f"late_share = {_value(cls.late_value_fraction)}"
     for tenant in base.tenants:
         yield "\n[[tenants]]"
         yield f"name = {_value(tenant.name)}"
-        yield f"share = {_value(tenant.share)}"
-        yield f"quota_rps = {_value(tenant.quota)}"
+        yield f"share = {_value(tenant.quota_share)}"
+        yield f"quota_rps = {_value(tenant.quota_rps)}"
 
 
 def _times(value: float, times: int) -> float:
--- a/firvane/proxy/config/reload.py
+++ b/firvane/proxy/config/reload.py
@@ -26,7 +26,7 @@
 
 def check_open_flows(settings: Settings, most: int) -> str:
     """Why settings allow more open flows than there is memory for; "" where they do not."""
-    given = settings.limits.max_open
+    given = settings.limits.max_open_requests
     if given > most:
         return f"limits.open_flows: is {given}, and memory here is for {most}: lower it"
     return ""
--- a/firvane/proxy/control/catalog.py
+++ b/firvane/proxy/control/catalog.py
@@ -56,7 +56,7 @@
     def retune(self, settings: api.Settings) -> None:
         """Other settings: what depends on them alone is made anew, and told with the next state."""
         self.settings, name = settings, self.service
-        routes, keyed = route_settings.routes(settings), settings.warm_keys
+        routes, keyed = route_settings.routes(settings), settings.key_affinity
         self._fixed = {
             Kind.LISTENER: [resource_codec.listener(name, name)],
             Kind.ROUTES: [resource_codec.route_configuration(name, name, routes, keyed)],
@@ -132,7 +132,7 @@
                 Kind.CLUSTER: [
                     resource_codec.cluster(
                         name,
-                        settings.warm_keys,
+                        settings.key_affinity,
                         self._bounds[zone],
                         settings.limits.connect_timeout,
                     )
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -60,7 +60,7 @@
 
     def on_reported(self, reported: Reported, now: float) -> None:
         balancer = self.balancer
-        aim = min(cls.aim for cls in balancer.settings.classes)
+        aim = min(cls.latency_target for cls in balancer.settings.classes)
         for name, told in reported.boxes.items():
             balancer.arrived[-1] += told.issued
             balancer.served[-1] += told.served
--- a/firvane/proxy/control/route_settings.py
+++ b/firvane/proxy/control/route_settings.py
@@ -38,7 +38,8 @@
             cls.name,
             cls.deadline,
             max(0, settings.limits.max_attempts - 1),
-            cls.repeat is api.Repeat.SAFE or (cls.repeat is api.Repeat.KEYED and cls.scope is api.Scope.ALL),
+            cls.idempotency is api.Idempotency.SAFE
+            or (cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL),
         )
         for cls in settings.classes
     )
--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -14,13 +14,13 @@
 class Keeper(Protocol):
     """Whatever keeps what was learnt over this process's end (`snapshots.file`)."""
 
-    def recall(self, now: float) -> tuple[api.Remembered, Any] | None:
+    def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
         """What was kept, and the list in discovery's form; `now` in Unix time."""
 
-    def keep(self, now: float, listed: Callable[[], Any], held: api.Remembered) -> None:
+    def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         """`listed` makes the list, wherever that is written."""
 
-    def close(self, now: float, listed: Callable[[], Any], held: api.Remembered) -> None:
+    def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         """Keep it for the last time."""
 
 
--- a/firvane/proxy/metrics.py
+++ b/firvane/proxy/metrics.py
@@ -162,9 +162,9 @@
 
     def take(self, flow: Flow[Any, Any], request: api.Request, settings: api.Settings) -> None:
         """A request is about to be handed to the decisions."""
-        cls = settings.classes[request.cls]
+        cls = settings.classes[request.class_id]
         tenant = None if request.tenant is None else settings.tenants[request.tenant].name
-        flow.client = Counted(flow, cls.aim, self.of(cls.name, tenant), self.now)
+        flow.client = Counted(flow, cls.latency_target, self.of(cls.name, tenant), self.now)
 
     def left(self, flow: Flow[Any, Any]) -> None:
         """Its client has gone away."""
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -44,7 +44,7 @@
 
 def method(cls: api.RequestClass) -> bytes:
     """That of its requests."""
-    return b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"
+    return b"GET" if cls.idempotency is api.Idempotency.SAFE else b"POST"
 
 
 class ClientSide:
@@ -134,13 +134,13 @@
         cost, key = fields.get(b"x-call-cost", b""), fields.get(b"x-route-hash")
         request = api.Request(
             id=-1,
-            cls=number,
-            left=0.0,
+            class_id=number,
+            time_left=0.0,
             key=key.decode("latin-1") if key else None,
             tenant=tenant,
             work=int(cost) / 1e6 if cost.isdigit() and len(cost) <= 12 else None,
             is_retry=fields.get(b"x-again") == b"1",
-            is_write=cls.repeat is not api.Repeat.SAFE,
+            is_write=cls.idempotency is not api.Idempotency.SAFE,
         )
         return request, min(int(budget) / 1000, cls.deadline)
 
--- a/firvane/proxy/net/client_requests.py
+++ b/firvane/proxy/net/client_requests.py
@@ -343,7 +343,7 @@
             return
         # Nothing new is taken on until the list is here, nor, in need, until what is here has gone.
         if not self.front.ready or self.front.account.pressed:
-            cls = self.front.settings.classes[request.cls]
+            cls = self.front.settings.classes[request.class_id]
             self.front.engine.tally.of(cls.name).dropped += 1
             if self.front.measures is not None:
                 self.front.count_unseen(cls.name.encode(), message.fields.get(b"x-caller", b""))
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -79,18 +79,18 @@
         self.turns.rate = CORE * cores
         self.overload = Overload()
         self.admission = Admission()
-        self.tell: Callable[[api.Pressure], None] = lambda pressure: None
+        self.tell: Callable[[api.OverloadSignal], None] = lambda pressure: None
         self.counts: Callable[[], tuple[int, int, tuple[int, ...]]] = lambda: (0, 0, ())
         self.lag = 0.0  # s, the worst since the last look
         self._worst = 0.0  # and since it was last reported
         self._looked = loop.time()
         self._cpu = usage().cpu
         self._last = (0, 0, 0)  # taken, wished, overflowed, as of the last look
-        self._told = api.Pressure(0.0, False, True)
+        self._told = api.OverloadSignal(0.0, False, True)
 
     def retune(self, settings: api.Settings) -> None:
         """How late a turn, and how long a wait, is too long: by the shortest aim."""
-        aim = min(cls.aim for cls in settings.classes)
+        aim = min(cls.latency_target for cls in settings.classes)
         # Aims shorter than any turn must not make each turn a sign of overload, for that would never end.
         self.late, self.turns.most_wait = max(LEAST_LATE, LATE * aim), WAIT * aim
 
@@ -148,11 +148,14 @@
         taken, wished, overflowed = (new - old for new, old in zip(self._last, before, strict=True))
         part = self.admission.period(span, taken, wished, overflowed, bool(self.turns.line))
         self.turns.rate = self.admission.carried or CORE * self.cores
-        pressure = api.Pressure(
+        pressure = api.OverloadSignal(
             part, self.gives_up(Measure.TURN_AWAY), not self.gives_up(Measure.NO_COPIES), unseen
         )
         known = self._told
-        same = (pressure.over_share, pressure.copies) == (known.over_share, known.copies)
-        if not same or part or known.part or pressure.over_share:
+        same = (pressure.shed_over_quota, pressure.hedging_allowed) == (
+            known.shed_over_quota,
+            known.hedging_allowed,
+        )
+        if not same or part or known.excess_fraction or pressure.shed_over_quota:
             self._told = pressure
             self.tell(pressure)
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -66,7 +66,7 @@
             raise BadList(f"index is {index!r}")
         if len(data["endpoints"]) > self.most:
             raise BadList(f"{len(data['endpoints'])} endpoints, and {self.most} fit in limits.memory_mb")
-        kind = api.ListKind.COMPLETE if data.get("snapshot") is True else api.ListKind.CHANGES
+        kind = api.ListKind.COMPLETE if data.get("snapshot") is True else api.ListKind.INCREMENTAL
         addresses: dict[str, Address] = {}
         servers = tuple(self._entry(entry, addresses) for entry in data["endpoints"])
         return api.ServerList(kind, index, servers), addresses
@@ -262,14 +262,14 @@
     def learn(self, data: Any, cached: bool = False) -> None:
         """Take in a list or its changes; `BadList` leaves all as it was."""
         news, addresses = self.reader.read(data)
-        if news.kind is api.ListKind.CHANGES:
+        if news.kind is api.ListKind.INCREMENTAL:
             known = sum(1 for server in news.servers if server.id in self.servers)
             if len(self.servers) + len(news.servers) - known > self.reader.most:
                 raise BadList(f"changes for more endpoints than the {self.reader.most} that fit")
         if cached:
             news.kind = api.ListKind.CACHED
         listed, before = {server.id for server in news.servers}, dict(self.servers)
-        if news.kind is not api.ListKind.CHANGES:
+        if news.kind is not api.ListKind.INCREMENTAL:
             for name in sorted(self.servers.keys() - listed):  # a set's order differs from run to run
                 self.on_target(name, None, False)  # absent from a whole list: removed
             self.servers = {}
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -441,7 +441,7 @@
 
     def sweep(self) -> None:
         """Close what has been idle for long, well before the target would."""
-        before = self.loop.time() - IDLE_PART * self.limits.connection_idle
+        before = self.loop.time() - IDLE_PART * self.limits.connection_idle_timeout
         for pool in self.pools.values():
             pool.close_idle(before)
         for connection in list(self.streams):
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -213,11 +213,14 @@
         memory, listed = kept
         recovery.remember(memory, {name: number for number, name in enumerate(config.kinds)})
         self.log.info(
-            "snapshot_read", age_s=round(memory.age, 1), scale=round(memory.scale, 2), rooms=len(memory.rooms)
+            "snapshot_read",
+            age_s=round(memory.age, 1),
+            scale=round(memory.scale, 2),
+            rooms=len(memory.capacities),
         )
         return config if config.known or config.discovery is None else replace(config, known=listed)
 
-    def _held(self) -> tuple[float, Callable[[], Any], api.Remembered]:
+    def _held(self) -> tuple[float, Callable[[], Any], api.RestoredEstimates]:
         recovery, balancer = self.balancer.recovery, self.balancer
         assert recovery  # a keeper without one is not made
         return self.wall(), self.group.listed(), recovery.recall(balancer.servers.values(), self.config.kinds)
@@ -337,7 +340,7 @@
 
     def fits(self, settings: api.Settings) -> str:
         """Why a policy with these settings has no place here; "" where it has."""
-        most = max(self.config.settings.limits.max_open, self.guard.bounds.memory // FLOW)
+        most = max(self.config.settings.limits.max_open_requests, self.guard.bounds.memory // FLOW)
         return check_open_flows(settings, most)
 
     def adopt(self, settings: api.Settings) -> None:
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        parts: api.Recovery,
+        parts: api.RecoveryOptions,
         settings: api.Settings,
         evidence: Evidence,
         dice: random.Random,
@@ -64,7 +64,7 @@
         self.settled = dict[Backend, float | None]()  # the starts of boxes that were cold at the last end
         self.struck = False  # half of this proxy's boxes are cold
         self.trusting = False  # peers are warm: what the list says has not just started has not
-        self.memory: api.Remembered | None = None
+        self.memory: api.RestoredEstimates | None = None
         self.version = 0  # of the list, by discovery's own word
         self.told, self.loans = Told(), Loans()
         self.ask_at, self.asked, self.rounds, self.few = now, 0, 0, 0
@@ -100,7 +100,7 @@
         """
         rules = self.settings.rules
         need = max(0.0, 1.0 / max(1.0, rules.fall_multiple) - rules.start_capacity)
-        span = rules.cold * min(1.0, need / max(1e-9, 1.0 - rules.start_capacity))
+        span = rules.slow_start * min(1.0, need / max(1e-9, 1.0 - rules.start_capacity))
         return server.since is not None or now >= self.proven.get(server, now) + span
 
     def stepped(self, server: Backend) -> bool:
@@ -116,7 +116,11 @@
         return FOREIGN if self.on and self.parts.first_tries else 1.0
 
     def fits(self, job: Job, server: Backend) -> bool:
-        return not self.stepped(server) or job.sent > 0 or steps.fits(server, job.request.work, job.cls.aim)
+        return (
+            not self.stepped(server)
+            or job.sent > 0
+            or steps.fits(server, job.request.work, job.cls.latency_target)
+        )
 
     def pause(self, job: Job, pause: float, now: float) -> float:
         """For how long who is refused is to stay away, where that would be `pause` otherwise."""
@@ -124,11 +128,11 @@
         if not (self.on and self.parts.first_tries):
             return pause
         most = self.settings.limits.max_retry_after
-        return self.dice.uniform(min(job.cls.aim, most), most)
+        return self.dice.uniform(min(job.cls.latency_target, most), most)
 
     # What is heard
 
-    def remember(self, memory: api.Remembered, kinds: Mapping[str, int]) -> None:
+    def remember(self, memory: api.RestoredEstimates, kinds: Mapping[str, int]) -> None:
         """What was kept from the life before this one; `kinds` numbers their names."""
         self.memory, evidence = memory, self.evidence
         evidence.best = max(evidence.best, memory.scale)
@@ -138,20 +142,20 @@
                 if memory.scale:
                     evidence.kinds.setdefault(kinds[name], rate / memory.scale)
         self.sources["memory"] = (
-            f"scale {memory.scale:.3g}, {len(memory.rooms)} rooms, {memory.age:.0f} s old"
+            f"scale {memory.scale:.3g}, {len(memory.capacities)} rooms, {memory.age:.0f} s old"
         )
 
-    def recall(self, servers: Iterable[Backend], kinds: Sequence[str]) -> api.Remembered:
+    def recall(self, servers: Iterable[Backend], kinds: Sequence[str]) -> api.RestoredEstimates:
         """What is to be kept for a life after this one; `kinds` names their numbers.
 
         Rooms that are still being found, or were never tried, say less than what was kept before."""
-        kept, evidence = self.memory or api.Remembered(0.0), self.evidence
+        kept, evidence = self.memory or api.RestoredEstimates(0.0), self.evidence
         listed = list(servers)
         rates = {kinds[n]: rate for n, rate in evidence.rates.items() if n < len(kinds) and rate > 0.0}
         known = {s.entry.id: s.room for s in listed if s in self.proven and not (self.on and s in self.begun)}
-        before = {s.entry.id: kept.rooms[s.entry.id] for s in listed if s.entry.id in kept.rooms}
+        before = {s.entry.id: kept.capacities[s.entry.id] for s in listed if s.entry.id in kept.capacities}
         starts = {s.entry.id: s.entry.up_since for s in listed if s.entry.up_since is not None}
-        return api.Remembered(0.0, evidence.best, rates, before | known, starts)
+        return api.RestoredEstimates(0.0, evidence.best, rates, before | known, starts)
 
     def ended(self, server: Backend, job: Job | None, outcome: api.Outcome, now: float) -> None:
         """An attempt has ended, which the evidence has seen already."""
@@ -170,7 +174,7 @@
                 self._step(server, 1.0)
         if server in self.begun and outcome.result is not api.Result.CANCELLED:
             request = job.request if job else None
-            aim = job.cls.aim if job else self.settings.classes[0].aim
+            aim = job.cls.latency_target if job else self.settings.classes[0].latency_target
             lent = self.loans.lent(server, now)
             steps.ended(server, request, aim, outcome, lent, now)
             server.room = max(1.0, server.steps - lent)
@@ -233,7 +237,7 @@
             cold = {s.salt & 0xFFFF: now - (s.since or now) for s in up if self.evidence.is_cold(s, now)}
             since = now - self.answered_at
             held = Held(self.version, self.evidence.best, since, not self.on, cold)
-            return [api.Tell(sender, messages.pack(held, now))]
+            return [api.SendToPeer(sender, messages.pack(held, now))]
         if isinstance(said, Held):
             self.told.hear(sender, at, said, now)
             self._believe(up, now)
@@ -309,8 +313,8 @@
         """Where the steps begin: at one, or at what is remembered of a box that is the same still."""
         if not self.memory or server in self.proven:
             return 1.0
-        room = self.memory.rooms.get(server.entry.id, 1.0)
-        if self.memory.starts.get(server.entry.id) != server.entry.up_since or server.fails:
+        room = self.memory.capacities.get(server.entry.id, 1.0)
+        if self.memory.start_times.get(server.entry.id) != server.entry.up_since or server.fails:
             room *= self.settings.rules.start_capacity
         return max(1.0, min(steps.MOST_FIRST, room))
 
@@ -323,7 +327,7 @@
         self.ask_at = now + ASK_AGAIN * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
         few = self.dice.sample(peers, min(FEW, len(peers)))
         self.rounds, self.few, self.asked = self.rounds + 1, len(few), self.asked + len(few)
-        return [api.Tell(peer, messages.pack(Ask(), now)) for peer in few]
+        return [api.SendToPeer(peer, messages.pack(Ask(), now)) for peer in few]
 
     def _lend(self, rows: Mapping[int, Row], now: float) -> list[api.Action]:
         """Lend the room that is left over at a box to who lacks most, one box to each."""
@@ -336,7 +340,7 @@
                 peer = needy.pop(0)
                 self.loans.lend(server, peer, spare, now)
                 server.room = max(1.0, server.steps - self.loans.lent(server, now))
-                actions.append(api.Tell(peer, messages.pack(Loan(server.salt & 0xFFFF, spare), now)))
+                actions.append(api.SendToPeer(peer, messages.pack(Loan(server.salt & 0xFFFF, spare), now)))
         return actions
 
     # What operators ask
--- a/firvane/proxy/recovery/steps.py
+++ b/firvane/proxy/recovery/steps.py
@@ -44,17 +44,17 @@
     others may have out there."""
     if outcome.result is api.Result.OK:
         if request and request.work:
-            ratio = outcome.took / request.work
+            ratio = outcome.duration / request.work
             server.pace += (PACE if server.pace else 1.0) * (ratio - server.pace)
-        if outcome.took <= QUICK * aim:
+        if outcome.duration <= QUICK * aim:
             if server.own + lent + 1 >= USED * server.steps:
                 server.steps += 1.0 if server.stepping else 1.0 / server.steps
-        elif outcome.took > LATE * aim:
-            _cut(server, CUT, outcome.took, now)
+        elif outcome.duration > LATE * aim:
+            _cut(server, CUT, outcome.duration, now)
         else:
             server.stepping = False
-    elif outcome.result in (api.Result.FULL, api.Result.TIMEOUT, api.Result.NO_PLACE):
-        _cut(server, DEEP, outcome.took, now)
+    elif outcome.result in (api.Result.OVERLOADED, api.Result.TIMEOUT, api.Result.CONNECTIONS_FULL):
+        _cut(server, DEEP, outcome.duration, now)
     elif outcome.result in (api.Result.CONNECT_FAILED, api.Result.RESET):
         begin(server)  # whatever it was, another process answers next
 
--- a/firvane/proxy/routing/server_list.py
+++ b/firvane/proxy/routing/server_list.py
@@ -83,7 +83,7 @@
             elif grown:
                 resized[server] = None
             renewed.append(server)
-    if news.kind is not api.ListKind.CHANGES:
+    if news.kind is not api.ListKind.INCREMENTAL:
         listed = {entry.id: servers[entry.id] for entry in news.servers if entry.id in servers}
         touched.update((s, None) for name, s in servers.items() if name not in listed)
         servers = listed
--- a/firvane/proxy/settings.py
+++ b/firvane/proxy/settings.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from firvane.core.interface import (
+    DedupScope,
+    Idempotency,
     Limits,
-    Repeat,
-    Reports,
+    LoadReportSource,
     RequestClass,
     Rules,
-    Scope,
     Settings,
     Tenant,
 )
@@ -25,8 +25,12 @@
 LAST_ZONE = 255  # in a byte of the rows that proxies announce
 SHOWN = 60  # characters of a value that a message shows
 WEIGHTS = ("silent", "nominal", "rough", "live")
-REPEATS = {"pure": Repeat.SAFE, "token": Repeat.KEYED, "side_effect": Repeat.UNSAFE}
-REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
+REPEATS = {"pure": Idempotency.SAFE, "token": Idempotency.KEYED, "side_effect": Idempotency.UNSAFE}
+REPORTS = {
+    "piggyback": LoadReportSource.RESPONSES,
+    "pull": LoadReportSource.PROBES,
+    "silent": LoadReportSource.NONE,
+}
 
 
 def is_number(value: Any) -> bool:
@@ -156,15 +160,15 @@
 def _request_class(section: _Section) -> RequestClass:
     return RequestClass(
         name=section.name(),
-        aim=section.positive("slo-ns"),
+        latency_target=section.positive("slo-ns"),
         deadline=section.positive("give-up-ns"),
-        worth=section.number("worth", 1.0),
-        late_share=section.number("late-share", 0.0),
-        repeat=section.choice("repeat", REPEATS),
-        scope=section.choice("dedup-scope", {scope.value: scope for scope in Scope}, "all"),
-        window=section.span("window-ns", 0.0),
+        value=section.number("worth", 1.0),
+        late_value_fraction=section.number("late-share", 0.0),
+        idempotency=section.choice("repeat", REPEATS),
+        dedup_scope=section.choice("dedup-scope", {scope.value: scope for scope in DedupScope}, "all"),
+        dedup_window=section.span("window-ns", 0.0),
         stream=section.flag("stream"),
-        aim_stretch=section.number("aim-stretch", 0.0),
+        latency_target_stretch=section.number("aim-stretch", 0.0),
     )
 
 
@@ -178,9 +182,9 @@
     if not classes:
         raise ValueError("settings: classes is missing or empty: give one at the least")
     _once("classes", [cls.name for cls in classes])
-    if not any(cls.worth for cls in classes):
+    if not any(cls.value for cls in classes):
         # Only how they compare counts, and nothing can be compared with 0: then all are alike.
-        classes = tuple(replace(cls, worth=1.0) for cls in classes)
+        classes = tuple(replace(cls, value=1.0) for cls in classes)
     tenants = tuple(
         Tenant(t.name(), t.number("fraction", 0.0), t.number("quota-rps", 0.0))
         for t in top.sections("tenants")
@@ -203,7 +207,7 @@
             answer_slack=rules.span("answer-slack-ns"),
             drain_grace=rules.span("drain-grace-ns"),
             start_capacity=rules.number("start-capacity"),
-            cold=rules.span("cold-ns"),
+            slow_start=rules.span("cold-ns"),
             fall_multiple=rules.number("fall-multiple"),
             fall_window=rules.span("fall-ns"),
             ask_within=rules.span("ask-within-ns", 0.0),
@@ -211,14 +215,14 @@
         limits=Limits(
             max_attempts=int(limits.number("send-cap", low=1)),
             cancel=limits.flag("cancel"),
-            second_copies=limits.flag("second-copies"),
+            hedging=limits.flag("second-copies"),
             peers=limits.flag("peers"),
             probes=limits.flag("probing"),
             retry_after=limits.flag("retry-after"),
             max_retry_after=limits.span("max-retry-after-ns", 0.0),
-            max_open=int(limits.number("open-cap", 1 << 30)),
+            max_open_requests=int(limits.number("open-cap", 1 << 30)),
             connect_timeout=limits.positive("dial-timeout-ns", 0.25),
-            connection_idle=limits.span("conn-idle-ns", 60.0),
+            connection_idle_timeout=limits.span("conn-idle-ns", 60.0),
             requests_per_connection=int(limits.number("streams-per-conn", 1)),
         ),
         tenants=tenants,
@@ -227,12 +231,10 @@
         ask=top.choice("discovery", {"push": False, "ask": True}, "push"),
         weighted=weights != "silent",
         live_weights=weights == "live",
-        reports=report.choice("how", REPORTS, "silent"),
+        load_report_source=report.choice("how", REPORTS, "silent"),
         report_fields=tuple(str(name) for name in report.items("fields")),
         counted_by_work=top.choice("counted-by", {"request": False, "work": True}, "request"),
-        over_share_worth=top.number("over-share-worth", 1.0),
-        warm_keys=top.section("family-info").flag("warm-keys"),
-        prices={
-            name: float(price) for name, price in top.section("costs").values.items() if is_number(price)
-        },
+        over_quota_value=top.number("over-share-worth", 1.0),
+        key_affinity=top.section("family-info").flag("warm-keys"),
+        costs={name: float(price) for name, price in top.section("costs").values.items() if is_number(price)},
     )
--- a/firvane/proxy/settings_reload.py
+++ b/firvane/proxy/settings_reload.py
@@ -32,7 +32,7 @@
         numbers.append(number)
     named = {tenant.name: tenant for tenant in new.tenants}
     # One that is dropped keeps its number and has no share any more.
-    tenants = [named.pop(t.name, replace(t, share=0.0, quota=0.0)) for t in old.tenants]
+    tenants = [named.pop(t.name, replace(t, quota_share=0.0, quota_rps=0.0)) for t in old.tenants]
     tenants += named.values()
     place: dict[str, Any] = {name: getattr(old, name) for name in PLACE}
     return replace(new, classes=tuple(classes), tenants=tuple(tenants), **place), tuple(numbers)
@@ -48,6 +48,6 @@
     here = set(current)
 
     def of(number: int, cls: RequestClass) -> RequestClass:
-        return cls if number in here else replace(cls, worth=0.0)
+        return cls if number in here else replace(cls, value=0.0)
 
     return replace(settings, classes=tuple(of(n, cls) for n, cls in enumerate(settings.classes)))
--- a/firvane/proxy/simulator_adapter.py
+++ b/firvane/proxy/simulator_adapter.py
@@ -26,17 +26,17 @@
     Outcome,
     PeerMessage,
     Probe,
-    Probed,
-    Refuse,
+    ProbeResult,
+    Reject,
     Request,
     Result,
     Send,
+    SendToPeer,
     Server,
     ServerList,
     ServerState,
     SetTimer,
     StreamStarted,
-    Tell,
     TimerFired,
     Watch,
 )
@@ -46,18 +46,18 @@
 RESULTS = {
     200: Result.OK,
     502: Result.ERROR,
-    429: Result.FULL,
+    429: Result.OVERLOADED,
     408: Result.TIMEOUT,
     521: Result.CONNECT_FAILED,
     520: Result.RESET,
     444: Result.CANCELLED,
-    409: Result.MOOT,
+    409: Result.NOT_SENT,
 }
 LIST_KINDS = {
-    "incr": ListKind.CHANGES,
+    "incr": ListKind.INCREMENTAL,
     "total": ListKind.COMPLETE,
     "warm_copy": ListKind.CACHED,
-    "lost": ListKind.LOST,
+    "lost": ListKind.FAILED,
 }
 STATES = {"U": ServerState.UP, "L": ServerState.DRAINING, "D": ServerState.GONE}
 RETRY_BIT, WRITE_BIT = 2, 4
@@ -103,9 +103,9 @@
     )
 
 
-def _probed(v: list[Any]) -> Probed:
+def _probed(v: list[Any]) -> ProbeResult:
     server, code, took, load = (v + [None] * 4)[:4]
-    return Probed(server, RESULTS.get(code, Result.UNKNOWN), (took or 0) / NS, _load(load))
+    return ProbeResult(server, RESULTS.get(code, Result.UNKNOWN), (took or 0) / NS, _load(load))
 
 
 def _server_list(v: list[Any]) -> ServerList:
@@ -130,11 +130,11 @@
 
 ACTIONS: dict[type[Any], Callable[[str, Any], list[Any]]] = {
     Send: lambda node, a: ["issue", node, a.id, a.server, _ns(a.timeout)],
-    Refuse: lambda node, a: ["reject", node, a.id, _ns(a.retry_after)],
+    Reject: lambda node, a: ["reject", node, a.id, _ns(a.retry_after)],
     Fail: lambda node, a: ["report-failure", node, a.id],
     Cancel: lambda node, a: ["cancel", node, a.id, a.attempt],
-    Tell: lambda node, a: ["broadcast-to", node, "all" if a.peer is None else a.peer, a.payload.hex()],
-    SetTimer: lambda node, a: ["sleep", node, max(1, _ns(a.span)), a.token],
+    SendToPeer: lambda node, a: ["broadcast-to", node, "all" if a.peer is None else a.peer, a.payload.hex()],
+    SetTimer: lambda node, a: ["sleep", node, max(1, _ns(a.delay)), a.token],
     Probe: lambda node, a: ["probe", node, a.server],
     CloseIdle: lambda node, a: ["shut-idle", node, a.server],
     Watch: lambda node, a: ["stream-changes", node, a.on],
--- a/firvane/proxy/snapshots/file.py
+++ b/firvane/proxy/snapshots/file.py
@@ -54,7 +54,7 @@
         self.writing = self.failed = False
         self.written = 0
 
-    def recall(self, now: float) -> tuple[api.Remembered, Any] | None:
+    def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
         """What was kept, and the list, `now` in Unix time; None, and a line in the log, where that is of no
         use. What kills have left beside the file is removed."""
         for aside in self.path.parent.glob(f".{self.path.name}.*"):
@@ -71,13 +71,13 @@
             self.log.warning("snapshot_useless", file=str(self.path), why=why)
         return None
 
-    def keep(self, now: float, listed: Callable[[], Any], held: api.Remembered) -> None:
+    def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         """Write it, unless the one before is still being written."""
         if not self.writing:
             self.writing = True
             self.aside(lambda: self._write(now, listed, held))
 
-    def close(self, now: float, listed: Callable[[], Any], held: api.Remembered) -> None:
+    def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         """The last one: it is on disk, or has failed, when this returns."""
         if self.thread:
             self.thread.shutdown(wait=True)
@@ -87,7 +87,7 @@
         assert self.thread
         self.thread.submit(work)
 
-    def _write(self, now: float, listed: Callable[[], Any], held: api.Remembered) -> None:
+    def _write(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         try:
             write_atomically(self.path, format.pack(made(self.proxy, now, listed(), held)))
         except OSError as error:
--- a/firvane/proxy/snapshots/types.py
+++ b/firvane/proxy/snapshots/types.py
@@ -73,10 +73,10 @@
     boxes: dict[str, Box] = {}
 
 
-def made(proxy: str, now: float, listed: dict[str, Any] | None, held: api.Remembered) -> Snapshot:
+def made(proxy: str, now: float, listed: dict[str, Any] | None, held: api.RestoredEstimates) -> Snapshot:
     """What is kept at `now`, in Unix time."""
-    starts = held.starts
-    boxes = {name: Box(room=room, start=starts.get(name)) for name, room in held.rooms.items()}
+    starts = held.start_times
+    boxes = {name: Box(room=room, start=starts.get(name)) for name, room in held.capacities.items()}
     return Snapshot(
         saved_at=now, proxy=proxy, listed=listed, scale=held.scale, kinds=dict(held.kinds), boxes=boxes
     )
@@ -88,13 +88,13 @@
     return since if isfinite(since) and 0.0 <= since < OLDEST else OLDEST
 
 
-def remembered(snapshot: Snapshot, now: float) -> api.Remembered:
+def remembered(snapshot: Snapshot, now: float) -> api.RestoredEstimates:
     """What the decisions are told of it, `now` in Unix time."""
     old = age(snapshot, now)
     if old >= OLDEST:
-        return api.Remembered(old)
+        return api.RestoredEstimates(old)
     fades = 2.0 ** (-old / HALF_ROOM)
     rooms = {name: FIRST_ROOM + (box.room - FIRST_ROOM) * fades for name, box in snapshot.boxes.items()}
     starts = {name: box.start for name, box in snapshot.boxes.items() if box.start is not None}
     scale = snapshot.scale * 2.0 ** (-old / HALF_SCALE)
-    return api.Remembered(old, scale, dict(snapshot.kinds), rooms, starts)
+    return api.RestoredEstimates(old, scale, dict(snapshot.kinds), rooms, starts)
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -30,7 +30,7 @@
 
 def engine(script: Script, **limits: object) -> tuple[Engine[str, str], Parties, Clock]:
     clock, parties = Clock(), Parties()
-    base: dict[str, object] = {"max_attempts": 2, "cancel": True, "second_copies": True}
+    base: dict[str, object] = {"max_attempts": 2, "cancel": True, "hedging": True}
     config = settings(limits=api.Limits(**{**base, **limits}))  # type: ignore[arg-type]
     made: Engine[str, str] = Engine(
         config,
@@ -61,7 +61,7 @@
 
 
 def test_a_served_flow_is_answered_once_and_forgotten() -> None:
-    script = Script(Request=[api.Send(1, "a")], Outcome=[api.Refuse(1), api.Fail(1)])
+    script = Script(Request=[api.Send(1, "a")], Outcome=[api.Reject(1), api.Fail(1)])
     made, parties, _ = engine(script)
     take(made, parties)
     _, exchange, _ = parties.forwards[0]
@@ -82,18 +82,18 @@
 
 
 def test_attempts_over_the_cap_and_after_the_answer_are_moot() -> None:
-    made, parties, _ = engine(script := Script(Request=[api.Send(1, "a")] * 3 + [api.Refuse(1, 0.1)]))
+    made, parties, _ = engine(script := Script(Request=[api.Send(1, "a")] * 3 + [api.Reject(1, 0.1)]))
     take(made, parties)
-    assert len(parties.forwards) == 2 and results(script) == [api.Result.MOOT]
+    assert len(parties.forwards) == 2 and results(script) == [api.Result.NOT_SENT]
     script.replies["TimerFired"] = [api.Send(1, "b")]
     made.give(api.TimerFired(0))
-    assert len(parties.forwards) == 2 and results(script)[-1] is api.Result.MOOT
+    assert len(parties.forwards) == 2 and results(script)[-1] is api.Result.NOT_SENT
 
 
 def test_targets_that_no_list_named_get_nothing() -> None:
     made, parties, _ = engine(script := Script(Request=[api.Send(1, "nowhere")]))
     take(made, parties)
-    assert not parties.forwards and results(script) == [api.Result.MOOT]
+    assert not parties.forwards and results(script) == [api.Result.NOT_SENT]
 
 
 def test_only_targets_that_the_list_still_names_are_known() -> None:
@@ -115,7 +115,7 @@
 
 
 def test_no_second_copy_where_the_settings_forbid_it() -> None:
-    made, parties, _ = engine(Script(Request=[api.Send(1, "a"), api.Send(1, "b")]), second_copies=False)
+    made, parties, _ = engine(Script(Request=[api.Send(1, "a"), api.Send(1, "b")]), hedging=False)
     take(made, parties)
     assert [target for target, _, _ in parties.forwards] == ["a"]
 
@@ -136,7 +136,9 @@
     made, parties, clock = engine(script)
     late, soon = take(made, parties, 9.0), take(made, parties, 1.0)
     made.hasten(clock.time() + 2.0)
-    assert [event for event in script.events if isinstance(event, api.Hastened)] == [api.Hastened(1, 2.0)]
+    assert [event for event in script.events if isinstance(event, api.DeadlineShortened)] == [
+        api.DeadlineShortened(1, 2.0)
+    ]
     clock.advance(1.5)
     assert late.open and not soon.open
     clock.advance(0.6)  # decisions that do nothing: the engine answers in their place
@@ -152,7 +154,7 @@
 
 def test_a_cancel_after_the_answer_still_reaches_the_attempt() -> None:
     made, parties, _ = engine(
-        script := Script(Request=[api.Send(1, "a"), api.Refuse(1, 0.1), api.Cancel(1, 0)]), retry_after=True
+        script := Script(Request=[api.Send(1, "a"), api.Reject(1, 0.1), api.Cancel(1, 0)]), retry_after=True
     )
     take(made, parties)
     assert parties.answers == [("refused", 0.1)] and parties.forwards[0][2].cancelled
@@ -168,7 +170,7 @@
 
 
 def test_flows_over_the_cap_are_refused_unseen() -> None:
-    made, parties, _ = engine(script := Script(), max_open=1)
+    made, parties, _ = engine(script := Script(), max_open_requests=1)
     take(made, parties)
     take(made, parties)
     assert parties.answers == [("refused", 0.0)]
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -18,7 +18,7 @@
     Mutant(
         "and not before its end is told where two may not be out",
         "firvane/proxy/balancer.py",
-        "if other and limits.second_copies:  # else",
+        "if other and limits.hedging:  # else",
         "if other:  # else",
         "tests/proxy/test_balancer.py -k lost_attempt",
     ),
@@ -60,8 +60,8 @@
     Mutant(
         "a long body goes out on one attempt alone",
         ENGINE,
-        "            self.give(api.Spent(flow.id))\n            self._withdraw(flow, forward)\n",
-        "            self.give(api.Spent(flow.id))\n",
+        "            self.give(api.BodyConsumed(flow.id))\n            self._withdraw(flow, forward)\n",
+        "            self.give(api.BodyConsumed(flow.id))\n",
         f"{FILE} -k long_body",
     ),
     Mutant(
@@ -165,8 +165,8 @@
     Mutant(
         "a class that is unsafe to repeat is not sent again where it may have run",
         "firvane/proxy/balancer.py",
-        "return not job.maybe or cls.repeat is api.Repeat.SAFE or",
-        "return True or",
+        "        return cls.idempotency is Idempotency.KEYED and is_deduplicated\n",
+        "        return True\n",
         f"{FILE} -k reset-in-mid-body",
     ),
     Mutant(
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -10,7 +10,7 @@
     Mutant(
         "classes of no worth are served alike",
         "firvane/proxy/settings.py",
-        "if not any(cls.worth for cls in classes):",
+        "if not any(cls.value for cls in classes):",
         "if False:",
         f"{TEST}::test_settings_of_a_customer_start_and_serve",
     ),
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -514,7 +514,7 @@
         transports = TransportPool(loop)
         transports.start()
         making = Making(SocketDialer(loop, transports))
-        limits = api.Limits(max_attempts=3, connect_timeout=5.0, connection_idle=30.0)
+        limits = api.Limits(max_attempts=3, connect_timeout=5.0, connection_idle_timeout=30.0)
         forwards = Forwards(loop, limits, RULES, guard(loop, 10), making)
         forwards.listed("s", ("127.0.0.1", target.port), True)
         forwards.forward(message(), "s", over := Ended(loop.time()))
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -716,7 +716,7 @@
 def asks(proxy: Proxy, cls: api.RequestClass, call: bytes, ending: Ending) -> None:
     """A request of a class; its first attempt ends so."""
     settings, message = proxy.config.settings, Message()
-    message.method = b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"
+    message.method = b"GET" if cls.idempotency is api.Idempotency.SAFE else b"POST"
     message.url = b"/%s/x" % cls.name.encode()
     message.fields = {b"x-call-id": call, b"x-budget-ms": b"1000", b"x-call-cost": b"900"}
     if settings.tenants:
@@ -750,7 +750,7 @@
         for cls in config.settings.classes:
             for ending in (Ending.TURNED_AWAY, Ending.SERVED, Ending.SERVER_ERROR):
                 asks(proxy, cls, ending.value.encode(), ending)
-        proxy.engine.give(api.Pressure(0.5, True, True, (3,)))
+        proxy.engine.give(api.OverloadSignal(0.5, True, True, (3,)))
         proxy.guard.lag = 0.1
         proxy.guard._look(loop.time())
         proxy.engine.give(api.TimerFired(0))
--- a/tests/fleet/placement/baselines.py
+++ b/tests/fleet/placement/baselines.py
@@ -49,7 +49,7 @@
             if (event.result.never_ran or request.repeatable) and len(tried) < max(2, request.max_attempts):
                 return self._send(event.id)
             del self.jobs[event.id]
-            return [api.Refuse(event.id, 0.1) if event.result.never_ran else api.Fail(event.id)]
+            return [api.Reject(event.id, 0.1) if event.result.never_ran else api.Fail(event.id)]
         return []
 
     def _send(self, number: int) -> list[api.Action]:
@@ -57,7 +57,7 @@
         able = [name for name in self.ready if name not in tried] or self.ready
         if not able:
             del self.jobs[number]
-            return [api.Refuse(number, 0.3)]
+            return [api.Reject(number, 0.3)]
         name = self.pick(request, able)
         tried.append(name)
         self.out[name] = self.out.get(name, 0) + 1
--- a/tests/fleet/placement/helpers.py
+++ b/tests/fleet/placement/helpers.py
@@ -17,8 +17,10 @@
 )
 
 A = TypeVar("A", bound=api.Action)
-ANY_CLASS = api.RequestClass("prompt", aim=1.0, deadline=3600.0)
-RULES = api.Rules(0.02, drain_grace=0.0, start_capacity=1.0, cold=0.0, fall_multiple=1.0, fall_window=1.0)
+ANY_CLASS = api.RequestClass("prompt", latency_target=1.0, deadline=3600.0)
+RULES = api.Rules(
+    0.02, drain_grace=0.0, start_capacity=1.0, slow_start=0.0, fall_multiple=1.0, fall_window=1.0
+)
 LIMITS = api.Limits(max_attempts=16, cancel=True, peers=True, retry_after=True)
 SERVICE = "model"
 
@@ -86,8 +88,8 @@
 def request(number: int, **fields: object) -> PromptRequest:
     given: dict[str, object] = {
         "id": number,
-        "cls": 0,
-        "left": 5.0,
+        "class_id": 0,
+        "time_left": 5.0,
         "services": ((SERVICE, 1.0),),
         "chain": ((0xA0, 60), (0xB0 + number, 300)),
         "tokens_in": 360,
@@ -105,7 +107,7 @@
 def letter(subject: int, own: int = 1, **fields: object) -> dict[str, object]:
     """A long prompt with a large shared part, of a stream that may run once."""
     given: dict[str, object] = {
-        "left": 10.0,
+        "time_left": 10.0,
         "chain": ((subject, 13_000), (0x5000 + own, 3_000)),
         "tokens_in": 16_000,
         "priority": 1,
--- a/tests/fleet/placement/lab_router.py
+++ b/tests/fleet/placement/lab_router.py
@@ -127,15 +127,15 @@
         if isinstance(action, api.Send):
             self.send(action)
         elif isinstance(action, api.SetTimer):
-            self.later(action.span, lambda: self.give(api.TimerFired(action.token)))
-        elif isinstance(action, api.Tell):
+            self.later(action.delay, lambda: self.give(api.TimerFired(action.token)))
+        elif isinstance(action, api.SendToPeer):
             self.world.tell(self.number, action)
         elif isinstance(action, api.Cancel):
             if flow := self.world.closing.get((self.number, action.id)):
                 self.stop(flow, action.attempt, api.Result.CANCELLED)
-        elif isinstance(action, api.Refuse | api.Fail) and (flow := self.flows.get(action.id)):
+        elif isinstance(action, api.Reject | api.Fail) and (flow := self.flows.get(action.id)):
             self.close(flow)
-            pause = action.retry_after if isinstance(action, api.Refuse) else None
+            pause = action.retry_after if isinstance(action, api.Reject) else None
             self.world.answered(flow.ask, False, pause)
 
     def send(self, action: api.Send) -> None:
@@ -170,7 +170,7 @@
         if failure == "errors":
             self.later(LINK, lambda: self.end(flow, number, server.name, api.Result.ERROR))
         elif failure is None and not server.submit(run):
-            self.end(flow, number, server.name, api.Result.FULL)
+            self.end(flow, number, server.name, api.Result.OVERLOADED)
 
     def event(self, flow: Flow, number: int, server: str) -> None:
         if not flow.open or number >= len(flow.runs) or flow.runs[number] is None:
--- a/tests/fleet/placement/lab_world.py
+++ b/tests/fleet/placement/lab_world.py
@@ -123,7 +123,7 @@
 
     # Routers
 
-    def tell(self, sender: int, action: api.Tell) -> None:
+    def tell(self, sender: int, action: api.SendToPeer) -> None:
         targets = [action.peer] if action.peer is not None else [n for n in self.routers if n != sender]
         for number in targets:
             if host := self.routers.get(number):
--- a/tests/fleet/placement/test_attempt_timeouts.py
+++ b/tests/fleet/placement/test_attempt_timeouts.py
@@ -107,7 +107,7 @@
     send = stuck(one)
     one.now += 0.05
     answer_elsewhere(one, send.server)
-    rows = [decode_row(tell.payload) for tell in only(look(one, send, after=0.4), api.Tell)]
+    rows = [decode_row(tell.payload) for tell in only(look(one, send, after=0.4), api.SendToPeer)]
     assert any(entry.suspect for row in rows for entry in row.entries)
 
 
--- a/tests/fleet/placement/test_balancer.py
+++ b/tests/fleet/placement/test_balancer.py
@@ -9,7 +9,12 @@
 from firvane.fleet.placement.events import InstancesChanged, PromptRequest, RequestKind
 from tests.fleet.placement.helpers import SERVICE, Harness, instance, instances, letter, only
 
-NEVER_RAN = [api.Result.FULL, api.Result.NO_PLACE, api.Result.CONNECT_FAILED, api.Result.MOOT]
+NEVER_RAN = [
+    api.Result.OVERLOADED,
+    api.Result.CONNECTIONS_FULL,
+    api.Result.CONNECT_FAILED,
+    api.Result.NOT_SENT,
+]
 
 
 def test_a_request_goes_to_a_ready_backend() -> None:
@@ -20,9 +25,9 @@
 
 def test_without_an_instance_list_it_is_held_briefly_and_refused() -> None:
     one = Harness(servers=0)
-    assert not only(one.ask(aim=0.4), api.Refuse)
-    assert not only(one.give(api.TimerFired(2), after=0.05), api.Refuse)
-    [refuse] = only(one.give(api.TimerFired(2), after=0.04), api.Refuse)
+    assert not only(one.ask(aim=0.4), api.Reject)
+    assert not only(one.give(api.TimerFired(2), after=0.05), api.Reject)
+    [refuse] = only(one.give(api.TimerFired(2), after=0.04), api.Reject)
     assert refuse.retry_after == pytest.approx(1.0, rel=0.2)
     assert not one.balancer.jobs
 
@@ -38,7 +43,7 @@
 def test_without_a_ready_backend_it_is_refused_for_a_short_while() -> None:
     one = Harness(servers=1)
     one.give(InstancesChanged(SERVICE, ()))
-    [refuse] = only(one.ask(), api.Refuse)
+    [refuse] = only(one.ask(), api.Reject)
     assert refuse.retry_after == pytest.approx(0.3)
 
 
@@ -80,7 +85,7 @@
         actions = one.ends(sends[0], result, attempts)
         attempts += 1
     actions += one.give(api.TimerFired(2), after=0.3)
-    assert only(actions, api.Refuse) and not only(actions, api.Fail)
+    assert only(actions, api.Reject) and not only(actions, api.Fail)
     assert attempts <= 8
 
 
@@ -92,11 +97,11 @@
     one = Harness()
     [send] = only(one.ask(kind=kind, resumable=False, max_attempts=3), api.Send)
     actions = one.ends(send, result)
-    assert not only(actions, api.Send) and not only(actions, api.Refuse)
+    assert not only(actions, api.Send) and not only(actions, api.Reject)
     assert only(actions, api.Fail)
 
 
-@pytest.mark.parametrize("result", [api.Result.RESET, api.Result.ERROR, api.Result.FULL])
+@pytest.mark.parametrize("result", [api.Result.RESET, api.Result.ERROR, api.Result.OVERLOADED])
 @pytest.mark.parametrize(
     "fields", [{"kind": RequestKind.IDEMPOTENT, "resumable": False}, {"kind": RequestKind.STREAM}]
 )
@@ -181,7 +186,7 @@
     [send] = only(one.ask(), api.Send)
     one.begins(send)
     actions = one.ends(send, api.Result.RESET)
-    assert only(actions, api.Fail) and not only(actions, api.Refuse)
+    assert only(actions, api.Fail) and not only(actions, api.Reject)
 
 
 def test_a_client_that_leaves_has_its_attempts_cancelled() -> None:
--- a/tests/fleet/placement/test_exchange.py
+++ b/tests/fleet/placement/test_exchange.py
@@ -26,17 +26,17 @@
     """Hand the rows among some actions to the other router."""
     return [
         answer
-        for tell in only(actions, api.Tell)
+        for tell in only(actions, api.SendToPeer)
         for answer in other.give(api.PeerMessage(sender, tell.payload))
     ]
 
 
 def test_rows_go_every_second_window_and_on_request() -> None:
     one, other = pair()
-    told = [len(only(one.window(), api.Tell)) for _ in range(6)]
+    told = [len(only(one.window(), api.SendToPeer)) for _ in range(6)]
     assert sum(told) == 3
-    answers = carry(only(one.balancer.start(one.now), api.Tell)[:1], 1, other)
-    assert [tell.peer for tell in only(answers, api.Tell)] == [1]
+    answers = carry(only(one.balancer.start(one.now), api.SendToPeer)[:1], 1, other)
+    assert [tell.peer for tell in only(answers, api.SendToPeer)] == [1]
 
 
 def test_a_long_prompt_is_told_at_once_and_keeps_peers_off() -> None:
@@ -51,7 +51,7 @@
 
 def test_rows_out_of_turn_are_bounded() -> None:
     one = Harness(3, peers=tuple(range(1, 200)))
-    told = sum(len(only(one.ask(**letter(n)), api.Tell)) for n in range(20))
+    told = sum(len(only(one.ask(**letter(n)), api.SendToPeer)) for n in range(20))
     assert told <= 1
 
 
@@ -65,7 +65,7 @@
 
 def test_a_silent_peer_drops_out_until_it_is_heard() -> None:
     one, other = pair()
-    row = only(other.window(), api.Tell) or only(other.window(), api.Tell)
+    row = only(other.window(), api.SendToPeer) or only(other.window(), api.SendToPeer)
     one.give(api.PeerMessage(2, row[0].payload))
     assert one.balancer.exchange.live == [1, 2]
     for _ in range(8):
@@ -117,7 +117,7 @@
     mine = one.balancer.services[SERVICE].slices.by_router[1]
     for number in range(400):
         other.balancer.services[SERVICE].servers[mine[0].id].sent(number, 500.0, 0.1, 1e5, other.now)
-    risks = [tell for tell in only(carry(other.window() + other.window(), 2, one), api.Tell)]
+    risks = [tell for tell in only(carry(other.window() + other.window(), 2, one), api.SendToPeer)]
     assert any(decode_row(tell.payload).flags & RowFlags.RISK for tell in risks)
     assert one.balancer.services[SERVICE].misses >= 1
     other.balancer.services[SERVICE].slices.shares = {(2, 1): 0.5}
@@ -155,7 +155,7 @@
     one.give(InstancesChanged(SERVICE, instances(6)))
     other = Harness(0, me=2, peers=(2,))
     asked = other.give(PeersChanged((1, 2), (0, 0)), after=20.0)
-    assert any(decode_row(tell.payload).flags & RowFlags.ASK for tell in only(asked, api.Tell))
+    assert any(decode_row(tell.payload).flags & RowFlags.ASK for tell in only(asked, api.SendToPeer))
     carry(carry(asked, 2, one), 1, other)
     other.give(InstancesChanged(SERVICE, instances(6)))  # known only after the rows
     assert {subject: other.serve(**letter(subject)) for subject in range(40)} == homes
@@ -182,7 +182,7 @@
 
 def test_a_window_asks_for_the_next() -> None:
     one, _ = pair()
-    assert [timer.span for timer in only(one.window(), api.SetTimer) if timer.token == 0] == [WINDOW]
+    assert [timer.delay for timer in only(one.window(), api.SetTimer) if timer.token == 0] == [WINDOW]
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/fleet/placement/test_fuzz.py
+++ b/tests/fleet/placement/test_fuzz.py
@@ -20,12 +20,12 @@
 
 ENDS = [api.Result.OK] * 6 + [
     api.Result.ERROR,
-    api.Result.FULL,
+    api.Result.OVERLOADED,
     api.Result.CONNECT_FAILED,
     api.Result.RESET,
     api.Result.TIMEOUT,
-    api.Result.MOOT,
-    api.Result.NO_PLACE,
+    api.Result.NOT_SENT,
+    api.Result.CONNECTIONS_FULL,
 ]
 SLACK, RATIO, WINDOW = 20.0, 0.2, 10.0
 
@@ -65,11 +65,11 @@
         if isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, api.SetTimer):
-            assert action.span >= 0.0
-            self.timers.append((self.one.now + action.span, action.token))
+            assert action.delay >= 0.0
+            self.timers.append((self.one.now + action.delay, action.token))
         elif isinstance(action, api.Cancel):
             self.cancel(action)
-        elif isinstance(action, api.Refuse):
+        elif isinstance(action, api.Reject):
             one = self.tries[action.id]
             assert not one.over and one.may_have_run == 0 and not one.head
             assert 0.0 < action.retry_after <= 2.0
@@ -103,7 +103,7 @@
         one.out.discard(attempt)
         if result.never_ran:
             one.may_have_run -= 1
-            one.reached -= result is not api.Result.FULL
+            one.reached -= result is not api.Result.OVERLOADED
         if result is api.Result.OK and not one.over:
             one.over = True
         elif one.begun == attempt and not one.over:
@@ -138,9 +138,9 @@
             "priority": self.dice.randint(0, 3),
         }
         if self.dice.random() < 0.2:
-            fields = letter(self.dice.randrange(9), self.one.next_id, **{**fields, "left": 10.0})
+            fields = letter(self.dice.randrange(9), self.one.next_id, **{**fields, "time_left": 10.0})
         asked = request(self.one.next_id, **fields)
-        self.tries[asked.id] = Try(asked, self.one.now + asked.left)
+        self.tries[asked.id] = Try(asked, self.one.now + asked.time_left)
         self.asked.append(self.one.now)
         self.give(asked)
 
--- a/tests/fleet/placement/test_health.py
+++ b/tests/fleet/placement/test_health.py
@@ -70,13 +70,13 @@
 def test_a_full_server_is_not_a_failed_one() -> None:
     one = server()
     for _ in range(10):
-        health.note_end(one, api.Result.FULL, False, NOW)
+        health.note_end(one, api.Result.OVERLOADED, False, NOW)
     assert not health.is_ejected(one) and one.full_until > NOW
 
 
 @pytest.mark.parametrize(
     ("result", "started"),
-    [(api.Result.CANCELLED, False), (api.Result.MOOT, False), (api.Result.TIMEOUT, True)],
+    [(api.Result.CANCELLED, False), (api.Result.NOT_SENT, False), (api.Result.TIMEOUT, True)],
 )
 def test_ends_that_say_nothing_of_a_server(result: api.Result, started: bool) -> None:
     one = server()
--- a/tests/fleet/placement/test_outliers.py
+++ b/tests/fleet/placement/test_outliers.py
@@ -184,7 +184,7 @@
         [send] = only(one.ask(max_attempts=1), api.Send)
     one.ends(send, api.Result.ERROR, finished=True)
     assert bad.outlier_rounds == 2 and far.outlier_rounds == 1
-    for tell in only(one.window(after=0.2), api.Tell):
+    for tell in only(one.window(after=0.2), api.SendToPeer):
         other.give(api.PeerMessage(1, tell.payload), after=0.2)
     assert far.outlier_rounds == 2
     assert far not in health.usable(
--- a/tests/fleet/placement/test_repeats_over_lives.py
+++ b/tests/fleet/placement/test_repeats_over_lives.py
@@ -130,12 +130,12 @@
         for action in balancer.handle(event, self.now):  # type: ignore[arg-type]
             if isinstance(action, api.Send):
                 self.send(router, action)
-            elif isinstance(action, api.Tell):
+            elif isinstance(action, api.SendToPeer):
                 self.tell(router, action)
         if isinstance(event, api.TimerFired):
             self.later(router, WINDOW_STEP, event)
 
-    def tell(self, sender: int, action: api.Tell) -> None:
+    def tell(self, sender: int, action: api.SendToPeer) -> None:
         begin, end = self.story.cut
         for router in range(ROUTERS):
             if router != sender and action.peer in (None, router + 1) and not begin <= self.now < end:
--- a/tests/fleet/placement/test_selection.py
+++ b/tests/fleet/placement/test_selection.py
@@ -73,19 +73,19 @@
 def test_full_backends_are_passed_over_and_then_refuse() -> None:
     one = Harness(2)
     [first] = only(one.ask(), api.Send)
-    [second] = only(one.ends(first, api.Result.FULL), api.Send)
+    [second] = only(one.ends(first, api.Result.OVERLOADED), api.Send)
     assert {first.server, second.server} == {"i-00", "i-01"}
-    [refuse] = only(one.ends(second, api.Result.FULL, attempt=1), api.Refuse)
+    [refuse] = only(one.ends(second, api.Result.OVERLOADED, attempt=1), api.Reject)
     assert 0.05 <= refuse.retry_after <= 1.0
     held = one.ask()
-    assert not only(held, api.Send) and not only(held, api.Refuse)  # held for room
+    assert not only(held, api.Send) and not only(held, api.Reject)  # held for room
     assert only(one.window(), api.Send)
 
 
 def test_the_most_urgent_are_served_first_when_room_comes() -> None:
     one = Harness(1)
     [first] = only(one.ask(max_attempts=1), api.Send)
-    one.ends(first, api.Result.FULL)
+    one.ends(first, api.Result.OVERLOADED)
     one.ask(priority=3, aim=2.0)
     one.ask(priority=0, aim=2.0)
     one.balancer.services[SERVICE].servers["i-00"].full_until = 0.0
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -78,7 +78,7 @@
             if self.sent[event.id] < min(self.most, len(self.backends)):
                 self._send(event.id)
             elif event.result.never_ran:
-                self.actions.append(api.Refuse(event.id, 0.25))
+                self.actions.append(api.Reject(event.id, 0.25))
             else:
                 self.actions.append(api.Fail(event.id))
         elif isinstance(event, api.ClientGone):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,23 +7,40 @@
 from firvane.core import interface as api
 from firvane.proxy.balancer import Balancer
 
-SAFE = api.RequestClass("read", aim=0.5, deadline=2.0, worth=1.0, repeat=api.Repeat.SAFE)
-UNSAFE = api.RequestClass("pay", aim=0.5, deadline=2.0, worth=4.0, repeat=api.Repeat.UNSAFE)
+SAFE = api.RequestClass("read", latency_target=0.5, deadline=2.0, value=1.0, idempotency=api.Idempotency.SAFE)
+UNSAFE = api.RequestClass(
+    "pay", latency_target=0.5, deadline=2.0, value=4.0, idempotency=api.Idempotency.UNSAFE
+)
 KEYED_ZONE = api.RequestClass(
-    "index", aim=0.5, deadline=2.0, repeat=api.Repeat.KEYED, scope=api.Scope.ZONE, window=1.0
+    "index",
+    latency_target=0.5,
+    deadline=2.0,
+    idempotency=api.Idempotency.KEYED,
+    dedup_scope=api.DedupScope.ZONE,
+    dedup_window=1.0,
 )
 KEYED_ALL = api.RequestClass(
-    "export", aim=0.5, deadline=2.0, repeat=api.Repeat.KEYED, scope=api.Scope.ALL, window=1.0
+    "export",
+    latency_target=0.5,
+    deadline=2.0,
+    idempotency=api.Idempotency.KEYED,
+    dedup_scope=api.DedupScope.ALL,
+    dedup_window=1.0,
 )
 KEYED_CELL = api.RequestClass(
-    "copy", aim=0.5, deadline=2.0, repeat=api.Repeat.KEYED, scope=api.Scope.CELL, window=1.0
+    "copy",
+    latency_target=0.5,
+    deadline=2.0,
+    idempotency=api.Idempotency.KEYED,
+    dedup_scope=api.DedupScope.CELL,
+    dedup_window=1.0,
 )
 CLASSES = (SAFE, UNSAFE, KEYED_ZONE, KEYED_ALL, KEYED_CELL)
 RULES = api.Rules(
     answer_slack=0.02,
     drain_grace=0.25,
     start_capacity=0.3,
-    cold=8.0,
+    slow_start=8.0,
     fall_multiple=3.0,
     fall_window=1.0,
     ask_within=10.0,
@@ -31,7 +48,7 @@
 
 
 def settings(**changes: Any) -> api.Settings:
-    limits = api.Limits(max_attempts=4, cancel=True, second_copies=True, peers=True, max_retry_after=1.2)
+    limits = api.Limits(max_attempts=4, cancel=True, hedging=True, peers=True, max_retry_after=1.2)
     base: dict[str, Any] = {
         "me": 0,
         "proxies": 1,
@@ -39,7 +56,7 @@
         "classes": CLASSES,
         "rules": RULES,
         "limits": limits,
-        "warm_keys": True,
+        "key_affinity": True,
     }
     return api.Settings(**{**base, **changes})
 
@@ -53,7 +70,7 @@
 
 
 def changes(*servers: api.Server, version: int = 2) -> api.ServerList:
-    return api.ServerList(api.ListKind.CHANGES, version, servers)
+    return api.ServerList(api.ListKind.INCREMENTAL, version, servers)
 
 
 def started(names: str = "abcd", now: float = 100.0, **more: Any) -> Balancer:
@@ -69,7 +86,7 @@
 
 
 def answers(actions: list[api.Action]) -> list[api.Action]:
-    return [action for action in actions if isinstance(action, api.Refuse | api.Fail)]
+    return [action for action in actions if isinstance(action, api.Reject | api.Fail)]
 
 
 def outcome(send: api.Send, attempt: int, result: api.Result, took: float = 0.1) -> api.Outcome:
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -25,7 +25,7 @@
     return Evidence(settings(), random.Random(1), 90.0), Backend(server("a"), 1, 1.0, None, gap=0.05)
 
 
-RESULTS = [api.Result.OK, api.Result.ERROR, api.Result.FULL, api.Result.RESET, api.Result.TIMEOUT,
+RESULTS = [api.Result.OK, api.Result.ERROR, api.Result.OVERLOADED, api.Result.RESET, api.Result.TIMEOUT,
            api.Result.CANCELLED, api.Result.CONNECT_FAILED]  # fmt: skip
 
 
@@ -104,7 +104,7 @@
     marks = [made.sent(box, 0, None, (n, 0), 100.0 + n) for n in range(3)]
     made.ended(box, None, api.Outcome(1, 0, "a", api.Result.OK, 0.1, True), 103.0)
     assert [mark.passed for mark in marks] == [1, 0, 0]
-    made.ended(box, None, api.Outcome(2, 0, "a", api.Result.FULL, 0.1, True), 103.1)
+    made.ended(box, None, api.Outcome(2, 0, "a", api.Result.OVERLOADED, 0.1, True), 103.1)
     assert marks[0].passed == 1  # a turn-away waits behind nobody
 
 
@@ -137,7 +137,7 @@
 def test_a_cold_box_is_thought_able_to_what_the_rules_allow_for_or_to_more_where_that_shows() -> None:
     made, _ = evidence()
     cold, warm = Backend(server("a"), 1, 1.0, 100.0), Backend(server("b"), 2, 1.0, None)
-    steps = [made.able(cold, 100.0 + RULES.cold * part) for part in (0.0, 0.5, 1.0, 2.0)]
+    steps = [made.able(cold, 100.0 + RULES.slow_start * part) for part in (0.0, 0.5, 1.0, 2.0)]
     sure = RULES.start_capacity
     assert steps == pytest.approx([sure, (1 + sure) / 2, 1.0, 1.0])
 
@@ -224,14 +224,14 @@
     for n in range(6):
         now = 100.0 + 20 * n
         made.sent(box, 0, None, (n, 0), now)
-        made.ended(box, None, api.Outcome(n, 0, "a", api.Result.NO_PLACE, 0.01, False), now)
+        made.ended(box, None, api.Outcome(n, 0, "a", api.Result.CONNECTIONS_FULL, 0.01, False), now)
         pauses.append(box.retry_at - now)
     assert all(0.7 * x < pause < 1.3 * x for x, pause in zip((1, 2, 4, 8, 8, 8), pauses, strict=True))
     # With connections there it is not left alone, and gets as many at once as these carry.
     box.retry_at = 0.0
     for n in (10, 11, 12):
         made.sent(box, 0, None, (n, 0), 300.0)
-    made.ended(box, None, api.Outcome(12, 0, "a", api.Result.NO_PLACE, 0.01, False), 300.0)
+    made.ended(box, None, api.Outcome(12, 0, "a", api.Result.CONNECTIONS_FULL, 0.01, False), 300.0)
     assert box.retry_at == 0.0 and box.room == box.own == 2 and not box.fails
     made.ended(box, None, api.Outcome(11, 0, "a", api.Result.OK, 0.1, True), 300.1)
     assert box.unplaced == 0
@@ -328,7 +328,7 @@
         made.ended(box, asked, api.Outcome(number, 0, "a", api.Result.OK, took, True), now)
         return box.room
 
-    aim = made.settings.classes[0].aim
+    aim = made.settings.classes[0].latency_target
     room = answer(1, LIGHT * aim / 2, SLOW * aim / 2)
     assert room > 1.3
     cut = answer(2, LIGHT * aim / 2, SLOW * aim * 1.1)
@@ -337,7 +337,7 @@
 
 
 def test_a_cold_server_gets_no_more_than_its_room_however_large_its_budget() -> None:
-    balancer = started("ab", 100.0, warm_keys=False)
+    balancer = started("ab", 100.0, key_affinity=False)
     cold = balancer.servers["a"]
     cold.since, cold.room, cold.own, cold.tokens, cold.tokens_at = 105.0, 3.0, 2, 50.0, 109.0
     job = Job(api.Request(1, 0, 2.0), balancer.settings.classes[0], 120.0, 120.0, 5)
@@ -349,8 +349,8 @@
 
 
 def test_a_proxy_that_has_just_started_takes_nobody_s_requests_for_beyond_a_share() -> None:
-    tenants = (api.Tenant("lagos", quota=100.0),)
-    balancer = started("ab", proxies=3, classes=(SAFE,), tenants=tenants, over_share_worth=0.1)
+    tenants = (api.Tenant("lagos", quota_rps=100.0),)
+    balancer = started("ab", proxies=3, classes=(SAFE,), tenants=tenants, over_quota_value=0.1)
     for n in range(3):
         balancer.handle(api.Request(n, 0, 2.0, tenant=0), 100.01)
     assert {balancer.limit(job) for job in balancer.jobs.values()} == {1.0}
@@ -377,7 +377,7 @@
 @pytest.mark.parametrize(("here", "expected"), [(5.0, 0.1), (10.0, 0.1), (30.0, 0.3)])
 def test_a_share_is_granted_in_parts_where_proxies_hear_no_other(here: float, expected: float) -> None:
     # Guards against ten proxies that each grant a tenant the whole of its share.
-    tenants = (api.Tenant("lagos", quota=60.0), api.Tenant("abuja", quota=40.0))
+    tenants = (api.Tenant("lagos", quota_rps=60.0), api.Tenant("abuja", quota_rps=40.0))
     alone = settings(proxies=10, tenants=tenants, limits=api.Limits(max_attempts=4))
     rows = {0: unpack(pack(0, 0, 1.0, (0, 1.0, here / 4, here / 4, here), []), 1.0)}
     assert tenant_admission.part(alone, rows, here) == pytest.approx(expected)
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -49,9 +49,9 @@
     assert made.listen == ("127.0.0.1", 8080) and made.discovery is None and made.sockets == 1024
     assert made.zones == ("ikeja", "lekki", "yaba") and made.kinds == ("big-box", "small-box")
     view, message = made.settings.classes
-    assert (view.aim, view.deadline, view.repeat) == (0.5, 2.5, api.Repeat.SAFE)
-    assert (message.scope, message.window, message.worth) == (api.Scope.ZONE, 10.0, 2.0)
-    assert made.settings.limits.second_copies and not made.settings.limits.peers
+    assert (view.latency_target, view.deadline, view.idempotency) == (0.5, 2.5, api.Idempotency.SAFE)
+    assert (message.dedup_scope, message.dedup_window, message.value) == (api.DedupScope.ZONE, 10.0, 2.0)
+    assert made.settings.limits.hedging and not made.settings.limits.peers
     assert [one["name"] for one in made.known["endpoints"]] == ["web-1", "web-2", "web-3"]
 
 
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -34,26 +34,27 @@
 folder = "."
 doors = {DOORS}
 '''
-KEYED = api.Repeat.KEYED
+KEYED = api.Idempotency.KEYED
 
 # Milliseconds as the platform has them, and as a file with fractions has them.
 spans = st.integers(1, 3_600_000).map(lambda ms: ms / 1000) | st.floats(0.01, 3.6e6).map(lambda ms: ms / 1000)
 numbers, parts = st.floats(0, 1e6) | st.integers(0, 10**6), st.floats(0, 1)
 classes = st.builds(
-    lambda a, b, **more: api.RequestClass(aim=min(a, b), deadline=max(a, b), **more), spans, spans,
-    name=st.text("abCD09._~-", min_size=1, max_size=9), worth=st.floats(1e-6, 1e6),
-    late_share=parts, repeat=st.sampled_from(api.Repeat), scope=st.sampled_from(api.Scope),
-    window=st.floats(0.001, 1e5), stream=st.booleans(), aim_stretch=parts,
+    lambda a, b, **more: api.RequestClass(latency_target=min(a, b), deadline=max(a, b), **more), spans, spans,
+    name=st.text("abCD09._~-", min_size=1, max_size=9), value=st.floats(1e-6, 1e6),
+    late_value_fraction=parts, idempotency=st.sampled_from(api.Idempotency),
+    dedup_scope=st.sampled_from(api.DedupScope),
+    dedup_window=st.floats(0.001, 1e5), stream=st.booleans(), latency_target_stretch=parts,
 )  # fmt: skip
 tenants = st.builds(api.Tenant, st.text(min_size=1, max_size=20), st.floats(0, 0.25), numbers)
 rules = st.builds(api.Rules, spans, numbers, st.floats(0.01, 1), spans, spans, numbers, numbers)
 limits = st.builds(
-    api.Limits, st.integers(1, 16), max_retry_after=numbers, max_open=st.integers(1, 1 << 30),
-    connect_timeout=st.integers(1, 60_000).map(lambda ms: ms / 1000), connection_idle=spans,
-    **dict.fromkeys(("cancel", "second_copies", "peers", "probes", "retry_after"), st.booleans()),
+    api.Limits, st.integers(1, 16), max_retry_after=numbers, max_open_requests=st.integers(1, 1 << 30),
+    connect_timeout=st.integers(1, 60_000).map(lambda ms: ms / 1000), connection_idle_timeout=spans,
+    **dict.fromkeys(("cancel", "hedging", "peers", "probes", "retry_after"), st.booleans()),
 )  # fmt: skip
 drawn = st.builds(
-    plain, rules=rules, limits=limits, over_share_worth=parts, warm_keys=st.booleans(),
+    plain, rules=rules, limits=limits, over_quota_value=parts, key_affinity=st.booleans(),
     classes=st.lists(classes, min_size=1, max_size=4, unique_by=lambda cls: cls.name).map(tuple),
     tenants=st.lists(tenants, max_size=4, unique_by=lambda tenant: tenant.name).map(tuple),
 )  # fmt: skip
@@ -76,7 +77,7 @@
 @pytest.mark.parametrize(
     ("text", "changed"),
     [
-        ("over_share_worth = 0.5", {"over_share_worth": 0.5}),
+        ("over_share_worth = 0.5", {"over_quota_value": 0.5}),
         ("tenants = []", {"tenants": ()}),
         ("[limits]\nattempts = 2\nconnect_ms = 100", {"limits": {"max_attempts": 2, "connect_timeout": 0.1}}),
         ("[rules]\nanswer_slack_ms = 5", {"rules": {"answer_slack": 0.005}}),
@@ -134,7 +135,10 @@
 
 
 def test_settings_that_no_policy_may_have_are_not_told_as_one() -> None:
-    late, keyless = replace(plain().classes[0], aim=9.0), replace(plain().classes[0], repeat=KEYED)
+    late, keyless = (
+        replace(plain().classes[0], latency_target=9.0),
+        replace(plain().classes[0], idempotency=KEYED),
+    )
     tenants = (api.Tenant("\ud800"),), (api.Tenant("a", 2.0),)
     for base in (*(plain(classes=(c,)) for c in (late, keyless)), *(plain(tenants=t) for t in tenants)):
         with pytest.raises(validation.Faults):
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -381,16 +381,16 @@
 
 def test_pressure_reaches_the_decisions_with_what_was_turned_away() -> None:
     made, _, clock = front()
-    told = list[api.Pressure]()
+    told = list[api.OverloadSignal]()
     made.guard.tell = told.append
     made.guard.start()
     made.guard.turns.most_wait = 0.0
     for n in range(200):  # more than a line and the turns of a period hold
         Wire(made.accept()).protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
     clock.advance(0.25)
-    assert told and told[0].part > 0 and sum(told[0].unseen) == made.gate.overflowed > 0
+    assert told and told[0].excess_fraction > 0 and sum(told[0].rejected_unseen) == made.gate.overflowed > 0
     clock.advance(5.0)
-    assert told[-1].part == 0.0
+    assert told[-1].excess_fraction == 0.0
     count = len(told)
     clock.advance(5.0)
     assert len(told) == count  # a calm proxy has nothing to say
--- a/tests/proxy/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -125,14 +125,14 @@
 
 def test_the_decisions_turn_away_first_what_exceeds_a_share() -> None:
     tenants = (api.Tenant("lagos", 0.5, 10.0), api.Tenant("kano", 0.5, 10.0))
-    balancer = started(tenants=tenants, over_share_worth=0.1)
+    balancer = started(tenants=tenants, over_quota_value=0.1)
 
     def parts(part: float, over_share: bool = False) -> tuple[float, ...]:
         balancer.tenants = {0: 150.0, 1: 50.0}  # in 5 s: lagos three times its share, kano at its own
         balancer.rows[0] = balancer.rows[0]._replace(arrivals=1.0)
-        (action,) = balancer.handle(api.Pressure(part, over_share, copies=True), 100.5)
-        assert isinstance(action, api.TurnAway)
-        return action.parts
+        (action,) = balancer.handle(api.OverloadSignal(part, over_share, hedging_allowed=True), 100.5)
+        assert isinstance(action, api.ShedLoad)
+        return action.fractions
 
     assert parts(0.25) == pytest.approx((50 / 150, 0.0))
     assert parts(0.0, over_share=True) == pytest.approx((100 / 150, 0.0))
@@ -142,9 +142,9 @@
 
 def test_while_the_proxy_is_short_of_turns_there_are_no_second_copies() -> None:
     balancer = started("ab")
-    balancer.handle(api.Pressure(0.0, False, copies=False), 100.5)
+    balancer.handle(api.OverloadSignal(0.0, False, hedging_allowed=False), 100.5)
     balancer.handle(api.Request(1, 0, 2.0, key="k"), 101.0)
     balancer.servers["a"].heard_at = balancer.servers["b"].heard_at = 0.0
     assert not [a for a in balancer.handle(api.TimerFired(2), 101.5) if isinstance(a, api.Send)]
-    balancer.handle(api.Pressure(0.0, False, copies=True), 101.6)
+    balancer.handle(api.OverloadSignal(0.0, False, hedging_allowed=True), 101.6)
     assert [a for a in balancer.handle(api.TimerFired(2), 101.7) if isinstance(a, api.Send)]
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -224,5 +224,5 @@
     return {**base, "status": "up", "weight": 1.0, "since_ms": 0, **more}
 
 
-READ = api.RequestClass("read", aim=0.5, deadline=2.0, repeat=api.Repeat.SAFE)
-PAY = api.RequestClass("pay", aim=0.5, deadline=2.0, repeat=api.Repeat.UNSAFE)
+READ = api.RequestClass("read", latency_target=0.5, deadline=2.0, idempotency=api.Idempotency.SAFE)
+PAY = api.RequestClass("pay", latency_target=0.5, deadline=2.0, idempotency=api.Idempotency.UNSAFE)
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -31,7 +31,8 @@
 
 def unwired(clock: Clock) -> Forwards:
     """Forwards whose connections are made by hand."""
-    return Forwards(clock, api.Limits(3, connection_idle=30.0), RULES, guard(clock), NOBODY)  # type: ignore
+    limits = api.Limits(max_attempts=3, connection_idle_timeout=30.0)
+    return Forwards(clock, limits, RULES, guard(clock), NOBODY)  # type: ignore
 
 
 def connected(forwards: Forwards, pool: Pool) -> Connection:
@@ -53,7 +54,7 @@
 
     def __init__(self, max_sockets: int = 10, connect_timeout: float = LEFT) -> None:
         self.loop = asyncio.get_running_loop()
-        limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle=30.0)
+        limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle_timeout=30.0)
         self.transports = TransportPool(self.loop)
         self.dialer = SocketDialer(self.loop, self.transports)
         self.forwards = Forwards(self.loop, limits, RULES, guard(self.loop, max_sockets), self.dialer)
--- a/tests/proxy/quorum/small_fleet.py
+++ b/tests/proxy/quorum/small_fleet.py
@@ -69,7 +69,7 @@
 
     def config(self, p: int) -> Config:
         settings = parse_settings({**PARAMS, "siblings": len(self.hosts), "me": p, "dcs": ["a"]})
-        settings = replace(settings, limits=replace(settings.limits, max_open=500, **RETRY))
+        settings = replace(settings, limits=replace(settings.limits, max_open_requests=500, **RETRY))
         peers = tuple((host, 7946) for host in self.hosts)
         doors = tuple((host, 9100) for host in self.hosts)
         known = {"index": 1, "snapshot": True, "endpoints": [{**endpoint("s", 80), "address": f"{BOX}:80"}]}
--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -17,9 +17,9 @@
 from tests.helpers import settings
 
 WARM = Boxes(warm_s=8.0, cold_share=0.13)
-READ = api.RequestClass("read", aim=0.5, deadline=2.0, repeat=api.Repeat.SAFE)
+READ = api.RequestClass("read", latency_target=0.5, deadline=2.0, idempotency=api.Idempotency.SAFE)
 RULES = api.Rules(0.02, 0.25, WARM.cold_share, WARM.warm_s, WARM.fall_multiple, WARM.fall_s, 10.0)
-LIMITS = api.Limits(3, cancel=True, second_copies=True, peers=True, max_retry_after=1.2)
+LIMITS = api.Limits(3, cancel=True, hedging=True, peers=True, max_retry_after=1.2)
 
 
 class SmallFleet:
@@ -31,7 +31,7 @@
         cores: list[int],
         seed: int = 1,
         rate: float = 100.0,
-        memory: api.Remembered | None = None,
+        memory: api.RestoredEstimates | None = None,
         lies: Callable[[int, bytes], bytes | None] = lambda sender, payload: payload,
         back: float = 0.0,
     ) -> None:
@@ -62,9 +62,9 @@
 
     # Faults
 
-    def start(self, me: int, memory: api.Remembered | None = None) -> None:
+    def start(self, me: int, memory: api.RestoredEstimates | None = None) -> None:
         """A proxy begins its life with the list as last known."""
-        count, wanted = len(self.lives), api.Recovery()
+        count, wanted = len(self.lives), api.RecoveryOptions()
         told = settings(me=me, proxies=count, classes=(READ,), rules=RULES, limits=LIMITS, recovery=wanted)
         self.lives[me] += 1
         balancer = self.balancers[me] = Balancer(told, self.draw.randrange(1 << 30), self.now)
@@ -73,7 +73,7 @@
         self._act(me, balancer.start(self.now))
         self._give(me, api.ServerList(api.ListKind.CACHED, self.version, tuple(self.entries.values())))
 
-    def end(self, me: int) -> api.Remembered | None:
+    def end(self, me: int) -> api.RestoredEstimates | None:
         """Power goes from a proxy, and its connections with it; what it would have kept."""
         balancer, self.balancers[me] = self.balancers[me], None
         for call in [call for call, (whose, *_) in self.calls.items() if whose == me]:
@@ -86,7 +86,7 @@
         self.version += 1
         self.entries[name] = entry = replace(self.entries[name], **changes)
         for me in range(len(self.lives)):
-            self._give(me, api.ServerList(api.ListKind.CHANGES, self.version, (entry,)))
+            self._give(me, api.ServerList(api.ListKind.INCREMENTAL, self.version, (entry,)))
 
     def stop(self, name: str) -> None:
         """Power goes from a box; what it had is broken off."""
@@ -126,15 +126,15 @@
                 self._send(me, action)
             elif isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                self.at(self.now + action.span, self._give, me, fired, self.lives[me])
-            elif isinstance(action, api.Tell):
+                self.at(self.now + action.delay, self._give, me, fired, self.lives[me])
+            elif isinstance(action, api.SendToPeer):
                 self._tell(me, action)
             elif isinstance(action, api.Cancel):
                 self._cancel(me, action)
-            elif isinstance(action, api.Refuse | api.Fail):
+            elif isinstance(action, api.Reject | api.Fail):
                 self.refused += 1
 
-    def _tell(self, me: int, told: api.Tell) -> None:
+    def _tell(self, me: int, told: api.SendToPeer) -> None:
         for other in range(len(self.lives)):
             payload = self.lies(me, told.payload)
             if other == me or told.peer not in (None, other) or payload is None:
@@ -158,7 +158,7 @@
         work, key = self.asked[me, send.id]
         verdict = box.offer(self.now, call, key, work).verdict
         if verdict == "turned away":
-            self.at(self.now + 0.001, self._end, call, api.Result.FULL)
+            self.at(self.now + 0.001, self._end, call, api.Result.OVERLOADED)
         self._look(send.server)
 
     def _cancel(self, me: int, cancel: api.Cancel) -> None:
--- a/tests/proxy/recovery/test_histories.py
+++ b/tests/proxy/recovery/test_histories.py
@@ -62,8 +62,8 @@
         self, proxies: int, scale: float, room: float, times: float, seed: int, back: float
     ) -> None:
         rooms = {f"box-{n}": room for n in range(len(CORES))}
-        self.wild = api.Remembered(9.0, scale, {"k": scale}, rooms, {})
-        self.kept: dict[int, api.Remembered | None] = {}  # of the proxies that are off
+        self.wild = api.RestoredEstimates(9.0, scale, {"k": scale}, rooms, {})
+        self.kept: dict[int, api.RestoredEstimates | None] = {}  # of the proxies that are off
         self.away: dict[str, float] = {}  # boxes that are off, and since when
         self.fleet = SmallFleet(
             proxies, CORES, seed, 600.0, self.wild, liars(proxies // 3, seed, times), back
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -46,7 +46,9 @@
 
 
 def cut() -> None:
-    test_steps.test_what_cuts_a_room_does_so_once_for_all_that_was_out_together(api.Result.FULL, 0.01, 4.8)
+    test_steps.test_what_cuts_a_room_does_so_once_for_all_that_was_out_together(
+        api.Result.OVERLOADED, 0.01, 4.8
+    )
 
 
 def failing_write() -> None:
--- a/tests/proxy/recovery/test_peers.py
+++ b/tests/proxy/recovery/test_peers.py
@@ -113,8 +113,10 @@
     from firvane.proxy.recovery.recovery import Recovery
     from tests.helpers import settings as made
 
-    told_ = made(proxies=6, recovery=api.Recovery(), **more)
-    return Recovery(api.Recovery(), told_, Evidence(told_, random.Random(1), 0.0), random.Random(1), 0.0)
+    told_ = made(proxies=6, recovery=api.RecoveryOptions(), **more)
+    return Recovery(
+        api.RecoveryOptions(), told_, Evidence(told_, random.Random(1), 0.0), random.Random(1), 0.0
+    )
 
 
 def test_a_question_is_answered_within_a_rate() -> None:
--- a/tests/proxy/recovery/test_steps.py
+++ b/tests/proxy/recovery/test_steps.py
@@ -98,7 +98,7 @@
     ("result", "took", "left"),
     [
         (api.Result.OK, 0.45, 8 * steps.CUT),
-        (api.Result.FULL, 0.01, 8 * steps.DEEP),
+        (api.Result.OVERLOADED, 0.01, 8 * steps.DEEP),
         (api.Result.TIMEOUT, 1.0, 8 * steps.DEEP),
         (api.Result.CONNECT_FAILED, 0.0, 1.0),
         (api.Result.ERROR, 0.1, 8.0),
--- a/tests/proxy/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -39,7 +39,7 @@
         server.own = random.randrange(9)
     peer.actions = []
     peer.announce(100.0 + random.random(), 0)
-    return next(a.payload for a in peer.actions if isinstance(a, api.Tell))
+    return next(a.payload for a in peer.actions if isinstance(a, api.SendToPeer))
 
 
 def check_list(balancer: Balancer) -> None:
--- a/tests/proxy/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -53,7 +53,7 @@
 while True:
     n += 1
     rooms = {f"box-{i}": float(n) for i in range(300)}
-    keeper.keep(float(n), lambda: None, api.Remembered(0.0, 1.0, {}, rooms))
+    keeper.keep(float(n), lambda: None, api.RestoredEstimates(0.0, 1.0, {}, rooms))
 """
 
 
@@ -120,8 +120,8 @@
 ) -> None:
     memory = remembered(SNAPSHOT, NOW + age)
     assert scale is None or memory.scale == pytest.approx(scale)
-    assert memory.rooms.get("a") == (None if room is None else pytest.approx(room, abs=0.01))
-    assert dict(memory.starts) == ({} if room is None else {"a": NOW - 90.0})
+    assert memory.capacities.get("a") == (None if room is None else pytest.approx(room, abs=0.01))
+    assert dict(memory.start_times) == ({} if room is None else {"a": NOW - 90.0})
     kept = {row.field for row in TRUST}
     assert kept == {"listed", "scale", "kinds", "rooms", "starts"}
     assert not {"fails", "doubts", "up", "slow"} & set(Snapshot.__struct_fields__)
@@ -132,9 +132,9 @@
 def test_whatever_was_remembered_a_room_begins_within_its_bound(
     scale: float, room: float, same: bool, fails: int, name: str
 ) -> None:
-    told = made(proxies=1, recovery=api.Recovery())
-    own = Recovery(api.Recovery(), told, Evidence(told, random.Random(1), 0.0), random.Random(1), 0.0)
-    own.remember(api.Remembered(0.0, scale, {}, {"a": room}, {"a": 5.0 if same else 1.0}), {})
+    told = made(proxies=1, recovery=api.RecoveryOptions())
+    own = Recovery(api.RecoveryOptions(), told, Evidence(told, random.Random(1), 0.0), random.Random(1), 0.0)
+    own.remember(api.RestoredEstimates(0.0, scale, {}, {"a": room}, {"a": 5.0 if same else 1.0}), {})
     box = Backend(api.Server(name, up_since=5.0), 1, 1.0, None)
     box.fails = fails
     own.listed([box], api.ServerList(api.ListKind.CACHED, 1), 0.0)
@@ -156,7 +156,7 @@
     return Keeper(path, "edge", Log(), aside=lambda work: work())  # type: ignore[arg-type]
 
 
-HELD = api.Remembered(0.0, 20.0, {"big": 30.0}, {"a": 12.0}, {"a": NOW - 90.0})
+HELD = api.RestoredEstimates(0.0, 20.0, {"big": 30.0}, {"a": 12.0}, {"a": NOW - 90.0})
 
 
 def test_a_keeper_keeps_and_recalls(tmp_path: Path) -> None:
--- a/tests/proxy/test_balancer.py
+++ b/tests/proxy/test_balancer.py
@@ -28,7 +28,7 @@
 def tell(balancer: Balancer, now: float) -> bytes:
     balancer.actions = []
     balancer.announce(now, 0)
-    return next(action.payload for action in balancer.actions if isinstance(action, api.Tell))
+    return next(action.payload for action in balancer.actions if isinstance(action, api.SendToPeer))
 
 
 def bank(count: int, servers: str, now: float = 100.0, **more: object) -> list[Balancer]:
@@ -109,11 +109,11 @@
 def test_a_hastened_request_is_refused_by_the_proxy_s_end() -> None:
     balancer = started("a")
     [send] = sends(balancer.handle(api.Request(1, 0, 6.0), 100.0))
-    woken = balancer.handle(api.Hastened(1, 1.0), 100.5)
+    woken = balancer.handle(api.DeadlineShortened(1, 1.0), 100.5)
     assert api.SetTimer(pytest.approx(0.99), 2, 1) in woken  # type: ignore[arg-type]
-    assert balancer.handle(api.Hastened(9, 1.0), 100.5) == []  # answered before
+    assert balancer.handle(api.DeadlineShortened(9, 1.0), 100.5) == []  # answered before
     done = balancer.handle(api.TimerFired(2), 101.49)
-    assert isinstance(answers(done)[0], api.Refuse) and api.Cancel(1, 0) in done and send.server == "a"
+    assert isinstance(answers(done)[0], api.Reject) and api.Cancel(1, 0) in done and send.server == "a"
 
 
 def test_held_request_is_sent_once_a_server_comes() -> None:
@@ -200,8 +200,8 @@
 def test_a_row_asked_for_is_sent_to_the_asker_alone() -> None:
     balancer = started("ab", proxies=2)
     fresh = Balancer(settings(me=1, proxies=2), 3, 100.0)
-    asking = next(a.payload for a in fresh.start(100.2) if isinstance(a, api.Tell))
-    replies = [a for a in balancer.handle(api.PeerMessage(1, asking), 100.3) if isinstance(a, api.Tell)]
+    asking = next(a.payload for a in fresh.start(100.2) if isinstance(a, api.SendToPeer))
+    replies = [a for a in balancer.handle(api.PeerMessage(1, asking), 100.3) if isinstance(a, api.SendToPeer)]
     assert [reply.peer for reply in replies] == [1]
 
 
@@ -236,14 +236,14 @@
 
 
 def test_without_keys_requests_stay_in_the_proxys_own_slice() -> None:
-    proxies = bank(2, "abcd", warm_keys=False)
+    proxies = bank(2, "abcd", key_affinity=False)
     own = {s.entry.id for s in proxies[0].slices[0]}
     chosen = {sends(proxies[0].handle(api.Request(i, 0, 1.0), 101.0))[0].server for i in range(3)}
     assert chosen <= own
 
 
 def test_a_full_slice_spills_to_others_before_it_refuses() -> None:
-    proxies = bank(2, "abcd", warm_keys=False)
+    proxies = bank(2, "abcd", key_affinity=False)
     for backend in proxies[0].slices[0]:
         backend.own = 50
     others = {s.entry.id for s in proxies[0].slices[1]}
@@ -290,7 +290,7 @@
 
 
 def test_a_slow_server_loses_share_before_it_fails() -> None:
-    balancer = started("ab", warm_keys=False)
+    balancer = started("ab", key_affinity=False)
     counts = {"a": 0, "b": 0}
     for i in range(200):
         now = 100.0 + i * 0.02
@@ -378,7 +378,7 @@
 
 
 def test_a_lost_attempt_is_followed_once_its_end_is_told_where_two_may_not_be_out() -> None:
-    balancer = started("a", limits=dataclasses.replace(settings().limits, second_copies=False))
+    balancer = started("a", limits=dataclasses.replace(settings().limits, hedging=False))
     attempt(balancer, 1, 100.0)
     for n in (2, 3):
         balancer.handle(outcome(attempt(balancer, n, 100.1), 0, api.Result.OK), 100.2)
@@ -427,7 +427,7 @@
 
 
 def test_a_drained_server_gets_nothing_while_attempts_are_out() -> None:
-    balancer = started("ab", warm_keys=False)
+    balancer = started("ab", key_affinity=False)
     first = sends(balancer.handle(api.Request(1, 0, 1.0), 100.0))[0]
     balancer.handle(changes(server(first.server, state=api.ServerState.DRAINING)), 100.1)
     for i in range(2, 12):
@@ -449,9 +449,9 @@
         now = 100.0 + i * WINDOW
         asked += api.Watch(True) in balancer.handle(api.TimerFired(0), now)
         if i % 8 == 0:
-            balancer.handle(api.ServerList(api.ListKind.LOST, 0), now)
+            balancer.handle(api.ServerList(api.ListKind.FAILED, 0), now)
     assert 2 <= asked <= 8
-    balancer.handle(api.ServerList(api.ListKind.CHANGES, 1), 111.0)
+    balancer.handle(api.ServerList(api.ListKind.INCREMENTAL, 1), 111.0)
     assert api.Watch(True) not in balancer.handle(api.TimerFired(0), 120.0)
 
 
@@ -463,7 +463,7 @@
 
 def busy(held: dict[str, int], worth: float) -> list[api.Action]:
     """What becomes of a request where servers with room for ten attempts each hold this much."""
-    low = dataclasses.replace(settings().classes[0], name="low", worth=worth, aim=0.5)
+    low = dataclasses.replace(settings().classes[0], name="low", value=worth, latency_target=0.5)
     balancer = started("".join(held), classes=(*settings().classes, low))
     for name, count in held.items():
         balancer.servers[name].own, balancer.servers[name].room = count, 10.0
@@ -473,7 +473,7 @@
 def refused(actions: list[api.Action]) -> bool:
     """Whether the one answer is a refusal that says when to come back."""
     (answer,) = answers(actions)
-    return isinstance(answer, api.Refuse) and 0 < answer.retry_after <= 1.2
+    return isinstance(answer, api.Reject) and 0 < answer.retry_after <= 1.2
 
 
 def test_one_jammed_server_does_not_refuse_what_another_has_room_for() -> None:
@@ -491,7 +491,7 @@
     backend = balancer.servers["a"]
     send = sends(balancer.handle(api.Request(1, 1, 1.0, "k"), 100.0))[0]
     before = backend.room
-    balancer.handle(outcome(send, 0, api.Result.FULL), 100.5)
+    balancer.handle(outcome(send, 0, api.Result.OVERLOADED), 100.5)
     cut = backend.room
     assert cut < before
     for i in range(2, 200):
@@ -506,7 +506,7 @@
     # Held to its deadline, it would keep its client from asking elsewhere and be priced as never tried.
     balancer = started("")
     actions = balancer.handle(api.Request(1, 0, 1.0, "k"), 100.0)
-    spans = [a.span for a in actions if isinstance(a, api.SetTimer) and a.token == 2]
+    spans = [a.delay for a in actions if isinstance(a, api.SetTimer) and a.token == 2]
     assert answers(actions) == [] and min(spans) <= 0.25
     assert refused(balancer.handle(api.TimerFired(2), 100.0 + min(spans)))
 
@@ -544,7 +544,9 @@
     mine = one.slices[0][0]
     one.moves = {0: [(2, 0.5)]}
     two.servers[mine.entry.id].own = 20
-    replies = [a for a in one.handle(api.PeerMessage(1, tell(two, 100.5)), 100.5) if isinstance(a, api.Tell)]
+    replies = [
+        a for a in one.handle(api.PeerMessage(1, tell(two, 100.5)), 100.5) if isinstance(a, api.SendToPeer)
+    ]
     assert [reply.peer for reply in replies] == [1]
     two.shares = {(1, 0): 0.4, (1, 2): 0.2}
     two.handle(api.PeerMessage(0, replies[0].payload), 100.6)
@@ -552,7 +554,7 @@
 
 
 def test_excess_moves_to_the_other_slice_and_keeps_its_keys_together() -> None:
-    one, _ = bank(2, "abcd", warm_keys=False)
+    one, _ = bank(2, "abcd", key_affinity=False)
     for backend in one.slices[0]:
         backend.told = 60
     one.balance(100.1)
@@ -598,7 +600,7 @@
 
 def test_a_cold_server_is_sent_no_more_than_its_room_however_large_its_budget() -> None:
     # Where nobody is full a slow kind's rooms look large: a small server's budget was 2.8 times too high.
-    balancer = Balancer(settings(warm_keys=False), 7, 90.0)
+    balancer = Balancer(settings(key_affinity=False), 7, 90.0)
     balancer.start(90.0)
     balancer.handle(full_list(*(server(n) for n in "abc"), server("x", up_since=99.0)), 99.5)
     balancer.evidence.best = 400.0
@@ -607,7 +609,7 @@
     assert cold.tokens > 40 and len(out) == cold.room == 4.0
     # What it turns away counts as sent, too.
     for send in out:
-        balancer.handle(outcome(send, 0, api.Result.FULL), 101.01)
+        balancer.handle(outcome(send, 0, api.Result.OVERLOADED), 101.01)
     again = [s for i in range(40, 80) for s in sends(balancer.handle(api.Request(i, 1, 2.0), 101.05))]
     assert len([send for send in again if send.server == "x"]) == 4 > cold.room
 
@@ -643,7 +645,7 @@
     backend.heard_at = 100.19
     early = balancer.handle(api.TimerFired(2), 100.2)
     assert not sends(early)  # it may be only slow
-    (again,) = (action.span for action in early if isinstance(action, api.SetTimer))
+    (again,) = (action.delay for action in early if isinstance(action, api.SetTimer))
     assert again == pytest.approx(0.04)
     (copy,) = sends(balancer.handle(api.TimerFired(2), 100.32))
     assert copy.server != first.server and backend.fails == 0
@@ -659,7 +661,7 @@
     for n in range(full):
         balancer.evidence.sent(other, 0, None, (100 + n, 0), 100.0)
         balancer.evidence.ended(
-            other, None, api.Outcome(100 + n, 0, other.entry.id, api.Result.FULL, 0.01, True), 100.0
+            other, None, api.Outcome(100 + n, 0, other.entry.id, api.Result.OVERLOADED, 0.01, True), 100.0
         )
     other.room, balancer.servers[first.server].heard_at = 4.0, 100.19
     assert bool(sends(balancer.handle(api.TimerFired(2), 100.4))) is copied
@@ -730,7 +732,7 @@
 
 def test_heavy_requests_go_to_the_quicker_kind_of_their_slice() -> None:
     # Worth goes by work, and what is heavy is late on a slow core even where nobody waits.
-    balancer = started("", warm_keys=False)
+    balancer = started("", key_affinity=False)
     balancer.handle(full_list(*(server(name, kind=i % 2) for i, name in enumerate("abcd"))), 100.0)
     balancer.evidence.pace = {0: 2.0, 1: 1.0}
     heavy = [balancer.handle(api.Request(i, 0, 1.0, work=0.2), 100.1) for i in range(4)]
--- a/tests/proxy/test_rules.py
+++ b/tests/proxy/test_rules.py
@@ -18,7 +18,12 @@
 from firvane.proxy.balancer import Balancer
 from tests.helpers import CLASSES, RULES, full_list, server, settings
 
-NEVER_RAN = {api.Result.FULL, api.Result.NO_PLACE, api.Result.CONNECT_FAILED, api.Result.MOOT}
+NEVER_RAN = {
+    api.Result.OVERLOADED,
+    api.Result.CONNECTIONS_FULL,
+    api.Result.CONNECT_FAILED,
+    api.Result.NOT_SENT,
+}
 RESULTS = list(api.Result)
 
 
@@ -56,38 +61,40 @@
 
     def group(self, cls: api.RequestClass, name: str) -> int:
         entry = self.entries[name]
-        return {api.Scope.ALL: 0, api.Scope.ZONE: entry.zone, api.Scope.CELL: entry.cell}[cls.scope]
+        return {api.DedupScope.ALL: 0, api.DedupScope.ZONE: entry.zone, api.DedupScope.CELL: entry.cell}[
+            cls.dedup_scope
+        ]
 
     def action(self, action: api.Action, now: float) -> None:
         match action:
             case api.SetTimer():
-                heapq.heappush(self.timers, (now + action.span, action.token))
+                heapq.heappush(self.timers, (now + action.delay, action.token))
             case api.Send():
                 self.send(action, now)
-            case api.Refuse() | api.Fail():
+            case api.Reject() | api.Fail():
                 assert action.id not in self.over, "two final answers"
                 assert now <= self.deadline[action.id] + self.config.rules.answer_slack
-                if isinstance(action, api.Refuse):
+                if isinstance(action, api.Reject):
                     self.refusal(action)
                 self.over.add(action.id)
 
     def send(self, send: api.Send, now: float) -> None:
         assert send.id not in self.over, "sent after the final answer"
-        cls = self.config.classes[self.requests[send.id].cls]
+        cls = self.config.classes[self.requests[send.id].class_id]
         earlier = self.attempts[send.id]
         assert len(earlier) < self.config.limits.max_attempts
         out = [a for a in earlier if a.result is None]
-        assert not out or self.config.limits.second_copies
+        assert not out or self.config.limits.hedging
         maybe = [a for a in earlier if a.result not in NEVER_RAN]
-        if maybe and cls.repeat is not api.Repeat.SAFE:
-            assert cls.repeat is api.Repeat.KEYED, "an unsafe request ran twice"
+        if maybe and cls.idempotency is not api.Idempotency.SAFE:
+            assert cls.idempotency is api.Idempotency.KEYED, "an unsafe request ran twice"
             assert self.group(cls, send.server) == self.group(cls, maybe[0].server)
-            assert now <= maybe[0].sent_at + cls.window
+            assert now <= maybe[0].sent_at + cls.dedup_window
         down = self.told_down.get(send.server)
         assert down is None or now <= down + self.config.rules.drain_grace, "sent to a drained server"
         entry = self.entries[send.server]
         age = now - (entry.up_since or -1e9)
-        if age < self.config.rules.cold:
+        if age < self.config.rules.slow_start:
             times = self.cold_sends.setdefault(send.server, [])
             times.append(now)
             recent = [t for t in times if t > now - self.config.rules.fall_window]
@@ -95,11 +102,13 @@
             assert len(recent) <= 0.5 * self.config.rules.fall_window / 0.005, "a cold server was flooded"
         earlier.append(Attempt(send.server, now))
 
-    def refusal(self, refuse: api.Refuse) -> None:
-        cls = self.config.classes[self.requests[refuse.id].cls]
+    def refusal(self, refuse: api.Reject) -> None:
+        cls = self.config.classes[self.requests[refuse.id].class_id]
         maybe = [a for a in self.attempts[refuse.id] if a.result not in NEVER_RAN]
-        if maybe and cls.repeat is not api.Repeat.SAFE:
-            assert cls.repeat is api.Repeat.KEYED and cls.scope is api.Scope.ALL, "an untrue refusal"
+        if maybe and cls.idempotency is not api.Idempotency.SAFE:
+            assert cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL, (
+                "an untrue refusal"
+            )
 
 
 def drive(rng: random.Random, steps: int, config: api.Settings) -> list[str]:
@@ -164,13 +173,13 @@
             since = rng.choice((None, now - 0.5, now - 3.0))
             give(
                 api.ServerList(
-                    api.ListKind.CHANGES, number, (replace(entry(name), state=state, up_since=since),)
+                    api.ListKind.INCREMENTAL, number, (replace(entry(name), state=state, up_since=since),)
                 )
             )
         elif choice < 0.93:
-            kind = rng.choice((api.ListKind.COMPLETE, api.ListKind.LOST))
+            kind = rng.choice((api.ListKind.COMPLETE, api.ListKind.FAILED))
             some = (
-                () if kind is api.ListKind.LOST else tuple(map(entry, rng.sample(names, rng.randint(0, 6))))
+                () if kind is api.ListKind.FAILED else tuple(map(entry, rng.sample(names, rng.randint(0, 6))))
             )
             give(api.ServerList(kind, number, some))
         elif choice < 0.97:
@@ -189,9 +198,9 @@
 
 CONFIGS = [
     settings(),
-    settings(me=1, proxies=3, zones=2, warm_keys=False),
+    settings(me=1, proxies=3, zones=2, key_affinity=False),
     settings(limits=api.Limits(max_attempts=2), ask=True, zones=2, zone=1),
-    settings(me=4, proxies=5, rules=replace(RULES, cold=2.0, start_capacity=0.1)),
+    settings(me=4, proxies=5, rules=replace(RULES, slow_start=2.0, start_capacity=0.1)),
 ]
 
 
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -30,8 +30,8 @@
     assert second.classes == (READ, PAY, changed) and now == (2,)
     third, now = merged(second, now, settings(classes=(PAY, changed)))  # dropped, and there again
     assert third.classes == (READ, PAY, changed, PAY) and now == (3, 2)
-    assert [cls.worth for cls in retired(third, now).classes] == [0.0, 0.0, 1.0, 1.0]
-    assert retired(third, now).classes[:2] == (replace(READ, worth=0.0), replace(PAY, worth=0.0))
+    assert [cls.value for cls in retired(third, now).classes] == [0.0, 0.0, 1.0, 1.0]
+    assert retired(third, now).classes[:2] == (replace(READ, value=0.0), replace(PAY, value=0.0))
 
 
 def test_tenants_keep_their_numbers_and_the_place_in_the_tier_is_the_same() -> None:
@@ -76,13 +76,13 @@
         files = Files(tmp_path)
         front, old = files.proxy.front, files.data["settings"]["classes"]
         first = old[0]["name"].encode()
-        safe = b"GET" if files.start.classes[0].repeat is api.Repeat.SAFE else b"POST"
+        safe = b"GET" if files.start.classes[0].idempotency is api.Idempotency.SAFE else b"POST"
         files.write(files.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
         assert files.proxy.loads.taken == 1
         assert files.proxy.config.discovery is None  # where the list comes from waits for the next start
-        number = front.read(request(b"/fresh/1", safe))[0].cls
+        number = front.read(request(b"/fresh/1", safe))[0].class_id
         assert files.proxy.engine.settings.classes[number].name == "fresh"
-        assert front.read(request(b"/" + first, safe))[0].cls == 0
+        assert front.read(request(b"/" + first, safe))[0].class_id == 0
         files.proxy._settle(files.proxy.retuned_at)
         with pytest.raises(Fault):
             front.read(request(b"/" + first, safe))
--- a/tests/proxy/test_simulator_adapter.py
+++ b/tests/proxy/test_simulator_adapter.py
@@ -156,8 +156,12 @@
 
 def test_settings_are_read() -> None:
     settings = parse_settings(PARAMS)
-    assert settings.classes[0].aim == 0.5 and settings.classes[1].scope is api.Scope.CELL
-    assert settings.reports is api.Reports.PROBES and settings.ask and not settings.weighted
+    assert (
+        settings.classes[0].latency_target == 0.5 and settings.classes[1].dedup_scope is api.DedupScope.CELL
+    )
+    assert (
+        settings.load_report_source is api.LoadReportSource.PROBES and settings.ask and not settings.weighted
+    )
 
 
 def test_a_fault_in_the_decisions_is_one_instance_s_own(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/rig/test_figures.py
+++ b/tests/rig/test_figures.py
@@ -74,7 +74,7 @@
 
 def test_the_settings_are_those_that_the_program_takes() -> None:
     read = parse_settings(json.loads(json.dumps(settings(500, 2000))))
-    assert [(cls.name, cls.aim, cls.deadline) for cls in read.classes] == [
+    assert [(cls.name, cls.latency_target, cls.deadline) for cls in read.classes] == [
         ("read", 0.5, 2.0),
         ("pay", 0.5, 2.0),
     ]
--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -132,7 +132,7 @@
     """Now and then a request is sent to three boxes at once."""
     others = sorted(self.known - {action.server})[:2] if once_in(60) else []
     for server in (action.server, *others):
-        send(self, api.Send(action.id, server, action.timeout, action.by))
+        send(self, api.Send(action.id, server, action.timeout, action.start_before))
 
 
 def unbind(parse: Any, raw: Any) -> api.Settings:
@@ -141,7 +141,7 @@
     return replace(settings, limits=replace(settings.limits, max_attempts=9))
 
 
-def hold_back(self: Engine[Any, Any], refuse: Any, action: api.Refuse) -> None:
+def hold_back(self: Engine[Any, Any], refuse: Any, action: api.Reject) -> None:
     """Refusals wait until the client would have gone, so that it does not come again."""
     if flow := self.flows.get(action.id):
         self.clock.call_at(flow.deadline - 0.1, refuse, self, action)
@@ -167,7 +167,7 @@
     def ended(self, ending: Any, answer: Any = None) -> None: ...
 
 
-def go_on(self: Engine[Any, Any], refuse: Any, action: api.Refuse) -> None:
+def go_on(self: Engine[Any, Any], refuse: Any, action: api.Reject) -> None:
     """What has been refused is sent to a box all the same, a little later."""
     flow, target = self.flows.get(action.id), min(self.known)
     refuse(self, action)
