--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -26,8 +26,8 @@
     Mutant(
         "an aim of nothing is turned down",
         "firvane/proxy/settings.py",
-        'aim=section.positive("slo-ns"),',
-        'aim=section.span("slo-ns"),',
+        'latency_target=section.positive("slo-ns"),',
+        'latency_target=section.span("slo-ns"),',
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
