--- a/firvane/fleet/controller/configuration_publisher.py
+++ b/firvane/fleet/controller/configuration_publisher.py
@@ -67,7 +67,7 @@
             self._wait_until_current()
             return
         self._agent.publish(Item(CONFIGURATION_KEY, version, self._state.item_payload()))
-        self._log.info("config: version published.", version=version)
+        self._log.info("configuration_version_published", version=version)
 
     def _wait_until_current(self) -> None:
         if not self._is_waiting:
--- a/firvane/fleet/controller/configuration_service.py
+++ b/firvane/fleet/controller/configuration_service.py
@@ -106,15 +106,17 @@
         timeout = PROPOSE_TIMEOUT + PROPOSE_TIMEOUT_PER_MEGABYTE * len(payload) / 1e6
         proposal = await self._replication.propose(CONFIGURATION_PART, payload, timeout)
         if proposal.status is not ProposalStatus.COMMITTED:
-            self._log.warning("config: order not committed.", base=order.base, status=proposal.status.name)
+            self._log.warning(
+                "configuration_order_not_committed", base=order.base, status=proposal.status.name
+            )
             return self._undecided(proposal)
         try:
             result = Result.unpack(proposal.result)
         except RecordError as error:
-            self._log.error("config: result unreadable.", reason=str(error))
+            self._log.error("configuration_result_unreadable", reason=str(error))
             return Outcome(ResultCode.UNCLEAR, self._state.version)
         self._log.info(
-            "config: order decided.", base=order.base, version=result.version, result=result.code.name
+            "configuration_order_decided", base=order.base, version=result.version, result=result.code.name
         )
         return Outcome(result.code, result.version, result.problems)
 
@@ -136,7 +138,7 @@
     def _log_refusal(self, order: Order, result: Result) -> None:
         first = str(result.problems[0]) if result.problems else ""
         self._log.info(
-            "config: order refused.",
+            "configuration_order_rejected",
             base=order.base,
             version=result.version,
             result=result.code.name,
--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -132,8 +132,8 @@
         """Whether an item must not be handed out, since no majority of its part was heard lately."""
         service = service_of(key)
         if service is not None:
-            return not self.host.is_in_contact(part_of(service))
-        return key == CONFIGURATION_KEY and not self.host.is_in_contact(CONFIGURATION_PART)
+            return not self.host.has_quorum_contact(part_of(service))
+        return key == CONFIGURATION_KEY and not self.host.has_quorum_contact(CONFIGURATION_PART)
 
     def _publish_instances(self, item: Item) -> None:
         self.agent.publish(item)
@@ -147,7 +147,7 @@
         await self._until_done("replication", self.host.start)
         host, port = self.options.control
         version = recovered_version(self.state.version, self.host.unapplied(CONFIGURATION_PART))
-        self.log.info("controller: started.", control=f"{host}:{port}", version=version)
+        self.log.info("controller_started", control=f"{host}:{port}", version=version)
 
     async def _until_done(self, part: str, attempt: Callable[[], Awaitable[None]]) -> None:
         """Try again after every fault: a process that ends by itself helps nobody."""
@@ -156,23 +156,23 @@
                 await attempt()
                 return
             except Exception:
-                self.log.exception(f"{part}: not started.")
+                self.log.exception(f"{part}_not_started")
                 await asyncio.sleep(RETRY_START)
 
     async def stop(self) -> None:
         """Hand over, finish what is under way, and leave; within the grace."""
         grace = self.options.grace
         owned = [part for part in ALL_PARTS if self.host.is_owner(part)]
-        self.log.info("controller: stopping.", owned=len(owned))
+        self.log.info("controller_stopping", owned=len(owned))
         try:
             await self.host.hand_over(HAND_OVER_SHARE * grace)
             await self._until_succeeded(owned)
         except Exception:
-            self.log.exception("replication: hand-over failed.")
+            self.log.exception("controller_drain_failed")
         self.server.stop_accepting()
         await self.server.drain(DRAIN_SHARE * grace)
         self.close()
-        self.log.info("controller: stopped.")
+        self.log.info("controller_stopped")
 
     async def _until_succeeded(self, parts: Sequence[int]) -> None:
         """Wait until others own these parts: the call to a successor may be on its way, or be lost once."""
@@ -200,7 +200,7 @@
         self.agent.set_seeds(seeds)
         if self.platform and platform:
             self.platform.set_address(platform)
-        self.log.info("settings: read again.", seeds=len(seeds))
+        self.log.info("settings_reloaded", seeds=len(seeds))
 
     def control_address(self, internal: Address) -> Address:
         """Where the operators call the controller with this internal address."""
@@ -221,7 +221,7 @@
         try:
             tenants = read_tenants(document)
         except ItemError as error:
-            self.log.error("tenancy: configuration unreadable.", version=version, reason=str(error))
+            self.log.error("tenant_configuration_unreadable", version=version, reason=str(error))
             return
         self.tenants_version = version
         self.tenants.configure(tenants)
@@ -237,7 +237,7 @@
         try:
             self._learn_tenants(*unpack_document(item.payload))
         except ItemError as error:
-            self.log.error("tenancy: item unreadable.", version=item.version, reason=str(error))
+            self.log.error("configuration_item_unreadable", version=item.version, reason=str(error))
 
     def _on_record(self, record: ServiceRecord) -> None:
         self.keeper.taken(record)
@@ -256,7 +256,7 @@
             self.tenants.receive(sender, payload)
 
     def _on_owner(self, group: int, own: bool, term: int) -> None:
-        self.log.info("replication: ownership changed.", part=group, own=own, term=term)
+        self.log.info("ownership_changed", part=group, own=own, term=term)
         self.tenants.owner_changed(group, own)
         if group == CONFIGURATION_PART and own:
             self.publisher.publish()
--- a/firvane/fleet/controller/failure_domains.py
+++ b/firvane/fleet/controller/failure_domains.py
@@ -6,7 +6,7 @@
 
 from firvane.core.address import Address
 from firvane.fleet.cluster.agent import Member
-from firvane.fleet.replication.spread import each_alone
+from firvane.fleet.replication.spread import one_domain_per_address
 
 
 class FailureDomains:
@@ -24,7 +24,7 @@
         """The failure domain of a controller; one of its own where nothing is known of it."""
         if address not in self._known:
             self._learn()
-        return self._known.get(address) or each_alone(address)
+        return self._known.get(address) or one_domain_per_address(address)
 
     def _learn(self) -> None:
         for member in self._controllers():
--- a/firvane/fleet/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -39,9 +39,9 @@
 
 _REFUSALS = {
     TransferStart.NOT_LEADER: ResultCode.NO_OWNER,
-    TransferStart.BUSY: ResultCode.NO_SUCCESSOR,
-    TransferStart.UNKNOWN: ResultCode.UNKNOWN_MEMBER,
-    TransferStart.UNFIT: ResultCode.NO_SUCCESSOR,
+    TransferStart.IN_PROGRESS: ResultCode.NO_SUCCESSOR,
+    TransferStart.UNKNOWN_VOTER: ResultCode.UNKNOWN_MEMBER,
+    TransferStart.NO_HEALTHY_VOTER: ResultCode.NO_SUCCESSOR,
 }
 
 
@@ -127,7 +127,7 @@
     async def _transfer(self, order: HandOver, successor: Address | None) -> Outcome:
         transfer = await self._groups.transfer(order.part, successor, HAND_OVER_TIMEOUT)
         self._log.info(
-            "fleet: hand-over ended.",
+            "leadership_transfer_ended",
             part=order.part,
             successor=address_text(successor) if successor else "any",
             start=transfer.start.value,
--- a/firvane/fleet/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -116,7 +116,7 @@
         if len(self.connections) >= self.bounds.connections:
             idle = next((other for other in self.connections if other.state is State.IDLE), None)
             if idle is None:
-                self.log.warning("operator: too many connections.", open=len(self.connections))
+                self.log.warning("operator_connections_exhausted", open=len(self.connections))
                 return False
             idle.abort()
         self.connections.add(connection)
@@ -237,7 +237,7 @@
 
     def _refuse(self, status: int) -> None:
         """Answer bytes that cannot be used, and end the connection."""
-        self.server.log.info("operator: request refused.", status=status)
+        self.server.log.info("operator_request_rejected", status=status)
         if self.transport:
             self.transport.write(encode_response(Response(status), close=True))
         self._close()
@@ -253,7 +253,7 @@
         try:
             response = await self.server.handler(request)
         except Exception:
-            self.server.log.exception("operator: request failed.", path=request.url.decode("latin-1"))
+            self.server.log.exception("operator_request_failed", path=request.url.decode("latin-1"))
             response = Response(500)
         self.task = None
         if self.state is State.HANDLING and self.transport:
--- a/firvane/fleet/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -44,14 +44,14 @@
         """Hold the duty: the first poll begins at once."""
         self._records.take_over(term)
         if self._task is None:
-            self._log.info("instances: poll duty taken over.", term=term)
+            self._log.info("poll_role_acquired", term=term)
             self._task = self._loop.create_task(self._run())
 
     def release(self) -> None:
         """Give the duty up."""
         self._records.release()
         if self._task is not None:
-            self._log.info("instances: poll duty released.")
+            self._log.info("poll_role_released")
             self._task.cancel()
             self._task = None
 
@@ -66,7 +66,7 @@
             try:
                 await self.poll()
             except Exception:
-                self._log.exception("instances: poll failed.")
+                self._log.exception("instance_poll_failed")
             await self._sleep(max(0.0, begun + POLL_INTERVAL - self._loop.time()))
 
     async def poll(self) -> None:
@@ -95,10 +95,10 @@
     async def _wait(self, pause: Pause) -> None:
         if not self._failing:
             self._failing = True
-            self._log.warning("instances: list not available.", reason=pause.reason)
+            self._log.warning("instance_list_unavailable", reason=pause.reason)
         await self._sleep(min(LONGEST_PAUSE, max(0.0, pause.until - self._loop.time())))
 
     def _recovered(self) -> None:
         if self._failing:
             self._failing = False
-            self._log.info("instances: list available again.")
+            self._log.info("instance_list_available")
--- a/firvane/fleet/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -78,7 +78,7 @@
         try:
             instances = decode_instances(item.payload)
         except InstanceRecordError as error:
-            self._log.warning("instances: record unreadable.", service=service, reason=str(error))
+            self._log.warning("instance_record_unreadable", service=service, reason=str(error))
             return []
         self._services.add(service)
         changed = self.table.merge(service, instances)
@@ -92,7 +92,7 @@
         try:
             payload = encode_instances(self.table.record_of(service))
         except InstanceRecordError as error:
-            self._log.error("instances: record not published.", service=service, reason=str(error))
+            self._log.error("instance_record_not_published", service=service, reason=str(error))
             return None
         self._sequence += 1
         return Item(item_key(service), (self._term << SEQUENCE_BITS) | self._sequence, payload)
--- a/firvane/fleet/controller/part_reports.py
+++ b/firvane/fleet/controller/part_reports.py
@@ -43,7 +43,7 @@
 def _replica_report(replica: ReplicaStatus, status: GroupStatus) -> ReplicaReport:
     leads = status.role is Role.LEADER
     synced = replica.synced_index
-    silent = replica.silent_for
+    silent = replica.unresponsive_for_s
     return ReplicaReport(
         address=address_text(replica.member.address),
         incarnation=incarnation_text(replica.member.incarnation),
@@ -63,5 +63,5 @@
 
 
 def _troubles(replica: ReplicaStatus) -> list[str]:
-    found = {DISK: replica.disk_trouble, SUPERSEDED: replica.superseded, LEAVING: replica.leaving}
+    found = {DISK: replica.disk_fault, SUPERSEDED: replica.superseded, LEAVING: replica.draining}
     return [name for name, present in found.items() if present]
--- a/firvane/fleet/controller/record_keeper.py
+++ b/firvane/fleet/controller/record_keeper.py
@@ -105,7 +105,7 @@
         if not self._replication.is_current(part):
             self._loop.call_later(CURRENT_RETRY, self._publish, item)
             return
-        self._log.info("instances: record restored.", service=service)
+        self._log.info("instance_record_restored", service=service)
         self._agent.publish(item)
 
     def _outdated(self, part: int) -> ServiceRecord | None:
@@ -123,7 +123,7 @@
                     self._loop.call_later(RETRY_DELAY, self.store, part)
                     return
         except PartError as error:
-            self._log.error("instances: record not kept.", part=part, reason=str(error))
+            self._log.error("instance_record_not_replicated", part=part, reason=str(error))
         finally:
             del self._tasks[part]
 
--- a/firvane/fleet/controller/replicated_configuration.py
+++ b/firvane/fleet/controller/replicated_configuration.py
@@ -23,7 +23,7 @@
         try:
             result = self.state.apply(index, payload)
         except Exception:
-            self._log.exception("config: order not applied.", index=index)
+            self._log.exception("configuration_order_not_applied", index=index)
             return Result(ResultCode.UNREADABLE_RECORD, before).pack()
         self._tell(before)
         return result
--- a/firvane/fleet/controller/replication.py
+++ b/firvane/fleet/controller/replication.py
@@ -32,9 +32,9 @@
 from firvane.fleet.replication.group import Actions, ReplicatedGroup
 from firvane.fleet.replication.messages import Envelope
 from firvane.fleet.replication.proposals import Proposal, ProposalStatus, StateMachine
-from firvane.fleet.replication.records import encode_birth, encode_write
+from firvane.fleet.replication.records import encode_origin, encode_write
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
-from firvane.fleet.replication.spread import DomainOf, each_alone
+from firvane.fleet.replication.spread import DomainOf, one_domain_per_address
 from firvane.fleet.replication.status import GroupStatus, group_status
 from firvane.fleet.replication.transfer import TransferStart
 from firvane.fleet.replication.types import Member, Timing
@@ -81,7 +81,7 @@
         target_size: int,
         send: Callable[[Address, bytes], None],
         candidates: Callable[[], Sequence[Address]],
-        domain_of: DomainOf = each_alone,
+        domain_of: DomainOf = one_domain_per_address,
         on_owner: Callable[[int, bool, int], None],
         log: Log,
     ) -> None:
@@ -95,8 +95,8 @@
         self._log = log
         self._random = random.Random(os.urandom(16))
         self._groups: dict[int, ReplicatedGroup] = {}
-        self._founder = first_start and own in seeds
-        self._opener = JournalOpener(directory, self._founder, self._opened_in_thread, log)
+        self._may_bootstrap = first_start and own in seeds
+        self._opener = JournalOpener(directory, self._may_bootstrap, self._opened_in_thread, log)
         self._writer = JournalWriter(self._done_in_thread, self._refused_in_thread)
         self._all_open = asyncio.Event()
         self._opening: set[int] = set()
@@ -127,7 +127,7 @@
         try:
             envelopes = decode_payload(payload)
         except DecodeError as error:
-            self._log.warning("replication: payload dropped.", sender=sender, reason=str(error))
+            self._log.warning("replication_payload_dropped", sender=sender, reason=str(error))
             return
         now = time.monotonic()
         for envelope in envelopes:
@@ -150,10 +150,10 @@
         known = self._groups.get(group)
         return known is not None and known.is_owner(time.monotonic())
 
-    def is_in_contact(self, group: int) -> bool:
+    def has_quorum_contact(self, group: int) -> bool:
         """Whether a majority of the group has been heard lately, directly or through its owner."""
         known = self._groups.get(group)
-        return known is not None and known.is_in_contact(time.monotonic(), CONTACT_PATIENCE)
+        return known is not None and known.has_quorum_contact(time.monotonic(), CONTACT_PATIENCE)
 
     def is_current(self, group: int) -> bool:
         """Whether the state that is applied here was the newest of a majority lately."""
@@ -193,7 +193,7 @@
         until = time.monotonic() + timeout
         start, actions = known.transfer(successor, time.monotonic())
         self._perform(group, actions)
-        while start is TransferStart.BEGUN and (left := until - time.monotonic()) > 0:
+        while start is TransferStart.STARTED and (left := until - time.monotonic()) > 0:
             if known.owner not in (None, self._own):
                 return Transfer(start, known.owner)
             self._turn_ended.clear()
@@ -205,7 +205,7 @@
         """Name successors of all that is owned, and let a spare controller take this one's place."""
         started = time.monotonic()
         for number, group in self._groups.items():
-            self._perform(number, group.hand_over(started))
+            self._perform(number, group.start_draining(started))
         until = started + timeout
         while (now := time.monotonic()) < until and self._is_needed(now - started):
             self._turn_ended.clear()
@@ -252,8 +252,8 @@
             future = self._futures.get((number, resolved.token))
             if future is not None and not future.done():
                 future.set_result(resolved.proposal)
-        for event, fields in actions.events:
-            self._log.info(f"replication: {event}.", group=number, **_readable(fields))
+        for event in actions.events:
+            self._log.info(event.name, group=number, **_readable(event.fields))
         for owned, term in actions.owner_changes:
             self._tell_owner(number, owned, term)
         if not self._turn_pending and not self._closed:
@@ -264,7 +264,7 @@
         try:
             self._on_owner(number, owned, term)
         except Exception:
-            self._log.exception("replication: owner callback failed.", group=number)
+            self._log.exception("ownership_callback_failed", group=number)
 
     def _end_turn(self) -> None:
         """Send what this turn has brought, and set the timer."""
@@ -324,10 +324,10 @@
     def _write(self, number: int, write: Write) -> None:
         records = encode_write(write)
         if write.snapshot is not None:
-            records.insert(0, encode_birth(self._groups[number].replica.core.founder))
+            records.insert(0, encode_origin(self._groups[number].replica.core.may_bootstrap))
             self._writer.compact(number, write.sequence, encode_snapshot(write.snapshot), records)
         elif write.sequence == OWN_WRITE:
-            self._writer.settle(number, write.sequence)
+            self._writer.sync_recovered(number, write.sequence)
         else:
             self._writer.append(number, write.sequence, records)
 
@@ -343,7 +343,7 @@
         try:
             group = ReplicatedGroup(replica, self._machines[number], self._random.getrandbits(64))
         except ValueError as error:
-            self._log.error("replication: state of another version, left.", group=number, reason=str(error))
+            self._log.error("replicated_state_unsupported", group=number, reason=str(error))
             return
         self._groups[number] = group
         self._writer.add(number, opened.journal)
@@ -360,7 +360,7 @@
             return
         if number in self._refusing:
             self._refusing.discard(number)
-            self._log.info("replication: disk takes writes again.", group=number)
+            self._log.info("disk_writes_recovered", group=number)
         self._perform(number, self._groups[number].confirm(sequence, time.monotonic()))
 
     def _refused_in_thread(self, number: int, error: OSError) -> None:
@@ -371,8 +371,8 @@
             return
         if number not in self._refusing:
             self._refusing.add(number)
-            self._log.warning("replication: disk refuses writes.", group=number, reason=str(error))
-        self._perform(number, self._groups[number].disk_refused(time.monotonic()))
+            self._log.warning("disk_writes_failing", group=number, reason=str(error))
+        self._perform(number, self._groups[number].on_disk_error(time.monotonic()))
 
     def _to_loop(self, call: Callable[[], None]) -> None:
         with contextlib.suppress(RuntimeError):  # the loop is closed
--- a/firvane/fleet/controller/replication_opening.py
+++ b/firvane/fleet/controller/replication_opening.py
@@ -13,10 +13,10 @@
 from firvane.core import process_signals
 from firvane.core.logs import Log
 from firvane.fleet.replication.core import Recovered
-from firvane.fleet.replication.errors import DecodeError, UnknownRecordError
-from firvane.fleet.replication.records import decode_journal, encode_birth
+from firvane.fleet.replication.errors import DecodeError, UnsupportedRecordError
+from firvane.fleet.replication.records import decode_journal, encode_origin
 from firvane.fleet.replication.types import NOBODY
-from firvane.fleet.storage.errors import DamagedJournalError, UnknownFormatError
+from firvane.fleet.storage.errors import CorruptJournalError, UnsupportedFormatError
 from firvane.fleet.storage.filesystem import FileSystem, SystemFileSystem
 from firvane.fleet.storage.journal import Journal, create_journal, open_journal
 
@@ -39,37 +39,47 @@
 
 
 def open_or_create(
-    files: FileSystem, folder: str, founder: bool, incarnation: int, log: Log
+    files: FileSystem, folder: str, may_bootstrap: bool, incarnation: int, log: Log
 ) -> OpenedJournal:
-    """The journal in a folder, or a new one of this incarnation.
+    """Open the journal in a folder, or create one of this incarnation.
 
-    One that is damaged is given up: the replica joins again as another member. One of a format that is not
-    known is neither read nor given up (`UnknownFormatError`). `founder` says whether a folder that holds
-    nothing is one of the first start of the whole system.
+    A corrupt journal is discarded: the replica joins again as another member. One of an unknown format is
+    neither read nor discarded.
+
+    Args:
+        files: The file system.
+        folder: The folder of the journal.
+        may_bootstrap: Whether an empty folder is one of the first start of the whole system.
+        incarnation: The identity of a journal that is created.
+        log: The log.
+
+    Raises:
+        UnsupportedFormatError: If a program of another version wrote the journal.
+        OSError: If the file system fails.
     """
     try:
         found = open_journal(files, folder)
         if found is not None:
-            journal, contents = found
-            return OpenedJournal(journal, decode_journal(contents.snapshot, contents.records), False)
-    except UnknownRecordError as error:
-        raise UnknownFormatError(str(error)) from error
-    except (DamagedJournalError, DecodeError) as error:
-        log.error("replication: journal damaged, given up.", folder=folder, reason=str(error))
-        founder = False
-    journal = create_journal(files, folder, incarnation, [encode_birth(founder)])
-    log.info("replication: journal created.", folder=folder, founder=founder)
-    return OpenedJournal(journal, Recovered(founder=founder), True)
+            recovered = decode_journal(found.contents.snapshot, found.contents.records)
+            return OpenedJournal(found.journal, recovered, False)
+    except UnsupportedRecordError as error:
+        raise UnsupportedFormatError(str(error)) from error
+    except (CorruptJournalError, DecodeError) as error:
+        log.error("journal_corrupt", folder=folder, reason=str(error))
+        may_bootstrap = False
+    journal = create_journal(files, folder, incarnation, [encode_origin(may_bootstrap)])
+    log.info("journal_created", folder=folder, may_bootstrap=may_bootstrap)
+    return OpenedJournal(journal, Recovered(may_bootstrap=may_bootstrap), True)
 
 
 class JournalOpener:
     """Opens journals in the background; `on_open` is called in the opening thread."""
 
     def __init__(
-        self, directory: Path, founder: bool, on_open: Callable[[int, OpenedJournal], None], log: Log
+        self, directory: Path, may_bootstrap: bool, on_open: Callable[[int, OpenedJournal], None], log: Log
     ) -> None:
         self._directory = directory
-        self._founder = founder
+        self._may_bootstrap = may_bootstrap
         self._on_open = on_open
         self._log = log
         self._closed = threading.Event()
@@ -92,16 +102,16 @@
         warned = False
         while not self._closed.is_set():
             try:
-                opened = open_or_create(files, folder, self._founder, new_incarnation(), self._log)
+                opened = open_or_create(files, folder, self._may_bootstrap, new_incarnation(), self._log)
             except OSError as error:
                 if not warned:
-                    self._log.warning("replication: journal not opened.", group=group, reason=str(error))
+                    self._log.warning("journal_not_opened", group=group, reason=str(error))
                     warned = True
                 time.sleep(RETRY_INTERVAL)
                 continue
-            except UnknownFormatError as error:
+            except UnsupportedFormatError as error:
                 self._log.error(
-                    "replication: journal of another version, left as it is.",
+                    "journal_format_unsupported",
                     folder=folder,
                     reason=str(error),
                 )
--- a/firvane/fleet/controller/tenant_service.py
+++ b/firvane/fleet/controller/tenant_service.py
@@ -116,7 +116,7 @@
         try:
             record = decode(payload)
         except TenancyError as error:
-            self._log.warning("tenancy: record dropped.", reason=str(error))
+            self._log.warning("tenancy_record_dropped", reason=str(error))
             return
         match record:
             case Question(nonce):
--- a/firvane/fleet/replication/__init__.py
+++ b/firvane/fleet/replication/__init__.py
@@ -1,4 +1,4 @@
-"""Replication of one small state machine: a replica of the group as a pure state machine.
+"""Consensus replication (Raft) of one small state machine; a replica is itself a pure state machine.
 
 `docs/replication.md` states the protocol and its rules. Nothing here reads a clock, opens a socket or a file.
 """
--- a/firvane/fleet/replication/candidacy.py
+++ b/firvane/fleet/replication/candidacy.py
@@ -1,4 +1,4 @@
-"""A candidate's side of elections: first a pre-vote, which changes nothing, then a vote in a new term."""
+"""The candidate's side of elections: a pre-vote, which changes no state, then a vote in a new term."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Phase(enum.Enum):
-    """How far a candidate has come."""
+    """The phase of a candidacy."""
 
     PRE_VOTE = 1
     VOTE = 2
 
 
 class Candidacy:
-    """One attempt to be elected; `deadline` is when it is given up."""
+    """One attempt to be elected; it is abandoned at `deadline`."""
 
     def __init__(self, core: Core, phase: Phase, transfer: bool, now: float) -> None:
         self.core = core
@@ -26,39 +26,39 @@
         timing = core.timing
         if phase is Phase.PRE_VOTE:
             self.term = core.term + 1
-            self.deadline = now + core.uniform(timing.pre_vote_minimum, timing.pre_vote_maximum)
+            self.deadline = now + core.uniform(timing.pre_vote_timeout_min_s, timing.pre_vote_timeout_max_s)
             self.granted.add(core.identity.incarnation)
-            self._ask(PreVote(self.term, core.log.last_index, core.log.last_term))
+            self._request(PreVote(self.term, core.log.last_index, core.log.last_term))
         else:
             self.term = core.term + 1
-            self.deadline = now + core.uniform(timing.vote_minimum, timing.vote_maximum)
+            self.deadline = now + core.uniform(timing.vote_timeout_min_s, timing.vote_timeout_max_s)
             core.adopt(self.term, core.identity.incarnation, now)
             self._own_vote_write = core.writes.sequence
-            self._ask(Vote(self.term, core.log.last_index, core.log.last_term, transfer))
+            self._request(Vote(self.term, core.log.last_index, core.log.last_term, transfer))
 
-    def _ask(self, request: Message) -> None:
+    def _request(self, request: Message) -> None:
         for member in self.core.log.members:
             if member != self.core.identity:
                 self.core.send(member, request)
 
     def on_pre_vote_reply(self, sender: Member, reply: PreVoteReply) -> None:
-        """Count a promise."""
+        """Count a granted pre-vote."""
         if self.phase is Phase.PRE_VOTE and reply.granted and reply.proposed == self.term:
             self.granted.add(sender.incarnation)
 
     def on_vote_reply(self, sender: Member, reply: VoteReply) -> None:
-        """Count a vote."""
+        """Count a granted vote."""
         if self.phase is Phase.VOTE and reply.granted and reply.term == self.term:
             self.granted.add(sender.incarnation)
 
     def on_synced(self) -> None:
-        """Count the own vote once it is synced."""
+        """Count this replica's own vote once it is synced."""
         if self.phase is Phase.VOTE and self.core.writes.synced_sequence >= self._own_vote_write:
             self.granted.add(self.core.identity.incarnation)
 
     @property
     def won(self) -> bool:
-        """Whether a majority of the voters in force has granted it, the own synced vote included."""
+        """Whether a majority of the voters has granted it, this replica's own synced vote included."""
         votes = sum(member.incarnation in self.granted for member in self.core.log.members)
         own = self.core.identity.incarnation in self.granted
         return own and votes >= self.core.quorum
--- a/firvane/fleet/replication/codec.py
+++ b/firvane/fleet/replication/codec.py
@@ -1,14 +1,14 @@
 """Codec of the payloads between two controllers: a version byte, then any number of envelopes.
 
-An envelope is the group, the type of the message, both incarnations and the length of the body. Whatever
-cannot be read raises `DecodeError`.
+An envelope is the group, the type of the message, both incarnations, the length of the body and the body.
+Malformed bytes raise `DecodeError`.
 """
 
 from __future__ import annotations
 
 import struct
 from collections.abc import Callable, Sequence
-from typing import Any
+from typing import Any, NamedTuple
 
 from firvane.fleet.replication.entry_codec import (
     decode_entries,
@@ -23,10 +23,10 @@
     AppendReply,
     Beacon,
     BeaconReply,
+    DrainNotice,
     Envelope,
     InstallSnapshot,
     Introduction,
-    Leave,
     Message,
     PreVote,
     PreVoteReply,
@@ -38,7 +38,10 @@
 )
 
 VERSION = 1
-MAXIMUM_BODY = 64_000_000  # bytes of one message
+MAX_BODY_BYTES = 64_000_000
+_ENVELOPE_BYTES = 64  # estimate for a message without entries
+_SNAPSHOT_ENVELOPE_BYTES = 256  # estimate beside the state
+_ENTRY_HEAD_BYTES = 24  # estimate beside the payload
 _VERSION_BYTE = bytes((VERSION,))
 _HEAD = struct.Struct("<HBQQI")  # group, type, incarnations of receiver and sender, length of the body
 _TERM = struct.Struct("<Q")
@@ -54,7 +57,7 @@
 
 
 def encode_payload(envelopes: Sequence[Envelope]) -> bytes:
-    """One payload with all these envelopes."""
+    """Encode all the envelopes into one payload."""
     parts = [_VERSION_BYTE]
     for envelope in envelopes:
         number, encode = _ENCODERS[type(envelope.message)]
@@ -67,17 +70,17 @@
 
 
 def encoded_size(envelope: Envelope) -> int:
-    """About how many bytes an envelope takes."""
+    """Estimate the encoded size of an envelope in bytes."""
     message = envelope.message
     if isinstance(message, Append):
-        return 64 + sum(len(entry.payload) + 24 for entry in message.entries)
+        return _ENVELOPE_BYTES + sum(len(entry.payload) + _ENTRY_HEAD_BYTES for entry in message.entries)
     if isinstance(message, InstallSnapshot):
-        return 256 + len(message.snapshot.state)
-    return 64
+        return _SNAPSHOT_ENVELOPE_BYTES + len(message.snapshot.state)
+    return _ENVELOPE_BYTES
 
 
 def decode_payload(payload: bytes) -> list[Envelope]:
-    """All envelopes of a payload."""
+    """Decode all envelopes of a payload; `DecodeError` if it is malformed."""
     if not payload or payload[0] != VERSION:
         raise DecodeError("not a replication payload of this version")
     envelopes = []
@@ -88,7 +91,7 @@
         group, number, to_incarnation, from_incarnation, length = _HEAD.unpack_from(payload, position)
         position += _HEAD.size
         decode = _DECODERS.get(number)
-        if decode is None or length > MAXIMUM_BODY or length > len(payload) - position:
+        if decode is None or length > MAX_BODY_BYTES or length > len(payload) - position:
             raise DecodeError("an unknown type or a body that is cut off")
         body = payload[position : position + length]
         position += length
@@ -137,53 +140,64 @@
     return InstallSnapshot(term, sent_at, decode_snapshot(body[_TIMED.size :]))
 
 
-_Encode = Callable[[Any], bytes]
-_Decode = Callable[[bytes], Message]
-_CODECS: list[tuple[type, int, _Encode, _Decode]] = [
-    (
+class _MessageCodec(NamedTuple):
+    """The wire type of a message with its encoder and decoder."""
+
+    message_type: type
+    number: int
+    encode: Callable[[Any], bytes]
+    decode: Callable[[bytes], Message]
+
+
+_CODECS = (
+    _MessageCodec(
         PreVote,
         1,
         lambda m: _PRE_VOTE.pack(m.term, m.last_index, m.last_term),
         lambda b: PreVote(*_PRE_VOTE.unpack(b)),
     ),
-    (PreVoteReply, 2, _encode_pre_vote_reply, _decode_pre_vote_reply),
-    (
+    _MessageCodec(PreVoteReply, 2, _encode_pre_vote_reply, _decode_pre_vote_reply),
+    _MessageCodec(
         Vote,
         3,
         lambda m: _VOTE.pack(m.term, m.last_index, m.last_term, m.transfer),
         lambda b: Vote(*_VOTE.unpack(b)),
     ),
-    (
+    _MessageCodec(
         VoteReply,
         4,
         lambda m: _VOTE_REPLY.pack(m.term, m.granted),
         lambda b: VoteReply(*_VOTE_REPLY.unpack(b)),
     ),
-    (Append, 5, _encode_append, _decode_append),
-    (
+    _MessageCodec(Append, 5, _encode_append, _decode_append),
+    _MessageCodec(
         AppendReply,
         6,
-        lambda m: _APPEND_REPLY.pack(m.term, m.echo, m.accepted, m.received, m.synced, m.disk_trouble),
+        lambda m: _APPEND_REPLY.pack(
+            m.term, m.echo, m.accepted, m.received_index, m.synced_index, m.disk_fault
+        ),
         lambda b: AppendReply(*_APPEND_REPLY.unpack(b)),
     ),
-    (InstallSnapshot, 7, _encode_install, _decode_install),
-    (TimeoutNow, 8, lambda m: _TERM.pack(m.term), lambda b: TimeoutNow(*_TERM.unpack(b))),
-    (Beacon, 9, lambda m: _TIMED.pack(m.term, m.sent_at), lambda b: Beacon(*_TIMED.unpack(b))),
-    (BeaconReply, 10, lambda m: _TIMED.pack(m.term, m.echo), lambda b: BeaconReply(*_TIMED.unpack(b))),
-    (
+    _MessageCodec(InstallSnapshot, 7, _encode_install, _decode_install),
+    _MessageCodec(TimeoutNow, 8, lambda m: _TERM.pack(m.term), lambda b: TimeoutNow(*_TERM.unpack(b))),
+    _MessageCodec(Beacon, 9, lambda m: _TIMED.pack(m.term, m.sent_at), lambda b: Beacon(*_TIMED.unpack(b))),
+    _MessageCodec(
+        BeaconReply, 10, lambda m: _TIMED.pack(m.term, m.echo), lambda b: BeaconReply(*_TIMED.unpack(b))
+    ),
+    _MessageCodec(
         ReadRequest,
         11,
         lambda m: _READ_REQUEST.pack(m.term, m.token),
         lambda b: ReadRequest(*_READ_REQUEST.unpack(b)),
     ),
-    (
+    _MessageCodec(
         ReadReply,
         12,
         lambda m: _READ_REPLY.pack(m.term, m.token, m.index),
         lambda b: ReadReply(*_READ_REPLY.unpack(b)),
     ),
-    (Leave, 13, lambda m: _TERM.pack(m.term), lambda b: Leave(*_TERM.unpack(b))),
-    (Introduction, 14, lambda m: _TERM.pack(m.term), lambda b: Introduction(*_TERM.unpack(b))),
-]
-_ENCODERS: dict[type, tuple[int, _Encode]] = {kind: (number, encode) for kind, number, encode, _ in _CODECS}
-_DECODERS: dict[int, _Decode] = {number: decode for _, number, _, decode in _CODECS}
+    _MessageCodec(DrainNotice, 13, lambda m: _TERM.pack(m.term), lambda b: DrainNotice(*_TERM.unpack(b))),
+    _MessageCodec(Introduction, 14, lambda m: _TERM.pack(m.term), lambda b: Introduction(*_TERM.unpack(b))),
+)
+_ENCODERS = {codec.message_type: (codec.number, codec.encode) for codec in _CODECS}
+_DECODERS = {codec.number: codec.decode for codec in _CODECS}
--- a/firvane/fleet/replication/core.py
+++ b/firvane/fleet/replication/core.py
@@ -1,8 +1,9 @@
-"""The state that all roles of a replica share, and what it wants its driver to do."""
+"""The state shared by all roles of a replica, and the outputs for its driver."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
 from msgspec import Struct, field
 
@@ -21,14 +22,15 @@
     quorum_of,
 )
 
-MAXIMUM_HELD = 256  # messages that wait for a sync; the oldest are dropped, as the network might
+MAX_MESSAGES_AWAITING_SYNC = 256  # the oldest are dropped, as the network might
 
 
 class Write(Struct):
-    """What the driver has to sync, in the order of `sequence`.
+    """A write that the driver must sync, in the order of `sequence`.
 
-    With a `snapshot` the whole state is written anew: the snapshot, the hard state, and the entries that
-    follow it; without, the hard state where it has changed, and entries that replace all from the first on.
+    With a `snapshot` the journal is rewritten: the snapshot, the hard state, and the entries that follow it.
+    Without one, the write holds the hard state if it has changed, and entries that replace all stored ones
+    from the index of the first on.
     """
 
     sequence: int
@@ -38,41 +40,48 @@
 
 
 class ReadReady(Struct):
-    """A read is linearizable once the entry `index` has been applied here."""
+    """A read is linearizable once the entry `index` has been applied."""
 
     token: int
     index: int
 
 
+class LogEvent(NamedTuple):
+    """An event for the log, with its fields."""
+
+    name: str
+    fields: dict[str, object]
+
+
 class Outputs(Struct):
-    """What came of the inputs since the last time; the lists are in order."""
+    """The results of the inputs since the last call of `take_outputs`; the lists are in order."""
 
     writes: list[Write] = field(default_factory=list)
     messages: list[Outgoing] = field(default_factory=list)
     reads: list[ReadReady] = field(default_factory=list)
-    events: list[tuple[str, dict[str, object]]] = field(default_factory=list)  # for the log
-    installed: Snapshot | None = None  # to be loaded by the state machine before anything else
+    events: list[LogEvent] = field(default_factory=list)
+    installed: Snapshot | None = None  # must be loaded by the state machine before anything else
 
 
 class Recovered(Struct, frozen=True):
-    """What a replica finds on its disk.
+    """The state that a replica recovers from its disk.
 
-    `founder`: its folder was new at the first start of the whole system.
+    `may_bootstrap`: its folder was created at the first start of the whole system.
     """
 
-    founder: bool = False
+    may_bootstrap: bool = False
     hard_state: HardState = NO_HARD_STATE
     snapshot: Snapshot | None = None
     entries: tuple[Entry, ...] = ()
 
     @property
-    def blank(self) -> bool:
-        """Nothing was ever said on the strength of this disk."""
+    def is_empty(self) -> bool:
+        """Whether this disk never stored a term, a vote or an entry: no message can have depended on it."""
         return not (self.entries or self.snapshot or self.hard_state.term)
 
 
 class Core:
-    """Identity, hard state, log, commit index and outputs; no decision."""
+    """Identity, hard state, log, commit index and outputs; takes no decisions of the protocol."""
 
     def __init__(
         self,
@@ -85,47 +94,53 @@
         self.identity = identity
         self.timing = timing
         self.uniform = uniform  # a random number between two bounds
-        self.founder = recovered.founder
+        self.may_bootstrap = recovered.may_bootstrap
         self.hard_state = recovered.hard_state
         self.log = ReplicatedLog(recovered.snapshot, recovered.entries)
         self.commit_index = self.log.base_index
         self.writes = WriteTracker()
-        self.disk_refuses = False  # the driver's word: the last write was refused
+        self.disk_rejects_writes = False  # whether the last write failed
         self.outputs = Outputs()
-        self._held: list[tuple[int, Outgoing]] = []
+        self._awaiting_sync: list[tuple[int, Outgoing]] = []  # with the write that each waits for
         self._written_hard_state = recovered.hard_state
-        self.persist(now)  # an empty write: its confirmation says that what was read back is synced
+        self.persist(now)  # an empty write: once it is confirmed, the recovered state is synced
 
-    # What is known
+    # State
 
     @property
     def term(self) -> int:
+        """The current term."""
         return self.hard_state.term
 
     @property
     def quorum(self) -> int:
+        """The number of voters in a majority."""
         return quorum_of(len(self.log.members))
 
     def is_voter(self, incarnation: int) -> bool:
+        """Whether the log names a replica as a voter."""
         return any(member.incarnation == incarnation for member in self.log.members)
 
     @property
     def is_own_voter(self) -> bool:
+        """Whether the log names this replica as a voter."""
         return self.is_voter(self.identity.incarnation)
 
     def up_to_date(self, last_index: int, last_term: int) -> bool:
-        """Whether a log that ends so lacks nothing that this one has."""
+        """Whether a log with this end is at least as up to date as this one (Raft, 5.4.1)."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
-    def disk_trouble(self, now: float) -> bool:
-        """Whether the own disk refuses writes or has left one unsynced for long."""
-        since = self.writes.waiting_since()
-        return self.disk_refuses or (since is not None and now - since > self.timing.disk_stall)
+    def disk_fault(self, now: float) -> bool:
+        """Whether the own disk rejects writes, or has left one unsynced beyond the stall timeout."""
+        since = self.writes.pending_since()
+        return self.disk_rejects_writes or (
+            since is not None and now - since > self.timing.disk_stall_timeout_s
+        )
 
     # Writing
 
     def persist(self, now: float, entries: tuple[Entry, ...] = (), snapshot: Snapshot | None = None) -> int:
-        """Hand the hard state, if it has changed, and entries to the disk; the write's number."""
+        """Issue a write of the hard state, if it has changed, and of entries; returns its sequence number."""
         changed = snapshot is not None or self.hard_state != self._written_hard_state
         self._written_hard_state = self.hard_state
         sequence = self.writes.issue(self.log.last_index, self.hard_state, now)
@@ -134,50 +149,50 @@
         return sequence
 
     def adopt(self, term: int, vote: int, now: float) -> None:
-        """Take a term and a vote in it, and hand both to the disk."""
+        """Adopt a term with a vote in it, and persist both."""
         self.hard_state = HardState(term, vote)
         self.persist(now)
 
     def append(self, entries: Sequence[Entry], now: float) -> int:
-        """Add entries to the log and hand them to the disk."""
+        """Append entries to the log and persist them; returns the sequence number of the write."""
         self.log.append(entries)
         return self.persist(now, tuple(entries))
 
     # Sending
 
     def send(self, to: Member, message: Message) -> None:
-        """Send once the present term and vote are synced: at once, as a rule."""
+        """Send once the current term and vote are synced, which they usually are already."""
         if self.writes.synced_hard_state == self.hard_state:
             self.outputs.messages.append(Outgoing(to, message))
         else:
             self.send_when_synced(to, message)
 
     def send_to_address(self, address: Address, message: Message) -> None:
-        """Send to whoever answers at an address."""
+        """Send to any replica at an address."""
         self.send(Member(address, NOBODY), message)
 
     def send_when_synced(self, to: Member, message: Message) -> None:
-        """Send once all that was handed to the disk until now is synced."""
+        """Send once all writes issued so far are synced."""
         if self.writes.synced_sequence >= self.writes.sequence:
             self.outputs.messages.append(Outgoing(to, message))
             return
-        self._held.append((self.writes.sequence, Outgoing(to, message)))
-        del self._held[:-MAXIMUM_HELD]
+        self._awaiting_sync.append((self.writes.sequence, Outgoing(to, message)))
+        del self._awaiting_sync[:-MAX_MESSAGES_AWAITING_SYNC]
 
     def confirm(self, sequence: int, now: float) -> None:
         """The disk has synced all writes up to `sequence`."""
-        self.disk_refuses = False
+        self.disk_rejects_writes = False
         self.writes.confirm(sequence, now)
-        if self._held:
+        if self._awaiting_sync:
             synced = self.writes.synced_sequence
-            self.outputs.messages += [outgoing for held, outgoing in self._held if held <= synced]
-            self._held = [item for item in self._held if item[0] > synced]
+            self.outputs.messages += [outgoing for write, outgoing in self._awaiting_sync if write <= synced]
+            self._awaiting_sync = [item for item in self._awaiting_sync if item[0] > synced]
 
     def log_event(self, event: str, **fields: object) -> None:
-        """An event for the log."""
-        self.outputs.events.append((event, fields))
+        """Add an event to the outputs, for the driver's log."""
+        self.outputs.events.append(LogEvent(event, fields))
 
     def take_outputs(self) -> Outputs:
-        """The outputs since the last call."""
+        """Return and clear the outputs."""
         outputs, self.outputs = self.outputs, Outputs()
         return outputs
--- a/firvane/fleet/replication/entry_codec.py
+++ b/firvane/fleet/replication/entry_codec.py
@@ -1,11 +1,11 @@
-"""Codec of entries and snapshots, as they travel and as they lie on the disk."""
+"""Codec of log entries and snapshots, the same in messages and on the disk."""
 
 from __future__ import annotations
 
 import struct
 
 from firvane.fleet.replication.errors import DecodeError
-from firvane.fleet.replication.members_codec import decode_members, encode_members
+from firvane.fleet.replication.members_codec import MEMBER_SIZE, decode_members, encode_members
 from firvane.fleet.replication.types import Entry, EntryKind, Snapshot
 
 _ENTRY = struct.Struct("<QQBI")  # index, term, kind, length of the payload
@@ -14,12 +14,12 @@
 
 
 def encode_entry(entry: Entry) -> bytes:
-    """One entry."""
+    """Encode one entry."""
     return _ENTRY.pack(entry.index, entry.term, entry.kind, len(entry.payload)) + entry.payload
 
 
 def decode_entries(data: bytes, position: int = 0) -> tuple[Entry, ...]:
-    """All entries from `position` on; `DecodeError` where they do not end with the data."""
+    """Decode all entries from `position` on; `DecodeError` if one is malformed or cut off."""
     entries = []
     while position < len(data):
         if len(data) - position < _ENTRY.size:
@@ -38,7 +38,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """A snapshot with its voters and its state."""
+    """Encode a snapshot with its voters and its state."""
     members = encode_members(snapshot.members)
     head = _SNAPSHOT.pack(
         snapshot.index, snapshot.term, snapshot.members_index, members[0], len(snapshot.state)
@@ -47,11 +47,11 @@
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """The snapshot in `data`; `DecodeError` where it is none."""
+    """Decode a snapshot; `DecodeError` if it is malformed."""
     if len(data) < _SNAPSHOT.size:
         raise DecodeError("a snapshot is cut off")
     index, term, members_index, count, length = _SNAPSHOT.unpack_from(data)
-    start = _SNAPSHOT.size + 14 * count
+    start = _SNAPSHOT.size + MEMBER_SIZE * count
     if len(data) != start + length:
         raise DecodeError("a snapshot of another length than it says")
     members = decode_members(bytes((count,)) + data[_SNAPSHOT.size : start])
--- a/firvane/fleet/replication/errors.py
+++ b/firvane/fleet/replication/errors.py
@@ -1,15 +1,19 @@
-"""Errors of replication, each with a reason in plain words."""
+"""Errors of replication."""
 
 from __future__ import annotations
 
 
-class DecodeError(ValueError):
-    """Bytes that are no message or record of this version."""
+class ReplicationError(Exception):
+    """Base of all errors of this package."""
 
 
-class UnknownRecordError(DecodeError):
-    """A whole record of a version that this program does not know."""
+class DecodeError(ReplicationError, ValueError):
+    """The bytes are not a valid message or record of this version."""
 
 
-class ReplicationInvariantError(RuntimeError):
-    """Something that the protocol rules out has happened; the replica must not go on."""
+class UnsupportedRecordError(DecodeError):
+    """A complete record has a version that this program does not know."""
+
+
+class ReplicationInvariantError(ReplicationError, RuntimeError):
+    """A state that the protocol rules out was reached; the replica must stop."""
--- a/firvane/fleet/replication/following.py
+++ b/firvane/fleet/replication/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: entries and snapshots from the leader, acknowledged once synced."""
+"""The follower's side of replication: entries and snapshots from the leader, acknowledged once synced."""
 
 from __future__ import annotations
 
@@ -9,34 +9,34 @@
 
 
 class Follower:
-    """What one leader's term has brought; a new one is made for each leader."""
+    """Replication from one leader in one term; each leader gets its own object."""
 
     def __init__(self, core: Core, leader: Member) -> None:
         self.core = core
         self.leader = leader
-        self.fed_at = float("-inf")  # when the leader last sent something of its log, a heartbeat included
-        self._agreed = 0  # the log is known to agree with the leader's up to here
-        self._owed: float | None = None  # an acknowledgement that waits for the disk; the echo it will carry
-        self._owed_write = 0  # the write that it waits for
+        self.last_append_at = float("-inf")  # monotonic seconds of the last append, heartbeat or snapshot
+        self._matched_index = 0  # the log is known to match the leader's up to here
+        self._pending_echo: float | None = None  # of an acknowledgement that waits for the disk
+        self._pending_write = 0  # the sequence number that it waits for
 
     def on_append(self, message: Append, now: float) -> None:
-        """Take the entries in, or tell the leader from where to try."""
-        self.fed_at = now
+        """Append the entries, or reject them with a hint where the leader should resume."""
+        self.last_append_at = now
         log = self.core.log
         entries = message.entries
         previous = message.previous_index
-        if previous < log.base_index:  # committed and compacted here: it agrees
+        if previous < log.base_index:  # committed and compacted here, so it matches
             entries = entries[log.base_index - previous :]
             previous = log.base_index
         elif previous > log.last_index:
-            self._refuse(message.sent_at, log.last_index, now)
+            self._reject(message.sent_at, log.last_index, now)
             return
         elif log.term_at(previous) != message.previous_term:
-            self._refuse(message.sent_at, min(self.core.commit_index, previous - 1), now)
+            self._reject(message.sent_at, min(self.core.commit_index, previous - 1), now)
             return
-        self._take_in(entries, now)
+        self._append_new(entries, now)
         end = message.previous_index + len(message.entries)
-        self._agreed = max(self._agreed, end)
+        self._matched_index = max(self._matched_index, end)
         self.core.commit_index = max(self.core.commit_index, min(message.commit_index, end))
         if entries:
             self._acknowledge_when_synced(message.sent_at, now)
@@ -44,8 +44,8 @@
             self._acknowledge(message.sent_at, now)
 
     def on_snapshot(self, message: InstallSnapshot, now: float) -> None:
-        """Replace what the snapshot covers."""
-        self.fed_at = now
+        """Replace what the snapshot covers, unless more is committed already."""
+        self.last_append_at = now
         core = self.core
         snapshot = message.snapshot
         if snapshot.index > core.commit_index:
@@ -54,15 +54,15 @@
             core.commit_index = snapshot.index
             core.persist(now, core.log.after(snapshot.index), snapshot)
             core.outputs.installed = snapshot
-        self._agreed = max(self._agreed, snapshot.index)
+        self._matched_index = max(self._matched_index, snapshot.index)
         self._acknowledge_when_synced(message.sent_at, now)
 
     def on_synced(self, now: float) -> None:
-        """Send the acknowledgement that waited for the disk."""
-        if self._owed is not None and self.core.writes.synced_sequence >= self._owed_write:
-            self._acknowledge(self._owed, now)
+        """Send the acknowledgement that waits for the disk, if its write is synced."""
+        if self._pending_echo is not None and self.core.writes.synced_sequence >= self._pending_write:
+            self._acknowledge(self._pending_echo, now)
 
-    def _take_in(self, entries: tuple[Entry, ...], now: float) -> None:
+    def _append_new(self, entries: tuple[Entry, ...], now: float) -> None:
         log = self.core.log
         known = 0
         while known < len(entries) and log.term_at(entries[known].index) == entries[known].term:
@@ -83,19 +83,19 @@
         if writes.synced_sequence >= writes.sequence:
             self._acknowledge(echo, now)
             return
-        self._owed = echo if self._owed is None else max(self._owed, echo)
-        self._owed_write = writes.sequence
+        self._pending_echo = echo if self._pending_echo is None else max(self._pending_echo, echo)
+        self._pending_write = writes.sequence
 
     def _acknowledge(self, echo: float, now: float) -> None:
-        if self._owed is not None and self.core.writes.synced_sequence >= self._owed_write:
-            echo = max(echo, self._owed)
-            self._owed = None
+        if self._pending_echo is not None and self.core.writes.synced_sequence >= self._pending_write:
+            echo = max(echo, self._pending_echo)
+            self._pending_echo = None
         core = self.core
-        synced = min(core.writes.synced_index, self._agreed)
-        trouble = core.disk_trouble(now)
-        core.send(self.leader, AppendReply(core.term, echo, True, self._agreed, synced, trouble))
+        synced = min(core.writes.synced_index, self._matched_index)
+        disk_fault = core.disk_fault(now)
+        core.send(self.leader, AppendReply(core.term, echo, True, self._matched_index, synced, disk_fault))
 
-    def _refuse(self, echo: float, hint: int, now: float) -> None:
+    def _reject(self, echo: float, hint: int, now: float) -> None:
         core = self.core
-        trouble = core.disk_trouble(now)
-        core.send(self.leader, AppendReply(core.term, echo, False, hint, 0, trouble))
+        disk_fault = core.disk_fault(now)
+        core.send(self.leader, AppendReply(core.term, echo, False, hint, 0, disk_fault))
--- a/firvane/fleet/replication/leadership.py
+++ b/firvane/fleet/replication/leadership.py
@@ -1,4 +1,4 @@
-"""A leader's side of replication: one object for each term that this replica leads."""
+"""The leader's side of replication: one object for each term that this replica leads."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 from firvane.fleet.replication.transfer import TransferStart
 from firvane.fleet.replication.types import Entry, EntryKind, Member, quorum_of
 
-MAXIMUM_APPEND_BYTES = 1_000_000  # entries in one message; a single larger entry goes alone
-MAXIMUM_APPENDS_AT_ONCE = 8
-SNAPSHOTS_IN_VAIN = (4, 16, 64)  # numbers of unacknowledged snapshots that are told in the log
-MINIMUM_BEAT_GAP = 0.010  # seconds between heartbeats that waiting reads ask for
+MAX_APPEND_BYTES = 1_000_000  # of entries in one message; a single larger entry is sent alone
+MAX_APPENDS_PER_ROUND = 8
+LOGGED_UNACKNOWLEDGED_SNAPSHOTS = (4, 16, 64)  # counts at which a warning is logged
+MIN_HEARTBEAT_GAP_S = 0.010  # between heartbeats for pending reads
 
 
 class Leadership:
-    """Progress of the others, lease, commit, reads, transfer and the changes of the group's voters."""
+    """Replication progress, lease, commit index, reads, leadership transfer and membership changes."""
 
     def __init__(self, core: Core, policy: MembershipPolicy, now: float) -> None:
         self.core = core
@@ -30,92 +30,92 @@
         self.membership = Membership(core, policy)
         self.reads = LeaderReads(core)
         self.peers: dict[int, Progress] = {}
-        self.next_beat = now
-        self._beats = 0
-        self._last_beat = float("-inf")
-        self._transfer_until = float("-inf")
-        self._resign_when_possible = False
-        self._named_successor: Address | None = None  # None: any that is fit
-        self._follow_members(now)
+        self.next_heartbeat_at = now
+        self._heartbeat_count = 0
+        self._last_heartbeat_at = float("-inf")
+        self._transfer_deadline = float("-inf")
+        self._resign_pending = False
+        self._requested_successor: Address | None = None  # None: any healthy voter
+        self._track_members(now)
         self.first_index = self._append(EntryKind.NOOP, b"", now)
 
     # State
 
     @property
-    def ready(self) -> bool:
-        """Whether an entry of this term is committed: from then on the commit index is the newest."""
+    def is_ready(self) -> bool:
+        """Whether an entry of this term is committed, so that the commit index is known to be the latest."""
         return self.core.commit_index >= self.first_index
 
     def confirmed_at(self, now: float) -> float:
-        """The latest time at which a majority is known to have followed this leader."""
-        return quorum_value(self._of_voters(now, lambda peer: peer.echoed_at), self.core.quorum)
+        """The latest time (monotonic seconds) at which a majority is known to have followed this leader."""
+        return quorum_value(self._values_of_voters(now, lambda peer: peer.echoed_at), self.core.quorum)
 
     def lease_until(self, now: float) -> float:
-        """Until when no other leader can have been elected."""
-        return self.confirmed_at(now) + self.core.timing.lease
+        """The end of the lease: until then no other leader can be elected."""
+        return self.confirmed_at(now) + self.core.timing.lease_duration_s
 
-    def has_lost_majority(self, now: float) -> bool:
-        """Whether no majority has answered for a whole election timeout."""
+    def has_lost_quorum(self, now: float) -> bool:
+        """Whether no majority has replied for an election timeout."""
         since = max(self.confirmed_at(now), self.elected_at)
-        return now - since > self.core.timing.election_maximum
+        return now - since > self.core.timing.election_timeout_max_s
 
     def transferring(self, now: float) -> bool:
-        """Whether leadership is about to pass to another, and nothing new is taken in."""
-        return self._resign_when_possible and now < self._transfer_until
+        """Whether a leadership transfer is in progress, so that proposals are not accepted."""
+        return self._resign_pending and now < self._transfer_deadline
 
     def deadline(self) -> float:
-        """When `tick` has something to do."""
-        return self.next_beat
+        """When `tick` is due next."""
+        return self.next_heartbeat_at
 
     # Inputs
 
     def propose(self, payload: bytes, now: float) -> int:
-        """Append a command; its index."""
+        """Append a command; returns its index."""
         return self._append(EntryKind.COMMAND, payload, now)
 
-    def read(self, token: int, asker: Member | None, now: float) -> None:
-        """Answer a read as soon as it is linearizable; who asks learns the commit index with it."""
-        if asker is not None and (peer := self.peers.get(asker.incarnation)):
+    def read(self, token: int, requester: Member | None, now: float) -> None:
+        """Answer a read with the commit index once it is linearizable; `requester` None: this replica."""
+        if requester is not None and (peer := self.peers.get(requester.incarnation)):
             self._send_heartbeat(peer, now)
-        self.reads.add(token, asker, now)
+        self.reads.add(token, requester, now)
         self._answer_reads(now)
-        if self.reads.waiting and now - self._last_beat > MINIMUM_BEAT_GAP:
-            self._beat(now)
+        if self.reads.has_pending and now - self._last_heartbeat_at > MIN_HEARTBEAT_GAP_S:
+            self._send_heartbeats(now)
 
     def start_transfer(self, now: float, successor: Address | None = None) -> None:
-        """Resign in favour of the voter named, or of any, as soon as it has everything."""
-        self._resign_when_possible = True
-        self._named_successor = successor
-        self._transfer_until = now + self.core.timing.transfer
+        """Resign in favour of `successor`, or of any healthy voter if None, once its log is complete."""
+        self._resign_pending = True
+        self._requested_successor = successor
+        self._transfer_deadline = now + self.core.timing.transfer_timeout_s
 
     def tick(self, candidates: Sequence[Address], now: float) -> None:
         """Send what is due."""
-        if now < self.next_beat:
+        if now < self.next_heartbeat_at:
             return
         self.membership.candidates = candidates
-        interval = self.core.timing.heartbeat
-        self.next_beat = (now // interval + 1) * interval  # the same moments for all groups of a process
+        interval = self.core.timing.heartbeat_interval_s
+        self.next_heartbeat_at = (now // interval + 1) * interval  # aligned for all groups of a process
         self._choose_learners(now)
-        self._beat(now)
-        self._beats += 1
-        if self._beats % self.core.timing.beacon_beats == 1:
-            for address in self.membership.addresses_to_call():
+        self._send_heartbeats(now)
+        self._heartbeat_count += 1
+        if self._heartbeat_count % self.core.timing.heartbeats_per_beacon == 1:
+            for address in self.membership.beacon_targets():
                 self.core.send_to_address(address, Beacon(self.core.term, now))
         self._change_members(now)
 
     def on_append_reply(self, sender: Member, reply: AppendReply, now: float) -> None:
-        """Note what a replica has, and send it what it lacks."""
+        """Record a replica's progress, and send it the entries that it lacks."""
         peer = self.peers.get(sender.incarnation)
         if peer is None:
             return
-        peer.last_reply = now
+        peer.last_reply_at = now
         peer.echoed_at = max(peer.echoed_at, reply.echo)
-        peer.disk_trouble = reply.disk_trouble
+        peer.disk_fault = reply.disk_fault
         if reply.accepted:
-            peer.accepted(reply.received, reply.synced)
+            peer.on_accepted(reply.received_index, reply.synced_index)
             self.advance_commit()
-        elif peer.heeds_refusal(reply.received, now):
-            peer.refused(reply.received)
+        elif peer.should_backtrack(reply.received_index, now):
+            peer.on_rejected(reply.received_index)
         self._replicate(peer, now)
         self._answer_reads(now)
         if not self.core.is_voter(sender.incarnation):
@@ -123,8 +123,8 @@
             self._change_members(now)
 
     def on_beacon_reply(self, sender: Member, echo: float, now: float) -> None:
-        """A controller tells its incarnation; a recent `echo` shows that it is the present one."""
-        if now - echo > self.core.timing.recent:
+        """Record the incarnation of a controller, if `echo` is recent enough for it to be the current one."""
+        if now - echo > self.core.timing.reachable_within_s:
             return
         for peer in self.peers.values():
             if peer.member.address == sender.address and peer.member != sender:
@@ -133,15 +133,17 @@
         self._choose_learners(now)
 
     def on_synced(self, now: float) -> None:
-        """The own disk has synced something."""
+        """Advance the commit index after a sync of the own disk."""
         self.advance_commit()
         self._answer_reads(now)
 
     def advance_commit(self) -> None:
-        """Commit what a majority of the voters, this replica's disk included, has synced in this term."""
+        """Commit the entries of this term that a majority of the voters, this one included, has synced."""
         core = self.core
         synced = [
-            core.writes.synced_index if member == core.identity else self.peers[member.incarnation].match
+            core.writes.synced_index
+            if member == core.identity
+            else self.peers[member.incarnation].match_index
             for member in core.log.members
         ]
         index = int(quorum_value(synced, quorum_of(len(synced))))
@@ -149,44 +151,46 @@
             core.commit_index = index
 
     def has_healthy_voter(self, now: float) -> bool:
-        """Whether another voter is reachable and its disk is well."""
+        """Whether another voter is healthy and could take over."""
         return bool(self._healthy_voters(now))
 
     def successor(self, now: float) -> Member | None:
-        """A healthy voter that has synced everything."""
+        """A healthy voter that has synced the whole log; None if there is none."""
         last = self.core.log.last_index
-        fit = [peer for peer in self._healthy_voters(now) if peer.match == last and self._may_succeed(peer)]
-        return max(fit, key=lambda peer: peer.last_reply).member if fit else None
+        eligible = [
+            peer for peer in self._healthy_voters(now) if peer.match_index == last and self._may_succeed(peer)
+        ]
+        return max(eligible, key=lambda peer: peer.last_reply_at).member if eligible else None
 
-    def may_transfer(self, successor: Address | None, now: float) -> TransferStart:
-        """Whether a transfer to the voter named, or to any, can begin now."""
-        if not self.ready:
+    def check_transfer(self, successor: Address | None, now: float) -> TransferStart:
+        """Whether a transfer to `successor`, or to any healthy voter if None, can start now."""
+        if not self.is_ready:
             return TransferStart.NOT_LEADER
         if self.transferring(now):
-            return TransferStart.BUSY
+            return TransferStart.IN_PROGRESS
         others = {member.address for member in self.core.log.members if member != self.core.identity}
         if successor is not None and successor not in others:
-            return TransferStart.UNKNOWN
+            return TransferStart.UNKNOWN_VOTER
         healthy = {peer.member.address for peer in self._healthy_voters(now)}
         if not healthy or (successor is not None and successor not in healthy):
-            return TransferStart.UNFIT
-        return TransferStart.BEGUN
+            return TransferStart.NO_HEALTHY_VOTER
+        return TransferStart.STARTED
 
     def _may_succeed(self, peer: Progress) -> bool:
-        return self._named_successor in (None, peer.member.address)
+        return self._requested_successor in (None, peer.member.address)
 
     def _healthy_voters(self, now: float) -> list[Progress]:
         return [
             peer
             for peer in self.peers.values()
             if self.core.is_voter(peer.member.incarnation)
-            and now - peer.last_reply < self.core.timing.recent
-            and not (peer.disk_trouble or peer.superseded)
-            and not self.membership.is_leaving(peer.member, now)
+            and now - peer.last_reply_at < self.core.timing.reachable_within_s
+            and not (peer.disk_fault or peer.superseded)
+            and not self.membership.is_draining(peer.member, now)
         ]
 
     def resign(self, now: float) -> Member | None:
-        """Tell a successor to stand for election, if one is fit; this leadership must end with it."""
+        """Send `TimeoutNow` to an eligible successor; the caller must step down if one is returned."""
         successor = self.successor(now)
         if successor is not None:
             self.core.send(successor, TimeoutNow(self.core.term))
@@ -202,8 +206,8 @@
             self._replicate(peer, now)
         return entry.index
 
-    def _beat(self, now: float) -> None:
-        self._last_beat = now
+    def _send_heartbeats(self, now: float) -> None:
+        self._last_heartbeat_at = now
         for peer in self.peers.values():
             if peer.next_index <= self.core.log.last_index and now >= peer.resend_after:
                 self._replicate(peer, now)
@@ -213,13 +217,13 @@
     def _send_heartbeat(self, peer: Progress, now: float) -> None:
         previous = peer.next_index - 1
         term = self.core.log.term_at(previous)
-        if term is None:  # compacted: what is known to be committed here agrees with every later leader
+        if term is None:  # compacted, therefore committed: it matches every later leader's log
             previous, term = self.core.log.base_index, self.core.log.base_term
         self._send_append(peer, previous, term, (), now)
 
     def _replicate(self, peer: Progress, now: float) -> None:
         log = self.core.log
-        for _ in range(MAXIMUM_APPENDS_AT_ONCE):
+        for _ in range(MAX_APPENDS_PER_ROUND):
             if peer.next_index > log.last_index:
                 return
             previous = peer.next_index - 1
@@ -227,10 +231,10 @@
             if term is None:
                 self._send_snapshot(peer, now)
                 return
-            entries = log.entries_from(peer.next_index, MAXIMUM_APPEND_BYTES)
+            entries = log.entries_from(peer.next_index, MAX_APPEND_BYTES)
             self._send_append(peer, previous, term, entries, now)
             peer.next_index = entries[-1].index + 1
-            peer.sent(entries[0].index, sum(len(entry.payload) for entry in entries), now)
+            peer.on_entries_sent(entries[0].index, sum(len(entry.payload) for entry in entries), now)
 
     def _send_append(
         self, peer: Progress, previous: int, term: int, entries: tuple[Entry, ...], now: float
@@ -243,24 +247,26 @@
         snapshot = self.core.log.snapshot
         if snapshot is None or now < peer.resend_after:
             return
-        if now - peer.last_reply > self.core.timing.recent:  # let it show first that it is there
+        if (
+            now - peer.last_reply_at > self.core.timing.reachable_within_s
+        ):  # probe it before sending a large message
             self._send_heartbeat(peer, now)
             return
         self.core.send(peer.member, InstallSnapshot(self.core.term, now, snapshot))
         peer.next_index = snapshot.index + 1
-        peer.sent_snapshot(snapshot.index, len(snapshot.state), now)
-        if peer.snapshots_sent in SNAPSHOTS_IN_VAIN:
+        peer.on_snapshot_sent(snapshot.index, len(snapshot.state), now)
+        if peer.unacknowledged_snapshots in LOGGED_UNACKNOWLEDGED_SNAPSHOTS:
             self.core.log_event(
-                "snapshot not acknowledged", member=peer.member.address, sent=peer.snapshots_sent
+                "snapshot_unacknowledged", member=peer.member.address, snapshots=peer.unacknowledged_snapshots
             )
 
     def _answer_reads(self, now: float) -> None:
-        if self.ready and self.reads.waiting:
+        if self.is_ready and self.reads.has_pending:
             self.reads.answer(self.confirmed_at(now), self.lease_until(now), now)
 
-    # Members
+    # Membership
 
-    def _follow_members(self, now: float, learners: Sequence[Member] = ()) -> None:
+    def _track_members(self, now: float, learners: Sequence[Member] = ()) -> None:
         core = self.core
         wanted = {member.incarnation: member for member in (*core.log.members, *learners)}
         wanted.pop(core.identity.incarnation, None)
@@ -272,20 +278,20 @@
     def _choose_learners(self, now: float) -> None:
         known = set(self.peers)
         learners = self.membership.wanted_learners(self.peers, now)
-        self._follow_members(now, learners)
+        self._track_members(now, learners)
         for incarnation, peer in self.peers.items():
             if incarnation not in known:
                 self._send_heartbeat(peer, now)
 
     def _change_members(self, now: float) -> None:
         core = self.core
-        if not self.ready or core.log.members_index > core.commit_index or self.transferring(now):
+        if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):
             return
         change = self.membership.next_change(self.peers, now)
         if change is not None:
-            self._make_change(change, now)
+            self._append_change(change, now)
 
-    def _make_change(self, change: Change, now: float) -> None:
+    def _append_change(self, change: Change, now: float) -> None:
         core = self.core
         members = core.log.members
         if change.kind is ChangeKind.ADD:
@@ -293,13 +299,16 @@
         else:
             members = tuple(member for member in members if member != change.member)
         core.log_event(
-            "members change", kind=change.kind.name.lower(), member=change.member.address, voters=len(members)
+            "membership_changed",
+            kind=change.kind.name.lower(),
+            member=change.member.address,
+            voters=len(members),
         )
         self._append(EntryKind.MEMBERS, encode_members(members), now)
         learners = [peer.member for peer in self.peers.values() if peer.member != change.member]
-        self._follow_members(now, learners)
+        self._track_members(now, learners)
 
-    def _of_voters(self, own: float, value: Callable[[Progress], float]) -> list[float]:
+    def _values_of_voters(self, own: float, value: Callable[[Progress], float]) -> list[float]:
         identity = self.core.identity
         return [
             own if member == identity else value(self.peers[member.incarnation])
--- a/firvane/fleet/replication/log.py
+++ b/firvane/fleet/replication/log.py
@@ -4,6 +4,7 @@
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
+from typing import NamedTuple
 
 from firvane.fleet.replication.members_codec import decode_members
 from firvane.fleet.replication.types import Entry, EntryKind, Members, Snapshot
@@ -11,10 +12,20 @@
 ENTRY_OVERHEAD = 40  # bytes counted for an entry beside its payload
 
 
+class MembersAt(NamedTuple):
+    """The voters in force from the entry `entry_index` on."""
+
+    entry_index: int
+    members: Members
+
+
+NO_MEMBERS = MembersAt(0, ())
+
+
 class ReplicatedLog:
-    """Entries `base_index + 1` to `last_index`; what lies before is only in the snapshot.
+    """Entries `base_index + 1` to `last_index`; older entries are only in the snapshot.
 
-    After a compaction some entries that the snapshot covers stay, for followers that are a little behind.
+    Compaction retains some entries that the snapshot covers, for followers that lag slightly.
     """
 
     def __init__(self, snapshot: Snapshot | None, entries: Iterable[Entry]) -> None:
@@ -26,36 +37,36 @@
         self.base_term = snapshot.term if snapshot else 0
         self.size = 0  # bytes of the entries in memory
         self._entries: list[Entry] = []
-        self._members: list[tuple[int, Members]] = (
-            [(snapshot.members_index, snapshot.members)] if snapshot else []
-        )
+        self._members = [MembersAt(snapshot.members_index, snapshot.members)] if snapshot else []
         self.append(entries)
 
     @property
     def last_index(self) -> int:
+        """The index of the last entry; that of the snapshot if there is none after it."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
+        """The term of the last entry; that of the snapshot if there is none after it."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def members(self) -> Members:
         """The voters in force: those of the last entry that names any, committed or not."""
-        return self._members[-1][1] if self._members else ()
+        return self._members[-1].members if self._members else ()
 
     @property
     def members_index(self) -> int:
-        """The entry that put the voters in force; 0 where none is known."""
-        return self._members[-1][0] if self._members else 0
+        """The index of the entry that named the voters in force; 0 if there is none."""
+        return self._members[-1].entry_index if self._members else 0
 
-    def members_at(self, index: int) -> tuple[int, Members]:
+    def members_at(self, index: int) -> MembersAt:
         """The voters that were in force after the entry `index`, and the entry that named them."""
-        position = bisect_right(self._members, index, key=lambda item: item[0])
-        return self._members[position - 1] if position else (0, ())
+        position = bisect_right(self._members, index, key=lambda change: change.entry_index)
+        return self._members[position - 1] if position else NO_MEMBERS
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None where it is not known here."""
+        """The term of an entry; None if the entry is compacted or beyond the end."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -63,41 +74,41 @@
         return None
 
     def entry(self, index: int) -> Entry:
-        """An entry that is in memory."""
+        """The entry of an index above `base_index`."""
         return self._entries[index - self.base_index - 1]
 
-    def entries_from(self, index: int, most_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `index` on: one at least if there is one, then as many as fit."""
+    def entries_from(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Entries from `index` on: at least one if there is one, and others up to `max_bytes` of them."""
         start = index - self.base_index - 1
         total = 0
         end = start
         while end < len(self._entries):
             total += len(self._entries[end].payload) + ENTRY_OVERHEAD
-            if end > start and total > most_bytes:
+            if end > start and total > max_bytes:
                 break
             end += 1
         return tuple(self._entries[start:end])
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Add entries that follow the last one."""
+        """Append entries; `ValueError` if one does not follow the last."""
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
             self._entries.append(entry)
             self.size += len(entry.payload) + ENTRY_OVERHEAD
             if entry.kind is EntryKind.MEMBERS:
-                self._members.append((entry.index, decode_members(entry.payload)))
+                self._members.append(MembersAt(entry.index, decode_members(entry.payload)))
 
     def truncate_from(self, index: int) -> None:
-        """Drop the entry `index` and all that follow."""
+        """Remove the entry `index` and all that follow."""
         keep = index - self.base_index - 1
         self.size -= sum(len(entry.payload) + ENTRY_OVERHEAD for entry in self._entries[keep:])
         del self._entries[keep:]
-        while self._members and self._members[-1][0] >= index:
+        while self._members and self._members[-1].entry_index >= index:
             self._members.pop()
 
     def compact(self, snapshot: Snapshot, keep_bytes: int) -> None:
-        """Take a snapshot of entries that are committed; keep so many bytes of the entries that it covers."""
+        """Adopt a snapshot of committed entries; retain up to `keep_bytes` of the entries that it covers."""
         self.snapshot = snapshot
         drop = snapshot.index - self.base_index
         kept = 0
@@ -108,14 +119,14 @@
             drop -= 1
         if drop > 0:
             self._drop_first(drop)
-        self._members = [(snapshot.members_index, snapshot.members)] + [
-            item for item in self._members if item[0] > snapshot.index
+        self._members = [MembersAt(snapshot.members_index, snapshot.members)] + [
+            change for change in self._members if change.entry_index > snapshot.index
         ]
 
     def install(self, snapshot: Snapshot) -> None:
-        """Put another replica's snapshot in the place of everything it covers.
+        """Replace everything that another replica's snapshot covers.
 
-        Entries after it stay only where the log agrees with the snapshot.
+        Entries after it are retained only if the log matches the snapshot.
         """
         tail: Sequence[Entry] = ()
         if self.term_at(snapshot.index) == snapshot.term:
--- a/firvane/fleet/replication/membership.py
+++ b/firvane/fleet/replication/membership.py
@@ -1,4 +1,4 @@
-"""The leader's view of who could join the group and who should leave it."""
+"""The leader's view of replicas that could join the group, and of voters that are draining."""
 
 from __future__ import annotations
 
@@ -15,59 +15,59 @@
 
 class _Spare(Struct):
     member: Member
-    heard_at: float
+    last_reply_at: float
 
 
 class Membership:
-    """Controllers outside the group, by what they answered, and departures that were announced."""
+    """Controllers outside the group that reply to beacons, and voters that announced their drain."""
 
     def __init__(self, core: Core, policy: MembershipPolicy) -> None:
         self.core = core
         self.policy = policy
-        self.candidates: Sequence[Address] = ()  # live controllers, in the order of preference
+        self.candidates: Sequence[Address] = ()  # live controllers, in order of preference
         self._spares: dict[Address, _Spare] = {}
-        self._leaving: dict[int, float] = {}  # by incarnation, when it was announced
+        self._draining: dict[int, float] = {}  # by incarnation: when the last notice came
 
     def on_beacon_reply(self, sender: Member, now: float) -> None:
-        """A controller has answered with its present incarnation."""
+        """Record a controller's current incarnation."""
         self._spares[sender.address] = _Spare(sender, now)
 
-    def on_leave(self, sender: Member, now: float) -> None:
-        """A voter is about to stop."""
-        self._leaving[sender.incarnation] = now
+    def on_drain_notice(self, sender: Member, now: float) -> None:
+        """Record that a voter is about to stop."""
+        self._draining[sender.incarnation] = now
 
-    def is_leaving(self, member: Member, now: float) -> bool:
-        """Whether a voter has announced that it is about to stop."""
-        announced = self._leaving.get(member.incarnation, float("-inf"))
-        return now - announced < self.core.timing.leave_valid
+    def is_draining(self, member: Member, now: float) -> bool:
+        """Whether a recent drain notice of this member exists."""
+        noticed_at = self._draining.get(member.incarnation, float("-inf"))
+        return now - noticed_at < self.core.timing.drain_notice_valid_s
 
-    def addresses_to_call(self) -> list[Address]:
-        """Candidates outside the group."""
+    def beacon_targets(self) -> list[Address]:
+        """The addresses of candidates outside the group."""
         voters = {member.address for member in self.core.log.members}
         return [address for address in self.candidates if address not in voters]
 
     def wanted_learners(self, peers: dict[int, Progress], now: float) -> list[Member]:
-        """Spares that should be taught now."""
+        """Spare controllers that should be learners now."""
         return self.policy.wanted_learners(self._voters(peers, now), self._live_spares(now))
 
     def next_change(self, peers: dict[int, Progress], now: float) -> Change | None:
-        """The change of voters that is due, if any."""
+        """The change of voters that is due; None if there is none."""
         learners = [
             LearnerView(peer.member, self._caught_up(peer, now))
             for peer in peers.values()
-            if not self.core.is_voter(peer.member.incarnation) and not self.is_leaving(peer.member, now)
+            if not self.core.is_voter(peer.member.incarnation) and not self.is_draining(peer.member, now)
         ]
         return self.policy.decide(self._voters(peers, now), learners)
 
     def _live_spares(self, now: float) -> list[Member]:
-        patience = self.core.timing.learn_after
+        patience = self.core.timing.learner_start_after_s
         voters = {member.incarnation for member in self.core.log.members}
         live = [
             spare.member
             for spare in self._spares.values()
-            if now - spare.heard_at < patience
+            if now - spare.last_reply_at < patience
             and spare.member.incarnation not in voters
-            and not self.is_leaving(spare.member, now)
+            and not self.is_draining(spare.member, now)
         ]
         order = {address: position for position, address in enumerate(self.candidates)}
         return sorted(live, key=lambda member: order.get(member.address, len(order)))
@@ -79,10 +79,10 @@
             if peer is None:
                 views.append(VoterView(member, 0.0, is_leader=True))
                 continue
-            leaving = self.is_leaving(member, now)
-            views.append(VoterView(member, now - peer.last_reply, peer.superseded, leaving))
+            draining = self.is_draining(member, now)
+            views.append(VoterView(member, now - peer.last_reply_at, peer.superseded, draining))
         return views
 
     def _caught_up(self, peer: Progress, now: float) -> bool:
-        recent = now - peer.last_reply < self.core.timing.recent
-        return recent and peer.match >= self.core.commit_index and not peer.disk_trouble
+        recent = now - peer.last_reply_at < self.core.timing.reachable_within_s
+        return recent and peer.match_index >= self.core.commit_index and not peer.disk_fault
--- a/firvane/fleet/replication/membership_policy.py
+++ b/firvane/fleet/replication/membership_policy.py
@@ -1,17 +1,17 @@
-"""When the voters of a group change: a pure policy over what its leader sees.
-
-1. A voter whose address answers with another incarnation has lost its disk for good: it is removed at once,
-   since it can never again be part of a majority, and the others' majority stays as it is. Of two voters it
-   is removed only after a successor has been added: a single voter would acknowledge what one disk holds.
-2. A learner that has caught up becomes a voter where there are fewer than the target.
-3. A voter that announced its departure is replaced while it still runs: the learner is added first.
-4. A voter that has been silent for long is replaced once a learner has caught up: it is removed first, since
-   the majority is no larger without it.
-5. A group larger than the target loses a voter: a silent one, else a departing one, else any, once all are
-   well. One voter more bears no more losses, and asks for one more acknowledgement.
-6. Without a spare controller nobody is removed for silence: a smaller group would bear less.
-7. Voters are spread over the failure domains: who replaces another comes from the domain with the fewest
-   voters, and in calm a voter of a crowded domain gives way to a spare of one with two voters fewer.
+"""When the voters of a group change: a pure policy over the leader's view.
+
+1. A voter whose address replies with another incarnation has lost its disk: it is removed at once, since it
+   can never vote again. Of two voters it is removed only after a replacement has been added, since a single
+   voter would commit what only one disk has stored.
+2. A learner that has caught up becomes a voter if the group is smaller than the target size.
+3. A draining voter is replaced while it still runs: the learner is added first.
+4. A voter that is unresponsive beyond the timeout is replaced once a learner has caught up: it is removed
+   first, since that does not raise the quorum.
+5. A group larger than the target size loses a voter: an unresponsive one, else a draining one, else any once
+   all are healthy. An additional voter tolerates no more failures, and raises the quorum.
+6. Without a learner no voter is removed for being unresponsive: a smaller group tolerates fewer failures.
+7. Voters are spread over the failure domains: a replacement comes from the domain with the fewest voters, and
+   while all are healthy a voter of a domain gives way to a spare of one with two voters fewer.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 from msgspec import Struct
 
-from firvane.fleet.replication.spread import DomainOf, Spread, each_alone
+from firvane.fleet.replication.spread import DomainOf, Spread, one_domain_per_address
 from firvane.fleet.replication.types import Member
 
-SMALLEST_REDUCED = 2
+MAX_VOTERS_TO_ADD_FIRST = 2
 """A group of so many voters or fewer loses none before another one has been added."""
 
 
@@ -36,19 +36,19 @@
 
 
 class Change(Struct, frozen=True):
-    """One change, to be made through the group's log."""
+    """One membership change, to be made through the group's log."""
 
     kind: ChangeKind
     member: Member
 
 
 class VoterView(Struct, frozen=True):
-    """A voter as the leader sees it; `silent_for` in seconds, 0 for the leader itself."""
+    """A voter as the leader sees it; `unresponsive_for_s` is 0 for the leader itself."""
 
     member: Member
-    silent_for: float
+    unresponsive_for_s: float
     superseded: bool = False
-    leaving: bool = False
+    draining: bool = False
     is_leader: bool = False
 
 
@@ -60,62 +60,67 @@
 
 
 class MembershipPolicy(Struct, frozen=True):
-    """The target size, and times in seconds: the patience with silent voters, and what counts as well.
-
-    `domain_of` names the failure domain of an address.
+    """Decides on membership changes.
+
+    Attributes:
+        target_size: The wanted number of voters.
+        learner_start_after_s: Seconds without a reply after which a voter is suspect and a learner starts.
+        voter_replace_after_s: Seconds without a reply after which a voter is replaced.
+        healthy_within_s: Seconds since the last reply within which a voter is healthy.
+        domain_of: Returns the failure domain of an address.
     """
 
     target_size: int
-    learn_after: float
-    replace_after: float
-    well_within: float
-    domain_of: DomainOf = each_alone
+    learner_start_after_s: float
+    voter_replace_after_s: float
+    healthy_within_s: float
+    domain_of: DomainOf = one_domain_per_address
 
     def wanted_learners(self, voters: Sequence[VoterView], spares: Sequence[Member]) -> list[Member]:
-        """Which controllers outside the group to teach; `spares` come in the order of preference."""
-        in_doubt = [voter for voter in voters if self._is_in_doubt(voter)]
-        missing = max(0, self.target_size - len(voters)) + len(in_doubt)
-        spread = Spread(self.domain_of, self._sound(voters))
+        """The controllers outside the group that should be learners; `spares` are in order of preference."""
+        suspects = [voter for voter in voters if self._is_suspect(voter)]
+        missing = max(0, self.target_size - len(voters)) + len(suspects)
+        spread = Spread(self.domain_of, self._healthy(voters))
         if not missing:
             better = spread.least_crowded(spares)
             return [better] if better and spread.improves(better) else []
-        lost_addresses = {voter.member.address for voter in voters if voter.superseded}
-        wanted = [spare for spare in spares if spare.address in lost_addresses][:missing]
-        left = [spare for spare in spares if spare.address not in lost_addresses]
+        superseded_addresses = {voter.member.address for voter in voters if voter.superseded}
+        wanted = [spare for spare in spares if spare.address in superseded_addresses][:missing]
+        remaining = [spare for spare in spares if spare.address not in superseded_addresses]
         for spare in wanted:
             spread.add(spare)
-        while len(wanted) < missing and (best := spread.least_crowded(left)):
+        while len(wanted) < missing and (best := spread.least_crowded(remaining)):
             wanted.append(best)
-            left.remove(best)
+            remaining.remove(best)
             spread.add(best)
         return wanted
 
     def decide(self, voters: Sequence[VoterView], learners: Sequence[LearnerView]) -> Change | None:
-        """The next change, if any is due."""
-        spread = Spread(self.domain_of, self._sound(voters))
+        """The next change; None if none is due."""
+        spread = Spread(self.domain_of, self._healthy(voters))
         ready = spread.least_crowded([learner.member for learner in learners if learner.caught_up])
         others = [voter for voter in voters if not voter.is_leader]
         superseded = next((voter for voter in others if voter.superseded), None)
-        if superseded and len(voters) > SMALLEST_REDUCED:
+        if superseded and len(voters) > MAX_VOTERS_TO_ADD_FIRST:
             return Change(ChangeKind.REMOVE, superseded.member)
         if superseded and ready:
             return Change(ChangeKind.ADD, ready)
-        leaving = [voter for voter in others if voter.leaving]
-        silent = sorted(
-            (voter for voter in others if voter.silent_for > self.replace_after),
-            key=lambda voter: -voter.silent_for,
+        draining = [voter for voter in others if voter.draining]
+        unresponsive = sorted(
+            (voter for voter in others if voter.unresponsive_for_s > self.voter_replace_after_s),
+            key=lambda voter: -voter.unresponsive_for_s,
         )
         if ready and len(voters) < self.target_size:
             return Change(ChangeKind.ADD, ready)
         if len(voters) > self.target_size and others:
-            return self._shrink(voters, others, silent, leaving)
-        if ready and silent:
-            return Change(ChangeKind.REMOVE, silent[0].member)
-        in_doubt = any(self._is_in_doubt(voter) for voter in voters)
+            return self._shrink(voters, others, unresponsive, draining)
+        if ready and unresponsive:
+            return Change(ChangeKind.REMOVE, unresponsive[0].member)
+        has_suspects = any(self._is_suspect(voter) for voter in voters)
         if (
             ready
             and len(voters) == self.target_size
-            and (leaving or (not in_doubt and spread.improves(ready)))
+            and (draining or (not has_suspects and spread.improves(ready)))
         ):
             return Change(ChangeKind.ADD, ready)
         return None
@@ -124,19 +129,19 @@
         self,
         voters: Sequence[VoterView],
         others: Sequence[VoterView],
-        silent: Sequence[VoterView],
-        leaving: Sequence[VoterView],
+        unresponsive: Sequence[VoterView],
+        draining: Sequence[VoterView],
     ) -> Change | None:
-        if silent or leaving:
-            return Change(ChangeKind.REMOVE, (silent or leaving)[0].member)
-        if max(voter.silent_for for voter in others) > self.well_within:
+        if unresponsive or draining:
+            return Change(ChangeKind.REMOVE, (unresponsive or draining)[0].member)
+        if max(voter.unresponsive_for_s for voter in others) > self.healthy_within_s:
             return None
-        spread = Spread(self.domain_of, self._sound(voters))
-        surplus = max(others, key=lambda voter: (spread.count_beside(voter.member), voter.silent_for))
+        spread = Spread(self.domain_of, self._healthy(voters))
+        surplus = max(others, key=lambda voter: (spread.count_beside(voter.member), voter.unresponsive_for_s))
         return Change(ChangeKind.REMOVE, surplus.member)
 
-    def _sound(self, voters: Sequence[VoterView]) -> list[Member]:
-        return [voter.member for voter in voters if not self._is_in_doubt(voter)]
+    def _healthy(self, voters: Sequence[VoterView]) -> list[Member]:
+        return [voter.member for voter in voters if not self._is_suspect(voter)]
 
-    def _is_in_doubt(self, voter: VoterView) -> bool:
-        return voter.superseded or voter.leaving or voter.silent_for > self.learn_after
+    def _is_suspect(self, voter: VoterView) -> bool:
+        return voter.superseded or voter.draining or voter.unresponsive_for_s > self.learner_start_after_s
--- a/firvane/fleet/replication/messages.py
+++ b/firvane/fleet/replication/messages.py
@@ -1,4 +1,7 @@
-"""Messages between replicas of one group. Times are of the leader's monotonic clock, and only echoed."""
+"""Messages between the replicas of one group.
+
+Times are seconds of the sending leader's monotonic clock; receivers only echo them.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 class PreVote(Struct):
-    """Would you vote for me in this term? Changes nothing at either end."""
+    """Ask whether the receiver would vote for the sender in `term`; changes no state at either end."""
 
     term: int
     last_index: int
@@ -17,7 +20,7 @@
 
 
 class PreVoteReply(Struct):
-    """`term` is the voter's own, `proposed` the one that was asked about; `leader` whom the voter follows."""
+    """The answer: the voter's own `term`, the `proposed` term it was asked about, and its current leader."""
 
     term: int
     proposed: int
@@ -26,7 +29,7 @@
 
 
 class Vote(Struct):
-    """A request for a vote. `transfer`: the leader of the term before has resigned in the sender's favour."""
+    """A request for a vote; `transfer` if the leader of the previous term resigned in the sender's favour."""
 
     term: int
     last_index: int
@@ -35,14 +38,14 @@
 
 
 class VoteReply(Struct):
-    """The answer, sent once the vote is synced."""
+    """The answer to `Vote`, sent once the vote is synced."""
 
     term: int
     granted: bool
 
 
 class Append(Struct):
-    """Entries that follow `previous_index`; without entries a heartbeat."""
+    """Entries that follow `previous_index`; a heartbeat if there are none."""
 
     term: int
     sent_at: float
@@ -55,20 +58,20 @@
 class AppendReply(Struct):
     """The answer to `Append` and `InstallSnapshot`.
 
-    Accepted: the log agrees with the leader's up to `received`, and is synced up to `synced`. Refused:
-    `received` is a point from which the leader should try.
+    If accepted, the log matches the leader's up to `received_index` and is synced up to `synced_index`. If
+    rejected, `received_index` is a hint: the leader should resend what follows it.
     """
 
     term: int
-    echo: float  # `sent_at` of what is answered
+    echo: float  # `sent_at` of the message that is answered
     accepted: bool
-    received: int
-    synced: int
-    disk_trouble: bool
+    received_index: int
+    synced_index: int
+    disk_fault: bool
 
 
 class InstallSnapshot(Struct):
-    """A snapshot for a replica that lacks entries which the leader has compacted."""
+    """A snapshot for a replica that lacks entries that the leader has compacted."""
 
     term: int
     sent_at: float
@@ -76,48 +79,48 @@
 
 
 class TimeoutNow(Struct):
-    """The leader has resigned: the receiver should stand for election at once."""
+    """The leader has resigned: the receiver starts an election at once, without a pre-vote."""
 
     term: int
 
 
 class Beacon(Struct):
-    """The leader's sign of life to a controller that is no member, or whose incarnation is unknown."""
+    """The leader's keep-alive to a controller that is not a member, or whose incarnation is unknown."""
 
     term: int
     sent_at: float
 
 
 class BeaconReply(Struct):
-    """Tells the sender's incarnation, in the envelope; also to who meant another incarnation."""
+    """Announces the sender's incarnation (in the envelope), also to a sender that assumed another one."""
 
     term: int
     echo: float
 
 
 class ReadRequest(Struct):
-    """A follower asks up to which entry it must have applied before a read is linearizable."""
+    """A follower asks which entry it must have applied before a read is linearizable (read index)."""
 
     term: int
     token: int
 
 
 class ReadReply(Struct):
-    """The answer to `ReadRequest`."""
+    """The answer to `ReadRequest`: the leader's commit index."""
 
     term: int
     token: int
     index: int
 
 
-class Leave(Struct):
-    """The sender is about to stop: replace it if a spare controller is there."""
+class DrainNotice(Struct):
+    """The sender is draining: the leader should replace it if a spare controller exists."""
 
     term: int
 
 
 class Introduction(Struct):
-    """A replica without a group tells its incarnation to the seed that founds the group."""
+    """A replica without a group announces its incarnation to the seed that bootstraps the group."""
 
     term: int
 
@@ -135,20 +138,20 @@
     | BeaconReply
     | ReadRequest
     | ReadReply
-    | Leave
+    | DrainNotice
     | Introduction
 )
 
 
 class Outgoing(Struct):
-    """A message and whom it is for; incarnation `NOBODY`: whoever answers at the address."""
+    """A message and its receiver; incarnation `NOBODY` addresses any replica at the address."""
 
     to: Member
     message: Message
 
 
 class Envelope(Struct):
-    """A message as it travels between two controllers."""
+    """A message with its addressing, as it is sent between two controllers."""
 
     group: int
     to_incarnation: int
--- a/firvane/fleet/replication/progress.py
+++ b/firvane/fleet/replication/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of each other replica."""
+"""A leader's replication progress of each other replica (Raft: next index, match index)."""
 
 from __future__ import annotations
 
@@ -8,65 +8,66 @@
 
 from firvane.fleet.replication.types import Member
 
-LARGE_BYTES = 1_000  # larger messages travel over a connection, and smaller later ones may pass them
-LARGE_PATIENCE = 0.050  # seconds before a large message counts as lost, beside the time for its bytes
-SLOW_LINK = 5_000_000  # bytes a second that any link between two controllers is expected to carry
-MOST_DOUBLINGS = 3  # of the patience with a snapshot that is sent again and again
+LARGE_MESSAGE_BYTES = 1_000  # larger ones go over a stream, and later datagrams may overtake them
+LARGE_MESSAGE_BASE_TIMEOUT_S = 0.050  # beside the transmission time
+MIN_LINK_BYTES_PER_S = 5_000_000  # expected of every link between two controllers
+MAX_SNAPSHOT_BACKOFF_DOUBLINGS = 3
 
 
 class Progress(Struct):
     """One other replica, voter or learner, in one leader's term. Times are the leader's."""
 
     member: Member
-    next_index: int  # the first entry to send
-    last_reply: float  # when it was last heard; the start of the term if never
-    match: int = 0  # agrees with the leader's log and is synced up to here
-    received: int = 0  # agrees, synced or not
-    echoed_at: float = float("-inf")  # the latest sending time of what it has answered
-    disk_trouble: bool = False
-    superseded: bool = False  # another incarnation has answered from its address
-    resend_after: float = 0.0  # until then a refusal may be one that a large message will have answered
-    large_first: int = 0  # the first entry of the large message that was sent last
-    snapshots_sent: int = 0  # since anything was acknowledged that was not known before
-
-    def sent(self, first: int, size: int, now: float) -> None:
-        """Note a message of so many bytes whose first entry is `first`."""
-        if size > LARGE_BYTES:
-            self.resend_after = now + LARGE_PATIENCE + size / SLOW_LINK
+    next_index: int  # the next entry to send
+    last_reply_at: float  # the start of the term if there was none
+    match_index: int = 0  # matches the leader's log and is synced up to here
+    received_index: int = 0  # matches the leader's log, synced or not
+    echoed_at: float = float("-inf")  # the latest `sent_at` that it has acknowledged
+    disk_fault: bool = False
+    superseded: bool = False  # another incarnation has replied from its address
+    resend_after: float = 0.0  # until then a rejection may only mean that a large message is in flight
+    large_first: int = 0  # the first entry of the last large message
+    unacknowledged_snapshots: int = 0  # since the match index last rose
+
+    def on_entries_sent(self, first: int, size: int, now: float) -> None:
+        """Record a message of `size` bytes whose first entry is `first`."""
+        if size > LARGE_MESSAGE_BYTES:
+            self.resend_after = now + LARGE_MESSAGE_BASE_TIMEOUT_S + size / MIN_LINK_BYTES_PER_S
             self.large_first = first
 
-    def sent_snapshot(self, index: int, size: int, now: float) -> None:
-        """Note a snapshot. Each one that is sent in vain doubles the patience with the next.
+    def on_snapshot_sent(self, index: int, size: int, now: float) -> None:
+        """Record a snapshot of `size` bytes; each unacknowledged one doubles the timeout of the next.
 
-        So a link that is too slow for one snapshot is not filled with several, and has time for one at last.
+        The backoff keeps a slow link from being filled with copies of a snapshot that it cannot deliver in
+        one timeout.
         """
-        self.sent(index, size, now)
-        doublings = min(self.snapshots_sent, MOST_DOUBLINGS)
-        self.resend_after = now + (LARGE_PATIENCE + size / SLOW_LINK) * 2**doublings
+        self.on_entries_sent(index, size, now)
+        doublings = min(self.unacknowledged_snapshots, MAX_SNAPSHOT_BACKOFF_DOUBLINGS)
+        self.resend_after = now + (LARGE_MESSAGE_BASE_TIMEOUT_S + size / MIN_LINK_BYTES_PER_S) * 2**doublings
         self.large_first = index
-        self.snapshots_sent += 1
+        self.unacknowledged_snapshots += 1
 
-    def heeds_refusal(self, hint: int, now: float) -> bool:
-        """Whether a refusal calls for earlier entries than are on their way.
+    def should_backtrack(self, hint: int, now: float) -> bool:
+        """Whether a rejection calls for entries earlier than those in flight.
 
-        A heartbeat that passed a large message is refused for the lack of what that brings. But what asks for
-        entries before that message has refused the message itself, and waiting would only repeat it.
+        A heartbeat that overtook a large message is rejected for lack of the entries in that message. A hint
+        below the first entry of the large message rejects the message itself: waiting would not help.
         """
         return now >= self.resend_after or hint + 1 < self.large_first
 
-    def accepted(self, received: int, synced: int) -> None:
-        """Note an acknowledgement; older ones may come late."""
-        if synced > self.match:
-            self.snapshots_sent = 0
-        self.match = max(self.match, synced)
-        self.received = max(self.received, received)
-        self.next_index = max(self.next_index, self.received + 1)
+    def on_accepted(self, received_index: int, synced_index: int) -> None:
+        """Record an acknowledgement; it may be older than the last one."""
+        if synced_index > self.match_index:
+            self.unacknowledged_snapshots = 0
+        self.match_index = max(self.match_index, synced_index)
+        self.received_index = max(self.received_index, received_index)
+        self.next_index = max(self.next_index, self.received_index + 1)
 
-    def refused(self, hint: int) -> None:
-        """Try from an earlier entry, but never from one that is acknowledged."""
-        self.next_index = max(min(self.next_index, hint + 1), self.match + 1)
+    def on_rejected(self, hint: int) -> None:
+        """Resume from an earlier entry, but never before the match index."""
+        self.next_index = max(min(self.next_index, hint + 1), self.match_index + 1)
 
 
 def quorum_value(values: Iterable[float], quorum: int) -> float:
-    """The largest value that a majority has reached."""
+    """The largest value that at least `quorum` of the values reach."""
     return sorted(values, reverse=True)[quorum - 1]
--- a/firvane/fleet/replication/proposals.py
+++ b/firvane/fleet/replication/proposals.py
@@ -1,4 +1,4 @@
-"""What becomes of proposals and reads: the answers that a caller gets."""
+"""Proposals and reads: their outcomes, and those that are pending at a replica."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 class ProposalStatus(enum.Enum):
-    """How a proposal or a read ended."""
+    """The outcome of a proposal or a read."""
 
-    COMMITTED = "committed"  # committed, and applied here; a read here is linearizable
-    NOT_OWNER = "not_owner"  # surely not taken: another replica owns the group
-    UNCLEAR = "unclear"  # appended, and may yet be committed
-    UNAVAILABLE = "unavailable"  # surely not taken: there was no owner in time
+    COMMITTED = "committed"  # committed and applied here; a read now is linearizable
+    NOT_OWNER = "not_owner"  # certainly not committed: another replica owns the group
+    UNCLEAR = "unclear"  # appended, and may still be committed
+    UNAVAILABLE = "unavailable"  # certainly not committed: there was no owner in time
 
 
 class Proposal(Struct, frozen=True):
-    """The end of a proposal: `result` is that of `StateMachine.apply`, `owner` the owner if one is known."""
+    """The answer to a proposal or read: `result` is from `StateMachine.apply`, `owner` the known owner."""
 
     status: ProposalStatus
     result: bytes = b""
@@ -28,20 +28,20 @@
 
 
 class StateMachine(Protocol):
-    """What is replicated."""
+    """The application state that a group replicates."""
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Apply a committed command; deterministic."""
+        """Apply a committed command; must be deterministic."""
 
     def save(self) -> bytes:
-        """The whole state."""
+        """Return a snapshot of the state."""
 
     def load(self, snapshot: bytes) -> None:
-        """Take a state that `save` gave, here or elsewhere."""
+        """Replace the state by a snapshot from `save`, of this or another replica."""
 
 
 class Resolved(Struct, frozen=True):
-    """The answer to a proposal or read by its token."""
+    """The answer to the proposal or read with this token."""
 
     token: int
     proposal: Proposal
@@ -58,9 +58,9 @@
 
 
 class PendingRead(Struct):
-    """A read without an answer; `index` is known once it is linearizable after that entry."""
+    """A read without an answer, linearizable once the entry `index` is applied; None: not known yet."""
 
     token: int
     deadline: float
-    ask_again_at: float
+    retry_at: float
     index: int | None = None
--- a/firvane/fleet/replication/reads.py
+++ b/firvane/fleet/replication/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads at the leader: answered at once under a lease, else after a majority has answered."""
+"""Linearizable reads at the leader: answered at once under the lease, else once a majority has replied."""
 
 from __future__ import annotations
 
@@ -8,45 +8,45 @@
 from firvane.fleet.replication.messages import ReadReply
 from firvane.fleet.replication.types import Member
 
-MAXIMUM_READS = 1_024  # reads that wait at a leader; more are dropped, and their askers ask again
+MAX_PENDING_READS = 1_024  # at a leader; further ones are dropped, and their requesters retry
 
 
 class _PendingRead(Struct):
     token: int
-    asked_at: float
-    asker: Member | None  # None: this replica itself
+    requested_at: float
+    requester: Member | None  # None: this replica itself
 
 
 class LeaderReads:
-    """Reads that the leader has not yet answered."""
+    """Reads that the leader has not answered yet."""
 
     def __init__(self, core: Core) -> None:
         self.core = core
         self._pending: list[_PendingRead] = []
 
-    def add(self, token: int, asker: Member | None, now: float) -> None:
-        """Take a read in."""
-        if len(self._pending) < MAXIMUM_READS:
-            self._pending.append(_PendingRead(token, now, asker))
+    def add(self, token: int, requester: Member | None, now: float) -> None:
+        """Add a read; `requester` is None for this replica itself."""
+        if len(self._pending) < MAX_PENDING_READS:
+            self._pending.append(_PendingRead(token, now, requester))
 
     @property
-    def waiting(self) -> bool:
-        """Whether any read waits."""
+    def has_pending(self) -> bool:
+        """Whether any read is pending."""
         return bool(self._pending)
 
     def answer(self, confirmed_at: float, lease_until: float, now: float) -> None:
-        """Answer what is safe; `confirmed_at`: a majority has answered what was sent then."""
-        waiting = []
+        """Answer each read that the lease covers, or that was requested before `confirmed_at`."""
+        still_pending = []
         for read in self._pending:
-            if now < lease_until or read.asked_at <= confirmed_at:
+            if now < lease_until or read.requested_at <= confirmed_at:
                 self._answer(read)
             else:
-                waiting.append(read)
-        self._pending = waiting
+                still_pending.append(read)
+        self._pending = still_pending
 
     def _answer(self, read: _PendingRead) -> None:
         core = self.core
-        if read.asker is None:
+        if read.requester is None:
             core.outputs.reads.append(ReadReady(read.token, core.commit_index))
         else:
-            core.send(read.asker, ReadReply(core.term, read.token, core.commit_index))
+            core.send(read.requester, ReadReply(core.term, read.token, core.commit_index))
--- a/firvane/fleet/replication/records.py
+++ b/firvane/fleet/replication/records.py
@@ -1,4 +1,4 @@
-"""Records of a replica's journal: what a write hands to the disk, and what is read back from it."""
+"""Records of a replica's journal: the encoding of writes, and the recovery from stored records."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 from firvane.fleet.replication.core import Recovered, Write
 from firvane.fleet.replication.entry_codec import decode_entries, decode_snapshot, encode_entry
-from firvane.fleet.replication.errors import DecodeError, UnknownRecordError
+from firvane.fleet.replication.errors import DecodeError, UnsupportedRecordError
 from firvane.fleet.replication.types import Entry, HardState, Snapshot
 
 VERSION = 1
-_BIRTH = struct.Struct("<BBB")  # version, type, founder
+_ORIGIN = struct.Struct("<BBB")  # version, type, may bootstrap
 _HARD_STATE = struct.Struct("<BBQQ")  # version, type, term, vote
 _HEAD = struct.Struct("<BB")  # version, type; an entry follows
-_TYPE_BIRTH = 1
+_TYPE_ORIGIN = 1
 _TYPE_HARD_STATE = 2
 _TYPE_ENTRY = 3
 
 
-def encode_birth(founder: bool) -> bytes:
+def encode_origin(may_bootstrap: bool) -> bytes:
     """The first record of a journal: whether its folder was new at the first start of the whole system."""
-    return _BIRTH.pack(VERSION, _TYPE_BIRTH, founder)
+    return _ORIGIN.pack(VERSION, _TYPE_ORIGIN, may_bootstrap)
 
 
 def encode_write(write: Write) -> list[bytes]:
@@ -36,7 +36,16 @@
 
 
 def decode_journal(snapshot: bytes | None, records: Iterable[bytes]) -> Recovered:
-    """What a replica goes on with; `DecodeError` where the records make no sense."""
+    """The state that a replica recovers from its journal.
+
+    Args:
+        snapshot: The encoded snapshot of the journal, if it has one.
+        records: The records after the snapshot, in order.
+
+    Raises:
+        UnsupportedRecordError: If a record has an unknown version.
+        DecodeError: If a record is malformed or an entry is missing.
+    """
     try:
         return _replay(decode_snapshot(snapshot) if snapshot is not None else None, records)
     except DecodeError:
@@ -46,28 +55,28 @@
 
 
 def _replay(snapshot: Snapshot | None, records: Iterable[bytes]) -> Recovered:
-    founder = False
+    may_bootstrap = False
     hard_state = HardState()
     base = snapshot.index if snapshot else 0
     entries: list[Entry] = []
     for record in records:
         version, kind = _HEAD.unpack_from(record)
         if version != VERSION:
-            raise UnknownRecordError(f"a record of version {version}")
-        if kind == _TYPE_BIRTH:
-            founder = _BIRTH.unpack(record)[2] == 1
+            raise UnsupportedRecordError(f"a record of version {version}")
+        if kind == _TYPE_ORIGIN:
+            may_bootstrap = _ORIGIN.unpack(record)[2] == 1
         elif kind == _TYPE_HARD_STATE:
             _, _, term, vote = _HARD_STATE.unpack(record)
             hard_state = HardState(term, vote)
         elif kind == _TYPE_ENTRY:
-            _put(entries, base, decode_entries(record, _HEAD.size)[0])
+            _replace_tail(entries, base, decode_entries(record, _HEAD.size)[0])
         else:
             raise DecodeError(f"a record of unknown type {kind}")
-    return Recovered(founder, hard_state, snapshot, tuple(entries))
+    return Recovered(may_bootstrap, hard_state, snapshot, tuple(entries))
 
 
-def _put(entries: list[Entry], base: int, entry: Entry) -> None:
-    """An entry replaces the one of its index and all that follow."""
+def _replace_tail(entries: list[Entry], base: int, entry: Entry) -> None:
+    """Replace the entry of this index and all that follow it."""
     position = entry.index - base - 1
     if position < 0 or position > len(entries):
         raise DecodeError(f"entry {entry.index} leaves a gap")
--- a/firvane/fleet/replication/replica.py
+++ b/firvane/fleet/replication/replica.py
@@ -1,6 +1,6 @@
-"""One replica of one group: roles, terms, and the dispatch of messages and time.
+"""One replica of one group: roles, terms, and the dispatch of messages and timers.
 
-Inputs are method calls with `now`, monotonic seconds; what comes of them is fetched with `take_outputs`.
+Inputs are method calls with `now` in monotonic seconds; their results are fetched with `take_outputs`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from msgspec import Struct
 
 from firvane.core.address import Address
+from firvane.fleet.replication.bootstrap import Bootstrap
 from firvane.fleet.replication.candidacy import Candidacy, Phase
 from firvane.fleet.replication.core import Core, Outputs, ReadReady, Recovered
-from firvane.fleet.replication.following import Follower
-from firvane.fleet.replication.founding import Founding
+from firvane.fleet.replication.follower import Follower
 from firvane.fleet.replication.leadership import Leadership
 from firvane.fleet.replication.membership_policy import MembershipPolicy
 from firvane.fleet.replication.messages import (
@@ -22,9 +22,9 @@
     AppendReply,
     Beacon,
     BeaconReply,
+    DrainNotice,
     InstallSnapshot,
     Introduction,
-    Leave,
     Message,
     PreVote,
     PreVoteReply,
@@ -34,12 +34,12 @@
     Vote,
     VoteReply,
 )
-from firvane.fleet.replication.spread import DomainOf, each_alone
+from firvane.fleet.replication.spread import DomainOf, one_domain_per_address
 from firvane.fleet.replication.succession import Succession
 from firvane.fleet.replication.types import DEFAULT_TIMING, NOBODY, Member, Snapshot, Timing
 from firvane.fleet.replication.voting import Voter
 
-RETRY_AFTER_WITHDRAWAL = (0.1, 0.2)  # seconds, when another candidate was given way to
+WITHDRAWAL_RETRY_RANGE_S = (0.1, 0.2)  # after yielding to another candidate
 
 
 class Role(enum.Enum):
@@ -51,19 +51,19 @@
 
 
 class ReplicaOptions(Struct, frozen=True):
-    """What a replica is told at its start.
+    """Options of a replica.
 
-    `seeds`: the founders' addresses. `domain_of` names the failure domain of an address.
+    `seeds`: the addresses that bootstrap the group. `domain_of` returns the failure domain of an address.
     """
 
     seeds: tuple[Address, ...]
     target_size: int
     timing: Timing = DEFAULT_TIMING
-    domain_of: DomainOf = each_alone
+    domain_of: DomainOf = one_domain_per_address
 
 
 class Replica:
-    """The state machine of one replica."""
+    """The protocol state machine of one replica."""
 
     def __init__(
         self,
@@ -76,19 +76,23 @@
         timing = options.timing
         self.core = Core(identity, recovered, timing, uniform, now)
         self.policy = MembershipPolicy(
-            options.target_size, timing.learn_after, timing.replace_after, timing.recent, options.domain_of
+            options.target_size,
+            timing.learner_start_after_s,
+            timing.voter_replace_after_s,
+            timing.reachable_within_s,
+            options.domain_of,
         )
-        abstain = now if recovered.blank else now + timing.election_minimum
+        abstain = now if recovered.is_empty else now + timing.election_timeout_min_s
         self.voter = Voter(self.core, abstain)
-        self.founding = Founding(self.core, options.seeds, now)
+        self.bootstrap = Bootstrap(self.core, options.seeds, now)
         self.role = Role.FOLLOWER
         self.leader: Address | None = None
         self.leadership: Leadership | None = None
-        self.candidates: Sequence[Address] = ()  # live controllers, set by the driver
+        self.candidates: Sequence[Address] = ()  # live controllers in order of preference, set by the driver
         self._candidacy: Candidacy | None = None
         self._follower: Follower | None = None
         self._succession = Succession(self.core, now)
-        self._election_deadline = now + uniform(timing.election_minimum, timing.election_maximum)
+        self._election_deadline = now + uniform(timing.election_timeout_min_s, timing.election_timeout_max_s)
         self._handlers: dict[type, Callable[..., None]] = {
             Append: self._on_append,
             AppendReply: self._on_append_reply,
@@ -96,7 +100,7 @@
             BeaconReply: self._on_beacon_reply,
             InstallSnapshot: self._on_install,
             Introduction: self._on_introduction,
-            Leave: self._on_leave,
+            DrainNotice: self._on_drain_notice,
             PreVote: self._on_pre_vote,
             PreVoteReply: self._on_pre_vote_reply,
             ReadReply: self._on_read_reply,
@@ -110,14 +114,17 @@
 
     @property
     def identity(self) -> Member:
+        """This replica's address and incarnation."""
         return self.core.identity
 
     @property
     def term(self) -> int:
+        """The current term."""
         return self.core.term
 
     @property
     def commit_index(self) -> int:
+        """The index of the last entry that is known to be committed."""
         return self.core.commit_index
 
     @property
@@ -127,30 +134,30 @@
 
     def is_ready_leader(self) -> bool:
         """Whether this replica leads and has committed an entry of its term."""
-        return self.leadership is not None and self.leadership.ready
+        return self.leadership is not None and self.leadership.is_ready
 
     def lease_until(self, now: float) -> float:
-        """Until when this replica is surely the only leader; in the past where it leads nothing."""
-        if self.leadership is None or not self.leadership.ready:
+        """The end of this replica's lease in monotonic seconds; -inf if it does not lead."""
+        if self.leadership is None or not self.leadership.is_ready:
             return float("-inf")
         return self.leadership.lease_until(now)
 
     def confirmed_at(self, now: float) -> float:
-        """When a majority last followed this replica as its leader; -inf where it does not lead."""
-        if self.leadership is None or not self.leadership.ready:
+        """When a majority last followed this replica as its leader; -inf if it does not lead."""
+        if self.leadership is None or not self.leadership.is_ready:
             return float("-inf")
         return self.leadership.confirmed_at(now)
 
-    def fed_at(self, now: float) -> float:
-        """When this replica was last sent something of the log by its leader, or leads; -inf if never."""
+    def last_append_at(self, now: float) -> float:
+        """When the leader last sent an append or a snapshot; `now` on the leader itself, -inf if never."""
         if self.leadership is not None:
             return now
-        return self._follower.fed_at if self._follower is not None else float("-inf")
+        return self._follower.last_append_at if self._follower is not None else float("-inf")
 
     def accepts_proposals(self, now: float) -> bool:
-        """Whether a proposal made now has a good chance to be committed by this leader."""
+        """Whether this replica leads, holds the lease and can write, so that it takes proposals."""
         leadership = self.leadership
-        if leadership is None or leadership.transferring(now) or self.core.disk_trouble(now):
+        if leadership is None or leadership.transferring(now) or self.core.disk_fault(now):
             return False
         return now < leadership.lease_until(now)
 
@@ -161,18 +168,18 @@
         due = self._candidacy.deadline if self._candidacy else float("inf")
         if self.core.is_own_voter and not self._candidacy:
             due = self._election_deadline
-        if self.founding.waiting:
-            due = min(due, self.founding.next_introduction)
+        if self.bootstrap.is_pending:
+            due = min(due, self.bootstrap.next_introduction_at)
         return min(due, self._succession.deadline())
 
     def take_outputs(self) -> Outputs:
-        """What came of the inputs since the last call."""
+        """Return and clear the results of the inputs since the last call."""
         return self.core.take_outputs()
 
     # Inputs
 
     def receive(self, sender: Member, to_incarnation: int, message: Message, now: float) -> None:
-        """A message has come; `to_incarnation` says whom it was meant for."""
+        """Process a message that was addressed to `to_incarnation`."""
         if sender == self.identity:
             return
         if to_incarnation not in (NOBODY, self.identity.incarnation):
@@ -182,12 +189,12 @@
         self._handlers[type(message)](sender, message, now)
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Perform what is due at `now`."""
         if self.leadership is not None:
             self._tick_leader(self.leadership, now)
             return
         self._succession.tick(self._follower.leader if self._follower else None, now)
-        if self.founding.waiting and self.founding.tick(now):
+        if self.bootstrap.is_pending and self.bootstrap.tick(now):
             self._election_deadline = now
         if self._candidacy is not None:
             if now >= self._candidacy.deadline:
@@ -206,9 +213,9 @@
         elif self._follower is not None:
             self._follower.on_synced(now)
 
-    def disk_refused(self, now: float) -> None:
+    def on_disk_error(self, now: float) -> None:
         """The disk has refused a write; the driver tries it again until it is synced."""
-        self.core.disk_refuses = True
+        self.core.disk_rejects_writes = True
         if self.leadership is not None:
             self._tick_leader(self.leadership, now)
 
@@ -224,9 +231,9 @@
         elif self._follower is not None:
             self.core.send(self._follower.leader, ReadRequest(self.term, token))
 
-    def hand_over(self, now: float) -> None:
+    def start_draining(self, now: float) -> None:
         """This process is about to stop: pass leadership on, and have a spare controller take its place."""
-        self._succession.leaving = True
+        self._succession.draining = True
         if self.leadership is not None:
             self.leadership.start_transfer(now)
             self._tick_leader(self.leadership, now)
@@ -245,40 +252,40 @@
     # Roles
 
     def _tick_leader(self, leadership: Leadership, now: float) -> None:
-        self.voter.heard_at = max(self.voter.heard_at, leadership.confirmed_at(now))
-        if leadership.has_lost_majority(now):
+        self.voter.leader_seen_at = max(self.voter.leader_seen_at, leadership.confirmed_at(now))
+        if leadership.has_lost_quorum(now):
             self._step_down("majority_lost", now)
             return
-        if self._succession.leaving or self.core.disk_trouble(now):
-            self._consider_transfer(leadership, now)
+        if self._succession.draining or self.core.disk_fault(now):
+            self._start_transfer_if_possible(leadership, now)
         if leadership.transferring(now) and self._try_to_resign(leadership, now):
             return
         leadership.tick(self.candidates, now)
-        self._leave_if_removed(now)
+        self._step_down_if_removed(now)
 
-    def _consider_transfer(self, leadership: Leadership, now: float) -> None:
+    def _start_transfer_if_possible(self, leadership: Leadership, now: float) -> None:
         if not leadership.transferring(now) and leadership.has_healthy_voter(now):
-            self.core.log_event("transfer begun", leaving=self._succession.leaving)
+            self.core.log_event("leadership_transfer_started", draining=self._succession.draining)
             leadership.start_transfer(now)
 
     def _try_to_resign(self, leadership: Leadership, now: float) -> bool:
         successor = leadership.resign(now)
         if successor is None:
             return False
-        self.core.log_event("leadership transferred", to=successor.address)
+        self.core.log_event("leadership_transferred", successor=successor.address)
         self._step_down("transferred", now)
-        self._succession.name(successor, now)
+        self._succession.set_successor(successor, now)
         return True
 
-    def _leave_if_removed(self, now: float) -> None:
+    def _step_down_if_removed(self, now: float) -> None:
         core = self.core
         if not core.is_own_voter and core.commit_index >= core.log.members_index:
             self._step_down("removed", now)
 
     def _step_down(self, reason: str, now: float) -> None:
         if self.leadership is not None:
-            self.core.log_event("leadership lost", reason=reason, term=self.term)
-            self.voter.heard_at = max(self.voter.heard_at, self.leadership.confirmed_at(now))
+            self.core.log_event("leadership_lost", reason=reason, term=self.term)
+            self.voter.leader_seen_at = max(self.voter.leader_seen_at, self.leadership.confirmed_at(now))
         self.role = Role.FOLLOWER
         self.leadership = None
         self.leader = None
@@ -286,44 +293,46 @@
         self._follower = None
         self._reset_election(now)
 
-    def _follow_term(self, term: int, now: float) -> None:
+    def _adopt_term(self, term: int, now: float) -> None:
         self._step_down("higher_term", now)
-        self._succession.forget_successor()
+        self._succession.clear_successor()
         self.core.adopt(term, NOBODY, now)
 
-    def _follow(self, leader: Member, term: int, now: float) -> Follower:
+    def _follow_leader(self, leader: Member, term: int, now: float) -> Follower:
         if term > self.term:
-            self._follow_term(term, now)
-        self.voter.heard_at = now
+            self._adopt_term(term, now)
+        self.voter.leader_seen_at = now
         self.voter.release()
-        self._succession.forget_successor()
+        self._succession.clear_successor()
         self._reset_election(now)
         if self._follower is None or self._follower.leader != leader:
             self._step_down("other_leader", now)
             self._follower = Follower(self.core, leader)
             self.leader = leader.address
-            self.core.log_event("following", leader=leader.address, term=self.term)
+            self.core.log_event("following_leader", leader=leader.address, term=self.term)
         return self._follower
 
     def _reset_election(self, now: float) -> None:
         timing = self.core.timing
-        self._election_deadline = now + self.core.uniform(timing.election_minimum, timing.election_maximum)
+        self._election_deadline = now + self.core.uniform(
+            timing.election_timeout_min_s, timing.election_timeout_max_s
+        )
 
     def _start_pre_vote(self, now: float) -> None:
         self._reset_election(now)
         self._candidacy = None
         self.role = Role.FOLLOWER
         core = self.core
-        if self._succession.leaving or core.disk_trouble(now) or self.voter.follows_leader(now):
+        if self._succession.draining or core.disk_fault(now) or self.voter.follows_leader(now):
             return
         if not self.voter.reserve(self.identity.incarnation, now):
-            self._election_deadline = now + core.uniform(*RETRY_AFTER_WITHDRAWAL)
+            self._election_deadline = now + core.uniform(*WITHDRAWAL_RETRY_RANGE_S)
             return
         self.leader = None
         self._follower = None
-        self._stand(Phase.PRE_VOTE, False, now)
+        self._start_candidacy(Phase.PRE_VOTE, False, now)
 
-    def _stand(self, phase: Phase, transfer: bool, now: float) -> None:
+    def _start_candidacy(self, phase: Phase, transfer: bool, now: float) -> None:
         self.role = Role.CANDIDATE
         self._candidacy = Candidacy(self.core, phase, transfer, now)
         self._count_votes(now)
@@ -333,17 +342,17 @@
         if candidacy is None or not candidacy.won:
             return
         if candidacy.phase is Phase.PRE_VOTE:
-            self._stand(Phase.VOTE, False, now)
+            self._start_candidacy(Phase.VOTE, False, now)
         else:
-            self._lead(now)
+            self._become_leader(now)
 
-    def _lead(self, now: float) -> None:
+    def _become_leader(self, now: float) -> None:
         self.role = Role.LEADER
         self._candidacy = None
         self._follower = None
         self.voter.release()
         self.leader = self.identity.address
-        self.core.log_event("leader elected", term=self.term, voters=len(self.core.log.members))
+        self.core.log_event("leader_elected", term=self.term, voters=len(self.core.log.members))
         self.leadership = Leadership(self.core, self.policy, now)
         self.leadership.advance_commit()
 
@@ -362,12 +371,12 @@
         self.role = Role.FOLLOWER
         self._candidacy = None
         self.voter.release()
-        self._election_deadline = now + self.core.uniform(*RETRY_AFTER_WITHDRAWAL)
+        self._election_deadline = now + self.core.uniform(*WITHDRAWAL_RETRY_RANGE_S)
 
     def _on_pre_vote_reply(self, sender: Member, reply: PreVoteReply, now: float) -> None:
         if reply.term > self.term:
-            self._follow_term(reply.term, now)
-            self._election_deadline = now + self.core.uniform(*RETRY_AFTER_WITHDRAWAL)
+            self._adopt_term(reply.term, now)
+            self._election_deadline = now + self.core.uniform(*WITHDRAWAL_RETRY_RANGE_S)
         elif self._candidacy is not None:
             self._candidacy.on_pre_vote_reply(sender, reply)
             self._count_votes(now)
@@ -378,7 +387,7 @@
         if request.term > self.term:
             if not request.transfer and self.voter.follows_leader(now):
                 return
-            self._follow_term(request.term, now)
+            self._adopt_term(request.term, now)
         if request.term < self.term:
             self.core.send(sender, VoteReply(self.term, False))
         elif self.voter.on_vote(sender, request, now):
@@ -386,53 +395,53 @@
 
     def _on_vote_reply(self, sender: Member, reply: VoteReply, now: float) -> None:
         if reply.term > self.term:
-            self._follow_term(reply.term, now)
+            self._adopt_term(reply.term, now)
         elif self._candidacy is not None:
             self._candidacy.on_vote_reply(sender, reply)
             self._count_votes(now)
 
     def _on_append(self, sender: Member, message: Append, now: float) -> None:
         if message.term < self.term:
-            refusal = AppendReply(self.term, message.sent_at, False, 0, 0, self.core.disk_trouble(now))
-            self.core.send(sender, refusal)
+            rejection = AppendReply(self.term, message.sent_at, False, 0, 0, self.core.disk_fault(now))
+            self.core.send(sender, rejection)
         else:
-            self._follow(sender, message.term, now).on_append(message, now)
+            self._follow_leader(sender, message.term, now).on_append(message, now)
 
     def _on_install(self, sender: Member, message: InstallSnapshot, now: float) -> None:
         if message.term >= self.term:
-            self._follow(sender, message.term, now).on_snapshot(message, now)
+            self._follow_leader(sender, message.term, now).on_snapshot(message, now)
 
     def _on_append_reply(self, sender: Member, reply: AppendReply, now: float) -> None:
         if reply.term > self.term:
-            self._follow_term(reply.term, now)
+            self._adopt_term(reply.term, now)
         elif self.leadership is not None and reply.term == self.term:
             self.leadership.on_append_reply(sender, reply, now)
             self._after_leader_input(now)
 
     def _on_beacon(self, sender: Member, message: Beacon, now: float) -> None:
         if message.term >= self.term:
-            self._follow(sender, message.term, now)
+            self._follow_leader(sender, message.term, now)
         self.core.send(sender, BeaconReply(self.term, message.sent_at))
 
     def _on_beacon_reply(self, sender: Member, reply: BeaconReply, now: float) -> None:
         if reply.term > self.term:
-            self._follow_term(reply.term, now)
+            self._adopt_term(reply.term, now)
         elif self.leadership is not None:
             self.leadership.on_beacon_reply(sender, reply.echo, now)
 
     def _on_introduction(self, sender: Member, message: Introduction, now: float) -> None:
-        if self.founding.waiting:
-            self.founding.on_introduction(sender)
-            self.founding.next_introduction = now
+        if self.bootstrap.is_pending:
+            self.bootstrap.on_introduction(sender)
+            self.bootstrap.next_introduction_at = now
 
-    def _on_leave(self, sender: Member, message: Leave, now: float) -> None:
+    def _on_drain_notice(self, sender: Member, message: DrainNotice, now: float) -> None:
         if self.leadership is not None:
-            self.leadership.membership.on_leave(sender, now)
+            self.leadership.membership.on_drain_notice(sender, now)
 
     def _on_timeout_now(self, sender: Member, message: TimeoutNow, now: float) -> None:
         follows = self._follower is not None and self._follower.leader == sender
-        if message.term == self.term and follows and self.is_voter and not self.core.disk_trouble(now):
-            self._stand(Phase.VOTE, True, now)
+        if message.term == self.term and follows and self.is_voter and not self.core.disk_fault(now):
+            self._start_candidacy(Phase.VOTE, True, now)
 
     def _on_read_request(self, sender: Member, message: ReadRequest, now: float) -> None:
         if self.leadership is not None and message.term == self.term:
--- a/firvane/fleet/replication/spread.py
+++ b/firvane/fleet/replication/spread.py
@@ -1,4 +1,4 @@
-"""How the voters of a group are spread over failure domains: zones, or regions that may be lost whole."""
+"""The spread of a group's voters over failure domains (zones or regions)."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 DomainOf = Callable[[Address], str]
 
-WORTH_MOVING = 2  # one domain must hold so many voters more than another before a voter is moved between them
+MIN_REBALANCE_DIFFERENCE = 2  # in voters of two domains, before a voter moves between them
 
 
 class Spread:
-    """The failure domains of some voters, by how many of them each holds."""
+    """The number of voters in each failure domain."""
 
     def __init__(self, domain_of: DomainOf, members: Iterable[Member]) -> None:
         self._domain_of = domain_of
@@ -25,19 +25,19 @@
         self._count[self._domain_of(member.address)] += 1
 
     def count_beside(self, member: Member) -> int:
-        """How many of the voters stand in the domain of this member."""
+        """The number of voters in the failure domain of this member."""
         return self._count[self._domain_of(member.address)]
 
     def least_crowded(self, members: Sequence[Member]) -> Member | None:
-        """The first of the members whose domain holds the fewest voters; None where there is none."""
+        """The first of the members whose domain has the fewest voters; None if `members` is empty."""
         return min(members, key=self.count_beside, default=None)
 
     def improves(self, member: Member) -> bool:
-        """Whether this member, in the place of a voter of the most crowded domain, spreads them better."""
+        """Whether replacing a voter of the most crowded domain by this member balances the domains better."""
         most = max(self._count.values(), default=0)
-        return most - self.count_beside(member) >= WORTH_MOVING
+        return most - self.count_beside(member) >= MIN_REBALANCE_DIFFERENCE
 
 
-def each_alone(address: Address) -> str:
-    """Every machine is a failure domain of its own: the rule where nothing is known of zones."""
+def one_domain_per_address(address: Address) -> str:
+    """Make each address its own failure domain: the default if zones are not known."""
     return f"{address[0]}:{address[1]}"
--- a/firvane/fleet/replication/status.py
+++ b/firvane/fleet/replication/status.py
@@ -1,4 +1,4 @@
-"""What one replica knows of its group at one moment, for operators. Pure; nothing changes."""
+"""A replica's view of its group at one moment, for operators."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 class ReplicaStatus(Struct, frozen=True):
-    """One replica of the group; None stands for what only a leader knows of others."""
+    """One replica of the group; None stands for values that only a leader knows."""
 
     member: Member
     is_voter: bool
-    synced_index: int | None = None  # agrees with the leader's log and is on its disk up to here
-    silent_for: float | None = None  # seconds
-    disk_trouble: bool = False
-    superseded: bool = False  # another incarnation has answered from its address
-    leaving: bool = False
+    synced_index: int | None = None  # matches the leader's log and is synced up to here
+    unresponsive_for_s: float | None = None
+    disk_fault: bool = False
+    superseded: bool = False  # another incarnation has replied from its address
+    draining: bool = False
 
 
 class GroupStatus(Struct, frozen=True):
@@ -28,7 +28,7 @@
 
     own: Member
     role: Role
-    owned: bool  # this replica surely owns the group
+    owned: bool  # this replica holds the lease
     owner: Address | None
     term: int
     last_index: int
@@ -38,13 +38,13 @@
 
 
 def group_status(group: ReplicatedGroup, now: float) -> GroupStatus:
-    """The state of a group on this controller; that of the other replicas is known to a leader only."""
+    """The status of a group; progress of other replicas is included only on the leader."""
     replica = group.replica
     core = replica.core
     leadership = replica.leadership
     replicas = _seen_by_leader(leadership, now) if leadership else _named_by_log(group)
     own = ReplicaStatus(
-        replica.identity, replica.is_voter, core.writes.synced_index, 0.0, core.disk_trouble(now)
+        replica.identity, replica.is_voter, core.writes.synced_index, 0.0, core.disk_fault(now)
     )
     return GroupStatus(
         own=replica.identity,
@@ -64,11 +64,11 @@
         ReplicaStatus(
             peer.member,
             leadership.core.is_voter(peer.member.incarnation),
-            peer.match,
-            now - peer.last_reply,
-            peer.disk_trouble,
+            peer.match_index,
+            now - peer.last_reply_at,
+            peer.disk_fault,
             peer.superseded,
-            leadership.membership.is_leaving(peer.member, now),
+            leadership.membership.is_draining(peer.member, now),
         )
         for peer in leadership.peers.values()
     ]
--- a/firvane/fleet/replication/succession.py
+++ b/firvane/fleet/replication/succession.py
@@ -1,54 +1,54 @@
-"""The end of a replica's part in its group: departures that are announced, successors that are called."""
+"""Notices that a draining replica repeats to its leader, and a resigned leader to its successor."""
 
 from __future__ import annotations
 
 from firvane.fleet.replication.core import Core
-from firvane.fleet.replication.messages import Leave, TimeoutNow
+from firvane.fleet.replication.messages import DrainNotice, TimeoutNow
 from firvane.fleet.replication.types import Member
 
-LEAVE_INTERVAL = 0.2  # seconds between two announcements of a departure
-TIMEOUT_NOW_REPEATS = 2
-TIMEOUT_NOW_INTERVAL = 0.030  # seconds
+DRAIN_NOTICE_INTERVAL_S = 0.2
+MAX_TIMEOUT_NOW_ATTEMPTS = 2
+TIMEOUT_NOW_INTERVAL_S = 0.030
 
 
 class Succession:
-    """What a replica says until its end, and to the successor that it has named as a leader."""
+    """Sends drain notices to the leader, and `TimeoutNow` to the successor of this replica's leadership."""
 
     def __init__(self, core: Core, now: float) -> None:
         self.core = core
-        self.leaving = False  # this process is about to stop
-        self._next_leave = now
-        self._successor: Member | None = None  # told to stand for election, and may not have heard it
-        self._calls = 0
-        self._next_call = now
-
-    def name(self, successor: Member, now: float) -> None:
-        """Leadership has passed to this replica; it is called again in case the first call was lost."""
+        self.draining = False  # the process is about to stop
+        self._next_drain_notice_at = now
+        self._successor: Member | None = None  # asked to start an election; the message may be lost
+        self._attempts = 0
+        self._next_attempt_at = now
+
+    def set_successor(self, successor: Member, now: float) -> None:
+        """Repeat `TimeoutNow` to the successor, in case the first one was lost."""
         self._successor = successor
-        self._calls = 0
-        self._next_call = now + TIMEOUT_NOW_INTERVAL
+        self._attempts = 0
+        self._next_attempt_at = now + TIMEOUT_NOW_INTERVAL_S
 
-    def forget_successor(self) -> None:
-        """Another leader or term is known: the successor need not be called."""
+    def clear_successor(self) -> None:
+        """Stop the repetition, as another leader or term is known."""
         self._successor = None
 
     def deadline(self) -> float:
-        """When `tick` is due next."""
-        due = self._next_leave if self.leaving else float("inf")
-        return due if self._successor is None else min(due, self._next_call)
+        """When `tick` is due next, in monotonic seconds."""
+        due = self._next_drain_notice_at if self.draining else float("inf")
+        return due if self._successor is None else min(due, self._next_attempt_at)
 
     def tick(self, leader: Member | None, now: float) -> None:
-        """Announce the departure to the leader, None where there is none to tell; call the successor."""
-        if self.leaving and now >= self._next_leave:
-            self._next_leave = now + LEAVE_INTERVAL
+        """Send what is due; `leader` is None if no leader is known."""
+        if self.draining and now >= self._next_drain_notice_at:
+            self._next_drain_notice_at = now + DRAIN_NOTICE_INTERVAL_S
             if leader is not None and self.core.is_own_voter:
-                self.core.send(leader, Leave(self.core.term))
-        if self._successor is not None and now >= self._next_call:
-            self._call(self._successor, now)
+                self.core.send(leader, DrainNotice(self.core.term))
+        if self._successor is not None and now >= self._next_attempt_at:
+            self._send_timeout_now(self._successor, now)
 
-    def _call(self, successor: Member, now: float) -> None:
+    def _send_timeout_now(self, successor: Member, now: float) -> None:
         self.core.send(successor, TimeoutNow(self.core.term))
-        self._calls += 1
-        self._next_call = now + TIMEOUT_NOW_INTERVAL
-        if self._calls >= TIMEOUT_NOW_REPEATS:
+        self._attempts += 1
+        self._next_attempt_at = now + TIMEOUT_NOW_INTERVAL_S
+        if self._attempts >= MAX_TIMEOUT_NOW_ATTEMPTS:
             self._successor = None
--- a/firvane/fleet/replication/transfer.py
+++ b/firvane/fleet/replication/transfer.py
@@ -1,4 +1,4 @@
-"""What becomes of an operator's wish that the leader hands its group to another replica."""
+"""The result of a request to transfer leadership."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class TransferStart(enum.Enum):
-    """Whether a transfer of leadership has begun, or why not."""
+    """Whether a leadership transfer has started, or why not."""
 
-    BEGUN = "begun"
+    STARTED = "started"
     NOT_LEADER = "not_leader"  # this replica does not lead, or has not committed anything in its term
-    BUSY = "busy"  # another transfer is under way
-    UNKNOWN = "unknown"  # no other voter has the address that was named
-    UNFIT = "unfit"  # the named voter, or every one, is silent, leaving or in trouble with its disk
+    IN_PROGRESS = "in_progress"  # another transfer has not ended
+    UNKNOWN_VOTER = "unknown_voter"  # no other voter has the requested address
+    NO_HEALTHY_VOTER = "no_healthy_voter"  # requested or any: unreachable, draining or with a disk fault
--- a/firvane/fleet/replication/types.py
+++ b/firvane/fleet/replication/types.py
@@ -1,4 +1,4 @@
-"""Values that every part of a replica uses."""
+"""Values shared by all modules of a replica: members, log entries, hard state, snapshots and timing."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from firvane.core.address import Address
 
 NOBODY = 0
-"""The incarnation that no replica has: no vote yet, or a message to whoever answers at an address."""
+"""The incarnation that no replica has: no vote yet, or a message to any replica at an address."""
 
 
 class Member(Struct, frozen=True):
-    """One replica for as long as it keeps its disk.
+    """One replica, identified by its address and by the incarnation that its journal stores.
 
-    A machine that returns with an empty disk has another incarnation, and is another member.
+    A machine that restarts with an empty disk draws another incarnation, and is another member.
     """
 
     address: Address
@@ -26,11 +26,11 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log is for."""
+    """The purpose of a log entry."""
 
-    NOOP = 0  # the first entry of a leader's term
+    NOOP = 0  # the first entry of each leader's term
     COMMAND = 1  # for the replicated state machine
-    MEMBERS = 2  # the voters of the group from here on
+    MEMBERS = 2  # the voters of the group from this entry on
 
 
 class Entry(Struct, frozen=True):
@@ -43,7 +43,7 @@
 
 
 class HardState(Struct, frozen=True):
-    """What a replica must never forget: its term, and the incarnation it voted for in that term."""
+    """The durable election state: the current term, and the incarnation voted for in that term."""
 
     term: int = 0
     vote: int = NOBODY
@@ -53,7 +53,7 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """The state machine after the entry `index`, with the voters in force there."""
+    """The state machine after the entry `index`, with the voters in force at that entry."""
 
     index: int
     term: int
@@ -63,38 +63,38 @@
 
 
 class Timing(Struct, frozen=True):
-    """Times of the protocol, in seconds of a monotonic clock.
+    """Intervals and timeouts of the protocol, in seconds of a monotonic clock.
 
     `clock_rate_bound` is the largest ratio that is assumed between the rates of two machines' monotonic
     clocks.
     """
 
-    heartbeat: float = 0.080
-    election_minimum: float = 0.300
-    election_maximum: float = 0.450
+    heartbeat_interval_s: float = 0.080
+    election_timeout_min_s: float = 0.300
+    election_timeout_max_s: float = 0.450
     clock_rate_bound: float = 1.1
-    pre_vote_minimum: float = 0.050
-    pre_vote_maximum: float = 0.150
-    vote_minimum: float = 0.150
-    vote_maximum: float = 0.300
-    introduction: float = 0.100  # between two introductions of a founder to the one that proposes the group
-    beacon_beats: int = 3  # heartbeats between two beacons to a controller outside the group
-    disk_stall: float = 0.300  # a write that is not synced after this long: the disk is in trouble
-    transfer: float = 0.500  # a transfer of leadership that takes longer is given up
-    recent: float = 0.300  # a replica that answered within this time is taken for reachable
-    learn_after: float = 1.2  # a voter that is silent for so long: teach a possible replacement
-    replace_after: float = 2.0  # a voter that is silent for so long is replaced
-    leave_valid: float = 1.0  # a departure that is not announced again is over: five announcements
+    pre_vote_timeout_min_s: float = 0.050
+    pre_vote_timeout_max_s: float = 0.150
+    vote_timeout_min_s: float = 0.150
+    vote_timeout_max_s: float = 0.300
+    introduction_interval_s: float = 0.100  # between two introductions of a seed to the bootstrapping seed
+    heartbeats_per_beacon: int = 3
+    disk_stall_timeout_s: float = 0.300  # a write that is unsynced for longer counts as a disk fault
+    transfer_timeout_s: float = 0.500  # a leadership transfer that takes longer is abandoned
+    reachable_within_s: float = 0.300  # a replica that replied within this time counts as reachable
+    learner_start_after_s: float = 1.2  # of no reply from a voter before a replacement starts as a learner
+    voter_replace_after_s: float = 2.0  # of no reply from a voter before it is replaced
+    drain_notice_valid_s: float = 1.0  # a drain notice expires unless it is repeated
 
     @property
-    def lease(self) -> float:
-        """How long a leader may count on the followers' promise, from the sending of what they answered."""
-        return self.election_minimum / self.clock_rate_bound
+    def lease_duration_s(self) -> float:
+        """Seconds of a leader's lease, from the sending of the append that a majority acknowledged."""
+        return self.election_timeout_min_s / self.clock_rate_bound
 
 
 DEFAULT_TIMING = Timing()
 
 
 def quorum_of(count: int) -> int:
-    """The smallest majority of so many voters."""
+    """The smallest majority of `count` voters."""
     return count // 2 + 1
--- a/firvane/fleet/storage/__init__.py
+++ b/firvane/fleet/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Journals on a disk: segments of checksummed frames with a snapshot beside them, and the thread that syncs.
+"""Write-ahead journals: segments of checksummed frames, snapshot files, and the thread that syncs them.
 
-Nothing here knows what is stored. `docs/replication.md` states the format and what it bears.
+The content of records and snapshots is opaque here. `docs/replication.md` states which faults are tolerated.
 """
--- a/firvane/fleet/storage/errors.py
+++ b/firvane/fleet/storage/errors.py
@@ -1,11 +1,15 @@
-"""Errors of storage."""
+"""Errors of the journal storage."""
 
 from __future__ import annotations
 
 
-class DamagedJournalError(Exception):
-    """Something that was synced cannot be read back; the reason is one line."""
+class StorageError(Exception):
+    """Base of the errors of this package; the text is one line."""
 
 
-class UnknownFormatError(Exception):
-    """What was written whole is of a format that this program does not know; it is left as it is."""
+class CorruptJournalError(StorageError):
+    """Data that was synced cannot be read back."""
+
+
+class UnsupportedFormatError(StorageError):
+    """A complete segment or record has a format that this program does not know; it is left unchanged."""
--- a/firvane/fleet/storage/filesystem.py
+++ b/firvane/fleet/storage/filesystem.py
@@ -1,13 +1,16 @@
-"""The few calls of a file system that a journal needs, and those of the operating system.
+"""The file system operations that a journal needs, and their implementation by the operating system.
 
-Every call may block and may raise `OSError`. A simulated disk implements the same protocols.
+Every call may block and may raise `OSError`. Tests implement the same protocols with a simulated disk.
 """
 
 from __future__ import annotations
 
 import os
+from pathlib import Path
 from typing import Protocol
 
+FILE_MODE = 0o644
+
 
 class File(Protocol):
     """An open file."""
@@ -16,37 +19,38 @@
         """Write all of `data`, or raise."""
 
     def truncate(self, size: int) -> None:
-        """Set the length."""
+        """Set the length in bytes."""
 
     def sync(self) -> None:
         """Return once the content is on the disk."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Close the file."""
 
 
 class FileSystem(Protocol):
-    """Names are paths."""
+    """File system operations; names are paths."""
 
     def make_directory(self, path: str) -> None:
-        """Make a folder and those above it; nothing where it is there."""
+        """Make a folder and its parents, if they do not exist."""
 
     def names(self, path: str) -> list[str]:
-        """The names in a folder; none where there is no folder."""
+        """The names in a folder; empty if the folder does not exist."""
 
     def read(self, path: str) -> bytes:
-        """A whole file."""
+        """Read a file."""
 
     def open(self, path: str, create: bool) -> File:
-        """Open for writing; with `create` the file is made, or emptied."""
+        """Open a file for writing; with `create` it is created or truncated."""
 
     def rename(self, source: str, target: str) -> None:
-        """Give a file another name; lasts once the folder is synced."""
+        """Rename a file; durable once the folder is synced."""
 
     def remove(self, path: str) -> None:
-        """Remove a name; lasts once the folder is synced."""
+        """Remove a file; durable once the folder is synced."""
 
     def sync_directory(self, path: str) -> None:
-        """Return once the names of a folder are on the disk."""
+        """Return once the entries of a folder are on the disk."""
 
 
 class SystemFile:
@@ -56,6 +60,7 @@
         self._descriptor = descriptor
 
     def write_at(self, offset: int, data: bytes) -> None:
+        """Write all of `data`, or raise."""
         view = memoryview(data)
         while view:
             written = os.pwrite(self._descriptor, view, offset)
@@ -63,12 +68,15 @@
             view = view[written:]
 
     def truncate(self, size: int) -> None:
+        """Set the length in bytes."""
         os.ftruncate(self._descriptor, size)
 
     def sync(self) -> None:
+        """Return once the content is on the disk."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
+        """Close the file."""
         os.close(self._descriptor)
 
 
@@ -76,30 +84,37 @@
     """The file system of the operating system."""
 
     def make_directory(self, path: str) -> None:
-        os.makedirs(path, exist_ok=True)  # one that is there may be of a life that was killed before its sync
-        self.sync_directory(os.path.dirname(path) or ".")
+        """Make a folder and its parents, if they do not exist."""
+        Path(path).mkdir(parents=True, exist_ok=True)
+        # A folder that exists may be of a process that was killed before it synced the parent.
+        self.sync_directory(str(Path(path).parent))
 
     def names(self, path: str) -> list[str]:
+        """The names in a folder; empty if the folder does not exist."""
         try:
-            return os.listdir(path)
+            return [entry.name for entry in Path(path).iterdir()]
         except FileNotFoundError:
             return []
 
     def read(self, path: str) -> bytes:
-        with open(path, "rb") as file:
-            return file.read()
+        """Read a file."""
+        return Path(path).read_bytes()
 
     def open(self, path: str, create: bool) -> SystemFile:
+        """Open a file for writing; with `create` it is created or truncated."""
         flags = os.O_WRONLY | os.O_CLOEXEC | (os.O_CREAT | os.O_TRUNC if create else 0)
-        return SystemFile(os.open(path, flags, 0o644))
+        return SystemFile(os.open(path, flags, FILE_MODE))
 
     def rename(self, source: str, target: str) -> None:
-        os.rename(source, target)
+        """Rename a file; durable once the folder is synced."""
+        Path(source).rename(target)
 
     def remove(self, path: str) -> None:
-        os.unlink(path)
+        """Remove a file; durable once the folder is synced."""
+        Path(path).unlink()
 
     def sync_directory(self, path: str) -> None:
+        """Return once the entries of a folder are on the disk."""
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/firvane/fleet/storage/frames.py
+++ b/firvane/fleet/storage/frames.py
@@ -1,10 +1,10 @@
-"""Frames: the unit of a segment, written at once and synced before the next one is begun.
+"""Frames: the unit of a segment, written at once and synced before the next one is written.
 
-A frame is a magic number, a length, a checksum, its number in the segment, and records with a length each.
-Since no frame is begun before the one before it is synced, a frame that cannot be read is
+A frame is a magic number, a length, a checksum, its number in the segment, and length-prefixed records. Since
+no frame is written before the previous one is synced, an unreadable frame is
 
-- a torn tail where no later frame of the segment can be read: it was never synced, and is dropped;
-- damage where a later frame can be read: something that was synced is gone.
+- a torn tail if no later frame of the segment is readable: it was never synced, and is dropped;
+- corruption if a later frame is readable: synced data is lost.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 from msgspec import Struct
 
-from firvane.fleet.storage.errors import DamagedJournalError
+from firvane.fleet.storage.errors import CorruptJournalError
 
 MAGIC = b"FvJ\x01"
-MAXIMUM_FRAME = 128_000_000  # bytes of the records of one frame
+MAX_FRAME_BYTES = 128_000_000  # of the records of one frame
 _HEAD = struct.Struct("<4sIIQ")  # magic, length of what follows, checksum, number
 _LENGTH = struct.Struct("<I")
 _SEED = struct.Struct("<QQQ")
 
 
 class Frames(Struct, frozen=True):
-    """What a segment holds. `end` is the offset after the last frame that can be read."""
+    """The frames of a segment; `end` is the offset after the last readable frame."""
 
     records: list[list[bytes]]  # of each frame
     end: int
@@ -33,21 +33,21 @@
 
 
 def encode_frame(identity: int, generation: int, number: int, records: Iterable[bytes]) -> bytes:
-    """One frame; the checksum also covers whose segment it belongs to, so that stale bytes never fit."""
+    """Encode one frame; the checksum covers the journal and segment, so that stale bytes never match."""
     body = b"".join(_LENGTH.pack(len(record)) + record for record in records)
     checksum = _checksum(identity, generation, number, body)
     return _HEAD.pack(MAGIC, len(body), checksum, number) + body
 
 
 def read_frames(data: bytes, identity: int, generation: int) -> Frames:
-    """All frames of a segment; `DamagedJournalError` where one in the middle cannot be read."""
+    """Decode all frames of a segment; `CorruptJournalError` if one before the last is unreadable."""
     frames: list[list[bytes]] = []
     position = 0
     while position < len(data):
         body = _frame_at(data, position, identity, generation, len(frames))
         if body is None:
-            if _is_later_frame(data, position + 1, identity, generation, len(frames)):
-                raise DamagedJournalError(f"frame {len(frames)} cannot be read, and a later one can")
+            if _has_later_frame(data, position + 1, identity, generation, len(frames)):
+                raise CorruptJournalError(f"frame {len(frames)} cannot be read, and a later one can")
             return Frames(frames, position, torn=True)
         frames.append(_split(body))
         position += _HEAD.size + len(body)
@@ -59,24 +59,24 @@
 
 
 def _frame_at(data: bytes, position: int, identity: int, generation: int, number: int | None) -> bytes | None:
-    """The body of the frame at an offset; None where there is none, or not of this number."""
+    """The body of the frame at an offset; None if there is no valid frame of this number (None: any)."""
     if len(data) - position < _HEAD.size:
         return None
-    magic, length, checksum, found = _HEAD.unpack_from(data, position)
+    magic, length, checksum, stored_number = _HEAD.unpack_from(data, position)
     start = position + _HEAD.size
-    if magic != MAGIC or length > MAXIMUM_FRAME or start + length > len(data):
+    if magic != MAGIC or length > MAX_FRAME_BYTES or start + length > len(data):
         return None
-    if number is not None and found != number:
+    if number is not None and stored_number != number:
         return None
     body = data[start : start + length]
-    return body if _checksum(identity, generation, found, body) == checksum else None
+    return body if _checksum(identity, generation, stored_number, body) == checksum else None
 
 
-def _is_later_frame(data: bytes, position: int, identity: int, generation: int, number: int) -> bool:
+def _has_later_frame(data: bytes, position: int, identity: int, generation: int, number: int) -> bool:
     while (position := data.find(MAGIC, position)) >= 0:
         if _frame_at(data, position, identity, generation, None) is not None:
-            found = _HEAD.unpack_from(data, position)[3]
-            if found > number:
+            stored_number = _HEAD.unpack_from(data, position)[3]
+            if stored_number > number:
                 return True
         position += 1
     return False
@@ -87,11 +87,11 @@
     position = 0
     while position < len(body):
         if len(body) - position < _LENGTH.size:
-            raise DamagedJournalError("a record's length is cut off in a whole frame")
+            raise CorruptJournalError("a record's length is cut off in a whole frame")
         (length,) = _LENGTH.unpack_from(body, position)
         position += _LENGTH.size
         if length > len(body) - position:
-            raise DamagedJournalError("a record is cut off in a whole frame")
+            raise CorruptJournalError("a record is cut off in a whole frame")
         records.append(body[position : position + length])
         position += length
     return records
--- a/firvane/fleet/storage/writer.py
+++ b/firvane/fleet/storage/writer.py
@@ -1,14 +1,16 @@
 """The thread that writes and syncs the journals of a process, so that its event loop never waits for a disk.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. The writes of one journal reach the disk in the order in which they were handed over.
-2. All appends that wait for a journal become one frame and one sync; journals are written first, then synced.
-3. A write that the disk refuses is tried again until it succeeds; nothing behind it passes it.
+1. The writes of one journal reach the disk in the order in which they were issued.
+2. All pending appends of a journal become one frame and one sync (group commit); all journals are written
+   before the first is synced.
+3. A write that fails is retried until it succeeds; no later write of the journal overtakes it.
 """
 
 from __future__ import annotations
 
+import enum
 import threading
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -18,32 +20,39 @@
 from firvane.core import process_signals
 from firvane.fleet.storage.journal import Journal
 
-RETRY_INTERVAL = 0.1  # seconds between two tries of what a disk has refused
+RETRY_INTERVAL_S = 0.1  # of a failed write
 
-Done = Callable[[int, int], None]  # journal, sequence: synced up to here
-Refused = Callable[[int, OSError], None]  # journal, why
+OnSynced = Callable[[int, int], None]
+"""Called with a journal's key and the sequence number up to which it is synced."""
+OnError = Callable[[int, OSError], None]
+"""Called with a journal's key and the error of a write."""
 
 
-class _Job(Struct):
+class _WriteKind(enum.Enum):
+    APPEND = 1
+    SYNC_RECOVERED = 2
+    COMPACT = 3
+
+
+class _Write(Struct):
+    kind: _WriteKind
     sequence: int
     records: Sequence[bytes]
     snapshot: bytes | None = None
-    compact: bool = False
-    settle: bool = False
 
 
-class _Queue(Struct):
+class _JournalQueue(Struct):
     journal: Journal
-    jobs: deque[_Job] = field(default_factory=deque)
+    writes: deque[_Write] = field(default_factory=deque)
 
 
 class JournalWriter:
-    """One thread for all journals. `done` and `refused` are called in that thread."""
+    """One thread for all journals; `on_synced` and `on_error` are called in that thread."""
 
-    def __init__(self, done: Done, refused: Refused) -> None:
-        self._done = done
-        self._refused = refused
-        self._queues: dict[int, _Queue] = {}
+    def __init__(self, on_synced: OnSynced, on_error: OnError) -> None:
+        self._on_synced = on_synced
+        self._on_error = on_error
+        self._queues: dict[int, _JournalQueue] = {}
         self._condition = threading.Condition()
         self._closed = False
         self._thread = threading.Thread(target=self._run, name="journal-writer", daemon=True)
@@ -53,70 +62,70 @@
         self._thread.start()
 
     def add(self, key: int, journal: Journal) -> None:
-        """Take a journal over; only the thread uses it from now on."""
+        """Take over a journal; only the thread may use it from now on."""
         with self._condition:
-            self._queues[key] = _Queue(journal)
+            self._queues[key] = _JournalQueue(journal)
 
     def append(self, key: int, sequence: int, records: Sequence[bytes]) -> None:
-        """Write records; none only waits for what is before."""
-        self._put(key, _Job(sequence, records))
+        """Write records; without any, `sequence` is synced with the writes before it."""
+        self._put(key, _Write(_WriteKind.APPEND, sequence, records))
 
-    def settle(self, key: int, sequence: int) -> None:
-        """Sync what was found when the journal was opened."""
-        self._put(key, _Job(sequence, (), settle=True))
+    def sync_recovered(self, key: int, sequence: int) -> None:
+        """Sync the content that the journal had when it was opened."""
+        self._put(key, _Write(_WriteKind.SYNC_RECOVERED, sequence, ()))
 
     def compact(self, key: int, sequence: int, snapshot: bytes, records: Sequence[bytes]) -> None:
         """Begin a new segment after a snapshot."""
-        self._put(key, _Job(sequence, records, snapshot, compact=True))
+        self._put(key, _Write(_WriteKind.COMPACT, sequence, records, snapshot))
 
-    def close(self, timeout: float = 0.0) -> None:
-        """End the thread after what it is doing; wait for it so many seconds."""
+    def close(self, timeout_s: float = 0.0) -> None:
+        """End the thread after its current work; wait up to `timeout_s` for that."""
         with self._condition:
             self._closed = True
             self._condition.notify()
-        if timeout and self._thread.is_alive():
-            self._thread.join(timeout)
+        if timeout_s and self._thread.is_alive():
+            self._thread.join(timeout_s)
 
-    def _put(self, key: int, job: _Job) -> None:
+    def _put(self, key: int, write: _Write) -> None:
         with self._condition:
-            self._queues[key].jobs.append(job)
+            self._queues[key].writes.append(write)
             self._condition.notify()
 
     def _run(self) -> None:
         process_signals.block()
         while True:
             with self._condition:
-                while not self._closed and not self.waiting:
+                while not self._closed and not self.has_pending:
                     self._condition.wait()
                 if self._closed:
                     break
-            if not self.write_waiting():
+            if not self.write_pending():
                 with self._condition:
                     if not self._closed:
-                        self._condition.wait(RETRY_INTERVAL)
+                        self._condition.wait(RETRY_INTERVAL_S)
         for queue in self._queues.values():
             queue.journal.close()
 
     @property
-    def waiting(self) -> bool:
-        """Whether anything waits to be written."""
-        return any(queue.jobs for queue in self._queues.values())
+    def has_pending(self) -> bool:
+        """Whether any write is pending."""
+        return any(queue.writes for queue in self._queues.values())
 
-    def write_waiting(self) -> bool:
-        """Write what waits, one frame for each journal at the most; False where the disk refused any of it.
+    def write_pending(self) -> bool:
+        """Perform pending writes, at most one frame for each journal; returns False if any has failed.
 
-        The thread calls this; a simulated world that starts no thread calls it by itself.
+        The thread calls this; tests that start no thread call it directly.
         """
         with self._condition:
-            batch = [(key, queue, list(queue.jobs)) for key, queue in self._queues.items() if queue.jobs]
-        appended: list[tuple[int, _Queue, int]] = []
-        well = True
-        for key, queue, jobs in batch:
+            batch = [(key, queue, list(queue.writes)) for key, queue in self._queues.items() if queue.writes]
+        appended: list[tuple[int, _JournalQueue, int]] = []
+        succeeded = True
+        for key, queue, writes in batch:
             try:
-                count = self._begin(queue.journal, jobs)
+                count = self._begin(queue.journal, writes)
             except OSError as error:
-                well = False
-                self._refused(key, error)
+                succeeded = False
+                self._on_error(key, error)
                 continue
             if count:
                 appended.append((key, queue, count))
@@ -126,35 +135,35 @@
             try:
                 queue.journal.sync()
             except OSError as error:
-                well = False
-                self._refused(key, error)
+                succeeded = False
+                self._on_error(key, error)
                 continue
             self._finish(key, queue, count)
-        return well
+        return succeeded
 
-    def _begin(self, journal: Journal, jobs: Sequence[_Job]) -> int:
-        """Do the first job, or write as many appends as come first; how many of these are to be synced."""
-        first = jobs[0]
-        if first.compact:
+    def _begin(self, journal: Journal, writes: Sequence[_Write]) -> int:
+        """Perform the first write, or write the appends at the head; returns how many a sync must follow."""
+        first = writes[0]
+        if first.kind is _WriteKind.COMPACT:
             journal.compact(first.snapshot, first.records)
             return 0
-        if first.settle:
-            journal.settle()
+        if first.kind is _WriteKind.SYNC_RECOVERED:
+            journal.sync_recovered()
             return 0
         records: list[bytes] = []
         count = 0
-        for job in jobs:
-            if job.compact or job.settle:
+        for write in writes:
+            if write.kind is not _WriteKind.APPEND:
                 break
-            records += job.records
+            records += write.records
             count += 1
         if not records:
             return 0
         journal.append(records)
         return count
 
-    def _finish(self, key: int, queue: _Queue, count: int) -> None:
+    def _finish(self, key: int, queue: _JournalQueue, count: int) -> None:
         with self._condition:
             for _ in range(count):
-                job = queue.jobs.popleft()
-        self._done(key, job.sequence)
+                write = queue.writes.popleft()
+        self._on_synced(key, write.sequence)
--- a/tests/fleet/controller/fleet_rig.py
+++ b/tests/fleet/controller/fleet_rig.py
@@ -56,7 +56,7 @@
 
     def __init__(self) -> None:
         self.owners: dict[int, Address | None] = {OWN_PART: OWN, OTHER_PART: OTHER, CLOSED_PART: None}
-        self.start = TransferStart.BEGUN
+        self.start = TransferStart.STARTED
         self.successor: Address | None = OTHER
         self.transfers: list[tuple[int, Address | None]] = []
 
@@ -66,7 +66,7 @@
         leads = self.owners[group] == OWN
         own = ReplicaStatus(Replica(OWN, 11), True, 40, 0.0)
         if leads:
-            other = ReplicaStatus(Replica(OTHER, 12), True, 37, 0.05, disk_trouble=True, leaving=True)
+            other = ReplicaStatus(Replica(OTHER, 12), True, 37, 0.05, disk_fault=True, draining=True)
             learner = ReplicaStatus(Replica(ROUTER, 13), False, 0, 2.0, superseded=True)
             others = (other, learner)
         else:
@@ -94,7 +94,7 @@
 
     async def transfer(self, group: int, successor: Address | None, timeout: float) -> Transfer:
         self.transfers.append((group, successor))
-        return Transfer(self.start, self.successor if self.start is TransferStart.BEGUN else None)
+        return Transfer(self.start, self.successor if self.start is TransferStart.STARTED else None)
 
 
 class FleetRig:
--- a/tests/fleet/controller/test_changes.py
+++ b/tests/fleet/controller/test_changes.py
@@ -14,7 +14,7 @@
 from tests.fleet.controller.test_controller import Core
 
 CHANGES, ROUTES = 240, 20
-COMPACT_BYTES = 20_000  # a snapshot every few dozen changes
+COMPACTION_BYTES = 20_000  # a snapshot every few dozen changes
 MOST_ON_DISK = 400_000  # bytes: three parts, each a snapshot and a segment, and those that are being replaced
 CATCH_UP = 4.0  # s: `catch_up_s`
 
@@ -22,8 +22,8 @@
 def test_hundreds_of_changes_leave_small_disks_and_members_that_catch_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(groups, "COMPACT_BYTES", COMPACT_BYTES)
-    monkeypatch.setattr(groups, "KEEP_BYTES", 2_000)
+    monkeypatch.setattr(groups, "COMPACTION_BYTES", COMPACTION_BYTES)
+    monkeypatch.setattr(groups, "RETAINED_LOG_BYTES", 2_000)
 
     async def scene() -> None:
         day, core = await play_changes(tmp_path, CHANGES, ROUTES)
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -261,7 +261,7 @@
         began = len(core.lines)
         await stopped.stop()
         # Successors take over before the owner has ended: nobody waits for an election's time-out.
-        elected = [line for line in core.lines[began:] if "replication: leader elected." in line]
+        elected = [line for line in core.lines[began:] if "leader_elected" in line]
         assert len(elected) >= len(owned)
         await core.replace(6, 5)
         assert core.owner() not in (None, owner)
@@ -269,7 +269,7 @@
         await until_true(lambda: core.controllers[owner].state.version == 6)
 
     core = play(tmp_path, scene)
-    assert any("controller: stopped." in line for line in core.lines)
+    assert any("controller_stopped" in line for line in core.lines)
 
 
 def test_what_was_acknowledged_outlives_the_end_of_all_processes(tmp_path: Path) -> None:
@@ -302,7 +302,7 @@
 
 
 def started_lines(core: Core) -> list[str]:
-    return [line for line in core.lines if "controller: started." in line]
+    return [line for line in core.lines if "controller_started" in line]
 
 
 def test_a_machine_without_its_disk_is_taken_in_again(tmp_path: Path) -> None:
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -95,9 +95,9 @@
         assert {replica.kind for replica in (await parts(core, successor))[0].replicas} == {"voter"}
 
     core = play(tmp_path, scene)
-    for event in ("transfer begun.", "leadership transferred."):
-        assert any(f"replication: {event}" in line for line in core.lines)
-    assert any("fleet: hand-over ended." in line for line in core.lines)
+    for event in ("leadership_transfer_started", "leadership_transferred"):
+        assert any(f"event={event} " in line for line in core.lines)
+    assert any("leadership_transfer_ended" in line for line in core.lines)
 
 
 def test_malformed_calls_are_refused_and_change_nothing(tmp_path: Path) -> None:
@@ -128,7 +128,7 @@
         assert [core.owner(part) for part in ALL_PARTS] == owners
 
     core = play(tmp_path, scene)
-    assert not any("fleet: hand-over ended." in line for line in core.lines)
+    assert not any("leadership_transfer_ended" in line for line in core.lines)
 
 
 def test_lost_machines_are_seen_by_those_that_are_left(tmp_path: Path) -> None:
--- a/tests/fleet/controller/test_fleet_service.py
+++ b/tests/fleet/controller/test_fleet_service.py
@@ -169,9 +169,9 @@
     ("start", "code"),
     [
         (TransferStart.NOT_LEADER, ResultCode.NO_OWNER),
-        (TransferStart.BUSY, ResultCode.NO_SUCCESSOR),
-        (TransferStart.UNKNOWN, ResultCode.UNKNOWN_MEMBER),
-        (TransferStart.UNFIT, ResultCode.NO_SUCCESSOR),
+        (TransferStart.IN_PROGRESS, ResultCode.NO_SUCCESSOR),
+        (TransferStart.UNKNOWN_VOTER, ResultCode.UNKNOWN_MEMBER),
+        (TransferStart.NO_HEALTHY_VOTER, ResultCode.NO_SUCCESSOR),
     ],
 )
 def test_why_nothing_was_handed_over_is_told(start: TransferStart, code: ResultCode) -> None:
--- a/tests/fleet/controller/test_hand_out.py
+++ b/tests/fleet/controller/test_hand_out.py
@@ -70,7 +70,7 @@
         core.kill(1, 2)
 
         def hears_nobody() -> bool:
-            return not any(core.controllers[3].host.is_in_contact(part) for part in ALL_PARTS)
+            return not any(core.controllers[3].host.has_quorum_contact(part) for part in ALL_PARTS)
 
         await until_true(hears_nobody)
         learner = Learner(core, 3)
--- a/tests/fleet/controller/test_old_formats.py
+++ b/tests/fleet/controller/test_old_formats.py
@@ -14,11 +14,11 @@
 from firvane.fleet.controller.replicated_configuration import ReplicatedConfiguration
 from firvane.fleet.controller.replication_opening import OpenedJournal, open_or_create
 from firvane.fleet.replication.group import ReplicatedGroup
-from firvane.fleet.replication.records import encode_birth
+from firvane.fleet.replication.records import encode_origin
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
 from firvane.fleet.replication.types import HardState, Member
 from firvane.fleet.storage import journal as journals
-from firvane.fleet.storage.errors import UnknownFormatError
+from firvane.fleet.storage.errors import UnsupportedFormatError
 from firvane.fleet.storage.filesystem import SystemFileSystem
 from firvane.fleet.storage.journal import create_journal
 from tests.fleet.controller.test_configuration_publisher import order
@@ -60,9 +60,9 @@
     folder = tmp_path / "group-0"
     with monkeypatch.context() as patched:
         patched.setattr(journals, "VERSION", 9)
-        create_journal(SystemFileSystem(), str(folder), 7, [encode_birth(True)]).close()
+        create_journal(SystemFileSystem(), str(folder), 7, [encode_origin(True)]).close()
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
-    with pytest.raises(UnknownFormatError, match="a segment of version 9"):
+    with pytest.raises(UnsupportedFormatError, match="a segment of version 9"):
         opened(folder)
     assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
 
@@ -71,7 +71,7 @@
     folder = tmp_path / "group-0"
     create_journal(SystemFileSystem(), str(folder), 7, [b"\x09\x01\x01"]).close()
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
-    with pytest.raises(UnknownFormatError, match="a record of version 9"):
+    with pytest.raises(UnsupportedFormatError, match="a record of version 9"):
         opened(folder)
     assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
 
@@ -85,5 +85,5 @@
     found = open_or_create(SystemFileSystem(), str(folder), True, 999, logs.make(write=lines.append))
     assert found.fresh
     assert found.journal.identity == 999
-    assert any("journal damaged, given up" in line for line in lines)
+    assert any("journal_corrupt" in line for line in lines)
     found.journal.close()
--- a/tests/fleet/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -330,7 +330,7 @@
         if machine is None or machine.frozen or machine.process is None:
             return
         process = machine.process
-        process.perform(process.group.hand_over(process.now()))
+        process.perform(process.group.start_draining(process.now()))
 
         def stop() -> None:
             if machine.process is process:
--- a/tests/fleet/replication/mutants.py
+++ b/tests/fleet/replication/mutants.py
@@ -13,13 +13,13 @@
 from dataclasses import dataclass
 
 from tests.fleet.replication.mutant import Mutant
-from tests.fleet.replication.mutants_contact import CONTACT
 from tests.fleet.replication.mutants_elections import ELECTIONS, LEASES
+from tests.fleet.replication.mutants_freshness import FRESHNESS
 from tests.fleet.replication.mutants_log import REPLICATION, SNAPSHOTS
 from tests.fleet.replication.mutants_storage import ANSWERS, STORAGE, SUPERFLUOUS
 from tests.fleet.replication.mutation import Edit, loaded_histories
 
-MUTANTS = (*CONTACT, *ELECTIONS, *LEASES, *REPLICATION, *SNAPSHOTS, *ANSWERS, *STORAGE)
+MUTANTS = (*FRESHNESS, *ELECTIONS, *LEASES, *REPLICATION, *SNAPSHOTS, *ANSWERS, *STORAGE)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/fleet/replication/mutants_elections.py
+++ b/tests/fleet/replication/mutants_elections.py
@@ -79,8 +79,8 @@
         0,
         (
             "replication.replica",
-            "self._stand(Phase.PRE_VOTE, False, now)",
-            "self._stand(Phase.VOTE, False, now)",
+            "self._start_candidacy(Phase.PRE_VOTE, False, now)",
+            "self._start_candidacy(Phase.VOTE, False, now)",
         ),
     ),
     mutant(
@@ -109,9 +109,13 @@
         "members",
         range(8),
         1,
-        ("replication.founding", "if not core.founder or len(self._known) < len(self.seeds):", "if now < 0:"),
         (
-            "replication.founding",
+            "replication.bootstrap",
+            "if not core.may_bootstrap or len(self._known) < len(self.seeds):",
+            "if now < 0:",
+        ),
+        (
+            "replication.bootstrap",
             "members = [self._known[seed] for seed in self.seeds]",
             "members = list(self._known.values())",
         ),
@@ -127,8 +131,8 @@
         0,
         (
             "replication.leadership",
-            "return self.confirmed_at(now) + self.core.timing.lease",
-            "return now + self.core.timing.lease",
+            "return self.confirmed_at(now) + self.core.timing.lease_duration_s",
+            "return now + self.core.timing.lease_duration_s",
         ),
     ),
     mutant(
@@ -149,7 +153,7 @@
         "half-cut owner",
         range(4),
         0,
-        ("replication.voting", "return now < promised_until", "return False"),
+        ("replication.voting", "return now < lease_vote_until", "return False"),
     ),
     mutant(
         "vote within a promise",
@@ -167,7 +171,7 @@
         1,
         (
             "replication.replica",
-            "abstain = now if recovered.blank else now + timing.election_minimum",
+            "abstain = now if recovered.is_empty else now + timing.election_timeout_min_s",
             "abstain = now",
         ),
     ),
@@ -179,8 +183,8 @@
         16,
         (
             "replication.types",
-            "return self.election_minimum / self.clock_rate_bound",
-            "return self.election_minimum",
+            "return self.election_timeout_min_s / self.clock_rate_bound",
+            "return self.election_timeout_min_s",
         ),
     ),
     mutant(
@@ -207,8 +211,8 @@
         0,
         (
             "replication.replica",
-            "self._stand(Phase.VOTE, True, now)",
-            "self._stand(Phase.PRE_VOTE, False, now)",
+            "self._start_candidacy(Phase.VOTE, True, now)",
+            "self._start_candidacy(Phase.PRE_VOTE, False, now)",
         ),
     ),
     mutant(
--- a/tests/fleet/replication/mutants_contact.py
+++ b/tests/fleet/replication/mutants_freshness.py
@@ -4,7 +4,7 @@
 
 from tests.fleet.replication.mutant import mutant
 
-CONTACT = (
+FRESHNESS = (
     mutant(
         "leader current before it has applied",
         "a leader's state counts as current while entries that are committed wait to be applied",
@@ -12,9 +12,9 @@
         (1, 32),
         32,
         (
-            "replication.contact",
-            "if applied_index < self._replica.commit_index:  # also",
-            "if applied_index < 0:  # also",
+            "replication.freshness",
+            "if applied_index < self._replica.commit_index:",
+            "if applied_index < 0:",
         ),
     ),
     mutant(
@@ -24,7 +24,7 @@
         (5, 11, 15),
         5,
         (
-            "replication.contact",
+            "replication.freshness",
             "self._current_at = max(self._current_at, read.begun_at)",
             "self._current_at = max(self._current_at, now)",
         ),
@@ -36,7 +36,7 @@
         range(8),
         0,
         (
-            "replication.contact",
+            "replication.freshness",
             "            if applied_index >= read.index:\n                self._current_at",
             "            if applied_index >= 0:\n                self._current_at",
         ),
@@ -47,7 +47,7 @@
         "long cut",
         range(6),
         0,
-        ("replication.group", "return now - proven_at <= patience", "return proven_at > 0.0"),
+        ("replication.group", "return now - proven_at <= max_age_s", "return proven_at > 0.0"),
     ),
     mutant(
         "outsider's contact is a state",
@@ -57,8 +57,8 @@
         0,
         (
             "replication.group",
-            "self.contact.current_at(self.applied_index, now) if fed else self.contact.reached_at(now)",
-            "self.contact.reached_at(now)",
+            "proven_at = self.freshness.current_at(self.applied_index, now)",
+            "proven_at = self.freshness.quorum_reached_at(now)",
         ),
     ),
     mutant(
@@ -74,7 +74,7 @@
         ),
         (
             "replication.leadership",
-            "return now - since > self.core.timing.election_maximum",
+            "return now - since > self.core.timing.election_timeout_max_s",
             "return now - since > 1e9",
         ),
     ),
--- a/tests/fleet/replication/mutants_log.py
+++ b/tests/fleet/replication/mutants_log.py
@@ -12,9 +12,9 @@
         range(8),
         0,
         (
-            "replication.following",
-            "synced = min(core.writes.synced_index, self._agreed)",
-            "synced = self._agreed",
+            "replication.follower",
+            "synced = min(core.writes.synced_index, self._matched_index)",
+            "synced = self._matched_index",
         ),
     ),
     mutant(
@@ -25,8 +25,8 @@
         0,
         (
             "replication.leadership",
-            "core.writes.synced_index if member == core.identity else",
-            "core.log.last_index if member == core.identity else",
+            "core.writes.synced_index\n            if member == core.identity",
+            "core.log.last_index\n            if member == core.identity",
         ),
     ),
     mutant(
@@ -63,7 +63,7 @@
             "replication.leadership",
             "index = int(quorum_value(synced, quorum_of(len(synced))))",
             "voters = {member.incarnation for member in core.log.members}\n"
-            "        synced += [peer.match for number, peer in self.peers.items() if number not in voters]\n"
+            "        synced += [peer.match_index for key, peer in self.peers.items() if key not in voters]\n"
             "        index = int(quorum_value(synced, quorum_of(len(voters))))",
         ),
     ),
@@ -74,7 +74,7 @@
         range(4),
         0,
         (
-            "replication.following",
+            "replication.follower",
             "elif log.term_at(previous) != message.previous_term:",
             "elif previous < 0:",
         ),
@@ -86,7 +86,7 @@
         range(4),
         0,
         (
-            "replication.following",
+            "replication.follower",
             "while known < len(entries) and log.term_at(entries[known].index) == entries[known].term:",
             "while known < len(entries) and log.term_at(entries[known].index) is not None:",
         ),
@@ -97,8 +97,8 @@
         "leases",
         range(4),
         2,
-        ("replication.following", "fresh = entries[known:]", "fresh = entries"),
-        ("replication.following", "if first <= self.core.commit_index:", "if first <= 0:"),
+        ("replication.follower", "fresh = entries[known:]", "fresh = entries"),
+        ("replication.follower", "if first <= self.core.commit_index:", "if first <= 0:"),
     ),
     mutant(
         "replaced entries count as synced",
@@ -106,7 +106,7 @@
         "one by one",
         range(8),
         1,
-        ("replication.following", "self.core.writes.truncated_from(first)", "pass"),
+        ("replication.follower", "self.core.writes.truncated_from(first)", "pass"),
     ),
     mutant(
         "own tail acknowledged",
@@ -115,8 +115,8 @@
         (0, 1, 3, 17),
         3,
         (
-            "replication.following",
-            "synced = min(core.writes.synced_index, self._agreed)",
+            "replication.follower",
+            "synced = min(core.writes.synced_index, self._matched_index)",
             "synced = core.writes.synced_index",
         ),
     ),
@@ -127,7 +127,7 @@
         (0, 1, 10, 34),
         10,
         (
-            "replication.following",
+            "replication.follower",
             "min(message.commit_index, end)",
             "min(message.commit_index, log.last_index)",
         ),
@@ -140,7 +140,7 @@
         2,
         (
             "replication.leadership",
-            "if not self.ready or core.log.members_index > core.commit_index or self.transferring(now):",
+            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
             "if core.log.members_index > core.commit_index or self.transferring(now):",
         ),
     ),
@@ -152,8 +152,8 @@
         1,
         (
             "replication.leadership",
-            "if not self.ready or core.log.members_index > core.commit_index or self.transferring(now):",
-            "if not self.ready or self.transferring(now):",
+            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
+            "if not self.is_ready or self.transferring(now):",
         ),
     ),
     mutant(
@@ -164,8 +164,8 @@
         97,
         (
             "replication.log",
-            "while self._members and self._members[-1][0] >= index:",
-            "while self._members and self._members[-1][0] >= index + (1 << 60):",
+            "while self._members and self._members[-1].entry_index >= index:",
+            "while self._members and self._members[-1].entry_index >= index + (1 << 60):",
         ),
     ),
 )
