--- a/tests/fleet/replication/mutants_storage.py
+++ b/tests/fleet/replication/mutants_storage.py
@@ -11,7 +11,7 @@
         "isolated owner",
         (8, 12, 16, 20),
         12,
-        ("replication.reads", "if now < lease_until or read.asked_at <= confirmed_at:", "if read:"),
+        ("replication.reads", "if now < lease_until or read.requested_at <= confirmed_at:", "if read:"),
     ),
     mutant(
         "read before an own entry",
@@ -19,7 +19,11 @@
         "leases",
         range(3),
         0,
-        ("replication.leadership", "if self.ready and self.reads.waiting:", "if self.reads.waiting:"),
+        (
+            "replication.leadership",
+            "if self.is_ready and self.reads.has_pending:",
+            "if self.reads.has_pending:",
+        ),
     ),
     mutant(
         "read before it is applied",
@@ -41,11 +45,11 @@
         0,
         (
             "replication.group",
-            "waiting, self._waiting = self._waiting, []\n"
-            "            for pending in waiting:\n"
+            "queued, self._queued = self._queued, []\n"
+            "            for pending in queued:\n"
             "                pending.index = self.replica.propose(pending.payload, now)",
-            "waiting, self._waiting = self._waiting, []\n"
-            "            for pending in waiting:\n"
+            "queued, self._queued = self._queued, []\n"
+            "            for pending in queued:\n"
             "                if pending.token % 5 == 0:\n"
             "                    self.replica.propose(pending.payload, now)\n"
             "                pending.index = self.replica.propose(pending.payload, now)",
@@ -100,7 +104,7 @@
             "storage.writer",
             "            try:\n                queue.journal.sync()\n",
             "            try:\n"
-            "                self._done(key, queue.jobs[count - 1].sequence)\n"
+            "                self._on_synced(key, queue.writes[count - 1].sequence)\n"
             "                queue.journal.sync()\n",
         ),
     ),
@@ -149,7 +153,7 @@
         11,
         (
             "storage.frames",
-            "return body if _checksum(identity, generation, found, body) == checksum else None",
+            "return body if _checksum(identity, generation, stored_number, body) == checksum else None",
             "return body",
         ),
     ),
@@ -161,14 +165,14 @@
         1,
         (
             "storage.frames",
-            "if magic != MAGIC or length > MAXIMUM_FRAME or start + length > len(data):",
-            "if magic != MAGIC or length > MAXIMUM_FRAME:",
+            "if magic != MAGIC or length > MAX_FRAME_BYTES or start + length > len(data):",
+            "if magic != MAGIC or length > MAX_FRAME_BYTES:",
         ),
         (
             "storage.frames",
-            "return body if _checksum(identity, generation, found, body) == checksum else None",
-            "return body if len(body) < length or _checksum(identity, generation, found, body) == checksum"
-            " else None",
+            "return body if _checksum(identity, generation, stored_number, body) == checksum else None",
+            "checks = _checksum(identity, generation, stored_number, body) == checksum\n"
+            "    return body if len(body) < length or checks else None",
         ),
     ),
     mutant(
@@ -179,7 +183,7 @@
         0,
         (
             "storage.frames",
-            "if _is_later_frame(data, position + 1, identity, generation, len(frames)):",
+            "if _has_later_frame(data, position + 1, identity, generation, len(frames)):",
             "if position < 0:",
         ),
     ),
@@ -203,12 +207,12 @@
         5,
         (
             "storage.journal",
-            "        segment.write_at(at.end, frame)\n        self._written = len(frame)\n",
-            "        self._written = len(frame)\n"
+            "        segment.write_at(position.end, frame)\n        self._unsynced_bytes = len(frame)\n",
+            "        self._unsynced_bytes = len(frame)\n"
             "        try:\n"
-            "            segment.write_at(at.end, frame)\n"
+            "            segment.write_at(position.end, frame)\n"
             "        except OSError:\n"
-            "            at.end += len(frame)\n"
+            "            position.end += len(frame)\n"
             "            raise\n",
         ),
     ),
@@ -221,7 +225,7 @@
         "full",
         range(8),
         None,
-        ("storage.journal", "            self._segment.truncate(self._at.end)\n", "            pass\n"),
+        ("storage.journal", "            self._segment.truncate(self._position.end)\n", "            pass\n"),
     ),
     mutant(
         "own vote before sync",
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -18,7 +18,7 @@
 from firvane.fleet.replication.members_codec import decode_members
 from firvane.fleet.replication.messages import AppendReply, Envelope, Outgoing, VoteReply
 from firvane.fleet.replication.proposals import Proposal
-from firvane.fleet.replication.records import encode_birth, encode_write
+from firvane.fleet.replication.records import encode_origin, encode_write
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
 from firvane.fleet.replication.types import NOBODY, EntryKind, Member, Members, quorum_of
 from firvane.fleet.storage.writer import JournalWriter
@@ -64,11 +64,11 @@
 class Process:
     """One life of a controller: a thin driver as `firvane.fleet.controller.replication` is one."""
 
-    def __init__(self, world: World, machine: Machine, founder: bool) -> None:
+    def __init__(self, world: World, machine: Machine, may_bootstrap: bool) -> None:
         self.world = world
         self.machine = machine
         chance = world.chance
-        opened = open_or_create(machine.disk, FOLDER, founder, chance.getrandbits(63) + 1, QUIET)
+        opened = open_or_create(machine.disk, FOLDER, may_bootstrap, chance.getrandbits(63) + 1, QUIET)
         self._check_journal(opened.journal.identity)
         machine.journal = opened.journal.identity
         machine.damaged = False
@@ -83,10 +83,10 @@
         self.ledger = Ledger(world.oracle)
         self.ledger.before_save = self._show_commit  # afterwards the log lacks what the snapshot covers
         self.group = ReplicatedGroup(replica, self.ledger, chance.getrandbits(40))
-        self.writer = JournalWriter(self._done, self._refused)
+        self.writer = JournalWriter(self._on_synced, self._on_error)
         self.writer.add(0, opened.journal)
         self.confirmed: list[int] = []
-        self.refused = False
+        self.disk_error = False
         self.disk_busy = False
         self.alive = True
         self.voted = replica.core.hard_state.vote
@@ -121,16 +121,16 @@
             if answer is not None:
                 answer(resolved.proposal)
         for event, _ in actions.events:
-            if event == "members change":
+            if event == "membership_changed":
                 self._check_change()
-            elif event == "leader elected":
+            elif event == "leader_elected":
                 self._check_election()
                 self.world.oracle.led(self.group.replica.term, identity)
                 log = self.group.replica.core.log
                 if log.base_index == 0:
                     self.world.oracle.founded(log.entry(1).payload)
                 self.world.weak_moment(WeakMoment.ELECTED, self.machine)
-            elif event == "following":
+            elif event == "following_leader":
                 self.world.weak_moment(WeakMoment.FOLLOWING, self.machine)
         self._show_commit()
         self._check_voters()
@@ -142,7 +142,7 @@
             self.voted = vote
             if vote not in (NOBODY, identity):
                 self.world.weak_moment(WeakMoment.VOTED, self.machine)
-        if any(owned for owned, _ in actions.owner_changes):
+        if any(change.owned for change in actions.owner_changes):
             self.world.check_owners()
         self._poll_disk()
         self._set_timer()
@@ -192,8 +192,8 @@
             voted = self.synced.has_voted(message.term, outgoing.to.incarnation)
             require(voted, Promise.SAID_SYNCED, f"a vote in term {message.term} is not synced")
         elif isinstance(message, AppendReply) and message.accepted and message.term == core.term:
-            held = self.synced.holds(message.synced, core.log.term_at(message.synced))
-            require(held, Promise.SAID_SYNCED, f"entry {message.synced} is not synced")
+            held = self.synced.holds(message.synced_index, core.log.term_at(message.synced_index))
+            require(held, Promise.SAID_SYNCED, f"entry {message.synced_index} is not synced")
 
     def _show_commit(self) -> None:
         replica, oracle = self.group.replica, self.world.oracle
@@ -226,7 +226,7 @@
         term = log.term_at(index)
         groups = (
             log.members,
-            log.members_at(log.members_index - 1)[1],
+            log.members_at(log.members_index - 1).members,
         )  # before and after a change of just now
         synced = any(
             members
@@ -249,7 +249,7 @@
     def _check_change(self) -> None:
         replica = self.group.replica
         log, commit = replica.core.log, replica.commit_index
-        open_changes = [index for index, _ in log._members if index > commit]
+        open_changes = [change.entry_index for change in log._members if change.entry_index > commit]
         require(len(open_changes) <= 1, Promise.CHANGES_APART, f"changes at {open_changes}")
         own = log.term_at(commit) == replica.term
         require(own, Promise.CHANGES_APART, f"a change before an entry of term {replica.term} is committed")
@@ -269,16 +269,16 @@
             require(terms == sorted(terms), Promise.TERMS_RISE, f"the log after a snapshot: {terms}")
             self.world.oracle.snapshot_taken(snapshot.index, snapshot.members_index, snapshot.members)
             self.world.weak_moment(WeakMoment.COMPACTING, self.machine)
-            records.insert(0, encode_birth(self.group.replica.core.founder))
+            records.insert(0, encode_origin(self.group.replica.core.may_bootstrap))
             self.writer.compact(0, write.sequence, encode_snapshot(write.snapshot), records)
         elif write.sequence == 1:
-            self.writer.settle(0, write.sequence)
+            self.writer.sync_recovered(0, write.sequence)
         else:
             self.writer.append(0, write.sequence, records)
             if write.entries:
                 self.world.weak_moment(WeakMoment.WRITING, self.machine)
 
-    def _done(self, _key: int, sequence: int) -> None:
+    def _on_synced(self, _key: int, sequence: int) -> None:
         durable = self.machine.disk.newest_segment_is_durable()
         require(durable, Promise.CONFIRMED_DURABLE, f"write {sequence} is confirmed")
         self.confirmed.append(sequence)
@@ -291,11 +291,11 @@
             else:
                 self.synced.take(write)
 
-    def _refused(self, _key: int, _error: OSError) -> None:
-        self.refused = True
+    def _on_error(self, _key: int, _error: OSError) -> None:
+        self.disk_error = True
 
     def _poll_disk(self, pause: float = 0.0) -> None:
-        if self.disk_busy or not self.writer.waiting:
+        if self.disk_busy or not self.writer.has_pending:
             return
         self.disk_busy = True
         machine = self.machine
@@ -308,15 +308,15 @@
             self.world.at(self.machine.hangs_until, self._disk_done, self)
             return
         self.disk_busy = False
-        well = self.writer.write_waiting()
+        succeeded = self.writer.write_pending()
         confirmed, self.confirmed = self.confirmed, []
         for sequence in confirmed:
             self._note_synced(sequence)
             self.perform(self.group.confirm(sequence, self.now()))
-        if self.refused:
-            self.refused = False
-            self.perform(self.group.disk_refused(self.now()))
-        self._poll_disk(0.0 if well else 0.1)
+        if self.disk_error:
+            self.disk_error = False
+            self.perform(self.group.on_disk_error(self.now()))
+        self._poll_disk(0.0 if succeeded else 0.1)
 
     def end(self) -> None:
         """End at any moment, perhaps in the middle of a write."""
@@ -325,5 +325,5 @@
         if self.disk_busy:
             disk.budget = self.world.chance.choice(CALLS_BEFORE_THE_END)
             with contextlib.suppress(PowerCut):
-                self.writer.write_waiting()
+                self.writer.write_pending()
             disk.budget = None
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -233,7 +233,7 @@
         world.run_until(lambda: world.owner() is not None, 5.0)
         world.run(world.now + 0.3)
         owner = owner_of(world)
-        owner.perform(owner.group.hand_over(owner.now()))
+        owner.perform(owner.group.start_draining(owner.now()))
         for machine in _others(world, owner):
             world.cuts[machine.address, owner.machine.address] = False
         world.run(world.now + 0.2)
@@ -260,7 +260,7 @@
     owner = owner_of(world)
     started = world.now
     known = len(world.oracle.committed)
-    owner.perform(owner.group.hand_over(owner.now()))
+    owner.perform(owner.group.start_draining(owner.now()))
 
     def acknowledged() -> bool:
         successor = world.owner()
@@ -322,7 +322,7 @@
     """Whoever hears nothing, or is heard by nobody, soon has nothing to hand out."""
     process = lost.process
     if process is not None and world.now >= since:
-        contact = process.group.is_in_contact(process.now(), HAND_OUT_PATIENCE)
+        contact = process.group.has_quorum_contact(process.now(), HAND_OUT_PATIENCE)
         require(not contact, Promise.HANDED_OUT_RECENT, f"{lost.address} claims contact at {world.now:.2f} s")
 
 
--- a/tests/fleet/replication/settings.py
+++ b/tests/fleet/replication/settings.py
@@ -9,7 +9,9 @@
 from firvane.fleet.replication.types import DEFAULT_TIMING, Timing
 
 SYNC = 0.005  # seconds
-CROWDED = Timing(election_maximum=0.303, pre_vote_minimum=0.050, pre_vote_maximum=0.052)  # elections collide
+CROWDED = Timing(
+    election_timeout_max_s=0.303, pre_vote_timeout_min_s=0.050, pre_vote_timeout_max_s=0.052
+)  # elections collide
 
 
 class WeakMoment(enum.Enum):
--- a/tests/fleet/replication/test_codec.py
+++ b/tests/fleet/replication/test_codec.py
@@ -10,10 +10,10 @@
     AppendReply,
     Beacon,
     BeaconReply,
+    DrainNotice,
     Envelope,
     InstallSnapshot,
     Introduction,
-    Leave,
     Message,
     PreVote,
     PreVoteReply,
@@ -70,7 +70,7 @@
         ReadReply(7, 9, 3),
         "0105000c6600000000000000650000000000000018000000070000000000000009000000000000000300000000000000",
     ),
-    (Leave(7), "0105000d66000000000000006500000000000000080000000700000000000000"),
+    (DrainNotice(7), "0105000d66000000000000006500000000000000080000000700000000000000"),
     (Introduction(0), "0105000e66000000000000006500000000000000080000000000000000000000"),
 ]
 
--- a/tests/fleet/replication/test_contact.py
+++ b/tests/fleet/replication/test_freshness.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from firvane.fleet.replication.contact import CONTACT_INTERVAL, FED_WITHIN
-from firvane.fleet.replication.group import APPLY_AT_ONCE, COMPACT_ENTRIES, Actions
+from firvane.fleet.replication.freshness import FRESHNESS_READ_INTERVAL_S, REPLICATING_WITHIN_S
+from firvane.fleet.replication.group import COMPACTION_ENTRIES, MAX_ENTRIES_PER_APPLY, Actions
 from firvane.fleet.replication.proposals import Proposal, ProposalStatus
 from tests.fleet.replication.process import Process
 from tests.fleet.replication.scenarios import calm_world, owner_of
@@ -36,7 +36,7 @@
         world.run(world.now + 0.1)
         for process in world.running():
             now = process.now()
-            assert process.group.is_in_contact(now, PATIENCE)
+            assert process.group.has_quorum_contact(now, PATIENCE)
             assert process.group.is_current(now, PATIENCE) is process.group.replica.is_voter
 
 
@@ -46,11 +46,11 @@
         process = choose(world)
         cut_off(world, process)
         world.run(world.now + PATIENCE * 1.1 + 0.05)
-        assert not process.group.is_in_contact(process.now(), PATIENCE)
+        assert not process.group.has_quorum_contact(process.now(), PATIENCE)
         assert not process.group.is_current(process.now(), PATIENCE)
         world.heal()
         world.run(world.now + 1.0)
-        assert process.group.is_in_contact(process.now(), PATIENCE)
+        assert process.group.has_quorum_contact(process.now(), PATIENCE)
 
 
 def test_a_process_that_starts_claims_nothing_until_it_has_asked() -> None:
@@ -60,7 +60,7 @@
     world.boot(machine)
     process = machine.process
     assert process is not None
-    assert not process.group.is_in_contact(process.now(), PATIENCE)
+    assert not process.group.has_quorum_contact(process.now(), PATIENCE)
     world.run(world.now + 1.0)
     assert process.group.is_current(process.now(), PATIENCE)
 
@@ -70,7 +70,7 @@
     process = follower(world)
     world.freeze(process.machine)
     world.run(world.now + 5.0)
-    assert not process.group.is_in_contact(process.now(), PATIENCE)
+    assert not process.group.has_quorum_contact(process.now(), PATIENCE)
 
 
 def test_a_read_outside_the_group_names_the_owner_at_once() -> None:
@@ -89,8 +89,8 @@
     process.group.replica.read = lambda token, now: (asked.append(now), read(token, now))[1]  # type: ignore
     world.quiet = True
     world.run(world.now + 10.0)
-    assert 10.0 / CONTACT_INTERVAL * 0.7 < len(asked) <= 10.0 / CONTACT_INTERVAL * 1.1
-    assert FED_WITHIN >= 3 * CONTACT_INTERVAL
+    assert 10.0 / FRESHNESS_READ_INTERVAL_S * 0.7 < len(asked) <= 10.0 / FRESHNESS_READ_INTERVAL_S * 1.1
+    assert REPLICATING_WITHIN_S >= 3 * FRESHNESS_READ_INTERVAL_S
 
 
 def count_turns(process: Process) -> list[int]:
@@ -108,13 +108,13 @@
 
 
 def test_what_is_far_behind_is_applied_in_turns_and_then_compacted() -> None:
-    settings = Settings(compact_entries=COMPACT_ENTRIES, compact_bytes=1_000_000, keep_bytes=1_000_000)
+    settings = Settings(compact_entries=COMPACTION_ENTRIES, compact_bytes=1_000_000, keep_bytes=1_000_000)
     with limits_of(settings):
         world = calm_world(CALM, 9)
         process = follower(world)
         machine = process.machine
         world.kill(machine)
-        for _ in range(3 * COMPACT_ENTRIES):
+        for _ in range(3 * COMPACTION_ENTRIES):
             world.propose(owner_of(world))
             world.run(world.now + 0.004)
         world.boot(machine)
@@ -122,9 +122,9 @@
         assert late is not None
         turns = count_turns(late)
         world.run_until(lambda: late.group.applied_index == owner_of(world).group.applied_index, 2.0)
-        assert max(turns) == APPLY_AT_ONCE
-        assert sum(turns) >= 2 * COMPACT_ENTRIES
+        assert max(turns) == MAX_ENTRIES_PER_APPLY
+        assert sum(turns) >= 2 * COMPACTION_ENTRIES
         owner = owner_of(world).group.replica.core.log
         assert owner.snapshot is not None
-        assert owner.last_index - owner.snapshot.index <= COMPACT_ENTRIES + 20
+        assert owner.last_index - owner.snapshot.index <= COMPACTION_ENTRIES + 20
         world.finish()
--- a/tests/fleet/replication/test_membership_policy.py
+++ b/tests/fleet/replication/test_membership_policy.py
@@ -67,7 +67,7 @@
         who,
         max(0.0, condition.value),
         superseded=condition is Condition.SUPERSEDED,
-        leaving=condition is Condition.LEAVING,
+        draining=condition is Condition.LEAVING,
         is_leader=is_leader,
     )
 
@@ -205,13 +205,13 @@
 def test_every_repair_ends_with_a_whole_group_that_is_spread(spares: int) -> None:
     for group in groups(3, (2, 3), spares):
         lost = sum(condition in GONE for condition in group.conditions.values())
-        leaving = sum(condition is Condition.LEAVING for condition in group.conditions.values())
+        draining = sum(condition is Condition.LEAVING for condition in group.conditions.values())
         missing = 3 - len(group.voters)
         late = any(group.conditions[voter] in (Condition.LATE, Condition.IN_DOUBT) for voter in group.voters)
         group.settle()
         left = [group.conditions[voter] for voter in group.voters]
         assert Condition.SUPERSEDED not in left or len(left) <= 2
-        if late or leaving:
+        if late or draining:
             continue
         if spares < missing + lost:
             continue
--- a/tests/fleet/replication/test_mutants.py
+++ b/tests/fleet/replication/test_mutants.py
@@ -47,7 +47,7 @@
         None,
         (
             "replication.leadership",
-            "return self.confirmed_at(now) + self.core.timing.lease",
+            "return self.confirmed_at(now) + self.core.timing.lease_duration_s",
             "raise KeyError",
         ),
     )
--- a/tests/fleet/replication/test_progress.py
+++ b/tests/fleet/replication/test_progress.py
@@ -2,20 +2,20 @@
 
 from __future__ import annotations
 
-from firvane.fleet.replication.progress import LARGE_BYTES, Progress
+from firvane.fleet.replication.progress import LARGE_MESSAGE_BYTES, Progress
 from firvane.fleet.replication.types import Member
 
 
 def progress() -> Progress:
-    return Progress(Member(("10.0.0.1", 7300), 1), next_index=12, last_reply=0.0)
+    return Progress(Member(("10.0.0.1", 7300), 1), next_index=12, last_reply_at=0.0)
 
 
 def test_a_refusal_that_a_large_message_will_have_answered_is_passed_over() -> None:
     peer = progress()
-    peer.sent(10, LARGE_BYTES + 22, now=1.0)
+    peer.on_entries_sent(10, LARGE_MESSAGE_BYTES + 22, now=1.0)
     # A heartbeat passed it: the follower has entries up to 9, and 10 and 11 are on their way.
-    assert not peer.heeds_refusal(9, now=1.01)
-    assert peer.heeds_refusal(9, now=2.0)
+    assert not peer.should_backtrack(9, now=1.01)
+    assert peer.should_backtrack(9, now=2.0)
 
 
 def test_a_refusal_of_the_large_message_itself_is_heeded_at_once() -> None:
@@ -25,9 +25,9 @@
     next heartbeat's refusal asked for the same message again, without an end.
     """
     peer = progress()
-    peer.sent(10, LARGE_BYTES + 22, now=1.0)
-    assert peer.heeds_refusal(7, now=1.004)
-    peer.refused(7)
+    peer.on_entries_sent(10, LARGE_MESSAGE_BYTES + 22, now=1.0)
+    assert peer.should_backtrack(7, now=1.004)
+    peer.on_rejected(7)
     assert peer.next_index == 8
 
 
@@ -36,19 +36,19 @@
     waits = []
     now = 1.0
     for _ in range(6):
-        peer.sent_snapshot(40, 5_000_000, now)
+        peer.on_snapshot_sent(40, 5_000_000, now)
         waits.append(round(peer.resend_after - now, 2))
         now = peer.resend_after
     assert waits == [1.05, 2.1, 4.2, 8.4, 8.4, 8.4]
-    peer.accepted(40, 40)
-    peer.sent_snapshot(90, 5_000_000, now)
+    peer.on_accepted(40, 40)
+    peer.on_snapshot_sent(90, 5_000_000, now)
     assert round(peer.resend_after - now, 2) == 1.05
 
 
 def test_an_acknowledgement_that_tells_nothing_new_leaves_the_patience_as_it_is() -> None:
     peer = progress()
-    peer.accepted(11, 11)
-    peer.sent_snapshot(40, 1_000, 1.0)
-    peer.accepted(11, 11)
-    peer.sent_snapshot(40, 1_000, 2.0)
+    peer.on_accepted(11, 11)
+    peer.on_snapshot_sent(40, 1_000, 1.0)
+    peer.on_accepted(11, 11)
+    peer.on_snapshot_sent(40, 1_000, 2.0)
     assert round(peer.resend_after - 2.0, 4) == 0.1004
--- a/tests/fleet/replication/test_stored_formats.py
+++ b/tests/fleet/replication/test_stored_formats.py
@@ -7,7 +7,7 @@
 from firvane.fleet.replication.core import Recovered, Write
 from firvane.fleet.replication.entry_codec import decode_snapshot, encode_snapshot
 from firvane.fleet.replication.members_codec import encode_members
-from firvane.fleet.replication.records import decode_journal, encode_birth, encode_write
+from firvane.fleet.replication.records import decode_journal, encode_origin, encode_write
 from firvane.fleet.replication.types import Entry, EntryKind, HardState, Member, Snapshot
 
 MEMBERS = (Member(("127.0.0.1", 7300), 101), Member(("10.0.0.2", 7301), 2**63 + 5))
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize(("founder", "first_hex"), [(True, "010101"), (False, "010100")])
 def test_a_journal_is_recovered_from_the_fixed_records(founder: bool, first_hex: str) -> None:
-    assert encode_birth(founder).hex() == first_hex
+    assert encode_origin(founder).hex() == first_hex
     records = [bytes.fromhex(text) for text in (first_hex, *WRITE_HEX)]
     assert decode_journal(None, records) == Recovered(founder, HardState(7, 101), None, ENTRIES)
 
--- a/tests/fleet/replication/test_transfer.py
+++ b/tests/fleet/replication/test_transfer.py
@@ -52,7 +52,7 @@
     world = make_world()
     before, successor = owner_of(world), others(world)[choice]
     term = before.group.replica.term
-    assert transfer(before, successor.machine.address) is TransferStart.BEGUN
+    assert transfer(before, successor.machine.address) is TransferStart.STARTED
     assert world.run_until(lambda: world.owner() is successor, 2.0) < HANDED_OVER
     assert successor.group.replica.term > term
     world.run(world.now + 3.0)
@@ -64,7 +64,7 @@
 def test_any_fit_voter_takes_over_where_none_is_named() -> None:
     world = make_world()
     before = owner_of(world)
-    assert transfer(before, None) is TransferStart.BEGUN
+    assert transfer(before, None) is TransferStart.STARTED
     assert world.run_until(lambda: world.owner() not in (None, before), 2.0) < HANDED_OVER
 
 
@@ -73,13 +73,13 @@
     owner, (first, second) = owner_of(world), others(world)
     term = owner.group.replica.term
     assert transfer(first, None) is TransferStart.NOT_LEADER
-    assert transfer(owner, ("10.9.9.9", 7300)) is TransferStart.UNKNOWN
-    assert transfer(owner, owner.machine.address) is TransferStart.UNKNOWN
+    assert transfer(owner, ("10.9.9.9", 7300)) is TransferStart.UNKNOWN_VOTER
+    assert transfer(owner, owner.machine.address) is TransferStart.UNKNOWN_VOTER
     world.freeze(first.machine)
     world.run(world.now + 0.5)
-    assert transfer(owner, first.machine.address) is TransferStart.UNFIT
+    assert transfer(owner, first.machine.address) is TransferStart.NO_HEALTHY_VOTER
     assert owner.group.replica.accepts_proposals(owner.now())
-    assert transfer(owner, second.machine.address) is TransferStart.BEGUN
+    assert transfer(owner, second.machine.address) is TransferStart.STARTED
     world.run_until(lambda: world.owner() is second, 2.0)
     assert second.group.replica.term > term
 
@@ -89,8 +89,8 @@
     owner, (first, _) = owner_of(world), others(world)
     world.freeze(first.machine)
     world.propose(owner)  # the named one lacks it for now
-    assert transfer(owner, first.machine.address) is TransferStart.BEGUN
-    assert transfer(owner, first.machine.address) is TransferStart.BUSY
+    assert transfer(owner, first.machine.address) is TransferStart.STARTED
+    assert transfer(owner, first.machine.address) is TransferStart.IN_PROGRESS
     assert not owner.group.replica.accepts_proposals(owner.now())
     world.run(world.now + 1.2)
     assert world.owner() is owner
@@ -103,16 +103,16 @@
     faults = Faults(world)
     begun = []
 
-    def hand_over() -> None:
+    def transfer_ownership() -> None:
         owner = world.owner()
         if owner is not None:
             named = world.chance.choice([None, *world.machines])
-            begun.append(transfer(owner, named) is TransferStart.BEGUN)
+            begun.append(transfer(owner, named) is TransferStart.STARTED)
         if world.faulty:
-            world.at(world.now + world.chance.expovariate(4.0), hand_over)
+            world.at(world.now + world.chance.expovariate(4.0), transfer_ownership)
 
     world.at(0.3, world.operate)
-    world.at(1.0, hand_over)
+    world.at(1.0, transfer_ownership)
     world.at(1.5, faults.strike)
     world.run(6.5)
     faults.stop()
@@ -139,7 +139,7 @@
     assert replicas[second.machine.address].synced_index == status.last_index
     silent = replicas[first.machine.address]
     assert silent.synced_index == status.last_index - 4
-    assert silent.silent_for is not None and 0.4 < silent.silent_for < 0.7
+    assert silent.unresponsive_for_s is not None and 0.4 < silent.unresponsive_for_s < 0.7
 
 
 def test_a_follower_knows_the_owner_and_who_votes() -> None:
--- a/tests/fleet/replication/world.py
+++ b/tests/fleet/replication/world.py
@@ -342,7 +342,9 @@
         committed = len(self.oracle.committed) > before
         require(committed, Promise.SERVES_AGAIN, "nothing is committed at the end")
         present = [machine for machine in self.machines.values() if machine.present]
-        self.run_until(lambda: self.is_whole(owner, present), self.settings.timing.replace_after + REPAIR)
+        self.run_until(
+            lambda: self.is_whole(owner, present), self.settings.timing.voter_replace_after_s + REPAIR
+        )
         members = owner.group.replica.core.log.members
         self.run(self.now + 0.3)
         for process in self.running():
@@ -376,11 +378,15 @@
     """Put a world's sizes and times in the place of those in the code."""
     with contextlib.ExitStack() as patches:
         for module, name, value in (
-            (group_module, "COMPACT_BYTES", settings.compact_bytes),
-            (group_module, "KEEP_BYTES", settings.keep_bytes),
-            (group_module, "COMPACT_ENTRIES", settings.compact_entries),
-            (leadership_module, "MAXIMUM_APPEND_BYTES", settings.append_bytes),
-            (voting_module, "RESERVATION", -1.0 if settings.contention else voting_module.RESERVATION),
+            (group_module, "COMPACTION_BYTES", settings.compact_bytes),
+            (group_module, "RETAINED_LOG_BYTES", settings.keep_bytes),
+            (group_module, "COMPACTION_ENTRIES", settings.compact_entries),
+            (leadership_module, "MAX_APPEND_BYTES", settings.append_bytes),
+            (
+                voting_module,
+                "PRE_VOTE_RESERVATION_S",
+                -1.0 if settings.contention else voting_module.PRE_VOTE_RESERVATION_S,
+            ),
         ):
             patches.enter_context(patch.object(module, name, value))
         yield
--- a/tests/fleet/storage/test_journal.py
+++ b/tests/fleet/storage/test_journal.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.fleet.storage.errors import DamagedJournalError
+from firvane.fleet.storage.errors import CorruptJournalError
 from firvane.fleet.storage.filesystem import SystemFileSystem
 from firvane.fleet.storage.journal import create_journal, open_journal
 
@@ -33,13 +33,16 @@
 
 def test_the_newest_segment_is_read_with_its_snapshot(folder: Path) -> None:
     found = open_journal(SystemFileSystem(), str(folder))
-    assert found and (found[1].snapshot, found[1].records) == (SNAPSHOT, [b"vote of the compaction"])
+    assert found and (found.contents.snapshot, found.contents.records) == (
+        SNAPSHOT,
+        [b"vote of the compaction"],
+    )
 
 
 def test_a_snapshot_that_never_had_its_name_leaves_the_segment_before_in_force(folder: Path) -> None:
     (folder / "snapshot-00000002").unlink()
     found = open_journal(SystemFileSystem(), str(folder))
-    assert found and (found[1].snapshot, found[1].records) == (None, [b"first", b"second"])
+    assert found and (found.contents.snapshot, found.contents.records) == (None, [b"first", b"second"])
 
 
 @pytest.mark.parametrize("position", (0, 4, 20, -1))
@@ -49,5 +52,5 @@
     content = bytearray(path.read_bytes())
     content[position] ^= 1
     path.write_bytes(content)
-    with pytest.raises(DamagedJournalError, match="snapshot"):
+    with pytest.raises(CorruptJournalError, match="snapshot"):
         open_journal(SystemFileSystem(), str(folder))
--- a/tests/fleet/storage/test_stored_formats.py
+++ b/tests/fleet/storage/test_stored_formats.py
@@ -46,7 +46,7 @@
     (tmp_path / "snapshot-00000002").write_bytes(bytes.fromhex(SNAPSHOT_FILE_HEX))
     found = open_journal(SystemFileSystem(), str(tmp_path))
     assert found is not None
-    contents = found[1]
+    contents = found.contents
     assert (contents.identity, contents.snapshot, contents.torn) == (IDENTITY, b"state", False)
     assert contents.records == [b"term", *RECORDS]
     assert read_frames(bytes.fromhex(SEGMENT_HEX), IDENTITY, GENERATION).records[1] == RECORDS
