--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -39,7 +39,7 @@
 
 
 def lines(text: str) -> list[str]:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         read(text)
     return [line.removeprefix("f: ") for line in caught.value.lines()]
 
@@ -49,9 +49,9 @@
     assert made.listen == ("127.0.0.1", 8080) and made.discovery is None and made.sockets == 1024
     assert made.zones == ("ikeja", "lekki", "yaba") and made.kinds == ("big-box", "small-box")
     view, message = made.settings.classes
-    assert (view.aim, view.deadline, view.repeat) == (0.5, 2.5, api.Repeat.SAFE)
-    assert (message.scope, message.window, message.worth) == (api.Scope.ZONE, 10.0, 2.0)
-    assert made.settings.limits.second_copies and not made.settings.limits.peers
+    assert (view.latency_target, view.deadline, view.idempotency) == (0.5, 2.5, api.Idempotency.SAFE)
+    assert (message.dedup_scope, message.dedup_window, message.value) == (api.DedupScope.ZONE, 10.0, 2.0)
+    assert made.settings.limits.hedging and not made.settings.limits.peers
     assert [one["name"] for one in made.known["endpoints"]] == ["web-1", "web-2", "web-3"]
 
 
@@ -172,7 +172,7 @@
     ],
 )
 def test_an_impossible_scenario_is_told(old: str, new: str, line: str) -> None:
-    with pytest.raises(validation.Faults) as caught:
+    with pytest.raises(validation.ValidationError) as caught:
         text = SCENARIO.replace(old, new).encode()
         validation.build(validation.parse(text, "f"), Scenario, "f", SCENARIO_CHECKS)
     assert f"f: {line}" in caught.value.lines()
