--- a/tests/fleet/replication/test_mutants.py
+++ b/tests/fleet/replication/test_mutants.py
@@ -6,6 +6,7 @@
 
 import pytest
 
+from firvane.fleet.replication import core
 from tests.fleet.replication.mutant import Mutant, mutant
 from tests.fleet.replication.mutants import MUTANTS, SUPERFLUOUS, Trial
 from tests.fleet.replication.mutation import Edit, SourceMismatchError, edited_source
@@ -81,4 +82,4 @@
         name: module for name, module in sys.modules.items() if "replication" in name or "storage" in name
     }
     assert before == after
-    assert before["firvane.fleet.replication.core"] is sys.modules["firvane.fleet.replication"].core
+    assert before["firvane.fleet.replication.core"] is core is sys.modules["firvane.fleet.replication"].core
