--- a/benchmarks/placement.py
+++ b/benchmarks/placement.py
@@ -15,7 +15,7 @@
 from firvane.core import interface as api
 from firvane.fleet.placement.balancer import PromptBalancer
 from firvane.fleet.placement.events import InstancesChanged, PeersChanged, ServiceInfo
-from tests.fleet.placement.helpers import SERVICE, instances, letter, request, settings
+from tests.fleet.placement.helpers import SERVICE, instances, long_prompt, request, settings
 
 REQUESTS = 3000
 LONG_EVERY = 15  # requests from one long prompt to the next
@@ -25,7 +25,7 @@
 
 def measure(backends: int, routers: int) -> tuple[float, float]:
     """Microseconds a request, and for one row of a peer."""
-    dice = random.Random(1)
+    rng = random.Random(1)
     peers = [PromptBalancer(settings(me), me, 100.0) for me in range(1, min(routers, 8) + 1)]
     for balancer in peers:
         balancer.start(100.0)
@@ -37,7 +37,7 @@
     one = peers[0]
     for number in range(REQUESTS):
         now += 1 / RATE
-        fields = letter(dice.randrange(50), number) if number % LONG_EVERY == 0 else {}
+        fields = long_prompt(rng.randrange(50), number) if number % LONG_EVERY == 0 else {}
         fields["services"] = ((SERVICE, 1.0),)
         asked = request(number + 1, **fields)
         began = time.process_time()
@@ -63,8 +63,10 @@
 
 def main() -> None:
     for backends, routers in ((6, 8), (36, 36), (300, 380)):
-        asked, heard = measure(backends, routers)
-        print(f"{backends:4} backends {routers:4} routers: {asked:6.1f} us a request, {heard:6.1f} us a row")
+        asked, row_time = measure(backends, routers)
+        print(
+            f"{backends:4} backends {routers:4} routers: {asked:6.1f} us a request, {row_time:6.1f} us a row"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -14,7 +14,7 @@
 from firvane.core import interface as api
 from firvane.core.balancing.window import WINDOW
 from firvane.fleet.placement import outliers
-from firvane.fleet.placement.peers import ROWS_HEARD
+from firvane.fleet.placement.peers import MAX_ROWS_PER_WINDOW
 from tests.fleet.placement.helpers import SERVICE, Harness, only
 
 SIZES = ((6, 6), (70, 36), (200, 31), (380, 575))  # routers, servers of a service
@@ -30,8 +30,8 @@
     ready = one.balancer.services[SERVICE].ready
     for number in range(max(1, STREAMS * servers // routers)):
         server = ready[(me + STEP * number) % servers]
-        server.sent(number, 0.0, 0.1, SPEED, one.now)
-        server.started(number, SPEED, one.now)
+        server.start_attempt(number, 0.0, 0.1, SPEED, one.now)
+        server.end_prefill(number, SPEED, one.now)
     return one
 
 
@@ -48,7 +48,7 @@
     row = payload[0].payload
     heard = time_to_hear(receiver, row, routers)
     judged = time_to_judge(receiver, routers)
-    per_second = min(ROWS_HEARD / WINDOW, (routers - 1) / (2 * WINDOW))
+    per_second = min(MAX_ROWS_PER_WINDOW / WINDOW, (routers - 1) / (2 * WINDOW))
     print(
         f"{routers} routers, {servers} servers: a row has {len(row)} bytes; {per_second:.0f} heard a second,"
         f" {per_second * len(row) / 1000:.1f} kB/s; a window costs {made * 1e6:.0f} us,"
@@ -72,7 +72,7 @@
     servers = receiver.balancer.services[SERVICE].ready
     began = time.process_time()
     for _ in range(ROUNDS):
-        outliers.step(servers, routers, receiver.now)
+        outliers.eject_outliers(servers, routers, receiver.now)
     return (time.process_time() - began) / ROUNDS
 
 
--- a/firvane/fleet/placement/__init__.py
+++ b/firvane/fleet/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions for prompts: which model server reads which prompt, when to repeat, and what is turned away."""
+"""Placement of prompts on model servers: server selection, retries, failure detection and load exchange."""
--- a/firvane/fleet/placement/announcement.py
+++ b/firvane/fleet/placement/announcement.py
@@ -1,4 +1,4 @@
-"""What this router's row says, and what the rows of its peers make of the picture."""
+"""Building this router's row, and applying the rows of its peers to the view of the servers."""
 
 from __future__ import annotations
 
@@ -8,150 +8,181 @@
 from firvane.core.balancing.window import WINDOW
 from firvane.fleet.placement import health, outliers
 from firvane.fleet.placement.peers import Peers
-from firvane.fleet.placement.rows import Entry, Read, Row, RowFlags, Section
-from firvane.fleet.placement.server_view import STREAM_TOKENS, PeerLoad, Server
+from firvane.fleet.placement.rows import CachedBlock, Row, RowFlags, Section, ServerEntry
+from firvane.fleet.placement.server_view import STREAM_TOKENS, PeerLoad, ServerView
 from firvane.fleet.placement.service import Service
-from firvane.fleet.placement.slices import UNIT
+from firvane.fleet.placement.slices import WORK_UNIT_TOKENS
 
-RECENT = 3  # windows that the rate of service looks back on
-SUSPECT_PART = 0.5  # of a suspect server's capacity that counts
+SERVED_RATE_WINDOWS = 3  # that the announced rate of service covers
+EJECTED_CAPACITY_RATIO = 0.5  # of an ejected server's capacity that counts
+UNEXPECTED_FACTOR = 2.0  # times its even part that a slice gets from a peer
+UNEXPECTED_MARGIN_TOKENS = 4 * WORK_UNIT_TOKENS  # and so many beyond that
 
 
-def make_row(services: Iterable[Service], me: int, zone: int, held: int, flags: RowFlags, now: float) -> Row:
-    """The own row as of now; the picture keeps the work as told, since peers decide by that."""
-    sections, entries = list[Section](), list[Entry]()
+def make_row(
+    services: Iterable[Service], own_number: int, zone: int, queued: int, flags: RowFlags, now: float
+) -> Row:
+    """Return the own row, and keep in the view what it says of the own load, since peers decide by that."""
+    sections, entries = list[Section](), list[ServerEntry]()
     for service in services:
-        sections.append(make_section(service, me))
-        speed = service.speeds.reading.value
+        sections.append(make_section(service, own_number))
+        prefill_rate = service.throughput.prefill_rate.value
         for server in service.servers.values():
-            tokens = server.unread_tokens(speed, now)
-            server.told_work = tokens + STREAM_TOKENS * server.running
-            suspect, heard = health.is_witnessed(server), health.answer_age(server, now)
+            tokens = server.remaining_prefill_tokens(prefill_rate, now)
+            server.announced_own_load = tokens + STREAM_TOKENS * server.in_flight
+            suspect, response_age = health.is_suspected_locally(server), health.response_age(server, now)
             failures = server.outcomes.failures(now)
-            wanted = heard is not None and health.any_peer_suspects(server)
-            failed = outliers.has_failed_trial(server, now)
-            if server.running or suspect or wanted or failed or failures >= outliers.LEAST_TOLD:
-                told = Entry(server.salt, server.running, int(tokens), suspect, heard, failures, failed)
-                entries.append(told)
-    entries.sort(key=_most_work_first)
-    return Row(flags, zone, int(now * 1000), held, tuple(sections), tuple(entries), ())
-
-
-def take_reads(services: Iterable[Service], most: int) -> tuple[Read, ...]:
-    """Reads that no row has told of yet, the latest first; they count as told, as do those beyond `most`."""
-    owed = [read for service in services for read in reversed(service.untold_reads)]
+            refutes = response_age is not None and health.any_peer_suspects(server)
+            failed_trial = outliers.has_failed_trial(server, now)
+            is_failing = failures >= outliers.MIN_ANNOUNCED_FAILURES
+            if server.in_flight or suspect or refutes or failed_trial or is_failing:
+                entry = ServerEntry(
+                    server.id_hash,
+                    server.in_flight,
+                    int(tokens),
+                    suspect,
+                    response_age,
+                    failures,
+                    failed_trial,
+                )
+                entries.append(entry)
+    entries.sort(key=_most_load_first)
+    return Row(flags, zone, int(now * 1000), queued, tuple(sections), tuple(entries), ())
+
+
+def take_unannounced_blocks(services: Iterable[Service], limit: int) -> tuple[CachedBlock, ...]:
+    """Return the shared blocks sent since the last row, the latest first; what exceeds `limit` is dropped."""
+    blocks = [block for service in services for block in reversed(service.unannounced_blocks)]
     for service in services:
-        service.untold_reads.clear()
-    return tuple(owed[:most])
+        service.unannounced_blocks.clear()
+    return tuple(blocks[:limit])
 
 
-def latest_reads(services: Iterable[Service], most: int) -> tuple[Read, ...]:
-    """The shared parts that servers are believed to keep, for a router that knows none."""
+def recent_blocks(services: Iterable[Service], limit: int) -> tuple[CachedBlock, ...]:
+    """Return the shared blocks that servers are believed to cache, for a router that knows none."""
     servers = [server for service in services for server in service.ready]
-    each = most // max(1, len(servers))
+    per_server = limit // max(1, len(servers))
     return tuple(
-        Read(server.salt, key, tokens)
+        CachedBlock(server.id_hash, key, tokens)
         for server in servers
-        for key, tokens in server.parts.latest_shared(max(1, each))
-    )[:most]
-
-
-def make_section(service: Service, me: int) -> Section:
-    """The own slice's capacity, and the own rates, in units of work."""
-    mine = service.slices.by_router.get(me, [])
-    mu = sum(capacity(server, service) / len(service.slices.owners[server.id]) for server in mine)
-    arrived = [tokens / UNIT for tokens in service.arrived]
-    served = sum(service.served[-RECENT:]) / UNIT / RECENT / WINDOW
-    speeds = service.speeds
-    learnt = speeds.reading.value, speeds.first_event.value, speeds.samples
-    return Section(service.tag, mu, arrived[-1], forecast_work(service.arrived), served, *learnt)
+        for key, tokens in server.prefix_cache.recent_shared(max(1, per_server))
+    )[:limit]
+
+
+def make_section(service: Service, own_number: int) -> Section:
+    """Return the own slice's capacity and the own rates for a service."""
+    slices, throughput = service.slices, service.throughput
+    own_slice = slices.by_router.get(own_number, [])
+    mu = sum(capacity(server) / len(slices.owners[server.id]) for server in own_slice)
+    arrived = [tokens / WORK_UNIT_TOKENS for tokens in service.arrived]
+    served = sum(service.served[-SERVED_RATE_WINDOWS:]) / WORK_UNIT_TOKENS / SERVED_RATE_WINDOWS / WINDOW
+    return Section(
+        service.name_hash,
+        mu,
+        arrived[-1],
+        forecast_work(service.arrived),
+        served,
+        throughput.prefill_rate.value,
+        throughput.first_event.value,
+        throughput.samples,
+    )
 
 
 def forecast_work(arrived: list[float]) -> float:
-    """The work of the next window, in units, on the line through the last ones."""
-    return forecast([round(tokens) for tokens in arrived]) / UNIT
+    """Return the work of the next window by linear extrapolation; `arrived` is in prompt tokens."""
+    return forecast([round(tokens) for tokens in arrived]) / WORK_UNIT_TOKENS
+
 
+def capacity(server: ServerView) -> float:
+    """Return a server's capacity relative to others: its slots by its slowdown, less while it is ejected."""
+    ratio = EJECTED_CAPACITY_RATIO if health.is_ejected(server) else 1.0
+    return server.slots / server.slowdown * ratio
 
-def capacity(server: Server, service: Service) -> float:
-    """What a server can do beside others: its slots by its speed, cut while it fails."""
-    part = SUSPECT_PART if health.is_ejected(server) else 1.0
-    return server.slots / server.factor * part
 
+def apply_row(row: Row, previous: Row | None, sender: int, services: Iterable[Service], now: float) -> None:
+    """Apply what a peer has in flight to the view of the servers.
 
-def learn_row(row: Row, before: Row | None, sender: int, services: Iterable[Service], now: float) -> None:
-    """Put what a peer has out into the picture; `before` is the row that it sent last.
+    The cost follows the entries of the two rows, not the number of servers: in a large fleet a router
+    receives a hundred rows per second, each of which names few servers.
 
-    The work follows the entries of the two rows, not the number of servers: a large fleet's routers hear a
-    hundred rows a second, each of which names few servers.
+    Args:
+        row: The new row.
+        previous: The row that the peer sent before; None where there is none.
+        sender: Number of the peer.
+        services: All services.
+        now: The current time in seconds.
     """
     sections = {section.service: section for section in row.sections}
     named = {entry.server for entry in row.entries}
-    done = [entry.server for entry in before.entries if entry.server not in named] if before else []
+    absent = [entry.server for entry in previous.entries if entry.server not in named] if previous else []
     for service in services:
-        if section := sections.get(service.tag):
-            service.speeds.adopt(section.reading, section.first_event, section.samples)
-        for salt in done:
-            if server := service.by_salt.get(salt):
-                server.learn(sender, None)
+        if section := sections.get(service.name_hash):
+            service.throughput.adopt(section.prefill_rate, section.first_event, section.samples)
+        for id_hash in absent:
+            if server := service.by_hash.get(id_hash):
+                server.update_peer_load(sender, None)
         for entry in row.entries:
-            if server := service.by_salt.get(entry.server):
-                _learn_entry(entry, server, sender, now)
+            if server := service.by_hash.get(entry.server):
+                _apply_entry(entry, server, sender, now)
 
 
-def _learn_entry(entry: Entry, server: Server, sender: int, now: float) -> None:
-    server.learn(sender, PeerLoad(entry.running, entry.tokens, now, entry.suspect, entry.failures))
+def _apply_entry(entry: ServerEntry, server: ServerView, sender: int, now: float) -> None:
+    load = PeerLoad(entry.in_flight, entry.tokens, now, entry.suspect, entry.failures)
+    server.update_peer_load(sender, load)
     if entry.suspect:
-        health.hear_suspicion(server, now)
-    elif entry.heard is not None:
-        health.hear_alive(server, now - entry.heard, now)
+        health.apply_peer_suspicion(server, now)
+    elif entry.response_age is not None:
+        health.apply_peer_response(server, now - entry.response_age, now)
     if entry.failed_trial:
-        outliers.hear_failed_trial(server, now)
+        outliers.apply_peer_trial_failure(server, now)
 
 
-def learn_reads(reads: Iterable[Read], services: Iterable[Service]) -> list[Read]:
-    """Put what servers keep into the picture; those of servers that are not known are given back."""
-    unknown, known = list[Read](), [service.by_salt for service in services]
-    for read in reads:
-        server = next((by_salt[read.server] for by_salt in known if read.server in by_salt), None)
+def apply_cached_blocks(blocks: Iterable[CachedBlock], services: Iterable[Service]) -> list[CachedBlock]:
+    """Apply blocks to the views of the servers' caches, and return those whose server is not known."""
+    unmatched, known = list[CachedBlock](), [service.by_hash for service in services]
+    for block in blocks:
+        server = next((by_hash[block.server] for by_hash in known if block.server in by_hash), None)
         if server:
-            server.parts.keep_shared(read.key, read.tokens)
+            server.prefix_cache.insert_shared(block.key, block.tokens)
         else:
-            unknown.append(read)
-    return unknown
+            unmatched.append(block)
+    return unmatched
 
 
 def forget_peer(sender: int, services: Iterable[Service]) -> None:
-    """A peer is gone, and what it had out no longer counts."""
+    """Drop what a peer has in flight, since it is gone."""
     for service in services:
         for server in service.servers.values():
-            server.learn(sender, None)
+            server.update_peer_load(sender, None)
 
 
-def sections_of(
-    service: Service, own: Row | None, own_at: float, peers: Peers, now: float
+def sections_by_router(
+    service: Service, own_row: Row | None, own_row_at: float, peers: Peers, now: float
 ) -> Mapping[int, tuple[Section, float]]:
-    """The figures of all live routers for a service, with their ages in s."""
+    """Return the rates of all routers for a service with their ages in seconds, by router."""
     found = dict[int, tuple[Section, float]]()
-    rows = [(number, peer.row, now - peer.since) for number, peer in peers.known.items() if peer.row]
-    if own:
-        rows.append((peers.me, own, now - own_at))
+    rows = [(number, peer.row, now - peer.last_row_at) for number, peer in peers.known.items() if peer.row]
+    if own_row:
+        rows.append((peers.own_number, own_row, now - own_row_at))
     for number, row, age in rows:
         for section in row.sections:
-            if section.service == service.tag:
+            if section.service == service.name_hash:
                 found[number] = (section, age)
     return found
 
 
-def unexpected_offload(row: Row, service: Service, me: int) -> bool:
-    """Whether a peer sends far more toward the own slice than an even part of its work."""
-    mine = {server.salt for server in service.slices.by_router.get(me, ())}
-    if not mine or len(mine) == len(service.ready):
+def is_unexpected_offload(row: Row, service: Service, own_number: int) -> bool:
+    """Return whether a peer sends far more to the own slice than an even part of its load."""
+    own_slice = {server.id_hash for server in service.slices.by_router.get(own_number, ())}
+    if not own_slice or len(own_slice) == len(service.ready):
         return False
-    work = [(entry.server in mine, entry.tokens + STREAM_TOKENS * entry.running) for entry in row.entries]
-    here, everywhere = sum(tokens for own, tokens in work if own), sum(tokens for _, tokens in work)
-    even = everywhere * len(mine) / max(1, len(service.ready))
-    return here > 2 * even + 4 * UNIT
+    load = [
+        (entry.server in own_slice, entry.tokens + STREAM_TOKENS * entry.in_flight) for entry in row.entries
+    ]
+    here, everywhere = sum(tokens for is_own, tokens in load if is_own), sum(tokens for _, tokens in load)
+    even = everywhere * len(own_slice) / max(1, len(service.ready))
+    return here > UNEXPECTED_FACTOR * even + UNEXPECTED_MARGIN_TOKENS
 
 
-def _most_work_first(entry: Entry) -> tuple[int, int, int]:
-    return (-entry.tokens, -entry.running, entry.server)
+def _most_load_first(entry: ServerEntry) -> tuple[int, int, int]:
+    return (-entry.tokens, -entry.in_flight, entry.server)
--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -1,11 +1,11 @@
 """All decisions for prompts: `PromptBalancer` takes an event and returns the actions that it calls for.
 
-1. A request that may not be repeated is never sent again unless its earlier attempts surely did not run, and
-   it is refused only in that case; else it fails.
+1. A request that is not retryable is never sent again unless its earlier attempts surely did not run. It is
+   rejected only in that case; otherwise it fails.
 2. A request reaches at most `max_attempts` backends, and each after its first is paid from the retry budget.
-   A failed connection reached nothing and is followed by the next backend at once.
-3. Nothing is refused while a backend has room. What has none is held briefly, the most urgent first.
-4. Silence of a backend counts only beside signs of life of others (`watch.py`).
+   A failed connection reached no backend, and the next backend follows at once.
+3. Nothing is rejected while a backend has capacity. What finds none is queued briefly, by priority.
+4. A time-out of a backend counts only while others respond (`attempt_timeouts.py`).
 """
 
 from __future__ import annotations
@@ -16,36 +16,50 @@
 from firvane.core import interface as api
 from firvane.core.balancing.window import WINDOW
 from firvane.fleet.placement import attempt_timeouts, health, outliers, selection
-from firvane.fleet.placement.budget import BudgetFigures
 from firvane.fleet.placement.events import (
     InstancesChanged,
     PeersChanged,
     PlacementEvent,
-    Progress,
     PromptRequest,
     ServiceInfo,
+    StreamProgress,
 )
 from firvane.fleet.placement.exchange import RowExchange
-from firvane.fleet.placement.hold_queue import HoldQueue
-from firvane.fleet.placement.homes import make_prompt
-from firvane.fleet.placement.jobs import Attempt, Job
+from firvane.fleet.placement.pending_request import Attempt, PendingRequest
+from firvane.fleet.placement.prompt_homes import make_prompt
+from firvane.fleet.placement.request_queue import RequestQueue
+from firvane.fleet.placement.retry_budget import RetryBudgetMetrics
 from firvane.fleet.placement.rows import RowFlags
-from firvane.fleet.placement.server_view import Server
+from firvane.fleet.placement.server_view import ServerView
 from firvane.fleet.placement.service import Service
 from firvane.fleet.placement.services import RetryLimits, Services
 
-WINDOW_TOKEN = 0  # of the timer
-MOST_SENDS = 8  # attempts of one request, those that reached nothing included
-HOLD_PART, HOLD_LONGEST = 0.2, 0.25  # of the aim, and s, that a request is held for room
-NO_BACKEND_PAUSE = 0.3  # s asked for where a service has no ready backend
-NO_LIST_PAUSE = 1.0  # s asked for where its backends are not known yet: a client comes again but a few times
-NOTICE_TOKENS = 1000  # to read: such a prompt is announced when it is sent
-TIMER_SLACK = 0.001  # s that a timer may fire early
-REAP_EVERY = 8  # windows between looks for attempts whose end was never told
+WINDOW_TOKEN = 0  # of the timer that ends a window; those of requests are above
+MAX_ATTEMPTS = 8  # of one request, those that reached no backend included
+QUEUE_TIME_RATIO = 0.2  # of the latency target
+MAX_QUEUE_TIME_S = 0.25
+QUEUE_TIME_DEADLINE_PART = 4  # a request is queued for at most a fourth of its time
+NO_BACKEND_RETRY_AFTER_S = 0.3
+NO_INSTANCES_RETRY_AFTER_S = 1.0  # longer, since a client retries only a few times
+MIN_RETRY_AFTER_JITTER = 0.8
+MAX_RETRY_AFTER_JITTER = 1.2
+ANNOUNCED_PREFILL_TOKENS = 1000  # attempts that prefill as much are announced at once
+MIN_TIMER_S = 0.001
+TIMER_TOLERANCE_S = 0.001  # a timer may fire early by this
+EXPIRY_CHECK_WINDOWS = 8
 
 
 class PromptBalancer:
-    """One router's decisions for prompts."""
+    """One router's decisions for prompts.
+
+    Attributes:
+        services: All services by name.
+        pending_requests: Requests without a final answer, by id.
+        queue: Those of them that wait for capacity.
+        attempts: Open attempts by request id and number.
+        exchange: The exchange of rows with the other routers.
+        announcement_due: Whether a long prompt was sent or a trial failed since the last row.
+    """
 
     def __init__(
         self,
@@ -57,19 +71,25 @@
         retry_slack: float = 0.0,
         zone: str = "",
     ) -> None:
-        """`retry_*`: the retry budget of each service over all routers.
-
-        `zone` is the name of the own zone as instances tell it; without it, zones do not matter.
+        """Start without services and peers.
+
+        Args:
+            settings: Settings of the decisions.
+            seed: Seed of the random draws.
+            now: The current time in monotonic seconds.
+            retry_ratio: Retries per request that each service may have, over all routers.
+            retry_slack: Retries beyond that which each service may have in any window of the rule.
+            zone: Name of the own zone as instances give it; without it, zones do not matter.
         """
         self.settings, self.random = settings, random.Random(seed)
         limits = RetryLimits(retry_ratio, retry_slack)
         self.services = Services(settings.me, limits, zone, self.random)
-        self.jobs: dict[int, Job] = {}
-        self.held = HoldQueue()
+        self.pending_requests: dict[int, PendingRequest] = {}
+        self.queue = RequestQueue()
         self.attempts: dict[tuple[int, int], Attempt] = {}
         self.exchange = RowExchange(settings.me, self.services, now)
-        self.windows = self.tag = 0
-        self.notice_owed = False  # a long prompt went out, or a trial failed, and no row has told of it
+        self.windows = self.last_sequence = 0
+        self.announcement_due = False
         self.actions: list[api.Action] = []
         self.handlers: dict[type, Callable[..., None]] = {
             PromptRequest: self._on_request,
@@ -81,254 +101,267 @@
             api.PeerMessage: self._on_row,
             InstancesChanged: self._on_instances,
             PeersChanged: self._on_peers,
-            Progress: self._on_progress,
+            StreamProgress: self._on_progress,
             ServiceInfo: self._on_service,
         }
 
     def start(self, now: float) -> list[api.Action]:
-        """What a new router does first: ask for rows, and begin its windows."""
+        """Return the first actions: ask the peers for rows, and start the windows."""
         self.actions = []
         self._announce(RowFlags.ASK, now)
         self._on_window(now)
         return self.actions
 
     def handle(self, event: api.Event | PlacementEvent, now: float) -> list[api.Action]:
-        """The actions that an event calls for; `now` in monotonic seconds."""
+        """Return the actions that an event calls for; `now` in monotonic seconds."""
         self.actions = []
         if handler := self.handlers.get(type(event)):
             handler(event, now)
         return self.actions
 
     def retune(self, settings: api.Settings) -> None:
-        """Go on by other settings."""
+        """Replace the settings."""
         self.settings = settings
 
-    def take_budget_figures(self, now: float) -> dict[str, BudgetFigures]:
-        """The retry budget of each service, for the log."""
-        return {name: service.budget.take_figures(now) for name, service in self.services.items()}
+    def take_budget_metrics(self, now: float) -> dict[str, RetryBudgetMetrics]:
+        """Return the metrics of each service's retry budget and reset their counts."""
+        return {name: service.retry_budget.take_metrics(now) for name, service in self.services.items()}
 
     # Requests
 
     def _on_request(self, request: PromptRequest, now: float) -> None:
         prompt = make_prompt(request.chain, request.tokens_in, self.random.getrandbits(32))
-        hold = min(HOLD_PART * request.aim, HOLD_LONGEST, request.left / 4)
+        queue_time = min(
+            QUEUE_TIME_RATIO * request.latency_target,
+            MAX_QUEUE_TIME_S,
+            request.left / QUEUE_TIME_DEADLINE_PART,
+        )
         service = self.services.draw(request.services)
-        job = Job(request, prompt, service, now + request.left, now + hold)
-        self.jobs[request.id] = job
-        service.budget.note_request(now)
-        if service.is_known and not service.ready:
-            self._refuse(job, NO_BACKEND_PAUSE)
+        pending = PendingRequest(request, prompt, service.name, now + request.left, now + queue_time)
+        self.pending_requests[request.id] = pending
+        service.retry_budget.record_request(now)
+        if service.instances_known and not service.ready:
+            self._reject(pending, NO_BACKEND_RETRY_AFTER_S)
         else:
-            self._place(job, now)
-
-    def _place(self, job: Job, now: float) -> None:
-        """Send a job on, hold it for room, or end it."""
-        service = job.service
-        spent = job.reached > 0 and not service.budget.allows(now)
-        over = not job.attempts_left or job.sends >= MOST_SENDS or now >= job.deadline
-        if over or spent or not job.may_repeat:
-            self._finish(job, now)
-        elif server := selection.choose(service, job, now):
-            self._send(job, server, now)
-        elif now < job.hold_until:
-            self._hold(job, now)
+            self._dispatch(pending, now)
+
+    def _dispatch(self, pending: PendingRequest, now: float) -> None:
+        """Send, queue or end a request without an open attempt."""
+        service = self.services[pending.service]
+        over_budget = pending.attempts_reached > 0 and not service.retry_budget.allows(now)
+        exhausted = not pending.has_attempts_left or pending.attempts_made >= MAX_ATTEMPTS
+        if exhausted or now >= pending.deadline or over_budget or not pending.may_retry:
+            self._finish(pending, now)
+        elif server := selection.choose(service, pending, now):
+            self._send(pending, service, server, now)
+        elif now < pending.queue_until:
+            self._enqueue(pending, now)
         else:
-            self._finish(job, now)
-
-    def _hold(self, job: Job, now: float) -> None:
-        self.held.add(job)
-        self._set_timer(job, job.hold_until - now)
-
-    def _retry_held(self, now: float) -> None:
-        """Try again what is held, until one finds no room."""
-        for job in self.held.in_order():
-            self.held.drop(job)
-            self._place(job, now)
-            if job in self.held:
+            self._finish(pending, now)
+
+    def _enqueue(self, pending: PendingRequest, now: float) -> None:
+        self.queue.add(pending)
+        self._set_timer(pending, pending.queue_until - now)
+
+    def _dispatch_queued(self, now: float) -> None:
+        """Dispatch queued requests until one finds no capacity."""
+        for pending in self.queue.by_priority():
+            self.queue.discard(pending)
+            self._dispatch(pending, now)
+            if pending in self.queue:
                 return
 
-    def _send(self, job: Job, server: Server, now: float) -> None:
-        self.tag += 1
-        attempt = job.service.send(job, server, self.tag, now)
-        job.out[attempt.number] = self.attempts[job.request.id, attempt.number] = attempt
-        job.tried.add(server.id)
-        job.sends += 1
-        job.reached += 1
-        job.may_have_run += 1
-        self.actions.append(api.Send(job.request.id, server.id))
-        self._set_timer(job, attempt_timeouts.first_look(attempt, job.request))
-        if attempt.tokens >= NOTICE_TOKENS:
-            self.notice_owed = True
+    def _send(self, pending: PendingRequest, service: Service, server: ServerView, now: float) -> None:
+        self.last_sequence += 1
+        attempt = service.start_attempt(pending, server, self.last_sequence, now)
+        pending.in_flight[attempt.number] = self.attempts[pending.request.id, attempt.number] = attempt
+        pending.attempted_servers.add(server.id)
+        pending.attempts_made += 1
+        pending.attempts_reached += 1
+        pending.may_have_run += 1
+        self.actions.append(api.Send(pending.request.id, server.id))
+        self._set_timer(pending, attempt_timeouts.first_check_delay(attempt, pending.request))
+        if attempt.prefill_tokens >= ANNOUNCED_PREFILL_TOKENS:
+            self.announcement_due = True
             if self.exchange.may_announce(now):
                 self._announce(RowFlags.NONE, now)
 
-    def _finish(self, job: Job, now: float) -> None:
-        """The final answer: a refusal where nothing has run or may run, a failure otherwise."""
-        if job.may_have_run or job.begun:
-            self._close(job)
-            self.actions.append(api.Fail(job.request.id))
+    def _finish(self, pending: PendingRequest, now: float) -> None:
+        """Give the final answer: a rejection where nothing has run or may run, a failure otherwise."""
+        if pending.may_have_run or pending.response_started:
+            self._close(pending)
+            self.actions.append(api.Fail(pending.request.id))
             return
-        service = job.service
-        pause = service.pause(now) if service.is_known else NO_LIST_PAUSE
-        self._refuse(job, pause * self.random.uniform(0.8, 1.2))
-
-    def _refuse(self, job: Job, retry_after: float) -> None:
-        self._close(job)
-        self.actions.append(api.Refuse(job.request.id, retry_after))
-
-    def _close(self, job: Job) -> None:
-        """No answer is owed any more: what is still out is waste."""
-        self.jobs.pop(job.request.id, None)
-        self.held.drop(job)
-        self.actions.extend(api.Cancel(job.request.id, number) for number in job.out)
-
-    def _set_timer(self, job: Job, span: float) -> None:
-        self.actions.append(api.SetTimer(max(0.001, span), job.request.id + 1, job.request.id))
-
-    def may_continue(self, number: int, now: float) -> bool:
-        """Whether a stream that has begun would be taken up elsewhere if its attempt were given up now."""
-        job = self.jobs.get(number)
-        if job is None or not (job.request.repeatable and job.attempts_left) or job.sends >= MOST_SENDS:
+        service = self.services[pending.service]
+        retry_after = service.retry_after(now) if service.instances_known else NO_INSTANCES_RETRY_AFTER_S
+        jitter = self.random.uniform(MIN_RETRY_AFTER_JITTER, MAX_RETRY_AFTER_JITTER)
+        self._reject(pending, retry_after * jitter)
+
+    def _reject(self, pending: PendingRequest, retry_after: float) -> None:
+        self._close(pending)
+        self.actions.append(api.Refuse(pending.request.id, retry_after))
+
+    def _close(self, pending: PendingRequest) -> None:
+        """Forget a request that needs no answer any more, and cancel its open attempts."""
+        self.pending_requests.pop(pending.request.id, None)
+        self.queue.discard(pending)
+        self.actions.extend(api.Cancel(pending.request.id, number) for number in pending.in_flight)
+
+    def _set_timer(self, pending: PendingRequest, span: float) -> None:
+        request_id = pending.request.id
+        self.actions.append(api.SetTimer(max(MIN_TIMER_S, span), request_id + 1, request_id))
+
+    def may_continue(self, request_id: int, now: float) -> bool:
+        """Return whether a started stream would be continued elsewhere if its attempt were given up now."""
+        pending = self.pending_requests.get(request_id)
+        if pending is None or not pending.request.retryable:
             return False
-        return job.service.budget.has_token(now) and selection.choose(job.service, job, now) is not None
+        if not pending.has_attempts_left or pending.attempts_made >= MAX_ATTEMPTS:
+            return False
+        service = self.services[pending.service]
+        return service.retry_budget.has_token(now) and selection.choose(service, pending, now) is not None
 
-    # News of attempts
+    # Attempts
 
     def _on_started(self, event: api.StreamStarted, now: float) -> None:
         attempt = self.attempts.get((event.id, event.attempt))
         if attempt is None:
             return
-        attempt.service.started(attempt, event.took, now)
-        if job := self.jobs.get(event.id):
-            job.begun = True
-            others = [number for number in job.out if number != event.attempt]
+        self.services[attempt.service].record_first_event(attempt, event.took, now)
+        if pending := self.pending_requests.get(event.id):
+            pending.response_started = True
+            others = [number for number in pending.in_flight if number != event.attempt]
             self.actions.extend(api.Cancel(event.id, number) for number in others)
-            job.out = {event.attempt: attempt}
+            pending.in_flight = {event.attempt: attempt}
 
-    def _on_progress(self, event: Progress, now: float) -> None:
+    def _on_progress(self, event: StreamProgress, now: float) -> None:
         for service in self.services.values():
             if server := service.servers.get(event.server):
-                server.hints += 1
-                health.note_progress(server, now)
+                server.progress_events += 1
+                health.record_progress(server, now)
 
     def _on_outcome(self, outcome: api.Outcome, now: float) -> None:
         attempt = self.attempts.pop((outcome.id, outcome.attempt), None)
         if attempt is None:
             return
-        service, job = attempt.service, self.jobs.get(outcome.id)
+        service, pending = self.services[attempt.service], self.pending_requests.get(outcome.id)
         if outcome.result is api.Result.OK:
-            service.answered(attempt, now)
-        health.note_end(attempt.server, outcome.result, attempt.started, now)
+            service.record_completion(attempt, now)
+        health.record_end(attempt.server, outcome.result, attempt.started, now)
         failed = health.is_failure(outcome.result, attempt.started)
-        if failed and outliers.note_failure(attempt.server, attempt.sent_at, now):
-            self.notice_owed = True
-        service.ended(attempt, now)
-        if outcome.result.never_ran and outcome.result is not api.Result.FULL and attempt.repeat:
-            service.budget.refund(now)
-        if job:
-            self._settle(job, attempt, outcome, now)
-        if self.held:
-            self._retry_held(now)
-
-    def _settle(self, job: Job, attempt: Attempt, outcome: api.Outcome, now: float) -> None:
-        """What the end of an attempt means to its request."""
+        if failed and outliers.record_failure(attempt.server, attempt.sent_at, now):
+            self.announcement_due = True
+        service.end_attempt(attempt, now)
+        if outcome.result.never_ran and outcome.result is not api.Result.FULL and attempt.is_retry:
+            service.retry_budget.refund(now)
+        if pending:
+            self._end_attempt(pending, attempt, outcome, now)
+        if self.queue:
+            self._dispatch_queued(now)
+
+    def _end_attempt(
+        self, pending: PendingRequest, attempt: Attempt, outcome: api.Outcome, now: float
+    ) -> None:
+        """Apply the end of an attempt to its request."""
         if outcome.result.never_ran:
-            job.may_have_run -= 1
-            job.reached -= outcome.result is not api.Result.FULL
-        was_out = job.out.pop(attempt.number, None) is not None
+            pending.may_have_run -= 1
+            pending.attempts_reached -= outcome.result is not api.Result.FULL
+        was_in_flight = pending.in_flight.pop(attempt.number, None) is not None
         if outcome.finished:
-            self._close(job)
-        elif was_out and not job.out:
-            self._place(job, now)
+            self._close(pending)
+        elif was_in_flight and not pending.in_flight:
+            self._dispatch(pending, now)
 
     def _on_client_gone(self, event: api.ClientGone, now: float) -> None:
-        if job := self.jobs.get(event.id):
-            self._close(job)
+        if pending := self.pending_requests.get(event.id):
+            self._close(pending)
 
     def _on_hastened(self, event: api.Hastened, now: float) -> None:
-        if job := self.jobs.get(event.id):
-            job.deadline = min(job.deadline, now + event.left)
+        if pending := self.pending_requests.get(event.id):
+            pending.deadline = min(pending.deadline, now + event.left)
 
     # Timers
 
     def _on_timer(self, event: api.TimerFired, now: float) -> None:
         if event.token == WINDOW_TOKEN:
             self._on_window(now)
-        elif job := self.jobs.get(event.token - 1):
-            if job in self.held and now >= job.hold_until - TIMER_SLACK:
-                self.held.drop(job)
-                self._place(job, now)
-            elif not job.begun:
-                self._look(job, now)
-
-    def _look(self, job: Job, now: float) -> None:
-        """Look after an attempt that has had no event for longer than expected."""
-        for attempt in list(job.out.values()):
-            service = job.service
-            ahead = attempt.server.backlog(service.speeds.reading.value, now)
-            if attempt_timeouts.is_silent(attempt, service.ready, ahead, now):
-                self._suspect(attempt.server, now)
-            lost = attempt_timeouts.is_lost(attempt, now)
-            if not self._replace(job, attempt, service, lost, now):
-                self._set_timer(job, attempt_timeouts.next_look(attempt, now))
-
-    def _suspect(self, server: Server, now: float) -> None:
-        """Nothing comes from a server; the peers hear of it at once."""
+        elif pending := self.pending_requests.get(event.token - 1):
+            if pending in self.queue and now >= pending.queue_until - TIMER_TOLERANCE_S:
+                self.queue.discard(pending)
+                self._dispatch(pending, now)
+            elif not pending.response_started:
+                self._check_attempts(pending, now)
+
+    def _check_attempts(self, pending: PendingRequest, now: float) -> None:
+        """Check the attempts of a request that has had no event for longer than expected."""
+        service = self.services[pending.service]
+        for attempt in list(pending.in_flight.values()):
+            backlog = attempt.server.prefill_backlog(service.throughput.prefill_rate.value, now)
+            if attempt_timeouts.is_unresponsive(attempt, service.ready, backlog, now):
+                self._eject_unresponsive(attempt.server, now)
+            if not self._reroute(pending, attempt, service, now):
+                self._set_timer(pending, attempt_timeouts.next_check_delay(attempt, now))
+
+    def _eject_unresponsive(self, server: ServerView, now: float) -> None:
+        """Eject a server that does not respond, and announce it at once."""
         if not health.is_ejected(server) or server.on_trial:
-            health.note_silent(server, now)
+            health.eject_unresponsive(server, now)
             self._announce(RowFlags.NONE, now)
 
-    def _replace(self, job: Job, attempt: Attempt, service: Service, lost: bool, now: float) -> bool:
-        """Send a request elsewhere in place of a lost or late attempt; False where that may not be."""
-        allowed = job.request.repeatable and job.attempts_left and service.budget.allows(now)
-        server = selection.choose(service, job, now) if allowed else None
+    def _reroute(self, pending: PendingRequest, attempt: Attempt, service: Service, now: float) -> bool:
+        """Replace a timed-out or late attempt by one at another server; False where that may not be."""
+        timed_out = attempt_timeouts.is_timed_out(attempt, now)
+        request = pending.request
+        allowed = request.retryable and pending.has_attempts_left and service.retry_budget.allows(now)
+        server = selection.choose(service, pending, now) if allowed else None
         if server is None:
             return False
-        elsewhere = selection.expected_first(service, server, service.unread(job.prompt, server), now)
-        ahead = attempt.server.queue(service.speeds.reading.value, now)
-        if not lost and not attempt_timeouts.is_better_elsewhere(
-            attempt, ahead, elsewhere, job.request.aim, now
+        prefill_tokens = service.prefill_tokens(pending.prompt, server)
+        elsewhere = service.expected_first_event(server, prefill_tokens, now)
+        remaining = attempt.server.queueing_delay(service.throughput.prefill_rate.value, now)
+        if not timed_out and not attempt_timeouts.is_faster_elsewhere(
+            attempt, remaining, elsewhere, request.latency_target, now
         ):
             return False
-        if now + elsewhere > job.deadline:
+        if now + elsewhere > pending.deadline:
             return False
-        del job.out[attempt.number]
-        self.actions.append(api.Cancel(job.request.id, attempt.number))
-        self._send(job, server, now)
+        del pending.in_flight[attempt.number]
+        self.actions.append(api.Cancel(request.id, attempt.number))
+        self._send(pending, service, server, now)
         return True
 
     def _on_window(self, now: float) -> None:
         self.windows += 1
         self.actions.append(api.SetTimer(WINDOW, WINDOW_TOKEN))
         self.exchange.refresh(now)
-        if self.notice_owed or self.windows % self.exchange.peers.row_every == 0:
+        if self.announcement_due or self.windows % self.exchange.peers.row_interval == 0:
             self._announce(RowFlags.NONE, now)
         zones = self.exchange.peers.zones()
         for service in self.services.values():
             service.step(self.exchange.sections(service, now), zones)
-            outliers.step(service.ready, len(service.routers), now)
+            outliers.eject_outliers(service.ready, len(service.routers), now)
             for server in service.ready:
-                if health.streams_are_silent(server, service.ready, now) and not health.is_ejected(server):
-                    self._suspect(server, now)
-        if self.windows % REAP_EVERY == 0:
-            self._reap(now)
-        self._retry_held(now)
-
-    def _reap(self, now: float) -> None:
-        """Drop attempts whose end should long have been told, so that none counts for ever."""
+                if health.streams_are_stalled(server, service.ready, now) and not health.is_ejected(server):
+                    self._eject_unresponsive(server, now)
+        if self.windows % EXPIRY_CHECK_WINDOWS == 0:
+            self._expire_attempts(now)
+        self._dispatch_queued(now)
+
+    def _expire_attempts(self, now: float) -> None:
+        """Drop attempts whose end was never reported, so that none counts for ever."""
         for key, attempt in list(self.attempts.items()):
-            if now > attempt.expires:
+            if now > attempt.expires_at:
                 del self.attempts[key]
-                attempt.service.ended(attempt, now)
+                self.services[attempt.service].end_attempt(attempt, now)
 
     # Peers and instances
 
     def _announce(self, flags: RowFlags, now: float) -> None:
-        self.notice_owed = False
-        self.actions.append(self.exchange.announce(flags, len(self.held), now))
+        self.announcement_due = False
+        self.actions.append(self.exchange.announce(flags, len(self.queue), now))
 
     def _on_row(self, message: api.PeerMessage, now: float) -> None:
-        self.actions += self.exchange.hear(message, len(self.held), now)
+        self.actions += self.exchange.receive(message, len(self.queue), now)
 
     def _on_peers(self, event: PeersChanged, now: float) -> None:
         if self.exchange.update(event, now):
@@ -336,8 +369,8 @@
 
     def _on_instances(self, event: InstancesChanged, now: float) -> None:
         self.services[event.service].update(event.instances)
-        self.exchange.place_reads()
-        self._retry_held(now)
+        self.exchange.apply_unmatched_blocks()
+        self._dispatch_queued(now)
 
     def _on_service(self, event: ServiceInfo, now: float) -> None:
         self.services[event.service].configure(event)
--- a/firvane/fleet/placement/events.py
+++ b/firvane/fleet/placement/events.py
@@ -1,4 +1,4 @@
-"""Events of the prompt decisions beside those of `firvane.core.interface`. Times and spans are in seconds."""
+"""Input events of placement, beside those of `firvane.core.interface`. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestKind(enum.Enum):
-    """What a second run of a request does, and how it is answered."""
+    """How a request is answered, and what running it a second time does."""
 
     STREAM = "stream"
     IDEMPOTENT = "idempotent"
@@ -23,8 +23,18 @@
 class PromptRequest(api.Request):
     """A client's request with its prompt.
 
-    `services` are names with weights; `chain` holds the parts of the prompt in order, as identity and tokens,
-    the last of them the request's own or its session's; `priority` 0 is the most urgent.
+    Attributes:
+        services: Names of services with their weights.
+        chain: The prefix blocks of the prompt in order, each as (identity, tokens). The last block belongs to
+            this request or its session alone.
+        tokens_in: Tokens of the prompt.
+        tokens_out: Tokens that the response may have.
+        priority: 0 is the most urgent.
+        latency_target: Seconds to the first event up to which the request has its full value.
+        max_attempts: Most backends that may be reached.
+        kind: How the request is answered.
+        resumable: Whether another backend may continue a stream that was cut off.
+        event_gap_target: Most seconds between two events of the stream.
     """
 
     services: tuple[tuple[str, float], ...] = ()
@@ -32,14 +42,14 @@
     tokens_in: int = 0
     tokens_out: int = 0
     priority: int = 5
-    aim: float = 1.0  # s until the first event for the full worth
-    max_attempts: int = 1  # backends that may be reached
+    latency_target: float = 1.0
+    max_attempts: int = 1
     kind: RequestKind = RequestKind.NON_IDEMPOTENT
-    resumable: bool = False  # a stream that another backend may take up
-    gap_aim: float = 0.0  # s between events at the most
+    resumable: bool = False
+    event_gap_target: float = 0.0
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether the request may run more than once."""
         if self.kind is RequestKind.STREAM:
             return self.resumable
@@ -47,33 +57,33 @@
 
 
 class InstancesChanged(Struct):
-    """All instances of a service as they are known now; those that are absent are gone."""
+    """The complete list of a service's instances; those that are absent are gone."""
 
     service: str
     instances: tuple[Instance, ...]
 
 
 class PeersChanged(Struct):
-    """The live routers, this one included, as sorted numbers, and the zone of each."""
+    """The live routers, this one included, in ascending order, and the zone of each."""
 
     numbers: tuple[int, ...]
     zones: tuple[int, ...]
 
 
-class Progress(Struct):
-    """Bytes of an answer that has begun have come from a server: it lives. Told now and then only."""
+class StreamProgress(Struct):
+    """A server sent bytes of a response that had started. Reported at intervals, not for each event."""
 
     server: str
 
 
 class ServiceInfo(Struct):
-    """What the configuration says of a service's backends; 0 where it does not."""
+    """The configured properties of a service's backends; 0 where the configuration names none."""
 
     service: str
     slots: int
     cache_tokens: int
-    stride: int  # tokens that one event of a stream holds
-    connection_limit: int  # of one backend, for all callers together
+    tokens_per_event: int
+    connection_limit: int  # per backend, over all callers
 
 
-PlacementEvent = InstancesChanged | PeersChanged | Progress | ServiceInfo
+PlacementEvent = InstancesChanged | PeersChanged | StreamProgress | ServiceInfo
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -1,13 +1,13 @@
-"""Passive failure detection: what answers, failures and silence say of a server.
-
-1. A few failures in a row, or silence at all open attempts, eject a server. After a pause it gets a single
-   trial; the pause doubles with each failure, and anything that comes from the server ends all of it.
-2. At least half of the ready servers of a service stay in use, whatever they did.
-3. Peers tell in their rows whom they have found silent themselves, and when each server last answered them.
-   An answer to a peer is a sign of life here as well. Two words of silence, or one beside silence here, make
-   a server suspect that nobody has heard lately; that is not passed on, so that no rumour feeds itself.
-4. The routers whose slice holds a server try it first: the others hear of it from them, and no more requests
-   than needed wait at a server that is still silent.
+"""Passive health checks: what responses, failures and time-outs tell of a server.
+
+1. Consecutive failures, or time-outs of all open attempts, eject a server. After its ejection time it gets a
+   single trial request; the ejection time doubles with each failure, and any response ends the ejection.
+2. At least half of the ready servers of a service stay in use.
+3. Rows tell which servers the sender itself found unresponsive, and when each server last responded to it. A
+   response to a peer counts here as well. Two peers' suspicions, or one beside a time-out here, make a server
+   suspect that has not responded to anyone lately; that is not announced in turn, so that no rumour spreads.
+4. The routers whose slice contains a server send its trial first. The others learn the result from them, so
+   that no more requests than needed wait at an unresponsive server.
 """
 
 from __future__ import annotations
@@ -16,24 +16,26 @@
 from enum import Enum
 
 from firvane.core import interface as api
-from firvane.fleet.placement.server_view import Server
-
-FIRST_PAUSE, LONGEST_PAUSE = 0.3, 4.0  # s without requests after an ejection
-OTHERS_FACTOR = 3.0  # times as long a pause where another router's slice holds the server
-ANSWER_AGE = 0.6  # s for which peers are told when a server last answered
-PEER_LATENCY = 0.01  # s that a peer's word is under way
-WORDS_TO_DOUBT = 3  # failures in a row from which on a peer's word only makes a trial due
-SILENT_BESIDE_WORD = 0.25  # s of silence here beside which one peer's word is enough
-STREAM_SILENCE = 0.35  # s without progress of any stream, where progress is hinted
-TRIAL_TIME = 1.0  # s after which a trial without an end counts as lost
-FULL_PAUSE = 0.1  # s that a server counts as full after it has turned a request away
-PEERS_TO_BELIEVE = 2  # peers whose word makes a server suspect here as well
-HINTS_TO_TRUST = 3  # of progress, from which on their lack is a sign
-PEER_WORD_AGE = 1.0  # s that such a word counts
+from firvane.fleet.placement.server_view import ServerView
+
+FIRST_EJECTION_S = 0.3
+MAX_EJECTION_S = 4.0
+MAX_DOUBLINGS = 8
+OTHER_SLICE_FACTOR = 3.0  # times the ejection time where another router's slice contains the server
+RESPONSE_AGE_ANNOUNCED_S = 0.6  # older responses are not announced
+PEER_LATENCY_S = 0.01  # of a row
+MAX_FAILURES_EXCUSED_BY_PEERS = 3  # beyond, a response to a peer only makes a trial due
+LOCAL_TIMEOUT_BESIDE_PEER_S = 0.25  # without an event here, beside which one peer's suspicion is enough
+STREAM_STALL_S = 0.35  # without progress of any stream
+TRIAL_TIMEOUT_S = 1.0
+SATURATED_S = 0.1  # after a rejection for lack of capacity
+MIN_SUSPECTING_PEERS = 2  # whose suspicion makes a server suspect here as well
+MIN_PROGRESS_EVENTS = 3  # from which on their lack is a sign
+PEER_SUSPICION_AGE_S = 1.0  # for which a peer's suspicion counts
 
 
 class Signal(Enum):
-    """What the end of an attempt says of its server; the value is how many in a row eject it."""
+    """What the end of an attempt tells of its server; the value is how many in a row eject it."""
 
     UNREACHABLE = 2
     BROKEN = 3
@@ -49,162 +51,173 @@
 }
 
 
-def note_alive(server: Server, now: float) -> None:
-    """Something has come from the server."""
-    server.heard_at = server.answered_at = now
-    server.failures = 0
-    server.retry_at = 0.0
+def record_response(server: ServerView, now: float) -> None:
+    """Record that the server responded to a request: it is healthy."""
+    server.last_response_at = server.last_local_response_at = now
+    server.consecutive_failures = 0
+    server.ejected_until = 0.0
     server.on_trial = False
 
 
-def note_progress(server: Server, now: float) -> None:
-    """A stream goes on: the server is not silent, whatever it does with new requests."""
-    server.heard_at = server.answered_at = now
-    if server.silenced and not server.on_trial:
-        server.retry_at = 0.0
+def record_progress(server: ServerView, now: float) -> None:
+    """Record progress of a stream: the server is not unresponsive, whatever it does with new requests."""
+    server.last_response_at = server.last_local_response_at = now
+    if server.ejected_as_unresponsive and not server.on_trial:
+        server.ejected_until = 0.0
 
 
-def note_begun(server: Server, now: float) -> None:
-    """A request has had its first event."""
-    server.outcomes.note(True, now)
-    note_alive(server, now)
+def record_first_event(server: ServerView, now: float) -> None:
+    """Record the first event of a request."""
+    server.outcomes.record(True, now)
+    record_response(server, now)
 
 
 def is_failure(result: api.Result, started: bool) -> bool:
-    """Whether the end of an attempt is a failure of its server; `started`: its first event had come."""
+    """Return whether the end of an attempt is a failure of its server; `started`: after its first event."""
     return result in SIGNALS and not (result is api.Result.TIMEOUT and started)
 
 
-def note_end(server: Server, result: api.Result, started: bool, now: float) -> None:
-    """An attempt there has ended; `started`: its first event had come."""
+def record_end(server: ServerView, result: api.Result, started: bool, now: float) -> None:
+    """Record the end of an attempt; `started`: after its first event."""
     if is_failure(result, started):
-        server.outcomes.note(False, now)
+        server.outcomes.record(False, now)
     if result is api.Result.OK:
         if not started:
-            server.outcomes.note(True, now)
-        note_alive(server, now)
+            server.outcomes.record(True, now)
+        record_response(server, now)
     elif result is api.Result.FULL:
-        note_full(server, now)
+        record_rejection(server, now)
     elif result is api.Result.TIMEOUT and started:
-        pass  # its client's time was over
+        pass  # the client's deadline passed
     elif signal := SIGNALS.get(result):
-        note_failure(server, signal, now)
+        record_failure(server, signal, now)
     elif server.on_trial and not started:
         server.on_trial = False  # its client left: the next request is the trial
-        server.retry_at = min(server.retry_at, now)
+        server.ejected_until = min(server.ejected_until, now)
 
 
-def note_failure(server: Server, signal: Signal, now: float) -> None:
-    """An attempt there has failed."""
-    server.failures += 1
-    if server.failures >= signal.value or server.on_trial:
+def record_failure(server: ServerView, signal: Signal, now: float) -> None:
+    """Record a failed attempt, and eject the server where it is one too many."""
+    server.consecutive_failures += 1
+    if server.consecutive_failures >= signal.value or server.on_trial:
         eject(server, now)
 
 
-def note_full(server: Server, now: float) -> None:
-    """The server has turned a request away: it lives and has no room."""
-    note_alive(server, now)
-    server.full_until = now + FULL_PAUSE
+def record_rejection(server: ServerView, now: float) -> None:
+    """Record that the server rejected a request for lack of capacity: it is healthy."""
+    record_response(server, now)
+    server.saturated_until = now + SATURATED_S
 
 
-def note_silent(server: Server, now: float, witnessed: bool = True) -> None:
-    """All open attempts there are silent for far longer than expected, while other servers answer.
+def eject_unresponsive(server: ServerView, now: float, locally: bool = True) -> None:
+    """Eject a server at which all open attempts time out while other servers respond.
 
-    `witnessed`: by this router itself, not by the word of its peers.
+    Args:
+        server: The server.
+        now: The current time in seconds.
+        locally: Whether this router saw it itself, and not its peers only.
     """
     server.suspected_at = now
-    server.witnessed = witnessed
-    server.failures = max(server.failures + 1, Signal.UNREACHABLE.value)
+    server.suspected_locally = locally
+    server.consecutive_failures = max(server.consecutive_failures + 1, Signal.UNREACHABLE.value)
     eject(server, now)
-    server.silenced = True
+    server.ejected_as_unresponsive = True
 
 
-def eject(server: Server, now: float) -> None:
-    """Send nothing there for a pause that doubles with each failure."""
-    doublings = min(8, max(0, server.failures - Signal.UNREACHABLE.value))
-    pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2.0**doublings)
-    server.retry_at = now + (pause if server.mine else OTHERS_FACTOR * pause)
-    server.on_trial = server.silenced = False
+def eject(server: ServerView, now: float) -> None:
+    """Send nothing to a server for its ejection time, which doubles with each failure."""
+    doublings = min(MAX_DOUBLINGS, max(0, server.consecutive_failures - Signal.UNREACHABLE.value))
+    duration = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**doublings)
+    server.ejected_until = now + (duration if server.in_own_slice else OTHER_SLICE_FACTOR * duration)
+    server.on_trial = server.ejected_as_unresponsive = False
 
 
-def start_trial(server: Server, now: float) -> None:
-    """A request goes to a server whose pause has passed; no other goes before its end is known."""
+def start_trial(server: ServerView, now: float) -> None:
+    """Record that an ejected server's trial is sent; no other request follows before its end is known."""
     server.on_trial = True
-    server.retry_at = now + TRIAL_TIME
+    server.ejected_until = now + TRIAL_TIMEOUT_S
 
 
-def is_ejected(server: Server) -> bool:
-    """Whether the server has failed and has not answered since."""
-    return server.retry_at > 0.0
+def is_ejected(server: ServerView) -> bool:
+    """Return whether the server was ejected and has not responded since."""
+    return server.ejected_until > 0.0
 
 
-def is_suspect(server: Server) -> bool:
-    """Whether the server is ejected for its silence."""
-    return is_ejected(server) and server.suspected_at > server.heard_at
+def is_suspect(server: ServerView) -> bool:
+    """Return whether the server is ejected for being unresponsive."""
+    return is_ejected(server) and server.suspected_at > server.last_response_at
 
 
-def is_witnessed(server: Server) -> bool:
-    """Whether this router has found the server silent by itself, and nobody has heard it since."""
-    return is_suspect(server) and server.witnessed
+def is_suspected_locally(server: ServerView) -> bool:
+    """Return whether this router itself found the server unresponsive, and nobody got a response since."""
+    return is_suspect(server) and server.suspected_locally
 
 
-def answer_age(server: Server, now: float) -> float | None:
-    """Seconds since something came from the server to this router; None where that is long ago."""
-    age = now - server.answered_at
-    return age if age < ANSWER_AGE else None
+def response_age(server: ServerView, now: float) -> float | None:
+    """Return the seconds since the server responded to this router; None where that is long ago."""
+    age = now - server.last_local_response_at
+    return age if age < RESPONSE_AGE_ANNOUNCED_S else None
 
 
-def usable(servers: Sequence[Server], now: float) -> list[Server]:
-    """The servers that may be sent to: at least half of them."""
-    found = [server for server in servers if server.retry_at <= now and server.outlier_until <= now]
-    least = (len(servers) + 1) // 2
-    if len(found) < least:
-        rest = sorted((server for server in servers if server not in found), key=_soonest)
-        found += rest[: least - len(found)]
+def usable(servers: Sequence[ServerView], now: float) -> list[ServerView]:
+    """Return the servers that may be sent to: at least half of them."""
+    found = [server for server in servers if server.ejected_until <= now and server.outlier_until <= now]
+    required = (len(servers) + 1) // 2
+    if len(found) < required:
+        rest = sorted((server for server in servers if server not in found), key=_ejection_end)
+        found += rest[: required - len(found)]
     return found
 
 
-def any_peer_suspects(server: Server) -> bool:
-    """Whether a peer has said in its last row that nothing comes from the server."""
-    return any(load.suspect for load in server.peers.values())
+def any_peer_suspects(server: ServerView) -> bool:
+    """Return whether the last row of any peer names the server as unresponsive."""
+    return any(load.suspect for load in server.peer_loads.values())
 
 
-def hear_suspicion(server: Server, now: float) -> None:
-    """A peer suspects the server; its word is in the picture already."""
-    if is_suspect(server) and not (server.mine or server.on_trial):
-        latest = server.suspected_at + OTHERS_FACTOR * LONGEST_PAUSE
-        server.retry_at = max(server.retry_at, min(now + PEER_WORD_AGE, latest))
-    if is_ejected(server) or now - server.heard_at < SILENT_BESIDE_WORD:
+def apply_peer_suspicion(server: ServerView, now: float) -> None:
+    """Act on a peer's suspicion, which `peer_loads` already contains."""
+    if is_suspect(server) and not (server.in_own_slice or server.on_trial):
+        latest = server.suspected_at + OTHER_SLICE_FACTOR * MAX_EJECTION_S
+        server.ejected_until = max(server.ejected_until, min(now + PEER_SUSPICION_AGE_S, latest))
+    if is_ejected(server) or now - server.last_response_at < LOCAL_TIMEOUT_BESIDE_PEER_S:
         return
-    words = [load for load in server.peers.values() if load.suspect and now - load.at < PEER_WORD_AGE]
-    silent_here = bool(server.waiting) and now - server.waiting_since >= SILENT_BESIDE_WORD
-    if len(words) >= PEERS_TO_BELIEVE or silent_here:
-        note_silent(server, now, witnessed=silent_here)
+    suspecting = [
+        load
+        for load in server.peer_loads.values()
+        if load.suspect and now - load.received_at < PEER_SUSPICION_AGE_S
+    ]
+    locally = bool(server.pending_prefills) and now - server.no_event_since >= LOCAL_TIMEOUT_BESIDE_PEER_S
+    if len(suspecting) >= MIN_SUSPECTING_PEERS or locally:
+        eject_unresponsive(server, now, locally)
 
 
-def hear_alive(server: Server, answered: float, now: float) -> None:
-    """The server has answered a peer at `answered`: it is not silent, only slow here.
+def apply_peer_response(server: ServerView, responded_at: float, now: float) -> None:
+    """Act on a server's response to a peer: it is not unresponsive, only slow here.
 
-    Where this router alone hears nothing from it time and again, its own way there is at fault, and a trial
-    decides.
+    Where this router alone gets no response time and again, its own path to the server is at fault, and a
+    trial decides.
     """
-    heard = answered - PEER_LATENCY
-    server.heard_at = max(server.heard_at, heard)
-    if not (is_ejected(server) and server.silenced) or server.on_trial or heard <= server.suspected_at:
+    responded_at -= PEER_LATENCY_S
+    server.last_response_at = max(server.last_response_at, responded_at)
+    if not (is_ejected(server) and server.ejected_as_unresponsive):
         return
-    if server.failures <= WORDS_TO_DOUBT:
-        server.retry_at = 0.0
-    elif now - server.suspected_at >= FIRST_PAUSE:
-        server.retry_at = min(server.retry_at, now)
+    if server.on_trial or responded_at <= server.suspected_at:
+        return
+    if server.consecutive_failures <= MAX_FAILURES_EXCUSED_BY_PEERS:
+        server.ejected_until = 0.0
+    elif now - server.suspected_at >= FIRST_EJECTION_S:
+        server.ejected_until = min(server.ejected_until, now)
 
 
-def streams_are_silent(server: Server, servers: Iterable[Server], now: float) -> bool:
-    """Whether no stream that has begun at the server makes progress, while other servers answer."""
-    writing = server.running - len(server.waiting)
-    if writing <= 0 or server.hints < HINTS_TO_TRUST or now - server.heard_at < STREAM_SILENCE:
+def streams_are_stalled(server: ServerView, servers: Iterable[ServerView], now: float) -> bool:
+    """Return whether no started stream of the server makes progress while other servers respond."""
+    streaming = server.in_flight - len(server.pending_prefills)
+    if streaming <= 0 or server.progress_events < MIN_PROGRESS_EVENTS:
+        return False
+    if now - server.last_response_at < STREAM_STALL_S:
         return False
-    return any(other.heard_at > server.heard_at + STREAM_SILENCE / 2 for other in servers)
+    return any(other.last_response_at > server.last_response_at + STREAM_STALL_S / 2 for other in servers)
 
 
-def _soonest(server: Server) -> float:
-    return max(server.retry_at, server.outlier_until)
+def _ejection_end(server: ServerView) -> float:
+    return max(server.ejected_until, server.outlier_until)
--- a/firvane/fleet/placement/outliers.py
+++ b/firvane/fleet/placement/outliers.py
@@ -1,13 +1,13 @@
-"""Servers that fail more of their requests than the others of their service, by what all routers see.
-
-1. Failures fade within about a second. Each router tells its peers in its rows of its own failures.
-2. Once a window, the share of failures of each server is compared with that of the service's median server.
-   Far beyond it, the server is left out for a pause, which doubles each time that it comes to that again.
-3. A router that sees failures at many servers has a trouble of its own: its word does not count.
-4. Servers that fail all requests are found sooner, by failures in a row (`health.py`).
-5. After its pause a server is on trial: for a while only the routers whose slice holds it send there. Where a
-   request of theirs fails, they say so, and all routers leave the server out again: not each of them has to
-   lose requests to find the same.
+"""Outlier ejection: servers that fail more of their requests than the others of their service.
+
+1. Counts of failures decay within about a second. Each router announces its own counts to its peers.
+2. Once per window the failure ratio of each server is compared with that of the service's median server. A
+   server far above it is ejected; the ejection time doubles with each further ejection.
+3. A router that sees failures at many servers is itself faulty: its counts are ignored.
+4. Servers that fail all requests are found sooner, by consecutive failures (`health.py`).
+5. After its ejection time a server is on trial: for a while only the routers whose slice contains it send
+   there. The first failure in a trial is announced and ends it at all routers, so that not each of them has
+   to lose requests.
 """
 
 from __future__ import annotations
@@ -16,79 +16,93 @@
 from collections import Counter
 from collections.abc import Sequence
 
-from firvane.fleet.placement.server_view import Server
-
-LEAST_FAILURES = 3.0  # faded ones of all routers together, below which nothing is said of a server
-LEAST_SHARE = 0.25  # of the requests that fail
-SHARE_FACTOR = 3.0  # times the median server's share that it must be as well
-LEAST_TOLD = 0.25  # faded failures from which on peers are told of them
-TROUBLED_SHARE = 0.34  # of the servers: a router that sees failures at more of them is itself in trouble
-FEWEST_TROUBLED = 3  # servers, and at no fewer
-FIRST_PAUSE, LONGEST_PAUSE = 0.8, 4.0  # s
-FORGET_ROUNDS = 10.0  # s without being left out after which the pause begins anew
-TRIAL_SPAN = 1.0  # s after a pause in which only the routers whose slice holds a server send there
-TELL_TRIAL = 0.3  # s for which peers are told that a trial has failed: a row goes in the next window
-SAME_TRIAL = 0.4  # s after being left out in which words of failed trials tell of the same one
-
-
-def step(servers: Sequence[Server], routers: int, now: float) -> list[Server]:
-    """Leave out the outliers among a service's ready servers; returns those that were found now."""
-    if len(servers) < FEWEST_TROUBLED:
+from firvane.fleet.placement.server_view import ServerView
+
+MIN_FAILURES = 3.0  # decayed failures at all routers below which a server is no outlier
+MIN_FAILURE_RATIO = 0.25  # of its requests
+MEDIAN_FACTOR = 3.0  # times the median server's ratio
+MIN_ANNOUNCED_FAILURES = 0.25  # decayed failures from which on a row names the server
+MAX_FAILING_RATIO = 0.34  # of the servers: a router that sees failures at more of them is itself faulty
+MIN_FAILING_SERVERS = 3  # and at no fewer servers than these
+FIRST_EJECTION_S = 0.8
+MAX_EJECTION_S = 4.0
+EJECTION_RESET_S = 10.0  # without an ejection, after which the ejection time starts over
+TRIAL_DURATION_S = 1.0  # only the routers whose slice contains the server send there
+TRIAL_FAILURE_ANNOUNCED_S = 0.3  # longer than a window, so that the next row has it
+SAME_TRIAL_S = 0.4  # after an ejection, peers' trial failures are those of the same trial
+
+
+def eject_outliers(servers: Sequence[ServerView], routers: int, now: float) -> list[ServerView]:
+    """Eject the outliers among a service's ready servers, and return those found now.
+
+    Args:
+        servers: The ready servers.
+        routers: The number of live routers.
+        now: The current time in seconds.
+    """
+    if len(servers) < MIN_FAILING_SERVERS:
         return []
     failures = failures_by_server(servers, now)
-    if not any(count >= LEAST_FAILURES for count in failures):
+    if not any(count >= MIN_FAILURES for count in failures):
         return []
     successes = sum(server.outcomes.successes(now) for server in servers) * routers / len(servers)
-    shares = [count / (count + max(1.0, successes)) for count in failures]
-    bar = max(LEAST_SHARE, SHARE_FACTOR * sorted(shares)[len(shares) // 2])
-    found = list[Server]()
-    for server, count, share in zip(servers, failures, shares, strict=True):
-        if count >= LEAST_FAILURES and share >= bar and server.outlier_until <= now:
-            leave_out(server, now)
+    ratios = [count / (count + max(1.0, successes)) for count in failures]
+    threshold = max(MIN_FAILURE_RATIO, MEDIAN_FACTOR * sorted(ratios)[len(ratios) // 2])
+    found = list[ServerView]()
+    for server, count, ratio in zip(servers, failures, ratios, strict=True):
+        if count >= MIN_FAILURES and ratio >= threshold and server.outlier_until <= now:
+            eject(server, now)
             found.append(server)
     return found
 
 
-def failures_by_server(servers: Sequence[Server], now: float) -> list[float]:
-    """Faded failures of each server, at this router and at those peers that are not in trouble themselves."""
-    seen = Counter(number for server in servers for number, load in server.peers.items() if load.failures)
-    most = max(FEWEST_TROUBLED, TROUBLED_SHARE * len(servers))
+def failures_by_server(servers: Sequence[ServerView], now: float) -> list[float]:
+    """Return the decayed failures of each server, over this router and the peers that are not faulty."""
+    failing_servers = Counter(
+        number for server in servers for number, load in server.peer_loads.items() if load.failures
+    )
+    most = max(MIN_FAILING_SERVERS, MAX_FAILING_RATIO * len(servers))
     own = [server.outcomes.failures(now) for server in servers]
-    if sum(count >= LEAST_TOLD for count in own) > most:
+    if sum(count >= MIN_ANNOUNCED_FAILURES for count in own) > most:
         own = [0.0] * len(servers)
-    if not seen:
+    if not failing_servers:
         return own
     return [
-        count + sum(load.failures_at(now) for number, load in server.peers.items() if seen[number] <= most)
+        count
+        + sum(
+            load.failures_at(now)
+            for number, load in server.peer_loads.items()
+            if failing_servers[number] <= most
+        )
         for server, count in zip(servers, own, strict=True)
     ]
 
 
-def leave_out(server: Server, now: float) -> None:
-    """Nothing goes to the server for a pause."""
-    if now - server.outlier_until > FORGET_ROUNDS:
-        server.outlier_rounds = 0
-    pause = min(LONGEST_PAUSE, FIRST_PAUSE * math.pow(2.0, server.outlier_rounds))
-    server.left_out_at, server.trial_from = now, now + pause
-    server.outlier_until = server.trial_from + (0.0 if server.mine else TRIAL_SPAN)
-    server.outlier_rounds += 1
+def eject(server: ServerView, now: float) -> None:
+    """Send nothing to a server for its ejection time."""
+    if now - server.outlier_until > EJECTION_RESET_S:
+        server.outlier_ejections = 0
+    duration = min(MAX_EJECTION_S, FIRST_EJECTION_S * math.pow(2.0, server.outlier_ejections))
+    server.outlier_ejected_at, server.trial_starts_at = now, now + duration
+    server.outlier_until = server.trial_starts_at + (0.0 if server.in_own_slice else TRIAL_DURATION_S)
+    server.outlier_ejections += 1
 
 
-def note_failure(server: Server, sent_at: float, now: float) -> bool:
-    """A request that was sent to the server at `sent_at` has failed; whether this ends a trial."""
-    if not server.trial_from <= sent_at < server.trial_from + TRIAL_SPAN:
+def record_failure(server: ServerView, sent_at: float, now: float) -> bool:
+    """Record that a request sent at `sent_at` has failed; return whether this ended the server's trial."""
+    if not server.trial_starts_at <= sent_at < server.trial_starts_at + TRIAL_DURATION_S:
         return False
-    leave_out(server, now)
+    eject(server, now)
     server.trial_failed_at = now
     return True
 
 
-def has_failed_trial(server: Server, now: float) -> bool:
-    """Whether a trial from here has just failed, so that peers are to be told."""
-    return now - server.trial_failed_at < TELL_TRIAL
+def has_failed_trial(server: ServerView, now: float) -> bool:
+    """Return whether a trial by this router has just failed, which the next row announces."""
+    return now - server.trial_failed_at < TRIAL_FAILURE_ANNOUNCED_S
 
 
-def hear_failed_trial(server: Server, now: float) -> None:
-    """A peer's trial of the server has failed."""
-    if server.left_out_at + SAME_TRIAL <= now < server.trial_from + TRIAL_SPAN:
-        leave_out(server, now)
+def apply_peer_trial_failure(server: ServerView, now: float) -> None:
+    """Eject a server whose trial by a peer has failed."""
+    if server.outlier_ejected_at + SAME_TRIAL_S <= now < server.trial_starts_at + TRIAL_DURATION_S:
+        eject(server, now)
--- a/firvane/fleet/placement/peers.py
+++ b/firvane/fleet/placement/peers.py
@@ -1,9 +1,9 @@
-"""The other routers: which of them are live, what their rows say, and when the own row goes.
+"""The other routers: which are live, what their rows say, and how often rows are sent.
 
-Rows go every second window in a small fleet, and rarer in a large one, so that a router hears at most
-`ROWS_HEARD` in a window. A long prompt that goes out is announced at once, within the same bound: it holds
-up its server for as long as a row is old. A peer that has been silent for `SILENT_ROUNDS` rows drops out
-until it is heard.
+Rows are sent every second window in a small fleet and less often in a large one, so that a router receives at
+most `MAX_ROWS_PER_WINDOW`. A long prompt is announced at once, within the same bound, since it occupies its
+server for as long as a row is valid. A peer that sent nothing for `PEER_TIMEOUT_ROWS` rows is not live until
+its next row.
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 from firvane.core.balancing.window import WINDOW
 from firvane.fleet.placement.rows import Row
 
-ROW_EVERY = 2  # windows between rows
-ROWS_HEARD = 28  # rows that a router hears in a window at the most
-SILENT_ROUNDS = 3
-RESTARTED_MS = 2000  # a sequence lower by more is that of a peer that started anew, not of a late row
+MIN_ROW_INTERVAL_WINDOWS = 2
+MAX_ROWS_PER_WINDOW = 28  # received by one router
+PEER_TIMEOUT_ROWS = 3
+RESTART_GAP_MS = 2000  # a sequence lower by more is that of a restarted peer, not of a late row
 
 
 class Peer(Struct):
-    """One live router as its last row told of it."""
+    """One router of the membership, as its last row shows it."""
 
     zone: int
-    since: float  # when it became known, or was last heard, s
+    last_row_at: float  # when its last row came, or when it became known, in seconds
     row: Row | None = None
 
 
 class Peers:
-    """All routers that the membership names, this one included."""
+    """All routers of the membership by number, this one included."""
 
-    def __init__(self, me: int) -> None:
-        self.me = me
+    def __init__(self, own_number: int) -> None:
+        self.own_number = own_number
         self.known: dict[int, Peer] = {}
 
     def update(self, numbers: tuple[int, ...], zones: tuple[int, ...], now: float) -> set[int]:
-        """The membership has changed; returns those that have left."""
+        """Replace the membership, and return the numbers of those that have left."""
         left = self.known.keys() - set(numbers)
         for number in left:
             del self.known[number]
@@ -43,41 +43,41 @@
             self.known.setdefault(number, Peer(zone, now)).zone = zone
         return left
 
-    def others(self) -> bool:
-        """Whether there is any router beside this one."""
-        return any(number != self.me for number in self.known)
+    def has_others(self) -> bool:
+        """Return whether there is any router beside this one."""
+        return any(number != self.own_number for number in self.known)
 
     @property
-    def row_every(self) -> int:
+    def row_interval(self) -> int:
         """Windows from row to row."""
-        return max(ROW_EVERY, round(len(self.known) / ROWS_HEARD))
+        return max(MIN_ROW_INTERVAL_WINDOWS, round(len(self.known) / MAX_ROWS_PER_WINDOW))
 
     @property
-    def notice_pause(self) -> float:
-        """Seconds between rows that go out of turn."""
-        return WINDOW * len(self.known) / ROWS_HEARD
+    def min_row_interval(self) -> float:
+        """Least seconds from any row to one that is sent out of turn."""
+        return WINDOW * len(self.known) / MAX_ROWS_PER_WINDOW
 
     def live(self, now: float) -> list[int]:
-        """Numbers of the live routers, sorted; this one is always among them."""
-        silent = now - SILENT_ROUNDS * self.row_every * WINDOW
-        found = {number for number, peer in self.known.items() if peer.since >= silent}
-        return sorted(found | {self.me})
+        """Return the sorted numbers of the live routers; this one is always among them."""
+        oldest = now - PEER_TIMEOUT_ROWS * self.row_interval * WINDOW
+        found = {number for number, peer in self.known.items() if peer.last_row_at >= oldest}
+        return sorted(found | {self.own_number})
 
-    def hear(self, sender: int, row: Row, now: float) -> bool:
-        """Take a row; False where it is stale or its sender is not known."""
+    def record_row(self, sender: int, row: Row, now: float) -> bool:
+        """Store a row, and return whether it is new and its sender known."""
         peer = self.known.get(sender)
-        if peer is None or sender == self.me:
+        if peer is None or sender == self.own_number:
             return False
-        if peer.row and peer.row.sequence - RESTARTED_MS < row.sequence <= peer.row.sequence:
+        if peer.row and peer.row.sequence - RESTART_GAP_MS < row.sequence <= peer.row.sequence:
             return False
-        peer.row, peer.since = row, now
+        peer.row, peer.last_row_at = row, now
         return True
 
-    def row_of(self, sender: int) -> Row | None:
-        """The row that a router sent last; None where it has sent none."""
+    def last_row_of(self, sender: int) -> Row | None:
+        """Return the last row of a router; None where it has sent none."""
         peer = self.known.get(sender)
         return peer.row if peer else None
 
     def zones(self) -> dict[int, int]:
-        """The zone of each router."""
+        """Return the zone of each router."""
         return {number: peer.zone for number, peer in self.known.items()}
--- a/firvane/fleet/placement/server_view.py
+++ b/firvane/fleet/placement/server_view.py
@@ -1,7 +1,7 @@
-"""What one router believes of one model server: parts that it keeps, and the work that is ahead of it.
+"""One router's view of one model server: its load, its health and its prefix cache.
 
-Nothing of it is told by the server. It follows from what was sent there, by this router exactly and by its
-peers as their rows say.
+The server reports none of it. The view follows from what was sent there: by this router exactly, and by its
+peers as their rows tell. All times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,245 +12,239 @@
 
 from msgspec import Struct, field
 
-from firvane.fleet.placement.homes import Prompt
+from firvane.fleet.placement.prefix_cache import PrefixCacheView
 
-STREAM_TOKENS = 64  # prompt tokens that one running stream weighs in a backend's load
-FADE_TIME = 1.0  # s by which counts of outcomes fade to a third
-LAG_FADE = 2.0  # s of lag that fade in one
-KEPT_SHARE = 0.85  # of a server's memory that is believed to be left for kept parts
+STREAM_TOKENS = 64  # prompt tokens that weigh as much as one running stream
+OUTCOME_DECAY_S = 1.0  # counts of outcomes decay to 1/e
+LAG_DECAY = 2.0  # seconds of lag that decay per second
+NEVER = -1e9  # before the start of any clock
 
 
-class KeptParts:
-    """Parts of prompts that a server is believed to keep; the least recently used give way.
-
-    Peers tell of the large shared parts that they send. Own parts are touched by nobody else, while the
-    traffic of the peers pushes them out: they last the shorter, the more routers there are.
-    """
-
-    def __init__(self, capacity: float, most: int) -> None:
-        """`capacity` in tokens; `most` parts are remembered."""
-        self.capacity, self.most = capacity, most
-        self.used = 0.0
-        self.read = 0.0  # tokens of all own parts that were ever put
-        self._shared: dict[int, int] = {}  # tokens by key; least recently used first
-        self._own: dict[int, tuple[int, float]] = {}  # tokens, and `read` then
-
-    def kept_tokens(self, prompt: Prompt, routers: int) -> int:
-        """Tokens of the leading parts that are kept without a gap, small ones aside."""
-        shared, found = self._shared, 0
-        for key, tokens in prompt.shared_parts:
-            if key not in shared:
-                return found
-            found += tokens
-        own = self._own.get(prompt.own_part[0])
-        if own is not None and (self.read - own[1]) * routers <= self.capacity:
-            return prompt.total
-        return found
-
-    def keep(self, prompt: Prompt) -> None:
-        """A prompt is read there."""
-        key, tokens = prompt.own_part
-        old = self._own.pop(key, None)
-        self.used += tokens - (old[0] if old else 0)
-        self.read += tokens
-        self._own[key] = (tokens, self.read)
-        for key, tokens in reversed(prompt.shared_parts):  # the first part is used by most and goes last
-            self._put_shared(key, tokens)
-        self._make_room()
-
-    def keep_shared(self, key: int, tokens: int) -> None:
-        """A peer has sent a shared part there."""
-        self._put_shared(key, tokens)
-        self._make_room()
-
-    def latest_shared(self, most: int) -> list[tuple[int, int]]:
-        """Keys and tokens of the shared parts used last, at most so many, the latest last."""
-        return list(self._shared.items())[-most:]
-
-    def _put_shared(self, key: int, tokens: int) -> None:
-        self.used += tokens - self._shared.pop(key, 0)
-        self._shared[key] = tokens
-
-    def _make_room(self) -> None:
-        """Own parts, which are rarely used again, go first."""
-        while self._own and (self.used > self.capacity or len(self._own) > self.most):
-            self.used -= self._own.pop(next(iter(self._own)))[0]
-        while self._shared and (self.used > self.capacity or len(self._shared) > self.most):
-            self.used -= self._shared.pop(next(iter(self._shared)))
-
-
-def faded(span: float) -> float:
-    """What is left of a count after so many seconds, as a share."""
-    return math.exp(-max(0.0, span) / FADE_TIME)
+def decay(span: float) -> float:
+    """Return the ratio of an outcome count that is left after `span` seconds."""
+    return math.exp(-max(0.0, span) / OUTCOME_DECAY_S)
 
 
 class PeerLoad(Struct):
-    """What a peer has out at a server, as its row said."""
+    """What a peer's row said of a server.
+
+    Attributes:
+        in_flight: Its open attempts there.
+        tokens: Tokens of prompts that were not prefilled yet.
+        received_at: When the row came.
+        suspect: Whether the peer itself found the server unresponsive.
+        failures: Decayed count of its failures there, as of `received_at`.
+    """
 
-    running: int
-    tokens: float  # of prompts that were not read yet
-    at: float  # when it was heard, s
-    suspect: bool = False  # the peer hears nothing from the server
-    failures: float = 0.0  # of its requests there, faded
+    in_flight: int
+    tokens: float
+    received_at: float
+    suspect: bool = False
+    failures: float = 0.0
 
     def failures_at(self, now: float) -> float:
-        """Its failures, faded since."""
-        return self.failures and self.failures * faded(now - self.at)
+        """Return the decayed count of failures as of `now`."""
+        return self.failures and self.failures * decay(now - self.received_at)
 
 
 class Outcomes:
-    """How requests ended at a server, as counts that fade by `FADE_TIME`."""
+    """Decaying counts of a server's successes and failures."""
 
     __slots__ = ("_at", "_failures", "_successes")
 
     def __init__(self) -> None:
         self._at = self._failures = self._successes = 0.0
 
-    def note(self, ok: bool, now: float) -> None:
-        """One request has ended, or has begun to be answered."""
-        part = faded(now - self._at)
+    def record(self, success: bool, now: float) -> None:
+        """Count a request that has ended, or whose response has started."""
+        remaining = decay(now - self._at)
         self._at = now
-        self._failures = self._failures * part + (not ok)
-        self._successes = self._successes * part + ok
+        self._failures = self._failures * remaining + (not success)
+        self._successes = self._successes * remaining + success
 
     def failures(self, now: float) -> float:
-        return self._failures and self._failures * faded(now - self._at)
+        """Return the decayed count of failures."""
+        return self._failures and self._failures * decay(now - self._at)
 
     def successes(self, now: float) -> float:
-        return self._successes and self._successes * faded(now - self._at)
+        """Return the decayed count of successes."""
+        return self._successes and self._successes * decay(now - self._at)
 
 
-class Waiting(NamedTuple):
+class PendingPrefill(NamedTuple):
     """An attempt without an event."""
 
-    tokens: float  # to read
-    due: float  # when its first event is expected, s
-
-
-class Server(Struct, eq=False):
-    """One instance of a model server."""
+    tokens: float  # to prefill
+    due: float  # when its first event is expected
+
+
+class ServerView(Struct, eq=False):
+    """One instance of a model server, as this router sees it.
+
+    Attributes:
+        id_hash: CRC-32 of the id, which names the server in rows.
+        ready: Whether it is neither draining nor gone.
+        in_own_slice: Whether this router's home slice contains it.
+        in_flight: Open attempts of this router.
+        pending_prefills: Attempts without an event by sequence, in the order in which they were sent.
+        pending_prefill_tokens: Sum of their tokens.
+        no_event_since: When the oldest of them was sent, or one before it had its event.
+        prefill_until: When they should all be prefilled.
+        lag: Seconds by which the last first event was later than expected, as of `lag_at`.
+        peer_loads: What each peer has in flight there.
+        prefilling_peers: Those of `peer_loads` that have prompts to prefill.
+        peers_in_flight: Open attempts of all peers.
+        slowdown: How many times longer than the other servers it takes.
+        announced_own_load: Load of this router there in prompt tokens, as its last row said.
+        last_response_at: When it last sent anything to any router.
+        last_local_response_at: When it last sent anything to this router.
+        progress_events: Reports of progress of its streams; without any, their lack means nothing.
+        consecutive_failures: Failures since its last response.
+        ejected_until: No requests go there before this, and a single trial after; 0 when not ejected.
+        on_trial: Whether its trial is in flight.
+        suspected_at: When it last became suspect by being unresponsive.
+        suspected_locally: Whether this router's own attempts were unresponsive then.
+        ejected_as_unresponsive: Whether it is ejected for that and not for failures.
+        outcomes: Outcomes of this router's requests.
+        outlier_until: It is ejected as an outlier until then.
+        outlier_ejections: Number of such ejections in a row.
+        outlier_ejected_at: Time of the last of them.
+        trial_starts_at: When its trial as an outlier starts.
+        trial_failed_at: When a request of this router last failed in such a trial.
+        saturated_until: It rejected a request and is believed to be at capacity until then.
+    """
 
     id: str
     service: str
     zone: str
     slots: int
-    parts: KeptParts
-    salt: int = 0
-    ready: bool = True  # neither draining nor gone
-    mine: bool = True  # in this router's slice
-    running: int = 0  # attempts out from here, waiting ones included
-    waiting: dict[int, Waiting] = field(
-        default_factory=dict
-    )  # by attempt, in the order in which they were sent
-    waiting_tokens: float = 0.0
-    lag: float = 0.0  # s that first events came later than expected of late, as of `lag_at`
+    prefix_cache: PrefixCacheView
+    id_hash: int = 0
+    ready: bool = True
+    in_own_slice: bool = True
+    in_flight: int = 0
+    pending_prefills: dict[int, PendingPrefill] = field(default_factory=dict)
+    pending_prefill_tokens: float = 0.0
+    lag: float = 0.0
     lag_at: float = 0.0
-    waiting_since: float = 0.0  # when the first of them was sent, or one before it had its event, s
-    read_until: float = 0.0  # when those should have been read, s
-    peers: dict[int, PeerLoad] = field(default_factory=dict)
-    reading_peers: dict[int, PeerLoad] = field(default_factory=dict)  # those that have prompts to be read
-    peers_running: int = 0
-    factor: float = 1.0  # how much longer than the others it takes, as learnt
-    told_work: float = 0.0  # tokens of own work there, as last announced
-    heard_at: float = 0.0  # when anything last came from it, to any router
-    answered_at: float = -1e9  # when anything last came from it to this router
-    hints: int = 0  # of progress that came from it: their lack tells nothing where there are none
-    failures: int = 0  # in a row
-    retry_at: float = 0.0  # it is ejected until then, and gets a single trial after
+    no_event_since: float = 0.0
+    prefill_until: float = 0.0
+    peer_loads: dict[int, PeerLoad] = field(default_factory=dict)
+    prefilling_peers: dict[int, PeerLoad] = field(default_factory=dict)
+    peers_in_flight: int = 0
+    slowdown: float = 1.0
+    announced_own_load: float = 0.0
+    last_response_at: float = 0.0
+    last_local_response_at: float = NEVER
+    progress_events: int = 0
+    consecutive_failures: int = 0
+    ejected_until: float = 0.0
     on_trial: bool = False
-    suspected_at: float = -1e9  # when silence last made it suspect
-    witnessed: bool = False  # this router's own attempts were silent then
-    silenced: bool = False  # it is ejected for silence, not for failures
-    outcomes: Outcomes = field(default_factory=Outcomes)  # of requests from here
-    outlier_until: float = 0.0  # it is left out until then, for failing more than others
-    outlier_rounds: int = 0  # how often in a row that has happened
-    left_out_at: float = -1e9  # when it last was
-    trial_from: float = -1e9  # when its pause ended, from which on its trial counts
-    trial_failed_at: float = -1e9  # when a request from here last failed in its trial
-    full_until: float = 0.0  # it turned a request away and is believed to be full until then
+    suspected_at: float = NEVER
+    suspected_locally: bool = False
+    ejected_as_unresponsive: bool = False
+    outcomes: Outcomes = field(default_factory=Outcomes)
+    outlier_until: float = 0.0
+    outlier_ejections: int = 0
+    outlier_ejected_at: float = NEVER
+    trial_starts_at: float = NEVER
+    trial_failed_at: float = NEVER
+    saturated_until: float = 0.0
 
     def __post_init__(self) -> None:
-        self.salt = crc32(self.id.encode())
-
-    def sent(self, attempt: int, tokens: float, expected: float, speed: float, now: float) -> None:
-        """A prompt with so many tokens to read goes there; `speed` in tokens a second, `expected` in s."""
-        self.running += 1
-        if not self.waiting:
-            self.waiting_since = now
-        self.waiting[attempt] = Waiting(tokens, now + expected)
-        self.waiting_tokens += tokens
-        self.read_until = max(now, self.read_until) + tokens / speed
-
-    def started(self, attempt: int, speed: float, now: float) -> None:
-        """The first event of an attempt has come, or the attempt has ended before it."""
-        found = self.waiting.pop(attempt, None)
+        self.id_hash = crc32(self.id.encode())
+
+    def start_attempt(
+        self, sequence: int, tokens: float, expected: float, prefill_rate: float, now: float
+    ) -> None:
+        """Record that an attempt is sent.
+
+        Args:
+            sequence: The attempt's number.
+            tokens: Tokens of its prompt to prefill.
+            expected: Seconds until its first event is expected.
+            prefill_rate: Tokens per second.
+            now: The current time.
+        """
+        self.in_flight += 1
+        if not self.pending_prefills:
+            self.no_event_since = now
+        self.pending_prefills[sequence] = PendingPrefill(tokens, now + expected)
+        self.pending_prefill_tokens += tokens
+        self.prefill_until = max(now, self.prefill_until) + tokens / prefill_rate
+
+    def end_prefill(self, sequence: int, prefill_rate: float, now: float) -> None:
+        """Record the first event of an attempt, or its end before that."""
+        found = self.pending_prefills.pop(sequence, None)
         if found is None:
             return
         tokens = found.tokens
-        self.waiting_since = now
-        self.waiting_tokens = self.waiting_tokens - tokens if self.waiting else 0.0
-        self.read_until = min(self.read_until, now + self.waiting_tokens / speed)
+        self.no_event_since = now
+        self.pending_prefill_tokens = self.pending_prefill_tokens - tokens if self.pending_prefills else 0.0
+        self.prefill_until = min(self.prefill_until, now + self.pending_prefill_tokens / prefill_rate)
 
-    def ended(self, attempt: int, speed: float, now: float) -> None:
-        """An attempt is over."""
-        self.started(attempt, speed, now)
-        self.running = max(0, self.running - 1)
+    def end_attempt(self, sequence: int, prefill_rate: float, now: float) -> None:
+        """Record the end of an attempt."""
+        self.end_prefill(sequence, prefill_rate, now)
+        self.in_flight = max(0, self.in_flight - 1)
 
-    def unread_tokens(self, speed: float, now: float) -> float:
-        """Tokens of own prompts that are believed not to be read yet."""
-        return min(self.waiting_tokens, max(0.0, self.read_until - now) * speed)
+    def remaining_prefill_tokens(self, prefill_rate: float, now: float) -> float:
+        """Return the tokens of this router's prompts that are believed to await prefill."""
+        return min(self.pending_prefill_tokens, max(0.0, self.prefill_until - now) * prefill_rate)
 
-    def note_lag(self, late: float, now: float) -> None:
-        """A first event came so many seconds later than it would have without work ahead."""
-        self.lag, self.lag_at = max(0.0, late), now
+    def record_lag(self, lag: float, now: float) -> None:
+        """Record by how many seconds a first event was later than without a backlog."""
+        self.lag, self.lag_at = max(0.0, lag), now
 
-    def queue(self, speed: float, now: float) -> float:
-        """Seconds until the server gets to a new prompt: by the work ahead, and by how late it is already.
+    def queueing_delay(self, prefill_rate: float, now: float) -> float:
+        """Return the seconds until the server gets to a new prompt.
 
-        What other routers have sent is not all known here; that own attempts wait for longer than expected,
-        or did just now, tells of it.
+        It is the prefill backlog, or the lateness of this router's own attempts where that is longer, since
+        lateness shows work of other routers that is not known here.
         """
-        ahead = self.backlog(speed, now)
-        if self.waiting:
-            ahead = max(ahead, now - next(iter(self.waiting.values())).due)
+        delay = self.prefill_backlog(prefill_rate, now)
+        if self.pending_prefills:
+            delay = max(delay, now - next(iter(self.pending_prefills.values())).due)
         if self.lag:
-            ahead = max(ahead, self.lag - (now - self.lag_at) * LAG_FADE)
-        return ahead
-
-    def backlog(self, speed: float, now: float) -> float:
-        """Seconds that the server needs to read all prompts that are known, those of the peers included."""
-        ahead = max(0.0, self.read_until - now)
-        if self.reading_peers:
-            ahead += self._peers_backlog(speed, now)
-        return ahead
-
-    def _peers_backlog(self, speed: float, now: float) -> float:
-        ahead = 0.0
-        for number, peer in list(self.reading_peers.items()):
-            left = peer.tokens / speed - (now - peer.at)
+            delay = max(delay, self.lag - (now - self.lag_at) * LAG_DECAY)
+        return delay
+
+    def prefill_backlog(self, prefill_rate: float, now: float) -> float:
+        """Return the seconds of prefill that are known to be ahead, those of the peers included."""
+        backlog = max(0.0, self.prefill_until - now)
+        if self.prefilling_peers:
+            backlog += self._peers_backlog(prefill_rate, now)
+        return backlog
+
+    def _peers_backlog(self, prefill_rate: float, now: float) -> float:
+        backlog = 0.0
+        for number, peer in list(self.prefilling_peers.items()):
+            left = peer.tokens / prefill_rate - (now - peer.received_at)
             if left > 0.0:
-                ahead += left
+                backlog += left
             else:
-                del self.reading_peers[number]
-        return ahead
-
-    def work(self, speed: float, now: float) -> float:
-        """The load ahead, in prompt tokens, of all routers."""
-        return self.backlog(speed, now) * speed + STREAM_TOKENS * (self.running + self.peers_running)
-
-    def announced_work(self) -> float:
-        """The load in prompt tokens as all routers have announced it: what each of them reckons with."""
-        peers = sum(peer.tokens + STREAM_TOKENS * peer.running for peer in self.peers.values())
-        return self.told_work + peers
-
-    def learn(self, peer: int, load: PeerLoad | None) -> None:
-        """What a peer has out there now; None where it has nothing."""
-        old = self.peers.pop(peer, None)
-        self.reading_peers.pop(peer, None)
+                del self.prefilling_peers[number]
+        return backlog
+
+    def load_tokens(self, prefill_rate: float, now: float) -> float:
+        """Return the load of all routers in prompt tokens."""
+        return self.prefill_backlog(prefill_rate, now) * prefill_rate + STREAM_TOKENS * (
+            self.in_flight + self.peers_in_flight
+        )
+
+    def announced_load(self) -> float:
+        """Return the load of all routers in prompt tokens as their rows said: the figure that all share."""
+        peers = sum(peer.tokens + STREAM_TOKENS * peer.in_flight for peer in self.peer_loads.values())
+        return self.announced_own_load + peers
+
+    def update_peer_load(self, peer: int, load: PeerLoad | None) -> None:
+        """Replace what a peer has in flight there; None where it has nothing."""
+        old = self.peer_loads.pop(peer, None)
+        self.prefilling_peers.pop(peer, None)
         if old:
-            self.peers_running -= old.running
+            self.peers_in_flight -= old.in_flight
         if load:
-            self.peers[peer] = load
-            self.peers_running += load.running
+            self.peer_loads[peer] = load
+            self.peers_in_flight += load.in_flight
             if load.tokens:
-                self.reading_peers[peer] = load
+                self.prefilling_peers[peer] = load
--- a/firvane/fleet/placement/services.py
+++ b/firvane/fleet/placement/services.py
@@ -1,4 +1,4 @@
-"""All services of a router by name, and the draw among those that a request names."""
+"""All services of a router by name, and the weighted draw among those that a request names."""
 
 from __future__ import annotations
 
@@ -7,40 +7,40 @@
 
 from msgspec import Struct
 
-from firvane.fleet.placement.budget import RetryBudget, Sharers
+from firvane.fleet.placement.retry_budget import RetryBudget, RouterCount
 from firvane.fleet.placement.service import Service
 
 
 class RetryLimits(Struct, frozen=True):
-    """The retry budget of each service over all routers, for any window of the rule."""
+    """The retry budget of each service over all routers: retries per request, and retries beyond that."""
 
     ratio: float
     slack: float
 
 
 class Services(dict[str, Service]):
-    """Services by name; one that is asked for is known from then on."""
+    """Services by name; a lookup of an unknown name adds the service."""
 
-    def __init__(self, me: int, limits: RetryLimits, zone: str, random: Random) -> None:
+    def __init__(self, own_number: int, limits: RetryLimits, zone: str, random: Random) -> None:
         super().__init__()
-        self.me, self.limits, self.zone, self.random = me, limits, zone, random
-        self.routers: Sequence[int] = (me,)
-        self.sharers = Sharers()  # of the retry budgets
+        self.own_number, self.limits, self.zone, self.random = own_number, limits, zone, random
+        self.routers: Sequence[int] = (own_number,)
+        self.router_count = RouterCount()  # divides the slack of all retry budgets
 
     def __missing__(self, name: str) -> Service:
-        budget = RetryBudget(self.limits.ratio, self.limits.slack, self.sharers)
-        found = self[name] = Service(name, self.me, budget, self.zone)
+        retry_budget = RetryBudget(self.limits.ratio, self.limits.slack, self.router_count)
+        found = self[name] = Service(name, self.own_number, retry_budget, self.zone)
         found.assign(self.routers)
         return found
 
     def assign(self, routers: Sequence[int]) -> None:
-        """The live routers are these now."""
+        """Replace the set of live routers."""
         self.routers = routers
         for service in self.values():
             service.assign(routers)
 
     def draw(self, weights: Sequence[tuple[str, float]]) -> Service:
-        """A service by weight, among those with a ready backend where there is one."""
+        """Draw a service by weight, among those with a ready server where there is one."""
         able = [(name, weight) for name, weight in weights if self[name].ready] or list(weights)
         draw = self.random.random() * sum(weight for _, weight in able)
         for name, weight in able:
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -1,8 +1,8 @@
-"""Home slices of one service, and the moves between them (the window step).
+"""Home slices of one service, and the load that moves between them (the design's window step).
 
-Each router has a slice of the ready backends: their sorted ids dealt by rank over the sorted live routers,
-wrapping so that each slice has one. Where routers outnumber backends, several slices share a backend, each
-with an equal part of it. Load and rates are in units of `UNIT` prompt tokens.
+Each router has a slice of the ready servers: their sorted ids are dealt by rank to the sorted live routers,
+wrapping so that each slice has at least one. Where routers outnumber servers, several slices share a server,
+each with an equal part of it. Loads and rates are in units of `WORK_UNIT_TOKENS` prompt tokens.
 """
 
 from __future__ import annotations
@@ -12,100 +12,131 @@
 from firvane.core.balancing import window
 from firvane.core.balancing.records import mix, total
 from firvane.core.balancing.slices import deal
-from firvane.fleet.placement.homes import rendezvous
+from firvane.fleet.placement.prompt_homes import rank_servers
 from firvane.fleet.placement.rows import Section
-from firvane.fleet.placement.server_view import Server
+from firvane.fleet.placement.server_view import ServerView
 
-UNIT = 1024.0  # tokens
-MOVE_SALT = 77  # tells the draw of moves from the hash of homes
-SMOOTHING = 0.1  # of a window: how fast the shares of long prompts follow
-HEAVY_MARGIN = 0.1  # of a giver's keys: smaller shares move no long prompt, as its parts are read again
+WORK_UNIT_TOKENS = 1024.0
+MOVE_SALT = 77  # separates the draw of moves from the hash of homes
+HASH_RANGE = 2**32
+SMOOTHING = 0.1  # per window, of the shares that move long prompts
+MIN_SMOOTHED_SHARE = 0.001
+LONG_PROMPT_MARGIN = 0.1  # of a giver's keys: smaller shares are not worth a second prefill of long prompts
+
+Moves = dict[int, list[tuple[int, float]]]  # by giver: takers and shares of the giver's keys
 
 
 class Slices:
-    """Who holds what, and what moves to whom in this window."""
+    """The home slices of all routers, and the moves of this window.
+
+    Attributes:
+        by_router: The servers of each router's slice.
+        owners: The routers whose slices contain a server, by its id.
+        shares: Shares of (giver, taker) in this window.
+        smoothed_shares: The same, smoothed; long prompts follow these.
+        moves: What `shares` moves to whom.
+        long_prompt_moves: The same for long prompts.
+    """
 
     def __init__(self) -> None:
-        self.by_router: dict[int, list[Server]] = {}
-        self.owners: dict[str, list[int]] = {}  # routers whose slices hold a server
+        self.by_router: dict[int, list[ServerView]] = {}
+        self.owners: dict[str, list[int]] = {}
         self.shares: window.Shares = {}
-        self.slow_shares: window.Shares = {}
-        self.moves: dict[int, list[tuple[int, float]]] = {}
-        self.slow_moves: dict[int, list[tuple[int, float]]] = {}
+        self.smoothed_shares: window.Shares = {}
+        self.moves: Moves = {}
+        self.long_prompt_moves: Moves = {}
 
-    def assign(self, servers: Sequence[Server], routers: Sequence[int]) -> None:
+    def assign(self, servers: Sequence[ServerView], routers: Sequence[int]) -> None:
         """Deal the ready servers to the live routers."""
         self.by_router = {router: [] for router in sorted(routers)}
         self.owners = {}
-        for router, server in deal(sorted(servers, key=_by_id), list(self.by_router)):
+        for router, server in deal(sorted(servers, key=_server_id), list(self.by_router)):
             self.by_router[router].append(server)
             self.owners.setdefault(server.id, []).append(router)
-        self.shares = {pair: share for pair, share in self.shares.items() if self._lives(pair)}
-        self.slow_shares = {pair: share for pair, share in self.slow_shares.items() if self._lives(pair)}
-        self._settle()
+        self.shares = self._between_live(self.shares)
+        self.smoothed_shares = self._between_live(self.smoothed_shares)
+        self._update_moves()
 
-    def _lives(self, pair: tuple[int, int]) -> bool:
-        return pair[0] in self.by_router and pair[1] in self.by_router
+    def _between_live(self, shares: window.Shares) -> window.Shares:
+        live = self.by_router
+        return {pair: share for pair, share in shares.items() if pair[0] in live and pair[1] in live}
 
     def step(
         self,
-        work: Mapping[str, float],
+        load_tokens: Mapping[str, float],
         sections: Mapping[int, tuple[Section, float]],
         zones: Mapping[int, int],
     ) -> None:
-        """The window step over the slices.
+        """Compute the moves of the next window.
 
-        `work` is the load of each server in tokens; `sections` are the routers' figures with their ages in s.
+        Args:
+            load_tokens: Load of each server in prompt tokens, by id.
+            sections: The routers' rates with their ages in seconds, by router.
+            zones: The zone of each router.
         """
-        parts = {name: work[name] / (len(owners) * UNIT) for name, owners in self.owners.items()}
-        load = {n: total(parts[server.id] for server in servers) for n, servers in self.by_router.items()}
+        per_owner = {
+            name: load_tokens[name] / (len(owners) * WORK_UNIT_TOKENS) for name, owners in self.owners.items()
+        }
+        load = {n: total(per_owner[server.id] for server in servers) for n, servers in self.by_router.items()}
         if not load:
             return
-        grown, mu = dict.fromkeys(load, 0.0), dict.fromkeys(load, 0.0)
+        growth, mu = dict.fromkeys(load, 0.0), dict.fromkeys(load, 0.0)
         for router, (section, age) in sections.items():
             if router in load:
-                grown[router] = window.growth(section.forecast, section.arrivals, section.served, age)
+                growth[router] = window.growth(section.forecast, section.arrivals, section.served, age)
                 mu[router] = section.mu
-        load = window.ahead(load, grown, spread=True)
+        load = window.ahead(load, growth, spread=True)
         self.shares = window.step(load, mu, {n: zones.get(n, 0) for n in load}, self.shares)
         self._smooth()
-        self._settle()
+        self._update_moves()
 
     def _smooth(self) -> None:
-        pairs = self.shares.keys() | self.slow_shares.keys()
+        pairs = self.shares.keys() | self.smoothed_shares.keys()
         for pair in sorted(pairs):
-            old = self.slow_shares.get(pair, 0.0)
-            self.slow_shares[pair] = old + SMOOTHING * (self.shares.get(pair, 0.0) - old)
-        self.slow_shares = {pair: share for pair, share in self.slow_shares.items() if share > 0.001}
+            old = self.smoothed_shares.get(pair, 0.0)
+            self.smoothed_shares[pair] = old + SMOOTHING * (self.shares.get(pair, 0.0) - old)
+        self.smoothed_shares = {
+            pair: share for pair, share in self.smoothed_shares.items() if share > MIN_SMOOTHED_SHARE
+        }
 
-    def _settle(self) -> None:
+    def _update_moves(self) -> None:
         self.moves = window.moves(self.shares)
-        above = {pair: share - HEAVY_MARGIN for pair, share in self.slow_shares.items()}
-        self.slow_moves = window.moves({pair: share for pair, share in above.items() if share > 0.0})
+        excess = {pair: share - LONG_PROMPT_MARGIN for pair, share in self.smoothed_shares.items()}
+        self.long_prompt_moves = window.moves({pair: share for pair, share in excess.items() if share > 0.0})
 
     def drop_moves_to(self, taker: int) -> None:
-        """The taker did not expect what came: nothing moves there until the next step says so."""
+        """Move nothing to a router until the next step, since it did not expect what came."""
         self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != taker}
-        self._settle()
+        self._update_moves()
+
+    def moved_to(self, home: str, key: int, is_long: bool) -> str | None:
+        """Return the server to which a key moves in this window, the same on all routers.
 
-    def moved(self, home: str, key: int, heavy: bool) -> str | None:
-        """The server that takes a key off its home in this window, if any; the same on all routers."""
+        Args:
+            home: Id of the key's home.
+            key: The home key of the prompt.
+            is_long: Whether the prompt is long.
+
+        Returns:
+            The server's id, or None where the key stays at home.
+        """
         owners = self.owners.get(home)
-        moves = self.slow_moves if heavy else self.moves
+        moves = self.long_prompt_moves if is_long else self.moves
         if not owners or not moves:
             return None
         giver = owners[mix(key, MOVE_SALT + 1) % len(owners)]
-        draw = mix(key, MOVE_SALT) / 2**32
+        draw = mix(key, MOVE_SALT) / HASH_RANGE
         for taker, share in moves.get(giver, ()):
             draw -= share
             if draw < 0:
-                return self._in_slice(taker, home, key)
+                return self._server_of(taker, home, key)
         return None
 
-    def _in_slice(self, router: int, home: str, key: int) -> str | None:
-        salts = [(server.salt, server.id) for server in self.by_router.get(router, ()) if server.id != home]
-        return rendezvous(key, salts, 1)[0] if salts else None
+    def _server_of(self, router: int, home: str, key: int) -> str | None:
+        servers = self.by_router.get(router, ())
+        hashed_ids = [(server.id_hash, server.id) for server in servers if server.id != home]
+        return rank_servers(key, hashed_ids, 1)[0] if hashed_ids else None
 
 
-def _by_id(server: Server) -> str:
+def _server_id(server: ServerView) -> str:
     return server.id
--- a/firvane/fleet/router/client_side.py
+++ b/firvane/fleet/router/client_side.py
@@ -76,9 +76,9 @@
             tokens_in=shape.tokens_in,
             tokens_out=shape.tokens_out,
             priority=request.priority,
-            aim=route.target_latency_ms / 1000,
+            latency_target=route.target_latency_ms / 1000,
             max_attempts=route.max_attempts,
             kind=KINDS[route.kind],
             resumable=route.stream_resume,
-            gap_aim=route.gap_aim_ms / 1000,
+            event_gap_target=route.gap_aim_ms / 1000,
         )
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -21,7 +21,7 @@
 from firvane.fleet.configuration.routes import Configuration, RouteTable
 from firvane.fleet.discovery.codec import decode_instances
 from firvane.fleet.placement.balancer import PromptBalancer
-from firvane.fleet.placement.events import Progress, ServiceInfo
+from firvane.fleet.placement.events import ServiceInfo, StreamProgress
 from firvane.fleet.router.admission import Admission
 from firvane.fleet.router.backends import Backends
 from firvane.fleet.router.front import Front
@@ -191,7 +191,7 @@
             self.admission.receive(sender, payload)
 
     def _on_progress(self, backend: str) -> None:
-        self.engine.give(Progress(backend))
+        self.engine.give(StreamProgress(backend))
 
     def _may_continue(self, request: ProxiedRequest) -> bool:
         return self.balancer.may_continue(request.flow_id, self.loop.time())
@@ -234,14 +234,14 @@
             self.log.info("tenancy: turned away.", **counts)
 
     def _report_budgets(self) -> None:
-        for name, figures in self.balancer.take_budget_figures(self.loop.time()).items():
-            if not figures.repeats and not figures.denied:
+        for name, figures in self.balancer.take_budget_metrics(self.loop.time()).items():
+            if not figures.retries and not figures.denied:
                 continue
             self.log.info(
                 "retries: budget.",
                 service=name,
                 requests=figures.requests,
-                repeats=figures.repeats,
+                repeats=figures.retries,
                 denied=figures.denied,
                 tokens=round(figures.tokens, 1),
                 capacity=round(figures.capacity, 1),
--- a/tests/fleet/placement/baselines.py
+++ b/tests/fleet/placement/baselines.py
@@ -46,7 +46,7 @@
             self.jobs.pop(event.id, None)
         elif job := self.jobs.get(event.id):
             request, tried = job
-            if (event.result.never_ran or request.repeatable) and len(tried) < max(2, request.max_attempts):
+            if (event.result.never_ran or request.retryable) and len(tried) < max(2, request.max_attempts):
                 return self._send(event.id)
             del self.jobs[event.id]
             return [api.Refuse(event.id, 0.1) if event.result.never_ran else api.Fail(event.id)]
--- a/tests/fleet/placement/emulated_server.py
+++ b/tests/fleet/placement/emulated_server.py
@@ -27,7 +27,7 @@
     read_speed: float = 51_000.0  # prompt tokens a second
     piece: int = 1024  # prompt tokens of one step
     setup: float = 0.047  # s before a run may enter
-    stride: int = 4  # tokens of an event
+    tokens_per_event: int = 4  # tokens of an event
     urgent_first: bool = False  # the most urgent prompt is read first, even before one that is half read
 
 
@@ -185,7 +185,7 @@
             return
         run.written += 1
         whole = run.written >= run.tokens_out
-        if whole or run.written % self.profile.stride == 0:
+        if whole or run.written % self.profile.tokens_per_event == 0:
             run.passed += 1
             run.on_event()
         if whole:
--- a/tests/fleet/placement/helpers.py
+++ b/tests/fleet/placement/helpers.py
@@ -55,7 +55,7 @@
     def fill_budget(self) -> None:
         """The router has run for a while: its retry budget is what earlier requests have paid for."""
         for _ in range(1000):
-            self.balancer.services[SERVICE].budget.note_request(self.now)
+            self.balancer.services[SERVICE].retry_budget.record_request(self.now)
 
     def give(self, event: object, after: float = 0.0) -> list[api.Action]:
         self.now += after
@@ -93,23 +93,23 @@
         "tokens_in": 360,
         "tokens_out": 60,
         "priority": 0,
-        "aim": 0.4,
+        "latency_target": 0.4,
         "max_attempts": 2,
         "kind": RequestKind.STREAM,
         "resumable": True,
-        "gap_aim": 0.2,
+        "event_gap_target": 0.2,
     }
     return PromptRequest(**{**given, **fields})  # type: ignore[arg-type]
 
 
-def letter(subject: int, own: int = 1, **fields: object) -> dict[str, object]:
+def long_prompt(subject: int, own: int = 1, **fields: object) -> dict[str, object]:
     """A long prompt with a large shared part, of a stream that may run once."""
     given: dict[str, object] = {
         "left": 10.0,
         "chain": ((subject, 13_000), (0x5000 + own, 3_000)),
         "tokens_in": 16_000,
         "priority": 1,
-        "aim": 0.8,
+        "latency_target": 0.8,
         "max_attempts": 1,
         "resumable": False,
     }
--- a/tests/fleet/placement/lab.py
+++ b/tests/fleet/placement/lab.py
@@ -16,7 +16,7 @@
 from firvane.fleet.placement.balancer import PromptBalancer
 from tests.fleet.placement import baselines
 from tests.fleet.placement.emulated_server import Profile
-from tests.fleet.placement.lab_day import Day, Result, Trouble
+from tests.fleet.placement.lab_day import Day, Fault, Result
 from tests.fleet.placement.lab_router import Decisions
 from tests.fleet.placement.lab_world import World
 
@@ -36,13 +36,13 @@
     "quiet": Day(load=0.5),
     "normal": Day(load=0.75),
     "busy": Day(),
-    "hot": Day(load=0.75, troubles=(Trouble("hot", 6.0, 6.0, 0.3),)),
-    "burst": Day(load=0.75, troubles=(Trouble("burst", 8.0, 4.0, 1.6),)),
-    "dark": Day(load=0.75, troubles=(Trouble("dark", 8.0, 4.0),)),
-    "crash": Day(load=0.75, troubles=(Trouble("crash", 8.0, 4.0),)),
-    "errors": Day(load=0.75, troubles=(Trouble("errors", 8.0, 6.0, 0.4),)),
-    "mute": Day(load=0.75, troubles=(Trouble("mute", 8.0, 6.0, 0.4),)),
-    "release": Day(load=0.75, troubles=(Trouble("replace", 6.0, 0.0), Trouble("replace", 9.0, 0.0))),
+    "hot": Day(load=0.75, faults=(Fault("hot", 6.0, 6.0, 0.3),)),
+    "burst": Day(load=0.75, faults=(Fault("burst", 8.0, 4.0, 1.6),)),
+    "dark": Day(load=0.75, faults=(Fault("dark", 8.0, 4.0),)),
+    "crash": Day(load=0.75, faults=(Fault("crash", 8.0, 4.0),)),
+    "errors": Day(load=0.75, faults=(Fault("errors", 8.0, 6.0, 0.4),)),
+    "mute": Day(load=0.75, faults=(Fault("mute", 8.0, 6.0, 0.4),)),
+    "release": Day(load=0.75, faults=(Fault("replace", 6.0, 0.0), Fault("replace", 9.0, 0.0))),
     "urgent first": Day(profile=Profile(urgent_first=True)),
     "slow servers": Day(
         load=0.5, servers=12, profile=replace(Profile(), read_speed=20_000.0, step=0.010, piece=512)
--- a/tests/fleet/placement/lab_day.py
+++ b/tests/fleet/placement/lab_day.py
@@ -1,4 +1,4 @@
-"""What the laboratory plays: kinds of requests, troubles, days, and how a day ended."""
+"""What the laboratory plays: kinds of requests, faults, days, and how a day ended."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     shared: tuple[tuple[float, float, int], ...]  # tokens, spread, how many different, by part
     own: tuple[float, float]  # tokens, spread
     events: tuple[float, float]
-    gap_aim: float = 0.2
+    event_gap_target: float = 0.2
 
 
 LETTER = Kind("letter", 8.0, 0.8, 10.0, 2.0, 0.6, 1, 1, False, ((13_300, 0.7, 44),), (3_720, 1.1), (30, 1.4))
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Fault:
     """Something that happens to one server, or to the traffic."""
 
     kind: str  # "crash", "dark", "hot", "burst", "replace"; "errors", "mute": part of its requests fail
@@ -56,7 +56,7 @@
     length: float = 24.0
     kinds: tuple[Kind, ...] = (LETTER, REPLY)
     profile: Profile = field(default_factory=Profile)
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     load: float = 1.0
     uneven: float = 0.4  # how far routers differ in what clients bring
     progress: bool = True
@@ -111,7 +111,7 @@
         return "  ".join(parts)
 
 
-def lognormal(dice: random.Random, mean: float, spread: float, most: float = math.inf) -> float:
+def lognormal(rng: random.Random, mean: float, spread: float, most: float = math.inf) -> float:
     if not spread:
         return mean
-    return min(most, dice.lognormvariate(math.log(mean) - spread * spread / 2, spread))
+    return min(most, rng.lognormvariate(math.log(mean) - spread * spread / 2, spread))
--- a/tests/fleet/placement/lab_router.py
+++ b/tests/fleet/placement/lab_router.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from firvane.core import interface as api
-from firvane.fleet.placement.events import PlacementEvent, Progress, PromptRequest, RequestKind
+from firvane.fleet.placement.events import PlacementEvent, PromptRequest, RequestKind, StreamProgress
 from tests.fleet.placement.emulated_server import EmulatedServer, Parts, Run
 from tests.fleet.placement.lab_day import Kind
 
@@ -86,22 +86,22 @@
             PromptRequest(
                 flow.number, 0, left, services=((SERVICE, 1.0),), chain=ask.parts,
                 tokens_in=sum(tokens for _, tokens in ask.parts), tokens_out=4 * ask.events,
-                priority=kind.priority, aim=kind.aim, max_attempts=kind.max_attempts,
-                kind=RequestKind.STREAM, resumable=kind.resumable, gap_aim=kind.gap_aim,
+                priority=kind.priority, latency_target=kind.aim, max_attempts=kind.max_attempts,
+                kind=RequestKind.STREAM, resumable=kind.resumable, event_gap_target=kind.event_gap_target,
             )
         )  # fmt: skip
 
     def expect_event(self, flow: Flow) -> None:
         """The client gives up where no event comes for long."""
         passed, kind = flow.ask.passed, flow.ask.kind
-        patience = max(2.0, 4 * kind.aim, 8 * kind.gap_aim)
+        patience = max(2.0, 4 * kind.aim, 8 * kind.event_gap_target)
 
-        def look() -> None:
+        def fire_timer() -> None:
             if flow.open and flow.ask.passed == passed:
                 self.leave(flow)
                 flow.ask.over = True
 
-        self.later(patience, look)
+        self.later(patience, fire_timer)
 
     def overdue(self, flow: Flow) -> None:
         if flow.open:
@@ -180,12 +180,14 @@
             self.give(api.StreamStarted(flow.number, number, server, self.env.now - flow.since[number]))
         elif self.world.day.progress and self.env.now - self.hinted.get(server, -1.0) > PROGRESS_EVERY:
             self.hinted[server] = self.env.now
-            self.give(Progress(server))
+            self.give(StreamProgress(server))
         self.world.event(flow.ask)
         self.expect_event(flow)
         if flow.ask.kind.resumable:
             passed = flow.ask.passed
-            self.later(SILENCE_FACTOR * flow.ask.kind.gap_aim, lambda: self.silent(flow, number, passed))
+            self.later(
+                SILENCE_FACTOR * flow.ask.kind.event_gap_target, lambda: self.silent(flow, number, passed)
+            )
 
     def silent(self, flow: Flow, number: int, passed: int) -> None:
         """A stream that may be resumed has made no progress for long: it is given up here."""
--- a/tests/fleet/placement/test_attempt_timeouts.py
+++ b/tests/fleet/placement/test_attempt_timeouts.py
@@ -6,13 +6,13 @@
 
 from firvane.core import interface as api
 from firvane.fleet.placement import health
-from firvane.fleet.placement.events import Progress
+from firvane.fleet.placement.events import StreamProgress
 from firvane.fleet.placement.rows import decode_row
 from firvane.fleet.placement.server_view import PeerLoad
-from tests.fleet.placement.helpers import SERVICE, Harness, letter, only
+from tests.fleet.placement.helpers import SERVICE, Harness, long_prompt, only
 
 
-def warm(one: Harness, count: int = 40) -> None:
+def warm_up(one: Harness, count: int = 40) -> None:
     """Teach the speeds: first events after 50 ms."""
     for _ in range(count):
         [send] = only(one.ask(), api.Send)
@@ -21,43 +21,45 @@
         one.now += 0.01
 
 
-def look(one: Harness, send: api.Send, after: float) -> list[api.Action]:
+def fire_timer(one: Harness, send: api.Send, after: float) -> list[api.Action]:
     return one.give(api.TimerFired(send.id + 1), after)
 
 
-def answer_elsewhere(one: Harness, server: str) -> None:
+def respond_elsewhere(one: Harness, server: str) -> None:
     """Signs of life of all servers but one."""
     for other in one.balancer.services[SERVICE].ready:
         if other.id != server:
-            health.note_alive(other, one.now)
+            health.record_response(other, one.now)
 
 
-def stuck(one: Harness, **fields: object) -> api.Send:
+def unanswered_request(one: Harness, **fields: object) -> api.Send:
     [send] = only(one.ask(**fields), api.Send)
     return send
 
 
-def test_a_dark_server_is_recognized_within_half_a_second() -> None:
+def test_an_unresponsive_server_is_detected_within_half_a_second() -> None:
     one = Harness()
-    warm(one)
-    send = stuck(one)
+    warm_up(one)
+    send = unanswered_request(one)
     began = one.now
     one.now += 0.05
-    answer_elsewhere(one, send.server)
-    while one.now < began + 0.5 and not one.balancer.jobs[send.id].tried - {send.server}:
-        look(one, send, after=0.02)
+    respond_elsewhere(one, send.server)
+    while one.now < began + 0.5 and not one.balancer.pending_requests[send.id].attempted_servers - {
+        send.server
+    }:
+        fire_timer(one, send, after=0.02)
     server = one.balancer.services[SERVICE].servers[send.server]
     assert health.is_suspect(server)
     assert one.now - began < 0.5
 
 
-def test_a_request_that_may_be_repeated_moves_from_a_silent_server_after_a_cancel() -> None:
+def test_a_retryable_request_is_rerouted_from_an_unresponsive_server_after_a_cancel() -> None:
     one = Harness()
-    warm(one)
-    send = stuck(one)
+    warm_up(one)
+    send = unanswered_request(one)
     one.now += 0.05
-    answer_elsewhere(one, send.server)
-    actions = look(one, send, after=0.4)
+    respond_elsewhere(one, send.server)
+    actions = fire_timer(one, send, after=0.4)
     kinds = [type(action) for action in actions if isinstance(action, api.Cancel | api.Send)]
     assert kinds == [api.Cancel, api.Send]
     assert only(actions, api.Send)[0].server != send.server
@@ -65,91 +67,91 @@
     assert not only(again, api.Send) and not only(again, api.Fail)
 
 
-def test_a_request_that_may_run_once_stays_where_it_is() -> None:
+def test_a_request_that_is_not_retryable_is_not_rerouted() -> None:
     one = Harness()
-    warm(one)
-    send = stuck(one, **letter(1))
+    warm_up(one)
+    send = unanswered_request(one, **long_prompt(1))
     one.now += 0.05
-    answer_elsewhere(one, send.server)
+    respond_elsewhere(one, send.server)
     actions = []
     for _ in range(20):
-        actions += look(one, send, after=0.2)
+        actions += fire_timer(one, send, after=0.2)
     assert not only(actions, api.Send) and not only(actions, api.Cancel)
     assert health.is_suspect(one.balancer.services[SERVICE].servers[send.server])
 
 
-def test_nobody_is_suspect_while_all_are_silent() -> None:
+def test_no_server_is_suspect_while_none_responds() -> None:
     one = Harness()
-    warm(one)
-    send = stuck(one)
+    warm_up(one)
+    send = unanswered_request(one)
     for _ in range(10):
-        look(one, send, after=0.1)
+        fire_timer(one, send, after=0.1)
     assert not any(map(health.is_ejected, one.balancer.services[SERVICE].ready))
 
 
 def test_a_server_that_makes_progress_is_not_suspect() -> None:
     one = Harness()
-    warm(one)
-    running = stuck(one)
+    warm_up(one)
+    running = unanswered_request(one)
     one.begins(running)
-    sends = [stuck(one) for _ in range(6)]
+    sends = [unanswered_request(one) for _ in range(6)]
     send = next(each for each in sends if each.server == running.server)
     for _ in range(10):
-        one.give(Progress(running.server))
-        answer_elsewhere(one, running.server)
-        look(one, send, after=0.1)
+        one.give(StreamProgress(running.server))
+        respond_elsewhere(one, running.server)
+        fire_timer(one, send, after=0.1)
     assert not health.is_ejected(one.balancer.services[SERVICE].servers[running.server])
 
 
-def test_a_suspicion_is_told_at_once() -> None:
+def test_a_suspicion_is_announced_at_once() -> None:
     one = Harness(peers=(1, 2))
-    warm(one)
-    send = stuck(one)
+    warm_up(one)
+    send = unanswered_request(one)
     one.now += 0.05
-    answer_elsewhere(one, send.server)
-    rows = [decode_row(tell.payload) for tell in only(look(one, send, after=0.4), api.Tell)]
+    respond_elsewhere(one, send.server)
+    rows = [decode_row(tell.payload) for tell in only(fire_timer(one, send, after=0.4), api.Tell)]
     assert any(entry.suspect for row in rows for entry in row.entries)
 
 
-def test_a_request_behind_a_long_prompt_moves_in_time_for_its_aim() -> None:
+def test_a_request_behind_a_long_prompt_is_rerouted_in_time_for_its_latency_target() -> None:
     one = Harness(servers=2)
-    warm(one)
-    late = stuck(one)
-    one.balancer.services[SERVICE].servers[late.server].learn(2, PeerLoad(1, 20_000, one.now))
-    assert [send.server for send in only(look(one, late, after=0.16), api.Send)] != [late.server]
-    assert one.balancer.jobs[late.id].reached == 2
+    warm_up(one)
+    late = unanswered_request(one)
+    one.balancer.services[SERVICE].servers[late.server].update_peer_load(2, PeerLoad(1, 20_000, one.now))
+    assert [send.server for send in only(fire_timer(one, late, after=0.16), api.Send)] != [late.server]
+    assert one.balancer.pending_requests[late.id].attempts_reached == 2
 
 
 @pytest.mark.parametrize("left", [0, 1])
-def test_no_hedge_beyond_the_attempts_or_the_budget(left: int) -> None:
+def test_no_reroute_beyond_the_attempts_or_the_budget(left: int) -> None:
     one = Harness(slack=0.0)
-    one.balancer.services[SERVICE].budget.ratio = 0.0 if left else 0.2
-    warm(one)
-    send = stuck(one, max_attempts=1 + left)
+    one.balancer.services[SERVICE].retry_budget.ratio = 0.0 if left else 0.2
+    warm_up(one)
+    send = unanswered_request(one, max_attempts=1 + left)
     one.now += 0.05
-    answer_elsewhere(one, send.server)
-    actions = [action for _ in range(10) for action in look(one, send, after=0.1)]
+    respond_elsewhere(one, send.server)
+    actions = [action for _ in range(10) for action in fire_timer(one, send, after=0.1)]
     assert not only(actions, api.Send) and not only(actions, api.Cancel)
 
 
-def test_lost_attempts_do_not_eject_a_server_that_answers_others() -> None:
+def test_timed_out_attempts_do_not_eject_a_server_that_responds_to_others() -> None:
     """They may wait behind long prompts; what is lost is sent elsewhere, one by one."""
     one = Harness()
-    warm(one)
+    warm_up(one)
     server = one.balancer.services[SERVICE].servers[one.serve()]
     lost = 0
     for number in range(200):
         one.fill_budget()  # what is lost is more than a fifth
-        send = stuck(one, max_attempts=2, chain=((number, 300),))
+        send = unanswered_request(one, max_attempts=2, chain=((number, 300),))
         if send.server != server.id:
             one.begins(send)
             one.ends(send, api.Result.OK, finished=True)
             continue
         lost += 1
-        server.heard_at = one.now + 1.0  # its answers to peers, until the look
-        [again] = only(look(one, send, after=1.0), api.Send)
+        server.last_response_at = one.now + 1.0  # its answers to peers, until the look
+        [again] = only(fire_timer(one, send, after=1.0), api.Send)
         assert again.server != server.id
         one.ends(send, api.Result.CANCELLED)
         one.ends(again, api.Result.OK, attempt=1, finished=True)
     assert lost >= 4
-    assert server.failures == 0 and not health.is_ejected(server)
+    assert server.consecutive_failures == 0 and not health.is_ejected(server)
--- a/tests/fleet/placement/test_balancer.py
+++ b/tests/fleet/placement/test_balancer.py
@@ -7,7 +7,7 @@
 from firvane.core import interface as api
 from firvane.fleet.discovery.instances import InstanceState
 from firvane.fleet.placement.events import InstancesChanged, PromptRequest, RequestKind
-from tests.fleet.placement.helpers import SERVICE, Harness, instance, instances, letter, only
+from tests.fleet.placement.helpers import SERVICE, Harness, instance, instances, long_prompt, only
 
 NEVER_RAN = [api.Result.FULL, api.Result.NO_PLACE, api.Result.CONNECT_FAILED, api.Result.MOOT]
 
@@ -18,16 +18,16 @@
     assert send.server in {"i-00", "i-01", "i-02"}
 
 
-def test_without_an_instance_list_it_is_held_briefly_and_refused() -> None:
+def test_without_an_instance_list_a_request_is_queued_briefly_and_rejected() -> None:
     one = Harness(servers=0)
-    assert not only(one.ask(aim=0.4), api.Refuse)
+    assert not only(one.ask(latency_target=0.4), api.Refuse)
     assert not only(one.give(api.TimerFired(2), after=0.05), api.Refuse)
     [refuse] = only(one.give(api.TimerFired(2), after=0.04), api.Refuse)
     assert refuse.retry_after == pytest.approx(1.0, rel=0.2)
-    assert not one.balancer.jobs
+    assert not one.balancer.pending_requests
 
 
-def test_what_is_held_goes_out_when_the_list_comes() -> None:
+def test_queued_requests_are_sent_when_the_instance_list_comes() -> None:
     one = Harness(servers=0)
     one.ask()
     one.ask(priority=0)
@@ -35,47 +35,47 @@
     assert len(sent) == 2
 
 
-def test_without_a_ready_backend_it_is_refused_for_a_short_while() -> None:
+def test_without_a_ready_backend_a_request_is_rejected_with_a_short_retry_after() -> None:
     one = Harness(servers=1)
     one.give(InstancesChanged(SERVICE, ()))
     [refuse] = only(one.ask(), api.Refuse)
     assert refuse.retry_after == pytest.approx(0.3)
 
 
-def test_a_share_without_a_ready_backend_falls_to_another() -> None:
+def test_a_service_without_a_ready_backend_is_not_drawn() -> None:
     one = Harness()
     for _ in range(20):
         assert only(one.ask(services=(("gone", 99.0), (SERVICE, 1.0))), api.Send)
 
 
-def test_shares_are_drawn_by_weight() -> None:
+def test_services_are_drawn_by_weight() -> None:
     one = Harness()
     one.give(InstancesChanged("other", instances(1, "other")))
     drawn = [one.ask(services=((SERVICE, 9.0), ("other", 1.0))) for _ in range(400)]
-    others = sum(one.balancer.jobs[n + 1].service.name == "other" for n in range(len(drawn)))
+    others = sum(one.balancer.pending_requests[n + 1].service == "other" for n in range(len(drawn)))
     assert 20 <= others <= 65
 
 
-def test_a_letter_goes_to_its_home_and_all_routers_agree() -> None:
+def test_a_long_prompt_goes_to_its_home_and_all_routers_agree() -> None:
     routers = [Harness(5, me=me, peers=(1, 2, 3)) for me in (1, 2, 3)]
     for subject in range(40):
-        homes = {only(router.ask(**letter(subject)), api.Send)[0].server for router in routers}
-        assert len(homes) == 1
+        prompt_homes = {only(router.ask(**long_prompt(subject)), api.Send)[0].server for router in routers}
+        assert len(prompt_homes) == 1
 
 
 def test_few_homes_move_when_a_backend_goes() -> None:
     one, other = Harness(6), Harness(6)
     other.give(InstancesChanged(SERVICE, instances(5)))
-    before = [one.serve(**letter(subject)) for subject in range(60)]
-    after = [other.serve(**letter(subject)) for subject in range(60)]
+    before = [one.serve(**long_prompt(subject)) for subject in range(60)]
+    after = [other.serve(**long_prompt(subject)) for subject in range(60)]
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {"i-05"}
 
 
 @pytest.mark.parametrize("result", NEVER_RAN)
-def test_what_never_ran_is_refused_rather_than_failed(result: api.Result) -> None:
+def test_a_request_that_never_ran_is_rejected_rather_than_failed(result: api.Result) -> None:
     one = Harness(servers=1)
-    actions, attempts = one.ask(**letter(1)), 0
+    actions, attempts = one.ask(**long_prompt(1)), 0
     while sends := only(actions, api.Send):
         actions = one.ends(sends[0], result, attempts)
         attempts += 1
@@ -88,7 +88,7 @@
     "result", [api.Result.RESET, api.Result.TIMEOUT, api.Result.ERROR, api.Result.UNKNOWN]
 )
 @pytest.mark.parametrize("kind", [RequestKind.NON_IDEMPOTENT, RequestKind.STREAM])
-def test_what_may_have_run_is_not_sent_again(result: api.Result, kind: RequestKind) -> None:
+def test_a_request_that_may_have_run_is_not_retried(result: api.Result, kind: RequestKind) -> None:
     one = Harness()
     [send] = only(one.ask(kind=kind, resumable=False, max_attempts=3), api.Send)
     actions = one.ends(send, result)
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize(
     "fields", [{"kind": RequestKind.IDEMPOTENT, "resumable": False}, {"kind": RequestKind.STREAM}]
 )
-def test_what_may_be_repeated_goes_to_another_backend(result: api.Result, fields: dict[str, object]) -> None:
+def test_a_retryable_request_goes_to_another_backend(result: api.Result, fields: dict[str, object]) -> None:
     one = Harness()
     [first] = only(one.ask(**fields), api.Send)
     [second] = only(one.ends(first, result), api.Send)
@@ -119,18 +119,18 @@
     assert len(set(tried)) == 4
 
 
-def test_what_is_held_goes_out_the_most_urgent_first() -> None:
+def test_queued_requests_are_sent_by_priority() -> None:
     one = Harness(servers=2)
     servers = one.balancer.services[SERVICE].servers.values()
     for server in servers:
-        server.full_until = one.now + 0.04
+        server.saturated_until = one.now + 0.04
     for priority in (5, 0, 3, 0):
         assert not only(one.ask(priority=priority), api.Send)
     sent = only(one.window(after=0.05), api.Send)
     assert [send.id for send in sent] == [2, 4, 3, 1]
 
 
-def test_an_answer_that_comes_whole_has_its_time() -> None:
+def test_a_complete_response_has_its_time() -> None:
     one = Harness()
     [send] = only(one.ask(kind=RequestKind.IDEMPOTENT), api.Send)
     actions = [action for _ in range(8) for action in one.give(api.TimerFired(send.id + 1), after=0.1)]
@@ -147,14 +147,14 @@
     assert only(one.ends(second, api.Result.RESET, attempt=1), api.Fail)
 
 
-def test_a_silent_stream_may_be_continued_within_its_attempts_and_the_budget() -> None:
+def test_a_stalled_stream_may_be_continued_within_its_attempts_and_the_budget() -> None:
     one = Harness()
     [send] = only(one.ask(), api.Send)
     one.begins(send)
     assert one.balancer.may_continue(send.id, one.now)
-    one.balancer.services[SERVICE].budget.sharers.note(10_000, one.now)
-    while one.balancer.services[SERVICE].budget.allows(one.now):
-        one.balancer.services[SERVICE].budget.spend(one.now)
+    one.balancer.services[SERVICE].retry_budget.routers.record(10_000, one.now)
+    while one.balancer.services[SERVICE].retry_budget.allows(one.now):
+        one.balancer.services[SERVICE].retry_budget.spend()
     assert not one.balancer.may_continue(send.id, one.now)
     one.fill_budget()
     assert one.balancer.may_continue(send.id, one.now)
@@ -166,17 +166,17 @@
     assert not one.balancer.may_continue(other.id, one.now)
 
 
-def test_a_silent_stream_is_not_continued_where_no_server_has_room() -> None:
+def test_a_stalled_stream_is_not_continued_where_no_server_has_capacity() -> None:
     one = Harness(servers=2)
     [send] = only(one.ask(), api.Send)
     one.begins(send)
     assert one.balancer.may_continue(send.id, one.now)
     for server in one.balancer.services[SERVICE].servers.values():
-        server.full_until = one.now + 1.0
+        server.saturated_until = one.now + 1.0
     assert not one.balancer.may_continue(send.id, one.now)
 
 
-def test_a_stream_that_began_is_never_refused() -> None:
+def test_a_started_stream_is_never_rejected() -> None:
     one = Harness(servers=1, slack=0.0)
     [send] = only(one.ask(), api.Send)
     one.begins(send)
@@ -189,20 +189,20 @@
     [send] = only(one.ask(), api.Send)
     assert only(one.give(api.ClientGone(send.id)), api.Cancel) == [api.Cancel(send.id, 0)]
     one.ends(send, api.Result.CANCELLED, finished=True)
-    assert all(server.running == 0 for server in one.balancer.services[SERVICE].servers.values())
+    assert all(server.in_flight == 0 for server in one.balancer.services[SERVICE].servers.values())
 
 
 def test_a_draining_backend_gets_nothing_more() -> None:
     one = Harness(servers=2)
     one.give(InstancesChanged(SERVICE, (instance(0), instance(1, InstanceState.DRAINING))))
     one.give(InstancesChanged(SERVICE, (instance(0), instance(1))))  # it never becomes ready again
-    assert {one.serve(**letter(number)) for number in range(30)} == {"i-00"}
+    assert {one.serve(**long_prompt(number)) for number in range(30)} == {"i-00"}
 
 
 def test_a_backend_that_is_gone_gets_nothing_more() -> None:
     one = Harness(servers=2)
     one.give(InstancesChanged(SERVICE, (instance(0), instance(1, InstanceState.GONE))))
-    assert {one.serve(**letter(number)) for number in range(30)} == {"i-00"}
+    assert {one.serve(**long_prompt(number)) for number in range(30)} == {"i-00"}
 
 
 def test_the_retry_budget_is_kept() -> None:
--- a/tests/fleet/placement/test_fuzz.py
+++ b/tests/fleet/placement/test_fuzz.py
@@ -12,11 +12,11 @@
 from firvane.fleet.placement.events import (
     InstancesChanged,
     PeersChanged,
-    Progress,
     PromptRequest,
     RequestKind,
+    StreamProgress,
 )
-from tests.fleet.placement.helpers import SERVICE, Harness, instance, letter, request
+from tests.fleet.placement.helpers import SERVICE, Harness, instance, long_prompt, request
 
 ENDS = [api.Result.OK] * 6 + [
     api.Result.ERROR,
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class Try:
+class TrackedRequest:
     """One request as the oracle follows it."""
 
     request: PromptRequest
@@ -49,8 +49,8 @@
     """Plays an engine that obeys every action, and checks it against the rules."""
 
     def __init__(self, seed: int) -> None:
-        self.dice, self.one = random.Random(seed), Harness(4, slack=SLACK)
-        self.tries: dict[int, Try] = {}
+        self.rng, self.one = random.Random(seed), Harness(4, slack=SLACK)
+        self.tries: dict[int, TrackedRequest] = {}
         self.states = {f"i-{number:02}": InstanceState.READY for number in range(4)}
         self.next_server = 4
         self.timers: list[tuple[float, int]] = []
@@ -85,7 +85,7 @@
         assert self.one.now < one.deadline
         assert self.states[action.server] is InstanceState.READY
         assert one.reached < one.request.max_attempts
-        assert one.may_have_run == 0 or one.request.repeatable
+        assert one.may_have_run == 0 or one.request.retryable
         self.arrivals.append((self.one.now, one.reached > 0))
         one.out.add(len(one.sent))
         one.sent.append(action.server)
@@ -95,7 +95,7 @@
     def cancel(self, action: api.Cancel) -> None:
         one = self.tries[action.id]
         if action.attempt in one.out:
-            assert one.over or one.request.repeatable
+            assert one.over or one.request.retryable
             self.end(action.id, action.attempt, api.Result.CANCELLED)
 
     def end(self, number: int, attempt: int, result: api.Result) -> None:
@@ -108,19 +108,19 @@
             one.over = True
         elif one.begun == attempt and not one.over:
             one.begun = -1
-            one.over = not one.request.repeatable
+            one.over = not one.request.retryable
         event = api.Outcome(number, attempt, one.sent[attempt], result, 0.1, one.over)
         self.pending.append(event)
 
     def step(self) -> None:
         self.pending: list[api.Outcome] = []
-        self.one.now += self.dice.expovariate(40.0)
+        self.one.now += self.rng.expovariate(40.0)
         due = [timer for timer in self.timers if timer[0] <= self.one.now]
         self.timers = [timer for timer in self.timers if timer[0] > self.one.now]
         for _, token in due:
             self.give(api.TimerFired(token))
             self.flush()
-        self.dice.choice([self.ask, self.ask, self.begin, self.finish, self.finish, self.leave, self.hint,
+        self.rng.choice([self.ask, self.ask, self.begin, self.finish, self.finish, self.leave, self.hint,
                           self.change, self.garbage])()  # fmt: skip
         self.flush()
 
@@ -130,23 +130,23 @@
 
     def ask(self) -> None:
         self.one.next_id += 1
-        kind = self.dice.choice(list(RequestKind))
+        kind = self.rng.choice(list(RequestKind))
         fields: dict[str, object] = {
             "kind": kind,
-            "resumable": kind is RequestKind.STREAM and self.dice.random() < 0.6,
-            "max_attempts": self.dice.randint(1, 3),
-            "priority": self.dice.randint(0, 3),
+            "resumable": kind is RequestKind.STREAM and self.rng.random() < 0.6,
+            "max_attempts": self.rng.randint(1, 3),
+            "priority": self.rng.randint(0, 3),
         }
-        if self.dice.random() < 0.2:
-            fields = letter(self.dice.randrange(9), self.one.next_id, **{**fields, "left": 10.0})
+        if self.rng.random() < 0.2:
+            fields = long_prompt(self.rng.randrange(9), self.one.next_id, **{**fields, "left": 10.0})
         asked = request(self.one.next_id, **fields)
-        self.tries[asked.id] = Try(asked, self.one.now + asked.left)
+        self.tries[asked.id] = TrackedRequest(asked, self.one.now + asked.left)
         self.asked.append(self.one.now)
         self.give(asked)
 
     def some(self) -> tuple[int, int] | None:
         out = [(number, attempt) for number, one in self.tries.items() for attempt in one.out]
-        return self.dice.choice(out) if out else None
+        return self.rng.choice(out) if out else None
 
     def begin(self) -> None:
         if found := self.some():
@@ -158,28 +158,28 @@
 
     def finish(self) -> None:
         if found := self.some():
-            result = self.dice.choice(ENDS)
+            result = self.rng.choice(ENDS)
             if self.tries[found[0]].begun == found[1]:
-                result = self.dice.choice([api.Result.OK, api.Result.RESET, api.Result.TIMEOUT])
+                result = self.rng.choice([api.Result.OK, api.Result.RESET, api.Result.TIMEOUT])
             self.end(*found, result)
 
     def leave(self) -> None:
         waiting = [number for number, one in self.tries.items() if not one.over]
-        if waiting and self.dice.random() < 0.3:
-            number = self.dice.choice(waiting)
+        if waiting and self.rng.random() < 0.3:
+            number = self.rng.choice(waiting)
             self.tries[number].over = True
             self.give(api.ClientGone(number))
 
     def hint(self) -> None:
         if found := self.some():
-            self.give(Progress(self.tries[found[0]].sent[found[1]]))
+            self.give(StreamProgress(self.tries[found[0]].sent[found[1]]))
 
     def change(self) -> None:
-        if self.dice.random() < 0.5:
-            count = self.dice.randint(1, 3)
+        if self.rng.random() < 0.5:
+            count = self.rng.randint(1, 3)
             self.give(PeersChanged(tuple(range(1, count + 1)), (0,) * count))
             return
-        name = self.dice.choice(list(self.states))
+        name = self.rng.choice(list(self.states))
         ready = [each for each, state in self.states.items() if state is InstanceState.READY]
         if len(ready) > 2 and self.states[name] is InstanceState.READY:
             self.states[name] = InstanceState.DRAINING
@@ -191,7 +191,7 @@
         self.give(InstancesChanged(SERVICE, tuple(listed)))
 
     def garbage(self) -> None:
-        self.give(api.PeerMessage(2, self.dice.randbytes(self.dice.randrange(80))))
+        self.give(api.PeerMessage(2, self.rng.randbytes(self.rng.randrange(80))))
         self.give(api.Outcome(10**6, 0, "i-00", api.Result.OK, 0.1, True))
         self.give(api.StreamStarted(10**6, 0, "i-00", 0.1))
         self.give(api.TimerFired(10**6))
@@ -206,9 +206,9 @@
                 self.flush()
         assert not any(one.out for one in self.tries.values())
         balancer = self.one.balancer
-        assert not balancer.jobs and not balancer.attempts
+        assert not balancer.pending_requests and not balancer.attempts
         for server in balancer.services[SERVICE].servers.values():
-            assert server.running == 0 and not server.waiting
+            assert server.in_flight == 0 and not server.pending_prefills
 
     def check_budget(self) -> None:
         repeats = [at for at, repeat in self.arrivals if repeat]
--- a/tests/fleet/placement/test_health.py
+++ b/tests/fleet/placement/test_health.py
@@ -7,187 +7,188 @@
 from firvane.core import interface as api
 from firvane.fleet.placement import health
 from firvane.fleet.placement.health import Signal
-from firvane.fleet.placement.server_view import KeptParts, PeerLoad, Server
+from firvane.fleet.placement.prefix_cache import PrefixCacheView
+from firvane.fleet.placement.server_view import PeerLoad, ServerView
 
 NOW = 100.0
 
 
-def server(name: str = "i-1", mine: bool = True) -> Server:
-    found = Server(name, "model", "a", 64, KeptParts(1e6, 100))
-    found.mine = mine
-    found.heard_at = NOW - 1.0
+def server(name: str = "i-1", mine: bool = True) -> ServerView:
+    found = ServerView(name, "model", "a", 64, PrefixCacheView(1e6, 100))
+    found.in_own_slice = mine
+    found.last_response_at = NOW - 1.0
     return found
 
 
 @pytest.mark.parametrize("signal", list(Signal))
-def test_failures_in_a_row_eject(signal: Signal) -> None:
+def test_consecutive_failures_eject(signal: Signal) -> None:
     one = server()
     for _ in range(signal.value - 1):
-        health.note_failure(one, signal, NOW)
+        health.record_failure(one, signal, NOW)
     assert not health.is_ejected(one)
-    health.note_failure(one, signal, NOW)
+    health.record_failure(one, signal, NOW)
     assert health.is_ejected(one) and health.usable([one, server("i-2")], NOW) != [one]
 
 
-def test_the_pause_doubles_and_any_answer_ends_it() -> None:
+def test_the_ejection_time_doubles_and_any_response_ends_it() -> None:
     one, pauses = server(), []
-    health.note_failure(one, Signal.UNREACHABLE, NOW)
+    health.record_failure(one, Signal.UNREACHABLE, NOW)
     for _ in range(6):
-        health.note_failure(one, Signal.UNREACHABLE, NOW)
-        pauses.append(one.retry_at - NOW)
+        health.record_failure(one, Signal.UNREACHABLE, NOW)
+        pauses.append(one.ejected_until - NOW)
     assert pauses == pytest.approx([0.3, 0.6, 1.2, 2.4, 4.0, 4.0])
-    health.note_end(one, api.Result.OK, True, NOW)
-    assert not health.is_ejected(one) and one.failures == 0
+    health.record_end(one, api.Result.OK, True, NOW)
+    assert not health.is_ejected(one) and one.consecutive_failures == 0
 
 
 def test_one_trial_at_a_time() -> None:
     one, other = server(), server("i-2")
-    health.note_silent(one, NOW)
+    health.eject_unresponsive(one, NOW)
     assert health.usable([one, other], NOW + 0.1) == [other]
     assert health.usable([one, other], NOW + 0.31) == [one, other]
     health.start_trial(one, NOW + 0.31)
     assert health.usable([one, other], NOW + 0.4) == [other]
-    health.note_end(one, api.Result.CANCELLED, False, NOW + 0.4)  # the trial's client left
+    health.record_end(one, api.Result.CANCELLED, False, NOW + 0.4)  # the trial's client left
     assert health.usable([one, other], NOW + 0.5) == [one, other]
 
 
-def test_a_trial_that_fails_doubles_the_pause() -> None:
+def test_a_failed_trial_doubles_the_ejection_time() -> None:
     one = server()
-    health.note_silent(one, NOW)
+    health.eject_unresponsive(one, NOW)
     health.start_trial(one, NOW + 0.3)
-    health.note_end(one, api.Result.RESET, False, NOW + 0.5)
-    assert one.retry_at == pytest.approx(NOW + 0.5 + 0.6)
+    health.record_end(one, api.Result.RESET, False, NOW + 0.5)
+    assert one.ejected_until == pytest.approx(NOW + 0.5 + 0.6)
 
 
-def test_half_of_a_service_stays_in_use_whatever_it_does() -> None:
+def test_half_of_a_service_stays_in_use() -> None:
     servers = [server(f"i-{number}") for number in range(5)]
     for number, one in enumerate(servers):
-        health.note_silent(one, NOW + number / 100)
+        health.eject_unresponsive(one, NOW + number / 100)
     found = health.usable(servers, NOW + 0.1)
     assert found == servers[:3]  # those whose trial is due first
 
 
-def test_a_full_server_is_not_a_failed_one() -> None:
+def test_a_server_at_capacity_is_not_a_failed_one() -> None:
     one = server()
     for _ in range(10):
-        health.note_end(one, api.Result.FULL, False, NOW)
-    assert not health.is_ejected(one) and one.full_until > NOW
+        health.record_end(one, api.Result.FULL, False, NOW)
+    assert not health.is_ejected(one) and one.saturated_until > NOW
 
 
 @pytest.mark.parametrize(
     ("result", "started"),
     [(api.Result.CANCELLED, False), (api.Result.MOOT, False), (api.Result.TIMEOUT, True)],
 )
-def test_ends_that_say_nothing_of_a_server(result: api.Result, started: bool) -> None:
+def test_outcomes_that_say_nothing_of_a_server(result: api.Result, started: bool) -> None:
     one = server()
     for _ in range(10):
-        health.note_end(one, result, started, NOW)
+        health.record_end(one, result, started, NOW)
     assert not health.is_ejected(one)
 
 
-def test_two_peers_are_believed_and_one_only_beside_silence_here() -> None:
+def test_two_peers_make_a_server_suspect_and_one_only_beside_a_local_timeout() -> None:
     one = server()
-    one.learn(2, PeerLoad(1, 0, NOW, suspect=True))
-    health.hear_suspicion(one, NOW)
+    one.update_peer_load(2, PeerLoad(1, 0, NOW, suspect=True))
+    health.apply_peer_suspicion(one, NOW)
     assert not health.is_ejected(one)
-    one.learn(3, PeerLoad(1, 0, NOW, suspect=True))
-    health.hear_suspicion(one, NOW)
+    one.update_peer_load(3, PeerLoad(1, 0, NOW, suspect=True))
+    health.apply_peer_suspicion(one, NOW)
     assert health.is_suspect(one)
     other = server()
-    other.sent(1, 100, 0.1, 1e4, NOW - 0.3)
-    other.learn(2, PeerLoad(1, 0, NOW, suspect=True))
-    health.hear_suspicion(other, NOW)
+    other.start_attempt(1, 100, 0.1, 1e4, NOW - 0.3)
+    other.update_peer_load(2, PeerLoad(1, 0, NOW, suspect=True))
+    health.apply_peer_suspicion(other, NOW)
     assert health.is_suspect(other)
 
 
-def test_peers_are_not_believed_of_a_server_that_has_just_answered() -> None:
+def test_suspicions_are_ignored_of_a_server_that_has_just_responded() -> None:
     one = server()
-    one.heard_at = NOW - 0.05
+    one.last_response_at = NOW - 0.05
     for peer in (2, 3, 4):
-        one.learn(peer, PeerLoad(1, 0, NOW, suspect=True))
-        health.hear_suspicion(one, NOW)
+        one.update_peer_load(peer, PeerLoad(1, 0, NOW, suspect=True))
+        health.apply_peer_suspicion(one, NOW)
     assert not health.is_ejected(one)
 
 
-def test_others_leave_the_trial_to_the_router_that_holds_the_server() -> None:
+def test_the_router_whose_slice_contains_the_server_sends_the_trial() -> None:
     mine, theirs = server(), server(mine=False)
     for one in (mine, theirs):
-        health.note_silent(one, NOW)
-    assert theirs.retry_at - NOW == pytest.approx(health.OTHERS_FACTOR * (mine.retry_at - NOW))
+        health.eject_unresponsive(one, NOW)
+    assert theirs.ejected_until - NOW == pytest.approx(health.OTHER_SLICE_FACTOR * (mine.ejected_until - NOW))
     for step in range(30):
-        theirs.learn(2, PeerLoad(0, 0, NOW + step, suspect=True))
-        health.hear_suspicion(theirs, NOW + step)
-    assert theirs.retry_at <= NOW + 13.0  # put off, not for ever
+        theirs.update_peer_load(2, PeerLoad(0, 0, NOW + step, suspect=True))
+        health.apply_peer_suspicion(theirs, NOW + step)
+    assert theirs.ejected_until <= NOW + 13.0  # put off, not for ever
 
 
-def test_a_server_that_answers_a_peer_is_not_silent() -> None:
+def test_a_server_that_responds_to_a_peer_is_not_unresponsive() -> None:
     one = server()
-    health.note_silent(one, NOW)
-    health.hear_alive(one, NOW - 0.1, NOW + 0.1)  # older than the silence
+    health.eject_unresponsive(one, NOW)
+    health.apply_peer_response(one, NOW - 0.1, NOW + 0.1)  # older than the silence
     assert health.is_ejected(one)
-    health.hear_alive(one, NOW + 0.2, NOW + 0.3)
+    health.apply_peer_response(one, NOW + 0.2, NOW + 0.3)
     assert not health.is_ejected(one)
-    assert one.heard_at == pytest.approx(NOW + 0.2 - health.PEER_LATENCY)
+    assert one.last_response_at == pytest.approx(NOW + 0.2 - health.PEER_LATENCY_S)
 
 
-def test_an_answer_to_a_peer_brings_back_a_server_of_another_slice_too() -> None:
+def test_a_response_to_a_peer_ends_the_ejection_in_another_slice_too() -> None:
     theirs = server(mine=False)
-    health.note_silent(theirs, NOW)
-    health.hear_alive(theirs, NOW + 0.35, NOW + 0.4)
+    health.eject_unresponsive(theirs, NOW)
+    health.apply_peer_response(theirs, NOW + 0.35, NOW + 0.4)
     assert not health.is_ejected(theirs)  # long before its own pause of 0.9 s is over
-    theirs.failures = health.WORDS_TO_DOUBT
-    health.note_silent(theirs, NOW + 0.5)
-    health.hear_alive(theirs, NOW + 0.85, NOW + 0.9)
-    assert health.is_ejected(theirs) and theirs.retry_at == NOW + 0.9  # its trial is due
+    theirs.consecutive_failures = health.MAX_FAILURES_EXCUSED_BY_PEERS
+    health.eject_unresponsive(theirs, NOW + 0.5)
+    health.apply_peer_response(theirs, NOW + 0.85, NOW + 0.9)
+    assert health.is_ejected(theirs) and theirs.ejected_until == NOW + 0.9  # its trial is due
 
 
-def test_an_answer_to_a_peer_does_not_excuse_failures() -> None:
+def test_a_response_to_a_peer_does_not_excuse_failures() -> None:
     one = server()
     for _ in range(Signal.UNREACHABLE.value):
-        health.note_failure(one, Signal.UNREACHABLE, NOW)
-    health.hear_alive(one, NOW + 0.2, NOW + 0.25)
-    assert health.is_ejected(one) and one.retry_at == pytest.approx(NOW + health.FIRST_PAUSE)
+        health.record_failure(one, Signal.UNREACHABLE, NOW)
+    health.apply_peer_response(one, NOW + 0.2, NOW + 0.25)
+    assert health.is_ejected(one) and one.ejected_until == pytest.approx(NOW + health.FIRST_EJECTION_S)
 
 
-def test_where_only_this_router_hears_nothing_a_trial_decides() -> None:
+def test_a_trial_decides_where_only_this_router_gets_no_response() -> None:
     one = server()
-    for step in range(health.WORDS_TO_DOUBT):
-        health.note_silent(one, NOW + step)
-        health.hear_alive(one, NOW + step + 0.4, NOW + step + 0.5)
-    health.note_silent(one, NOW + 9)
-    health.hear_alive(one, NOW + 9.4, NOW + 9.5)
-    assert health.is_ejected(one) and one.retry_at == NOW + 9.5  # its trial is due
+    for step in range(health.MAX_FAILURES_EXCUSED_BY_PEERS):
+        health.eject_unresponsive(one, NOW + step)
+        health.apply_peer_response(one, NOW + step + 0.4, NOW + step + 0.5)
+    health.eject_unresponsive(one, NOW + 9)
+    health.apply_peer_response(one, NOW + 9.4, NOW + 9.5)
+    assert health.is_ejected(one) and one.ejected_until == NOW + 9.5  # its trial is due
 
 
-def test_what_peers_say_is_not_passed_on_as_if_it_had_been_seen() -> None:
+def test_a_suspicion_of_peers_is_not_announced_as_a_local_one() -> None:
     one = server()
     for peer in (2, 3):
-        one.learn(peer, PeerLoad(1, 0, NOW, suspect=True))
-    health.hear_suspicion(one, NOW)
-    assert health.is_suspect(one) and not health.is_witnessed(one)
+        one.update_peer_load(peer, PeerLoad(1, 0, NOW, suspect=True))
+    health.apply_peer_suspicion(one, NOW)
+    assert health.is_suspect(one) and not health.is_suspected_locally(one)
     other = server("i-2")
-    other.sent(1, 100, 0.1, 1e4, NOW - 0.3)
-    other.learn(2, PeerLoad(1, 0, NOW, suspect=True))
-    health.hear_suspicion(other, NOW)
-    assert health.is_witnessed(other)
+    other.start_attempt(1, 100, 0.1, 1e4, NOW - 0.3)
+    other.update_peer_load(2, PeerLoad(1, 0, NOW, suspect=True))
+    health.apply_peer_suspicion(other, NOW)
+    assert health.is_suspected_locally(other)
 
 
-def test_a_server_is_told_to_answer_only_by_who_was_answered() -> None:
+def test_a_response_is_announced_only_by_the_router_that_got_it() -> None:
     one = server()
-    health.hear_alive(one, NOW - 0.1, NOW)
-    assert health.answer_age(one, NOW) is None
-    health.note_alive(one, NOW)
-    assert health.answer_age(one, NOW + 0.2) == pytest.approx(0.2)
-    assert health.answer_age(one, NOW + health.ANSWER_AGE + 0.01) is None
+    health.apply_peer_response(one, NOW - 0.1, NOW)
+    assert health.response_age(one, NOW) is None
+    health.record_response(one, NOW)
+    assert health.response_age(one, NOW + 0.2) == pytest.approx(0.2)
+    assert health.response_age(one, NOW + health.RESPONSE_AGE_ANNOUNCED_S + 0.01) is None
 
 
-def test_silent_streams_count_where_progress_is_hinted_and_others_answer() -> None:
+def test_stalled_streams_count_where_progress_is_reported_and_others_respond() -> None:
     one, other = server(), server("i-2")
-    one.sent(1, 10, 0.1, 1e4, NOW - 1.0)
-    one.started(1, 1e4, NOW - 0.9)
-    one.heard_at, other.heard_at = NOW - 0.4, NOW - 0.01
-    assert not health.streams_are_silent(one, [one, other], NOW)
-    one.hints = health.HINTS_TO_TRUST
-    assert health.streams_are_silent(one, [one, other], NOW)
-    other.heard_at = one.heard_at
-    assert not health.streams_are_silent(one, [one, other], NOW)
+    one.start_attempt(1, 10, 0.1, 1e4, NOW - 1.0)
+    one.end_prefill(1, 1e4, NOW - 0.9)
+    one.last_response_at, other.last_response_at = NOW - 0.4, NOW - 0.01
+    assert not health.streams_are_stalled(one, [one, other], NOW)
+    one.progress_events = health.MIN_PROGRESS_EVENTS
+    assert health.streams_are_stalled(one, [one, other], NOW)
+    other.last_response_at = one.last_response_at
+    assert not health.streams_are_stalled(one, [one, other], NOW)
--- a/tests/fleet/placement/test_lab.py
+++ b/tests/fleet/placement/test_lab.py
@@ -20,7 +20,7 @@
     return World(replace(DAYS[day], **changed), WAYS[way], seed).play()  # type: ignore[arg-type]
 
 
-def test_it_keeps_more_worth_than_simple_ways() -> None:
+def test_it_scores_more_than_simple_policies() -> None:
     ours = play("normal")
     for way in ("random", "least in flight", "hash of last part", "hash of shared part"):
         assert ours.ratio > play("normal", way).ratio + 0.02, way
@@ -33,12 +33,12 @@
     assert all(tally.served == tally.requests for tally in result.tallies.values())
 
 
-def test_few_shared_parts_are_read_again() -> None:
+def test_few_shared_blocks_are_prefilled_again() -> None:
     ours, random = play("quiet", seed=2), play("quiet", "random", seed=2)
     assert ours.log.again < 0.25 * random.log.again
 
 
-def test_a_dark_backend_costs_little() -> None:
+def test_an_unresponsive_backend_costs_little() -> None:
     result = World(DAYS["dark"], WAYS["firvane"], 1).play()
     reply = result.tallies["reply"]
     assert reply.late < 0.06 * reply.requests
@@ -54,7 +54,7 @@
     assert result.ratio > without.ratio - 0.03
 
 
-def test_repeats_stay_within_the_budget_on_a_crash() -> None:
+def test_retries_stay_within_the_budget_on_a_crash() -> None:
     result = World(DAYS["crash"], WAYS["firvane"], 2).play()
     assert result.repeats < 0.2 * sum(tally.requests for tally in result.tallies.values())
     assert result.ratio > 0.85
@@ -67,8 +67,8 @@
     firsts: list[float] = []
     ends: list[tuple[float, bool]] = []
 
-    def ask(parts: tuple[tuple[int, int], ...]) -> None:
-        run = Run(parts, 8, 1, lambda: firsts.append(env.now), lambda whole: ends.append((env.now, whole)))
+    def ask(cache: tuple[tuple[int, int], ...]) -> None:
+        run = Run(cache, 8, 1, lambda: firsts.append(env.now), lambda whole: ends.append((env.now, whole)))
         assert server.submit(run)
 
     ask(((1, 10_240), (2, 1)))
--- a/tests/fleet/placement/test_homes.py
+++ b/tests/fleet/placement/test_prompt_homes.py
@@ -7,36 +7,36 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.fleet.placement.homes import HomeOrder, make_prompt, rendezvous
+from firvane.fleet.placement.prompt_homes import HomeOrder, make_prompt, rank_servers
 
 CHAINS = st.lists(st.tuples(st.integers(0, 1 << 80), st.integers(0, 60_000)), max_size=8)
 
 
-def salts(count: int) -> list[tuple[int, str]]:
+def hashed_ids(count: int) -> list[tuple[int, str]]:
     return [(number * 2654435761 & 0xFFFFFFFF, f"i-{number}") for number in range(1, count + 1)]
 
 
-def test_requests_of_one_subject_share_a_home() -> None:
+def test_requests_of_one_shared_prefix_have_the_same_home() -> None:
     one = make_prompt(((7, 13_000), (1, 3_000)), 16_000, 0)
     other = make_prompt(((7, 13_000), (2, 200)), 13_200, 0)
     assert one.home_key == other.home_key
-    assert one.shared == 13_000 and one.total == 16_000
+    assert one.shared_tokens == 13_000 and one.total_tokens == 16_000
 
 
-def test_a_part_counts_only_together_with_those_before_it() -> None:
+def test_a_block_counts_only_together_with_its_prefix() -> None:
     one = make_prompt(((1, 500), (7, 13_000), (3, 10)), 0, 0)
     other = make_prompt(((2, 500), (7, 13_000), (3, 10)), 0, 0)
     assert one.home_key != other.home_key
 
 
-def test_where_little_is_shared_the_own_part_decides() -> None:
+def test_the_own_block_decides_where_little_is_shared() -> None:
     one = make_prompt(((7, 100), (1, 9_000)), 9_100, 0)
     other = make_prompt(((7, 100), (2, 9_000)), 9_100, 0)
     assert one.home_key != other.home_key
     assert make_prompt(((1, 9_000),), 9_000, 0).home_key == make_prompt(((1, 9_000),), 0, 5).home_key
 
 
-def test_where_all_is_short_the_shared_parts_decide() -> None:
+def test_the_shared_blocks_decide_where_all_is_short() -> None:
     one = make_prompt(((7, 60), (1, 700)), 760, 0)
     other = make_prompt(((7, 60), (2, 300)), 360, 0)
     assert one.home_key == other.home_key
@@ -44,22 +44,22 @@
 
 def test_without_a_chain_the_spare_key_decides() -> None:
     prompt = make_prompt((), 700, 42)
-    assert (prompt.home_key, prompt.total, prompt.shared) == (42, 700, 0)
+    assert (prompt.home_key, prompt.total_tokens, prompt.shared_tokens) == (42, 700, 0)
 
 
 @given(CHAINS, st.integers(0, 100_000))
 def test_any_chain_can_be_read(chain: list[tuple[int, int]], tokens: int) -> None:
     prompt = make_prompt(tuple(chain), tokens, 1)
-    assert 0 <= prompt.shared <= prompt.total
+    assert 0 <= prompt.shared_tokens <= prompt.total_tokens
     assert 0 <= prompt.home_key < 1 << 32
-    assert prompt.total >= tokens
+    assert prompt.total_tokens >= tokens
 
 
-def test_homes_are_even_and_move_least() -> None:
-    many, fewer = salts(20), salts(19)
+def test_homes_are_even_and_few_move() -> None:
+    many, fewer = hashed_ids(20), hashed_ids(19)
     keys = range(5000)
-    before = {key: rendezvous(key, many, 1)[0] for key in keys}
-    after = {key: rendezvous(key, fewer, 1)[0] for key in keys}
+    before = {key: rank_servers(key, many, 1)[0] for key in keys}
+    after = {key: rank_servers(key, fewer, 1)[0] for key in keys}
     counts = Counter(before.values())
     assert max(counts.values()) < 1.35 * 5000 / 20
     assert all(after[key] == before[key] for key in keys if before[key] != "i-20")
@@ -67,9 +67,9 @@
 
 def test_an_order_is_the_same_however_the_backends_are_listed() -> None:
     one, other = HomeOrder(5), HomeOrder(5)
-    one.assign(salts(9))
-    other.assign(list(reversed(salts(9))))
-    assert all(one.of(key) == other.of(key) for key in range(300))
-    assert len(set(one.of(3))) == 5
+    one.assign(hashed_ids(9))
+    other.assign(list(reversed(hashed_ids(9))))
+    assert all(one.ranked(key) == other.ranked(key) for key in range(300))
+    assert len(set(one.ranked(3))) == 5
     one.assign([])
-    assert one.of(3) == []
+    assert one.ranked(3) == []
--- a/tests/fleet/placement/test_repeats_over_lives.py
+++ b/tests/fleet/placement/test_retries_over_restarts.py
@@ -53,7 +53,7 @@
     """Routers that come and go, on a clock of events."""
 
     story: Story
-    dice: random.Random = field(init=False)
+    rng: random.Random = field(init=False)
     now: float = 0.0
     queue: list[tuple[float, int, object]] = field(default_factory=list)
     order: itertools.count[int] = field(default_factory=itertools.count)
@@ -65,7 +65,7 @@
     attempts: dict[int, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        self.dice = random.Random(self.story.seed)
+        self.rng = random.Random(self.story.seed)
 
     def play(self) -> None:
         for router in range(ROUTERS):
@@ -98,7 +98,7 @@
 
     def start(self, router: int) -> None:
         self.lives[router] += 1
-        seed = self.dice.getrandbits(32)
+        seed = self.rng.getrandbits(32)
         self.balancers[router] = PromptBalancer(settings(router + 1), seed, self.now, retry_slack=RULE.slack)
         balancer = self.balancers[router]
         assert balancer
@@ -114,11 +114,11 @@
 
     def ask(self) -> None:
         """A client sends a request to a router that is there."""
-        self.at(self.now + self.dice.expovariate(self.story.rate), ("ask", None))
+        self.at(self.now + self.rng.expovariate(self.story.rate), ("ask", None))
         there = [router for router in range(ROUTERS) if self.balancers[router]]
         self.requests.append(self.now)
         if there:
-            router = self.dice.choices(there, [SHARES[each] for each in there])[0]
+            router = self.rng.choices(there, [SHARES[each] for each in there])[0]
             number = len(self.requests)
             event = request(number, kind=RequestKind.IDEMPOTENT, max_attempts=3)
             self.give(router, event)
@@ -149,7 +149,7 @@
         attempt = self.attempts.get(action.id, 0)
         self.attempts[action.id] = attempt + 1
         fails = any(begin <= self.now < end for begin, end in self.story.failing)
-        failed = fails and self.dice.random() < self.story.share
+        failed = fails and self.rng.random() < self.story.share
         result = api.Result.ERROR if failed else api.Result.OK
         outcome = api.Outcome(action.id, attempt, action.server, result, ATTEMPT_TIME, not failed)
         self.later(router, ATTEMPT_TIME, outcome)
@@ -177,25 +177,25 @@
 
 def drawn(seed: int) -> Story:
     """Kills of any routers at any time, while backends fail."""
-    dice = random.Random(seed)
+    rng = random.Random(seed)
     kills = tuple(
-        Kill(dice.uniform(5, 30), tuple(dice.sample(ALL, dice.randint(1, ROUTERS))), dice.uniform(0.4, 3))
-        for _ in range(dice.randint(1, 8))
+        Kill(rng.uniform(5, 30), tuple(rng.sample(ALL, rng.randint(1, ROUTERS))), rng.uniform(0.4, 3))
+        for _ in range(rng.randint(1, 8))
     )
-    begins = dice.uniform(3, 20)
-    failing = ((begins, begins + dice.uniform(5, 20)),)
-    return Story(seed, kills, failing, dice.uniform(0.3, 1.0), dice.uniform(20.0, 120.0))
+    begins = rng.uniform(3, 20)
+    failing = ((begins, begins + rng.uniform(5, 20)),)
+    return Story(seed, kills, failing, rng.uniform(0.3, 1.0), rng.uniform(20.0, 120.0))
 
 
-def test_all_lives_of_all_routers_together_stay_within_the_rule() -> None:
+def test_all_processes_of_all_routers_together_stay_within_the_rule() -> None:
     broken = {name: over for name, story in STORIES.items() if (over := excess(story)) > 0.0}
     broken |= {str(seed): over for seed in range(100, 108) if (over := excess(drawn(seed))) > 0.0}
     assert broken == {}
 
 
-def test_routers_that_live_on_stay_within_the_rule() -> None:
+def test_routers_that_are_not_killed_stay_within_the_rule() -> None:
     assert excess(Story(6, (), ((12.0, 30.0),))) <= 0.0
 
 
-def test_routers_that_do_not_hear_each_other_share_the_slack_as_before() -> None:
+def test_partitioned_routers_divide_the_slack_as_before() -> None:
     assert excess(Story(7, (), ((14.0, 30.0),), cut=(8.0, 30.0))) <= 0.0
--- /dev/null
+++ b/tests/fleet/placement/test_retry_budget.py
@@ -0,0 +1,162 @@
+"""The retry budget against an oracle that counts every window of the rule."""
+
+from __future__ import annotations
+
+import random
+
+from firvane.fleet.placement.retry_budget import (
+    CAPACITY_RATIO,
+    ROUTER_COUNT_WINDOW_S,
+    RetryBudget,
+    RouterCount,
+)
+from firvane.simulation.soak.retry_rule import RetryRule
+
+RATIO, SLACK, WINDOW = 0.2, 50.0, 10.0
+RULE = RetryRule(RATIO, SLACK, WINDOW)
+
+
+def shared_by(routers: int, now: float = 0.0) -> RouterCount:
+    sharers = RouterCount()
+    sharers.record(routers, now)
+    return sharers
+
+
+def earn(retry_budget: RetryBudget, now: float, requests: int = 1000) -> None:
+    for _ in range(requests):
+        retry_budget.record_request(now)
+
+
+def spend_all(retry_budget: RetryBudget, now: float) -> int:
+    spent = 0
+    while retry_budget.allows(now):
+        retry_budget.spend()
+        spent += 1
+    return spent
+
+
+def test_all_routers_together_stay_within_the_rule() -> None:
+    for seed in range(6):
+        rng = random.Random(seed)
+        routers = [RetryBudget(RATIO, SLACK, shared_by(4)) for _ in range(4)]
+        now, requests, repeats = 1000.0, list[float](), list[float]()
+        while now < 1040.0:
+            now += rng.expovariate(30.0 if now < 1015 or now > 1025 else 4.0)
+            place = rng.choices(range(4), (5, 3, 2, 1))[0]
+            if rng.random() < 0.02:
+                routers[place] = RetryBudget(RATIO, SLACK, shared_by(4))  # it was killed
+            retry_budget = routers[place]
+            retry_budget.record_request(now)
+            requests.append(now)
+            for _ in range(3):
+                if retry_budget.allows(now):
+                    retry_budget.spend()
+                    repeats.append(now)
+        assert len(repeats) > 100
+        assert RULE.worst_excess(requests, repeats) <= 0.0
+
+
+def test_killing_all_routers_at_any_moment_allows_no_more_retries() -> None:
+    """Buckets are filled, emptied at once and begin anew, all of them, again and again."""
+    requests, repeats = list[float](), list[float]()
+    for step in range(400):
+        now = 100.0 + 0.1 * step
+        if step % 23 == 0:
+            routers = [RetryBudget(RATIO, SLACK, shared_by(5)) for _ in range(5)]
+        for retry_budget in routers:
+            retry_budget.record_request(now)
+            requests.append(now)
+        if step % 23 in (5, 22):
+            repeats += [now] * sum(spend_all(retry_budget, now) for retry_budget in routers)
+    assert len(repeats) > 200
+    assert RULE.worst_excess(requests, repeats) <= 0.0
+
+
+def test_a_new_process_starts_with_an_empty_bucket() -> None:
+    retry_budget = RetryBudget(RATIO, SLACK, shared_by(1))
+    assert not retry_budget.allows(5.0)
+    earn(retry_budget, 5.0, requests=10)
+    assert spend_all(retry_budget, 5.0) == 2
+
+
+def test_the_bucket_holds_the_router_s_quota_of_the_slack_and_no_more() -> None:
+    retry_budget = RetryBudget(RATIO, SLACK, shared_by(10))
+    earn(retry_budget, 5.0)
+    assert spend_all(retry_budget, 500.0) == 4
+
+
+def test_a_small_quota_of_the_slack_still_allows_retries() -> None:
+    retry_budget = RetryBudget(RATIO, SLACK, shared_by(400))
+    earn(retry_budget, 5.0, requests=5)
+    assert spend_all(retry_budget, 5.0) == 1
+
+
+def test_a_retry_that_reached_no_backend_is_refunded() -> None:
+    retry_budget = RetryBudget(RATIO, 2.5, shared_by(1))
+    earn(retry_budget, 100.0)
+    assert spend_all(retry_budget, 100.0) == 2
+    assert not retry_budget.allows(100.0)
+    retry_budget.refund(100.1)
+    assert retry_budget.allows(100.1)
+    retry_budget.spend()
+    assert not retry_budget.allows(109.9)
+    assert not retry_budget.allows(111.0)  # time alone gives nothing back
+    earn(retry_budget, 111.0, requests=5)
+    assert retry_budget.allows(111.0)
+
+
+def test_the_bucket_shrinks_at_once_when_more_routers_are_known() -> None:
+    sharers = shared_by(1)
+    retry_budget = RetryBudget(RATIO, SLACK, sharers)
+    earn(retry_budget, 5.0)
+    sharers.record(8, 5.0)
+    assert spend_all(retry_budget, 5.0) == CAPACITY_RATIO * SLACK / 8
+
+
+def test_routers_that_are_no_longer_known_count_for_as_long_as_a_partition_may_last() -> None:
+    sharers = shared_by(6, 100.0)
+    sharers.record(1, 110.0)
+    assert sharers.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
+    sharers.record(4, 120.0)
+    sharers.record(2, 130.0)
+    assert sharers.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
+    assert sharers.count(111.0 + ROUTER_COUNT_WINDOW_S) == 4
+    assert sharers.count(131.0 + ROUTER_COUNT_WINDOW_S) == 2
+    sharers.record(0, 140.0)
+    assert sharers.count(141.0 + ROUTER_COUNT_WINDOW_S) == 1
+
+
+def test_the_router_count_against_an_oracle() -> None:
+    for seed in range(30):
+        rng = random.Random(seed)
+        sharers, now = RouterCount(), 0.0
+        held = [(1, 0.0)]  # counts, and since when
+        for _ in range(60):
+            now += rng.expovariate(1 / 40.0)
+            sharers.record(count := rng.randint(1, 9), now)
+            held.append((count, now))
+            at = now + rng.random()
+            ends = [since for _, since in held[1:]] + [at]
+            lately = [
+                each for (each, _), end in zip(held, ends, strict=True) if end >= at - ROUTER_COUNT_WINDOW_S
+            ]
+            assert sharers.count(at) == max(lately)
+            now = at
+
+
+def test_clocks_that_stand_still_or_jump_do_no_harm() -> None:
+    retry_budget = RetryBudget(RATIO, SLACK, shared_by(1))
+    for now in (1e6, 1e6, 1e6 + 1e5, 1e6):
+        earn(retry_budget, now, requests=5)
+        assert retry_budget.allows(now)
+
+
+def test_metrics_count_requests_retries_and_denials() -> None:
+    retry_budget = RetryBudget(RATIO, 5.0, shared_by(1))
+    earn(retry_budget, 100.0, requests=12)
+    assert spend_all(retry_budget, 100.0) == 2
+    metrics = retry_budget.take_metrics(100.0)
+    assert (metrics.requests, metrics.retries, metrics.denied) == (12, 2, 1)
+    assert metrics.capacity == 4.0 and abs(metrics.tokens - 0.4) < 1e-9
+    again = retry_budget.take_metrics(100.0)
+    assert (again.requests, again.retries, again.denied) == (0, 0, 0)
--- a/tests/fleet/placement/test_rows.py
+++ b/tests/fleet/placement/test_rows.py
@@ -7,30 +7,30 @@
 from hypothesis import strategies as st
 
 from firvane.fleet.placement.rows import (
-    AGE_UNIT,
+    AGE_UNIT_S,
     FAILURE_UNIT,
-    LARGEST,
-    MOST_ENTRIES,
-    UNHEARD,
+    MAX_ENTRIES,
+    MAX_ROW_BYTES,
+    NO_RECENT_RESPONSE,
     VERSION,
-    Entry,
-    Read,
+    CachedBlock,
     Row,
     RowError,
     RowFlags,
     Section,
+    ServerEntry,
     decode_row,
     encode_row,
-    room_for_reads,
+    max_cached_blocks,
 )
 
 U32 = st.integers(0, 0xFFFFFFFF)
 RATE = st.floats(0, 1e8, width=32)
 SECTIONS = st.builds(Section, U32, RATE, RATE, RATE, RATE, RATE, RATE, st.integers(0, 0xFFFF))
-AGES = st.none() | st.integers(0, UNHEARD - 1).map(lambda units: units * AGE_UNIT)
+AGES = st.none() | st.integers(0, NO_RECENT_RESPONSE - 1).map(lambda units: units * AGE_UNIT_S)
 FAILURES = st.integers(0, 255).map(lambda units: units * FAILURE_UNIT)
-ENTRIES = st.builds(Entry, U32, st.integers(0, 0xFFFF), U32, st.booleans(), AGES, FAILURES)
-READS = st.builds(Read, U32, U32, st.integers(0, 0xFFFF).map(lambda units: units * 16))
+ENTRIES = st.builds(ServerEntry, U32, st.integers(0, 0xFFFF), U32, st.booleans(), AGES, FAILURES)
+READS = st.builds(CachedBlock, U32, U32, st.integers(0, 0xFFFF).map(lambda units: units * 16))
 ROWS = st.builds(
     Row,
     st.sampled_from([RowFlags.NONE, RowFlags.ASK, RowFlags.RISK, RowFlags.ASK | RowFlags.RISK]),
@@ -38,15 +38,15 @@
     st.integers(0, (1 << 64) - 1),
     U32,
     st.lists(SECTIONS, max_size=16).map(tuple),
-    st.lists(ENTRIES, max_size=MOST_ENTRIES).map(tuple),
+    st.lists(ENTRIES, max_size=MAX_ENTRIES).map(tuple),
     st.lists(READS, max_size=10).map(tuple),
 )
 
 
 @given(ROWS)
-def test_a_row_comes_back_as_it_was(row: Row) -> None:
+def test_a_row_is_decoded_as_it_was_encoded(row: Row) -> None:
     payload = encode_row(row)
-    assert len(payload) <= LARGEST
+    assert len(payload) <= MAX_ROW_BYTES
     assert decode_row(payload) == row
 
 
@@ -56,11 +56,11 @@
         row = decode_row(payload)
     except RowError:
         return
-    assert len(row.entries) <= MOST_ENTRIES or len(payload) <= LARGEST
+    assert len(row.entries) <= MAX_ENTRIES or len(payload) <= MAX_ROW_BYTES
 
 
 @given(ROWS, st.data())
-def test_a_cut_or_changed_row_raises_nothing_else(row: Row, data: st.DataObject) -> None:
+def test_a_truncated_or_changed_row_raises_nothing_else(row: Row, data: st.DataObject) -> None:
     payload = bytearray(encode_row(row))
     place = data.draw(st.integers(0, len(payload) - 1))
     payload[place] ^= data.draw(st.integers(1, 255))
@@ -71,7 +71,7 @@
             continue
 
 
-def test_rates_that_are_no_numbers_are_refused() -> None:
+def test_rates_that_are_no_numbers_are_rejected() -> None:
     row = Row(RowFlags.NONE, 0, 1, 0, (Section(1, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1),), (), ())
     payload = bytearray(encode_row(row))
     payload[-6:-2] = b"\xff\xff\xff\x7f"
@@ -82,26 +82,26 @@
 @pytest.mark.parametrize(
     ("heard", "read"), [(None, None), (0.0, 0.0), (0.034, 0.04), (2.54, 2.54), (2.55, None), (60.0, None)]
 )
-def test_ages_of_answers_are_never_told_younger(heard: float | None, read: float | None) -> None:
-    entry = Entry(7, 1, 10, True, heard, 0.0)
+def test_ages_of_responses_are_never_announced_younger(heard: float | None, read: float | None) -> None:
+    entry = ServerEntry(7, 1, 10, True, heard, 0.0)
     row = decode_row(encode_row(Row(RowFlags.NONE, 0, 1, 0, (), (entry,), ())))
-    told = row.entries[0].heard
+    told = row.entries[0].response_age
     assert told == (None if read is None else pytest.approx(read))
 
 
-def test_what_is_too_much_is_left_out() -> None:
-    entries = tuple(Entry(number, 1, 10, False, None, 0.0) for number in range(300))
-    reads = tuple(Read(number, number, 160) for number in range(300))
+def test_what_exceeds_the_bounds_is_left_out() -> None:
+    entries = tuple(ServerEntry(number, 1, 10, False, None, 0.0) for number in range(300))
+    reads = tuple(CachedBlock(number, number, 160) for number in range(300))
     payload = encode_row(Row(RowFlags.NONE, 0, 1, 0, (), entries, reads))
     row = decode_row(payload)
-    assert row.entries == entries[:MOST_ENTRIES]
-    assert row.reads == reads[: room_for_reads(0, 300)] and len(row.reads) > 30
-    assert len(payload) <= LARGEST
+    assert row.entries == entries[:MAX_ENTRIES]
+    assert row.cached_blocks == reads[: max_cached_blocks(0, 300)] and len(row.cached_blocks) > 30
+    assert len(payload) <= MAX_ROW_BYTES
 
 
 @pytest.mark.parametrize("suspect", [False, True])
 @pytest.mark.parametrize("failed_trial", [False, True])
-def test_flags_of_an_entry_come_back_alone_and_together(suspect: bool, failed_trial: bool) -> None:
-    entry = Entry(7, 1, 10, suspect, None, 0.5, failed_trial)
+def test_flags_of_an_entry_are_decoded_alone_and_together(suspect: bool, failed_trial: bool) -> None:
+    entry = ServerEntry(7, 1, 10, suspect, None, 0.5, failed_trial)
     row = decode_row(encode_row(Row(RowFlags.NONE, 0, 1, 0, (), (entry,), ())))
     assert row.entries == (entry,)
--- a/tests/fleet/placement/test_slices.py
+++ b/tests/fleet/placement/test_slices.py
@@ -2,13 +2,14 @@
 
 from __future__ import annotations
 
+from firvane.fleet.placement.prefix_cache import PrefixCacheView
 from firvane.fleet.placement.rows import Section
-from firvane.fleet.placement.server_view import KeptParts, Server
-from firvane.fleet.placement.slices import UNIT, Slices
+from firvane.fleet.placement.server_view import ServerView
+from firvane.fleet.placement.slices import WORK_UNIT_TOKENS, Slices
 
 
-def servers(count: int) -> list[Server]:
-    return [Server(f"i-{number:02}", "model", "a", 64, KeptParts(0, 10)) for number in range(count)]
+def servers(count: int) -> list[ServerView]:
+    return [ServerView(f"i-{number:02}", "model", "a", 64, PrefixCacheView(0, 10)) for number in range(count)]
 
 
 def section(mu: float = 64.0) -> tuple[Section, float]:
@@ -29,16 +30,20 @@
         assert all(slices.by_router[number] for number in range(routers))
         assert len(slices.owners) == count
     slices.assign([], [1, 2])
-    assert slices.owners == {} and slices.moved("i-00", 1, heavy=False) is None
+    assert slices.owners == {} and slices.moved_to("i-00", 1, is_long=False) is None
 
 
 def test_excess_moves_from_the_overloaded_slice_to_the_underloaded() -> None:
     slices = Slices()
     slices.assign(servers(3), [1, 2, 3])
-    step(slices, {"i-00": 60 * UNIT, "i-01": 30 * UNIT, "i-02": 6 * UNIT}, times=5)
+    step(
+        slices,
+        {"i-00": 60 * WORK_UNIT_TOKENS, "i-01": 30 * WORK_UNIT_TOKENS, "i-02": 6 * WORK_UNIT_TOKENS},
+        times=5,
+    )
     assert set(slices.moves) == {1}
     assert [taker for taker, _ in slices.moves[1]] == [3]
-    moved = [slices.moved("i-00", key, heavy=False) for key in range(2000)]
+    moved = [slices.moved_to("i-00", key, is_long=False) for key in range(2000)]
     assert {name for name in moved if name} == {"i-02"}
     share = slices.moves[1][0][1]
     assert abs(sum(name is not None for name in moved) / 2000 - share) < 0.05
@@ -47,36 +52,38 @@
 def test_targets_follow_the_capacities() -> None:
     slices = Slices()
     slices.assign(servers(2), [1, 2])
-    step(slices, {"i-00": 60 * UNIT, "i-01": 20 * UNIT}, times=5, mu={1: 96.0, 2: 32.0})
+    step(
+        slices, {"i-00": 60 * WORK_UNIT_TOKENS, "i-01": 20 * WORK_UNIT_TOKENS}, times=5, mu={1: 96.0, 2: 32.0}
+    )
     assert slices.moves == {}
 
 
 def test_all_routers_move_the_same_keys() -> None:
-    work = {"i-00": 60 * UNIT, "i-01": 30 * UNIT, "i-02": 6 * UNIT}
+    work = {"i-00": 60 * WORK_UNIT_TOKENS, "i-01": 30 * WORK_UNIT_TOKENS, "i-02": 6 * WORK_UNIT_TOKENS}
     both = [Slices(), Slices()]
     for slices in both:
         slices.assign(servers(3), [1, 2, 3])
         step(slices, work, times=4)
-    assert [both[0].moved("i-00", key, False) for key in range(500)] == [
-        both[1].moved("i-00", key, False) for key in range(500)
+    assert [both[0].moved_to("i-00", key, False) for key in range(500)] == [
+        both[1].moved_to("i-00", key, False) for key in range(500)
     ]
 
 
-def test_long_prompts_move_only_by_lasting_excess_and_shares_fade() -> None:
+def test_long_prompts_move_only_by_lasting_excess_and_shares_decay() -> None:
     slices = Slices()
     slices.assign(servers(2), [1, 2])
-    step(slices, {"i-00": 80 * UNIT, "i-01": 0.0})
-    assert slices.moves and not slices.slow_moves
-    step(slices, {"i-00": 80 * UNIT, "i-01": 0.0}, times=30)
-    assert slices.slow_moves
-    step(slices, {"i-00": 40 * UNIT, "i-01": 40 * UNIT}, times=40)
-    assert not slices.moves and not slices.slow_moves
+    step(slices, {"i-00": 80 * WORK_UNIT_TOKENS, "i-01": 0.0})
+    assert slices.moves and not slices.long_prompt_moves
+    step(slices, {"i-00": 80 * WORK_UNIT_TOKENS, "i-01": 0.0}, times=30)
+    assert slices.long_prompt_moves
+    step(slices, {"i-00": 40 * WORK_UNIT_TOKENS, "i-01": 40 * WORK_UNIT_TOKENS}, times=40)
+    assert not slices.moves and not slices.long_prompt_moves
 
 
-def test_a_taker_that_did_not_expect_it_gets_no_more() -> None:
+def test_nothing_moves_to_a_taker_that_did_not_expect_it() -> None:
     slices = Slices()
     slices.assign(servers(2), [1, 2])
-    step(slices, {"i-00": 80 * UNIT, "i-01": 0.0}, times=3)
+    step(slices, {"i-00": 80 * WORK_UNIT_TOKENS, "i-01": 0.0}, times=3)
     slices.drop_moves_to(2)
     assert slices.moves == {}
 
@@ -84,7 +91,11 @@
 def test_shares_of_routers_that_left_are_dropped() -> None:
     slices = Slices()
     slices.assign(servers(3), [1, 2, 3])
-    step(slices, {"i-00": 60 * UNIT, "i-01": 30 * UNIT, "i-02": 6 * UNIT}, times=5)
+    step(
+        slices,
+        {"i-00": 60 * WORK_UNIT_TOKENS, "i-01": 30 * WORK_UNIT_TOKENS, "i-02": 6 * WORK_UNIT_TOKENS},
+        times=5,
+    )
     slices.assign(servers(3), [1, 2])
     assert all(pair[1] != 3 for pair in slices.shares)
     assert slices.moves == {}
