--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -96,7 +96,7 @@
             api.Outcome: self._on_outcome,
             api.StreamStarted: self._on_started,
             api.ClientGone: self._on_client_gone,
-            api.Hastened: self._on_hastened,
+            api.DeadlineShortened: self._on_deadline_shortened,
             api.TimerFired: self._on_timer,
             api.PeerMessage: self._on_row,
             InstancesChanged: self._on_instances,
@@ -134,10 +134,10 @@
         queue_time = min(
             QUEUE_TIME_RATIO * request.latency_target,
             MAX_QUEUE_TIME_S,
-            request.left / QUEUE_TIME_DEADLINE_PART,
+            request.time_left / QUEUE_TIME_DEADLINE_PART,
         )
         service = self.services.draw(request.services)
-        pending = PendingRequest(request, prompt, service.name, now + request.left, now + queue_time)
+        pending = PendingRequest(request, prompt, service.name, now + request.time_left, now + queue_time)
         self.pending_requests[request.id] = pending
         service.retry_budget.record_request(now)
         if service.instances_known and not service.ready:
@@ -199,7 +199,7 @@
 
     def _reject(self, pending: PendingRequest, retry_after: float) -> None:
         self._close(pending)
-        self.actions.append(api.Refuse(pending.request.id, retry_after))
+        self.actions.append(api.Reject(pending.request.id, retry_after))
 
     def _close(self, pending: PendingRequest) -> None:
         """Forget a request that needs no answer any more, and cancel its open attempts."""
@@ -227,7 +227,7 @@
         attempt = self.attempts.get((event.id, event.attempt))
         if attempt is None:
             return
-        self.services[attempt.service].record_first_event(attempt, event.took, now)
+        self.services[attempt.service].record_first_event(attempt, event.duration, now)
         if pending := self.pending_requests.get(event.id):
             pending.response_started = True
             others = [number for number in pending.in_flight if number != event.attempt]
@@ -252,7 +252,7 @@
         if failed and outliers.record_failure(attempt.server, attempt.sent_at, now):
             self.announcement_due = True
         service.end_attempt(attempt, now)
-        if outcome.result.never_ran and outcome.result is not api.Result.FULL and attempt.is_retry:
+        if outcome.result.never_ran and outcome.result is not api.Result.OVERLOADED and attempt.is_retry:
             service.retry_budget.refund(now)
         if pending:
             self._end_attempt(pending, attempt, outcome, now)
@@ -265,7 +265,7 @@
         """Apply the end of an attempt to its request."""
         if outcome.result.never_ran:
             pending.may_have_run -= 1
-            pending.attempts_reached -= outcome.result is not api.Result.FULL
+            pending.attempts_reached -= outcome.result is not api.Result.OVERLOADED
         was_in_flight = pending.in_flight.pop(attempt.number, None) is not None
         if outcome.finished:
             self._close(pending)
@@ -276,9 +276,9 @@
         if pending := self.pending_requests.get(event.id):
             self._close(pending)
 
-    def _on_hastened(self, event: api.Hastened, now: float) -> None:
+    def _on_deadline_shortened(self, event: api.DeadlineShortened, now: float) -> None:
         if pending := self.pending_requests.get(event.id):
-            pending.deadline = min(pending.deadline, now + event.left)
+            pending.deadline = min(pending.deadline, now + event.time_left)
 
     # Timers
 
--- a/firvane/fleet/placement/exchange.py
+++ b/firvane/fleet/placement/exchange.py
@@ -42,14 +42,14 @@
         self.own_row_at = now
         self._unmatched_blocks: list[CachedBlock] = []
 
-    def announce(self, flags: RowFlags, queued: int, now: float, peer: int | None = None) -> api.Tell:
+    def announce(self, flags: RowFlags, queued: int, now: float, peer: int | None = None) -> api.SendToPeer:
         """Return the action that sends the own row to one peer, or to all where `peer` is None."""
         zone, services = self.peers.zones().get(self.own_number, 0), list(self.services.values())
         row = announcement.make_row(services, self.own_number, zone, queued, flags, now)
         self.own_row, self.own_row_at = row, now
         limit = max_cached_blocks(len(row.sections), len(row.entries))
         select = announcement.take_unannounced_blocks if peer is None else announcement.recent_blocks
-        return api.Tell(peer, encode_row(row._replace(cached_blocks=select(services, limit))))
+        return api.SendToPeer(peer, encode_row(row._replace(cached_blocks=select(services, limit))))
 
     def may_announce(self, now: float) -> bool:
         """Return whether a row out of turn is within the bound on received rows."""
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -44,7 +44,7 @@
 
 SIGNALS = {
     api.Result.CONNECT_FAILED: Signal.UNREACHABLE,
-    api.Result.NO_PLACE: Signal.FAULTY,
+    api.Result.CONNECTIONS_FULL: Signal.FAULTY,
     api.Result.RESET: Signal.BROKEN,
     api.Result.TIMEOUT: Signal.BROKEN,
     api.Result.ERROR: Signal.FAULTY,
@@ -85,7 +85,7 @@
         if not started:
             server.outcomes.record(True, now)
         record_response(server, now)
-    elif result is api.Result.FULL:
+    elif result is api.Result.OVERLOADED:
         record_rejection(server, now)
     elif result is api.Result.TIMEOUT and started:
         pass  # the client's deadline passed
--- a/tests/fleet/placement/test_attempt_timeouts.py
+++ b/tests/fleet/placement/test_attempt_timeouts.py
@@ -109,7 +109,7 @@
     send = unanswered_request(one)
     one.now += 0.05
     respond_elsewhere(one, send.server)
-    rows = [decode_row(tell.payload) for tell in only(fire_timer(one, send, after=0.4), api.Tell)]
+    rows = [decode_row(tell.payload) for tell in only(fire_timer(one, send, after=0.4), api.SendToPeer)]
     assert any(entry.suspect for row in rows for entry in row.entries)
 
 
--- a/tests/fleet/placement/test_health.py
+++ b/tests/fleet/placement/test_health.py
@@ -71,13 +71,13 @@
 def test_a_server_at_capacity_is_not_a_failed_one() -> None:
     one = server()
     for _ in range(10):
-        health.record_end(one, api.Result.FULL, False, NOW)
+        health.record_end(one, api.Result.OVERLOADED, False, NOW)
     assert not health.is_ejected(one) and one.saturated_until > NOW
 
 
 @pytest.mark.parametrize(
     ("result", "started"),
-    [(api.Result.CANCELLED, False), (api.Result.MOOT, False), (api.Result.TIMEOUT, True)],
+    [(api.Result.CANCELLED, False), (api.Result.NOT_SENT, False), (api.Result.TIMEOUT, True)],
 )
 def test_outcomes_that_say_nothing_of_a_server(result: api.Result, started: bool) -> None:
     one = server()
