--- a/firvane/fleet/router/__init__.py
+++ b/firvane/fleet/router/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane of the router fleet: clients' connections, upstream connections, and their wiring."""
+"""The router: client connections, admission, upstream connections, readiness and draining."""
--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -1,7 +1,7 @@
-"""Who may ask: the key of a request, the proof that it is still good, and the quota of its tenant.
+"""Admission of requests: the key, the proof that it is still valid, and the quota of its tenant.
 
-Where the configuration has no tenants everything is admitted as it comes. Else a request ends in one of:
-admitted, 401 for a key that nobody holds, 429 beyond its tenant's quota, or 503 where nobody can tell now.
+Where the configuration has no tenants, every request is admitted. Otherwise a request is admitted, or
+rejected with 401 for an unknown key, 429 beyond its tenant's quota, or 503 where nobody can tell now.
 """
 
 from __future__ import annotations
@@ -37,54 +37,80 @@
 )
 from firvane.fleet.tenancy.messages import encode as encode_record
 
-HOLD_PART = 0.2  # of the aim, that a request waits for a proof or a grant
-SHORTEST_HOLD, LONGEST_HOLD = 0.04, 0.25  # s
-ASK_PATIENCE = 0.03  # s that a grant may take before another controller is asked
-UNPROVEN_PAUSE = 0.4  # s after which a client that was refused without a proof may come again
-NO_GRANT_PAUSE = 0.3  # the same where nobody could grant
-MOST_WAITING = 1024  # requests that wait at once
+WAIT_RATIO = 0.2  # of the latency target, that a request waits for a proof or a grant
+MIN_WAIT_S = 0.04
+MAX_WAIT_S = 0.25
+GRANT_TIMEOUT_S = 0.03  # until another controller is asked
+UNPROVEN_RETRY_AFTER_S = 0.4
+NO_GRANT_RETRY_AFTER_S = 0.3
+MAX_PENDING = 1024  # requests that wait for a proof, and for a grant
+STATUS_BAD_REQUEST = 400
+STATUS_UNAUTHORIZED = 401
+STATUS_TOO_MANY_REQUESTS = 429
+STATUS_UNAVAILABLE = 503
 
 
-class Applicant(Protocol):
-    """Who waits for an admission; hears one of these, once."""
+class AdmissionClient(Protocol):
+    """Waits for the admission of a request; one of these is called, once."""
 
-    def admitted(self, admission: Admitted) -> None: ...
+    def admitted(self, admission: Admitted) -> None:
+        """The request goes on."""
 
-    def turned_away(self, status: int, retry_after: float) -> None:
-        """The request ends with this status; `retry_after` is 0 where it need not come again."""
+    def rejected(self, status: int, retry_after: float) -> None:
+        """The request ends with this status; `retry_after` is in seconds, 0 where a retry is useless."""
 
 
 class Admitted(Struct, frozen=True):
-    """A request that may go on: its tenant, None without a key, and what it was counted with."""
+    """The admission of a request.
 
-    is_private: bool = False  # the configuration has tenants: what tells of them is not passed on
+    Attributes:
+        is_private: Whether the configuration has tenants: then their headers are not forwarded.
+        tenant: The tenant; None without a key.
+        cost: Tokens of its quota that the request took.
+    """
+
+    is_private: bool = False
     tenant: Tenant | None = None
     cost: int = 0
 
 
-OPEN = Admitted()
-KEYLESS = Admitted(is_private=True)
+UNRESTRICTED = Admitted()
+ANONYMOUS = Admitted(is_private=True)
+
 
+class _PendingAdmission(Struct, eq=False):
+    """A request that waits for a proof or for a grant.
 
-class _Waiting(Struct, eq=False):
-    """A request that waits for a proof, or for a grant."""
+    Attributes:
+        until: Loop time at which it is rejected.
+        prefetch: Tokens asked for beyond its cost.
+        spent: Tokens reported as used without a grant.
+        asked_at: Loop time of the last ask.
+        nonce: Of the last ask.
+        attempts: Number of asks.
+        timer: Ends the wait, or repeats the ask.
+    """
 
-    applicant: Applicant
+    client: AdmissionClient
     message: Message
     route: Route
     until: float
     tenant: Tenant | None = None
     cost: int = 0
-    ahead: int = 0
+    prefetch: int = 0
     spent: int = 0
     asked_at: float = 0.0
     nonce: int = 0
-    asks: int = 0
+    attempts: int = 0
     timer: asyncio.TimerHandle | None = None
 
 
 class Admission:
-    """Admits the requests of one router. Its calls come from the loop's thread."""
+    """Admits the requests of one router. Not thread-safe: to be called from the loop's thread.
+
+    Attributes:
+        rejections: Requests rejected since the last `take_rejections`, by reason.
+    """
 
     def __init__(
         self,
@@ -97,187 +123,211 @@
         send: Callable[[Address, bytes], None],
         log: Log,
     ) -> None:
-        """`revoke`: seconds within which a removed key must be refused; 0 where nothing has to prove it."""
+        """Start without a configuration.
+
+        Args:
+            loop: The event loop.
+            own: This router's internal address.
+            zone: Its zone; controllers of this zone are asked first.
+            revoke: Seconds within which a removed key must be rejected; 0 where that needs no proof.
+            rng: Source of nonces and choices.
+            members: Returns the live members of a role.
+            send: Sends a record to a member.
+            log: The log.
+        """
         self._loop, self._own, self._zone = loop, own, zone
         self._rng, self._members, self._send, self._log = rng, members, send, log
         self._freshness = Freshness(rng, revoke)
         self._allowances = Allowances()
         self._keys: KeyRing | None = None
-        self._unproven: dict[_Waiting, None] = {}
-        self._asking: dict[int, _Waiting] = {}
-        self._owners: dict[int, Address] = {}  # of parts, as they were told
+        self._unproven: dict[_PendingAdmission, None] = {}
+        self._asking: dict[int, _PendingAdmission] = {}  # by nonce
+        self._owners: dict[int, Address] = {}  # last known, by part
         self._nonce = rng.randrange(NONCES)
-        self.counts = {"unknown_key": 0, "unproven": 0, "over_quota": 0, "no_grant": 0}
+        self.rejections = {"unknown_key": 0, "unproven": 0, "over_quota": 0, "no_grant": 0}
 
     def configure(self, configuration: Configuration) -> None:
-        """This configuration is in force."""
+        """Apply a configuration."""
         tenants = configuration.tenants
         self._keys = None if tenants is None else KeyRing(tenants)
         self._freshness.configured(configuration.version)
         self.tick()
 
-    def is_able(self) -> bool:
-        """Whether a request with a good key would be admitted as far as proofs are concerned."""
+    def is_ready(self) -> bool:
+        """Return whether a request with a valid key needs no wait for a proof."""
         return self._keys is None or self._freshness.is_fresh(self._loop.time())
 
-    def take_counts(self) -> dict[str, int]:
-        """Requests turned away since the last call, by their reason."""
-        taken, self.counts = self.counts, dict.fromkeys(self.counts, 0)
+    def take_rejections(self) -> dict[str, int]:
+        """Return the requests rejected since the last call, by reason."""
+        taken, self.rejections = self.rejections, dict.fromkeys(self.rejections, 0)
         return taken
 
     # Requests
 
-    def admit(self, applicant: Applicant, message: Message, route: Route) -> None:
-        """Decide about a request now, or once a proof or a grant has come."""
+    def admit(self, client: AdmissionClient, message: Message, route: Route) -> None:
+        """Decide about a request, now or once a proof or a grant has come."""
         if self._keys is None:
-            applicant.admitted(OPEN)
+            client.admitted(UNRESTRICTED)
             return
         if AUTHORIZATION in message.repeated:
-            applicant.turned_away(400, 0.0)
+            client.rejected(STATUS_BAD_REQUEST, 0.0)
             return
         now = self._loop.time()
-        hold = min(LONGEST_HOLD, max(SHORTEST_HOLD, HOLD_PART * route.target_latency_ms / 1000))
-        self._identify(_Waiting(applicant, message, route, now + hold), self._keys, now)
+        wait = min(MAX_WAIT_S, max(MIN_WAIT_S, WAIT_RATIO * route.target_latency_ms / 1000))
+        self._identify(_PendingAdmission(client, message, route, now + wait), self._keys, now)
 
-    def _identify(self, waiting: _Waiting, keys: KeyRing, now: float) -> None:
-        key = bearer_key(waiting.message.fields)
-        if waiting.route.anonymous and key is None:
-            waiting.applicant.admitted(KEYLESS)
+    def _identify(self, pending: _PendingAdmission, keys: KeyRing, now: float) -> None:
+        key = bearer_key(pending.message.fields)
+        if pending.route.anonymous and key is None:
+            pending.client.admitted(ANONYMOUS)
             return
         if not self._freshness.is_fresh(now):
-            self._wait_for_proof(waiting, now)
+            self._wait_for_proof(pending, now)
             return
         tenant = keys.holder(key) if key is not None else None
         if tenant is not None:
-            self._count(waiting, tenant, now)
-        elif waiting.route.anonymous:
-            waiting.applicant.admitted(KEYLESS)
+            self._charge(pending, tenant, now)
+        elif pending.route.anonymous:
+            pending.client.admitted(ANONYMOUS)
         else:
-            self.counts["unknown_key"] += 1
-            waiting.applicant.turned_away(401, 0.0)
+            self.rejections["unknown_key"] += 1
+            pending.client.rejected(STATUS_UNAUTHORIZED, 0.0)
 
-    def _wait_for_proof(self, waiting: _Waiting, now: float) -> None:
-        if now >= waiting.until or len(self._unproven) >= MOST_WAITING:
-            self.counts["unproven"] += 1
-            waiting.applicant.turned_away(503, UNPROVEN_PAUSE)
+    def _wait_for_proof(self, pending: _PendingAdmission, now: float) -> None:
+        if now >= pending.until or len(self._unproven) >= MAX_PENDING:
+            self._reject_unproven(pending)
             return
-        self._unproven[waiting] = None
-        waiting.timer = self._loop.call_at(waiting.until, self._expire_unproven, waiting)
+        self._unproven[pending] = None
+        pending.timer = self._loop.call_at(pending.until, self._expire_unproven, pending)
 
-    def _expire_unproven(self, waiting: _Waiting) -> None:
-        if waiting in self._unproven:
-            del self._unproven[waiting]
-            self.counts["unproven"] += 1
-            waiting.applicant.turned_away(503, UNPROVEN_PAUSE)
+    def _expire_unproven(self, pending: _PendingAdmission) -> None:
+        if pending in self._unproven:
+            del self._unproven[pending]
+            self._reject_unproven(pending)
+
+    def _reject_unproven(self, pending: _PendingAdmission) -> None:
+        self.rejections["unproven"] += 1
+        pending.client.rejected(STATUS_UNAVAILABLE, UNPROVEN_RETRY_AFTER_S)
 
     def _identify_unproven(self, now: float) -> None:
+        """Go on with the requests that waited for a proof, where there is one now."""
         keys = self._keys
         if not self._unproven or keys is None or not self._freshness.is_fresh(now):
             return
         unproven, self._unproven = list(self._unproven), {}
-        for waiting in unproven:
-            if waiting.timer:
-                waiting.timer.cancel()
-            self._identify(waiting, keys, now)
+        for pending in unproven:
+            if pending.timer:
+                pending.timer.cancel()
+            self._identify(pending, keys, now)
 
     # Quota
 
-    def _count(self, waiting: _Waiting, tenant: Tenant, now: float) -> None:
-        waiting.tenant = tenant
-        waiting.cost = request_cost(tenant, prompt_tokens(waiting.message))
+    def _charge(self, pending: _PendingAdmission, tenant: Tenant, now: float) -> None:
+        """Take a request's cost from the tenant's quota, and ask the owner where none is left here."""
+        pending.tenant = tenant
+        pending.cost = request_cost(tenant, prompt_tokens(pending.message))
         if tenant.rate <= 0:
-            waiting.applicant.admitted(Admitted(True, tenant))
-        elif self._allowances.take(tenant.name, waiting.cost, now):
-            waiting.applicant.admitted(Admitted(True, tenant, waiting.cost))
-        elif len(self._asking) >= MOST_WAITING:
-            self._not_granted(waiting)
+            pending.client.admitted(Admitted(True, tenant))
+        elif self._allowances.take(tenant.name, pending.cost, now):
+            pending.client.admitted(Admitted(True, tenant, pending.cost))
+        elif len(self._asking) >= MAX_PENDING:
+            self._reject_ungranted(pending)
         else:
-            waiting.ahead = self._allowances.ahead(tenant.name, waiting.cost)
-            self._ask(waiting, tenant, now)
+            pending.prefetch = self._allowances.ahead(tenant.name, pending.cost)
+            self._ask(pending, tenant, now)
 
-    def _ask(self, waiting: _Waiting, tenant: Tenant, now: float, whom: Address | None = None) -> None:
+    def _ask(
+        self, pending: _PendingAdmission, tenant: Tenant, now: float, owner: Address | None = None
+    ) -> None:
+        """Ask for a grant; `owner` is whom to ask, where that is known better than here."""
         part = part_of(tenant.name)
-        target = whom or self._owners.get(part) or self._any_controller(waiting.asks)
-        if target is None or now >= waiting.until:
-            self._not_granted(waiting)
+        target = owner or self._owners.get(part) or self._any_controller(pending.attempts)
+        if target is None or now >= pending.until:
+            self._reject_ungranted(pending)
             return
         self._nonce = (self._nonce + 1) % NONCES
-        waiting.nonce, waiting.asked_at = self._nonce, now
-        waiting.asks += 1
-        waiting.spent = self._allowances.spent(tenant.name)
-        self._asking[waiting.nonce] = waiting
-        ask = Ask(waiting.nonce, tenant_id(tenant.name), part, waiting.cost, waiting.ahead, waiting.spent)
+        pending.nonce, pending.asked_at = self._nonce, now
+        pending.attempts += 1
+        pending.spent = self._allowances.spent(tenant.name)
+        ask = Ask(pending.nonce, tenant_id(tenant.name), part, pending.cost, pending.prefetch, pending.spent)
+        self._await_grant(pending, tenant, part, now)
         self._send(target, encode_record(ask))
-        waiting.timer = self._loop.call_at(
-            min(waiting.until, now + ASK_PATIENCE), self._ask_again, waiting, tenant, part
-        )
 
-    def _ask_again(self, waiting: _Waiting, tenant: Tenant, part: int) -> None:
-        """No answer has come in time: the owner may be another one by now."""
-        if self._asking.pop(waiting.nonce, None) is not waiting:
+    def _await_grant(self, pending: _PendingAdmission, tenant: Tenant, part: int, now: float) -> None:
+        self._asking[pending.nonce] = pending
+        due = min(pending.until, now + GRANT_TIMEOUT_S)
+        pending.timer = self._loop.call_at(due, self._ask_again, pending, tenant, part)
+
+    def _ask_again(self, pending: _PendingAdmission, tenant: Tenant, part: int) -> None:
+        """Ask anybody after a time-out, since the owner may be another one by now."""
+        if self._asking.pop(pending.nonce, None) is not pending:
             return
         self._owners.pop(part, None)
-        self._ask(waiting, tenant, self._loop.time())
+        self._ask(pending, tenant, self._loop.time())
 
-    def _not_granted(self, waiting: _Waiting) -> None:
-        self.counts["no_grant"] += 1
-        waiting.applicant.turned_away(503, NO_GRANT_PAUSE)
+    def _reject_ungranted(self, pending: _PendingAdmission) -> None:
+        self.rejections["no_grant"] += 1
+        pending.client.rejected(STATUS_UNAVAILABLE, NO_GRANT_RETRY_AFTER_S)
 
-    def _granted(self, sender: Address, grant: Grant, now: float) -> None:
-        waiting = self._asking.pop(grant.nonce, None)
-        if waiting is None or waiting.tenant is None:
+    def _on_grant(self, sender: Address, grant: Grant, now: float) -> None:
+        pending = self._asking.pop(grant.nonce, None)
+        if pending is None or pending.tenant is None:
             return
-        if waiting.timer:
-            waiting.timer.cancel()
-        tenant, part = waiting.tenant, part_of(waiting.tenant.name)
+        if pending.timer:
+            pending.timer.cancel()
+        tenant, part = pending.tenant, part_of(pending.tenant.name)
         if grant.status is Status.ELSEWHERE:
-            self._owners.pop(part, None)
-            if grant.other is not None:
-                self._owners[part] = grant.other
-            self._ask_elsewhere(waiting, tenant, grant.other, sender, now)
+            self._on_not_owner(pending, tenant, grant.other, sender, now)
             return
         self._owners[part] = sender
-        if now >= waiting.until:  # this process stood still meanwhile: the tokens are those of another moment
-            self._not_granted(waiting)
+        if now >= pending.until:  # the process was suspended: the tokens are those of another moment
+            self._reject_ungranted(pending)
             return
-        ahead = max(0, grant.tokens - waiting.cost)
-        self._allowances.granted(tenant.name, ahead, waiting.spent, waiting.asked_at)
+        prefetched = max(0, grant.tokens - pending.cost)
+        self._allowances.granted(tenant.name, prefetched, pending.spent, pending.asked_at)
         if grant.status is Status.DENIED:
-            self.counts["over_quota"] += 1
-            waiting.applicant.turned_away(429, grant.pause)
+            self.rejections["over_quota"] += 1
+            pending.client.rejected(STATUS_TOO_MANY_REQUESTS, grant.pause)
         else:
-            cost = waiting.cost if grant.status is Status.GRANTED else 0
-            waiting.applicant.admitted(Admitted(True, tenant, cost))
+            cost = pending.cost if grant.status is Status.GRANTED else 0
+            pending.client.admitted(Admitted(True, tenant, cost))
 
-    def _ask_elsewhere(
-        self, waiting: _Waiting, tenant: Tenant, other: Address | None, sender: Address, now: float
+    def _on_not_owner(
+        self,
+        pending: _PendingAdmission,
+        tenant: Tenant,
+        owner: Address | None,
+        sender: Address,
+        now: float,
     ) -> None:
-        if other is not None and other != sender:
-            self._ask(waiting, tenant, now, other)
+        """Ask the owner that the sender names; wait where it names none but itself."""
+        part = part_of(tenant.name)
+        self._owners.pop(part, None)
+        if owner is not None:
+            self._owners[part] = owner
+        if owner is not None and owner != sender:
+            self._ask(pending, tenant, now, owner)
         else:  # nobody owns the part at this moment
-            part = part_of(tenant.name)
-            self._asking[waiting.nonce] = waiting
-            due = min(waiting.until, now + ASK_PATIENCE)
-            waiting.timer = self._loop.call_at(due, self._ask_again, waiting, tenant, part)
+            self._await_grant(pending, tenant, part, now)
 
-    def give_back(self, admission: Admitted) -> None:
-        """An admitted request was refused, and never ran."""
+    def refund(self, admission: Admitted) -> None:
+        """Give back the cost of an admitted request that never ran."""
         if admission.tenant is not None and admission.cost:
             self._allowances.give_back(admission.tenant.name, admission.cost, self._loop.time())
 
-    def runs_again(self, admission: Admitted) -> None:
-        """An admitted request is sent to a backend once more, after it may have run."""
+    def charge_retry(self, admission: Admitted) -> None:
+        """Charge an admitted request once more: it is sent to another backend after it may have run."""
         if admission.tenant is not None and admission.cost:
             self._allowances.spend(admission.tenant.name, admission.cost)
 
     # Other processes
 
     def receive(self, sender: Address, payload: bytes) -> None:
-        """A record of a controller or of another router; what cannot be read is dropped."""
+        """Act on a record of a controller or of another router; what is illegible is dropped."""
         try:
             record: Record = decode(payload)
         except TenancyError as error:
-            self._log.warning("tenancy: record dropped.", reason=str(error))
+            self._log.warning("tenancy_record_dropped", reason=str(error))
             return
         now = self._loop.time()
         match record:
@@ -289,12 +339,12 @@
                 else:
                     self.tick()
             case Grant():
-                self._granted(sender, record, now)
+                self._on_grant(sender, record, now)
             case Ask():
                 pass  # only controllers grant
 
     def tick(self) -> None:
-        """Ask the question that is due. To be called some twenty times a second."""
+        """Ask for the proof that is due. To be called some twenty times a second."""
         now = self._loop.time()
         if self._keys is None:
             return
@@ -306,11 +356,11 @@
             self._send(due[0], encode_record(due[1]))
 
     def forget_idle(self) -> None:
-        """Drop what is kept of tenants that have not asked lately."""
+        """Drop the allowances of tenants that have sent nothing lately."""
         self._allowances.forget_idle(self._loop.time())
 
     def _controllers(self) -> list[Address]:
-        """Controllers, those of the own zone first, each router beginning with another one."""
+        """Return the controllers, those of the own zone first; each router starts with another one."""
         members = self._members(Role.CONTROLLER)
         turn = crc32(self._own[0].encode())
         near = sorted(member.address for member in members if member.zone == self._zone)
--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -1,4 +1,4 @@
-"""The backends of all services as dissemination brings them, handed to the connections and the decisions."""
+"""The backends of all services, as dissemination brings them to the upstream connections and placement."""
 
 from __future__ import annotations
 
@@ -13,32 +13,33 @@
 
 
 class Backends:
-    """Which backends there are, as far as this router knows."""
+    """The backends that this router knows."""
 
     def __init__(self, upstreams: Upstreams, engine: Engine[ProxiedRequest, Message]) -> None:
         self.upstreams, self.engine = upstreams, engine
         self.table = InstanceTable()
         self.services: set[str] = set()
 
-    def learn(self, service: str, instances: Sequence[Instance]) -> None:
-        """Take in what is now known of a service's backends."""
+    def update(self, service: str, instances: Sequence[Instance]) -> None:
+        """Replace the list of a service's backends."""
         changed = self.table.replace(service, instances, self.engine.now())
         if not changed and service in self.services:
             return
         self.services.add(service)
-        self._hand_on()
+        self._update_upstreams()
         self.engine.give(InstancesChanged(service, self.table.of(service)))
 
     def any_ready(self) -> bool:
+        """Return whether any service has a ready backend."""
         return any(
             instance.state is InstanceState.READY
             for service in self.services
             for instance in self.table.of(service)
         )
 
-    def _hand_on(self) -> None:
+    def _update_upstreams(self) -> None:
         known = [instance for service in self.services for instance in self.table.of(service)]
         ready = {one.id: one.address for one in known if one.state is InstanceState.READY}
-        leaving = {one.id: one.address for one in known if one.state is InstanceState.DRAINING}
-        self.upstreams.set_backends(ready, leaving)
+        draining = {one.id: one.address for one in known if one.state is InstanceState.DRAINING}
+        self.upstreams.set_backends(ready, draining)
         self.engine.know(set(ready))
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -1,11 +1,12 @@
-"""The clients' side: requests in, one answer each out.
+"""One client's connection: requests in, one response each out.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A connection answers its requests in their order, one at a time; what comes behind one waits unread.
-2. Who closes its connection has gone away, and nothing of its request goes on any more.
-3. Once the head of an answer is out, a failure ends the connection short of the answer's end, so that no cut
-   answer passes for a whole one.
+1. A connection gets its responses in the order of its requests, one at a time; what follows a request waits
+   unread.
+2. A client that closes its connection has gone away: nothing of its request goes on.
+3. Once the head of a response is out, a failure ends the connection short of the response's end, so that no
+   truncated response passes for a complete one.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
     framed,
 )
 from firvane.fleet.configuration.routes import Route, RouteTable
-from firvane.fleet.router.admission import OPEN, Admitted
-from firvane.fleet.router.client_side import ClientSide
-from firvane.fleet.router.drain import LATE_PAUSE
+from firvane.fleet.router.admission import UNRESTRICTED, Admitted
+from firvane.fleet.router.client_context import ClientContext
+from firvane.fleet.router.drain import LATE_RETRY_AFTER_S
 from firvane.fleet.router.requests import (
     REQUEST_ID,
     ProxiedRequest,
@@ -41,215 +42,249 @@
     client_deadline_ms,
 )
 
-READ_AHEAD = 256 * 1024  # bytes kept of what comes behind a request
-NO_CONFIGURATION_HOLD = 0.4  # s that a request waits for the first configuration of a new router
-NO_CONFIGURATION_RETRY = 1.0  # s asked for after that: a client comes again but a few times
+READ_AHEAD_BYTES = 256 * 1024  # of what follows a request
+CONFIGURATION_WAIT_S = 0.4  # of a request, for the first configuration of a new router
+NO_CONFIGURATION_RETRY_AFTER_S = 1.0  # longer, since a client retries only a few times
+STATUS_BAD_REQUEST = 400
+STATUS_NOT_FOUND = 404
+STATUS_REQUEST_TIMEOUT = 408
+STATUS_BAD_GATEWAY = 502
+STATUS_UNAVAILABLE = 503
 
 
 class ClientConnection(Buffered):
-    """One client's connection."""
-
-    def __init__(self, front: ClientSide) -> None:
-        self.front = front
-        self.reader = Reader(httptools.HttpRequestParser, front.max_body, front.max_body)
-        self.pending = b""  # bytes that came, of which those from `position` on are not read yet
+    """One client's connection.
+
+    Attributes:
+        buffered: Bytes that came, of which those from `position` on are not parsed yet.
+        flow: The engine's flow of the request that is being answered.
+        unrouted: A complete request that waits for the first configuration.
+        admission_request: A complete request that waits for its admission.
+        admission: The admission of the request that is being answered.
+        keep_alive: Whether the connection stays open after this response.
+        head_sent: Whether the head of the response is out.
+        chunked: Whether the response is sent in chunks.
+        close_delimited: Whether the end of the response is that of the connection.
+        body_source: The stream that the response's body comes from.
+        reading_paused: Whether the transport's reading is paused.
+        writing_paused: Whether the client does not keep up.
+        closing: Whether the connection is being closed.
+        requests_received: Complete requests.
+        received_at: Loop time at which the newest request was complete.
+        connected_at: Loop time at which the connection was accepted.
+        state_since: Loop time at which it was accepted, became idle, or began to send a request.
+        receiving: Whether a part of a request has come.
+        is_parsing: Whether requests are being parsed further up the stack.
+    """
+
+    def __init__(self, context: ClientContext) -> None:
+        self.context = context
+        self.reader = Reader(httptools.HttpRequestParser, context.max_body, context.max_body)
+        self.buffered = b""
         self.position = 0
         self.flow: Flow[ProxiedRequest, Message] | None = None
-        self.unrouted: Message | None = None  # a whole request that waits for the first configuration
-        self.applicant: _Applicant | None = None  # one that waits to be admitted
-        self.admission = OPEN  # of the request that is under way
-        self.keep = True  # the connection lives on after this answer
+        self.unrouted: Message | None = None
+        self.admission_request: _AdmissionRequest | None = None
+        self.admission = UNRESTRICTED
+        self.keep_alive = True
         self.head_sent = False
         self.chunked = False
-        self.bare = False  # the answer's end is the connection's
-        self.source: Stream | None = None  # what the answer's body comes from
-        self.paused = False
-        self.choked = False
+        self.close_delimited = False
+        self.body_source: Stream | None = None
+        self.reading_paused = False
+        self.writing_paused = False
         self.closing = False
-        self.asked = 0
-        self.taken_at = 0.0  # when the newest request was here whole
-        self.made_at = front.loop.time()
-        self.since = self.made_at  # when it was made, fell idle, or began to send a request
-        self.reading = False  # part of a request is here
-        self.busy = False
-        self.continued: Message | None = None
+        self.requests_received = 0
+        self.received_at = 0.0
+        self.connected_at = context.loop.time()
+        self.state_since = self.connected_at
+        self.receiving = False
+        self.is_parsing = False
         self.transport: asyncio.Transport
 
     # Life of the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        self.front.connections[self] = None
+        self.context.connections[self] = None
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.front.connections.pop(self, None)
+        """Abandon the request that is being answered (asyncio)."""
+        self.context.connections.pop(self, None)
         self.closing = True
-        self.pending = b""
+        self.buffered = b""
         self.reader.drop()
-        self.source = self.unrouted = self.applicant = None
+        self.body_source = self.unrouted = self.admission_request = None
         flow, self.flow = self.flow, None
         if flow:
-            self.front.engine.leave(flow)
+            self.context.engine.leave(flow)
 
     def is_idle(self) -> bool:
-        return not (self._is_asking() or self.pending or self.reading or self.closing)
+        """Return whether no request is here, complete or partial."""
+        return not (self._has_open_request() or self.buffered or self.receiving or self.closing)
 
-    def _is_asking(self) -> bool:
-        """Whether a whole request is here that has no answer yet."""
-        return bool(self.flow or self.unrouted or self.applicant)
+    def _has_open_request(self) -> bool:
+        """Return whether a complete request is here that has no response yet."""
+        return bool(self.flow or self.unrouted or self.admission_request)
 
     def close(self) -> None:
+        """Close the connection once what was written is out."""
         self.closing = True
         self.transport.close()
 
     def expire(self, now: float) -> None:
-        """Close a connection that has stood idle, or has kept a request half sent, for too long."""
-        if self.closing or self._is_asking():
+        """Close a connection that has been idle, or has sent a request only in part, for too long."""
+        if self.closing or self._has_open_request():
             return
-        if self.reading and now > self.since + self.front.header_timeout:
-            self.keep = False
-            self._finish(408)
-        elif not self.reading and now > self.since + self.front.idle_timeout:
+        if self.receiving and now > self.state_since + self.context.request_timeout:
+            self.keep_alive = False
+            self._send_status(STATUS_REQUEST_TIMEOUT)
+        elif not self.receiving and now > self.state_since + self.context.idle_timeout:
             self.close()
 
-    # Reading
+    # Requests
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come, unless a request is being answered (asyncio)."""
         if self.closing:
             return
-        self.pending = self.pending + data if self.pending else data
-        self._advance()
-        if len(self.pending) > READ_AHEAD and not self.paused and not self.closing:
-            self.paused = True
+        self.buffered = self.buffered + data if self.buffered else data
+        self._parse_requests()
+        if len(self.buffered) > READ_AHEAD_BYTES and not self.reading_paused and not self.closing:
+            self.reading_paused = True
             self.transport.pause_reading()
 
-    def _advance(self) -> None:
-        if self.busy:
+    def _parse_requests(self) -> None:
+        if self.is_parsing:
             return
-        self.busy = True
-        while self._has_more() and not (self._is_asking() or self.closing or self.choked):
+        self.is_parsing = True
+        while self._has_unparsed() and not (self._has_open_request() or self.closing or self.writing_paused):
             try:
-                self.position = self.reader.step(self.pending, self.position)
+                self.position = self.reader.step(self.buffered, self.position)
             except Fault as fault:
-                self.position = len(self.pending)
-                self._turn_down(fault)
+                self.position = len(self.buffered)
+                self._reject_malformed(fault)
                 break
-            self._note_reading()
+            self._track_receiving()
             if self.reader.done:
                 message = self.reader.done.pop(0)
-                self.reading = False
-                self._take(message)
-        self.pending = b"" if self.closing else self.pending[self.position :]
+                self.receiving = False
+                self._receive_request(message)
+        self.buffered = b"" if self.closing else self.buffered[self.position :]
         self.position = 0
-        self.busy = False
-        if self.paused and len(self.pending) <= READ_AHEAD and not self.closing:
-            self.paused = False
+        self.is_parsing = False
+        if self.reading_paused and len(self.buffered) <= READ_AHEAD_BYTES and not self.closing:
+            self.reading_paused = False
             self.transport.resume_reading()
 
-    def _has_more(self) -> bool:
-        """Whether bytes have come that are not read yet, such as the next request."""
-        return self.position < len(self.pending)
+    def _has_unparsed(self) -> bool:
+        """Return whether bytes have come that are not parsed, such as the next request."""
+        return self.position < len(self.buffered)
 
-    def _note_reading(self) -> None:
+    def _track_receiving(self) -> None:
+        """Start the time-out of a request that has begun, and send the interim response it asks for."""
         message = self.reader.message
         if message is None:
             return
-        if not self.reading:
-            self.reading = True
-            self.since = self.front.loop.time()
+        if not self.receiving:
+            self.receiving = True
+            self.state_since = self.context.loop.time()
         if not self.reader.in_head and b"expect" in message.fields and not message.continued:
             message.continued = True
             if not message.body:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _take(self, message: Message) -> None:
-        """Take up a request that is here whole."""
-        front = self.front
-        self.keep = message.keep
+    def _receive_request(self, message: Message) -> None:
+        """Check a complete request, and route it or wait for the first configuration."""
+        context = self.context
+        self.keep_alive = message.keep
         self.head_sent = False
-        self.asked += 1
+        self.requests_received += 1
         try:
             check_framing(message)
         except Fault as fault:
-            self._turn_down(fault)
+            self._reject_malformed(fault)
             return
         request_id = message.fields.get(REQUEST_ID)
         if not request_id:
-            self._finish(400)
+            self._send_status(STATUS_BAD_REQUEST)
             return
-        self.taken_at = front.loop.time()
-        front.drain.note_request(self.made_at, self.taken_at)
-        if not front.drain.takes_requests(self.taken_at):
-            self.refused(LATE_PAUSE)
+        self.received_at = context.loop.time()
+        context.drain.record_request(self.connected_at, self.received_at)
+        if not context.drain.accepts_requests(self.received_at):
+            self.refused(LATE_RETRY_AFTER_S)
             return
-        if front.routes is None:
+        if context.routes is None:
             self.unrouted = message
-            front.loop.call_later(NO_CONFIGURATION_HOLD, self._refuse_unrouted, message)
+            context.loop.call_later(CONFIGURATION_WAIT_S, self._reject_unrouted, message)
             return
-        self._route(message, front.routes)
+        self._route(message, context.routes)
 
-    def _refuse_unrouted(self, message: Message) -> None:
+    def _reject_unrouted(self, message: Message) -> None:
         if self.unrouted is message:
             self.unrouted = None
-            self.refused(NO_CONFIGURATION_RETRY)
+            self.refused(NO_CONFIGURATION_RETRY_AFTER_S)
 
     def resume(self) -> None:
-        """The first configuration has come: go on with the request that waits for it."""
+        """Route the request that waits for the first configuration, which has come."""
         message, self.unrouted = self.unrouted, None
-        if message and self.front.routes and not self.closing:
-            self._route(message, self.front.routes)
+        if message and self.context.routes and not self.closing:
+            self._route(message, self.context.routes)
 
     def _route(self, message: Message, routes: RouteTable) -> None:
-        """Find the route of a request, and whether its client may ask."""
-        front = self.front
+        """Find the route of a request, and ask for its admission."""
+        context = self.context
         route = routes.find(message.fields.get(b"host", b""), message.url)
         if route is None:
-            front.engine.endings["no route"] += 1
-            self._finish(404)
+            context.engine.endings["no route"] += 1
+            self._send_status(STATUS_NOT_FOUND)
             return
-        if front.admission is None:
-            self.take_up(message, route, OPEN)
+        if context.admission is None:
+            self.start_request(message, route, UNRESTRICTED)
             return
-        self.applicant = _Applicant(self, message, route)
-        front.admission.admit(self.applicant, message, route)
-
-    def take_up(self, message: Message, route: Route, admission: Admitted) -> None:
-        """Hand an admitted request over to the engine."""
-        front, tenant, request_id = self.front, admission.tenant, message.fields[REQUEST_ID]
-        self.applicant, self.admission = None, admission
-        waits_ms = client_deadline_ms(message)
-        limit_ms = route.timeout_ms if waits_ms is None else min(waits_ms, route.timeout_ms)
-        deadline = min(self.taken_at + limit_ms / 1000, front.drain.end_by)
+        self.admission_request = _AdmissionRequest(self, message, route)
+        context.admission.admit(self.admission_request, message, route)
+
+    def start_request(self, message: Message, route: Route, admission: Admitted) -> None:
+        """Pass an admitted request to the engine."""
+        context, tenant, request_id = self.context, admission.tenant, message.fields[REQUEST_ID]
+        self.admission_request, self.admission = None, admission
+        client_ms = client_deadline_ms(message)
+        limit_ms = route.timeout_ms if client_ms is None else min(client_ms, route.timeout_ms)
+        deadline = min(self.received_at + limit_ms / 1000, context.drain.deadline)
         request = ProxiedRequest(message, route, request_id, priority=route.priority)
         request.is_private = admission.is_private
         if tenant is not None:
             request.tenant = tenant.name.encode()
             request.priority = route.priority if tenant.priority is None else tenant.priority
-            request.on_repeat = partial(front.runs_again, admission)
+            request.on_retry = partial(context.charge_retry, admission)
         flow = Flow[ProxiedRequest, Message](request, self, deadline, request_id)
         flow.bounded = True
         flow.resumable = route.stream_resume
         self.flow = flow
-        front.engine.take(flow, front.prompt_request(request))
+        context.engine.take(flow, context.prompt_request(request))
         request.flow_id = flow.id
 
-    def _turn_down(self, fault: Fault) -> None:
-        self.keep = False
-        self._finish(fault.status)
+    def _reject_malformed(self, fault: Fault) -> None:
+        self.keep_alive = False
+        self._send_status(fault.status)
 
-    # Answers: the engine's side
+    # Responses: called by the engine (`firvane.core.engine.Client`)
 
     def served(self, message: Message) -> None:
+        """Send a complete response."""
         headers = list(message.passed_on())
-        self._write_whole(message.status, message.body, message.size, headers)
+        self._send_response(message.status, message.body, message.size, headers)
 
     def begins(self, message: Message) -> None:
+        """Send the head of a response whose body is streamed; a resumed one has sent it already."""
         stream = message.stream
         if self.flow is None or stream is None:
             return
         if not self.head_sent:
             self._write_head(message)
-        self.source = stream
+        self.body_source = stream
         stream.pour(self)
 
     def _write_head(self, message: Message) -> None:
@@ -258,127 +293,135 @@
         self.chunked = (
             length is None and self.flow is not None and self.flow.request.message.version == b"1.1"
         )
-        self.bare = length is None and not self.chunked
-        self.keep = self._is_kept() and not self.bare
-        if self.bare:
+        self.close_delimited = length is None and not self.chunked
+        self.keep_alive = self._stays_open() and not self.close_delimited
+        if self.close_delimited:
             resets(self.transport)
-        self.transport.writelines(answer_head(message, self.chunked, not self.keep))
+        self.transport.writelines(answer_head(message, self.chunked, not self.keep_alive))
 
     def more(self, pieces: list[Piece]) -> None:
+        """Send a part of the body."""
         if self.flow and not self.transport.is_closing():
             self.transport.writelines(framed(pieces, self.chunked))
 
     def last(self) -> None:
+        """Send the end of the body."""
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
     def ends(self) -> None:
-        self._over()
+        """End a streamed response that is complete."""
+        self._end_response()
 
     def cut(self) -> None:
-        """The answer ends short of what its head has said."""
-        self._report_cut()
-        self.flow = self.source = None
+        """End the connection short of the response's end."""
+        self._log_truncated()
+        self.flow = self.body_source = None
         self.closing = True
-        if self.bare:
+        if self.close_delimited:
             self.transport.abort()
         else:
             self.transport.close()
 
-    def _report_cut(self) -> None:
-        """An answer that ends short while the router drains tells how its request came to be here."""
-        drain = self.front.drain
-        if not drain.has_begun or self.flow is None:
+    def _log_truncated(self) -> None:
+        """Log a response that is truncated while the router drains, and how its request came here."""
+        drain = self.context.drain
+        if not drain.has_started or self.flow is None:
             return
-        drain.figures.cut += 1
-        self.front.log.info(
-            "drain: answer cut.",
+        drain.metrics.truncated_responses += 1
+        self.context.log.info(
+            "drain_response_truncated",
             request=self.flow.request.request_id.decode("latin-1"),
-            taken=drain.since(self.taken_at),
-            connected=drain.since(self.made_at),
-            requests=self.asked,
+            received_s=drain.since(self.received_at),
+            connected_s=drain.since(self.connected_at),
+            requests=self.requests_received,
         )
 
     def refused(self, retry_after: float) -> None:
-        if self.flow and self.front.admission:
-            self.front.admission.give_back(self.admission)
-        self._refuse(503, retry_after)
+        """Reject a request that never ran; `retry_after` in seconds."""
+        if self.flow and self.context.admission:
+            self.context.admission.refund(self.admission)
+        self._send_rejection(STATUS_UNAVAILABLE, retry_after)
 
-    def turned_away(self, status: int, retry_after: float) -> None:
-        """The request is not admitted."""
-        self.applicant = None
-        self._refuse(status, retry_after)
+    def rejected(self, status: int, retry_after: float) -> None:
+        """Reject a request that is not admitted; `retry_after` in seconds, 0 where a retry is useless."""
+        self.admission_request = None
+        self._send_rejection(status, retry_after)
 
-    def _refuse(self, status: int, retry_after: float) -> None:
-        extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
-        self._finish(status, extra)
+    def _send_rejection(self, status: int, retry_after: float) -> None:
+        headers = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
+        self._send_status(status, headers)
 
     def failed(self) -> None:
-        self._finish(502)
+        """Answer a request that may have run, and whose response did not come."""
+        self._send_status(STATUS_BAD_GATEWAY)
 
     def at_fault(self) -> None:
-        self._finish(400)
+        """Answer a request that no backend can use."""
+        self._send_status(STATUS_BAD_REQUEST)
 
-    def _finish(self, status: int, headers: list[bytes] | None = None) -> None:
-        """An answer of the router's own, with its status as a short body."""
+    def _send_status(self, status: int, headers: list[bytes] | None = None) -> None:
+        """Send a response of the router's own, with its status as a short body."""
         if self.head_sent:
             self.cut()
             return
         body = b"%d\n" % status
-        self._write_whole(status, [body], len(body), headers or [])
+        self._send_response(status, [body], len(body), headers or [])
 
-    def _write_whole(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
-        self.keep = self._is_kept()
-        self.transport.writelines(answer(status, body, size, not self.keep, headers))
-        self._over()
+    def _send_response(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
+        self.keep_alive = self._stays_open()
+        self.transport.writelines(answer(status, body, size, not self.keep_alive, headers))
+        self._end_response()
 
-    def _is_kept(self) -> bool:
-        """Whether the connection lives on after the answer whose head is about to be written.
+    def _stays_open(self) -> bool:
+        """Return whether the connection stays open after the response whose head is about to be written.
 
         While the router drains only for requests that are here already: their client could not know of it.
         """
-        return self.keep and (not self.front.drain.has_begun or self._has_more())
+        return self.keep_alive and (not self.context.drain.has_started or self._has_unparsed())
 
-    def _over(self) -> None:
-        """The answer is written: the connection is closed, or the next request is taken up."""
-        self.flow = self.source = None
+    def _end_response(self) -> None:
+        """Close the connection after a response, or parse the next request."""
+        self.flow = self.body_source = None
         self.head_sent = False
-        self.since = self.front.loop.time()
-        if not self.keep:
+        self.state_since = self.context.loop.time()
+        if not self.keep_alive:
             self.close()
-        elif self.pending and not self.busy:
-            self._advance()
-        if self.is_idle() and not self.front.drain.takes_requests(self.since):
+        elif self.buffered and not self.is_parsing:
+            self._parse_requests()
+        if self.is_idle() and not self.context.drain.accepts_requests(self.state_since):
             self.close()
 
     # Flow control
 
     def pause_writing(self) -> None:
-        self.choked = True
-        if self.source:
-            self.source.choke(True)
+        """Pause the body's source, since the client does not keep up (asyncio)."""
+        self.writing_paused = True
+        if self.body_source:
+            self.body_source.choke(True)
 
     def resume_writing(self) -> None:
-        self.choked = False
-        if self.source:
-            self.source.choke(False)
-        elif self.pending and not self._is_asking():
-            self._advance()
+        """Resume the body's source, or parse the next request (asyncio)."""
+        self.writing_paused = False
+        if self.body_source:
+            self.body_source.choke(False)
+        elif self.buffered and not self._has_open_request():
+            self._parse_requests()
 
 
-class _Applicant:
-    """A request on its way through admission; its connection may be gone by the end."""
+class _AdmissionRequest:
+    """A request that waits for its admission; its connection may be gone by then."""
 
     def __init__(self, connection: ClientConnection, message: Message, route: Route) -> None:
         self._connection, self._message, self._route = connection, message, route
 
     def admitted(self, admission: Admitted) -> None:
         connection = self._connection
-        if connection.applicant is self:
-            connection.take_up(self._message, self._route, admission)
-        elif connection.front.admission:
-            connection.front.admission.give_back(admission)
-
-    def turned_away(self, status: int, retry_after: float) -> None:
-        if self._connection.applicant is self:
-            self._connection.turned_away(status, retry_after)
+        if connection.admission_request is self:
+            connection.start_request(self._message, self._route, admission)
+        elif connection.context.admission:
+            connection.context.admission.refund(admission)
+
+    def rejected(self, status: int, retry_after: float) -> None:
+        if self._connection.admission_request is self:
+            self._connection.rejected(status, retry_after)
--- a/firvane/fleet/router/front.py
+++ b/firvane/fleet/router/client_listener.py
@@ -1,31 +1,33 @@
-"""The clients' side of one router: connections made, swept, and ended in order."""
+"""All client connections of one router: accepted, timed out, and closed when it drains."""
 
 from __future__ import annotations
 
 from firvane.fleet.configuration.routes import Limits, RouteTable
 from firvane.fleet.router.client import ClientConnection
-from firvane.fleet.router.client_side import ClientSide
+from firvane.fleet.router.client_context import ClientContext
 
 
-class Front(ClientSide):
-    """The clients' side of one router."""
+class ClientListener(ClientContext):
+    """Makes and ends the client connections that share this context."""
 
     def accept(self) -> ClientConnection:
-        self.drain.note_connection()
+        """Return the protocol of a new connection."""
+        self.drain.record_connection()
         return ClientConnection(self)
 
     def configure(self, routes: RouteTable, limits: Limits) -> None:
-        """Requests are handled by these routes and bounds from now on, also those that waited for them."""
+        """Handle requests by these routes and limits from now on, also those that waited for them."""
         super().configure(routes, limits)
         for connection in list(self.connections):
             connection.resume()
 
     def sweep(self, now: float) -> None:
-        """End connections that have stood idle, or kept a request half sent, for too long."""
+        """Close connections that were idle, or sent a request only in part, for too long."""
         for connection in list(self.connections):
             connection.expire(now)
 
     def close_idle(self) -> None:
+        """Close all idle connections."""
         for connection in list(self.connections):
             if connection.is_idle():
                 connection.close()
--- a/firvane/fleet/router/drain.py
+++ b/firvane/fleet/router/drain.py
@@ -1,70 +1,91 @@
-"""A router's end by SIGTERM: until when requests are taken, by when all answers are out, and what still came.
+"""Draining of a router after SIGTERM: until when requests are accepted, and when all responses are due.
 
-The platform asks for readiness once a second, and sends no new connections after two misses, so that
-requests still come for some two seconds. Later ones come only where the platform has nobody else, or on
-connections that are kept. A request that is taken late may be cut at the end while a backend is at work on
-it; then it is lost, for nobody may send it again. So late requests are refused: they have surely not run.
+The platform checks readiness once a second and sends no new connections after two misses, so that requests
+still come for some two seconds. Later ones come only where the platform has no other router, or on kept
+connections. A request that is accepted late may be cut off at the end while a backend runs it; then it is
+lost, since nobody may send it again. So late requests are rejected: these have surely not run.
 
-All times are loop times in seconds; before `begin` nothing is bounded.
+All times are loop times in seconds; before `start` nothing is bounded.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-TAKEN_FOR = 2.8  # s from SIGTERM on in which requests are taken
-TAKEN_PART = 0.5  # of the time until the end, where that is less
-LATE_PAUSE = 0.05  # s that a refused client is asked to wait: others take its request at once
+ACCEPT_REQUESTS_S = 2.8  # after SIGTERM
+ACCEPT_REQUESTS_RATIO = 0.5  # of the time until the end, where that is less
+LATE_RETRY_AFTER_S = 0.05  # other routers accept the request at once
 
 
-class DrainFigures(Struct):
-    """What has come since SIGTERM, for the log."""
+class DrainMetrics(Struct):
+    """What has come since SIGTERM, for the log.
 
-    accepted: int = 0  # new connections
-    taken: int = 0  # requests that were read whole
-    taken_on_new: int = 0  # of these, on connections that were accepted since
-    last_on_new: float = 0.0  # s from SIGTERM to the newest request on such a connection
-    last_on_kept: float = 0.0  # and on one from before
-    late: int = 0  # requests that were refused because they came late
-    cut: int = 0  # answers that ended short
+    Attributes:
+        connections_accepted: New connections.
+        requests_received: Requests that were read completely.
+        requests_on_new_connections: Those of them on connections accepted since.
+        last_on_new_connection_s: Seconds from SIGTERM to the newest request on such a connection.
+        last_on_kept_connection_s: Seconds from SIGTERM to the newest request on an older connection.
+        late_requests: Requests that were rejected because they came late.
+        truncated_responses: Responses that were cut off.
+    """
+
+    connections_accepted: int = 0
+    requests_received: int = 0
+    requests_on_new_connections: int = 0
+    last_on_new_connection_s: float = 0.0
+    last_on_kept_connection_s: float = 0.0
+    late_requests: int = 0
+    truncated_responses: int = 0
 
 
 class Drain:
-    """The bounds of one router's end, and its figures."""
+    """The bounds and the metrics of one router's draining.
+
+    Attributes:
+        has_started: Whether SIGTERM has come. A response is then its connection's last, unless the connection
+            has already sent another request.
+        started_at: When it came.
+        accept_until: When requests are rejected from.
+        deadline: When no request may be open any more.
+        metrics: What has come since SIGTERM.
+    """
 
     def __init__(self) -> None:
-        self.has_begun = False  # each answer is its connection's last, unless a request stands behind it
-        self.began = float("inf")
-        self.take_until = float("inf")
-        self.end_by = float("inf")  # no request may be open then
-        self.figures = DrainFigures()
-
-    def begin(self, began: float, end_by: float) -> None:
-        """SIGTERM came at `began`."""
-        self.has_begun = True
-        self.began, self.end_by = began, end_by
-        self.take_until = began + min(TAKEN_FOR, TAKEN_PART * (end_by - began))
-
-    def takes_requests(self, now: float) -> bool:
-        """Whether a request that is here whole now is passed on."""
-        return now < self.take_until
+        self.has_started = False
+        self.started_at = float("inf")
+        self.accept_until = float("inf")
+        self.deadline = float("inf")
+        self.metrics = DrainMetrics()
+
+    def start(self, started_at: float, deadline: float) -> None:
+        """Start draining."""
+        self.has_started = True
+        self.started_at, self.deadline = started_at, deadline
+        self.accept_until = started_at + min(
+            ACCEPT_REQUESTS_S, ACCEPT_REQUESTS_RATIO * (deadline - started_at)
+        )
+
+    def accepts_requests(self, now: float) -> bool:
+        """Return whether a request that is complete now is accepted."""
+        return now < self.accept_until
 
     def since(self, moment: float) -> float:
-        """Seconds from SIGTERM to a moment, for the log."""
-        return round(moment - self.began, 3)
+        """Return the seconds from SIGTERM to a moment, for the log."""
+        return round(moment - self.started_at, 3)
 
-    def note_connection(self) -> None:
-        """A connection was accepted."""
-        self.figures.accepted += self.has_begun
+    def record_connection(self) -> None:
+        """Count an accepted connection."""
+        self.metrics.connections_accepted += self.has_started
 
-    def note_request(self, connected_at: float, now: float) -> None:
-        """A request is here whole, on a connection of that time."""
-        if not self.has_begun:
+    def record_request(self, connected_at: float, now: float) -> None:
+        """Count a complete request on a connection that was accepted at `connected_at`."""
+        if not self.has_started:
             return
-        self.figures.taken += 1
-        self.figures.late += not self.takes_requests(now)
-        if connected_at >= self.began:
-            self.figures.taken_on_new += 1
-            self.figures.last_on_new = self.since(now)
+        self.metrics.requests_received += 1
+        self.metrics.late_requests += not self.accepts_requests(now)
+        if connected_at >= self.started_at:
+            self.metrics.requests_on_new_connections += 1
+            self.metrics.last_on_new_connection_s = self.since(now)
         else:
-            self.figures.last_on_kept = self.since(now)
+            self.metrics.last_on_kept_connection_s = self.since(now)
--- a/firvane/fleet/router/events.py
+++ b/firvane/fleet/router/events.py
@@ -1,11 +1,11 @@
-"""Events of a stream (`text/event-stream`), gathered from bytes cut anywhere and passed on whole.
+"""Events of a stream (`text/event-stream`), assembled from bytes that are split anywhere.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. Only whole events are passed on while a stream runs, so that one that breaks off can be continued by
-   another backend without a seam inside an event.
+1. Only complete events are passed on while a stream runs, so that another backend can continue a stream that
+   breaks off without a seam inside an event.
 2. Of a continued stream, events whose id is not above the last one passed on are dropped: none comes twice.
-3. What follows the last whole event is passed on only where the stream has ended in order.
+3. What follows the last complete event is passed on only where the stream has ended in order.
 """
 
 from __future__ import annotations
@@ -14,22 +14,28 @@
 
 END_OF_EVENT = re.compile(rb"\r?\n\r?\n")
 EVENT_ID = re.compile(rb"(?:^|\n)id:[ ]?(\d{1,18})")
-MAX_EVENT = 1024 * 1024  # bytes of one event; beyond it is passed on as it comes
+MAX_EVENT_BYTES = 1024 * 1024  # a larger event is passed on as it comes
 
 
 class EventFramer:
-    """Splits the body of one answer into events."""
+    """Splits the body of one response into events.
+
+    Attributes:
+        last_id: Id of the last event that the client has.
+        passed: Number of events passed on.
+        partial: Bytes of an event that is not complete.
+    """
 
     __slots__ = ("last_id", "partial", "passed")
 
     def __init__(self, last_id: int | None = None) -> None:
         """`last_id` is that of the last event which the client already has."""
         self.last_id = last_id
-        self.passed = 0  # events passed on
+        self.passed = 0
         self.partial = b""
 
     def feed(self, data: bytes) -> bytes:
-        """The whole events that are here now, without those that the client already has."""
+        """Return the events that are complete now, without those that the client already has."""
         data = self.partial + data if self.partial else data
         kept: list[bytes] = []
         start = 0
@@ -39,13 +45,13 @@
             if self._is_new(event):
                 kept.append(event)
         self.partial = data[start:]
-        if len(self.partial) > MAX_EVENT:
+        if len(self.partial) > MAX_EVENT_BYTES:
             kept.append(self.partial)
             self.partial = b""
         return b"".join(kept)
 
     def finish(self) -> bytes:
-        """What is left of a stream that has ended in order."""
+        """Return the rest of a stream that has ended in order."""
         rest, self.partial = self.partial, b""
         return rest
 
@@ -54,9 +60,9 @@
         if match is None:
             self.passed += 1
             return True
-        number = int(match.group(1))
-        if self.last_id is not None and number <= self.last_id:
+        event_id = int(match.group(1))
+        if self.last_id is not None and event_id <= self.last_id:
             return False
-        self.last_id = number
+        self.last_id = event_id
         self.passed += 1
         return True
--- a/firvane/fleet/router/peers.py
+++ b/firvane/fleet/router/peers.py
@@ -1,4 +1,4 @@
-"""The other routers as the decisions know them: by numbers that all routers agree on."""
+"""The other routers as placement knows them: by numbers that all routers agree on."""
 
 from __future__ import annotations
 
@@ -11,26 +11,33 @@
 
 
 def peer_number(address: Address) -> int:
-    """The number of a router: its IPv4 address as an integer."""
+    """Return the number of a router: its IPv4 address as an integer."""
     return int.from_bytes(socket.inet_aton(address[0]), "big")
 
 
-class Peers:
-    """Carries rows between the routers."""
+class RouterPeers:
+    """Sends rows to the other routers."""
 
     def __init__(self, own: Address, zones: Sequence[str], send: Callable[[Address, bytes], None]) -> None:
+        """Start without peers.
+
+        Args:
+            own: This router's internal address.
+            zones: Names of all zones, which are numbered in their sorted order.
+            send: Sends a row to an address.
+        """
         self.own, self.send = own, send
         self.zones = {zone: number for number, zone in enumerate(sorted(zones))}
         self.addresses: dict[int, Address] = {}
 
     def update(self, routers: Sequence[Member]) -> PeersChanged:
-        """The routers that are believed to be there now, this one included."""
+        """Replace the live routers, this one included, and return the event for placement."""
         self.addresses = {peer_number(one.address): one.address for one in routers}
         zones = {peer_number(one.address): self.zones.get(one.zone, 0) for one in routers}
         return PeersChanged(tuple(sorted(zones)), tuple(zones[number] for number in sorted(zones)))
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        """Send a row to one router, or to all others."""
+        """Send a row to one router, or to all others where `peer` is None."""
         if peer is not None:
             if address := self.addresses.get(peer):
                 self.send(address, payload)
--- a/firvane/fleet/router/readiness.py
+++ b/firvane/fleet/router/readiness.py
@@ -1,6 +1,6 @@
-"""The platform's question whether this router takes new connections: `GET /v1/readiness`.
+"""The platform's health check of a router: `GET /v1/readiness` tells whether it takes new connections.
 
-Operators ask on the same port: `members_call`.
+Operators use the same port: `members_endpoint`.
 """
 
 from __future__ import annotations
@@ -9,10 +9,10 @@
 from collections.abc import Callable
 from typing import cast
 
-from firvane.fleet.router import members_call
-from firvane.fleet.router.members_call import MembersCall
+from firvane.fleet.router import members_endpoint
+from firvane.fleet.router.members_endpoint import MembersEndpoint
 
-MAX_REQUEST = 8 * 1024  # bytes of one question
+MAX_REQUEST_BYTES = 8 * 1024
 END_OF_HEAD = b"\r\n\r\n"
 READY = b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nready\n"
 NOT_READY = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\n\r\nnot ready\n"
@@ -21,33 +21,42 @@
 
 
 class ReadinessConnection(asyncio.Protocol):
-    """One connection of the platform; it answers each question by what holds then."""
+    """One connection of the platform; each check gets the state of its moment."""
 
-    def __init__(self, is_ready: Callable[[], bool], members: MembersCall) -> None:
+    def __init__(self, is_ready: Callable[[], bool], members: MembersEndpoint) -> None:
         self.is_ready, self.members = is_ready, members
         self.received = b""
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.members.ended(self.transport)
+        """Release what the connection held (asyncio)."""
+        self.members.connection_lost(self.transport)
 
     def data_received(self, data: bytes) -> None:
+        """Respond to each complete request (asyncio)."""
         self.received += data
         while (end := self.received.find(END_OF_HEAD)) >= 0:
             head, self.received = self.received[:end], self.received[end + len(END_OF_HEAD) :]
-            if head.startswith(members_call.PATH):
-                self.members.answer(self.transport)
+            if not self._respond(head):
                 return
-            if not head.startswith(PATH):
-                self.transport.write(NOT_FOUND)
-                self.transport.close()
-                return
-            self.transport.write(READY if self.is_ready() else NOT_READY)
-            if b"connection: close" in head.lower():
-                self.transport.close()
-                return
-        if len(self.received) > MAX_REQUEST:
+        if len(self.received) > MAX_REQUEST_BYTES:
             self.transport.abort()
+
+    def _respond(self, head: bytes) -> bool:
+        """Respond to a request, and return whether another may follow."""
+        if head.startswith(members_endpoint.PATH):
+            self.members.respond(self.transport)
+            return False
+        if not head.startswith(PATH):
+            self.transport.write(NOT_FOUND)
+            self.transport.close()
+            return False
+        self.transport.write(READY if self.is_ready() else NOT_READY)
+        if b"connection: close" in head.lower():
+            self.transport.close()
+            return False
+        return True
--- a/firvane/fleet/router/requests.py
+++ b/firvane/fleet/router/requests.py
@@ -1,65 +1,91 @@
-"""A client's request as the router holds it, and what its headers say of its prompt."""
+"""A client's request in the router, and what its headers tell of its prompt."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from msgspec import Struct, field
+from msgspec import Struct
 
 from firvane.core.net.http import Fault, Message
 from firvane.fleet.configuration.routes import Route
 
 REQUEST_ID = b"x-request-id"
 DEADLINE = b"x-deadline-ms"
+TOKEN_COUNT = b"x-token-count"
+PROMPT_PREFIX = b"x-prompt-prefix"
 MAX_DEADLINE_DIGITS = 9
-MAX_PARTS = 64  # of a prompt that are looked at
+MAX_BLOCKS = 64  # of a prompt that are read
 SINGLE_FIELDS = frozenset((REQUEST_ID, DEADLINE, b"host", b"content-length", b"transfer-encoding"))
+BAD_REQUEST = 400
 
 
 class ProxiedRequest(Struct):
-    """A client's message, its route, and how much of the answer the client has been given."""
+    """A client's request, its route, and how much of the response the client has.
+
+    Attributes:
+        message: The request as it came.
+        route: Its route.
+        request_id: Its id, as the client gave it.
+        last_event_id: Id of the last complete event that the client was sent.
+        flow_id: Id of the engine's flow.
+        tenant: Name of the tenant.
+        is_private: Whether the key, and what it tells of the tenant, are not forwarded.
+        priority: Rank; 0 is the highest.
+        runs: Attempts that a backend did not reject.
+        on_retry: Called at each run after the first.
+    """
 
     message: Message
     route: Route
     request_id: bytes
-    last_event_id: int | None = None  # of the last whole event that the client was given
-    flow_id: int = -1  # of the engine's flow
-    tenant: bytes | None = None  # the name of the tenant that asks
-    is_private: bool = False  # its key, and what it says of its tenant, are not passed on
-    priority: int = 0  # rank, 0 is highest
-    runs: int = 0  # times that it was sent to a backend and not turned away
-    on_repeat: Callable[[], None] | None = None  # told of each run after the first
-
-    def note_sent(self) -> None:
-        """It goes out to a backend."""
+    last_event_id: int | None = None
+    flow_id: int = -1
+    tenant: bytes | None = None
+    is_private: bool = False
+    priority: int = 0
+    runs: int = 0
+    on_retry: Callable[[], None] | None = None
+
+    def record_sent(self) -> None:
+        """Count an attempt that is sent to a backend."""
         self.runs += 1
-        if self.runs > 1 and self.on_repeat:
-            self.on_repeat()
+        if self.runs > 1 and self.on_retry:
+            self.on_retry()
 
-    def note_turned_away(self) -> None:
-        """The backend has not run it."""
+    def record_rejected(self) -> None:
+        """Discount an attempt that the backend rejected without running it."""
         self.runs -= 1
 
 
 class PromptShape(Struct, frozen=True):
-    """What the headers say of a prompt: its parts in order, and tokens in and out at the most."""
+    """What the headers tell of a prompt.
 
-    chain: tuple[tuple[int, int], ...] = field(default=())
+    Attributes:
+        chain: (identity, tokens) of its prefix blocks in order.
+        tokens_in: Tokens of the prompt.
+        tokens_out: Most tokens of the response.
+    """
+
+    chain: tuple[tuple[int, int], ...] = ()
     tokens_in: int = 0
     tokens_out: int = 0
 
 
 def check_framing(message: Message) -> None:
-    """Raise `Fault` where a message could be read in two ways, or names itself twice."""
+    """Check that a message can be read in one way only.
+
+    Raises:
+        Fault: Its framing is ambiguous, or a field that must be single is repeated.
+    """
     if not SINGLE_FIELDS.isdisjoint(message.repeated):
-        raise Fault(400)
+        raise Fault(BAD_REQUEST)
     coding = message.fields.get(b"transfer-encoding")
     if coding is not None and (coding.lower() != b"chunked" or b"content-length" in message.fields):
-        raise Fault(400)
+        raise Fault(BAD_REQUEST)
 
 
 def client_deadline_ms(message: Message) -> int | None:
-    """Milliseconds that the client will wait, where it says so in a form that can be read."""
+    """Return the milliseconds that the client will wait; None where it does not tell them legibly."""
     given = message.fields.get(DEADLINE, b"")
     if not given.isdigit() or len(given) > MAX_DEADLINE_DIGITS:
         return None
@@ -67,21 +93,22 @@
 
 
 def prompt_shape(message: Message) -> PromptShape:
-    """The prompt as its headers describe it; what cannot be read counts as not there."""
-    tokens_in, tokens_out = _counts(message.fields.get(b"x-token-count", b""))
-    return PromptShape(_chain(message.fields.get(b"x-prompt-prefix", b"")), tokens_in, tokens_out)
+    """Return the prompt as its headers describe it; what is illegible counts as absent."""
+    tokens_in, tokens_out = _parse_token_counts(message.fields.get(TOKEN_COUNT, b""))
+    return PromptShape(_parse_chain(message.fields.get(PROMPT_PREFIX, b"")), tokens_in, tokens_out)
 
 
 def prompt_tokens(message: Message) -> int | None:
-    """Tokens in and out together; None where the request tells no number that can be read."""
-    text = message.fields.get(b"x-token-count")
+    """Return the tokens in and out together; None where the request tells no legible number."""
+    text = message.fields.get(TOKEN_COUNT)
     if text is None:
         return None
-    tokens = sum(_counts(text))
+    tokens = sum(_parse_token_counts(text))
     return tokens or None
 
 
-def _counts(text: bytes) -> tuple[int, int]:
+def _parse_token_counts(text: bytes) -> tuple[int, int]:
+    """Return the tokens in and the tokens out."""
     first, _, second = text.partition(b",")
     try:
         return max(0, int(first)), max(0, int(second or b"0"))
@@ -89,14 +116,15 @@
         return 0, 0
 
 
-def _chain(text: bytes) -> tuple[tuple[int, int], ...]:
+def _parse_chain(text: bytes) -> tuple[tuple[int, int], ...]:
+    """Return (identity, tokens) of each prefix block."""
     if not text:
         return ()
-    parts: list[tuple[int, int]] = []
-    for part in text.split(b",")[:MAX_PARTS]:
-        name, _, tokens = part.strip().partition(b":")
+    blocks: list[tuple[int, int]] = []
+    for block in text.split(b",")[:MAX_BLOCKS]:
+        identity, _, tokens = block.strip().partition(b":")
         try:
-            parts.append((int(name, 16), max(0, int(tokens))))
+            blocks.append((int(identity, 16), max(0, int(tokens))))
         except ValueError:
             return ()
-    return tuple(parts)
+    return tuple(blocks)
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -1,4 +1,4 @@
-"""One router, wired: cluster agent, front, engine, decisions, upstream connections, and its end in order."""
+"""One router: cluster agent, client listener, engine, placement, upstream connections, and its draining."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import random
 from collections.abc import Callable
 
+from msgspec import Struct
 from msgspec.structs import asdict
 
 from firvane.core import interface as api
@@ -24,73 +25,144 @@
 from firvane.fleet.placement.events import ServiceInfo, StreamProgress
 from firvane.fleet.router.admission import Admission
 from firvane.fleet.router.backends import Backends
-from firvane.fleet.router.front import Front
-from firvane.fleet.router.members_call import MembersCall
-from firvane.fleet.router.peers import Peers, peer_number
+from firvane.fleet.router.client_listener import ClientListener
+from firvane.fleet.router.members_endpoint import MembersEndpoint
+from firvane.fleet.router.peers import RouterPeers, peer_number
 from firvane.fleet.router.readiness import ReadinessConnection
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream import Upstreams
 
 CONFIGURATION_KEY = b"configuration"
 INSTANCES_PREFIX = b"instances/"
-BACKLOG = 1024  # connections that wait to be accepted
-MAX_ATTEMPTS = 16  # forwards of one request, those that reached no backend included
-MAX_OPEN = 4096  # requests open at once
-RESERVED_DESCRIPTORS = 600  # for clients' connections beyond half, own links, files
-SWEEP_INTERVAL = 0.05  # s between looks at silent streams
-SLOW_SWEEPS = 10  # sweeps between looks at idle connections
-FIGURES_INTERVAL = 5.0  # s between lines of figures in the log
-END_MARGIN = 0.8  # s before the end of the grace by which all answers are out
-LAST_LOOK = 0.05  # s between looks for what is still open at the end
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted
+MAX_ATTEMPTS = 16  # of one request, those that reached no backend included
+MAX_OPEN_REQUESTS = 4096
+RESERVED_DESCRIPTORS = 600  # for clients beyond their half, cluster links and files
+MIN_UPSTREAM_CONNECTIONS = 64
+SWEEP_INTERVAL_S = 0.05
+IDLE_SWEEP_INTERVAL = 10  # sweeps from one check of idle connections to the next
+METRICS_INTERVAL_S = 5.0
+DRAIN_MARGIN_S = 0.8  # before the end of the grace period, by which all responses are complete
+DRAIN_POLL_INTERVAL_S = 0.05
+
+
+class RouterSettings(Struct, frozen=True, kw_only=True):
+    """Settings of one router; times are in seconds.
+
+    Attributes:
+        internal: Address for the other processes of the fleet.
+        client_address: Address that clients connect to.
+        readiness_address: Address of the readiness and the members endpoint.
+        seeds: Internal addresses of controllers, for joining the cluster.
+        zone: Its zone.
+        zones: All zones.
+        incarnation: Number that grows with each start.
+        file_descriptors: Most file descriptors.
+        grace: Time from SIGTERM to the end.
+        retry_ratio: Retries per request over all routers.
+        retry_slack: Retries beyond that, over all routers, in any window of the rule.
+        revoke: Time within which a removed key must be rejected; 0 where that needs no proof.
+    """
+
+    internal: Address
+    client_address: Address
+    readiness_address: Address
+    seeds: tuple[Address, ...]
+    zone: str
+    zones: tuple[str, ...]
+    incarnation: int
+    file_descriptors: int
+    grace: float
+    retry_ratio: float
+    retry_slack: float
+    revoke: float = 0.0
+
+    @property
+    def seed(self) -> int:
+        """Seed of the random draws, which differs from start to start."""
+        return random.Random(self.incarnation).getrandbits(32)
+
+
+class NoDirectory:
+    """Stands for the engine's directory: the lists of backends come by dissemination."""
+
+    def refresh(self) -> None:
+        """Do nothing."""
+
+
+def engine_settings(number: int) -> api.Settings:
+    """Return the engine's settings for the router of this number; limits of a request are on its route."""
+    prompts = api.RequestClass("prompt", latency_target=1.0, deadline=3600.0)
+    rules = api.Rules(
+        0.02, drain_grace=0.0, start_capacity=1.0, slow_start=0.0, fall_multiple=1.0, fall_window=1.0
+    )
+    limits = api.Limits(
+        max_attempts=MAX_ATTEMPTS,
+        cancel=True,
+        peers=True,
+        retry_after=True,
+        max_open_requests=MAX_OPEN_REQUESTS,
+    )
+    return api.Settings(
+        me=number, proxies=1, tick=0.001, classes=(prompts,), rules=rules, limits=limits, key_affinity=True
+    )
 
 
 class Router:
-    """All parts of one router. `start` returns once it listens; `drain` ends it in order."""
-
-    def __init__(
-        self,
-        loop: asyncio.AbstractEventLoop,
-        settings: RouterSettings,
-        log: Log,
-    ) -> None:
+    """All parts of one router. `start` returns once it listens; `drain` ends it.
+
+    Attributes:
+        configuration: The configuration in force; None before the first.
+        sweeps: Sweeps since the start.
+        servers: All listening sockets.
+        client_server: That of the clients; set by `start`.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: RouterSettings, log: Log) -> None:
         self.loop, self.settings, self.log = loop, settings, log
-        self.front = Front(loop, log)
+        self.listener = ClientListener(loop, log)
         self.transports = TransportPool(loop)
-        most = max(64, settings.file_descriptors // 2 - RESERVED_DESCRIPTORS)
-        self.upstreams = Upstreams(loop, SocketDialer(loop, self.transports), most)
-        identity = Member(settings.internal, Role.ROUTER, settings.zone, None, settings.incarnation)
-        self.agent = ClusterAgent(
-            loop,
-            identity,
-            settings.seeds,
-            log,
-            on_item=self._on_item,
-            on_members=self._on_members,
-            on_message=self._on_message,
-        )
-        self.admission = Admission(
-            loop,
-            settings.internal,
-            settings.zone,
-            settings.revoke,
-            random.Random(settings.seed),
-            self.agent.members,
-            lambda to, payload: self.agent.send(to, Channel.TENANCY, payload),
-            log,
-        )
-        self.front.admission = self.admission
-        self.peers = Peers(settings.internal, settings.zones, self._send_row)
+        max_upstream = max(MIN_UPSTREAM_CONNECTIONS, settings.file_descriptors // 2 - RESERVED_DESCRIPTORS)
+        self.upstreams = Upstreams(loop, SocketDialer(loop, self.transports), max_upstream)
+        self.agent = self._make_agent()
+        self.admission = self._make_admission()
+        self.listener.admission = self.admission
+        self.peers = RouterPeers(settings.internal, settings.zones, self._send_row)
         self.balancer = self._make_balancer()
         self.engine = self._make_engine()
-        self.front.engine = self.engine
+        self.listener.engine = self.engine
         self.upstreams.on_progress = self._on_progress
         self.upstreams.may_continue = self._may_continue
         self.backends = Backends(self.upstreams, self.engine)
-        self.members_call = MembersCall(loop, self._members_report)
+        self.members_endpoint = MembersEndpoint(loop, self._members_report)
         self.configuration: Configuration | None = None
         self.sweeps = 0
         self.servers: list[asyncio.Server] = []
-        self.front_server: asyncio.Server  # set by `start`
+        self.client_server: asyncio.Server
+
+    def _make_agent(self) -> ClusterAgent:
+        settings = self.settings
+        return ClusterAgent(
+            self.loop,
+            Member(settings.internal, Role.ROUTER, settings.zone, None, settings.incarnation),
+            settings.seeds,
+            self.log,
+            on_item=self._on_item,
+            on_members=self._on_members,
+            on_message=self._on_message,
+        )
+
+    def _make_admission(self) -> Admission:
+        return Admission(
+            self.loop,
+            self.settings.internal,
+            self.settings.zone,
+            self.settings.revoke,
+            random.Random(self.settings.seed),
+            self.agent.members,
+            lambda to, payload: self.agent.send(to, Channel.TENANCY, payload),
+            self.log,
+        )
 
     def _make_balancer(self) -> PromptBalancer:
         return PromptBalancer(
@@ -115,40 +187,42 @@
         )
 
     async def start(self) -> None:
+        """Join the cluster, and listen for clients and health checks."""
         self.transports.start()
         await self.agent.start()
-        self.front_server = await self._listen(self.settings.front, self.front.accept)
-        await self._listen(self.settings.readiness, self._accept_question)
+        self.client_server = await self._listen(self.settings.client_address, self.listener.accept)
+        await self._listen(self.settings.readiness_address, self._accept_readiness)
         self._on_members()
         self.engine.start()
         self._sweep()
-        self.loop.call_later(FIGURES_INTERVAL, self._report)
-        self.log.info("router: listens.", front=f"{self.settings.front[0]}:{self.settings.front[1]}")
+        self.loop.call_later(METRICS_INTERVAL_S, self._report)
+        host, port = self.settings.client_address
+        self.log.info("router_listening", client_address=f"{host}:{port}")
 
     async def _listen(self, address: Address, factory: Callable[[], asyncio.BaseProtocol]) -> asyncio.Server:
         server = await self.loop.create_server(
-            factory, address[0], address[1], backlog=BACKLOG, reuse_address=True
+            factory, address[0], address[1], backlog=LISTEN_BACKLOG, reuse_address=True
         )
         self.servers.append(server)
         return server
 
-    def _accept_question(self) -> ReadinessConnection:
-        return ReadinessConnection(self.is_ready, self.members_call)
+    def _accept_readiness(self) -> ReadinessConnection:
+        return ReadinessConnection(self.is_ready, self.members_endpoint)
 
     def _members_report(self) -> bytes:
-        """What this router knows of the fleet, for operators."""
+        """Return what this router knows of the fleet, for operators."""
         published = self.agent.item(CONFIGURATION_KEY)
         return encode_members(
             self.settings.internal, published.version if published else 0, self.agent.known_members()
         )
 
     def is_ready(self) -> bool:
-        """Whether the platform should send new connections here."""
-        if self.front.drain.has_begun or self.configuration is None:
+        """Return whether the platform should send new connections here."""
+        if self.listener.drain.has_started or self.configuration is None:
             return False
-        return self.backends.any_ready() and self.admission.is_able()
+        return self.backends.any_ready() and self.admission.is_ready()
 
-    # The cluster's side
+    # The cluster
 
     def _on_item(self, item: Item) -> None:
         try:
@@ -156,9 +230,9 @@
                 self._configure(read_item(item.payload))
             elif item.key.startswith(INSTANCES_PREFIX):
                 service = item.key[len(INSTANCES_PREFIX) :].decode()
-                self.backends.learn(service, decode_instances(item.payload))
+                self.backends.update(service, decode_instances(item.payload))
         except ValueError as error:
-            self.log.error("router: item unreadable.", key=repr(item.key), why=str(error))
+            self.log.error("router_item_unreadable", key=repr(item.key), reason=str(error))
 
     def _configure(self, configuration: Configuration) -> None:
         if self.configuration and configuration.version <= self.configuration.version:
@@ -166,7 +240,7 @@
         self.configuration = configuration
         self.agent.set_applied_version(configuration.version)
         self.admission.configure(configuration)
-        self.front.configure(RouteTable(configuration), configuration.limits)
+        self.listener.configure(RouteTable(configuration), configuration.limits)
         for service in configuration.services.values():
             engine = service.engine
             self.engine.give(
@@ -178,7 +252,9 @@
                     service.connection_limit,
                 )
             )
-        self.log.info("config: in force.", version=configuration.version, routes=len(configuration.routes))
+        self.log.info(
+            "configuration_applied", version=configuration.version, routes=len(configuration.routes)
+        )
 
     def _on_members(self) -> None:
         routers = self.agent.members(Role.ROUTER)
@@ -205,110 +281,63 @@
         now = self.loop.time()
         self.sweeps += 1
         self.admission.tick()
-        if self.sweeps % SLOW_SWEEPS == 0 or self.upstreams.streams:
+        if self.sweeps % IDLE_SWEEP_INTERVAL == 0 or self.upstreams.streams:
             self.upstreams.sweep(now)
-        if self.sweeps % SLOW_SWEEPS == 0:
-            self.front.sweep(now)
-        self.loop.call_later(SWEEP_INTERVAL, self._sweep)
+        if self.sweeps % IDLE_SWEEP_INTERVAL == 0:
+            self.listener.sweep(now)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _report(self) -> None:
         endings = self.engine.endings
         counted = {name.replace(" ", "_").replace(",", ""): count for name, count in sorted(endings.items())}
         self.log.info(
-            "router: figures.",
-            clients=len(self.front.connections),
-            open=self.engine.owed,
-            upstream=self.upstreams.connections,
-            dials=self.upstreams.dials,
+            "router_metrics",
+            client_connections=len(self.listener.connections),
+            open_requests=self.engine.owed,
+            upstream_connections=self.upstreams.connections,
+            upstream_dials=self.upstreams.dials,
             **counted,
         )
         endings.clear()
         self._report_admission()
         self._report_budgets()
-        self.loop.call_later(FIGURES_INTERVAL, self._report)
+        self.loop.call_later(METRICS_INTERVAL_S, self._report)
 
     def _report_admission(self) -> None:
         self.admission.forget_idle()
-        counts = self.admission.take_counts()
-        if any(counts.values()):
-            self.log.info("tenancy: turned away.", **counts)
+        rejections = self.admission.take_rejections()
+        if any(rejections.values()):
+            self.log.info("admission_rejections", **rejections)
 
     def _report_budgets(self) -> None:
-        for name, figures in self.balancer.take_budget_metrics(self.loop.time()).items():
-            if not figures.retries and not figures.denied:
+        for name, metrics in self.balancer.take_budget_metrics(self.loop.time()).items():
+            if not metrics.retries and not metrics.denied:
                 continue
             self.log.info(
-                "retries: budget.",
+                "retry_budget_metrics",
                 service=name,
-                requests=figures.requests,
-                repeats=figures.retries,
-                denied=figures.denied,
-                tokens=round(figures.tokens, 1),
-                capacity=round(figures.capacity, 1),
+                requests=metrics.requests,
+                retries=metrics.retries,
+                denied=metrics.denied,
+                tokens=round(metrics.tokens, 1),
+                capacity=round(metrics.capacity, 1),
             )
 
-    # The end
+    # Draining
 
     async def drain(self) -> None:
-        """Take no new work beyond what still comes, finish what is here, and leave the cluster."""
-        began, drain = self.loop.time(), self.front.drain
-        drain.begin(began, began + self.settings.grace - END_MARGIN)
-        self.engine.hasten(drain.end_by)
-        self.log.info("router: drains.", open=self.engine.owed)
-        await asyncio.sleep(drain.take_until - began)
-        self.front_server.close()
-        self.front.close_idle()
-        while self.loop.time() < drain.end_by + LAST_LOOK and self.front.connections:
-            await asyncio.sleep(LAST_LOOK)
-            self.front.close_idle()
+        """Finish the requests that are here and those that still come, and leave the cluster."""
+        started_at, drain = self.loop.time(), self.listener.drain
+        drain.start(started_at, started_at + self.settings.grace - DRAIN_MARGIN_S)
+        self.engine.hasten(drain.deadline)
+        self.log.info("router_draining", open_requests=self.engine.owed)
+        await asyncio.sleep(drain.accept_until - started_at)
+        self.client_server.close()
+        self.listener.close_idle()
+        while self.loop.time() < drain.deadline + DRAIN_POLL_INTERVAL_S and self.listener.connections:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
+            self.listener.close_idle()
         for server in self.servers:
             server.close()
         self.agent.close()
-        self.log.info("router: ends.", open=self.engine.owed, **asdict(drain.figures))
-
-
-class RouterSettings:
-    """What a router is told by its settings file, in seconds and internal addresses."""
-
-    def __init__(
-        self,
-        *,
-        internal: Address,
-        front: Address,
-        readiness: Address,
-        seeds: tuple[Address, ...],
-        zone: str,
-        zones: tuple[str, ...],
-        incarnation: int,
-        file_descriptors: int,
-        grace: float,
-        retry_ratio: float,
-        retry_slack: float,
-        revoke: float = 0.0,
-    ) -> None:
-        """`revoke`: seconds within which a removed key must be refused; 0 where nothing has to prove it."""
-        self.internal, self.front, self.readiness, self.seeds = internal, front, readiness, seeds
-        self.zone, self.zones, self.incarnation = zone, zones, incarnation
-        self.file_descriptors, self.grace = file_descriptors, grace
-        self.retry_ratio, self.retry_slack, self.revoke = retry_ratio, retry_slack, revoke
-        self.seed = random.Random(incarnation).getrandbits(32)
-
-
-class NoDirectory:
-    """Lists of backends come by dissemination: there is nobody to ask."""
-
-    def refresh(self) -> None: ...
-
-
-def engine_settings(number: int) -> api.Settings:
-    """The engine's settings in the fleet: limits of single requests come with their routes."""
-    anything = api.RequestClass("prompt", latency_target=1.0, deadline=3600.0)
-    rules = api.Rules(
-        0.02, drain_grace=0.0, start_capacity=1.0, slow_start=0.0, fall_multiple=1.0, fall_window=1.0
-    )
-    limits = api.Limits(
-        max_attempts=MAX_ATTEMPTS, cancel=True, peers=True, retry_after=True, max_open_requests=MAX_OPEN
-    )
-    return api.Settings(
-        me=number, proxies=1, tick=0.001, classes=(anything,), rules=rules, limits=limits, key_affinity=True
-    )
+        self.log.info("router_stopped", open_requests=self.engine.owed, **asdict(drain.metrics))
--- a/firvane/fleet/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -1,7 +1,8 @@
-"""Connections to the backends: a pool for each, dials, and who gets which connection.
+"""Connections to the backends: a pool for each, connects, and which request gets which connection.
 
-Each way to an exchange's first byte passes `Upstreams._barred`: the backend must still be ready and the
-exchange's time not over. What it bars never ran. Rules of a connection stand in `upstream_connection`.
+Before its first byte, each exchange passes `Upstreams._why_unsendable`: the backend must still be ready and
+the exchange's time not over. What it stops never ran. The invariants of a connection are in
+`upstream_connection`.
 """
 
 from __future__ import annotations
@@ -19,61 +20,67 @@
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream_connection import Pool, Run, UpstreamConnection
 
-CONNECT_TIMEOUT = 0.25  # s for a connection to a backend
-IDLE_PART = 0.6  # of the time that the backend names
+CONNECT_TIMEOUT_S = 0.25
+KEEP_ALIVE_RATIO = 0.6  # of the time that the backend names in `Keep-Alive`
+NO_ADDRESS = ("0.0.0.0", 0)
 
 
 def ignore_progress(backend: str) -> None:
-    """Nobody asks for progress of streams."""
+    """Ignore reports of progress."""
 
 
 def always_continued(request: ProxiedRequest) -> bool:
-    """Whatever is given up goes on elsewhere."""
+    """Return True: any stream that is given up is continued elsewhere."""
     return True
 
 
 class Upstreams:
-    """The pools of all backends; `on_progress` is told of backends whose streams go on.
-
-    `may_continue` says of a request whose stream has fallen silent whether another backend would take it up.
+    """The connection pools of all backends.
+
+    Attributes:
+        pools: Pools by backend.
+        streams: Connections whose responses are being streamed.
+        on_progress: Called with the backend at progress of its streams, at intervals.
+        may_continue: Returns whether another backend would continue a stalled stream.
+        connections: Open connections, those that are being made included.
+        dials: Connections ever made.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, dialer: Dialer, most: int) -> None:
-        """`most` is the number of connections that may be open at once."""
-        self.loop, self.dialer, self.most = loop, dialer, most
+    def __init__(self, loop: asyncio.AbstractEventLoop, dialer: Dialer, max_connections: int) -> None:
+        """Start without backends; at most `max_connections` may be open at once."""
+        self.loop, self.dialer, self.max_connections = loop, dialer, max_connections
         self.pools: dict[str, Pool] = {}
         self.streams: dict[UpstreamConnection, None] = {}
         self.on_progress: Callable[[str], None] = ignore_progress
         self.may_continue: Callable[[ProxiedRequest], bool] = always_continued
         self.connections = 0
-        self.dials = 0  # ever made
-
-    # What the list of instances says
+        self.dials = 0
 
-    def set_backends(self, ready: dict[str, Address], leaving: dict[str, Address]) -> None:
-        """The backends that take new requests, and those that only finish what they have."""
-        for name in self.pools.keys() - ready.keys() - leaving.keys():
+    def set_backends(self, ready: dict[str, Address], draining: dict[str, Address]) -> None:
+        """Replace the backends: those that take requests, and those that only finish what they have."""
+        for name in self.pools.keys() - ready.keys() - draining.keys():
             pool = self.pools.pop(name)
             pool.ready = False
             pool.close_idle()
         for name, address in ready.items():
             if name not in self.pools:
                 self.pools[name] = Pool(name, address)
-        for name in leaving:
-            if pool_leaving := self.pools.get(name):
-                pool_leaving.ready = False
-                pool_leaving.close_idle()
+        for name in draining:
+            if draining_pool := self.pools.get(name):
+                draining_pool.ready = False
+                draining_pool.close_idle()
 
-    # The engine's side
+    # The engine's targets
 
     def forward(self, request: ProxiedRequest, target: str, exchange: Exchange[Message]) -> Run:
-        pool = self.pools.get(target) or Pool(target, ("0.0.0.0", 0))
+        """Send a request to a backend; the exchange reports what comes of it."""
+        pool = self.pools.get(target) or Pool(target, NO_ADDRESS)
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
         if target not in self.pools:
             run.end(Ending.TOO_LATE)
-        elif barred := self._barred(run, now):
-            run.end(barred)
+        elif unsendable := self._why_unsendable(run, now):
+            run.end(unsendable)
         elif connection := pool.take(request.request_id):
             connection.send(run, now)
         else:
@@ -81,16 +88,18 @@
         return run
 
     def probe(self, target: str, exchange: Exchange[Message]) -> Run:
+        """Not used: placement needs no probes of backends."""
         raise NotImplementedError("backends are not probed")
 
     def close_idle(self, target: str) -> None:
+        """Close the idle connections to a backend."""
         if pool := self.pools.get(target):
             pool.close_idle()
 
     # Connections
 
-    def _barred(self, run: Run, now: float) -> Ending | None:
-        """What forbids a run's first byte now, if anything (rule 2)."""
+    def _why_unsendable(self, run: Run, now: float) -> Ending | None:
+        """Return what forbids a run's first byte now, if anything."""
         if not run.pool.ready:
             return Ending.TOO_LATE
         if now >= min(run.exchange.deadline, run.exchange.by):
@@ -98,42 +107,42 @@
         return None
 
     def _dial(self, run: Run, now: float) -> None:
-        if self.connections >= self.most:
+        if self.connections >= self.max_connections:
             self._close_oldest()
         self.connections += 1
         self.dials += 1
         run.dial = self.dialer.dial(
             run.pool.address,
-            now + CONNECT_TIMEOUT,
+            now + CONNECT_TIMEOUT_S,
             partial(UpstreamConnection, self, run.pool),
-            partial(self._up, run),
-            partial(self._not_up, run),
+            partial(self._on_connected, run),
+            partial(self._on_connect_failed, run),
         )
 
-    def _up(self, run: Run, connection: UpstreamConnection) -> None:
+    def _on_connected(self, run: Run, connection: UpstreamConnection) -> None:
         now = self.loop.time()
         if run.over:
             self.park(connection)
-        elif connection.lost or connection.transport.is_closing():
+        elif connection.closed or connection.transport.is_closing():
             run.end(Ending.BROKE_UNSENT)
-        elif barred := self._barred(run, now):
+        elif unsendable := self._why_unsendable(run, now):
             self.park(connection)
-            run.end(barred)
+            run.end(unsendable)
         else:
             connection.send(run, now)
 
-    def _not_up(self, run: Run, ending: Ending) -> None:
+    def _on_connect_failed(self, run: Run, ending: Ending) -> None:
         self.connections -= 1
         run.end(ending)
 
-    def park(self, connection: UpstreamConnection, answer: Message | None = None) -> None:
-        """Keep an idle connection for the next exchange."""
+    def park(self, connection: UpstreamConnection, response: Message | None = None) -> None:
+        """Return an idle connection to its pool; `response` may name the time that the backend keeps it."""
         pool = connection.pool
-        if not pool.ready or connection.lost or connection.transport.is_closing():
+        if not pool.ready or connection.closed or connection.transport.is_closing():
             connection.close()
             return
-        if answer and (named := keep_alive_seconds(answer)) is not None:
-            pool.idle_limit = named * IDLE_PART
+        if response and (keep_alive := keep_alive_seconds(response)) is not None:
+            pool.idle_timeout = keep_alive * KEEP_ALIVE_RATIO
         connection.idle_since = self.loop.time()
         pool.idle.append(connection)
 
@@ -144,18 +153,18 @@
             oldest.idle.pop(0).close()
 
     def sweep(self, now: float) -> None:
-        """Close what has been idle for long, well before the backend would, and silent streams."""
+        """Close connections well before the backend would, and give up stalled streams."""
         for pool in self.pools.values():
             if pool.idle:
-                pool.close_idle(now - pool.idle_limit)
+                pool.close_idle(now - pool.idle_timeout)
         for connection in list(self.streams):
-            connection.check_silence(now)
+            connection.check_stall(now)
 
 
-def keep_alive_seconds(message: Message) -> float | None:
-    """The time that an answer's `Keep-Alive` names, in seconds."""
-    for part in message.fields.get(b"keep-alive", b"").split(b","):
-        name, _, value = part.strip().partition(b"=")
+def keep_alive_seconds(response: Message) -> float | None:
+    """Return the time-out that a response's `Keep-Alive` names, in seconds; None where there is none."""
+    for parameter in response.fields.get(b"keep-alive", b"").split(b","):
+        name, _, value = parameter.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
             return float(value)
     return None
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -1,17 +1,18 @@
-"""One connection to a backend: a request on its way, the answer that comes back, and whose that is.
+"""One connection to a backend: an exchange in flight, its response, and which exchange a response belongs to.
 
-Rules of an exchange and its connection:
+Invariants of an exchange and its connection:
 
-1. An exchange ends once. Who cancels it hears nothing more of it; its connection is closed with it, since
-   that is how a backend learns that nobody waits.
-2. A request is written once its last byte is with the kernel. A break before that never ran; one after it may
+1. An exchange ends once. After a cancel nothing more of it is reported; its connection is closed with it,
+   which is how a backend learns that nobody waits.
+2. A request counts as written once its last byte is in the kernel. A break before that never ran; one after
+   it may have run.
+3. A response counts for the exchange only where it echoes the request's id. One with another id belongs to
+   an earlier exchange, and is read and dropped. One without any id belongs to no exchange: the request may
    have run.
-3. An answer counts for the exchange only where it echoes the request's id. One with another id belongs to an
-   earlier exchange and is read and dropped. One without any id belongs to nobody: the exchange may have run.
-4. A connection is used again only after an exchange in perfect order: the request written whole, one answer,
-   framed and complete, and not a byte beside it. A request that was turned away on it never uses it again: if
-   the refusal comes a second time, its id would pass for the answer to the second try.
-5. Of a stream only whole events are passed on (`firvane.fleet.router.events`).
+4. A connection is reused only after an exchange in perfect order: the request written completely, one
+   response, framed and complete, and not a byte beside it. A request that was rejected on it never uses it
+   again: if the rejection came a second time, its id would match the second attempt.
+5. Of a stream only complete events are passed on (`firvane.fleet.router.events`).
 """
 
 from __future__ import annotations
@@ -31,21 +32,26 @@
 from firvane.fleet.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
 from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
 
-HELD_ANSWER = 64 * 1024  # bytes of an answer that is no stream and is held until it is whole
-MAX_ANSWER = 64 * 1024 * 1024  # bytes of one answer
-MAX_REFUSED = 256  # requests turned away on one connection before it is closed
-MAX_INTERIM = 8  # 1xx answers, or answers to earlier requests, before the one that is waited for
-DEFAULT_IDLE = 8.0  # s that an idle connection is kept where the backend names no time
-SILENCE_FACTOR = 2.0  # of the longest pause aimed at: a resumable stream silent for longer is given up
-MIN_SILENCE = 0.35  # s, and never sooner than that
-PROGRESS_INTERVAL = 0.05  # s between reports of a backend's progress at the least
+MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024  # larger responses are streamed
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
+MAX_REJECTED_IDS = 256  # on one connection, before it is closed
+MAX_SKIPPED_RESPONSES = 8  # 1xx responses, or those to earlier requests
+DEFAULT_IDLE_TIMEOUT_S = 8.0  # where the backend names none
+STALL_TIMEOUT_FACTOR = 2.0  # times the route's longest gap between events
+MIN_STALL_TIMEOUT_S = 0.35
+PROGRESS_INTERVAL_S = 0.05  # between reports of a backend's progress
+LOWEST_PRIORITY = 9
 STREAM_TYPE = b"text/event-stream"
 REPLACED_FIELDS = frozenset((DEADLINE, b"x-target-instance", b"priority", b"expect-version"))
 RESUMED_FIELDS = frozenset((b"last-event-id",))
+STATUS_OK = 200
+STATUS_SWITCHING_PROTOCOLS = 101
+STATUS_MULTIPLE_CHOICES = 300
+STATUS_MISDIRECTED = 421
 
 
 class Connections(Protocol):
-    """What a connection needs of the pools that it belongs to."""
+    """What a connection needs of the pools that it belongs to (`Upstreams`)."""
 
     loop: asyncio.AbstractEventLoop
     connections: int
@@ -53,28 +59,37 @@
     on_progress: Callable[[str], None]
     may_continue: Callable[[ProxiedRequest], bool]
 
-    def park(self, connection: UpstreamConnection, answer: Message | None = None) -> None:
-        """Keep an idle connection for the next exchange."""
+    def park(self, connection: UpstreamConnection, response: Message | None = None) -> None:
+        """Return an idle connection to its pool."""
 
 
 class Pool:
-    """One backend: its address, whether it takes new requests, and its idle connections, newest last."""
+    """The idle connections to one backend.
+
+    Attributes:
+        backend: Id of the backend.
+        address: Its address.
+        ready: Whether it takes new requests.
+        idle: Idle connections, the newest last.
+        idle_timeout: Seconds after which an idle connection is closed.
+        progress_at: Loop time at which progress of its streams was last reported.
+    """
 
     def __init__(self, backend: str, address: Address) -> None:
         self.backend, self.address = backend, address
         self.ready = True
         self.idle: list[UpstreamConnection] = []
-        self.idle_limit = DEFAULT_IDLE
-        self.progress_at = 0.0  # when progress of its streams was last reported
+        self.idle_timeout = DEFAULT_IDLE_TIMEOUT_S
+        self.progress_at = 0.0
 
     def take(self, request_id: bytes) -> UpstreamConnection | None:
-        """The newest idle connection that may carry this request; what is no longer usable is closed."""
+        """Take the newest idle connection that may carry this request, and close unusable ones."""
         for position in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[position]
             if not connection.usable():
                 del self.idle[position]
                 connection.close()
-            elif request_id not in connection.refused:
+            elif request_id not in connection.rejected_ids:
                 del self.idle[position]
                 return connection
         return None
@@ -84,39 +99,55 @@
         close_idle(self.idle, before)
 
 
-# An exchange on its way to a backend: a name for the type, `UpstreamRun` itself is made.
+# An exchange with a backend. The name is for types only: `UpstreamRun` itself is constructed.
 Run: TypeAlias = UpstreamRun[ProxiedRequest, "UpstreamConnection", Pool]
 
 
 class UpstreamConnection(Buffered):
-    """One connection to a backend; it is in its pool whenever it is idle."""
+    """One connection to a backend; it is in its pool whenever it is idle.
+
+    Attributes:
+        run: The exchange in flight.
+        written: Whether the last byte of its request is in the kernel.
+        skipped_responses: Responses dropped since the request was sent.
+        rejected_ids: Ids of the requests that the backend rejected on this connection.
+        stream: The response that is being streamed.
+        framer: Splits it into events, where it is a stream of events.
+        idle_since: Loop time at which it became idle.
+        last_data_at: Loop time at which bytes of the response last came.
+        paused: Whether the client does not keep up.
+        closed: Whether the connection is lost.
+    """
 
     def __init__(self, upstreams: Connections, pool: Pool, quiet: Quiet) -> None:
+        """`quiet` returns whether nothing has come on the idle socket."""
         self.upstreams, self.pool, self.quiet = upstreams, pool, quiet
-        self.reader = Reader(httptools.HttpResponseParser, HELD_ANSWER, MAX_ANSWER)
+        self.reader = Reader(httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES)
         self.run: Run | None = None
-        self.written = True  # the last byte of the request is with the kernel
-        self.skipped = 0  # answers passed over since the request was sent
-        self.refused: set[bytes] = set()  # requests that were turned away on this connection
-        self.stream: Stream | None = None  # the answer that is being passed on
-        self.framer: EventFramer | None = None  # where that is a stream of events
+        self.written = True
+        self.skipped_responses = 0
+        self.rejected_ids: set[bytes] = set()
+        self.stream: Stream | None = None
+        self.framer: EventFramer | None = None
         self.idle_since = 0.0
-        self.moved = 0.0  # when bytes of the answer last came
-        self.held = False  # the client takes no more of it now
-        self.lost = False
+        self.last_data_at = 0.0
+        self.paused = False
+        self.closed = False
         self.transport: asyncio.Transport
 
     # Life of the connection
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(0)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.lost = True
+        """End the exchange in flight, and leave the pool (asyncio)."""
+        self.closed = True
         self.upstreams.connections -= 1
         self.reader.drop()
-        self._stop_streaming()
+        self._end_stream()
         if self in self.pool.idle:
             self.pool.idle.remove(self)
         run, self.run = self.run, None
@@ -124,30 +155,32 @@
             run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
 
     def eof_received(self) -> None:
+        """Complete a body that lasts until the end of the connection, or close (asyncio)."""
         message = self.reader.message
         if self.run and message and not self.reader.in_head and not message.framed and self.stream:
-            self._complete(message)  # a body that lasts until the connection ends
+            self._complete(message)
         else:
             self.close()
 
     def usable(self) -> bool:
-        """Whether nothing has come on it while idle, neither bytes nor its end."""
-        return not self.lost and not self.transport.is_closing() and self.quiet()
+        """Return whether nothing has come while it was idle, neither bytes nor its end."""
+        return not self.closed and not self.transport.is_closing() and self.quiet()
 
     def close(self) -> None:
-        if not self.lost:
+        """Abort the connection."""
+        if not self.closed:
             self.transport.abort()
 
     # Sending
 
     def send(self, run: Run, now: float) -> None:
-        """Write a run's request; the time that is left goes with it."""
+        """Write the request of a run, with the time that is left for it."""
         request = run.request
         left_ms = max(1, int((run.exchange.deadline - now) * 1000))
         fields = [
             b"X-Deadline-Ms: %d\r\n" % left_ms,
             b"X-Target-Instance: %s\r\n" % self.pool.backend.encode(),
-            b"Priority: %d\r\n" % min(9, max(0, request.priority)),
+            b"Priority: %d\r\n" % min(LOWEST_PRIORITY, max(0, request.priority)),
         ]
         without = REPLACED_FIELDS
         if request.is_private:
@@ -159,17 +192,18 @@
             fields.append(b"Last-Event-Id: %d\r\n" % request.last_event_id)
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1])
         self.run, run.connection = run, self
-        request.note_sent()
-        self.written, self.skipped, self.moved = False, 0, now
+        request.record_sent()
+        self.written, self.skipped_responses, self.last_data_at = False, 0, now
         head = forward_head(request.message, host, without, fields)
         self.transport.writelines([*head, *request.message.body])
-        self._note_written()
+        self._check_written()
 
     def resume_writing(self) -> None:
+        """Report that the request is written, where it is now (asyncio)."""
         if self.run and not self.written:
-            self._note_written()
+            self._check_written()
 
-    def _note_written(self) -> None:
+    def _check_written(self) -> None:
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
             if self.run:
@@ -178,36 +212,40 @@
     # Receiving
 
     def data_received(self, data: bytes) -> None:
+        """Read the response in flight (asyncio)."""
         if self.run is None:
-            self.close()  # nothing was asked for
+            self.close()  # unsolicited bytes
             return
-        self.moved = self.upstreams.loop.time()
-        if self.stream and self.moved >= self.pool.progress_at + PROGRESS_INTERVAL:
-            self.pool.progress_at = self.moved
+        self.last_data_at = self.upstreams.loop.time()
+        if self.stream and self.last_data_at >= self.pool.progress_at + PROGRESS_INTERVAL_S:
+            self.pool.progress_at = self.last_data_at
             self.upstreams.on_progress(self.pool.backend)
-        at = 0
-        while at < len(data) and self.run:
+        position = 0
+        while position < len(data) and self.run:
             try:
-                at = self.reader.step(data, at)
+                position = self.reader.step(data, position)
             except Fault:
                 self._fail(Ending.BAD_ANSWER)
                 return
-            if not self._read_on(at < len(data)):
+            if not self._process_response(position < len(data)):
                 return
 
-    def _read_on(self, followed: bool) -> bool:
-        """Act on what has been read; whether the exchange goes on."""
+    def _process_response(self, followed: bool) -> bool:
+        """Act on what has been read; return whether the exchange goes on.
+
+        `followed`: more bytes have come behind it.
+        """
         done = self.reader.done
         message = done[0] if done else self.reader.message
         if message is None or (not done and self.reader.in_head):
             return True
-        if self._belongs_elsewhere(message):
+        if self._is_other_response(message):
             return self._skip(message, followed)
         if REQUEST_ID not in message.fields:
             self._fail(Ending.BAD_ANSWER)
             return False
-        starts = self.stream is None and 200 <= message.status < 300 and self._is_passed_on(message)
-        if starts and not self._begin(message):
+        starts = self.stream is None and is_success(message) and self._is_streamed(message)
+        if starts and not self._start_stream(message):
             return False
         if self.stream:
             self._feed(message)
@@ -218,31 +256,35 @@
             return False
         return True
 
-    def _belongs_elsewhere(self, message: Message) -> bool:
+    def _is_other_response(self, message: Message) -> bool:
+        """Return whether a response is an interim one, or that of an earlier request."""
         run = self.run
-        if message.status < 200:
+        if message.status < STATUS_OK:
             return True
         echoed = message.fields.get(REQUEST_ID)
         return run is not None and echoed is not None and echoed != run.request.request_id
 
     def _skip(self, message: Message, followed: bool) -> bool:
+        """Drop a response, and return whether the exchange goes on."""
         message.taken()
         if not message.complete:
             return True
         self.reader.done.pop(0)
-        self.skipped += 1
-        if self.skipped > MAX_INTERIM or message.status == 101 or not message.keep:
+        self.skipped_responses += 1
+        too_many = self.skipped_responses > MAX_SKIPPED_RESPONSES
+        if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep:
             self._fail(Ending.BAD_ANSWER)
             return False
-        return self._read_on(followed)
+        return self._process_response(followed)
 
-    def _is_passed_on(self, message: Message) -> bool:
-        """Whether an answer goes to the client as it comes, and not only once it is whole."""
+    def _is_streamed(self, message: Message) -> bool:
+        """Return whether a response goes to the client as it comes, and not only once it is complete."""
         kind = message.fields.get(b"content-type", b"")
         length = message.length()
-        return kind.startswith(STREAM_TYPE) or length is None or length > HELD_ANSWER
+        return kind.startswith(STREAM_TYPE) or length is None or length > MAX_BUFFERED_RESPONSE_BYTES
 
-    def _begin(self, message: Message) -> bool:
+    def _start_stream(self, message: Message) -> bool:
+        """Start streaming a response, and return whether the exchange goes on."""
         run = self.run
         if run is None:
             return False
@@ -254,20 +296,21 @@
         return self.run is run
 
     def _feed(self, message: Message) -> None:
+        """Pass on the body that has come, by complete events in a stream of events."""
         pieces = message.taken()
         if self.framer:
-            whole = self.framer.feed(b"".join(pieces))
-            pieces = [whole] if whole else []
-            self._count_events()
+            events = self.framer.feed(b"".join(pieces))
+            pieces = [events] if events else []
+            self._store_last_event_id()
         if self.stream and pieces:
             self.stream.feed(pieces)
 
-    def _count_events(self) -> None:
+    def _store_last_event_id(self) -> None:
         if self.run and self.framer and self.framer.last_id is not None:
             self.run.request.last_event_id = self.framer.last_id
 
     def _complete(self, message: Message, followed: bool = False) -> None:
-        """An answer is whole."""
+        """End the exchange with a complete response, and reuse or close the connection."""
         if self.stream:
             self._feed(message)
             rest: Piece = self.framer.finish() if self.framer else b""
@@ -275,14 +318,14 @@
                 self.stream.feed([rest])
             self.stream.end()
         run, self.run = self.run, None
-        self._stop_streaming()
-        ending = answer_ending(message)
+        self._end_stream()
+        ending = response_ending(message)
         if run and ending is Ending.TURNED_AWAY:
-            self.refused.add(run.request.request_id)
-            run.request.note_turned_away()
-        is_clean = message.framed and self.written and not (followed or self.skipped)
-        reusable = message.keep and is_clean and len(self.refused) <= MAX_REFUSED
-        if reusable and not self.lost and not self.transport.is_closing():
+            self.rejected_ids.add(run.request.request_id)
+            run.request.record_rejected()
+        is_clean = message.framed and self.written and not (followed or self.skipped_responses)
+        reusable = message.keep and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
+        if reusable and not self.closed and not self.transport.is_closing():
             self.upstreams.park(self, message)
         else:
             self.close()
@@ -291,42 +334,45 @@
 
     def _fail(self, ending: Ending) -> None:
         run, self.run = self.run, None
-        self._stop_streaming()
+        self._end_stream()
         self.close()
         if run:
             run.end(ending)
 
-    def _stop_streaming(self) -> None:
+    def _end_stream(self) -> None:
         if self.stream:
             self.stream = self.framer = None
             self.upstreams.streams.pop(self, None)
-        self.held = False
+        self.paused = False
 
     def hold(self, held: bool) -> None:
-        """The client takes no more of the answer, or more again."""
-        if held is not self.held and not self.lost and not self.transport.is_closing():
-            self.held, self.moved = held, self.upstreams.loop.time()
+        """Pause or resume reading, as the client keeps up with the stream or not."""
+        if held is not self.paused and not self.closed and not self.transport.is_closing():
+            self.paused, self.last_data_at = held, self.upstreams.loop.time()
             (self.transport.pause_reading if held else self.transport.resume_reading)()
 
-    def check_silence(self, now: float) -> None:
-        """Give up a resumable stream that has been silent for far longer than its pauses should last.
+    def check_stall(self, now: float) -> None:
+        """Give up a resumable stream that has stalled for far longer than its events should be apart.
 
-        Only where another backend takes it up: silence alone is no reason to end an answer sooner.
+        Only where another backend would continue it: a stall alone is no reason to end a response sooner.
         """
         run = self.run
-        if run is None or self.held or not run.request.route.stream_resume:
+        if run is None or self.paused or not run.request.route.stream_resume:
             return
-        longest = max(MIN_SILENCE, SILENCE_FACTOR * run.request.route.gap_aim_ms / 1000)
-        if now > self.moved + longest and self.upstreams.may_continue(run.request):
+        timeout = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * run.request.route.gap_aim_ms / 1000)
+        if now > self.last_data_at + timeout and self.upstreams.may_continue(run.request):
             self._fail(Ending.OVERDUE)
 
 
-def answer_ending(message: Message) -> Ending:
-    """What an answer means by its head."""
-    if 200 <= message.status < 300:
+def is_success(response: Message) -> bool:
+    """Return whether the status of a response is 2xx."""
+    return STATUS_OK <= response.status < STATUS_MULTIPLE_CHOICES
+
+
+def response_ending(response: Message) -> Ending:
+    """Return how an attempt ended, by the head of its response."""
+    if is_success(response):
         return Ending.SERVED
-    if message.status == 421:
-        return Ending.TURNED_AWAY
-    if b"x-not-executed" in message.fields:
+    if response.status == STATUS_MISDIRECTED or b"x-not-executed" in response.fields:
         return Ending.TURNED_AWAY
     return Ending.SERVER_ERROR
--- a/firvane/programs/router.py
+++ b/firvane/programs/router.py
@@ -32,8 +32,8 @@
         raise SettingsError("listen_addresses: a router needs front and readiness")
     return RouterSettings(
         internal=settings.internal_address,
-        front=settings.front,
-        readiness=settings.readiness,
+        client_address=settings.front,
+        readiness_address=settings.readiness,
         seeds=settings.seed_internal,
         zone=settings.zone,
         zones=tuple(settings.zones) or (settings.zone,),
--- a/firvane/simulation/soak/event_trace.py
+++ b/firvane/simulation/soak/event_trace.py
@@ -75,6 +75,6 @@
     for line in played.logs.get(violation.daemon, "").splitlines():
         named = REQUEST_IN_LOG.search(line)
         if (named and named.group(1) == violation.request) or (
-            not named and "router: ends." in line and violation.rule in ("LOST", "END")
+            not named and "router_stopped" in line and violation.rule in ("LOST", "END")
         ):
             yield f"    {line}"
--- a/firvane/simulation/soak/player.py
+++ b/firvane/simulation/soak/player.py
@@ -28,7 +28,7 @@
 SPARE_BACKENDS = 20  # addresses for backends that come later
 SLOW_CHANGES = 4.0  # s between changes of the configuration where the plan asks for none
 RIVALS_EVERY = 3  # each third change is two different orders under one number
-ENDS_LINE = re.compile(r'event="router: ends\." open=(\d+)')
+ENDS_LINE = re.compile(r"event=router_stopped open_requests=(\d+)")
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -16,15 +16,15 @@
     Mutant(
         "a key that nobody holds is 401",
         "firvane/fleet/router/admission.py",
-        "            waiting.applicant.turned_away(401, 0.0)\n",
-        "            waiting.applicant.admitted(KEYLESS)\n",
+        "            pending.client.rejected(STATUS_UNAUTHORIZED, 0.0)\n",
+        "            pending.client.admitted(ANONYMOUS)\n",
         ADMISSION,
     ),
     Mutant(
         "without a proof what needs a key is refused",
         "firvane/fleet/router/admission.py",
-        "        if not self._freshness.is_fresh(now):\n            self._wait_for_proof(waiting, now)\n",
-        "        if False:\n            self._wait_for_proof(waiting, now)\n",
+        "        if not self._freshness.is_fresh(now):\n            self._wait_for_proof(pending, now)\n",
+        "        if False:\n            self._wait_for_proof(pending, now)\n",
         ADMISSION,
     ),
     Mutant(
@@ -114,15 +114,15 @@
     Mutant(
         "a second run counts once more",
         "firvane/fleet/router/requests.py",
-        "        if self.runs > 1 and self.on_repeat:\n",
+        "        if self.runs > 1 and self.on_retry:\n",
         "        if False:\n",
         ADMISSION,
     ),
     Mutant(
         "a grant is used at once or not at all",
         "firvane/fleet/router/admission.py",
-        "        if now >= waiting.until:  # this",
-        "        if False:  # this",
+        "        if now >= pending.until:  # the process",
+        "        if False:  # the process",
         ADMISSION,
     ),
     Mutant(
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -13,7 +13,7 @@
 from firvane.core.net.http import Message
 from firvane.core.net.transport_pool import TransportPool
 from firvane.fleet.configuration.routes import Configuration, Route, RouteKind, RouteTable, Target
-from firvane.fleet.router.front import Front
+from firvane.fleet.router.client_listener import ClientListener
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.router import NoDirectory, engine_settings
 from firvane.fleet.router.upstream import Upstreams
@@ -134,7 +134,7 @@
 class Rig:
     """What a test holds."""
 
-    front: Front
+    listener: ClientListener
     engine: Engine[ProxiedRequest, Message]
     upstreams: Upstreams
     decisions: FirstThenNext
@@ -164,7 +164,7 @@
         one.name: ("127.0.0.1", server.sockets[0].getsockname()[1])
         for one, server in zip(backends, servers, strict=True)
     }
-    front, transports = Front(loop), TransportPool(loop)
+    listener, transports = ClientListener(loop), TransportPool(loop)
     transports.start()
     upstreams = Upstreams(loop, SocketDialer(loop, transports), 100)
     upstreams.set_backends(addresses, {})
@@ -173,16 +173,16 @@
         engine_settings(1), decisions, loop, upstreams, NoPost(), NoDirectory()
     )
     engine.know(set(addresses))
-    front.engine = engine
+    listener.engine = engine
     configuration = Configuration(1, routes or (route(),))
-    front.configure(RouteTable(configuration), configuration.limits)
-    listener = await loop.create_server(front.accept, "127.0.0.1", 0)
+    listener.configure(RouteTable(configuration), configuration.limits)
+    server_socket = await loop.create_server(listener.accept, "127.0.0.1", 0)
     try:
-        yield Rig(front, engine, upstreams, decisions, listener.sockets[0].getsockname()[1])
+        yield Rig(listener, engine, upstreams, decisions, server_socket.sockets[0].getsockname()[1])
     finally:
-        listener.close()
+        server_socket.close()
         transports.close()
-        for connection in list(front.connections):
+        for connection in list(listener.connections):
             connection.transport.abort()
         for pool in upstreams.pools.values():
             pool.close_idle()
--- a/tests/fleet/router/test_admission.py
+++ b/tests/fleet/router/test_admission.py
@@ -13,7 +13,7 @@
 from firvane.core.logs import QUIET
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, RouteTable, Tenant, key_digest
-from firvane.fleet.router.admission import LONGEST_HOLD, Admission
+from firvane.fleet.router.admission import MAX_WAIT_S, Admission
 from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, decode, encode
 from tests.fleet.router.helpers import Backend, Rig, request_id, rig, route
 
@@ -89,10 +89,10 @@
             scripted.send,
             QUIET,
         )
-        scripted.admission = found.front.admission = admission
+        scripted.admission = found.listener.admission = admission
         configuration = Configuration(1, routes, tenants=tenants)
         admission.configure(configuration)
-        found.front.configure(RouteTable(configuration), configuration.limits)
+        found.listener.configure(RouteTable(configuration), configuration.limits)
         await test(found, scripted)
 
 
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("sent", [None, "bad", "", "GOOD"])
-def test_a_key_that_nobody_holds_is_answered_401_and_reaches_no_backend(sent: str | None) -> None:
+def test_an_unknown_key_is_rejected_with_401_and_reaches_no_backend(sent: str | None) -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -127,7 +127,7 @@
     asyncio.run(play(ask, [backend]))
 
 
-def test_two_keys_in_one_request_are_answered_400() -> None:
+def test_two_keys_in_one_request_are_rejected_with_400() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -139,7 +139,7 @@
 
 
 @pytest.mark.parametrize(("key", "tenant"), [(None, None), ("bad", None), ("good", "bikes")])
-def test_an_anonymous_route_asks_for_no_key_and_passes_none_on(key: str | None, tenant: str | None) -> None:
+def test_an_anonymous_route_needs_no_key_and_forwards_none(key: str | None, tenant: str | None) -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -152,7 +152,7 @@
     asyncio.run(play(ask, [backend]))
 
 
-def test_without_tenants_everything_goes_on_as_it_came() -> None:
+def test_without_tenants_everything_is_forwarded_as_it_came() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -174,11 +174,11 @@
     asyncio.run(play(ask, [backend], tenants=()))
 
 
-def test_without_a_proof_a_good_key_is_refused_with_503_and_so_is_a_bad_one() -> None:
+def test_without_a_proof_any_key_is_rejected_with_503() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
-        assert not controllers.admission.is_able()
+        assert not controllers.admission.is_ready()
         for key in ("good", "bad"):
             answer = await found.ask(request(key))
             assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.4" in answer
@@ -188,7 +188,7 @@
     asyncio.run(play(ask, [backend], controllers=Controllers(age=None)))
 
 
-def test_a_request_waits_for_the_proof_that_is_under_way() -> None:
+def test_a_request_waits_for_the_proof_in_flight() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -199,7 +199,7 @@
     asyncio.run(play(ask, [backend]))
 
 
-def test_where_nothing_has_to_be_proved_no_question_is_asked() -> None:
+def test_no_proof_is_asked_for_where_none_is_needed() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -222,7 +222,7 @@
     asyncio.run(play(ask, [backend], controllers=Controllers(owner=CONTROLLERS[1].address)))
 
 
-def test_beyond_the_quota_the_answer_is_429_with_a_time_to_come_back() -> None:
+def test_beyond_the_quota_a_request_is_rejected_with_429_and_retry_after() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -233,7 +233,7 @@
     asyncio.run(play(ask, [backend], controllers=Controllers(status=Status.DENIED)))
 
 
-def test_where_one_controller_is_silent_another_is_asked() -> None:
+def test_another_controller_is_asked_where_one_does_not_respond() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -245,7 +245,7 @@
     asyncio.run(play(ask, [backend], revoke=0.0, controllers=controllers))
 
 
-def test_where_nobody_can_grant_a_request_is_refused_and_never_runs() -> None:
+def test_a_request_that_nobody_can_grant_is_rejected_and_never_runs() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -257,7 +257,7 @@
     asyncio.run(play(ask, [backend], revoke=0.0))
 
 
-def test_what_was_refused_after_all_pays_for_the_next_request() -> None:
+def test_the_tokens_of_a_rejected_request_are_refunded() -> None:
     async def refuse_first(got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write((NOT_RUN if len(backend.requests) == 1 else WHOLE) % request_id(got))
 
@@ -271,7 +271,7 @@
     asyncio.run(play(ask, [backend], revoke=0.0))
 
 
-def test_a_client_that_leaves_while_it_waits_reaches_no_backend_and_its_tokens_are_kept() -> None:
+def test_a_client_that_leaves_during_admission_reaches_no_backend_and_is_refunded() -> None:
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
@@ -282,7 +282,7 @@
         while not held:
             await asyncio.sleep(0)
         writer.close()
-        while found.front.connections:
+        while found.listener.connections:
             await asyncio.sleep(0)
         controllers.admission._send = controllers.send
         controllers.send(*held[0])
@@ -292,7 +292,7 @@
     asyncio.run(play(ask, [backend], revoke=0.0))
 
 
-def test_a_request_that_runs_twice_counts_twice() -> None:
+def test_a_retry_is_charged_again() -> None:
     async def break_first(got: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.close()
 
@@ -310,10 +310,10 @@
     """The clock of a process that stood still: it is late, and no timer has run yet."""
 
     def time(self) -> float:
-        return asyncio.get_running_loop().time() + LONGEST_HOLD
+        return asyncio.get_running_loop().time() + MAX_WAIT_S
 
 
-def test_a_grant_that_is_read_after_its_request_may_wait_is_not_used() -> None:
+def test_a_grant_after_the_wait_is_not_used() -> None:
     """A process that stood still may read a grant of long ago before its timers have run."""
     backend = Backend("b", answer_whole)
 
--- a/tests/fleet/router/test_backends.py
+++ b/tests/fleet/router/test_backends.py
@@ -20,12 +20,12 @@
 
     def __init__(self) -> None:
         self.ready: dict[str, Address] = {}
-        self.leaving: dict[str, Address] = {}
+        self.draining: dict[str, Address] = {}
         self.known: set[str] = set()
         self.events: list[Any] = []
 
-    def set_backends(self, ready: dict[str, Address], leaving: dict[str, Address]) -> None:
-        self.ready, self.leaving = ready, leaving
+    def set_backends(self, ready: dict[str, Address], draining: dict[str, Address]) -> None:
+        self.ready, self.draining = ready, draining
 
     def know(self, targets: set[str]) -> None:
         self.known = targets
@@ -42,27 +42,27 @@
     return Backends(recorder, recorder), recorder  # type: ignore[arg-type]
 
 
-def test_what_a_newer_record_does_not_name_is_sent_nothing_any_more() -> None:
+def test_a_backend_that_a_newer_record_does_not_name_is_sent_nothing() -> None:
     made, told = backends()
-    made.learn("s", (ONE, TWO))
-    made.learn("s", (TWO,))
-    assert set(told.ready) == told.known == {"i-2"} and not told.leaving
+    made.update("s", (ONE, TWO))
+    made.update("s", (TWO,))
+    assert set(told.ready) == told.known == {"i-2"} and not told.draining
     assert told.events[-1] == InstancesChanged("s", (TWO,))
 
 
-def test_what_drains_finishes_and_takes_nothing_new() -> None:
+def test_a_draining_backend_finishes_and_takes_nothing_new() -> None:
     made, told = backends()
-    made.learn("s", (ONE, TWO))
-    made.learn("s", (replace(ONE, state=InstanceState.DRAINING), TWO))
-    assert told.known == {"i-2"} and set(told.leaving) == {"i-1"}
+    made.update("s", (ONE, TWO))
+    made.update("s", (replace(ONE, state=InstanceState.DRAINING), TWO))
+    assert told.known == {"i-2"} and set(told.draining) == {"i-1"}
 
 
 def test_a_service_without_backends_is_known_and_not_ready() -> None:
     made, told = backends()
     assert not made.any_ready()
-    made.learn("s", ())
+    made.update("s", ())
     assert told.events == [InstancesChanged("s", ())] and not made.any_ready()
-    made.learn("s", (ONE,))
+    made.update("s", (ONE,))
     assert made.any_ready()
-    made.learn("s", (ONE,))
+    made.update("s", (ONE,))
     assert len(told.events) == 2
--- a/tests/fleet/router/test_drain.py
+++ b/tests/fleet/router/test_drain.py
@@ -39,11 +39,11 @@
 
 def drain(made: Rig, since: float, left: float = 3.0) -> None:
     """SIGTERM came `since` seconds ago, and `left` are left until the end."""
-    now = made.front.loop.time()
-    made.front.drain.begin(now - since, now + left)
+    now = made.listener.loop.time()
+    made.listener.drain.start(now - since, now + left)
 
 
-def test_a_request_on_a_connection_made_long_after_sigterm_is_not_passed_on_but_refused() -> None:
+def test_a_request_on_a_connection_made_long_after_sigterm_is_rejected() -> None:
     """The platform uses routers that say no while fewer than half of a zone say yes."""
 
     async def scene(made: Rig, backend: Backend) -> None:
@@ -55,7 +55,7 @@
     play(scene)
 
 
-def test_a_request_on_a_kept_connection_is_served_early_and_refused_late() -> None:
+def test_a_request_on_a_kept_connection_is_served_early_and_rejected_late() -> None:
     async def scene(made: Rig, backend: Backend) -> None:
         backend.handler = whole_stream
         for since, status in ((1.0, b"200"), (SENT_LATEST + 0.5, b"503")):
@@ -68,14 +68,14 @@
             assert answer.startswith(b"HTTP/1.1 " + status)
             assert b"Connection: close" in answer
             assert answer.endswith(LAST_CHUNK if status == b"200" else b"503\n")
-            made.front.drain = Drain()
+            made.listener.drain = Drain()
             writer.close()
         assert [request_id(each) for each in backend.requests] == [b"before", b"after", b"before"]
 
     play(scene)
 
 
-def test_what_stands_behind_an_answer_that_began_before_sigterm_has_a_whole_answer() -> None:
+def test_a_pipelined_request_behind_a_response_from_before_sigterm_gets_a_complete_response() -> None:
     """The head of the first answer could not say yet that the connection will be closed."""
 
     async def scene(made: Rig, backend: Backend) -> None:
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("parts", (1, 2))
-def test_each_request_that_is_here_before_an_answer_says_close_is_answered(parts: int) -> None:
+def test_each_request_received_before_a_response_says_close_is_answered(parts: int) -> None:
     """Also where only a part of it is here when the head of the answer before it goes out."""
 
     async def scene(made: Rig, backend: Backend) -> None:
@@ -129,7 +129,7 @@
     play(scene)
 
 
-def test_requests_that_come_late_one_behind_the_other_are_all_refused() -> None:
+def test_late_pipelined_requests_are_all_rejected() -> None:
     async def scene(made: Rig, backend: Backend) -> None:
         drain(made, since=SENT_LATEST + 1.0)
         answers = await made.ask(REQUEST % b"first" + REQUEST % b"second" + REQUEST % b"third")
@@ -140,14 +140,14 @@
     play(scene)
 
 
-def test_a_request_whose_last_byte_comes_late_has_a_whole_answer_and_is_not_passed_on() -> None:
+def test_a_request_completed_late_gets_a_complete_response_and_is_not_forwarded() -> None:
     async def scene(made: Rig, backend: Backend) -> None:
         reader, writer = await made.connect()
         request = REQUEST % b"slow"
         writer.write(request[:-2])
-        await until(lambda: any(each.reading for each in made.front.connections))
+        await until(lambda: any(each.receiving for each in made.listener.connections))
         drain(made, since=SENT_LATEST + 1.0)
-        made.front.close_idle()  # it is not idle
+        made.listener.close_idle()  # it is not idle
         writer.write(request[-2:])
         answer = await reader.read()
         assert answer.startswith(b"HTTP/1.1 503 ") and answer.endswith(b"503\n") and not backend.requests
@@ -156,7 +156,7 @@
     play(scene)
 
 
-def test_a_connection_ends_with_the_answer_that_is_under_way_once_no_request_is_taken() -> None:
+def test_a_connection_closes_after_the_response_in_flight_once_no_request_is_accepted() -> None:
     async def scene(made: Rig, backend: Backend) -> None:
         go_on = asyncio.Event()
 
@@ -178,12 +178,12 @@
 
 
 @pytest.mark.parametrize(("grace", "taken_for"), ((7.2, 2.8), (4.0, 2.0), (0.5, 0.25)))
-def test_until_when_requests_are_taken(grace: float, taken_for: float) -> None:
+def test_until_when_requests_are_accepted(grace: float, taken_for: float) -> None:
     """Within the 3 s in which a late end is excused, and with time to answer where the grace is short."""
 
     async def scene(made: Rig, backend: Backend) -> None:
-        made.front.drain.begin(100.0, 100.0 + grace)
-        assert made.front.drain.takes_requests(100.0 + taken_for - 0.001)
-        assert not made.front.drain.takes_requests(100.0 + taken_for)
+        made.listener.drain.start(100.0, 100.0 + grace)
+        assert made.listener.drain.accepts_requests(100.0 + taken_for - 0.001)
+        assert not made.listener.drain.accepts_requests(100.0 + taken_for)
 
     play(scene)
--- a/tests/fleet/router/test_drain_figures.py
+++ b/tests/fleet/router/test_drain_metrics.py
@@ -19,7 +19,7 @@
         self.events.append((event, fields))
 
 
-def test_a_drain_counts_what_comes_and_tells_of_each_answer_that_is_cut() -> None:
+def test_a_drain_counts_requests_and_logs_each_truncated_response() -> None:
     begun = asyncio.Event()
 
     async def stays_open(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -29,26 +29,27 @@
 
     async def scene() -> None:
         async with rig([Backend("a", stays_open)]) as made:
-            log = made.front.log = Recorded()
+            log = made.listener.log = Recorded()
             kept, kept_writer = await made.connect()
             kept_writer.write(REQUEST % b"before")
             await begun.wait()
-            (connection,) = made.front.connections
-            connection.made_at -= 2.0
-            now = made.front.loop.time()
-            made.front.drain.begin(now - 0.5, now + 60.0)  # what comes within 0.5 ms would count as 0.0
+            (connection,) = made.listener.connections
+            connection.connected_at -= 2.0
+            now = made.listener.loop.time()
+            made.listener.drain.start(now - 0.5, now + 60.0)  # what comes within 0.5 ms would count as 0.0
             new, new_writer = await made.connect()
             new_writer.write(REQUEST % b"after")
             await new.readuntil(b"data: 1\n\n")
-            made.engine.hasten(made.front.loop.time())
+            made.engine.hasten(made.listener.loop.time())
             assert not (await new.read()).endswith(b"0\r\n\r\n")
             await kept.read()
-            figures = made.front.drain.figures
-            assert (figures.accepted, figures.taken, figures.taken_on_new, figures.cut) == (1, 1, 1, 2)
-            assert figures.last_on_new >= 0.5 and figures.last_on_kept == 0.0
-            told = {fields["request"]: fields for text, fields in log.events if text == "drain: answer cut."}
-            assert told.keys() == {"before", "after"}
-            assert told["before"]["connected"] <= -1.0 < 0.5 <= told["after"]["connected"]
+            metrics = made.listener.drain.metrics
+            assert metrics.connections_accepted == metrics.requests_received == 1
+            assert metrics.requests_on_new_connections == 1 and metrics.truncated_responses == 2
+            assert metrics.last_on_new_connection_s >= 0.5 and metrics.last_on_kept_connection_s == 0.0
+            logged = {f["request"]: f for event, f in log.events if event == "drain_response_truncated"}
+            assert logged.keys() == {"before", "after"}
+            assert logged["before"]["connected_s"] <= -1.0 < 0.5 <= logged["after"]["connected_s"]
             for writer in (kept_writer, new_writer):
                 writer.close()
 
--- a/tests/fleet/router/test_events.py
+++ b/tests/fleet/router/test_events.py
@@ -17,7 +17,7 @@
 
 
 @given(st.lists(st.integers(min_value=0)))
-def test_all_events_pass_however_they_are_cut(cuts: list[int]) -> None:
+def test_all_events_pass_however_they_are_split(cuts: list[int]) -> None:
     framer = EventFramer()
     assert fed(framer, BODY, cuts) == BODY
     assert framer.last_id == 8 and framer.passed == 8 and framer.finish() == b""
@@ -32,7 +32,7 @@
     assert passed + fed(second, BODY, cuts) == BODY
 
 
-def test_only_what_is_whole_passes_until_the_stream_has_ended() -> None:
+def test_only_complete_events_pass_until_the_stream_has_ended() -> None:
     framer = EventFramer()
     assert framer.feed(b"id: 1\ndata: a\n\nid: 2\nda") == b"id: 1\ndata: a\n\n"
     assert framer.last_id == 1
--- a/tests/fleet/router/test_members_call.py
+++ b/tests/fleet/router/test_members_endpoint.py
@@ -8,13 +8,13 @@
 
 import uvloop
 
-from firvane.fleet.router.members_call import (
-    ANSWER_LIFETIME,
-    MAX_UNREAD,
+from firvane.fleet.router.members_endpoint import (
+    CACHE_LIFETIME_S,
+    MAX_UNREAD_RESPONSES,
     OVERLOADED,
-    READ_PATIENCE,
-    MembersCall,
-    encode_answer,
+    READ_TIMEOUT_S,
+    MembersEndpoint,
+    encode_response,
 )
 from firvane.fleet.router.readiness import NOT_FOUND, READY, ReadinessConnection
 
@@ -27,7 +27,7 @@
 
     async def whole() -> None:
         loop = asyncio.get_running_loop()
-        members = MembersCall(loop, lambda: b"{}")
+        members = MembersEndpoint(loop, lambda: b"{}")
         server = await loop.create_server(lambda: ReadinessConnection(lambda: True, members), "127.0.0.1", 0)
         reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname()[:2])
         try:
@@ -41,23 +41,23 @@
         runner.run(whole())
 
 
-def test_members_are_told_and_the_connection_ends() -> None:
+def test_members_are_sent_and_the_connection_ends() -> None:
     async def scene(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(READINESS + MEMBERS + READINESS)
-        assert await reader.read() == READY + encode_answer(b"{}")
+        assert await reader.read() == READY + encode_response(b"{}")
 
     play(scene)
 
 
-def test_an_answer_that_was_read_leaves_room_for_the_next() -> None:
+def test_a_response_that_was_read_makes_way_for_the_next() -> None:
     async def whole() -> None:
         loop = asyncio.get_running_loop()
-        members = MembersCall(loop, lambda: b"{}")
+        members = MembersEndpoint(loop, lambda: b"{}")
         server = await loop.create_server(lambda: ReadinessConnection(lambda: True, members), "127.0.0.1", 0)
-        for _ in range(2 * MAX_UNREAD):
+        for _ in range(2 * MAX_UNREAD_RESPONSES):
             reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname()[:2])
             writer.write(MEMBERS)
-            assert await reader.read() == encode_answer(b"{}")
+            assert await reader.read() == encode_response(b"{}")
             writer.close()
         server.close()
 
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         self.loop = Loop()
         self.reports = 0
-        self.call = MembersCall(cast(asyncio.AbstractEventLoop, self.loop), self.report)
+        self.call = MembersEndpoint(cast(asyncio.AbstractEventLoop, self.loop), self.report)
 
     def report(self) -> bytes:
         self.reports += 1
@@ -134,19 +134,19 @@
 
     def ask(self) -> Client:
         client = Client()
-        self.call.answer(cast(asyncio.Transport, client))
+        self.call.respond(cast(asyncio.Transport, client))
         return client
 
     def end(self, client: Client) -> None:
-        self.call.ended(cast(asyncio.Transport, client))
+        self.call.connection_lost(cast(asyncio.Transport, client))
 
 
-def test_few_answers_may_stay_unread_and_none_for_long() -> None:
+def test_few_responses_may_stay_unread_and_none_for_long() -> None:
     rig = Rig()
-    clients = [rig.ask() for _ in range(MAX_UNREAD + 1)]
-    assert [client.written == OVERLOADED for client in clients] == [False] * MAX_UNREAD + [True]
+    clients = [rig.ask() for _ in range(MAX_UNREAD_RESPONSES + 1)]
+    assert [client.written == OVERLOADED for client in clients] == [False] * MAX_UNREAD_RESPONSES + [True]
     assert all(client.closing for client in clients)
-    assert [timer.due for timer in rig.loop.timers] == [rig.loop.now + READ_PATIENCE] * MAX_UNREAD
+    assert [timer.due for timer in rig.loop.timers] == [rig.loop.now + READ_TIMEOUT_S] * MAX_UNREAD_RESPONSES
     rig.loop.timers[0].callback()
     assert clients[0].aborted
     rig.end(clients[0])
@@ -156,12 +156,12 @@
     assert [timer.cancelled for timer in rig.loop.timers] == [True, True, False, False, False]
 
 
-def test_an_answer_is_made_twice_a_second_at_most() -> None:
+def test_a_response_is_built_twice_a_second_at_most() -> None:
     rig = Rig()
     bodies = []
     for _ in range(3):
         client = rig.ask()
         rig.end(client)
         bodies.append(client.written[-1:])
-        rig.loop.now += 0.6 * ANSWER_LIFETIME
+        rig.loop.now += 0.6 * CACHE_LIFETIME_S
     assert bodies == [b"1", b"1", b"2"]
--- a/tests/fleet/router/test_proxying.py
+++ b/tests/fleet/router/test_proxying.py
@@ -121,7 +121,7 @@
     run(scene())
 
 
-def test_a_stream_that_may_not_be_resumed_is_cut_and_never_sent_again() -> None:
+def test_a_stream_that_is_not_resumable_is_truncated_and_never_retried() -> None:
     async def breaks(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)))
         await writer.drain()
@@ -136,7 +136,7 @@
     run(scene())
 
 
-def test_an_answer_to_an_earlier_request_is_passed_over() -> None:
+def test_a_response_to_an_earlier_request_is_dropped() -> None:
     async def late(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % b"earlier" + chunk(event(9)) + LAST)
         await whole_stream(request, reader, writer)
@@ -149,7 +149,7 @@
     run(scene())
 
 
-def test_what_a_backend_did_not_run_is_refused_with_a_time_to_come_back() -> None:
+def test_a_request_that_no_backend_ran_is_rejected_with_retry_after() -> None:
     async def full(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(
             b"HTTP/1.1 503 Busy\r\nX-Not-Executed: 1\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n"
@@ -164,7 +164,7 @@
     run(scene())
 
 
-def test_what_may_have_run_is_answered_with_no_promise() -> None:
+def test_a_request_that_may_have_run_fails_without_retry_after() -> None:
     async def fails(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(b"HTTP/1.1 500 E\r\nX-Request-Id: %s\r\nContent-Length: 0\r\n\r\n" % request_id(request))
 
@@ -175,7 +175,7 @@
     run(scene())
 
 
-def test_a_client_that_leaves_takes_its_request_off_the_backend() -> None:
+def test_a_client_that_leaves_cancels_its_request_at_the_backend() -> None:
     async def silent(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1)
         raise ConnectionResetError
@@ -207,11 +207,11 @@
     run(scene())
 
 
-def test_a_request_without_a_route_is_not_found_and_one_before_any_configuration_is_refused() -> None:
+def test_a_request_without_a_route_is_not_found_and_one_before_any_configuration_is_rejected() -> None:
     async def scene() -> None:
         async with rig([Backend("a", whole_stream)]) as made:
             assert (await made.ask(CLOSING.replace(b"/p/a", b"/q/a") % b"one")).startswith(b"HTTP/1.1 404")
-            made.front.routes = None
+            made.listener.routes = None
             answer = await made.ask(CLOSING % b"two")
             assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After" in answer
 
@@ -222,16 +222,16 @@
     async def scene() -> None:
         backend = Backend("a", whole_stream)
         async with rig([backend]) as made:
-            routes, made.front.routes = made.front.routes, None
+            routes, made.listener.routes = made.listener.routes, None
             assert routes is not None
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one" + REQUEST % b"two")
-            while not any(connection.unrouted for connection in made.front.connections):
+            while not any(connection.unrouted for connection in made.listener.connections):
                 await asyncio.sleep(0)
-            (connection,) = made.front.connections
+            (connection,) = made.listener.connections
             assert not connection.is_idle()
-            connection.taken_at -= 1.0  # it has waited for a second
-            made.front.configure(routes, Configuration(1).limits)
+            connection.received_at -= 1.0  # it has waited for a second
+            made.listener.configure(routes, Configuration(1).limits)
             for _ in range(2):
                 assert (await reader.readuntil(LAST)).startswith(b"HTTP/1.1 200")
             assert [request_id(one) for one in backend.requests] == [b"one", b"two"]
@@ -251,16 +251,16 @@
     async def scene() -> None:
         backend = Backend("a", whole_stream)
         async with rig([backend]) as made:
-            routes, made.front.routes = made.front.routes, None
+            routes, made.listener.routes = made.listener.routes, None
             assert routes is not None
             _, writer = await made.connect()
             writer.write(REQUEST % b"one")
-            while not any(connection.unrouted for connection in made.front.connections):
+            while not any(connection.unrouted for connection in made.listener.connections):
                 await asyncio.sleep(0)
             writer.transport.abort()
-            while made.front.connections:
+            while made.listener.connections:
                 await asyncio.sleep(0)
-            made.front.configure(routes, Configuration(1).limits)
+            made.listener.configure(routes, Configuration(1).limits)
             assert (await made.ask(CLOSING % b"two")).startswith(b"HTTP/1.1 200")
             assert [request_id(one) for one in backend.requests] == [b"two"]
 
@@ -282,7 +282,7 @@
     run(scene())
 
 
-def test_a_refusal_that_comes_twice_never_answers_the_next_try() -> None:
+def test_a_rejection_that_comes_twice_never_answers_the_next_attempt() -> None:
     """Found by the model of connections: the second copy bears the very id of the next try."""
     refusal = b"HTTP/1.1 503 Busy\r\nX-Request-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
     first: list[asyncio.StreamWriter] = []
--- a/tests/fleet/router/test_requests.py
+++ b/tests/fleet/router/test_requests.py
@@ -38,7 +38,7 @@
     assert client_deadline_ms(message(x_deadline_ms=given_text)) == expected
 
 
-def test_framing_that_can_be_read_in_two_ways_is_refused() -> None:
+def test_ambiguous_framing_is_rejected() -> None:
     check_framing(message(transfer_encoding=b"chunked"))
     for fields in (
         {"transfer_encoding": b"gzip, chunked"},
--- a/tests/fleet/router/test_silent_streams.py
+++ b/tests/fleet/router/test_stalled_streams.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("continued", (False, True))
-def test_a_silent_stream_waits_where_nobody_would_take_it_up(continued: bool) -> None:
+def test_a_stalled_stream_waits_where_no_backend_would_continue_it(continued: bool) -> None:
     go_on = asyncio.Event()
 
     async def silent(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -31,7 +31,7 @@
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
-            made.upstreams.sweep(made.front.loop.time() + LONG)
+            made.upstreams.sweep(made.listener.loop.time() + LONG)
             if not continued:
                 go_on.set()
             rest = await reader.readuntil(LAST_CHUNK)
@@ -55,7 +55,7 @@
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
-            made.upstreams.sweep(made.front.loop.time() + LONG)
+            made.upstreams.sweep(made.listener.loop.time() + LONG)
             assert asked == list(made.engine.flows) and len(asked) == 1
             writer.close()
 
--- a/tests/fleet/router/test_upstream_model.py
+++ b/tests/fleet/router/test_upstream_model.py
@@ -12,12 +12,12 @@
 
 
 @pytest.mark.parametrize("first", range(0, HISTORIES, 10))
-def test_no_answer_goes_astray_and_nothing_runs_twice(first: int) -> None:
+def test_no_response_is_misdelivered_and_nothing_runs_twice(first: int) -> None:
     for seed in range(first, first + 10):
         play(seed)
 
 
-def test_the_histories_come_to_all_that_a_backend_may_do() -> None:
+def test_the_histories_cover_all_behaviours_of_a_backend() -> None:
     counts: Counter[str] = Counter()
     for seed in range(10):
         counts += play(seed).counts
--- a/tests/simulation/soak/test_command.py
+++ b/tests/simulation/soak/test_command.py
@@ -49,7 +49,10 @@
         ProcessEvent(107.3, "router-1", SignalKind.ENDED, 0),
         ProcessEvent(101.0, "router-2", SignalKind.TERM),
     ]
-    log = 'event="drain: answer cut." request=00a1 x\nevent="router: ends." open=0\nrequest=00b2 y\nother\n'
+    log = (
+        "event=drain_response_truncated request=00a1 x\n"
+        "event=router_stopped open_requests=0\nrequest=00b2 y\nother\n"
+    )
     return Played(record, {"router-1": log}, 100.0)
 
 
@@ -62,7 +65,7 @@
     assert texts[0] == "router-1: SIGTERM" and texts[-1] == "router-1: ended"
     assert "reaches i-1" in texts and not any("i-2" in text or "SIGHUP" in text for text in texts)
     log = [line.strip() for line in lines if line.startswith("    ")]
-    assert log == ['event="drain: answer cut." request=00a1 x', 'event="router: ends." open=0']
+    assert log == ["event=drain_response_truncated request=00a1 x", "event=router_stopped open_requests=0"]
 
 
 def test_the_summary_counts_rules_and_ends() -> None:
