--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -8,7 +8,7 @@
 
 import re
 from collections.abc import Iterator, Mapping
-from typing import TYPE_CHECKING, Any, NoReturn
+from typing import TYPE_CHECKING, Any, NamedTuple, NoReturn
 
 import click
 
@@ -20,9 +20,11 @@
     from firvane.proxy.config.node import Config
     from firvane.proxy.config.policy import Policy
 
-ENDS = {"in force": 0, "failed": 1}  # an outcome that stays, and the exit code
-LOOK_S = 0.1  # from one question for the outcome to the next
-OWN = "what each proxy's own file says"
+EXIT_FAILED = 1
+EXIT_UNKNOWN = 3
+FINAL_OUTCOMES = {"in force": 0, "failed": EXIT_FAILED}  # and their exit codes
+POLL_INTERVAL_S = 0.1
+UNSET_TEXT = "what each proxy's own file says"
 AT = click.option("--at", required=True, metavar="ADDRESS", help="the `ops` of any proxy of the tier")
 
 
@@ -54,23 +56,24 @@
     from firvane.proxy.config.policy import settings
     from firvane.proxy.policy_text import digest_of
 
-    read = _config(config)
-    if read.policy is None:
+    config_read = _read_config(config)
+    if config_read.policy is None:
         raise Bad(f"{config}: policy: is missing: it names the folder in which votes are kept")
-    text, said = _policy(policy)
-    settings(said, read.settings, policy)
-    voters, me, folder = said.voters or read.policy.voters, read.settings.me, read.policy.folder
+    text, parsed = _read_policy(policy)
+    settings(parsed, config_read.settings, policy)
+    voters = parsed.voters or config_read.policy.voters
+    me, folder = config_read.settings.me, config_read.policy.folder
     if me not in voters:
         known = ", ".join(map(str, voters))
         raise Bad(f"{config}: is proxy {me}, and only the voters ({known}) keep votes: it needs no founding")
     try:
-        _found(folder, text, voters)
+        _bootstrap(folder, text, voters)
     except FileExistsError:
         raise FileExistsError(f"{folder}: holds votes already, which founding again would forget") from None
     click.echo(f"{folder}: epoch 1 is {digest_of(text).hex()}, voted on by {', '.join(map(str, voters))}")
 
 
-def _found(folder: str, text: bytes, voters: tuple[int, ...]) -> None:
+def _bootstrap(folder: str, text: bytes, voters: tuple[int, ...]) -> None:
     from importlib import import_module
 
     try:
@@ -80,7 +83,7 @@
     store.bootstrap(folder, text, voters)
 
 
-def _config(file: str) -> Config:
+def _read_config(file: str) -> Config:
     import os
 
     from firvane.cli.files import form_of
@@ -113,15 +116,46 @@
     import time
 
     from firvane.cli import admin_connection
-    from firvane.proxy.admin_api import calls
-    from firvane.proxy.config.node import misfits
     from firvane.proxy.policy_text import digest_of
 
     (address,) = admin_connection.addresses("policy propose", [at])
-    text, said = _policy(file)
-    digest = digest_of(text)
-    if voters is None and said.voters:
-        voters = ",".join(map(str, said.voters))
+    text, policy = _read_policy(file)
+    if voters is None and policy.voters:
+        voters = ",".join(map(str, policy.voters))
+    change = _Change(ctx, file, at, address, text, _proposal(digest_of(text), voters))
+    until = time.monotonic() + timeout
+    try:
+        _submit(change, until)
+        _wait_for_outcome(change, until)
+    except OSError as error:
+        change.unknown(f"{at} does not answer: {error.strerror or error}")
+    except KeyboardInterrupt:  # no proxy has said that it failed
+        change.unknown("interrupted")
+
+
+class _Change(NamedTuple):
+    """A change that is proposed: its file, the admin API that it is proposed at, and the call for that."""
+
+    ctx: click.Context
+    file: str
+    at: str
+    address: Address
+    text: bytes
+    proposal: str
+
+    def unknown(self, reason: str) -> NoReturn:
+        """End with exit code 3, and the sentence that says how to ask again."""
+        again = (
+            f"ask again: firvane policy propose {self.file} --at {self.at} (the same text is the same change)"
+        )
+        _exit(self.ctx, EXIT_UNKNOWN, f"{self.file}: unknown: {reason}; {again}")
+
+
+def _proposal(digest: bytes, voters: str | None) -> str:
+    """Return the call that proposes a text; raises `Bad` where the voters are not valid."""
+    from firvane.proxy.admin_api import calls
+    from firvane.proxy.config.node import misfits
+
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
         given = calls.asked(line.encode()).given
@@ -130,37 +164,49 @@
     if voters is not None and isinstance(given, calls.Propose):
         if given.voters is None:
             raise Bad("policy propose: --voters: names none")
-        for _, why in misfits(given.voters, max(given.voters) + 1):
-            raise Bad(f"policy propose: --voters: {why}")
-    again = f"ask again: firvane policy propose {file} --at {at} (the same text is the same change)"
-    until, last = time.monotonic() + timeout, ""
-    try:
-        for one in (*calls.puts(digest, text), line):
-            answer = _asked(address, one, until if last else 0.0)
-            last = one
-            if not answer.startswith("+OK"):
-                _end(ctx, 1, f"{file}: not proposed: {_why(answer)}")
-        while True:
-            answer = _asked(address, f"{calls.Call.POLICY_OUTCOME.value} {digest.hex()}", until)
-            word, _, why = _why(answer).partition(": ")
-            if answer.startswith("+OK") and word in ENDS:
-                _end(ctx, ENDS[word], f"{file}: {word}: {why}")
-            if not answer.startswith("+OK"):  # it knows nothing of it any more
-                _end(ctx, 3, f"{file}: unknown: {_why(answer)}; {again}")
-            if time.monotonic() >= until:
-                _end(ctx, 3, f"{file}: unknown: {why or word}; {again}")
-            if answer != last:
-                click.echo(plain(f"{file}: {_why(answer)}"), err=True)
-                last = answer
-            time.sleep(LOOK_S)
-    except OSError as error:
-        _end(ctx, 3, f"{file}: unknown: {at} does not answer: {error.strerror or error}; {again}")
-    except KeyboardInterrupt:  # nobody has said that it failed
-        _end(ctx, 3, f"{file}: unknown: interrupted; {again}")
+        for _, reason in misfits(given.voters, max(given.voters) + 1):
+            raise Bad(f"policy propose: --voters: {reason}")
+    return line
 
 
-def _asked(address: Address, line: str, until: float) -> str:
-    """The answer to a line that may be said twice; tried again up to a time, then `OSError`."""
+def _submit(change: _Change, until: float) -> None:
+    """Upload the text and propose it; only the first call is not retried."""
+    from firvane.proxy.admin_api import calls
+    from firvane.proxy.policy_text import digest_of
+
+    retry_until = 0.0
+    for line in (*calls.puts(digest_of(change.text), change.text), change.proposal):
+        answer = _call(change.address, line, retry_until)
+        retry_until = until
+        if not answer.startswith("+OK"):
+            _exit(change.ctx, EXIT_FAILED, f"{change.file}: not proposed: {_message(answer)}")
+
+
+def _wait_for_outcome(change: _Change, until: float) -> NoReturn:
+    """Ask for the outcome until it is final or the time is over, and end with its exit code."""
+    import time
+
+    from firvane.proxy.admin_api.calls import Call
+    from firvane.proxy.policy_text import digest_of
+
+    file, last = change.file, ""
+    while True:
+        answer = _call(change.address, f"{Call.POLICY_OUTCOME.value} {digest_of(change.text).hex()}", until)
+        outcome, _, reason = _message(answer).partition(": ")
+        if answer.startswith("+OK") and outcome in FINAL_OUTCOMES:
+            _exit(change.ctx, FINAL_OUTCOMES[outcome], f"{file}: {outcome}: {reason}")
+        if not answer.startswith("+OK"):  # it knows nothing of it any more
+            change.unknown(_message(answer))
+        if time.monotonic() >= until:
+            change.unknown(reason or outcome)
+        if answer != last:
+            click.echo(plain(f"{file}: {_message(answer)}"), err=True)
+            last = answer
+        time.sleep(POLL_INTERVAL_S)
+
+
+def _call(address: Address, line: str, until: float) -> str:
+    """Return the answer to an idempotent call; retried until a time, then raises `OSError`."""
     import time
 
     from firvane.cli import admin_connection
@@ -171,15 +217,15 @@
         except OSError:
             if time.monotonic() >= until:
                 raise
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
 
 
-def _why(answer: str) -> str:
-    """What an answer of one line says."""
+def _message(answer: str) -> str:
+    """Return the text of an answer of one line."""
     return answer.removeprefix("+OK").removeprefix("-ERR").strip()
 
 
-def _end(ctx: click.Context, code: int, line: str) -> NoReturn:
+def _exit(ctx: click.Context, code: int, line: str) -> NoReturn:
     click.echo(plain(line), err=code != 0)
     ctx.exit(code)
 
@@ -202,15 +248,15 @@
     (address,) = admin_connection.addresses("policy abort", [at])
     digest = change
     if Path(change).exists() or not re.fullmatch("[0-9a-f]{32}", change):
-        digest = digest_of(_text(change)).hex()
+        digest = digest_of(_read_text(change)).hex()
     try:
         answer = admin_connection.call(address, f"{Call.POLICY_ABORT.value} {digest}")
     except OSError as error:
         why = f"{at} does not answer: {error.strerror or error}"
-        _end(ctx, 3, f"{change}: unknown: {why}; ask again: firvane policy abort {digest} --at {at}")
+        _exit(ctx, 3, f"{change}: unknown: {why}; ask again: firvane policy abort {digest} --at {at}")
     if not answer.startswith("+OK"):
-        _end(ctx, 1, f"{change}: not given up: {_why(answer)}")
-    _end(ctx, 0, f"{change}: given up: {_why(answer)}".removesuffix(": "))
+        _exit(ctx, 1, f"{change}: not given up: {_message(answer)}")
+    _exit(ctx, 0, f"{change}: given up: {_message(answer)}".removesuffix(": "))
 
 
 @command.command("status")
@@ -241,13 +287,13 @@
 @click.argument("b")
 def diff(a: str, b: str) -> None:
     """What differs between the policies A and B, key by key: files, or an ADDRESS: the one in force there."""
-    before, after = _either(a), _either(b)
+    before, after = _resolve(a), _resolve(b)
     for line in list(differences(before, after)) or ["the same"]:
         click.echo(plain(line))
 
 
-def _either(given: str) -> Policy:
-    """The policy in a file, or in force at a door."""
+def _resolve(given: str) -> Policy:
+    """Return the policy in a file, or in force at an admin API."""
     from pathlib import Path
 
     from firvane.core.address import parse_address
@@ -256,17 +302,21 @@
     try:
         address = parse_address(given)
     except ValueError:
-        return _policy(given)[1]
+        return _read_policy(given)[1]
     if Path(given).exists():
-        return _policy(given)[1]
+        return _read_policy(given)[1]
     try:
-        return parse(_in_force(address), given)
+        return parse(_fetch_text_in_force(address), given)
     except OSError as error:
         raise OSError(f"{given}: tells no policy: {error.strerror or error}") from None
 
 
-def _in_force(address: Address) -> bytes:
-    """The text in force at a door: the first digest that its status names; `OSError` where it gives none."""
+def _fetch_text_in_force(address: Address) -> bytes:
+    """Return the text in force at an admin API, by the first digest in its status.
+
+    Raises:
+        OSError: There is no answer, no digest, or no text of that digest.
+    """
     from firvane.cli import admin_connection
     from firvane.proxy.admin_api.calls import Call, got
     from firvane.proxy.policy_text import digest_of
@@ -274,7 +324,7 @@
     answer = admin_connection.call(address, Call.POLICY_STATUS.value)
     digest = re.search(r"\b[0-9a-f]{32}\b", answer)
     if answer.startswith("-") or digest is None:
-        raise OSError(_why(answer) if answer.startswith("-") else "its status names no digest")
+        raise OSError(_message(answer) if answer.startswith("-") else "its status names no digest")
     text, length = b"", 1
     while len(text) < length:
         try:
@@ -290,47 +340,51 @@
 
 
 def differences(a: Policy, b: Policy) -> Iterator[str]:
-    """A line for each key that differs."""
-    before, after = _flat(a), _flat(b)
+    """Yield a line for each key that differs."""
+    before, after = _flatten(a), _flatten(b)
     for key in [*before, *(key for key in after if key not in before)]:
         old, new = before.get(key), after.get(key)
         if isinstance(old, dict) and isinstance(new, dict):
             for name in [*old, *(name for name in new if name not in old)]:
-                yield from _listed(f"{key}.{name}", old.get(name), new.get(name))
+                yield from _entry_differences(f"{key}.{name}", old.get(name), new.get(name))
         elif old != new:
-            yield f"{key}: {_shown(old)} becomes {_shown(new)}"
+            yield f"{key}: {_format(old)} becomes {_format(new)}"
 
 
-def _listed(key: str, old: Mapping[str, Any] | None, new: Mapping[str, Any] | None) -> Iterator[str]:
-    """What differs in a class or a tenant, which may be in one of the two alone."""
+def _entry_differences(
+    key: str, old: Mapping[str, Any] | None, new: Mapping[str, Any] | None
+) -> Iterator[str]:
+    """Yield what differs in a class or a tenant, which may be in one of the two alone."""
     if new is None:
         yield f"{key}: is gone"
     elif old is None:
-        yield f"{key}: is new: " + ", ".join(f"{name} {_shown(new[name])}" for name in new if name != "name")
+        yield f"{key}: is new: " + ", ".join(f"{name} {_format(new[name])}" for name in new if name != "name")
     else:
-        yield from (f"{key}.{n}: {_shown(old[n])} becomes {_shown(new[n])}" for n in new if old[n] != new[n])
+        yield from (
+            f"{key}.{n}: {_format(old[n])} becomes {_format(new[n])}" for n in new if old[n] != new[n]
+        )
 
 
-def _flat(policy: Policy) -> dict[str, Any]:
-    """What a policy says: lists by their names, and the keys of parts by their paths."""
+def _flatten(policy: Policy) -> dict[str, Any]:
+    """Return a policy as one table: lists by their names, and the keys of sections by their paths."""
     import msgspec
 
-    told: dict[str, Any] = {}
+    table: dict[str, Any] = {}
     for key, value in msgspec.to_builtins(policy).items():
         if key in ("rules", "limits"):
-            told.update({f"{key}.{name}": one for name, one in (value or {}).items()})
+            table.update({f"{key}.{name}": one for name, one in (value or {}).items()})
         elif key in ("classes", "tenants") and value is not None:
-            told[key] = {one["name"]: one for one in value}
+            table[key] = {one["name"]: one for one in value}
         else:
-            told[key] = value
-    return told
+            table[key] = value
+    return table
 
 
-def _shown(value: Any) -> str:
+def _format(value: Any) -> str:
     from firvane.core.validation import format_value
 
     if value is None:
-        return OWN
+        return UNSET_TEXT
     if isinstance(value, list | tuple):
         return ", ".join(map(str, value))
     if isinstance(value, dict):
@@ -338,19 +392,21 @@
     return f"{value:.10g}" if isinstance(value, float) else format_value(value)
 
 
-def _policy(file: str) -> tuple[bytes, Policy]:
-    """The text in a file, and what it says; raises `ValidationError` or `Bad`."""
+def _read_policy(file: str) -> tuple[bytes, Policy]:
+    """Return the text in a file and the policy; raises `ValidationError` or `Bad`."""
     from firvane.proxy.config.policy import parse
 
-    text = _text(file)
+    text = _read_text(file)
     return text, parse(text, file)
 
 
-def _text(file: str) -> bytes:
+def _read_text(file: str) -> bytes:
+    from pathlib import Path
+
     from firvane.proxy.policy_text import MAX_TEXT_BYTES
 
     try:
-        with open(file, "rb") as opened:
+        with Path(file).open("rb") as opened:
             return opened.read(MAX_TEXT_BYTES + 1)
     except (OSError, ValueError) as error:  # ValueError: a name with a zero byte in it
         raise Bad(f"{file}: cannot be read: {getattr(error, 'strerror', None) or error}") from None
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -89,7 +89,7 @@
 @pytest.fixture
 def files(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr(module, "LOOK_S", 0.0)
+    monkeypatch.setattr(module, "POLL_INTERVAL_S", 0.0)
     for name, text in (("base.toml", BASE), ("next.toml", NEXT), ("bad.toml", BAD)):
         Path(name).write_text(text)
     return tmp_path
--- a/tools/model_policy.py
+++ b/tools/model_policy.py
@@ -28,7 +28,7 @@
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
 from dataclasses import dataclass
-from functools import cache
+from functools import cache, partial
 from math import inf
 from pathlib import Path
 from typing import Any, NamedTuple, cast
@@ -105,8 +105,8 @@
 Row = tuple[Any, ...]
 
 
-class PromiseBroken(Exception):  # noqa: N818 - says what it is
-    """A promise does not hold."""
+class InvariantError(Exception):
+    """An invariant does not hold."""
 
 
 # One voter
@@ -125,7 +125,7 @@
 
 
 class ProposerState(NamedTuple):
-    """Ballots of one proxy, as they were left."""
+    """The proposer of one proxy, as it was left."""
 
     attempts: int = 0
     given_up: bool = False
@@ -143,7 +143,7 @@
 
 
 class Message(NamedTuple):
-    """On its way."""
+    """A message in flight."""
 
     sender: int
     receiver: int
@@ -152,7 +152,7 @@
 
 
 class Ghost(NamedTuple):
-    """What has truly happened."""
+    """The ground truth."""
 
     accepted: frozenset[Row] = frozenset()  # ballot, value, voter, its life, and the lives that it knew of
     chosen: Value | None = None
@@ -162,7 +162,7 @@
 
 
 class State(NamedTuple):
-    """Of everything, by numbers."""
+    """The state of everything, by numbers."""
 
     now: int
     voters: tuple[int, ...]
@@ -193,7 +193,7 @@
 
 
 class Implementation(NamedTuple):
-    """The classes under test, and what stands in for `Member` round them; mutants put others here."""
+    """The classes under test and the behaviour of `Member` round them; mutants replace parts of it."""
 
     acceptor: type[Acceptor] = Acceptor
     proposer: type[Proposer] = Proposer
@@ -211,8 +211,11 @@
 PROGRAM = Implementation()
 
 
+Move = tuple[str, Callable[[], State]]  # its name, and what follows from it
+
+
 class Model:
-    """The moves of each process. Their states, messages and what has happened go by numbers."""
+    """The moves of each process. Their states, the messages and the ground truth are numbered."""
 
     def __init__(self, bounds: Bounds, implementation: Implementation = PROGRAM) -> None:
         self.bounds, self.implementation, self.times = bounds, implementation, bounds.times
@@ -251,7 +254,7 @@
         return Voter(held.state, held.persisted, ends, begins, tuple(sorted(held.activation_times.items())))
 
     def vote(self, me: int, voter: int, number: int, now: int) -> tuple[int, Any]:
-        """What a voter is after a message, and its answer where that is a yes; -1: time has passed."""
+        """Return a voter after a message, and its reply where that is granted; -1: time has passed."""
         held, body = (
             self._load(me, self.things[voter], now),
             self.things[number].body if number >= 0 else None,
@@ -273,13 +276,13 @@
         return self.number(self._store(held, not late)), answer if answer and answer.granted else None
 
     def anew(self, me: int, voter: int, now: int) -> int:
-        """It starts again with what it has on disk."""
+        """Return a voter after a restart with what it has on disk."""
         return self.number(
             self._store(self.implementation.acceptor(me, self.times, self.things[voter].persisted, now))
         )
 
     def recall(self, me: int, voter: int, other: int, its: int, now: int) -> tuple[int, int]:
-        """A voter without memory hears from another one where things stand: what both are then."""
+        """Return a voter without state, and another one, after that one has sent its state."""
         held, lost = self._load(other, self.things[its], now), self.things[voter]
         held.note_incarnation(me, lost.new_incarnation)
         noted = self.number(self._store(held))
@@ -290,7 +293,7 @@
         return self.number(self._store(self.implementation.acceptor(me, self.times, kept, now))), noted
 
     def tell(self, voter: int, now: int) -> LeaseReply:
-        """As `Member` answers."""
+        """Return the reply of a voter, as `Member` makes it."""
         held: Voter = self.things[voter]
         state, persisted = held.state, held.persisted
         is_changing = bool(state.accepted) or not state.activated
@@ -310,7 +313,7 @@
         )
 
     def look(self, voter: int, proposer: int, other: int, its: int, now: int) -> tuple[int, int]:
-        """Voter 0 reads from another one, and looks which vote is chosen."""
+        """Return voter 0 and its proposer after a read from another voter, which may show a chosen value."""
         held = self._load(0, self.things[voter], now)
         read: ProposerState = self.things[proposer]
         told = dict(read.replies) | {other: self.tell(its, now)}
@@ -338,7 +341,7 @@
         return self.number(held._replace(attempts=held.attempts + more, state=tuple(state)))
 
     def begin(self, me: int, proposer: int, now: int) -> tuple[int, tuple[int, ...]]:
-        """Its next ballot, and what it says."""
+        """Return a proposer after it has begun its next proposal, and what it sends."""
         held = self.things[proposer]
         made = self._load_proposer(me, held, now)
         out: Any = []
@@ -348,7 +351,7 @@
         return self._store_proposer(held, made, 1), self._messages(me, out)
 
     def count(self, me: int, proposer: int, message: int, now: int) -> tuple[int, tuple[int, ...]]:
-        """What a proposer is after an answer, and what it says."""
+        """Return a proposer after a reply, and what it sends."""
         held, (voter, _, body, _) = self.things[proposer], self.things[message]
         made = self._load_proposer(me, held, now)
         if isinstance(body, Promise):
@@ -361,7 +364,7 @@
         return tuple(self.number(Message(me, voter, body)) for voter, body in out)
 
     def over(self, proposer: int, message: int) -> bool:
-        """Whether an answer is to a ballot that is, or says nothing new."""
+        """Whether a reply is to a proposal that is over, or has nothing new."""
         held, (voter, _, body, _) = self.things[proposer], self.things[message]
         if held.given_up or held.state is None or body.number != held.state[1]:
             return True
@@ -389,20 +392,20 @@
         return self.number(self._read(lease, when, now))
 
     def _read(self, lease: Lease, sent: dict[int, int], now: int) -> Reader:
-        """Without what is too old for a lease."""
+        """Return the state of a lease without what is too old for it."""
         kept = tuple(sorted((voter, at) for voter, at in sent.items() if now < at + self.times.lease_s))
         windows = tuple(sorted((epoch, one.previous_end, one.start) for epoch, one in lease.windows.items()))
         return Reader(lease.decided, lease.serving, windows, kept)
 
     def wake(self, reader: int, now: int) -> int:
-        """A step has passed."""
+        """Return the learner after a step of time."""
         held = self.things[reader]
         lease = self._lease(held, now)
         lease.serving = lease.next_value(now) or lease.serving
         return self.number(self._read(lease, dict(held.sent), now))
 
     def status(self, reader: int, now: int) -> tuple[int, Value | None, Value | None]:
-        """The epoch that new requests may be decided by, what is in use, and what is known as decided."""
+        """Return the epoch that new requests may be decided by, the value in use, and the decided one."""
         held = self.things[reader]
         lease = self._lease(held, now)
         holds = lease.serving.epoch if lease.serving and now < lease.expires_at() else 0
@@ -411,7 +414,7 @@
     # What has truly happened
 
     def happen(self, ghost: int, me: int, voter: int, message: int, now: int) -> int:
-        """A voter has said yes to an acceptance."""
+        """Return the ground truth after a voter has accepted."""
         was, (_, _, body, _) = self.things[ghost], self.things[message]
         state = self.things[voter].state
         number, value = ProposalNumber(*body.number), Value(*body.value)
@@ -424,9 +427,9 @@
             for other in votes_for:
                 if one[2] < other[2] and not _knew_later(one, other) and not _knew_later(other, one):
                     if chosen not in (None, value):
-                        raise PromiseBroken("two values are chosen for one epoch")
+                        raise InvariantError("two values are chosen for one epoch")
                     if value in was.failed:
-                        raise PromiseBroken("a change that was said to have failed is chosen")
+                        raise InvariantError("a change that was said to have failed is chosen")
                     chosen, in_force = value, min(in_force, max(now, body.activate_at))
                     moment = min(moment, body.activate_at)
         return self.number(Ghost(accepted, chosen, in_force, moment, was.failed))
@@ -434,100 +437,107 @@
     def fails(self, ghost: int, value: Value) -> int:
         was = self.things[ghost]
         if was.chosen == value:
-            raise PromiseBroken("a change that is chosen is said to have failed")
+            raise InvariantError("a change that is chosen is said to have failed")
         return self.number(was._replace(failed=was.failed | {value}))
 
     def judge(self, state: State) -> None:
-        """The promises, in one state."""
+        """Check the invariants in one state."""
         ghost: Ghost = self.things[state.ghost]
         for voter in state.voters:
             kept, begins = self.things[voter].state, self.things[voter].start
             if kept.decided != BASE and kept.decided != ghost.chosen:
-                raise PromiseBroken("a voter believes what is not chosen")
+                raise InvariantError("a voter believes what is not chosen")
             if kept.decided != BASE and not kept.activated and begins < ghost.moment:
-                raise PromiseBroken("a voter takes the epoch to begin by a ballot that is not chosen")
+                raise InvariantError("a voter takes the epoch to begin by a ballot that is not chosen")
         holds, serving, decided = self.status(state.reader, state.now)
         if decided != BASE and decided != ghost.chosen:
-            raise PromiseBroken("the learner believes what is not chosen")
+            raise InvariantError("the learner believes what is not chosen")
         if holds == BASE.epoch and state.now >= ghost.in_force:
-            raise PromiseBroken("a lease under the older epoch, and the newer one is in force")
+            raise InvariantError("a lease under the older epoch, and the newer one is in force")
         if serving != BASE and state.now < ghost.in_force:
-            raise PromiseBroken("the newer epoch is in use before it is in force")
+            raise InvariantError("the newer epoch is in use before it is in force")
 
     # All moves
 
-    def moves(self, state: State) -> Iterator[tuple[str, Callable[[], State]]]:
-        """What may happen next, each with a word on it."""
-        things, now = self.things, state.now
+    def moves(self, state: State) -> Iterator[Move]:
+        """Yield what may happen next."""
+        yield from self._message_moves(state)
+        yield from self._proposer_moves(state)
+        yield from self._voter_moves(state)
+        if state.now < self.bounds.steps:
+            yield "a step passes", lambda: self.passes(state)
+
+    def _message_moves(self, state: State) -> Iterator[Move]:
+        """Yield the arrivals of messages."""
         for number in sorted(state.in_flight):
-            message = things[number]
-            word = f"{_name(message)} arrives"
+            message = self.things[number]
+            name = f"{_name(message)} arrives"
             if isinstance(message.body, LeaseReply):
-                yield word, lambda number=number: self.hears(state, number)
+                yield name, partial(self.hears, state, number)
                 continue
-            for again in (False, True)[
-                : 1 + bool(state.duplicates and not isinstance(message.body, Prepare))
-            ]:
-                more = ", once of twice" if again else ""
+            may_duplicate = bool(state.duplicates and not isinstance(message.body, Prepare))
+            for is_duplicated in (False, True)[: 1 + may_duplicate]:
+                suffix = ", once of twice" if is_duplicated else ""
                 for heard in (True, False)[: 1 + self._lossy(state, message)]:
                     lost = "" if heard else ", and its answer is lost"
-                    yield (
-                        f"{word}{more}{lost}",
-                        lambda number=number, again=again, heard=heard: self.arrive(
-                            state, number, again, heard
-                        ),
-                    )
+                    move = partial(self.arrive, state, number, is_duplicated, heard)
+                    yield f"{name}{suffix}{lost}", move
+
+    def _proposer_moves(self, state: State) -> Iterator[Move]:
+        """Yield what proposers may do by themselves."""
         for place, me in enumerate(PROPOSERS):
-            held = things[state.proposers[place]]
+            held = self.things[state.proposers[place]]
             if held.given_up:
                 continue
-            if held.attempts < self.bounds.proposals[place] and (
-                not held.state or held.state[0] is not Phase.CHOSEN
-            ):
-                yield f"proxy {me} begins a proposal", lambda place=place: self.begins(state, place)
+            is_open = not held.state or held.state[0] is not Phase.CHOSEN
+            if held.attempts < self.bounds.proposals[place] and is_open:
+                yield f"proxy {me} begins a proposal", partial(self.begins, state, place)
             if self.bounds.gives_up and held.state and not held.state[FIELDS.index("accept_sent")]:
-                yield f"proxy {me} gives up", lambda place=place: self.gives_up(state, place)
-        up = [me for me in VOTERS if not things[state.voters[me]].new_incarnation]
-        for me in VOTERS:
-            voter = things[state.voters[me]]
+                yield f"proxy {me} gives up", partial(self.gives_up, state, place)
+
+    def _voter_moves(self, state: State) -> Iterator[Move]:
+        """Yield what may happen to voters, and who may read from them."""
+        voters = {me: self.things[state.voters[me]] for me in VOTERS}
+        up = [me for me in VOTERS if not voters[me].new_incarnation]
+        for me, voter in voters.items():
             if voter.new_incarnation:
                 for other in up:
                     if other not in dict(voter.replies):
-                        yield (
-                            f"voter {other} tells voter {me} where things stand",
-                            lambda me=me, other=other: self.recalls(state, me, other),
-                        )
+                        name = f"voter {other} sends its state to voter {me}"
+                        yield name, partial(self.recalls, state, me, other)
                 continue
             if state.restarts and me in self.bounds.places:
-                yield f"voter {me} starts anew", lambda me=me: self.restarts(state, me)
+                yield f"voter {me} restarts", partial(self.restarts, state, me)
             if state.losses and me in self.bounds.places and len(up) == len(VOTERS):
-                yield f"voter {me} loses its memory", lambda me=me: self.loses(state, me)
-            if self.bounds.reads:
-                # An earlier read is too old once anything is in force.
-                if now > self.times.activation_delay_s - self.times.lease_s:
-                    yield f"the learner reads from voter {me}", lambda me=me: self.reads(state, me)
-                if state.late:
-                    yield f"the learner asks voter {me}", lambda me=me: self.asks(state, me)
+                yield f"voter {me} loses its state", partial(self.loses, state, me)
+            yield from self._read_moves(state, me)
             if self.bounds.looks and me != 0 and 0 in up:
-                yield f"voter 0 reads from voter {me}", lambda me=me: self.looks(state, me)
-        if now < self.bounds.steps:
-            yield "a step passes", lambda: self.passes(state)
+                yield f"voter 0 reads from voter {me}", partial(self.looks, state, me)
+
+    def _read_moves(self, state: State, me: int) -> Iterator[Move]:
+        """Yield the reads of the learner from a voter."""
+        if self.bounds.reads:
+            # An earlier read is too old once anything is in force.
+            if state.now > self.times.activation_delay_s - self.times.lease_s:
+                yield f"the learner reads from voter {me}", partial(self.reads, state, me)
+            if state.late:
+                yield f"the learner asks voter {me}", partial(self.asks, state, me)
 
     def _lossy(self, state: State, message: Message) -> bool:
-        """Whether the loss of an answer allows more than its arrival: another ballot of that proposer."""
+        """Whether the loss of a reply allows more than its arrival: another proposal of that proposer."""
         place = list(PROPOSERS).index(message.sender)
         left = self.things[state.proposers[place]].attempts < self.bounds.proposals[place]
         return left and isinstance(message.body, Accept)
 
     def idle(self, voter: int, number: int) -> bool:
-        """Whether a message changes nothing at a voter that keeps its memory, now or later."""
+        """Whether a message changes nothing at a voter that keeps its state, now or later."""
         held, body = self.things[voter], self.things[number].body
         if held.new_incarnation or held.state.decided != BASE:
             return not held.new_incarnation
         return not isinstance(body, Learn) and ProposalNumber(*body.number) < held.state.promised
 
     def trimmed(self, state: State) -> State:
-        """Without messages that change nothing."""
+        """Return the state without messages that change nothing."""
         ways = frozenset(number for number in state.in_flight if not self._useless(state, number))
         return state if len(ways) == len(state.in_flight) else state._replace(in_flight=ways)
 
@@ -543,7 +553,7 @@
         return not forgets and self.idle(state.voters[message.receiver], number)
 
     def unasked(self, proposer: int, number: int) -> bool:
-        """Whether a proposer has no use for a promise any more; the promise itself allows nothing."""
+        """Whether a proposer needs no promise any more; the promise itself allows nothing."""
         held, message = self.things[proposer], self.things[number]
         if held.given_up or held.state[1] != message.body.number or held.state[0] is Phase.CHOSEN:
             return True
@@ -563,7 +573,10 @@
         )
 
     def arrive(self, state: State, number: int, again: bool, heard: bool) -> State:
-        """At a voter; whether that message is to come again, and its answer is heard."""
+        """Return the state after a message has arrived at a voter.
+
+        `again`: it is to be delivered once more; `heard`: the reply arrives.
+        """
         message: Message = self.things[number]
         body, me, place = message.body, message.receiver, list(PROPOSERS).index(message.sender)
         state = state._replace(
@@ -627,7 +640,7 @@
         return self._voter(state, 0, voter, proposers=(proposer, state.proposers[1]))
 
     def passes(self, state: State) -> State:
-        """Promises of the step before, and what is too late to be accepted, are over."""
+        """Return the state after a step; older promises, and what is too late to be accepted, are over."""
         now = state.now + 1
         ways = frozenset(
             number for number in state.in_flight
@@ -645,8 +658,8 @@
 
 
 def _knew_later(one: Row, other: Row) -> bool:
-    """Whether one acceptor knew that the other had lost its memory since."""
-    return dict(one[4]).get(other[2], 0) > other[3]
+    """Whether one acceptor knew that the other had lost its state since."""
+    return bool(dict(one[4]).get(other[2], 0) > other[3])
 
 
 def _name(message: Message) -> str:
@@ -674,7 +687,7 @@
 
 
 class EndsAtLastActivation(Acceptor):
-    """The last ballot's moment ends the epoch, in place of the earliest."""
+    """The last activation time ends the epoch, in place of the earliest."""
 
     def accept(self, message: Accept, now: float) -> Accepted | None:
         answer = super().accept(message, now)
@@ -684,7 +697,7 @@
 
 
 class StartsAtAnyActivation(Acceptor):
-    """The epoch begins at the moment of any ballot that was accepted here."""
+    """The epoch begins at the activation time of any proposal that was accepted here."""
 
     def learn_chosen(self, number: ProposalNumber, value: Value, at: float | None, now: float) -> None:
         at, self.activation_times = min(self.activation_times.values(), default=at), {}
@@ -692,7 +705,7 @@
 
 
 class IgnoresAcceptedValues(Proposer):
-    """The highest vote that the first phase has found is not taken up."""
+    """The accepted value with the highest number that phase 1 has found is ignored."""
 
     def on_promise(self, voter: int, message: Promise, now: float) -> Any:
         return super().on_promise(voter, replace(message, accepted=None), now)
@@ -700,7 +713,7 @@
 
 @dataclass(frozen=True)
 class ShortNotice(Steps):
-    """A voter's yes may come too near to the swap."""
+    """A voter may accept too close to the activation."""
 
     @property
     def min_notice_s(self) -> float:
@@ -712,7 +725,7 @@
 
 
 class Mutant(NamedTuple):
-    """One way to break a promise, and bounds within which that shows."""
+    """One way to break an invariant, and bounds within which that shows."""
 
     name: str
     implementation: Implementation
@@ -774,7 +787,7 @@
 
 
 class Explored(NamedTuple):
-    """What came of it."""
+    """The result of an exploration."""
 
     states: int
     moves: int
@@ -785,14 +798,14 @@
 
 
 def explore(bounds: Bounds, implementation: Implementation = PROGRAM, most: int = 10**9) -> Explored:
-    """Breadth first, until a promise breaks or `most` states have been seen."""
+    """Explore breadth first, until an invariant breaks or `most` states have been seen."""
     model = Model(bounds, implementation)
     began = time.perf_counter()
     first = model.first()
     came: dict[State, tuple[State, str] | None] = {first: None}
-    line, moves = deque([first]), 0
-    while line:
-        state = line.popleft()
+    queue, moves = deque([first]), 0
+    while queue:
+        state = queue.popleft()
         for word, move in model.moves(state):
             moves += 1
             try:
@@ -800,7 +813,7 @@
                 if after in came:
                     continue
                 model.judge(after)
-            except PromiseBroken as found:
+            except InvariantError as found:
                 return Explored(
                     len(came),
                     moves,
@@ -810,7 +823,7 @@
                     (*_trace(came, state), word),
                 )
             came[after] = state, word
-            line.append(after)
+            queue.append(after)
         if len(came) >= most:
             return Explored(len(came), moves, time.perf_counter() - began, False)
     return Explored(len(came), moves, time.perf_counter() - began, True)
@@ -826,26 +839,26 @@
 
 
 def main() -> int:
-    told = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
-    told.add_argument("--deep", action="store_true", help="wider bounds, for minutes")
-    told.add_argument("--mutants", action="store_true", help="the broken ones, which must be found")
-    told.add_argument("--most", type=int, default=10**9, help="states of one exploration")
-    told.add_argument("--only", default="", help="explorations whose name has this in it")
-    asked = told.parse_args()
+    parser = argparse.ArgumentParser(description=(__doc__ or "").splitlines()[0])
+    parser.add_argument("--deep", action="store_true", help="wider bounds, for minutes")
+    parser.add_argument("--mutants", action="store_true", help="the mutants, which must be found")
+    parser.add_argument("--most", type=int, default=10**9, help="states of one exploration")
+    parser.add_argument("--only", default="", help="explorations whose name has this in it")
+    arguments = parser.parse_args()
     broken = False
-    for mutant in MUTANTS if asked.mutants else ():
-        found = explore(mutant.bounds, mutant.implementation, asked.most)
+    for mutant in MUTANTS if arguments.mutants else ():
+        found = explore(mutant.bounds, mutant.implementation, arguments.most)
         print(
             f"{mutant.name}: {found.broken or 'NOT FOUND'}, {found.states} states, {found.seconds:.1f} s",
             flush=True,
         )
         broken |= not found.broken
-    if asked.mutants:
+    if arguments.mutants:
         return int(broken)
-    for bounds in DEEP if asked.deep else QUICK:
-        if asked.only not in bounds.name:
+    for bounds in DEEP if arguments.deep else QUICK:
+        if arguments.only not in bounds.name:
             continue
-        found = explore(bounds, most=asked.most)
+        found = explore(bounds, most=arguments.most)
         end = found.broken or ("all of them" if found.all else "not all")
         print(
             f"{bounds.name}: {found.states} states, {found.moves} moves, {found.seconds:.1f} s, {end}",
