--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -221,8 +221,8 @@
 tenants.a.quota_rps: 10 becomes 0
 tenants.b: is new: share 0, quota_rps 0
 limits.attempts: 2 becomes 3
-limits.probes: {module.OWN} becomes true
-voters: 0, 2 becomes {module.OWN}
+limits.probes: {module.UNSET_TEXT} becomes true
+voters: 0, 2 becomes {module.UNSET_TEXT}
 """
 
 
