--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -1,13 +1,14 @@
-"""The agreement alone, in virtual time: members of `quorum/` on a lossy network, with drawn faults.
+"""The policy consensus alone, in virtual time: members of `quorum/` on a lossy network, with drawn faults.
 
 Rules that hold here and nowhere else:
 
-1. Each proxy has a clock of its own, whose rate differs from the true one by up to half of `Timing.clock_skew`, and
-   which starts anywhere. Messages take 2 to 39 ms, 2% are lost, some come twice or up to 30 s late.
+1. Each proxy has a clock of its own, whose rate differs from the true one by up to half of
+   `Timing.clock_skew`, and which starts anywhere. Messages take 2 to 39 ms, 2% are lost, some come twice or
+   up to 30 s late.
 2. A kill forgets all but the disk. What was being written then is there or not, as drawn. Disks come back as
    they were, or empty in fewer than half of the voters.
-3. A proxy takes requests by an epoch for as long as its member `may_serve`: these spans are exact, from one event
-   of it to the next, and the promises (b) and (d) are judged on them; (c) and (e) by `fleet/epochs.py`.
+3. A proxy takes requests by an epoch for as long as its member `may_serve`: these spans are exact, from one
+   event of it to the next, and the promises (b) and (d) are judged on them; (c) and (e) by `fleet/epochs.py`.
 4. An operator proposes at a proxy's door, asks it ten times a second, and proposes the same at another door
    where it is gone or does not know.
 """
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -72,10 +72,10 @@
         change = f"{plan.roll.old} to {plan.roll.version}"
         return f"plan of a rolling change from {change}: {stages} of {len(plan.place)} places"
     if form == "place":
-        from firvane.proxy.rollout.supervisor_config import CHECKS as SITE_CHECKS
-        from firvane.proxy.rollout.supervisor_config import Site
+        from firvane.proxy.rollout.supervisor_config import CHECKS as SUPERVISOR_CHECKS
+        from firvane.proxy.rollout.supervisor_config import SupervisorConfig
 
-        site = validation.build(raw, Site, file, SITE_CHECKS)
+        site = validation.build(raw, SupervisorConfig, file, SUPERVISOR_CHECKS)
         return f"place {site.name}, versions {', '.join(sorted(site.versions))}"
     from firvane.proxy.config.checks import CHECKS
     from firvane.proxy.config.model import File
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -50,9 +50,9 @@
     that is started next takes them over.
     """
     from firvane.core import logs
-    from firvane.proxy.rollout import supervisor as keeper
+    from firvane.proxy.rollout import supervisor
 
-    return keeper.keep(file, logs.make())
+    return supervisor.supervise(file, logs.make())
 
 
 @command.command("run")
@@ -128,8 +128,8 @@
     doors = admin_connection.addresses("rollout status", [one.door for one in read.place])
     for one, address in zip(read.place, doors, strict=True):
         try:
-            said = supervisor_calls.heard(
-                admin_connection.call(address, supervisor_calls.line(supervisor_calls.Order.STATUS))
+            said = supervisor_calls.parse_status(
+                admin_connection.call(address, supervisor_calls.format_call(supervisor_calls.Command.STATUS))
             )
             told = f"{said.get('state')}, version {said.get('version')}"
             if said.get("failed", "-") != "-":
--- a/firvane/proxy/rollout/controller.py
+++ b/firvane/proxy/rollout/controller.py
@@ -49,8 +49,8 @@
 )
 from firvane.proxy.rollout.plan import Place, Plan
 from firvane.proxy.rollout.state_machine import RollStateMachine
-from firvane.proxy.rollout.supervisor_calls import Order
-from firvane.proxy.rollout.trial_start import trial
+from firvane.proxy.rollout.supervisor_calls import Command
+from firvane.proxy.rollout.trial_start import try_version
 
 TURN_S = 0.1  # from one look at time and calls to the next
 ASK_S = 0.25  # from a place's answer to the next question
@@ -224,7 +224,7 @@
         if how is None or "NODE_CONFIG" not in how.environment:
             self.say(f"{version} is not tried beside the fleet: the plan names no NODE_CONFIG for it")
         else:
-            wrong = await trial(how, self.plan.roll.ready_s, self.plan.roll.end_s)
+            wrong = await try_version(how, self.plan.roll.ready_s, self.plan.roll.end_s)
         self._hear(Tried(wrong))
 
     # Places
@@ -234,7 +234,11 @@
         until = self.loop.time() + FIRST_S
         while not site.status and self.loop.time() < until:
             try:
-                site.heard(supervisor_calls.heard(await call(site.door, supervisor_calls.line(Order.STATUS))))
+                site.heard(
+                    supervisor_calls.parse_status(
+                        await call(site.door, supervisor_calls.format_call(Command.STATUS))
+                    )
+                )
             except (OSError, ValueError):
                 await asyncio.sleep(ASK_S)
 
@@ -250,11 +254,13 @@
 
     async def _visit(self, site: Site) -> None:
         if not site.claimed:
-            await self._told(site, supervisor_calls.line(Order.CLAIM, self.name, self.machine.roll))
+            await self._told(site, supervisor_calls.format_call(Command.CLAIM, self.name, self.machine.roll))
             site.claimed = True
         if order := site.order:
             self.chronicle.mine()
-            answer = await self._told(site, supervisor_calls.line(Order.REPLACE, order.version, order.roll))
+            answer = await self._told(
+                site, supervisor_calls.format_call(Command.REPLACE, order.version, order.roll)
+            )
             if site.order is not order:
                 return
             if answer.startswith("+OK"):
@@ -263,7 +269,9 @@
                 site.order = None
                 self._hear(ReplaceFailed(site.name, answer.removeprefix("-ERR").strip()))
         given = site.given
-        site.heard(supervisor_calls.heard(await call(site.door, supervisor_calls.line(Order.STATUS))))
+        site.heard(
+            supervisor_calls.parse_status(await call(site.door, supervisor_calls.format_call(Command.STATUS)))
+        )
         if site.order:
             return  # what it said is from before that
         status, busy = site.status, site.status.get("state") in BUSY
--- a/firvane/proxy/rollout/readiness_probe.py
+++ b/firvane/proxy/rollout/readiness_probe.py
@@ -1,7 +1,8 @@
-"""Whether a process is ready, whether it serves, and which it is: asked from outside, of any program.
+"""Probes of a process from outside, for any program: whether it is ready, whether it serves, and which it is.
 
-Two processes that accept from one listening socket look alike to a client. Which of them has a connection is
-told by the kernel: the socket that has accepted it is among the descriptors of one of them.
+Two processes that accept from one listening socket look alike to a client. The kernel tells which of them has
+a
+connection: the socket that has accepted it is among the descriptors of one of them.
 """
 
 from __future__ import annotations
@@ -13,18 +14,33 @@
 import struct
 from collections.abc import Iterator, Sequence
 from pathlib import Path
+from typing import NamedTuple
 
 from firvane.core.address import Address
 
-LOOK_S = 0.01  # from one look for who has accepted to the next
-MOST = 1 << 16  # bytes of an answer that are looked at
-UP = b"GET /up HTTP/1.1\r\nHost: place\r\n\r\n"
+ACCEPT_POLL_INTERVAL_S = 0.01
+UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: place\r\n\r\n"
+INODE_COLUMN = 9  # of /proc/net/tcp; the columns 1 and 2 are the addresses
 
 
-async def ready(address: Address, wait: float) -> bool:
-    """Whether the operators' door says so, within so many seconds."""
+class ProbeResult(NamedTuple):
+    """The result of a request."""
+
+    pid: int  # of the process that took it; 0: none of the known ones did
+    is_answered: bool
+
+
+class AcceptedSocket(NamedTuple):
+    """The other end of a connection."""
+
+    inode: int  # 0: it has not been accepted yet, or is gone
+    is_accepted: bool  # or gone
+
+
+async def is_ready(address: Address, timeout_s: float) -> bool:
+    """Whether the admin API at the address reports readiness within the time."""
     try:
-        async with asyncio.timeout(wait):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*address)
             try:
                 writer.write(b"ready\n")
@@ -35,39 +51,39 @@
         return False
 
 
-async def served(address: Address, pids: Sequence[int], wait: float) -> tuple[int, bool]:
-    """The process that took a request, 0 where none of these did, and whether it answered within `wait` s."""
+async def probe(address: Address, pids: Sequence[int], timeout_s: float) -> ProbeResult:
+    """Send a request, and find out which of the processes took it, and whether it answered in time."""
     pid = 0
     try:
-        async with asyncio.timeout(wait):
+        async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*address)
             try:
-                ours = writer.get_extra_info("sockname")
+                local_address = writer.get_extra_info("sockname")
                 while not pid:
-                    inode, is_taken = accepted(ours, address)
-                    pid = next((one for one in pids if inode and holds(one, inode)), 0)
-                    if is_taken and not pid:
+                    inode, is_accepted = find_accepted(local_address, address)
+                    pid = next((one for one in pids if inode and has_socket(one, inode)), 0)
+                    if is_accepted and not pid:
                         break  # another's, or gone already
                     if not pid:
-                        await asyncio.sleep(LOOK_S)
-                writer.write(UP)
-                return pid, (await reader.readline()).startswith(b"HTTP/1.1 200 ")
+                        await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
+                writer.write(UP_REQUEST)
+                return ProbeResult(pid, (await reader.readline()).startswith(b"HTTP/1.1 200 "))
             finally:
                 writer.transport.abort()
     except (OSError, ValueError):
-        return pid, False
+        return ProbeResult(pid, False)
 
 
-def accepted(ours: Address, address: Address) -> tuple[int, bool]:
-    """The inode of the other end of a connection to `address`, 0 where nobody has accepted it yet; and
-    whether somebody has, or it is gone."""
-    wanted = [_hex(address), _hex(ours)]
-    with open("/proc/net/tcp", encoding="ascii") as table:
+def find_accepted(local_address: Address, address: Address) -> AcceptedSocket:
+    """Return the other end of a connection from `local_address` to `address`."""
+    wanted = [_hex(address), _hex(local_address)]
+    with Path("/proc/net/tcp").open(encoding="ascii") as table:
         for row in table:
-            words = row.split()
-            if words[1:3] == wanted:
-                return int(words[9]), words[9] != "0"
-    return 0, True
+            columns = row.split()
+            if columns[1:3] == wanted:
+                inode = columns[INODE_COLUMN]
+                return AcceptedSocket(int(inode), inode != "0")
+    return AcceptedSocket(0, True)
 
 
 def _hex(address: Address) -> str:
@@ -76,26 +92,25 @@
     return f"{number:08X}:{port:04X}"
 
 
-def holds(pid: int, inode: int) -> bool:
-    """Whether a process has that socket."""
+def has_socket(pid: int, inode: int) -> bool:
+    """Whether a process has the socket of that inode."""
     wanted = f"socket:[{inode}]"
-    folder = f"/proc/{pid}/fd"
     with contextlib.suppress(OSError):
-        for name in os.listdir(folder):
+        for descriptor in Path(f"/proc/{pid}/fd").iterdir():
             with contextlib.suppress(OSError):
-                if os.readlink(f"{folder}/{name}") == wanted:
+                if str(descriptor.readlink()) == wanted:
                     return True
     return False
 
 
-def marked(name: str) -> Iterator[tuple[int, str]]:
-    """The processes that were started with this variable in their environment, and its value in each.
+def find_tagged(variable: str) -> Iterator[tuple[int, str]]:
+    """Yield the ids of the processes with this variable in their environment, and its value in each.
 
     What they have started themselves has it, too, and is left out: it leads no session.
     """
-    key = f"{name}=".encode()
+    prefix = f"{variable}=".encode()
     for folder in Path("/proc").glob("[0-9]*"):
         with contextlib.suppress(OSError):
-            for one in (folder / "environ").read_bytes().split(b"\0"):
-                if one.startswith(key) and os.getsid(int(folder.name)) == int(folder.name):
-                    yield int(folder.name), one.removeprefix(key).decode(errors="replace")
+            for entry in (folder / "environ").read_bytes().split(b"\0"):
+                if entry.startswith(prefix) and os.getsid(int(folder.name)) == int(folder.name):
+                    yield int(folder.name), entry.removeprefix(prefix).decode(errors="replace")
--- a/firvane/proxy/rollout/slot.py
+++ b/firvane/proxy/rollout/slot.py
@@ -1,18 +1,21 @@
-"""One proxy's slot: which process serves in it, which is to come, which is to go. Pure.
-
-Rules that hold here and nowhere else:
-
-1. Whoever serves is told to end only once its successor is proven: it has said that it is ready, has lived
-   for `prove` s since, and has answered `PROBES` requests itself. Until then an attempt may be dropped.
-2. At most one process is to come. What is told to end has `end` s, then it is killed; nobody waits for it,
-   but for an ops address to be free: there are `doors` of them, one to a process.
-3. A serving process that dies is followed at once by another of its version, and one whose version dies
-   `DEATHS` times in a row by one of the version before; between deaths in a row there are longer pauses.
-4. A process beside which none serves is given four times as long to be ready: to kill a slow one would be to
-   have none.
-5. A roll's number that is lower than the highest heard is refused, and so is the same number under another
-   name: whoever stood still while another took over changes nothing any more.
-6. What is to be known after the keeper's own end is kept (`Keep`) before anything is started or ended for it.
+"""The state machine of one proxy's slot: which process serves in it, and which starts or terminates. Pure.
+
+Invariants:
+
+1. The serving process is terminated only once its successor is proven: it has reported to be ready, has lived
+   for `proving_s` since, and has answered `REQUIRED_PROBES` requests itself. Until then an attempt may be
+   dropped.
+2. There is one candidate at most. A terminating process has `termination_s`, then it is killed; nothing waits
+   for it but a start without a free ops address: there are `ops_count` of them, one to a process.
+3. A serving process that crashes is followed at once by another one of its version, and one whose version
+   crashes `MAX_CONSECUTIVE_CRASHES` times in a row by one of the previous version; the backoff between
+   consecutive crashes grows.
+4. A process beside which none serves is given `PATIENCE_IF_ALONE` times as long to be ready: killing a slow
+   one would leave none.
+5. A fencing token below the highest one is rejected, and so is the same token under another name: a
+   controller that was suspended while another one took over changes nothing any more.
+6. What must survive the supervisor is persisted (`PersistSlot`) before anything is started or terminated for
+   it.
 """
 
 from __future__ import annotations
@@ -21,319 +24,369 @@
 from dataclasses import dataclass, field, replace
 from math import inf
 
+from firvane.proxy.rollout.errors import CallRejectedError
 from firvane.proxy.rollout.slot_types import (
-    TABLE,
-    Action,
-    Event,
-    Keep,
-    Kept,
-    Kill,
-    Mark,
-    Note,
-    Process,
-    Refused,
-    Start,
-    State,
-    Terminate,
-    Times,
+    TRANSITIONS,
+    KillProcess,
+    LogEvent,
+    PersistSlot,
+    ProcessTag,
+    ProcessTimeouts,
+    SlotAction,
+    SlotEvent,
+    SlotProcess,
+    SlotState,
+    StartProcess,
+    StoredSlot,
+    TerminateProcess,
 )
 
-PROBES = 3  # requests that a new process answers itself before the old one may go
-FAULTS = 2  # requests that it leaves without an answer, and it goes itself
-DEATHS = 3  # in a row, after which the version before has its turn
-PAUSES = (0.0, 0.2, 0.5, 1.0, 2.0, 5.0)  # s before the start after so many deaths in a row
-STEADY = 10.0  # s after which a death is no longer one in a row
-ALONE = 4  # times as long to be ready, where none serves
-WHY = 120  # characters of a reason, so that a status stays a few lines
+REQUIRED_PROBES = 3  # requests that a candidate answers before the serving process may be terminated
+MAX_FAILED_PROBES = 2  # requests that a candidate leaves without an answer before it is killed
+MAX_CONSECUTIVE_CRASHES = 3  # after which the previous version is started
+BACKOFFS_S = (0.0, 0.2, 0.5, 1.0, 2.0, 5.0)  # before the start after so many consecutive crashes
+STABLE_AFTER_S = 10.0  # after which a crash is no longer a consecutive one
+PATIENCE_IF_ALONE = 4  # times as long to be ready, where no process serves
+MAX_REASON_CHARS = 120
 
 
 @dataclass
 class Slot:
-    """One slot. Each call tells what is to be done, in that order."""
-
-    kept: Kept
-    times: Times
-    doors: int
-    state: State = State.EMPTY
-    serving: Process | None = None
-    coming: Process | None = None
-    leaving: dict[int, Process] = field(default_factory=dict)
-    numbers: int = 0
-    deaths: int = 0  # of the serving one, ever
-    in_a_row: int = 0
-    start_at: float = inf
-    is_found: bool = False  # the serving one was found: it has another listening socket
+    """One slot. Each call returns what is to be done, in that order. Times are seconds on one clock.
+
+    Attributes:
+        stored: The durable state.
+        timeouts: The time-outs of its processes.
+        ops_count: How many ops addresses there are, one to a process.
+        state: The current state.
+        serving: The process that serves.
+        candidate: The process that is to replace it.
+        terminating: The processes that have been told to end, by number.
+        last_number: The number of the last process that was started.
+        crash_count: How many serving processes have crashed.
+        consecutive_crashes: How many of them in a row.
+        next_start_at: When the next process is started.
+        is_adopted: Whether the serving process was adopted: it has another listening socket.
+    """
+
+    stored: StoredSlot
+    timeouts: ProcessTimeouts
+    ops_count: int
+    state: SlotState = SlotState.EMPTY
+    serving: SlotProcess | None = None
+    candidate: SlotProcess | None = None
+    terminating: dict[int, SlotProcess] = field(default_factory=dict)
+    last_number: int = 0
+    crash_count: int = 0
+    consecutive_crashes: int = 0
+    next_start_at: float = inf
+    is_adopted: bool = False
 
     # The beginning
 
-    def open(self, now: float, found: Sequence[tuple[Mark, int]] = ()) -> list[Action]:
-        """Begin, with the processes of a life before that still run, and their ids. One of them serves on
-        until one on this life's own socket is proven; the others are told to end."""
-        did: list[Action] = []
-        self.numbers = max([mark.number for mark, _ in found], default=0)
-        for mark, pid in sorted(found, key=lambda one: (one[0].version != self.kept.version, one[0].number)):
-            process = Process(mark, now, pid, ready_at=now, proven_at=now)
+    def begin(self, now: float, adopted: Sequence[tuple[ProcessTag, int]] = ()) -> list[SlotAction]:
+        """Begin with the processes of an earlier supervisor that still run, and their ids.
+
+        One of them serves on until one on this supervisor's own socket is proven; the others are terminated.
+        """
+        actions: list[SlotAction] = []
+        self.last_number = max([tag.number for tag, _ in adopted], default=0)
+        by_fitness = sorted(adopted, key=lambda one: (one[0].version != self.stored.version, one[0].number))
+        for tag, pid in by_fitness:
+            process = SlotProcess(tag, now, pid, ready_at=now, proven_at=now)
             if self.serving is None:
-                self.serving, self.is_found, self.state = process, True, State.SERVING
+                self.serving, self.is_adopted, self.state = process, True, SlotState.SERVING
             else:
-                did += self._leave(process, now)
+                actions += self._terminate(process, now)
         if self.serving is None:
-            self.start_at = now
-        return [Keep(self.kept), *did, *self.tick(now)]
+            self.next_start_at = now
+        return [PersistSlot(self.stored), *actions, *self.tick(now)]
 
     # Calls
 
-    def claim(self, roll: int, name: str) -> list[Action]:
-        """A roll begins, or is taken over: lower numbers are refused from now on."""
-        self._check(roll)
-        if roll == self.kept.roll and name != self.kept.name:
-            raise Refused(f"roll {roll} is over: {self.kept.roll} has been heard here")
-        if (roll, name) == (self.kept.roll, self.kept.name):
+    def claim(self, token: int, name: str) -> list[SlotAction]:
+        """Begin a rollout, or take it over: lower fencing tokens are rejected from now on.
+
+        Raises:
+            CallRejectedError: The token is not the highest, or another controller has it.
+        """
+        self._check_token(token)
+        if token == self.stored.roll and name != self.stored.name:
+            raise CallRejectedError(f"roll {token} is over: {self.stored.roll} has been heard here")
+        if (token, name) == (self.stored.roll, self.stored.name):
             return []
-        self.kept = replace(self.kept, roll=roll, name=name)
-        return [Keep(self.kept)]
-
-    def replace(self, now: float, version: str, roll: int) -> list[Action]:
-        """A process of that version is to serve here; nothing where one does already, or is on its way."""
-        self._check(roll)
-        coming, serving = self.coming, self.serving
-        if coming and coming.mark.version == version:
-            return self._heard(roll)
-        if serving and serving.mark.version == version:
-            # What is on its way to something else is not wanted any more.
-            return [*self._heard(roll), *self._abandoned(now)]
-        if coming and serving:
-            raise Refused(f"busy: {coming.mark.version} is on its way here")
-        if self.kept.spurned == f"{version} {roll}":
-            raise Refused(f"{version} died {DEATHS} times in a row in this roll")
-        if self._door() is None:
-            raise Refused("busy: processes that were told to end have all ops addresses")
-        did = self._heard(roll)
-        self.kept = replace(self.kept, failed="")
-        return did + self._attempt(now, version)
-
-    def back(self, now: float, roll: int) -> list[Action]:
-        """The version before is to serve here. What is not proven yet is only abandoned."""
-        self._check(roll)
-        if self.serving and self.coming:
-            return self.replace(now, self.serving.mark.version, roll)
-        if not self.kept.before:
-            raise Refused("there is no version before")
-        return self.replace(now, self.kept.before, roll)
-
-    def abandon(self, now: float, roll: int) -> list[Action]:
-        """What is to come beside one that serves is not wanted any more."""
-        self._check(roll)
-        return [*self._heard(roll), *self._abandoned(now)]
-
-    def close(self, now: float) -> list[Action]:
-        """Give the slot up: all end."""
-        did: list[Action] = []
-        self._hear(Event.CLOSE)
-        for process in (self.serving, self.coming):
+        self.stored = replace(self.stored, roll=token, name=name)
+        return [PersistSlot(self.stored)]
+
+    def replace(self, now: float, version: str, token: int) -> list[SlotAction]:
+        """Let a process of that version serve here; nothing changes where one does, or is the candidate.
+
+        Raises:
+            CallRejectedError: The token is too low, or the slot cannot start that version now.
+        """
+        self._check_token(token)
+        candidate, serving = self.candidate, self.serving
+        if candidate and candidate.tag.version == version:
+            return self._record_token(token)
+        if serving and serving.tag.version == version:
+            # A candidate of another version is not wanted any more.
+            return [*self._record_token(token), *self._drop_candidate(now)]
+        if candidate and serving:
+            raise CallRejectedError(f"busy: {candidate.tag.version} is on its way here")
+        if self.stored.spurned == f"{version} {token}":
+            raise CallRejectedError(f"{version} died {MAX_CONSECUTIVE_CRASHES} times in a row in this roll")
+        if self._free_ops_index() is None:
+            raise CallRejectedError("busy: processes that were told to end have all ops addresses")
+        actions = self._record_token(token)
+        self.stored = replace(self.stored, failed="")
+        return actions + self._start_replacement(now, version)
+
+    def revert(self, now: float, token: int) -> list[SlotAction]:
+        """Let the previous version serve here; a candidate that is not proven yet is only dropped.
+
+        Raises:
+            CallRejectedError: As `replace` does, or there is no previous version.
+        """
+        self._check_token(token)
+        if self.serving and self.candidate:
+            return self.replace(now, self.serving.tag.version, token)
+        if not self.stored.before:
+            raise CallRejectedError("there is no version before")
+        return self.replace(now, self.stored.before, token)
+
+    def abandon(self, now: float, token: int) -> list[SlotAction]:
+        """Drop the candidate beside a serving process.
+
+        Raises:
+            CallRejectedError: The token is too low.
+        """
+        self._check_token(token)
+        return [*self._record_token(token), *self._drop_candidate(now)]
+
+    def close(self, now: float) -> list[SlotAction]:
+        """Give the slot up: all processes are terminated."""
+        actions: list[SlotAction] = []
+        self._apply(SlotEvent.CLOSE)
+        for process in (self.serving, self.candidate):
             if process:
-                did += self._leave(process, now)
-        self.serving = self.coming = None
-        self.start_at = inf
-        return did
+                actions += self._terminate(process, now)
+        self.serving = self.candidate = None
+        self.next_start_at = inf
+        return actions
 
-    # What is seen of processes
+    # What is observed of processes
 
-    def started(self, number: int, pid: int) -> None:
-        for process in self._all():
+    def on_started(self, number: int, pid: int) -> None:
+        """A process has been started, and has this id."""
+        for process in self._processes():
             if process.number == number:
                 process.pid = pid
 
-    def unstartable(self, now: float, number: int, why: str) -> list[Action]:
-        return self._failed(now, f"cannot be started: {why}", is_gone=True) if self._comes(number) else []
+    def on_start_failed(self, now: float, number: int, reason: str) -> list[SlotAction]:
+        """A process could not be started."""
+        if not self._is_candidate(number):
+            return []
+        return self._fail_candidate(now, f"cannot be started: {reason}", is_gone=True)
 
-    def ready(self, now: float, number: int) -> list[Action]:
-        coming = self._comes(number)
-        if coming is None or coming.ready_at < inf:
+    def on_ready(self, now: float, number: int) -> list[SlotAction]:
+        """A process reports to be ready."""
+        candidate = self._is_candidate(number)
+        if candidate is None or candidate.ready_at < inf:
             return []
-        coming.ready_at = now
-        self._hear(Event.READY)
-        return [Note("place_ready", {"version": coming.mark.version, "number": number})]
-
-    def probed(self, now: float, number: int, is_well: bool) -> list[Action]:
-        """It has answered a request that it had accepted, or has not."""
-        coming = self._comes(number)
-        if coming is None:
+        candidate.ready_at = now
+        self._apply(SlotEvent.READY)
+        return [LogEvent("slot_process_ready", {"version": candidate.tag.version, "number": number})]
+
+    def on_probed(self, now: float, number: int, is_answered: bool) -> list[SlotAction]:
+        """A process has answered a request that it had accepted, or has not."""
+        candidate = self._is_candidate(number)
+        if candidate is None:
             return []
-        if is_well:
-            coming.probes += 1
+        if is_answered:
+            candidate.answered_probes += 1
         else:
-            coming.faults += 1
-        if coming.faults >= FAULTS:
-            return self._failed(now, "says that it is ready, and leaves requests without an answer")
+            candidate.failed_probes += 1
+        if candidate.failed_probes >= MAX_FAILED_PROBES:
+            reason = "says that it is ready, and leaves requests without an answer"
+            return self._fail_candidate(now, reason)
         return self.tick(now)
 
-    def exited(self, now: float, number: int, code: int) -> list[Action]:
-        if self.leaving.pop(number, None):
+    def on_exited(self, now: float, number: int, code: int) -> list[SlotAction]:
+        """A process has ended; a `code` below 0 is the negative number of a signal."""
+        if self.terminating.pop(number, None):
             return self.tick(now)
         how = f"ended with code {code}" if code >= 0 else f"was killed by signal {-code}"
-        if coming := self._comes(number):
-            when = "under its first requests" if coming.ready_at < inf else "at its start"
-            return self._failed(now, f"{how} {when}", is_gone=True)
+        if candidate := self._is_candidate(number):
+            when = "under its first requests" if candidate.ready_at < inf else "at its start"
+            return self._fail_candidate(now, f"{how} {when}", is_gone=True)
         if not (self.serving and self.serving.number == number):
             return []
-        lived, version = now - self.serving.proven_at, self.serving.mark.version
-        self.serving, self.is_found = None, False
-        self.deaths += 1
-        self._hear(Event.DIED)
-        did: list[Action] = [Note("place_died", {"version": version, "how": how})]
-        if self.state is State.EMPTY:
-            self.in_a_row = 1 if lived >= STEADY else self.in_a_row + 1
-            did += self._pause(now, version, how)
-        return did
-
-    def tick(self, now: float) -> list[Action]:
-        """What time alone brings about."""
-        did: list[Action] = []
-        for process in self.leaving.values():
+        lived_s, version = now - self.serving.proven_at, self.serving.tag.version
+        self.serving, self.is_adopted = None, False
+        self.crash_count += 1
+        self._apply(SlotEvent.DIED)
+        actions: list[SlotAction] = [LogEvent("slot_process_died", {"version": version, "reason": how})]
+        if self.state is SlotState.EMPTY:
+            self.consecutive_crashes = 1 if lived_s >= STABLE_AFTER_S else self.consecutive_crashes + 1
+            actions += self._back_off(now, version, how)
+        return actions
+
+    def tick(self, now: float) -> list[SlotAction]:
+        """Do what time alone brings about."""
+        actions: list[SlotAction] = []
+        for process in self.terminating.values():
             if now >= process.kill_at:
                 process.kill_at = inf
-                did.append(Kill(process.number))
-        coming = self.coming
-        if coming:
-            patience = self.times.ready * (1 if self.serving else ALONE)
-            if coming.ready_at < inf:
-                late = now >= coming.ready_at + max(patience, self.times.prove)
-                if now >= coming.ready_at + self.times.prove and coming.probes >= PROBES:
-                    did += self._proven(now)
-                elif late:
-                    did += self._failed(now, "says that it is ready, and serves nothing")
-            elif now >= coming.since + patience:
-                did += self._failed(now, f"is not ready after {patience:g} s")
-        if self.state is State.EMPTY and now >= self.start_at and self._door() is not None:
-            did += self._begin(now, self.kept.version, Event.DUE)
-        rejoins = self.state is State.SERVING and self.is_found and now >= self._again()
-        if rejoins and self._door() is not None:
-            did += self._attempt(now, self.kept.version)
-        return did
+                actions.append(KillProcess(process.number))
+        if self.candidate:
+            actions += self._check_candidate(self.candidate, now)
+        is_start_due = self.state is SlotState.EMPTY and now >= self.next_start_at
+        if is_start_due and self._free_ops_index() is not None:
+            actions += self._start(now, self.stored.version, SlotEvent.DUE)
+        rejoins = self.state is SlotState.SERVING and self.is_adopted and now >= self._next_attempt_at()
+        if rejoins and self._free_ops_index() is not None:
+            actions += self._start_replacement(now, self.stored.version)
+        return actions
+
+    def _check_candidate(self, candidate: SlotProcess, now: float) -> list[SlotAction]:
+        """Promote a candidate that is proven; kill one that is late."""
+        patience_s = self.timeouts.ready_s * (1 if self.serving else PATIENCE_IF_ALONE)
+        proving_s = self.timeouts.proving_s
+        if candidate.ready_at < inf:
+            if now >= candidate.ready_at + proving_s and candidate.answered_probes >= REQUIRED_PROBES:
+                return self._promote(now)
+            if now >= candidate.ready_at + max(patience_s, proving_s):
+                return self._fail_candidate(now, "says that it is ready, and serves nothing")
+        elif now >= candidate.started_at + patience_s:
+            return self._fail_candidate(now, f"is not ready after {patience_s:g} s")
+        return []
 
     def status(self) -> dict[str, str | int]:
-        """For the line door: a word and a value each."""
-        who = self.serving or self.coming
-        state = self.state.value
-        told: dict[str, str | int] = {
-            "state": "ending" if self.state is State.SERVING and self.leaving else state,
-            "version": self.serving.mark.version if self.serving else "-",
-            "wanted": self.kept.version,
-            "before": self.kept.before or "-",
-            "coming": self.coming.mark.version if self.coming else "-",
-            "roll": self.kept.roll,
-            "pid": who.pid if who else 0,
-            "door": who.mark.door if who else -1,
-            "deaths": self.deaths,
-            "leaving": len(self.leaving),
-            "failed": self.kept.failed or "-",
+        """Return the status for the supervisor's API, whose names are part of that API."""
+        process = self.serving or self.candidate
+        is_ending = self.state is SlotState.SERVING and self.terminating
+        return {
+            "state": "ending" if is_ending else self.state.value,
+            "version": self.serving.tag.version if self.serving else "-",
+            "wanted": self.stored.version,
+            "before": self.stored.before or "-",
+            "coming": self.candidate.tag.version if self.candidate else "-",
+            "roll": self.stored.roll,
+            "pid": process.pid if process else 0,
+            "door": process.tag.ops_index if process else -1,
+            "deaths": self.crash_count,
+            "leaving": len(self.terminating),
+            "failed": self.stored.failed or "-",
         }
-        return told
 
     # Within
 
-    def _all(self) -> list[Process]:
-        return [one for one in (self.serving, self.coming) if one] + list(self.leaving.values())
+    def _processes(self) -> list[SlotProcess]:
+        current = [process for process in (self.serving, self.candidate) if process]
+        return current + list(self.terminating.values())
 
-    def _comes(self, number: int) -> Process | None:
-        return self.coming if self.coming and self.coming.number == number else None
+    def _is_candidate(self, number: int) -> SlotProcess | None:
+        return self.candidate if self.candidate and self.candidate.number == number else None
 
-    def _door(self) -> int | None:
-        taken = {process.mark.door for process in self._all()}
-        return next((door for door in range(self.doors) if door not in taken), None)
+    def _free_ops_index(self) -> int | None:
+        used = {process.tag.ops_index for process in self._processes()}
+        return next((index for index in range(self.ops_count) if index not in used), None)
 
-    def _check(self, roll: int) -> None:
-        """Before anything is changed: a call that is refused changes nothing."""
-        if self.state is State.CLOSED:
-            raise Refused("the place is given up")
-        if roll < self.kept.roll:
-            raise Refused(f"roll {roll} is over: {self.kept.roll} has been heard here")
+    def _check_token(self, token: int) -> None:
+        """Reject a call before anything is changed."""
+        if self.state is SlotState.CLOSED:
+            raise CallRejectedError("the place is given up")
+        if token < self.stored.roll:
+            raise CallRejectedError(f"roll {token} is over: {self.stored.roll} has been heard here")
 
-    def _heard(self, roll: int) -> list[Action]:
-        if roll == self.kept.roll:
+    def _record_token(self, token: int) -> list[SlotAction]:
+        if token == self.stored.roll:
             return []
-        self.kept = replace(self.kept, roll=roll, name="")
-        return [Keep(self.kept)]
+        self.stored = replace(self.stored, roll=token, name="")
+        return [PersistSlot(self.stored)]
 
-    def _hear(self, event: Event) -> None:
-        self.state = TABLE[self.state][event]
+    def _apply(self, event: SlotEvent) -> None:
+        self.state = TRANSITIONS[self.state][event]
 
-    def _leave(self, process: Process, now: float) -> list[Action]:
-        process.kill_at = now + self.times.end
-        self.leaving[process.number] = process
-        return [Terminate(process.number)]
+    def _terminate(self, process: SlotProcess, now: float) -> list[SlotAction]:
+        process.kill_at = now + self.timeouts.termination_s
+        self.terminating[process.number] = process
+        return [TerminateProcess(process.number)]
 
-    def _attempt(self, now: float, version: str) -> list[Action]:
-        """Where nobody serves, the version is what the slot is to have from now on, proven or not."""
-        did: list[Action] = []
+    def _start_replacement(self, now: float, version: str) -> list[SlotAction]:
+        """Start a candidate; where no process serves, its version is the slot's, proven or not."""
+        actions: list[SlotAction] = []
         if self.serving is None:
-            if version != self.kept.version:
-                self.kept = replace(self.kept, version=version, before=self.kept.version)
-            if self.coming:
-                did += self._leave(self.coming, now)
-            self.in_a_row = 0
-        return did + self._begin(now, version, Event.REPLACE)
-
-    def _begin(self, now: float, version: str, event: Event) -> list[Action]:
-        door = self._door()
-        assert door is not None
-        self.numbers += 1
-        self._hear(event)
-        self.start_at = inf
-        self.coming = Process(Mark(self.numbers, version, door), now)
-        note = Note("place_starts", {"version": version, "number": self.numbers})
-        return [Keep(self.kept), note, Start(self.coming.mark)]
-
-    def _proven(self, now: float) -> list[Action]:
-        old, new = self.serving, self.coming
+            if version != self.stored.version:
+                self.stored = replace(self.stored, version=version, before=self.stored.version)
+            if self.candidate:
+                actions += self._terminate(self.candidate, now)
+            self.consecutive_crashes = 0
+        return actions + self._start(now, version, SlotEvent.REPLACE)
+
+    def _start(self, now: float, version: str, event: SlotEvent) -> list[SlotAction]:
+        ops_index = self._free_ops_index()
+        assert ops_index is not None
+        self.last_number += 1
+        self._apply(event)
+        self.next_start_at = inf
+        self.candidate = SlotProcess(ProcessTag(self.last_number, version, ops_index), now)
+        log = LogEvent("slot_process_started", {"version": version, "number": self.last_number})
+        return [PersistSlot(self.stored), log, StartProcess(self.candidate.tag)]
+
+    def _promote(self, now: float) -> list[SlotAction]:
+        """The candidate is proven: it serves, and the process before it is terminated."""
+        old, new = self.serving, self.candidate
         assert new
-        self._hear(Event.PROVEN)
+        self._apply(SlotEvent.PROVEN)
         new.proven_at = now
-        self.serving, self.coming, self.is_found = new, None, False
-        version = new.mark.version
-        if version != self.kept.version:
-            self.kept = replace(self.kept, version=version, before=self.kept.version)
-        did: list[Action] = self._leave(old, now) if old else []
-        note = Note("place_serves", {"version": version, "number": new.number})
-        return [Keep(self.kept), note, *did]
-
-    def _failed(self, now: float, why: str, is_gone: bool = False) -> list[Action]:
-        coming = self.coming
-        assert coming
-        version = coming.mark.version
-        self.coming = None
-        self._hear(Event.FAILED)
-        self.kept = replace(self.kept, failed=f"{version} {self.kept.roll} {why[:WHY]}")
-        did: list[Action] = [Note("place_failed", {"version": version, "why": why[:WHY]})]
+        self.serving, self.candidate, self.is_adopted = new, None, False
+        version = new.tag.version
+        if version != self.stored.version:
+            self.stored = replace(self.stored, version=version, before=self.stored.version)
+        actions: list[SlotAction] = self._terminate(old, now) if old else []
+        log = LogEvent("slot_process_serving", {"version": version, "number": new.number})
+        return [PersistSlot(self.stored), log, *actions]
+
+    def _fail_candidate(self, now: float, reason: str, is_gone: bool = False) -> list[SlotAction]:
+        candidate = self.candidate
+        assert candidate
+        version = candidate.tag.version
+        self.candidate = None
+        self._apply(SlotEvent.FAILED)
+        failed = f"{version} {self.stored.roll} {reason[:MAX_REASON_CHARS]}"
+        self.stored = replace(self.stored, failed=failed)
+        fields: dict[str, str | int] = {"version": version, "reason": reason[:MAX_REASON_CHARS]}
+        actions: list[SlotAction] = [LogEvent("slot_replacement_failed", fields)]
         if not is_gone:  # it is not waited for: what it is given to do is lost
-            self.leaving[coming.number] = coming
-            did.append(Kill(coming.number))
-        if self.state is State.EMPTY:
-            self.in_a_row += 1
-            did += self._pause(now, version, why)
+            self.terminating[candidate.number] = candidate
+            actions.append(KillProcess(candidate.number))
+        if self.state is SlotState.EMPTY:
+            self.consecutive_crashes += 1
+            actions += self._back_off(now, version, reason)
         else:
-            self.start_at = now + PAUSES[-1]
-        return [Keep(self.kept), *did]
+            self.next_start_at = now + BACKOFFS_S[-1]
+        return [PersistSlot(self.stored), *actions]
 
-    def _again(self) -> float:
-        """When the next attempt on this life's own socket is due."""
-        return self.start_at if self.start_at < inf else 0.0
+    def _next_attempt_at(self) -> float:
+        """When the next attempt on this supervisor's own socket is due."""
+        return self.next_start_at if self.next_start_at < inf else 0.0
 
-    def _pause(self, now: float, version: str, why: str) -> list[Action]:
-        """Nobody serves: when the next starts, and of which version."""
-        self.start_at = now + PAUSES[min(self.in_a_row - 1, len(PAUSES) - 1)]
-        if self.in_a_row % DEATHS or not self.kept.before:
+    def _back_off(self, now: float, version: str, reason: str) -> list[SlotAction]:
+        """No process serves: set when the next one starts, and of which version."""
+        self.next_start_at = now + BACKOFFS_S[min(self.consecutive_crashes - 1, len(BACKOFFS_S) - 1)]
+        if self.consecutive_crashes % MAX_CONSECUTIVE_CRASHES or not self.stored.before:
             return []
-        failed = f"{version} {self.kept.roll} {why[:WHY]}"
-        kept, spurned = self.kept, f"{version} {self.kept.roll}"
-        self.kept = replace(kept, version=kept.before, before=version, failed=failed, spurned=spurned)
-        return [Keep(self.kept), Note("place_reverts", {"version": self.kept.version, "from": version})]
-
-    def _abandoned(self, now: float) -> list[Action]:
-        coming = self.coming
-        if coming is None or self.serving is None:
+        stored, spurned = self.stored, f"{version} {self.stored.roll}"
+        failed = f"{spurned} {reason[:MAX_REASON_CHARS]}"
+        self.stored = replace(stored, version=stored.before, before=version, failed=failed, spurned=spurned)
+        fields: dict[str, str | int] = {"version": self.stored.version, "from": version}
+        return [PersistSlot(self.stored), LogEvent("slot_version_reverted", fields)]
+
+    def _drop_candidate(self, now: float) -> list[SlotAction]:
+        candidate = self.candidate
+        if candidate is None or self.serving is None:
             return []
-        self._hear(Event.ABANDON)
-        self.coming = None
-        return self._leave(coming, now)
+        self._apply(SlotEvent.ABANDON)
+        self.candidate = None
+        return self._terminate(candidate, now)
--- a/firvane/proxy/rollout/slot_types.py
+++ b/firvane/proxy/rollout/slot_types.py
@@ -1,4 +1,4 @@
-"""The types of one proxy's slot: states and their table, processes, what is kept of it, and its actions."""
+"""The types of one proxy's slot: states and transitions, processes, the stored state, and actions."""
 
 from __future__ import annotations
 
@@ -8,131 +8,138 @@
 from typing import NamedTuple
 
 
-class State(Enum):
-    """Which processes there are; those told to end may be there in each."""
+class SlotState(Enum):
+    """Which processes there are; terminating ones may be there in each state."""
 
-    EMPTY = "empty"  # none: the next starts after a pause
+    EMPTY = "empty"  # none: the next starts after a backoff
     STARTING = "starting"  # one, not proven yet
     SERVING = "serving"
-    TRYING = "trying"  # one that serves, and a new one that is not ready yet
-    PROVING = "proving"  # the new one says that it is ready: both take clients
-    CLOSED = "closed"  # the slot is given up: all have been told to end
+    TRYING = "trying"  # one that serves, and a candidate that is not ready yet
+    PROVING = "proving"  # the candidate reports to be ready: both accept clients
+    CLOSED = "closed"  # the slot is given up: all are terminating
 
 
-class Event(Enum):
+class SlotEvent(Enum):
+    """What leads from one state to the next."""
+
     REPLACE = "replace"  # by a version, its own again included
-    ABANDON = "abandon"  # what is to come
-    READY = "ready"  # says the one that is to come
+    ABANDON = "abandon"  # the candidate
+    READY = "ready"  # reported by the candidate
     PROVEN = "proven"
-    FAILED = "failed"  # it died, could not be started, was too late, or left requests unanswered
-    DIED = "died"  # the one that serves
-    DUE = "due"  # the pause is over
+    FAILED = "failed"  # the candidate died, could not be started, was too late, or left requests unanswered
+    DIED = "died"  # the serving process
+    DUE = "due"  # the backoff is over
     CLOSE = "close"
 
 
-TABLE: dict[State, dict[Event, State]] = {
-    State.EMPTY: {Event.REPLACE: State.STARTING, Event.DUE: State.STARTING},
-    State.STARTING: {
-        Event.REPLACE: State.STARTING,  # nobody serves that would lose by it
-        Event.READY: State.STARTING,
-        Event.PROVEN: State.SERVING,
-        Event.FAILED: State.EMPTY,
+TRANSITIONS: dict[SlotState, dict[SlotEvent, SlotState]] = {
+    SlotState.EMPTY: {SlotEvent.REPLACE: SlotState.STARTING, SlotEvent.DUE: SlotState.STARTING},
+    SlotState.STARTING: {
+        SlotEvent.REPLACE: SlotState.STARTING,  # no process serves that would be lost by it
+        SlotEvent.READY: SlotState.STARTING,
+        SlotEvent.PROVEN: SlotState.SERVING,
+        SlotEvent.FAILED: SlotState.EMPTY,
+    },
+    SlotState.SERVING: {
+        SlotEvent.REPLACE: SlotState.TRYING,
+        SlotEvent.ABANDON: SlotState.SERVING,
+        SlotEvent.DIED: SlotState.EMPTY,
     },
-    State.SERVING: {Event.REPLACE: State.TRYING, Event.ABANDON: State.SERVING, Event.DIED: State.EMPTY},
-    State.TRYING: {
-        Event.ABANDON: State.SERVING,
-        Event.READY: State.PROVING,
-        Event.FAILED: State.SERVING,
-        Event.DIED: State.STARTING,
+    SlotState.TRYING: {
+        SlotEvent.ABANDON: SlotState.SERVING,
+        SlotEvent.READY: SlotState.PROVING,
+        SlotEvent.FAILED: SlotState.SERVING,
+        SlotEvent.DIED: SlotState.STARTING,
     },
-    State.PROVING: {
-        Event.ABANDON: State.SERVING,
-        Event.PROVEN: State.SERVING,
-        Event.FAILED: State.SERVING,
-        Event.DIED: State.STARTING,
+    SlotState.PROVING: {
+        SlotEvent.ABANDON: SlotState.SERVING,
+        SlotEvent.PROVEN: SlotState.SERVING,
+        SlotEvent.FAILED: SlotState.SERVING,
+        SlotEvent.DIED: SlotState.STARTING,
     },
-    State.CLOSED: {},
+    SlotState.CLOSED: {},
 }
-for _following in TABLE.values():
-    _following[Event.CLOSE] = State.CLOSED
-
-
-class Refused(ValueError):  # noqa: N818 - the caller's fault, and an ordinary event here
-    """The call is not for now, or not for its caller; the reason is one line."""
+for _transitions in TRANSITIONS.values():
+    _transitions[SlotEvent.CLOSE] = SlotState.CLOSED
 
 
 @dataclass(frozen=True)
-class Times:
-    """Seconds, all above 0."""
+class ProcessTimeouts:
+    """Time-outs of a process, in seconds, all above 0."""
 
-    ready: float = 30.0  # for a new process to be ready, and again to have answered
-    prove: float = 2.0  # side by side with the one before
-    end: float = 5.0  # from SIGTERM to SIGKILL
+    ready_s: float = 30.0  # for a new process to be ready, and again to have answered
+    proving_s: float = 2.0  # in which it serves beside the one before
+    termination_s: float = 5.0  # from SIGTERM to SIGKILL
 
 
-class Mark(NamedTuple):
-    """What tells a process of a slot from the others, also to a keeper that finds it."""
+class ProcessTag(NamedTuple):
+    """What identifies a process of a slot, also to a supervisor that adopts it."""
 
     number: int
     version: str
-    door: int  # the index of its ops address
+    ops_index: int  # of its ops address
 
 
 @dataclass(frozen=True)
-class Kept:
-    """What a slot keeps on disk."""
+class StoredSlot:
+    """The durable state of a slot; stored by the names of the fields, which are the file's format."""
 
     version: str  # that is to serve here
-    before: str = ""  # the one that did, and that `back` means
-    roll: int = 0  # the highest heard
-    name: str = ""  # of that roll
-    failed: str = ""  # "VERSION ROLL why" of the last attempt, where that failed
-    spurned: str = ""  # "VERSION ROLL" of one that took the slot and died too often
+    before: str = ""  # the previous version, which `revert` goes back to
+    roll: int = 0  # the highest fencing token that a controller has sent
+    name: str = ""  # of that controller
+    failed: str = ""  # "VERSION TOKEN REASON" of the last attempt, where that failed
+    spurned: str = ""  # "VERSION TOKEN" of a version that served here and crashed too often
+
 
+class StartProcess(NamedTuple):
+    """Start a process."""
 
-class Start(NamedTuple):
-    """Start a process of a version."""
+    tag: ProcessTag
 
-    mark: Mark
 
+class TerminateProcess(NamedTuple):
+    """Tell a process to end."""
 
-class Terminate(NamedTuple):
     number: int
 
 
-class Kill(NamedTuple):
+class KillProcess(NamedTuple):
+    """Kill a process."""
+
     number: int
 
 
-class Keep(NamedTuple):
-    """Have it on disk before what follows is done."""
+class PersistSlot(NamedTuple):
+    """Write the state to disk before what follows is done."""
 
-    kept: Kept
+    stored: StoredSlot
 
 
-class Note(NamedTuple):
-    """For the log."""
+class LogEvent(NamedTuple):
+    """Write a line to the log."""
 
     event: str
     fields: dict[str, str | int]
 
 
-Action = Start | Terminate | Kill | Keep | Note
+SlotAction = StartProcess | TerminateProcess | KillProcess | PersistSlot | LogEvent
 
 
 @dataclass
-class Process:
-    """One that has been started, or found."""
+class SlotProcess:
+    """A process that has been started or adopted. Times are seconds on the supervisor's clock."""
 
-    mark: Mark
-    since: float
+    tag: ProcessTag
+    started_at: float
     pid: int = 0
     ready_at: float = inf
     proven_at: float = inf
-    probes: int = 0
-    faults: int = 0
+    answered_probes: int = 0
+    failed_probes: int = 0
     kill_at: float = inf
 
     @property
     def number(self) -> int:
-        return self.mark.number
+        """The number that identifies it in its slot."""
+        return self.tag.number
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -1,15 +1,16 @@
-"""A place's keeper: it holds the clients' listening socket, starts and ends processes, and is called.
-
-Rules that hold here and nowhere else:
-
-1. The socket is the keeper's, from its start to its end: whatever dies, whoever connects waits for the next.
-2. What `Keep` says is on disk, with its folder, before what follows it is done. Where it cannot be written
-   the call is refused, or the place stays as it is; nothing is started or ended for it.
-3. Processes live on when the keeper is killed. The one that comes after it finds them by a word in their
-   environment. It cannot have their socket back: it opens another beside it (SO_REUSEPORT), starts the same
-   version on that, and ends those of before once that one is proven.
-4. The file of the place is read again at each `place-replace` and `place-back`; of what it says then only
-   the versions and the times count.
+"""The supervisor of a slot: listens for clients, starts and terminates processes, and answers calls.
+
+Invariants:
+
+1. The listening socket is the supervisor's, from its start to its end: whatever dies, a client that connects
+   waits for the next process.
+2. What `PersistSlot` holds is on disk, with its folder, before what follows it is done. Where it cannot be
+   written the call is rejected, or the slot stays as it is; nothing is started or terminated for it.
+3. Processes live on when the supervisor is killed. The next one finds them by a variable in their
+   environment. It cannot have their socket back: it opens another one beside it (SO_REUSEPORT), starts the
+   same version on that, and terminates the adopted ones once that one is proven.
+4. The configuration is read again at each `place-replace` and `place-back`; of what it says then only the
+   versions and the time-outs count.
 """
 
 from __future__ import annotations
@@ -22,9 +23,8 @@
 import socket
 import subprocess
 from collections.abc import Callable, Iterator
-from functools import partial
 from pathlib import Path
-from typing import IO, cast
+from typing import IO
 
 import msgspec
 
@@ -33,351 +33,367 @@
 from firvane.core.atomic_write import write_atomically
 from firvane.core.checksum import Damaged, verify, with_header
 from firvane.core.logs import Log
-from firvane.proxy.admin_api.calls import LONGEST, Useless, lines, no, yes
+from firvane.proxy.admin_api.calls import Useless, lines, no, yes
 from firvane.proxy.rollout import readiness_probe, supervisor_config
+from firvane.proxy.rollout.child_process import ChildProcess
+from firvane.proxy.rollout.errors import CallRejectedError
 from firvane.proxy.rollout.plan import Version
 from firvane.proxy.rollout.slot import Slot
 from firvane.proxy.rollout.slot_types import (
-    Action,
-    Keep,
-    Kept,
-    Kill,
-    Mark,
-    Note,
-    Process,
-    Refused,
-    Start,
-    State,
-    Terminate,
+    KillProcess,
+    LogEvent,
+    PersistSlot,
+    ProcessTag,
+    SlotAction,
+    SlotProcess,
+    SlotState,
+    StartProcess,
+    StoredSlot,
+    TerminateProcess,
 )
-from firvane.proxy.rollout.supervisor_calls import Order, ordered, told
+from firvane.proxy.rollout.supervisor_calls import Command, ParsedCall, format_status, parse_call
+from firvane.proxy.rollout.supervisor_connection import SupervisorConnection
 
-MAGIC, FORMAT = b"FVPL", 1
-MARK = "FIRVANE_PLACE"  # in the environment of a place's processes: number, version, door, the state's file
+SLOT_MAGIC = b"FVPL"
+FORMAT_VERSION = 1
+# The variable in the environment of a slot's processes: number, version, ops index, and the state's file.
+TAG_VARIABLE = "FIRVANE_PLACE"
 BACKLOG = 1024
-TURN_S = 0.05  # from one look at time and processes to the next
-ASK_S = 1.0  # for an answer to `ready`
-ANSWER_S = 2.0  # for one to a request
-STAY_S = 5.0  # that a caller may take for its line
-CALLERS = 32
+TICK_INTERVAL_S = 0.05
+READY_TIMEOUT_S = 1.0
+PROBE_TIMEOUT_S = 2.0
 
 
-def read_kept(path: str | os.PathLike[str]) -> Kept:
-    """What a place keeps; `OSError` or `Damaged`."""
-    _, body = verify(Path(path).read_bytes(), MAGIC, FORMAT, "place")
+def read_slot(path: str | os.PathLike[str]) -> StoredSlot:
+    """Return the durable state of a slot.
+
+    Raises:
+        OSError: The file cannot be read.
+        Damaged: It holds no state.
+    """
+    _, body = verify(Path(path).read_bytes(), SLOT_MAGIC, FORMAT_VERSION, "place")
     try:
-        return msgspec.msgpack.decode(body, type=Kept)
+        return msgspec.msgpack.decode(body, type=StoredSlot)
     except (msgspec.MsgspecError, ValueError) as error:
         raise Damaged(f"its words do not fit: {error}") from None
 
 
-class Child:
-    """A process of the place, started here or found."""
-
-    def __init__(self, pid: int, made: subprocess.Popen[bytes] | None) -> None:
-        self.pid, self.made = pid, made
-        self.handle = os.pidfd_open(pid)  # `OSError` where it is gone
-
-    def send(self, number: int) -> None:
-        with contextlib.suppress(ProcessLookupError):
-            signal.pidfd_send_signal(self.handle, number)
+def encode_slot(stored: StoredSlot) -> bytes:
+    """Return the file of a slot's durable state."""
+    return with_header(SLOT_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(stored))
 
-    def code(self) -> int:
-        """How it has ended, which only whoever started it can tell."""
-        return self.made.wait() if self.made else 0
 
-
-class Keeper:
-    """One place's. `open` comes first; `over` is called when all has ended after `close`."""
+class Supervisor:
+    """The supervisor of one slot."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, path: str, log: Log, over: Callable[[], None] = lambda: None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        path: str,
+        log: Log,
+        on_closed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Raises `ValidationError` for a file of no use, `OSError` where another keeper has the place."""
-        self.loop, self.path, self.over = loop, path, over
-        self.site = supervisor_config.read(path)
-        self.log = log.bind(place=self.site.name)
-        self.state = os.path.abspath(self.site.state)
-        self.listen, self.door = parse_address(self.site.listen), parse_address(self.site.door)
-        self.ops = tuple(map(parse_address, self.site.ops))
-        self.children: dict[int, Child] = {}
-        self.asks: set[asyncio.Task[None]] = set()
-        self.asking = 0  # the process that is being asked, one question at a time
-        self.callers: set[Caller] = set()
+        """Read the configuration and lock the slot; `open` comes next.
+
+        Args:
+            loop: The loop that everything runs in.
+            path: The configuration's file.
+            log: Takes a line for what happens to processes.
+            on_closed: Called when all processes have ended after `close`.
+
+        Raises:
+            ValidationError: The configuration is not valid.
+            OSError: Another supervisor has the slot.
+        """
+        self.loop = loop
+        self.path = path
+        self.on_closed = on_closed
+        self.config = supervisor_config.read(path)
+        self.log = log.bind(slot=self.config.name)
+        self.state_path = os.path.normpath(Path(self.config.state).absolute())
+        self.listen_address = parse_address(self.config.listen)
+        self.api_address = parse_address(self.config.door)
+        self.ops_addresses = tuple(map(parse_address, self.config.ops))
+        self.children: dict[int, ChildProcess] = {}
+        self.probes: set[asyncio.Task[None]] = set()
+        self.probed_number = 0  # of the process that is being probed, one probe at a time
+        self.connections: set[SupervisorConnection] = set()
         self.server: asyncio.Server | None = None
-        self.is_over = False
-        self.lock: IO[bytes] = open(f"{self.site.state}.lock", "ab")  # noqa: SIM115 - held until the end
+        self.is_released = False
+        self.lock = self._lock()
+        self.slot = Slot(self._load(), self.config.timeouts, len(self.ops_addresses))
+        self.listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+
+    def _lock(self) -> IO[bytes]:
+        lock = Path(f"{self.config.state}.lock").open("ab")  # noqa: SIM115 - open until `release`
         try:
-            fcntl.flock(self.lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            self.lock.close()
-            raise OSError(f"{self.site.state}: another keeper has this place") from None
-        self.place = Slot(self._recall(), self.site.times, len(self.ops))
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+            lock.close()
+            raise OSError(f"{self.config.state}: another keeper has this place") from None
+        return lock
 
-    def _recall(self) -> Kept:
+    def _load(self) -> StoredSlot:
         try:
-            return read_kept(self.site.state)
+            return read_slot(self.config.state)
         except FileNotFoundError:
             pass
         except (OSError, Damaged) as error:
-            self.log.warning("place_file_useless", file=self.site.state, why=str(error))
-        return Kept(self.site.version)
+            self.log.warning("slot_state_rejected", file=self.config.state, reason=str(error))
+        return StoredSlot(self.config.version)
 
     async def open(self) -> None:
-        """Be there; `OSError` where an address cannot be had, or the disk is of no use."""
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        self.sock.bind(self.listen)
-        self.sock.listen(BACKLOG)
-        self.server = await self.loop.create_server(lambda: Caller(self), *self.door)
-        found = list(self._found())
-        if found:
-            text = "their socket is not this keeper's: another one is opened beside it"
-            self.log.warning("place_found", pids=",".join(str(pid) for _, pid in found), text=text)
-        self._do(self.place.open(self.loop.time(), found))
-        self.log.info("place", listen=self.site.listen, door=self.site.door, version=self.place.kept.version)
-        self._turn()
-
-    def _found(self) -> Iterator[tuple[Mark, int]]:
-        for pid, value in readiness_probe.marked(MARK):
-            number, version, door, state = [*value.split(" ", 3), "", "", ""][:4]
+        """Listen, adopt the processes of an earlier supervisor, and start one where none serves.
+
+        Raises:
+            OSError: An address is in use, or the disk cannot be written.
+        """
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        self.listener.bind(self.listen_address)
+        self.listener.listen(BACKLOG)
+        self.server = await self.loop.create_server(lambda: SupervisorConnection(self), *self.api_address)
+        adopted = list(self._adopt())
+        if adopted:
+            text = "their socket is not this supervisor's: another one is opened beside it"
+            pids = ",".join(str(pid) for _, pid in adopted)
+            self.log.warning("slot_processes_adopted", pids=pids, text=text)
+        self._execute(self.slot.begin(self.loop.time(), adopted))
+        self.log.info(
+            "supervisor_started",
+            listen=self.config.listen,
+            api=self.config.door,
+            version=self.slot.stored.version,
+        )
+        self._tick()
+
+    def _adopt(self) -> Iterator[tuple[ProcessTag, int]]:
+        """Yield the processes of the slot that still run, and their ids."""
+        for pid, value in readiness_probe.find_tagged(TAG_VARIABLE):
+            number, version, ops_index, state_path = [*value.split(" ", 3), "", "", ""][:4]
             with contextlib.suppress(OSError, ValueError):
-                if state == self.state:
-                    mark = Mark(int(number), version, int(door))
-                    self._watch(mark.number, Child(pid, None))
-                    yield mark, pid
+                if state_path == self.state_path:
+                    tag = ProcessTag(int(number), version, int(ops_index))
+                    self._watch(tag.number, ChildProcess(pid, None))
+                    yield tag, pid
 
     def close(self) -> None:
-        """Give the place up: all its processes end, then `over` is called."""
-        self._do(self.place.close(self.loop.time()))
-        self._look_over()
+        """Give the slot up: all its processes are terminated, then `on_closed` is called."""
+        self._execute(self.slot.close(self.loop.time()))
+        self._check_closed()
 
     def release(self) -> None:
-        """Leave the loop: what runs is left running."""
-        self.is_over = True
-        for ask in self.asks:
-            ask.cancel()
-        for caller in list(self.callers):
-            caller.transport.close()
+        """Leave the loop: processes that run are left running."""
+        self.is_released = True
+        for probe in self.probes:
+            probe.cancel()
+        for connection in list(self.connections):
+            connection.transport.close()
         if self.server:
             self.server.close()
-        self.sock.close()
+        self.listener.close()
         self.lock.close()
 
-    # What is done
+    # Actions
 
-    def _do(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[SlotAction]) -> None:
         for action in actions:
             match action:
-                case Keep(kept):
-                    write_atomically(
-                        self.site.state, with_header(MAGIC, FORMAT, msgspec.msgpack.encode(kept))
-                    )
-                case Start(mark):
-                    self._start(mark)
-                case Terminate(number):
+                case PersistSlot(stored):
+                    write_atomically(self.config.state, encode_slot(stored))
+                case StartProcess(tag):
+                    self._start(tag)
+                case TerminateProcess(number):
                     self._send(number, signal.SIGTERM)
-                    self._send(number, signal.SIGCONT)  # one that stands still would not hear it
-                case Kill(number):
+                    self._send(number, signal.SIGCONT)  # a suspended process would not receive the first
+                case KillProcess(number):
                     self._send(number, signal.SIGKILL)
-                case Note(event, fields):
+                case LogEvent(event, fields):
                     self.log.info(event, **fields)
 
-    def _send(self, number: int, which: int) -> None:
+    def _send(self, number: int, signal_number: int) -> None:
         if child := self.children.get(number):
-            child.send(which)
-        else:  # it never came to be
-            self.loop.call_soon(self._gone, number, -signal.SIGKILL)
-
-    def _start(self, mark: Mark) -> None:
-        how = self.site.versions.get(mark.version)
+            child.send(signal_number)
+        else:  # it was never started
+            self.loop.call_soon(self._on_exited, number, -signal.SIGKILL)
+
+    def _start(self, tag: ProcessTag) -> None:
+        version = self.config.versions.get(tag.version)
+        if version is None:
+            self._on_start_failed(tag, f"{tag.version} is not in {self.path}")
+            return
         try:
-            if how is None:
-                raise OSError(f"{mark.version} is not in {self.path}")
-            child = self._launch(how, mark)
+            child = self._launch(version, tag)
         except OSError as error:
-            why = f"{error.filename}: {error.strerror}" if error.filename else str(error)
-            self._do(self.place.unstartable(self.loop.time(), mark.number, why))
+            reason = f"{error.filename}: {error.strerror}" if error.filename else str(error)
+            self._on_start_failed(tag, reason)
             return
-        self._watch(mark.number, child)
-        self.place.started(mark.number, child.pid)
-
-    def _launch(self, how: Version, mark: Mark) -> Child:
-        env = {**os.environ, "NODE_LISTEN": self.site.listen, **how.environment}
-        env |= {"NODE_SOCKET_FD": str(self.sock.fileno()), "NODE_OPS": self.site.ops[mark.door]}
-        env["FIRVANE_VERSION"] = mark.version  # what its measures say
-        env[MARK] = f"{mark.number} {mark.version} {mark.door} {self.state}"
+        self._watch(tag.number, child)
+        self.slot.on_started(tag.number, child.pid)
+
+    def _on_start_failed(self, tag: ProcessTag, reason: str) -> None:
+        self._execute(self.slot.on_start_failed(self.loop.time(), tag.number, reason))
+
+    def _launch(self, version: Version, tag: ProcessTag) -> ChildProcess:
+        env = {**os.environ, "NODE_LISTEN": self.config.listen, **version.environment}
+        env |= {
+            "NODE_SOCKET_FD": str(self.listener.fileno()),
+            "NODE_OPS": self.config.ops[tag.ops_index],
+            "FIRVANE_VERSION": tag.version,  # reported in its measures
+            TAG_VARIABLE: f"{tag.number} {tag.version} {tag.ops_index} {self.state_path}",
+        }
         with contextlib.ExitStack() as files:
-            log = files.enter_context(open(self.site.log, "ab")) if self.site.log else None
-            made = subprocess.Popen(
-                how.command,
+            log = files.enter_context(Path(self.config.log).open("ab")) if self.config.log else None
+            process = subprocess.Popen(
+                version.command,
                 env=env,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                pass_fds=(self.sock.fileno(),),
-                start_new_session=True,  # what ends the keeper's terminal does not end it
+                pass_fds=(self.listener.fileno(),),
+                start_new_session=True,  # the end of the supervisor's terminal does not end it
             )
-        return Child(made.pid, made)
+        return ChildProcess(process.pid, process)
 
-    # What is seen
+    # Observations
 
-    def _watch(self, number: int, child: Child) -> None:
+    def _watch(self, number: int, child: ChildProcess) -> None:
         self.children[number] = child
-        self.loop.add_reader(child.handle, self._ended, number, child)
+        self.loop.add_reader(child.descriptor, self._on_child_exited, number, child)
 
-    def _ended(self, number: int, child: Child) -> None:
-        self.loop.remove_reader(child.handle)
-        os.close(child.handle)
+    def _on_child_exited(self, number: int, child: ChildProcess) -> None:
+        self.loop.remove_reader(child.descriptor)
+        os.close(child.descriptor)
         del self.children[number]
-        self._gone(number, child.code())
+        self._on_exited(number, child.exit_code())
 
-    def _gone(self, number: int, code: int) -> None:
-        self._do(self.place.exited(self.loop.time(), number, code))
-        self._look_over()
+    def _on_exited(self, number: int, code: int) -> None:
+        self._execute(self.slot.on_exited(self.loop.time(), number, code))
+        self._check_closed()
 
-    def _look_over(self) -> None:
-        if self.place.state is State.CLOSED and not self.children:
-            self.over()
+    def _check_closed(self) -> None:
+        if self.slot.state is SlotState.CLOSED and not self.children:
+            self.on_closed()
 
-    def _turn(self) -> None:
-        if self.is_over:
+    def _tick(self) -> None:
+        if self.is_released:
             return
+        failure: OSError | None = None
         try:
-            self._do(self.place.tick(self.loop.time()))
-            self._ask()
-        except OSError as error:  # the disk, above all: the next turn tries again
-            self.log.error("place_stuck", why=str(error))
-        self.loop.call_later(TURN_S, self._turn)
-
-    def _ask(self) -> None:
-        """One question at a time to the process that is to come: whether it is ready, then a request."""
-        coming = self.place.coming
-        if coming is None or self.asking == coming.number or not coming.pid:
+            self._execute(self.slot.tick(self.loop.time()))
+            self._begin_probe()
+        except OSError as error:  # the disk, above all: the next tick tries again
+            failure = error
+        if failure:
+            self.log.error("slot_action_failed", reason=str(failure))
+        self.loop.call_later(TICK_INTERVAL_S, self._tick)
+
+    def _begin_probe(self) -> None:
+        """Probe the candidate, one probe at a time: whether it is ready, then with requests."""
+        candidate = self.slot.candidate
+        if candidate is None or self.probed_number == candidate.number or not candidate.pid:
             return
-        self.asking = coming.number
-        is_ready = coming.ready_at <= self.loop.time()
-        ask = self.loop.create_task((self._probe if is_ready else self._ready)(coming))
-        self.asks.add(ask)
-        ask.add_done_callback(self._asked)
-
-    def _asked(self, ask: asyncio.Task[None]) -> None:
-        self.asks.discard(ask)
-        self.asking = 0
-        if not ask.cancelled() and (error := ask.exception()):
-            self.log.error("place_stuck", why=str(error))
-
-    async def _ready(self, one: Process) -> None:
-        if await readiness_probe.ready(self.ops[one.mark.door], ASK_S):
-            self._do(self.place.ready(self.loop.time(), one.number))
-
-    async def _probe(self, one: Process) -> None:
+        self.probed_number = candidate.number
+        is_ready = candidate.ready_at <= self.loop.time()
+        probe = self._probe_request(candidate) if is_ready else self._probe_readiness(candidate)
+        task = self.loop.create_task(probe)
+        self.probes.add(task)
+        task.add_done_callback(self._on_probe_done)
+
+    def _on_probe_done(self, task: asyncio.Task[None]) -> None:
+        self.probes.discard(task)
+        self.probed_number = 0
+        if not task.cancelled() and (error := task.exception()):
+            self.log.error("slot_action_failed", reason=str(error))
+
+    async def _probe_readiness(self, process: SlotProcess) -> None:
+        if await readiness_probe.is_ready(self.ops_addresses[process.tag.ops_index], READY_TIMEOUT_S):
+            self._execute(self.slot.on_ready(self.loop.time(), process.number))
+
+    async def _probe_request(self, process: SlotProcess) -> None:
         pids = [child.pid for child in self.children.values()]
-        pid, is_well = await readiness_probe.served(self.listen, pids, ANSWER_S)
-        # What was lost before anybody was seen to have it is laid to the new one: the other served so far.
-        if pid == one.pid or (not pid and not is_well):
-            self._do(self.place.probed(self.loop.time(), one.number, is_well))
+        pid, is_answered = await readiness_probe.probe(self.listen_address, pids, PROBE_TIMEOUT_S)
+        # A request that was lost before any process took it counts for the candidate: the other one served.
+        if pid == process.pid or (not pid and not is_answered):
+            self._execute(self.slot.on_probed(self.loop.time(), process.number, is_answered))
 
-    # What is called
+    # Calls
 
     def answer(self, line: bytes) -> bytes:
-        """The answer to a call."""
+        """Return the answer to a call."""
         try:
-            asked = ordered(line)
-        except Useless as useless:
-            return no(str(useless))
-        now, place = self.loop.time(), self.place
-        if asked.order is Order.STATUS:
-            return lines(told(self._status()))
+            call = parse_call(line)
+        except Useless as error:
+            return no(str(error))
+        if call.command is Command.STATUS:
+            return lines(format_status(self._status()))
         try:
-            match asked.order:
-                case Order.CLAIM:
-                    self._do(place.claim(asked.roll, asked.word))
-                case Order.ABANDON:
-                    self._do(place.abandon(now, asked.roll))
-                case Order.BACK:
-                    self._reread()
-                    self._do(place.back(now, asked.roll))
-                case _:
-                    self._reread()
-                    if asked.word not in self.site.versions:
-                        return no(f"unknown version: there are {', '.join(sorted(self.site.versions))}")
-                    self._do(place.replace(now, asked.word, asked.roll))
-        except (Refused, validation.ValidationError) as error:
+            self._execute(self._apply(call))
+        except (CallRejectedError, validation.ValidationError) as error:
             return no(str(error).splitlines()[0])
         except OSError as error:
-            if (coming := place.coming) and not coming.pid:  # it was not started
-                with contextlib.suppress(OSError):
-                    self._do(place.unstartable(now, coming.number, "its place cannot be kept on disk"))
+            self._fail_unstarted_candidate()
             return no(f"it cannot be kept: {error.strerror or error}")
-        return yes(place.state.value)
-
-    def _reread(self) -> None:
-        read = supervisor_config.read(self.path)
-        self.site = msgspec.structs.replace(self.site, versions=read.versions)
-        self.place.times = read.times
+        return yes(self.slot.state.value)
+
+    def _apply(self, call: ParsedCall) -> list[SlotAction]:
+        """Return the actions of a call that changes the slot."""
+        now = self.loop.time()
+        match call.command:
+            case Command.CLAIM:
+                return self.slot.claim(call.token, call.argument)
+            case Command.ABANDON:
+                return self.slot.abandon(now, call.token)
+            case Command.BACK:
+                self._reload()
+                return self.slot.revert(now, call.token)
+            case _:
+                self._reload()
+                if call.argument not in self.config.versions:
+                    known = ", ".join(sorted(self.config.versions))
+                    raise CallRejectedError(f"unknown version: there are {known}")
+                return self.slot.replace(now, call.argument, call.token)
+
+    def _fail_unstarted_candidate(self) -> None:
+        """A call could not be persisted: what it would have started is dropped."""
+        if (candidate := self.slot.candidate) and not candidate.pid:
+            with contextlib.suppress(OSError):
+                reason = "its place cannot be kept on disk"
+                self._execute(self.slot.on_start_failed(self.loop.time(), candidate.number, reason))
+
+    def _reload(self) -> None:
+        config = supervisor_config.read(self.path)
+        self.config = msgspec.structs.replace(self.config, versions=config.versions)
+        self.slot.timeouts = config.timeouts
 
     def _status(self) -> dict[str, str | int]:
-        fields = self.place.status()
-        door = int(fields.pop("door"))
-        where = self.site.ops[door] if 0 <= door < len(self.site.ops) else "-"
-        socket_ = "another keeper's" if self.place.is_found else "held"
-        return {"name": self.site.name, "zone": self.site.zone, **fields, "ops": where, "socket": socket_}
-
-
-class Caller(asyncio.Protocol):
-    """One that calls: a line, an answer, a close."""
-
-    def __init__(self, keeper: Keeper) -> None:
-        self.keeper, self.held, self.done = keeper, bytearray(), False
-        self.transport: asyncio.Transport
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)
-        if len(self.keeper.callers) >= CALLERS:
-            transport.close()
-            return
-        self.keeper.callers.add(self)
-        self.keeper.loop.call_later(STAY_S, partial(self.transport.abort))
-
-    def connection_lost(self, error: Exception | None) -> None:
-        self.keeper.callers.discard(self)
-
-    def data_received(self, data: bytes) -> None:
-        if self.done:
-            return
-        self.held += data
-        line, end, _ = bytes(self.held).partition(b"\n")
-        if end or len(self.held) > LONGEST:
-            self._say(self.keeper.answer(line.strip()))
-
-    def eof_received(self) -> None:
-        if not self.done:
-            self._say(no("the call has no end: a line feed is missing"))
+        fields = self.slot.status()
+        ops_index = int(fields.pop("door"))
+        ops = self.config.ops[ops_index] if 0 <= ops_index < len(self.config.ops) else "-"
+        listener = "another keeper's" if self.slot.is_adopted else "held"
+        return {"name": self.config.name, "zone": self.config.zone, **fields, "ops": ops, "socket": listener}
 
-    def _say(self, answer: bytes) -> None:
-        self.done = True
-        self.transport.write(answer)
-        if not self.transport.is_closing():
-            self.transport.write_eof()
 
+def supervise(path: str, log: Log) -> int:
+    """Supervise a slot until SIGTERM or SIGINT, and return the exit code.
 
-def keep(path: str, log: Log) -> int:
-    """A place until SIGTERM or SIGINT; the exit code. Raises as `Keeper` and its `open` do."""
+    Raises:
+        ValidationError: The configuration is not valid.
+        OSError: The slot or an address is in use, or the disk cannot be written.
+    """
     import uvloop
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        over = asyncio.Event()
-        keeper = Keeper(loop, path, log, over.set)
+        closed = asyncio.Event()
+        supervisor = Supervisor(loop, path, log, closed.set)
         try:
             for number in (signal.SIGTERM, signal.SIGINT):
-                loop.add_signal_handler(number, keeper.close)
-            await keeper.open()
-            await over.wait()
+                loop.add_signal_handler(number, supervisor.close)
+            await supervisor.open()
+            await closed.wait()
         finally:
-            keeper.release()
+            supervisor.release()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run())
--- a/firvane/proxy/rollout/supervisor_calls.py
+++ b/firvane/proxy/rollout/supervisor_calls.py
@@ -1,9 +1,9 @@
-"""The calls of a place's line door, as an operators' door has them: one line to a connection.
+"""The calls of a supervisor's API: one line to a connection, as the admin API has them.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. What is read of a line is whole and well, or `Useless` with a reason that repeats nothing of it.
-2. All but `place-status` carry the number of the roll that they are said in: a place refuses a lower one.
+1. A call that is read is complete and valid; any other one is a `Useless` whose reason repeats nothing of it.
+2. All calls but `place-status` carry the fencing token of the rollout: a slot rejects a lower one.
 """
 
 from __future__ import annotations
@@ -15,9 +15,11 @@
 
 from firvane.proxy.admin_api.calls import LONGEST, Useless
 
+MIN_STATUS_LINES = 2
 
-class Order(Enum):
-    """What can be asked of a place."""
+
+class Command(Enum):
+    """What can be asked of a supervisor; the values are the words of the API."""
 
     STATUS = "place-status"
     CLAIM = "place-claim"
@@ -26,58 +28,66 @@
     ABANDON = "place-abandon"
 
 
-class Ordered(NamedTuple):
-    """A call that is whole."""
+class ParsedCall(NamedTuple):
+    """A complete call."""
 
-    order: Order
-    word: str = ""  # the version, or the name of a roll
-    roll: int = 0
+    command: Command
+    argument: str = ""  # the version, or the name of a controller
+    token: int = 0  # the fencing token
 
 
-FORMS: dict[Order, str] = {
-    Order.STATUS: "",
-    Order.CLAIM: "ROLL NAME",
-    Order.REPLACE: "VERSION ROLL",
-    Order.BACK: "ROLL",
-    Order.ABANDON: "ROLL",
+ARGUMENTS: dict[Command, str] = {
+    Command.STATUS: "",
+    Command.CLAIM: "ROLL NAME",
+    Command.REPLACE: "VERSION ROLL",
+    Command.BACK: "ROLL",
+    Command.ABANDON: "ROLL",
 }
-ORDERS = {order.value: order for order in Order}
+COMMANDS = {command.value: command for command in Command}
+
 
+def format_call(command: Command, argument: str = "", token: int = 0) -> str:
+    """Return the line of a call, without its line feed."""
+    arguments = ARGUMENTS[command].replace("VERSION", argument).replace("NAME", argument)
+    return f"{command.value} {arguments.replace('ROLL', str(token))}".rstrip()
 
-def line(order: Order, word: str = "", roll: int = 0) -> str:
-    """A call as it is said."""
-    form = FORMS[order].replace("VERSION", word).replace("NAME", word).replace("ROLL", str(roll))
-    return f"{order.value} {form}".rstrip()
 
+def parse_call(data: bytes) -> ParsedCall:
+    """Return the call of a line without its line feed.
 
-def ordered(data: bytes) -> Ordered:
-    """The call that a line is, without its end; `Useless` where it is none."""
+    Raises:
+        Useless: The line is no call.
+    """
     if len(data) > LONGEST:
         raise Useless(f"a call has {LONGEST} bytes at the most")
     name, *words = data.decode("ascii", "replace").split() or [""]
-    order = ORDERS.get(name)
-    if order is None:
-        raise Useless("unknown call: there are " + ", ".join(ORDERS))
-    form = FORMS[order].split()
-    if len(words) != len(form):
-        raise Useless(f"the call is {order.value} {FORMS[order]}".rstrip())
-    said = dict(zip(form, words, strict=True))
-    roll, word = said.pop("ROLL", "0"), next(iter(said.values()), "")
-    if not re.fullmatch("[0-9]{1,9}", roll):
-        raise Useless(f"{order.value}: the roll is not a whole number")
-    if said and not re.fullmatch("[A-Za-z0-9_.-]{1,40}", word):
-        raise Useless(f"{order.value}: a name has letters, digits, '_', '.' and '-', up to 40")
-    return Ordered(order, word, int(roll))
-
-
-def told(fields: Mapping[str, str | int]) -> str:
-    """A status as it is said: a word and its value on each line."""
+    command = COMMANDS.get(name)
+    if command is None:
+        raise Useless("unknown call: there are " + ", ".join(COMMANDS))
+    names = ARGUMENTS[command].split()
+    if len(words) != len(names):
+        raise Useless(f"the call is {command.value} {ARGUMENTS[command]}".rstrip())
+    values = dict(zip(names, words, strict=True))
+    token, argument = values.pop("ROLL", "0"), next(iter(values.values()), "")
+    if not re.fullmatch("[0-9]{1,9}", token):
+        raise Useless(f"{command.value}: the roll is not a whole number")
+    if values and not re.fullmatch("[A-Za-z0-9_.-]{1,40}", argument):
+        raise Useless(f"{command.value}: a name has letters, digits, '_', '.' and '-', up to 40")
+    return ParsedCall(command, argument, int(token))
+
+
+def format_status(fields: Mapping[str, str | int]) -> str:
+    """Return a status as text: a name and its value on each line."""
     return "\n".join(f"{name} {value}" for name, value in fields.items())
 
 
-def heard(answer: str) -> dict[str, str]:
-    """A status as it was said; `ValueError` where the answer is none."""
+def parse_status(answer: str) -> dict[str, str]:
+    """Return the status in an answer.
+
+    Raises:
+        ValueError: The answer is no status.
+    """
     lines = answer.splitlines()
-    if len(lines) < 2 or lines[-1] != ".":
+    if len(lines) < MIN_STATUS_LINES or lines[-1] != ".":
         raise ValueError(answer.strip().removeprefix("-ERR ") or "nothing")
-    return {name: value for name, _, value in (one.partition(" ") for one in lines[:-1])}
+    return {name: value for name, _, value in (line.partition(" ") for line in lines[:-1])}
--- /dev/null
+++ b/firvane/proxy/rollout/supervisor_connection.py
@@ -0,0 +1,65 @@
+"""A connection to a supervisor's API: one line, one answer, closed."""
+
+from __future__ import annotations
+
+import asyncio
+from functools import partial
+from typing import Protocol, cast
+
+from firvane.proxy.admin_api.calls import LONGEST, no
+
+CONNECTION_TIMEOUT_S = 5.0
+MAX_CONNECTIONS = 32
+
+
+class Handler(Protocol):
+    """What answers calls."""
+
+    loop: asyncio.AbstractEventLoop
+    connections: set[SupervisorConnection]
+
+    def answer(self, line: bytes) -> bytes:
+        """Return the answer to a call."""
+
+
+class SupervisorConnection(asyncio.Protocol):
+    """One connection."""
+
+    def __init__(self, handler: Handler) -> None:
+        self.handler = handler
+        self.received = bytearray()
+        self.answered = False
+        self.transport: asyncio.Transport
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Close the connection where there are too many, or after `CONNECTION_TIMEOUT_S`."""
+        self.transport = cast(asyncio.Transport, transport)
+        if len(self.handler.connections) >= MAX_CONNECTIONS:
+            transport.close()
+            return
+        self.handler.connections.add(self)
+        self.handler.loop.call_later(CONNECTION_TIMEOUT_S, partial(self.transport.abort))
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Forget the connection."""
+        self.handler.connections.discard(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Answer the first line; a line that is too long is answered as it is."""
+        if self.answered:
+            return
+        self.received += data
+        line, end, _ = bytes(self.received).partition(b"\n")
+        if end or len(self.received) > LONGEST:
+            self._send(self.handler.answer(line.strip()))
+
+    def eof_received(self) -> None:
+        """Answer a call that was cut off."""
+        if not self.answered:
+            self._send(no("the call has no end: a line feed is missing"))
+
+    def _send(self, answer: bytes) -> None:
+        self.answered = True
+        self.transport.write(answer)
+        if not self.transport.is_closing():
+            self.transport.write_eof()
--- a/firvane/proxy/rollout/trial_start.py
+++ b/firvane/proxy/rollout/trial_start.py
@@ -1,4 +1,4 @@
-"""A trial start of a version beside the fleet: on a socket of its own, with no client but this one."""
+"""The trial start of a version beside the fleet: on a socket of its own, with no client but this one."""
 
 from __future__ import annotations
 
@@ -10,71 +10,98 @@
 import socket
 import subprocess
 
+from firvane.core.address import Address
 from firvane.proxy.rollout import readiness_probe
 from firvane.proxy.rollout.plan import Version
 
-LOOK_S = 0.05
-ANSWER_S = 2.0
-DIE_WITH_PARENT = 1  # PR_SET_PDEATHSIG
+POLL_INTERVAL_S = 0.05
+ANSWER_TIMEOUT_S = 2.0
+BACKLOG = 64
+PR_SET_PDEATHSIG = 1
 
 
-async def trial(how: Version, ready_s: float, end_s: float) -> str:
-    """Why the version is not fit to be begun; "" where it became ready, answered a request, and ended when
-    told to.
+async def try_version(version: Version, ready_timeout_s: float, termination_timeout_s: float) -> str:
+    """Start a version, and return why it cannot be rolled out.
 
-    The version must bind its operators' door with SO_REUSEADDR, as every firvane does: the port is kept from
-    everybody else by a socket here that is bound and does not listen.
+    The version must bind its admin API with SO_REUSEADDR, as firvane does: the port is reserved by a socket
+    here that is bound and does not listen.
+
+    Args:
+        version: How it is started.
+        ready_timeout_s: How long it may take to be ready and to answer a request.
+        termination_timeout_s: How long it may take to end after SIGTERM.
+
+    Returns:
+        "" where it became ready, answered a request, and ended when it was told to.
     """
-    loop = asyncio.get_running_loop()
-    prctl = ctypes.CDLL(None).prctl
-    with socket.create_server(("127.0.0.1", 0), backlog=64) as held, _free() as ops:
-        env = {**os.environ, **how.environment, "NODE_SOCKET_FD": str(held.fileno())}
-        listen, door = held.getsockname(), ops.getsockname()
-        env |= {"NODE_LISTEN": "{}:{}".format(*listen), "NODE_OPS": "{}:{}".format(*door)}
+    with socket.create_server(("127.0.0.1", 0), backlog=BACKLOG) as listener, _reserve_port() as reserved:
+        listen, ops = listener.getsockname(), reserved.getsockname()
+        env = {**os.environ, **version.environment, "NODE_SOCKET_FD": str(listener.fileno())}
+        env |= {"NODE_LISTEN": "{}:{}".format(*listen), "NODE_OPS": "{}:{}".format(*ops)}
         try:
-            made = subprocess.Popen(
-                how.command,
-                env=env,
-                stdin=subprocess.DEVNULL,
-                stdout=subprocess.DEVNULL,
-                stderr=subprocess.DEVNULL,
-                pass_fds=(held.fileno(),),
-                preexec_fn=lambda: prctl(DIE_WITH_PARENT, signal.SIGKILL, 0, 0, 0),
-            )
+            process = _start(version, env, listener.fileno())
         except OSError as error:
-            return f"it cannot be started: {error.filename or how.command[0]}: {error.strerror}"
+            return f"it cannot be started: {error.filename or version.command[0]}: {error.strerror}"
         try:
-            until = loop.time() + ready_s
-            while not await readiness_probe.ready(door, ANSWER_S):
-                if made.poll() is not None:
-                    return f"it ended with code {made.returncode} at its start"
-                if loop.time() >= until:
-                    return f"it is not ready after {ready_s:g} s"
-                await asyncio.sleep(LOOK_S)
-            while not (await readiness_probe.served(listen, (made.pid,), ANSWER_S))[1]:
-                if made.poll() is not None:
-                    return f"it ended with code {made.returncode} under its first request"
-                if loop.time() >= until:
-                    return "it says that it is ready, and serves nothing"
-                await asyncio.sleep(LOOK_S)
-            made.terminate()
-            until = loop.time() + end_s
-            while made.poll() is None:
-                if loop.time() >= until:
-                    return f"it does not end within {end_s:g} s when told to"
-                await asyncio.sleep(LOOK_S)
-            return ""
+            reason = await _check_serving(process, listen, ops, ready_timeout_s)
+            return reason or await _check_termination(process, termination_timeout_s)
         finally:
             with contextlib.suppress(ProcessLookupError):
-                made.kill()
-            made.wait()
+                process.kill()
+            process.wait()
+
+
+def _start(version: Version, env: dict[str, str], socket_fd: int) -> subprocess.Popen[bytes]:
+    prctl = ctypes.CDLL(None).prctl
+    return subprocess.Popen(
+        version.command,
+        env=env,
+        stdin=subprocess.DEVNULL,
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        pass_fds=(socket_fd,),
+        preexec_fn=lambda: prctl(PR_SET_PDEATHSIG, signal.SIGKILL, 0, 0, 0),
+    )
+
+
+async def _check_serving(
+    process: subprocess.Popen[bytes], listen: Address, ops: Address, timeout_s: float
+) -> str:
+    """Return why the process is not ready, or answers no request; "" where it does."""
+    loop = asyncio.get_running_loop()
+    until = loop.time() + timeout_s
+    while not await readiness_probe.is_ready(ops, ANSWER_TIMEOUT_S):
+        if process.poll() is not None:
+            return f"it ended with code {process.returncode} at its start"
+        if loop.time() >= until:
+            return f"it is not ready after {timeout_s:g} s"
+        await asyncio.sleep(POLL_INTERVAL_S)
+    while not (await readiness_probe.probe(listen, (process.pid,), ANSWER_TIMEOUT_S)).is_answered:
+        if process.poll() is not None:
+            return f"it ended with code {process.returncode} under its first request"
+        if loop.time() >= until:
+            return "it says that it is ready, and serves nothing"
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return ""
+
+
+async def _check_termination(process: subprocess.Popen[bytes], timeout_s: float) -> str:
+    """Terminate the process; return that it does not end in time, "" where it does."""
+    loop = asyncio.get_running_loop()
+    process.terminate()
+    until = loop.time() + timeout_s
+    while process.poll() is None:
+        if loop.time() >= until:
+            return f"it does not end within {timeout_s:g} s when told to"
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return ""
 
 
-def _free() -> socket.socket:
-    """A port that is nobody else's while this is open.
+def _reserve_port() -> socket.socket:
+    """Return a socket with a port that is no other process's while it is open.
 
-    The kernel gives it to none that asks for any, and lets one beside it that asks for this one and has
-    SO_REUSEADDR as well. Closed before the version has come so far, it would go to whoever is first.
+    The kernel gives the port to none that asks for any, and lets a socket with SO_REUSEADDR bind it that asks
+    for this one. Closed before the version has come so far, it would go to whoever is first.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
--- a/tests/proxy/rollout/test_slot.py
+++ b/tests/proxy/rollout/test_slot.py
@@ -13,24 +13,24 @@
 
 from firvane.proxy.admin_api.calls import Useless
 from firvane.proxy.rollout import supervisor_calls
-from firvane.proxy.rollout.slot import DEATHS, Slot
+from firvane.proxy.rollout.errors import CallRejectedError
+from firvane.proxy.rollout.slot import MAX_CONSECUTIVE_CRASHES, Slot
 from firvane.proxy.rollout.slot_types import (
-    TABLE,
-    Action,
-    Event,
-    Keep,
-    Kept,
-    Kill,
-    Mark,
-    Refused,
-    Start,
-    State,
-    Terminate,
-    Times,
+    TRANSITIONS,
+    KillProcess,
+    PersistSlot,
+    ProcessTag,
+    ProcessTimeouts,
+    SlotAction,
+    SlotEvent,
+    SlotState,
+    StartProcess,
+    StoredSlot,
+    TerminateProcess,
 )
-from firvane.proxy.rollout.supervisor_calls import Order, Ordered
+from firvane.proxy.rollout.supervisor_calls import Command, ParsedCall
 
-TIMES = Times(ready=2.0, prove=0.5, end=1.0)
+TIMES = ProcessTimeouts(ready_s=2.0, proving_s=0.5, termination_s=1.0)
 STEP = 0.1
 # How a version behaves: s until it is ready, what becomes of a request, s after being ready when it dies.
 KINDS = {
@@ -49,86 +49,92 @@
 
     def __init__(self, kind: type[Slot], doors: int) -> None:
         self.now, self.doors = 0.0, doors
-        self.alive: dict[int, tuple[Mark, float]] = {}
+        self.alive: dict[int, tuple[ProcessTag, float]] = {}
         self.told: dict[int, float] = {}
-        self.kept: Kept | None = None
+        self.stored: StoredSlot | None = None
         self.proven: set[int] = set()
-        self.place = kind(Kept("good"), TIMES, doors)
-        self.do(self.place.open(0.0))
+        self.slot = kind(StoredSlot("good"), TIMES, doors)
+        self.do(self.slot.begin(0.0))
 
-    def do(self, actions: Sequence[Action]) -> None:
+    def do(self, actions: Sequence[SlotAction]) -> None:
         for action in actions:
             match action:
-                case Keep(kept):
-                    self.kept = kept
-                case Start(mark):
-                    assert self.kept == self.place.kept, "started before it was on disk"
-                    assert mark.door not in {one.door for one, _ in self.alive.values()}, "two have one door"
-                    if KINDS[mark.version] is None:
-                        self.do(self.place.unstartable(self.now, mark.number, "not there"))
+                case PersistSlot(stored):
+                    self.stored = stored
+                case StartProcess(tag):
+                    assert self.stored == self.slot.stored, "started before it was on disk"
+                    assert tag.ops_index not in {one.ops_index for one, _ in self.alive.values()}, (
+                        "two have one door"
+                    )
+                    if KINDS[tag.version] is None:
+                        self.do(self.slot.on_start_failed(self.now, tag.number, "not there"))
                         continue
-                    self.alive[mark.number] = mark, self.now
-                    self.place.started(mark.number, 1000 + mark.number)
-                case Terminate(number) | Kill(number):
+                    self.alive[tag.number] = tag, self.now
+                    self.slot.on_started(tag.number, 1000 + tag.number)
+                case TerminateProcess(number) | KillProcess(number):
                     self.look()
                     if number in self.proven and number in self.alive:
                         others = self.proven & self.alive.keys() - self.told.keys() - {number}
                         assert others or number in self.told, "the last that served was told to end"
-                    if isinstance(action, Terminate):
+                    if isinstance(action, TerminateProcess):
                         self.told[number] = self.now
                     else:
                         self.die(number, -9)
 
     def die(self, number: int, code: int) -> None:
         if self.alive.pop(number, None):
-            self.do(self.place.exited(self.now, number, code))
+            self.do(self.slot.on_exited(self.now, number, code))
 
     def turn(self, steps: int = 1) -> None:
         for _ in range(steps):
             self.now += STEP
-            for number, (mark, since) in list(self.alive.items()):
-                ready_s, answers, dies_s = KINDS[mark.version] or (inf, None, inf)
+            for number, (tag, since) in list(self.alive.items()):
+                ready_s, answers, dies_s = KINDS[tag.version] or (inf, None, inf)
                 age = self.now - since
                 if age >= ready_s + dies_s:
                     self.die(number, 1)
                 elif age >= ready_s:
-                    self.do(self.place.ready(self.now, number))
+                    self.do(self.slot.on_ready(self.now, number))
                     if answers is not None:
-                        self.do(self.place.probed(self.now, number, answers))
-            self.do(self.place.tick(self.now))
+                        self.do(self.slot.on_probed(self.now, number, answers))
+            self.do(self.slot.tick(self.now))
             self.look()
             assert len(self.alive) <= self.doors
-            late = [n for n, at in self.told.items() if n in self.alive and self.now > at + TIMES.end + STEP]
+            late = [
+                n
+                for n, at in self.told.items()
+                if n in self.alive and self.now > at + TIMES.termination_s + STEP
+            ]
             assert not late, "it was told to end, and is there"
 
     def look(self) -> None:
         """Whoever serves is proven, and counts as that from now on."""
-        serving = self.place.serving
+        serving = self.slot.serving
         if serving and serving.number not in self.proven and serving.number in self.alive:
-            mark, since = self.alive[serving.number]
-            _, answers, _ = KINDS[mark.version] or (inf, None, inf)
-            assert answers and self.now - since >= TIMES.prove, "one that is not proven has the place"
+            tag, since = self.alive[serving.number]
+            _, answers, _ = KINDS[tag.version] or (inf, None, inf)
+            assert answers and self.now - since >= TIMES.proving_s, "one that is not proven has the place"
             self.proven.add(serving.number)
 
     def call(self, what: str, version: str, roll: int) -> None:
-        highest = self.place.kept.roll
-        before = self.place.state, self.place.kept, self.place.coming
+        highest = self.slot.stored.roll
+        before = self.slot.state, self.slot.stored, self.slot.candidate
         try:
             if what == "replace":
-                self.do(self.place.replace(self.now, version, roll))
+                self.do(self.slot.replace(self.now, version, roll))
             elif what == "back":
-                self.do(self.place.back(self.now, roll))
+                self.do(self.slot.revert(self.now, roll))
             elif what == "abandon":
-                self.do(self.place.abandon(self.now, roll))
+                self.do(self.slot.abandon(self.now, roll))
             else:
-                self.do(self.place.claim(roll, version))
+                self.do(self.slot.claim(roll, version))
             assert roll >= highest, "a roll that is over was obeyed"
-        except Refused:
-            assert before == (self.place.state, self.place.kept, self.place.coming), "refused, and changed"
+        except CallRejectedError:
+            assert before == (self.slot.state, self.slot.stored, self.slot.candidate), "refused, and changed"
 
     def kill(self, number: int) -> None:
         """From outside: whoever serves, or another that is there."""
-        serving = self.place.serving
+        serving = self.slot.serving
         if number and self.alive:
             self.die(sorted(self.alive)[number % len(self.alive)], -9)
         elif serving:
@@ -165,58 +171,65 @@
 ) -> None:
     world = play(Slot, doors, steps)
     world.turn(round(60 / STEP))
-    place = world.place
+    slot = world.slot
     # A version of no use ends with the one before, where any was of use: "good" always was.
-    if place.state is not State.SERVING:
-        known = {place.kept.version, place.kept.before}
-        assert not known & {"good", "fine"}, f"{place.state}, though {known} would serve"
+    if slot.state is not SlotState.SERVING:
+        known = {slot.stored.version, slot.stored.before}
+        assert not known & {"good", "fine"}, f"{slot.state}, though {known} would serve"
     else:
-        assert place.serving and place.serving.number in world.alive
-        assert not place.leaving and not place.coming
+        assert slot.serving and slot.serving.number in world.alive
+        assert not slot.terminating and not slot.candidate
 
 
 class ProvenWhenReady(Slot):
-    def ready(self, now: float, number: int) -> list[Action]:
-        did = super().ready(now, number)
-        return did + (self._proven(now) if did else [])
+    def on_ready(self, now: float, number: int) -> list[SlotAction]:
+        actions = super().on_ready(now, number)
+        return actions + (self._promote(now) if actions else [])
 
 
-class EndsTheOldFirst(Slot):
-    def _begin(self, now: float, version: str, event: Event) -> list[Action]:
-        did = super()._begin(now, version, event)
-        return did + ([Terminate(self.serving.number)] if self.serving else [])
+class TerminatesTheOldFirst(Slot):
+    def _start(self, now: float, version: str, event: SlotEvent) -> list[SlotAction]:
+        actions = super()._start(now, version, event)
+        return actions + ([TerminateProcess(self.serving.number)] if self.serving else [])
 
 
-class HearsAnyRoll(Slot):
-    def _check(self, roll: int) -> None:
+class AcceptsAnyToken(Slot):
+    def _check_token(self, token: int) -> None:
         pass
 
 
-class OneDoor(Slot):
-    def _door(self) -> int | None:
+class OneOpsAddress(Slot):
+    def _free_ops_index(self) -> int | None:
         return 0
 
 
-class KeepsLater(Slot):
-    def _begin(self, now: float, version: str, event: Event) -> list[Action]:
-        return sorted(super()._begin(now, version, event), key=lambda one: isinstance(one, Keep))
+class PersistsLater(Slot):
+    def _start(self, now: float, version: str, event: SlotEvent) -> list[SlotAction]:
+        return sorted(super()._start(now, version, event), key=lambda one: isinstance(one, PersistSlot))
 
 
 class WaitsForever(Slot):
-    def _leave(self, process: object, now: float) -> list[Action]:
-        did = super()._leave(process, now)  # type: ignore[arg-type]
-        for one in self.leaving.values():
+    def _terminate(self, process: object, now: float) -> list[SlotAction]:
+        actions = super()._terminate(process, now)  # type: ignore[arg-type]
+        for one in self.terminating.values():
             one.kill_at = inf
-        return did
+        return actions
 
 
-class ChangesBeforeItRefuses(Slot):
-    def replace(self, now: float, version: str, roll: int) -> list[Action]:
-        self.kept = replace(self.kept, failed="")
+class ChangesBeforeItRejects(Slot):
+    def replace(self, now: float, version: str, roll: int) -> list[SlotAction]:
+        self.stored = replace(self.stored, failed="")
         return super().replace(now, version, roll)
 
 
-MUTANTS = (ProvenWhenReady, EndsTheOldFirst, HearsAnyRoll, OneDoor, KeepsLater, ChangesBeforeItRefuses)
+MUTANTS = (
+    ProvenWhenReady,
+    TerminatesTheOldFirst,
+    AcceptsAnyToken,
+    OneOpsAddress,
+    PersistsLater,
+    ChangesBeforeItRejects,
+)
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
@@ -244,7 +257,7 @@
         world.call("replace", "fine", 1)
         if kind is Slot:
             world.turn(60)
-            assert world.place.kept.version == "fine" and len(world.alive) == 1
+            assert world.slot.stored.version == "fine" and len(world.alive) == 1
         else:
             with pytest.raises(AssertionError, match="told to end"):
                 world.turn(60)
@@ -265,7 +278,7 @@
     world.turn(20)
     world.call("replace", version, 3)
     world.turn(60)
-    status = world.place.status()
+    status = world.slot.status()
     assert status["version"] == "good" and status["state"] == "serving" and status["deaths"] == 0
     assert str(status["failed"]).startswith(f"{version} 3 ") and why in str(status["failed"])
 
@@ -275,61 +288,61 @@
     world.turn(20)
     world.call("replace", "fine", 1)
     world.turn(30)
-    for _ in range(DEATHS):
-        assert world.place.serving and world.place.serving.mark.version == "fine"
+    for _ in range(MAX_CONSECUTIVE_CRASHES):
+        assert world.slot.serving and world.slot.serving.tag.version == "fine"
         world.kill(0)
         world.turn(20)
-    status = world.place.status()
+    status = world.slot.status()
     assert status["version"] == "good" and str(status["failed"]).startswith("fine 1 ")
-    with pytest.raises(Refused, match="died"):
-        world.place.replace(world.now, "fine", 1)
-    world.place.replace(world.now, "fine", 2)  # another roll may try again
+    with pytest.raises(CallRejectedError, match="died"):
+        world.slot.replace(world.now, "fine", 1)
+    world.slot.replace(world.now, "fine", 2)  # another roll may try again
 
 
-def test_a_place_that_is_found_is_served_on_until_its_own_process_is_proven() -> None:
+def test_a_place_that_is_found_is_served_on_until_its_own_process_is_promote() -> None:
     world = World(Slot, 3)
-    place = world.place = Slot(Kept("good"), TIMES, 3)
-    found = [(Mark(4, "fine", 0), 44), (Mark(7, "good", 1), 77)]
-    world.alive = {mark.number: (mark, -10.0) for mark, _ in found}
+    slot = world.slot = Slot(StoredSlot("good"), TIMES, 3)
+    found = [(ProcessTag(4, "fine", 0), 44), (ProcessTag(7, "good", 1), 77)]
+    world.alive = {tag.number: (tag, -10.0) for tag, _ in found}
     world.proven = {4, 7}
-    world.do(place.open(0.0, found))
-    assert place.serving and place.serving.number == 7 and set(place.leaving) == {4}
+    world.do(slot.begin(0.0, found))
+    assert slot.serving and slot.serving.number == 7 and set(slot.terminating) == {4}
     world.turn(40)
-    assert place.serving.number == 8 and set(world.alive) == {8} and not place.is_found
+    assert slot.serving.number == 8 and set(world.alive) == {8} and not slot.is_adopted
 
 
 def test_each_state_has_a_way_to_the_end_and_closed_is_one() -> None:
-    assert set(TABLE) == set(State)
-    assert all(following[Event.CLOSE] is State.CLOSED for following in TABLE.values())
+    assert set(TRANSITIONS) == set(SlotState)
+    assert all(following[SlotEvent.CLOSE] is SlotState.CLOSED for following in TRANSITIONS.values())
     world = World(Slot, 2)
     world.turn(20)
     world.call("replace", "fine", 1)
     world.turn(3)
     world.proven.clear()  # closing ends also the last
-    world.do(world.place.close(world.now))
+    world.do(world.slot.close(world.now))
     world.turn(20)
     assert not world.alive
-    with pytest.raises(Refused):
-        world.place.replace(world.now, "good", 9)
+    with pytest.raises(CallRejectedError):
+        world.slot.replace(world.now, "good", 9)
 
 
-@pytest.mark.parametrize("order", Order)
-def test_a_call_is_read_as_it_is_said(order: Order) -> None:
-    word = "v2.1" if {"VERSION", "NAME"} & set(supervisor_calls.FORMS[order].split()) else ""
-    roll = 7 if "ROLL" in supervisor_calls.FORMS[order] else 0
-    said = supervisor_calls.line(order, word, roll)
-    assert supervisor_calls.ordered(said.encode()) == Ordered(order, word, roll)
+@pytest.mark.parametrize("order", Command)
+def test_a_call_is_read_as_it_is_said(order: Command) -> None:
+    word = "v2.1" if {"VERSION", "NAME"} & set(supervisor_calls.ARGUMENTS[order].split()) else ""
+    roll = 7 if "ROLL" in supervisor_calls.ARGUMENTS[order] else 0
+    said = supervisor_calls.format_call(order, word, roll)
+    assert supervisor_calls.parse_call(said.encode()) == ParsedCall(order, word, roll)
     for wrong in (f"{said} more", said.replace("7", "-7"), "place-nothing", "", "x" * 300):
         if wrong != said:
             with pytest.raises(Useless):
-                supervisor_calls.ordered(wrong.encode())
+                supervisor_calls.parse_call(wrong.encode())
 
 
 def test_a_status_is_heard_as_it_is_told() -> None:
-    told = World(Slot, 2).place.status()
-    assert supervisor_calls.heard(supervisor_calls.told(told) + "\n.\n") == {
+    told = World(Slot, 2).slot.status()
+    assert supervisor_calls.parse_status(supervisor_calls.format_status(told) + "\n.\n") == {
         name: str(value) for name, value in told.items()
     }
     for wrong in ("-ERR busy\n", "", "state serving\n"):
         with pytest.raises(ValueError):
-            supervisor_calls.heard(wrong)
+            supervisor_calls.parse_status(wrong)
--- a/tests/proxy/rollout/test_stored_formats.py
+++ b/tests/proxy/rollout/test_stored_formats.py
@@ -5,13 +5,10 @@
 import json
 from pathlib import Path
 
-import msgspec
-
-from firvane.core.checksum import with_header
 from firvane.proxy.rollout import supervisor
 from firvane.proxy.rollout.event_log import Chronicle
 from firvane.proxy.rollout.messages import Cause, Kept, State
-from firvane.proxy.rollout.slot_types import Kept as KeptSlot
+from firvane.proxy.rollout.slot_types import StoredSlot
 
 ROLLOUT = Kept(
     plan="ab" * 16,
@@ -36,7 +33,7 @@
     "69736f6e7303a66265666f7265cb3fef0a3d70a3d70aa57472696564c3a761636365707473c3a56361757365ba74686520"
     "6e65772076657273696f6e20646f657320776f727365a3776879b0746865207368617265206661696c6564"
 )
-SLOT = KeptSlot(version="b", before="a", roll=7, name="c0ffee", failed="b 7 is not ready", spurned="b 6")
+SLOT = StoredSlot(version="b", before="a", roll=7, name="c0ffee", failed="b 7 is not ready", spurned="b 6")
 SLOT_BYTES = (
     "4656504c01004a00000000001f08866286a776657273696f6ea162a66265666f7265a161a4726f6c6c07a46e616d65a663"
     "3066666565a66661696c6564b0622037206973206e6f74207265616479a7737075726e6564a3622036"
@@ -55,8 +52,8 @@
 def test_the_state_of_a_slot_keeps_its_bytes(tmp_path: Path) -> None:
     path = tmp_path / "state"
     path.write_bytes(bytes.fromhex(SLOT_BYTES))
-    assert supervisor.read_kept(path) == SLOT
-    assert with_header(supervisor.MAGIC, supervisor.FORMAT, msgspec.msgpack.encode(SLOT)).hex() == SLOT_BYTES
+    assert supervisor.read_slot(path) == SLOT
+    assert supervisor.encode_slot(SLOT).hex() == SLOT_BYTES
 
 
 def test_the_event_log_has_a_line_of_json_for_each_event(tmp_path: Path) -> None:
--- a/tests/proxy/rollout/test_trial.py
+++ b/tests/proxy/rollout/test_trial.py
@@ -5,7 +5,7 @@
 import sys
 
 from firvane.proxy.rollout.plan import Version
-from firvane.proxy.rollout.trial_start import trial
+from firvane.proxy.rollout.trial_start import try_version
 from tests.proxy.net.helpers import run
 
 # A version that tries for its operators' door as anybody else would before it takes that itself.
@@ -34,6 +34,6 @@
     version = Version(command=(sys.executable, "-c", PROGRAM))
 
     async def work() -> None:
-        assert await trial(version, 20.0, 20.0) == ""
+        assert await try_version(version, 20.0, 20.0) == ""
 
     run(work())
--- a/tests/together/rolling.py
+++ b/tests/together/rolling.py
@@ -18,7 +18,7 @@
 from firvane.proxy.rollout import readiness_probe, supervisor_calls
 from firvane.proxy.rollout.event_log import Chronicle
 from firvane.proxy.rollout.messages import Kept
-from firvane.proxy.rollout.supervisor import MARK
+from firvane.proxy.rollout.supervisor import TAG_VARIABLE
 from firvane.simulation.emulation.records import Abandoned, Arrived, Record
 from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
 from firvane.simulation.runner.machines import environment, with_parent
@@ -155,7 +155,7 @@
         """End all of them. They are gone once it returns, and another suite may have their addresses."""
         for number in list(self.processes):
             self.kill(number)
-        for pid, value in list(readiness_probe.marked(MARK)):
+        for pid, value in list(readiness_probe.find_tagged(TAG_VARIABLE)):
             if str(self.whole.folder) in value:
                 with contextlib.suppress(ProcessLookupError):
                     end(pid)
@@ -288,7 +288,9 @@
     async def place(self, number: int) -> dict[str, str]:
         """What its keeper says; {} where it says nothing."""
         try:
-            return supervisor_calls.heard(await asyncio.to_thread(call, self.doors[number], "place-status"))
+            return supervisor_calls.parse_status(
+                await asyncio.to_thread(call, self.doors[number], "place-status")
+            )
         except (OSError, ValueError):
             return {}
 
--- a/tests/together/test_rollout.py
+++ b/tests/together/test_rollout.py
@@ -17,7 +17,7 @@
 import pytest
 
 from firvane.proxy.rollout.messages import Kept, State
-from firvane.proxy.rollout.supervisor import MARK
+from firvane.proxy.rollout.supervisor import TAG_VARIABLE
 from tests.together.rolling import STAGES, Fleets, Keepers, Rolling
 
 STEPS = 12  # more steps than a roll of these has: it would not end
@@ -34,7 +34,7 @@
 def test_what_places_started_is_gone_once_they_are_closed(tmp_path: Path) -> None:
     """What it still held then, another suite could not bind: it has the net once these tests are over."""
     program = "import signal; print('up', flush=True); signal.pause()"
-    env = {MARK: f"1 v1 0 {tmp_path}/proxy-0.place"}
+    env = {TAG_VARIABLE: f"1 v1 0 {tmp_path}/proxy-0.place"}
     wait, kill = select.select, os.kill
     late: list[int] = []
 
