--- a/benchmarks/rollout_compare.py
+++ b/benchmarks/rollout_compare.py
@@ -24,9 +24,14 @@
 ROOT = Path(__file__).resolve().parents[1]
 sys.path[0] = str(ROOT)  # in place of this folder
 
-from firvane.proxy.rollout.compare import Comparison  # noqa: E402
-from firvane.proxy.rollout.messages import Block, Counts, Side, Verdict  # noqa: E402
-from firvane.proxy.rollout.plan import Limits  # noqa: E402
+from firvane.proxy.rollout.comparison import Comparison  # noqa: E402
+from firvane.proxy.rollout.comparison_types import (  # noqa: E402
+    Block,
+    RequestCounts,
+    Side,
+    Verdict,
+)
+from firvane.proxy.rollout.plan import ComparisonSettings  # noqa: E402
 from firvane.simulation.emulation.compare import interval  # noqa: E402
 
 BLOCK, BLOCKS = 2.0, 300  # s, and how many: ten minutes
@@ -119,14 +124,14 @@
 
 def taken(pairs: list[Pair]) -> tuple[Verdict, float]:
     """What the comparison that is built says in the end, and when."""
-    comparison = Comparison(Limits(block_s=BLOCK), ALPHA, 120.0)
+    comparison = Comparison(ComparisonSettings(block_s=BLOCK), ALPHA, 120.0)
     for n, (a, taken_, b, m) in enumerate(pairs, 1):
         at = n * BLOCK
         sides = ((Side.OLD, a, taken_), (Side.NEW, b, m))
         comparison.add(
             [
                 Block(at, "z", side, side.value, 1e3 + at,
-                      {"class:x": Counts(int(k), int(k - r), int(r), 0, int(k))})
+                      {"class:x": RequestCounts(int(k), int(k - r), int(r), 0, int(k))})
                 for side, r, k in sides
             ]
         )  # fmt: skip
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -68,7 +68,7 @@
         from firvane.proxy.rollout.plan import Plan
 
         plan = validation.build(raw, Plan, file, PLAN_CHECKS)
-        stages = ", ".join(str(plan.goal(n)) for n in range(len(plan.stage)))
+        stages = ", ".join(str(plan.target_count(n)) for n in range(len(plan.stage)))
         change = f"{plan.roll.old} to {plan.roll.version}"
         return f"plan of a rolling change from {change}: {stages} of {len(plan.place)} places"
     if form == "place":
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -14,14 +14,18 @@
 from firvane.core.printable import plain
 
 if TYPE_CHECKING:
-    from firvane.proxy.rollout.event_log import Chronicle
-    from firvane.proxy.rollout.messages import Call, Kept, State
     from firvane.proxy.rollout.plan import Plan
+    from firvane.proxy.rollout.rollout_files import RolloutFiles
+    from firvane.proxy.rollout.rollout_state import OperatorCommand, RolloutState, StoredRollout
 
-PLAN = click.argument("plan", type=click.Path())
-COURSE = click.option("--course", type=click.Path(), help="the course's file; PLAN with .course otherwise")
-HEARD_S = 5.0  # for which a call waits to be heard
-LOOK_S = 0.1
+PLAN_ARGUMENT = click.argument("plan", type=click.Path())
+COURSE_OPTION = click.option(
+    "--course", type=click.Path(), help="the course's file; PLAN with .course otherwise"
+)
+EXIT_UNKNOWN = 3
+EXIT_CODES = {"done": 0, "back": 1, "given up": 1}  # by final state
+COMMAND_TIMEOUT_S = 5.0  # for the owner of the rollout to receive a command
+POLL_INTERVAL_S = 0.1
 
 
 @click.group("rollout", context_settings={"help_option_names": ["-h", "--help"]})
@@ -56,134 +60,137 @@
 
 
 @command.command("run")
-@PLAN
-@COURSE
+@PLAN_ARGUMENT
+@COURSE_OPTION
 @click.option("--take-over", is_flag=True, help="have the course although another controller holds it")
 @click.option("--no-wait", is_flag=True, help="end with exit code 3 at a pause")
 @click.pass_context
 def run(ctx: click.Context, plan: str, course: str | None, take_over: bool, no_wait: bool) -> None:
     """Carry out PLAN, or go on with it, until it is done, has gone back, or is given up."""
+    from firvane.core.checksum import Damaged
+    from firvane.proxy.rollout.errors import ControllerStoppedError, OwnershipLostError
+
+    parsed, digest = _read_plan(plan)
+    files = _open_files(plan, course)
+    again = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
+    try:
+        files.acquire(take_over)
+        state = _control(parsed, digest, files, not no_wait)
+        stored = files.read_state()
+    except OwnershipLostError as error:
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
+    except ControllerStoppedError as error:
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {again}")
+    except (Damaged, OSError) as error:
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
+    except ValueError as error:
+        raise Bad(f"{plan}: {error}") from None
+    finally:
+        files.release()
+    if state is None:
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: left under way, places stay as they are; go on: {again}")
+    _exit(ctx, _exit_code(state), f"{plan}: {_describe(stored)}")
+
+
+def _control(plan: Plan, digest: str, files: RolloutFiles, waits: bool) -> RolloutState | None:
+    """Run a controller until the rollout ends; None where SIGTERM or SIGINT came before."""
     import asyncio
     import signal
 
     import uvloop
 
-    from firvane.core.checksum import Damaged
     from firvane.proxy.rollout.controller import Controller
-    from firvane.proxy.rollout.event_log import Ended, Taken
-
-    read, digest = _plan(plan)
-    chronicle = _chronicle(plan, course)
-    again = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
 
-    async def work() -> State | None:
+    async def work() -> RolloutState | None:
         loop = asyncio.get_running_loop()
-        controller = Controller(read, digest, chronicle, _say, not no_wait)
-        ours = asyncio.current_task()
-        assert ours
+        controller = Controller(plan, digest, files, _report, waits)
+        task = asyncio.current_task()
+        assert task
         for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, ours.cancel)
+            loop.add_signal_handler(number, task.cancel)
         try:
             return await controller.run()
         except asyncio.CancelledError:
             return None
 
-    try:
-        chronicle.take(take_over)
-        with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            state = runner.run(work())
-        kept = chronicle.read()
-    except Taken as error:
-        _end(ctx, 3, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
-    except Ended as error:
-        _end(ctx, 3, f"{plan}: cannot tell: {error}; go on: {again}")
-    except (Damaged, OSError) as error:
-        _end(ctx, 3, f"{plan}: cannot tell where the roll is: {chronicle.path}: {error}")
-    except ValueError as error:
-        raise Bad(f"{plan}: {error}") from None
-    finally:
-        chronicle.release()
-    if state is None:
-        _end(ctx, 3, f"{plan}: left under way, places stay as they are; go on: {again}")
-    _end(ctx, _code(state), f"{plan}: {_sentence(kept)}")
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        return runner.run(work())
 
 
 @command.command("status")
-@PLAN
-@COURSE
+@PLAN_ARGUMENT
+@COURSE_OPTION
 @click.pass_context
 def status(ctx: click.Context, plan: str, course: str | None) -> None:
     """Tell where the roll of PLAN is, who carries it out, and what each place says."""
     from firvane.cli import admin_connection
     from firvane.proxy.rollout import supervisor_calls
 
-    read, digest = _plan(plan)
-    chronicle = _chronicle(plan, course)
-    kept = _kept(ctx, plan, chronicle)
-    if kept and kept.plan != digest:
-        raise Bad(f"{plan}: {chronicle.path} is the course of another plan, or this one was changed since")
-    holder = chronicle.holder()
+    parsed, digest = _read_plan(plan)
+    files = _open_files(plan, course)
+    stored = _read_stored(ctx, plan, files)
+    if stored and stored.plan != digest:
+        raise Bad(f"{plan}: {files.path} is the course of another plan, or this one was changed since")
+    holder = files.owner()
     who = f"process {holder} carries it out" if holder else "nobody carries it out now"
-    click.echo(plain(f"{plan}: {_sentence(kept)}; {who}"))
-    doors = admin_connection.addresses("rollout status", [one.door for one in read.place])
-    for one, address in zip(read.place, doors, strict=True):
+    click.echo(plain(f"{plan}: {_describe(stored)}; {who}"))
+    doors = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
+    for slot, address in zip(parsed.place, doors, strict=True):
         try:
-            said = supervisor_calls.parse_status(
+            answer = supervisor_calls.parse_status(
                 admin_connection.call(address, supervisor_calls.format_call(supervisor_calls.Command.STATUS))
             )
-            told = f"{said.get('state')}, version {said.get('version')}"
-            if said.get("failed", "-") != "-":
-                told += f"; failed: {said['failed']}"
+            text = f"{answer.get('state')}, version {answer.get('version')}"
+            if answer.get("failed", "-") != "-":
+                text += f"; failed: {answer['failed']}"
         except (OSError, ValueError) as error:
-            told = f"its keeper does not answer: {error}"
-        click.echo(plain(f"  {one.name} ({one.zone}): {told}"))
-    ctx.exit(_code(kept.state) if kept else 3)
+            text = f"its keeper does not answer: {error}"
+        click.echo(plain(f"  {slot.name} ({slot.zone}): {text}"))
+    ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
 
-def _call(word: str, help_: str) -> None:
-    @command.command(word, help=help_)
-    @PLAN
-    @COURSE
+def _add_command(name: str, help_text: str) -> None:
+    @command.command(name, help=help_text)
+    @PLAN_ARGUMENT
+    @COURSE_OPTION
     @click.pass_context
-    def said(ctx: click.Context, plan: str, course: str | None) -> None:
-        from firvane.proxy.rollout.messages import Call
+    def send(ctx: click.Context, plan: str, course: str | None) -> None:
+        from firvane.proxy.rollout.rollout_state import OperatorCommand
 
-        _plan(plan)
-        _tell(ctx, plan, _chronicle(plan, course), Call(word))
+        _read_plan(plan)
+        _send_command(ctx, plan, _open_files(plan, course), OperatorCommand(name))
 
 
-_call("pause", "Let the roll of PLAN go no further for now; places stay as they are.")
-_call("go", "Let a paused roll of PLAN go on.")
-_call("back", "Send the roll of PLAN back: each place gets the old version again, in steps.")
+_add_command("pause", "Let the roll of PLAN go no further for now; places stay as they are.")
+_add_command("go", "Let a paused roll of PLAN go on.")
+_add_command("back", "Send the roll of PLAN back: each place gets the old version again, in steps.")
 
 
-def _tell(ctx: click.Context, plan: str, chronicle: Chronicle, call: Call) -> NoReturn:
-    """Leave a call for the roll, and wait until whoever carries it out has heard it."""
+def _send_command(ctx: click.Context, plan: str, files: RolloutFiles, requested: OperatorCommand) -> NoReturn:
+    """Leave a command for the rollout, and wait until its owner has received it."""
     import time
 
-    from firvane.proxy.rollout.messages import ENDS
-
-    kept = _kept(ctx, plan, chronicle)
-    if kept and kept.state in ENDS:
-        _end(ctx, 3, f"{plan}: {call.value} says nothing any more: {_sentence(kept)}")
-    chronicle.say(call)
-    until = time.monotonic() + HEARD_S
-    while chronicle.call_path.exists():
-        if not chronicle.holder():
-            _end(
-                ctx,
-                3,
-                f"{plan}: {call.value} waits, and nobody carries the roll out: firvane rollout run {plan}",
-            )
+    from firvane.proxy.rollout.rollout_state import FINAL_STATES
+
+    stored = _read_stored(ctx, plan, files)
+    if stored and stored.state in FINAL_STATES:
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} says nothing any more: {_describe(stored)}")
+    files.write_command(requested)
+    until = time.monotonic() + COMMAND_TIMEOUT_S
+    waits = f"{plan}: {requested.value} waits"
+    while files.command_path.exists():
+        if not files.owner():
+            reason = f"nobody carries the roll out: firvane rollout run {plan}"
+            _exit(ctx, EXIT_UNKNOWN, f"{waits}, and {reason}")
         if time.monotonic() > until:
-            _end(ctx, 3, f"{plan}: {call.value} waits: process {chronicle.holder()} has not heard it yet")
-        time.sleep(LOOK_S)
-    _end(ctx, 0, f"{plan}: heard; {_sentence(chronicle.read())}")
+            _exit(ctx, EXIT_UNKNOWN, f"{waits}: process {files.owner()} has not heard it yet")
+        time.sleep(POLL_INTERVAL_S)
+    _exit(ctx, 0, f"{plan}: heard; {_describe(files.read_state())}")
 
 
 @command.command("report")
-@PLAN
-@COURSE
+@PLAN_ARGUMENT
+@COURSE_OPTION
 @click.option("--html", type=click.Path(), help="write a page with plots there")
 @click.pass_context
 def report(ctx: click.Context, plan: str, course: str | None, html: str | None) -> None:
@@ -191,19 +198,19 @@
     from firvane.cli import rollout_report
     from firvane.core.atomic_write import write_atomically
 
-    _plan(plan)
-    chronicle = _chronicle(plan, course)
-    kept = _kept(ctx, plan, chronicle)
-    told = rollout_report.gathered(plan, f"{_sentence(kept)}", chronicle.noted())
-    for line in rollout_report.text(told):
+    _read_plan(plan)
+    files = _open_files(plan, course)
+    stored = _read_stored(ctx, plan, files)
+    gathered = rollout_report.gather(plan, f"{_describe(stored)}", files.read_events())
+    for line in rollout_report.render_text(gathered):
         click.echo(plain(line))
     if html:
-        write_atomically(html, rollout_report.page(told).encode())
-    ctx.exit(_code(kept.state) if kept else 3)
+        write_atomically(html, rollout_report.render_html(gathered).encode())
+    ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
 
-def _plan(file: str) -> tuple[Plan, str]:
-    """The plan in a file, and what its text goes by; raises `validation.ValidationError`."""
+def _read_plan(file: str) -> tuple[Plan, str]:
+    """Return the plan in a file and the digest of its text; raises `ValidationError`."""
     from pathlib import Path
 
     from firvane.core import validation
@@ -214,43 +221,43 @@
     return plan.parse(text, file), plan.digest(text)
 
 
-def _chronicle(plan: str, course: str | None) -> Chronicle:
+def _open_files(plan: str, course: str | None) -> RolloutFiles:
     from importlib import import_module
 
     try:
-        chronicle = import_module("firvane.proxy.rollout.event_log")
+        module = import_module("firvane.proxy.rollout.rollout_files")
     except ModuleNotFoundError:
         raise Bad("rolls need more than a proxy does: pip install 'firvane[snapshots]'") from None
-    made: Chronicle = chronicle.Chronicle(course or f"{plan}.course")
-    return made
+    opened: RolloutFiles = module.RolloutFiles(course or f"{plan}.course")
+    return opened
 
 
-def _kept(ctx: click.Context, plan: str, chronicle: Chronicle) -> Kept | None:
+def _read_stored(ctx: click.Context, plan: str, files: RolloutFiles) -> StoredRollout | None:
     from firvane.core.checksum import Damaged
 
     try:
-        return chronicle.read()
+        return files.read_state()
     except (Damaged, OSError) as error:
-        _end(ctx, 3, f"{plan}: cannot tell where the roll is: {chronicle.path}: {error}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
 
 
-def _sentence(kept: Kept | None) -> str:
-    if kept is None:
+def _describe(stored: StoredRollout | None) -> str:
+    if stored is None:
         return "not begun"
-    where = f", stage {kept.stage + 1}" if kept.state.value in ("replacing", "comparing") else ""
-    return f"{kept.state.value}{where}" + (f": {kept.why}" if kept.why else "")
+    where = f", stage {stored.stage + 1}" if stored.state.value in ("replacing", "comparing") else ""
+    return f"{stored.state.value}{where}" + (f": {stored.why}" if stored.why else "")
 
 
-def _code(state: State) -> int:
-    return {"done": 0, "back": 1, "given up": 1}.get(state.value, 3)
+def _exit_code(state: RolloutState) -> int:
+    return EXIT_CODES.get(state.value, EXIT_UNKNOWN)
 
 
-def _say(text: str) -> None:
+def _report(text: str) -> None:
     import time
 
     click.echo(plain(f"{time.strftime('%H:%M:%S')} {text}"))
 
 
-def _end(ctx: click.Context, code: int, line: str) -> NoReturn:
+def _exit(ctx: click.Context, code: int, line: str) -> NoReturn:
     click.echo(plain(line), err=code != 0)
     ctx.exit(code)
--- a/firvane/proxy/rollout/controller.py
+++ b/firvane/proxy/rollout/controller.py
@@ -1,14 +1,14 @@
-"""The controller of a roll: asks places and proxies on a timer, and acts by its state machine.
+"""The controller of a rollout: polls slots and proxies, and executes the actions of its state machine.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. What the state machine wants kept is on disk before anything of that step is done. Where it cannot be
-   written the controller ends: whoever starts next goes on from what is there.
-2. Places are asked what is true before the first order. The roll's number is above all that they have heard,
-   and each place hears it, under this controller's name, before anything else is said to it.
-3. A place that has heard a higher number, or a course that is another's by now, ends the controller at once.
-4. An order is said again until the place has it; what came of it is read from answers to later questions.
-5. A comparison gets the blocks of one moment together. Whoever did not answer in time is left out of it.
+1. A state that is to be persisted is on disk before anything of that step is done. Where it cannot be written
+   the controller ends: the next one goes on from what is there.
+2. Slots are asked for their status before the first order. The rollout's fencing token is above all that they
+   report, and each slot gets it, under this controller's name, before anything else is sent to it.
+3. A slot that has had a higher token, or a rollout that another process owns, ends the controller at once.
+4. An order is sent again until the slot has it; its result is read from later statuses.
+5. A comparison gets the blocks of one moment together. A proxy that did not answer in time is left out of it.
 """
 
 from __future__ import annotations
@@ -19,134 +19,112 @@
 from collections.abc import Callable, Coroutine, Sequence
 from typing import Any
 
-from firvane.core.address import Address, parse_address
-from firvane.proxy.rollout import measurements, supervisor_calls
-from firvane.proxy.rollout.compare import Comparison, in_time_share
-from firvane.proxy.rollout.event_log import Chronicle, Taken
-from firvane.proxy.rollout.messages import (
+from firvane.proxy.rollout import measurements
+from firvane.proxy.rollout.comparison import Comparison, in_time_share
+from firvane.proxy.rollout.comparison_types import Block, Side
+from firvane.proxy.rollout.errors import OwnershipLostError
+from firvane.proxy.rollout.events import (
     Action,
-    Ask,
-    Back,
-    Before,
-    Block,
-    Compare,
-    Down,
+    BaselineMeasured,
+    CommandReceived,
+    ComparisonUpdated,
     Event,
-    Found,
-    Judged,
-    Keep,
-    Note,
-    Observe,
-    Operator,
-    Replace,
-    ReplaceFailed,
-    Side,
-    State,
-    Stop,
+    LogNote,
+    MeasureBaseline,
+    PersistRollout,
+    QuerySlots,
+    ReplacementFailed,
+    ReplaceSlot,
+    RevertSlot,
+    SlotReported,
+    SlotUnreachable,
+    StartComparison,
+    StartTrial,
+    StopComparison,
     Tick,
-    Tried,
-    Try,
+    TrialEnded,
 )
-from firvane.proxy.rollout.plan import Place, Plan
-from firvane.proxy.rollout.state_machine import RollStateMachine
-from firvane.proxy.rollout.supervisor_calls import Command
+from firvane.proxy.rollout.plan import Plan
+from firvane.proxy.rollout.rollout_files import RolloutFiles
+from firvane.proxy.rollout.rollout_state import RolloutState
+from firvane.proxy.rollout.slot_client import CALL_TIMEOUT_S, SlotClient, call
+from firvane.proxy.rollout.state_machine import RolloutStateMachine
+from firvane.proxy.rollout.supervisor_calls import Command, format_call, parse_status
 from firvane.proxy.rollout.trial_start import try_version
 
-TURN_S = 0.1  # from one look at time and calls to the next
-ASK_S = 0.25  # from a place's answer to the next question
-WAIT_S = 2.0  # for an answer
-SILENT = 2  # questions without an answer, after which a place is down
-FIRST_S = 3.0  # for which the places' first answers are waited for
-MOST = 1 << 20  # bytes of an answer
-BUSY = frozenset(("trying", "proving", "starting", "ending"))
-
-Answered = Callable[[Event], None]
-
-
-async def call(address: Address, line: str, wait: float = WAIT_S) -> str:
-    """What a door answers to a line; `OSError` where it does not, or not to the end."""
-    async with asyncio.timeout(wait):
-        reader, writer = await asyncio.open_connection(*address, limit=MOST)
-        try:
-            writer.write(line.encode() + b"\n")
-            said = await reader.read(MOST)
-            while more := await reader.read(MOST):
-                said += more
-                if len(said) > MOST:
-                    raise OSError("the answer has no end")
-        finally:
-            writer.transport.abort()
-    one = said[:1] in (b"+", b"-") and said.endswith(b"\n")
-    if not one and not said.endswith(b"\n.\n"):
-        raise OSError("the answer was cut off" if said else "the call was closed")
-    return said.decode(errors="replace")
-
-
-class Site:
-    """A place as the controller sees it."""
-
-    def __init__(self, place: Place) -> None:
-        self.place, self.name = place, place.name
-        self.door, self.ops = parse_address(place.door), parse_address(place.ops)
-        self.status: dict[str, str] = {}
-        self.silent = 0
-        self.claimed = False
-        self.order: Replace | Back | None = None  # that the place does not have yet
-        self.given: Replace | Back | None = None  # of which nothing is known yet
-        self.sample: tuple[int, measurements.Sample] | None = None  # the last one and its moment
-
-    def heard(self, status: dict[str, str]) -> None:
-        self.status, self.silent = status, 0
-        if ":" in status.get("ops", ""):
-            self.ops = parse_address(status["ops"])
-
-    @property
-    def version(self) -> str:
-        version = self.status.get("version", "-")
-        return "" if version == "-" else version
+TICK_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.25  # from a slot's answer to the next call
+MAX_UNANSWERED_CALLS = 2  # after which a slot is unreachable
+FIRST_STATUS_TIMEOUT_S = 3.0
+NAME_BYTES = 4  # of randomness
+REPLACING_STATES = frozenset(("trying", "proving", "starting", "ending"))
 
 
 class Controller:
-    """One roll's. `say` hears each sentence of its course."""
+    """The controller of one rollout."""
 
     def __init__(
-        self, plan: Plan, digest: str, chronicle: Chronicle, say: Callable[[str], None], waits: bool = True
+        self,
+        plan: Plan,
+        digest: str,
+        files: RolloutFiles,
+        report: Callable[[str], None],
+        waits: bool = True,
     ) -> None:
-        """`waits`: a pause is waited out, for as long as the plan says; else `run` returns at one. Raises
-        `Damaged` or `OSError` where nobody can say where the roll is, `ValueError` for another plan's."""
-        self.plan, self.chronicle, self.say, self.waits = plan, chronicle, say, waits
+        """Go on from the stored state.
+
+        Args:
+            plan: The plan.
+            digest: The digest of its text.
+            files: The files of the rollout.
+            report: Called with each sentence for the operator.
+            waits: Whether a pause is waited out, for as long as the plan says; else `run` returns at one.
+
+        Raises:
+            Damaged: The stored state cannot be read.
+            OSError: The same.
+            ValueError: The stored state is of another plan.
+        """
+        self.plan = plan
+        self.files = files
+        self.report = report
+        self.waits = waits
         self.loop = asyncio.get_running_loop()
-        kept = chronicle.read()
-        if kept and kept.plan != digest:
-            raise ValueError(
-                f"{chronicle.path}: is the course of another plan, or this one was changed since"
-            )
-        self.machine = RollStateMachine(plan, digest, self.loop.time(), kept)
-        self.name = secrets.token_hex(4)
-        self.sites = {place.name: Site(place) for place in plan.place}
+        stored = files.read_state()
+        if stored and stored.plan != digest:
+            raise ValueError(f"{files.path}: is the course of another plan, or this one was changed since")
+        self.machine = RolloutStateMachine(plan, digest, self.loop.time(), stored)
+        self.name = secrets.token_hex(NAME_BYTES)
+        self.slots = {slot.name: SlotClient(slot) for slot in plan.place}
         self.tasks: set[asyncio.Task[None]] = set()
         self.comparison: tuple[int, Comparison] | None = None
-        self.observing: tuple[float, list[Block]] | None = None  # until when, and what was seen
-        self.moments = 0
-        self.over: asyncio.Future[None] = self.loop.create_future()
+        self.baseline: tuple[float, list[Block]] | None = None  # until when, and what was measured
+        self.measurement_number = 0
+        self.done: asyncio.Future[None] = self.loop.create_future()
+
+    async def run(self) -> RolloutState:
+        """Control the rollout until it ends, or pauses where that is not waited for.
 
-    async def run(self) -> State:
-        """The roll until it ends, or pauses where that is not waited for; the state it is in then. Raises
-        `Ended` where this controller cannot go on."""
+        Returns:
+            The state that it is in then.
+
+        Raises:
+            ControllerStoppedError: This controller cannot go on.
+        """
         try:
-            for site in self.sites.values():
-                self._spawn(self._first(site))
+            for slot in self.slots.values():
+                self._spawn(self._get_first_status(slot))
             while self.tasks:
                 await asyncio.wait(self.tasks)
-            rolls = [int(site.status.get("roll", 0)) for site in self.sites.values()]
-            self.machine.roll = max([self.machine.roll, *rolls])
-            self._do(self.machine.begin(self.loop.time()))
+            tokens = [int(slot.status.get("roll", 0)) for slot in self.slots.values()]
+            self.machine.token = max([self.machine.token, *tokens])
+            self._execute(self.machine.begin(self.loop.time()))
             if not self.machine.ended:
-                for site in self.sites.values():
-                    self._spawn(self._visits(site))
-                self._spawn(self._turns())
-                self._spawn(self._measures())
-                await self.over
+                for slot in self.slots.values():
+                    self._spawn(self._poll_forever(slot))
+                self._spawn(self._tick_forever())
+                self._spawn(self._measure_forever())
+                await self.done
         finally:
             for task in self.tasks:
                 task.cancel()
@@ -156,182 +134,191 @@
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = self.loop.create_task(work)
         self.tasks.add(task)
-        task.add_done_callback(self._is_done)
+        task.add_done_callback(self._on_task_done)
 
-    def _is_done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self.tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) and not self.over.done():
-            self.over.set_exception(error)
+        if not task.cancelled() and (error := task.exception()) and not self.done.done():
+            self.done.set_exception(error)
 
     # The state machine
 
-    def _hear(self, event: Event) -> None:
-        if not self.over.done():
-            self._do(self.machine.hear(event, self.loop.time()))
+    def _handle(self, event: Event) -> None:
+        if not self.done.done():
+            self._execute(self.machine.handle(event, self.loop.time()))
             if self.machine.ended:
-                self.over.set_result(None)
+                self.done.set_result(None)
 
-    def _do(self, actions: Sequence[Action]) -> None:
+    def _execute(self, actions: Sequence[Action]) -> None:
         for action in actions:
             match action:
-                case Keep(kept):
-                    self.chronicle.keep(kept)
-                case Note(text):
-                    self.chronicle.mine()
-                    self.chronicle.note(self._stamp({"note": text}))
-                    self.say(text)
-                case Replace(name) | Back(name):
-                    site = self.sites[name]
-                    site.order, site.given = action, None
-                case Try(version):
-                    self._spawn(self._try(version))
-                case Observe(span):
-                    self.observing = self.loop.time() + span, []
-                case Compare():
-                    made = Comparison(
-                        self.plan.compare, action.alpha, action.soak_s, action.before, action.alone
+                case PersistRollout(stored):
+                    self.files.write_state(stored)
+                case LogNote(text):
+                    self.files.check_ownership()
+                    self.files.append_event(self._event({"note": text}))
+                    self.report(text)
+                case ReplaceSlot(name) | RevertSlot(name):
+                    slot = self.slots[name]
+                    slot.order, slot.accepted_order = action, None
+                case StartTrial(version):
+                    self._spawn(self._try_version(version))
+                case MeasureBaseline(duration_s):
+                    self.baseline = self.loop.time() + duration_s, []
+                case StartComparison():
+                    comparison = Comparison(
+                        self.plan.compare, action.alpha, action.soak_s, action.baseline, action.covers_all
                     )
-                    self.comparison = action.number, made
-                case Stop():
+                    self.comparison = action.number, comparison
+                case StopComparison():
                     self.comparison = None
-                case Ask():
-                    pass  # all are asked all the time
+                case QuerySlots():
+                    pass  # all are polled all the time
 
-    def _stamp(self, what: dict[str, Any]) -> dict[str, Any]:
+    def _event(self, fields: dict[str, Any]) -> dict[str, Any]:
+        """Return an event of the log, with its time and the state of the rollout."""
         return {
             "at": round(time.time(), 3),
             "state": self.machine.state.value,
             "stage": self.machine.stage + 1,
-            **what,
+            **fields,
         }
 
-    async def _turns(self) -> None:
-        heard = False
+    async def _tick_forever(self) -> None:
+        is_first = True
         while True:
-            self.chronicle.mine()
-            if call := self.chronicle.said():
-                self._hear(Operator(call))
-                self.chronicle.heard()
-            elif heard and not self.waits and self.machine.state is State.PAUSED and not self.over.done():
-                self.over.set_result(None)
-            heard = True
-            self._hear(Tick())
-            await asyncio.sleep(TURN_S)
-
-    async def _try(self, version: str) -> None:
-        how = self.plan.version.get(version)
-        wrong = ""
-        if how is None or "NODE_CONFIG" not in how.environment:
-            self.say(f"{version} is not tried beside the fleet: the plan names no NODE_CONFIG for it")
+            self.files.check_ownership()
+            is_paused = self.machine.state is RolloutState.PAUSED
+            if command := self.files.pending_command():
+                self._handle(CommandReceived(command))
+                self.files.remove_command()
+            elif not is_first and not self.waits and is_paused and not self.done.done():
+                self.done.set_result(None)
+            is_first = False
+            self._handle(Tick())
+            await asyncio.sleep(TICK_INTERVAL_S)
+
+    async def _try_version(self, name: str) -> None:
+        version = self.plan.version.get(name)
+        error = ""
+        if version is None or "NODE_CONFIG" not in version.environment:
+            self.report(f"{name} is not tried beside the fleet: the plan names no NODE_CONFIG for it")
         else:
-            wrong = await try_version(how, self.plan.roll.ready_s, self.plan.roll.end_s)
-        self._hear(Tried(wrong))
+            error = await try_version(version, self.plan.roll.ready_s, self.plan.roll.end_s)
+        self._handle(TrialEnded(error))
 
-    # Places
+    # Slots
 
-    async def _first(self, site: Site) -> None:
-        """What a place says before anything is said to it."""
-        until = self.loop.time() + FIRST_S
-        while not site.status and self.loop.time() < until:
+    async def _get_first_status(self, slot: SlotClient) -> None:
+        """Get a slot's status before anything else is sent to it."""
+        until = self.loop.time() + FIRST_STATUS_TIMEOUT_S
+        while not slot.status and self.loop.time() < until:
             try:
-                site.heard(
-                    supervisor_calls.parse_status(
-                        await call(site.door, supervisor_calls.format_call(Command.STATUS))
-                    )
-                )
+                await self._get_status(slot)
             except (OSError, ValueError):
-                await asyncio.sleep(ASK_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def _get_status(self, slot: SlotClient) -> None:
+        slot.update(parse_status(await call(slot.api_address, format_call(Command.STATUS))))
 
-    async def _visits(self, site: Site) -> None:
+    async def _poll_forever(self, slot: SlotClient) -> None:
         while True:
             try:
-                await self._visit(site)
+                await self._poll(slot)
             except (OSError, ValueError):
-                site.silent += 1
-                if site.silent == SILENT:
-                    self._hear(Down(site.name))
-            await asyncio.sleep(ASK_S)
-
-    async def _visit(self, site: Site) -> None:
-        if not site.claimed:
-            await self._told(site, supervisor_calls.format_call(Command.CLAIM, self.name, self.machine.roll))
-            site.claimed = True
-        if order := site.order:
-            self.chronicle.mine()
-            answer = await self._told(
-                site, supervisor_calls.format_call(Command.REPLACE, order.version, order.roll)
-            )
-            if site.order is not order:
-                return
-            if answer.startswith("+OK"):
-                site.order, site.given = None, order
-            elif not answer.startswith("-ERR busy"):
-                site.order = None
-                self._hear(ReplaceFailed(site.name, answer.removeprefix("-ERR").strip()))
-        given = site.given
-        site.heard(
-            supervisor_calls.parse_status(await call(site.door, supervisor_calls.format_call(Command.STATUS)))
-        )
-        if site.order:
-            return  # what it said is from before that
-        status, busy = site.status, site.status.get("state") in BUSY
-        if given and given is site.given and not busy:
-            site.given = None
-            failed, roll, why = [*status.get("failed", "").split(" ", 2), "", "", ""][:3]
-            if site.version != given.version and (failed, roll) == (given.version, str(given.roll)):
-                self._hear(ReplaceFailed(site.name, why))
-        self._hear(Found(site.name, site.version, busy))
-
-    async def _told(self, site: Site, line: str) -> str:
-        """A line that belongs to the roll, and its answer; `Taken` where the roll is another's by now."""
-        answer = await call(site.door, line)
+                slot.unanswered += 1
+                if slot.unanswered == MAX_UNANSWERED_CALLS:
+                    self._handle(SlotUnreachable(slot.name))
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    async def _poll(self, slot: SlotClient) -> None:
+        """Claim the slot, send an order, and handle the status."""
+        if not slot.claimed:
+            await self._call_with_token(slot, format_call(Command.CLAIM, self.name, self.machine.token))
+            slot.claimed = True
+        if slot.order and not await self._send_order(slot, slot.order):
+            return
+        accepted = slot.accepted_order
+        await self._get_status(slot)
+        if slot.order:
+            return  # the status is from before that
+        is_replacing = slot.status.get("state") in REPLACING_STATES
+        if accepted and accepted is slot.accepted_order and not is_replacing:
+            slot.accepted_order = None
+            failed, token, reason = [*slot.status.get("failed", "").split(" ", 2), "", "", ""][:3]
+            is_failed = (failed, token) == (accepted.version, str(accepted.token))
+            if slot.version != accepted.version and is_failed:
+                self._handle(ReplacementFailed(slot.name, reason))
+        self._handle(SlotReported(slot.name, slot.version, is_replacing))
+
+    async def _send_order(self, slot: SlotClient, order: ReplaceSlot | RevertSlot) -> bool:
+        """Send an order; return whether it is still the slot's current one."""
+        self.files.check_ownership()
+        line = format_call(Command.REPLACE, order.version, order.token)
+        answer = await self._call_with_token(slot, line)
+        if slot.order is not order:
+            return False
+        if answer.startswith("+OK"):
+            slot.order, slot.accepted_order = None, order
+        elif not answer.startswith("-ERR busy"):
+            slot.order = None
+            self._handle(ReplacementFailed(slot.name, answer.removeprefix("-ERR").strip()))
+        return True
+
+    async def _call_with_token(self, slot: SlotClient, line: str) -> str:
+        """Send a call that carries the fencing token, and return the answer.
+
+        Raises:
+            OwnershipLostError: The slot has had a higher token.
+        """
+        answer = await call(slot.api_address, line)
         if answer.startswith("-ERR roll "):
-            raise Taken(f"{site.name} says: {answer.removeprefix('-ERR').strip()}")
+            raise OwnershipLostError(f"{slot.name} says: {answer.removeprefix('-ERR').strip()}")
         return answer
 
-    # Measures
+    # Measurements
 
-    async def _measures(self) -> None:
-        """Blocks of one moment after the other, `block_s` apart."""
-        step = self.plan.compare.block_s
+    async def _measure_forever(self) -> None:
+        """Measure all proxies at one moment after the other, `block_s` apart."""
+        interval_s = self.plan.compare.block_s
         due = self.loop.time()
         while True:
-            self.moments += 1
-            found = await asyncio.gather(*(self._block(site, due) for site in self.sites.values()))
-            self._moment([block for block in found if block], due)
-            due += step
-            if (late := self.loop.time() - due) > step:  # this process stood still: what it missed is over
-                due += step * (late // step)
-                self.moments += 1
+            self.measurement_number += 1
+            found = await asyncio.gather(*(self._measure(slot, due) for slot in self.slots.values()))
+            self._add_blocks([block for block in found if block], due)
+            due += interval_s
+            # This process was suspended: what it missed is over.
+            if (late_s := self.loop.time() - due) > interval_s:
+                due += interval_s * (late_s // interval_s)
+                self.measurement_number += 1
             await asyncio.sleep(max(0.0, due - self.loop.time()))
 
-    async def _block(self, site: Site, at: float) -> Block | None:
-        moment, before = self.moments, site.sample
-        version, pid = site.version, site.status.get("pid", "")
+    async def _measure(self, slot: SlotClient, at: float) -> Block | None:
+        number, previous = self.measurement_number, slot.sample
+        version, pid = slot.version, slot.status.get("pid", "")
+        timeout_s = min(CALL_TIMEOUT_S, self.plan.compare.block_s)
         try:
-            sample = measurements.sample(
-                await call(site.ops, "measures", min(WAIT_S, self.plan.compare.block_s))
-            )
+            sample = measurements.parse_sample(await call(slot.ops_address, "measures", timeout_s))
         except (OSError, ValueError):
             return None
-        site.sample = moment, sample
-        if before is None or before[0] != moment - 1 or pid != str(sample.pid):
+        slot.sample = number, sample
+        if previous is None or previous[0] != number - 1 or pid != str(sample.pid):
             return None
         if version not in (self.plan.roll.version, self.plan.roll.old):
             return None
         side = Side.NEW if version == self.plan.roll.version else Side.OLD
-        return measurements.block(before[1], sample, at, site.place.zone, side, site.name)
+        return measurements.make_block(previous[1], sample, at, slot.plan.zone, side, slot.name)
 
-    def _moment(self, blocks: list[Block], at: float) -> None:
+    def _add_blocks(self, blocks: list[Block], at: float) -> None:
         for block in blocks:
-            self.chronicle.note(self._stamp({"block": measurements.flat(block)}))
-        if self.observing:
-            until, seen = self.observing
-            seen += blocks
+            self.files.append_event(self._event({"block": measurements.to_event(block)}))
+        if self.baseline:
+            until, measured = self.baseline
+            measured += blocks
             if at >= until:
-                self.observing = None
-                self._hear(Before(in_time_share(seen)))
+                self.baseline = None
+                self._handle(BaselineMeasured(in_time_share(measured)))
         if self.comparison and blocks:
             number, comparison = self.comparison
             comparison.add(blocks)
-            self._hear(Judged(comparison.verdict(), number))
+            self._handle(ComparisonUpdated(comparison.verdict(), number))
--- a/firvane/proxy/rollout/measurements.py
+++ b/firvane/proxy/rollout/measurements.py
@@ -1,9 +1,11 @@
-"""What a proxy's `measures` say, and the block that two of them make. Pure.
+"""The answers of a proxy's `measures` call, and the block between two of them. Pure.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. Two samples make a block where they are of one process and neither of them goes back. Else there is none.
-2. What is missing or of another form is a `ValueError`: nothing is guessed for a proxy that counts otherwise.
+1. Two samples make a block where they are of one process and no count of it goes back. Otherwise there is
+   none.
+2. What is missing or has another form is a `ValueError`: nothing is guessed for a proxy that counts
+   otherwise.
 """
 
 from __future__ import annotations
@@ -13,9 +15,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from firvane.proxy.rollout.messages import Block, Counts, Side, Use
+from firvane.proxy.rollout.comparison_types import Block, RequestCounts, ResourceUsage, Side
 
-FIELDS = ("taken", "in_time", "refused", "failed", "attempts")
+COUNT_FIELDS = ("taken", "in_time", "refused", "failed", "attempts")
 
 
 @dataclass(frozen=True)
@@ -23,61 +25,80 @@
     """Counts since the start of a process."""
 
     pid: int
-    up: float
-    by: Mapping[str, Counts]
-    use: Use
+    uptime_s: float
+    counts: Mapping[str, RequestCounts]
+    usage: ResourceUsage
 
 
-def sample(answer: str) -> Sample:
-    """What an answer says; `ValueError` where it is none."""
-    said = json.loads(answer.split("\n", 1)[0])
+def parse_sample(answer: str) -> Sample:
+    """Return the sample in an answer.
+
+    Raises:
+        ValueError: The answer holds none.
+    """
+    values = json.loads(answer.split("\n", 1)[0])
     try:
-        by = {
-            f"{kind}:{name}": _counts(counts)
-            for kind, part in (("class", "classes"), ("tenant", "tenants"))
-            for name, counts in said[part].items()
+        counts = {
+            f"{kind}:{name}": _parse_counts(entry)
+            for kind, table in (("class", "classes"), ("tenant", "tenants"))
+            for name, entry in values[table].items()
         }
-        use = Use(float(said["cpu_s"]), float(said["rss_mb"]), int(said["descriptors"]), int(said["errors"]))
-        return Sample(int(said["pid"]), float(said["uptime_s"]), by, use)
+        usage = ResourceUsage(
+            float(values["cpu_s"]),
+            float(values["rss_mb"]),
+            int(values["descriptors"]),
+            int(values["errors"]),
+        )
+        return Sample(int(values["pid"]), float(values["uptime_s"]), counts, usage)
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"these are no measures: {error!r}") from None
 
 
-def _counts(said: Mapping[str, Any]) -> Counts:
-    latency = {int(number): int(count) for number, count in said["latency"].items()}
-    return Counts(**{name: int(said[name]) for name in FIELDS}, latency=latency)
+def _parse_counts(entry: Mapping[str, Any]) -> RequestCounts:
+    latency = {int(bucket): int(count) for bucket, count in entry["latency"].items()}
+    return RequestCounts(**{name: int(entry[name]) for name in COUNT_FIELDS}, latency=latency)
+
 
+def make_block(old: Sample, new: Sample, at: float, zone: str, side: Side, proxy: str) -> Block | None:
+    """Return the block between two samples; None where they do not follow one another.
 
-def block(old: Sample, new: Sample, at: float, zone: str, side: Side, proxy: str) -> Block | None:
-    """What came between two samples; None where they do not follow one another."""
-    if old.pid != new.pid or old.up >= new.up:
+    Args:
+        old: The earlier sample.
+        new: The later sample.
+        at: When the later one was taken, in seconds.
+        zone: The zone of the proxy.
+        side: The version of the proxy.
+        proxy: Its name.
+    """
+    if old.pid != new.pid or old.uptime_s >= new.uptime_s:
         return None
-    nothing = Counts()
-    by = {key: _less(counts, old.by.get(key, nothing)) for key, counts in new.by.items()}
-    if any(getattr(counts, name) < 0 for counts in by.values() for name in FIELDS):
+    nothing = RequestCounts()
+    counts = {key: _difference(entry, old.counts.get(key, nothing)) for key, entry in new.counts.items()}
+    if any(getattr(entry, name) < 0 for entry in counts.values() for name in COUNT_FIELDS):
         return None
-    use = Use(
-        max(0.0, new.use.cpu_s - old.use.cpu_s),
-        new.use.rss_mb,
-        new.use.descriptors,
-        max(0, new.use.errors - old.use.errors),
+    usage = ResourceUsage(
+        max(0.0, new.usage.cpu_s - old.usage.cpu_s),
+        new.usage.rss_mb,
+        new.usage.descriptors,
+        max(0, new.usage.errors - old.usage.errors),
     )
-    return Block(at, zone, side, proxy, new.up, by, use)
+    return Block(at, zone, side, proxy, new.uptime_s, counts, usage)
 
 
-def _less(new: Counts, old: Counts) -> Counts:
-    latency = {n: count - old.latency.get(n, 0) for n, count in new.latency.items()}
-    counts = {name: getattr(new, name) - getattr(old, name) for name in FIELDS}
-    return Counts(**counts, latency={n: count for n, count in latency.items() if count > 0})
+def _difference(new: RequestCounts, old: RequestCounts) -> RequestCounts:
+    latency = {bucket: count - old.latency.get(bucket, 0) for bucket, count in new.latency.items()}
+    counts = {name: getattr(new, name) - getattr(old, name) for name in COUNT_FIELDS}
+    positive = {bucket: count for bucket, count in latency.items() if count > 0}
+    return RequestCounts(**counts, latency=positive)
 
 
-def flat(block: Block) -> dict[str, Any]:
-    """A block as the report reads it: classes in one, by which each request counts once."""
-    classes = [counts for key, counts in block.by.items() if key.startswith("class:")]
+def to_event(block: Block) -> dict[str, Any]:
+    """Return a block as the event log has it: the sum of all classes, in which each request counts once."""
+    classes = [counts for key, counts in block.counts.items() if key.startswith("class:")]
     latency: dict[int, int] = {}
     for counts in classes:
-        for number, count in counts.latency.items():
-            latency[number] = latency.get(number, 0) + count
-    told: dict[str, Any] = {name: sum(getattr(counts, name) for counts in classes) for name in FIELDS}
-    use = {"cpu_s": round(block.use.cpu_s, 4), "rss_mb": round(block.use.rss_mb, 2)}
-    return {"proxy": block.proxy, "side": block.side.value, **told, "latency": latency, **use}
+        for bucket, count in counts.latency.items():
+            latency[bucket] = latency.get(bucket, 0) + count
+    sums: dict[str, Any] = {name: sum(getattr(counts, name) for counts in classes) for name in COUNT_FIELDS}
+    usage = {"cpu_s": round(block.usage.cpu_s, 4), "rss_mb": round(block.usage.rss_mb, 2)}
+    return {"proxy": block.proxy, "side": block.side.value, **sums, "latency": latency, **usage}
--- /dev/null
+++ b/firvane/proxy/rollout/rollout_state.py
@@ -0,0 +1,74 @@
+"""The states of a rollout, the causes of transitions, the commands of operators, and the stored state."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class RolloutState(Enum):
+    """The state of a rollout; the values are stored and shown to operators."""
+
+    PLANNED = "planned"
+    REPLACING = "replacing"
+    COMPARING = "comparing"
+    PAUSED = "paused"
+    GOING_BACK = "going back"
+    DONE = "done"
+    BACK = "back"  # all slots have the old version again
+    GIVEN_UP = "given up"  # an operator has to look: `StoredRollout.why` says at what
+
+
+FINAL_STATES = frozenset((RolloutState.DONE, RolloutState.BACK, RolloutState.GIVEN_UP))
+
+
+class TransitionCause(Enum):
+    """Why a rollout went from one state to the next; the values are stored."""
+
+    BEGUN = "the trial and the fleet are well"
+    REFUSED = "the trial of the new version failed"
+    UNWELL = "the fleet was not well before the roll"
+    REPLACED = "all places of the stage that are up have the new version"
+    FINE = "the stage is fine"
+    LAST = "the last stage is fine"
+    AT_END = "the plan asks at the end of the stage"
+    WORSE = "the new version does worse"
+    FAILED = "the new version could not take a place"
+    TOO_LONG = "the stage took its longest time"
+    PAUSE = "an operator paused it"
+    GO = "an operator let it go on"
+    AGAIN = "an operator let it begin"
+    ACCEPTED = "an operator accepted the last stage"
+    BACK = "an operator sent it back"
+    UNANSWERED = "nobody answered the pause in time"
+    WHOLE = "no place has the new version any more"
+    LEFT = "not every place could go back"
+
+
+class OperatorCommand(Enum):
+    """What an operator may ask for; the values are words of the command line."""
+
+    GO = "go"
+    PAUSE = "pause"
+    BACK = "back"
+
+
+@dataclass(frozen=True)
+class StoredRollout:
+    """The durable state of a rollout; stored by the names of the fields, which are the file's format."""
+
+    plan: str  # the digest of the plan's text, which whoever reads it checks
+    roll: int = 0  # the fencing token: incremented by each take-over, slots reject a lower one
+    state: RolloutState = RolloutState.PLANNED
+    stage: int = 0
+    spent: float = 0.0  # s in this state (of the stage while replacing and comparing) at the last write
+    ordered: Mapping[str, str] = field(default_factory=dict)  # by slot, the version it may be changing to
+    new: tuple[str, ...] = ()  # slots that have the new version, or may have it
+    failures: Mapping[str, int] = field(default_factory=dict)  # failed replacements by slot
+    comparisons: int = 0  # begun in all: each has its own part of alpha
+    before: float | None = None  # the in-time share before the rollout
+    tried: bool = False  # the trial has succeeded
+    accepts: bool = False  # where paused: whether GO ends the stage
+    cause: TransitionCause | None = None  # of the last transition
+    why: str = ""  # the sentence to it
--- a/firvane/proxy/rollout/state_machine.py
+++ b/firvane/proxy/rollout/state_machine.py
@@ -1,364 +1,417 @@
-"""The state machine of a roll: which place gets which version when, what stops it, and how it goes back.
-
-Rules that hold here and nowhere else:
-
-1. What stands in `transitions.TABLE` happens; where the plan says "stay", `STAYS` comes before it. Every
-   state that is no end has a time after which it is left.
-2. A place is out while it is ordered to change, replaces, serves nothing, cannot be reached, or has not been
-   heard yet. An order goes to a place only while its zone has no more out than the plan says, that place
-   among them, and no more than `at_once` are ordered or replace. Who is out already makes a zone no worse.
-3. An order is on disk before it is given, and stands until the place says what became of it. A place that was
-   away, or that an earlier controller ordered, says it with what it serves now. Of an order that is `order_s`
-   old the keeper has ended whatever it did: it counts as failed.
-4. A stage has no more places of the new version than it says; a place that is down keeps the version that it
-   was last known to have. One that comes back with the old one is changed when a place is wanted again.
-5. Each comparison begun is the k-th of the roll and has alpha / (k (k + 1)): all that can ever be begun have
-   alpha together, however often a controller starts anew.
-6. Going back waits for no stage, no comparison, and for those that are down no longer than `back_s`. Whoever
-   serves nothing goes first.
+"""The state machine of a rollout: which slot gets which version when, what stops it, and how it is reverted.
+
+Invariants:
+
+1. What is in `transitions.TRANSITIONS` happens; where the plan says "stay", `TRANSITIONS_IF_STAYING` comes
+   before it. Every state that is not final has a time after which it is left.
+2. A slot is unavailable while it is ordered to change, replaces, serves nothing, cannot be reached, or has
+   not reported yet. An order goes to a slot only while its zone has no more unavailable than the plan says,
+   that slot among them, and no more than `at_once` are ordered or replace. A slot that is unavailable already
+   makes a zone no worse.
+3. An order is on disk before it is sent, and stands until the slot reports its result. A slot that was
+   unreachable, or that an earlier controller ordered, reports it by the version that serves now. The
+   supervisor has ended an order after `order_timeout_s` whatever it did: it counts as failed.
+4. A stage has no more slots of the new version than it says; a slot that is down keeps the version that it
+   was last known to have. One that comes back with the old version is changed when a slot is needed again.
+5. The k-th comparison of a rollout has alpha / (k (k + 1)): all that can ever be begun have alpha together,
+   however often a controller restarts.
+6. Going back waits for no stage, no comparison, and for slots that are down no longer than `back_s`. Slots
+   that serve nothing go first.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from firvane.proxy.rollout.messages import (
-    ENDS,
+from firvane.proxy.rollout.comparison_types import Finding, Verdict
+from firvane.proxy.rollout.events import (
     Action,
-    Ask,
-    Back,
-    Before,
-    Call,
-    Cause,
-    Compare,
-    Down,
+    BaselineMeasured,
+    CommandReceived,
+    ComparisonUpdated,
     Event,
-    Finding,
-    Found,
-    Judged,
-    Keep,
-    Kept,
-    Note,
-    Observe,
-    Operator,
-    Replace,
-    Replaced,
-    ReplaceFailed,
-    State,
-    Stop,
+    LogNote,
+    MeasureBaseline,
+    PersistRollout,
+    QuerySlots,
+    ReplacementFailed,
+    ReplaceSlot,
+    RevertSlot,
+    SlotEvent,
+    SlotReplaced,
+    SlotReported,
+    SlotUnreachable,
+    StartComparison,
+    StartTrial,
+    StopComparison,
     Tick,
-    Tried,
-    Try,
-    Verdict,
+    TrialEnded,
 )
 from firvane.proxy.rollout.plan import Plan, Stage
-from firvane.proxy.rollout.transitions import FORWARD, STAYS, TABLE
+from firvane.proxy.rollout.rollout_state import (
+    FINAL_STATES,
+    OperatorCommand,
+    RolloutState,
+    StoredRollout,
+    TransitionCause,
+)
+from firvane.proxy.rollout.transitions import FORWARD_STATES, TRANSITIONS, TRANSITIONS_IF_STAYING
 
-KEEP_EVERY = 5.0  # s: so much of a stage's time a controller that dies forgets at the most
+PERSIST_INTERVAL_S = 5.0  # so much of a stage's time is lost with a controller, at most
 
 
 @dataclass
-class _Place:
-    """What is known of a place."""
+class _SlotStatus:
+    """What is known of a slot."""
 
     name: str
     zone: str
-    version: str | None = None  # that served there last, as far as is known
-    heard: bool = False  # it answers
-    serves: bool = False
-    busy: bool = False  # it says that it replaces
-    lost: bool = True  # it was away, or an earlier controller ordered it: what it says ends an order
-    due: float = 0.0  # when an order to it has ended, one way or the other
-    stuck: str = ""  # why it cannot go back
-
-
-class RollStateMachine:
-    """A roll from its plan; `kept` is what an earlier controller left. `begin` comes first, then `hear`."""
-
-    def __init__(self, plan: Plan, digest: str, now: float, kept: Kept | None = None) -> None:
-        if kept is None:
-            kept = Kept(digest)
-        self.plan, self.digest = plan, digest
-        self.state, self.stage, self.roll = kept.state, kept.stage, kept.roll
-        self.began = now - kept.spent  # this state; of replacing and comparing, the stage
-        self.since = now  # comparing
-        self.ordered = dict(kept.ordered)
-        self.failures = dict(kept.failures)
-        self.comparisons, self.before, self.tried = kept.comparisons, kept.before, kept.tried
-        self.accepts, self.cause, self.why = kept.accepts, kept.cause, kept.why
+    version: str | None = None  # that served there last, as far as known
+    is_reachable: bool = False
+    is_serving: bool = False
+    is_replacing: bool = False
+    is_stale: bool = True  # it was unreachable, or an earlier controller ordered it: its report ends an order
+    order_ends_at: float = 0.0
+    stuck_reason: str = ""  # why it cannot go back
+
+
+class RolloutStateMachine:
+    """A rollout by its plan. `begin` comes first, then `handle`. Times are seconds on one clock."""
+
+    def __init__(self, plan: Plan, digest: str, now: float, stored: StoredRollout | None = None) -> None:
+        """Go on from the stored state.
+
+        Args:
+            plan: The plan.
+            digest: The digest of its text.
+            now: The current time.
+            stored: What an earlier controller has left.
+        """
+        if stored is None:
+            stored = StoredRollout(digest)
+        self.plan = plan
+        self.digest = digest
+        self.state = stored.state
+        self.stage = stored.stage
+        self.token = stored.roll
+        self.state_began_at = now - stored.spent  # of replacing and comparing: the stage
+        self.comparing_since = now
+        self.ordered = dict(stored.ordered)
+        self.failures = dict(stored.failures)
+        self.comparisons = stored.comparisons
+        self.baseline = stored.before
+        self.trial_succeeded = stored.tried
+        self.go_ends_stage = stored.accepts
+        self.cause = stored.cause
+        self.reason = stored.why
         self.finding: Finding | None = None
-        self.places = {place.name: _Place(place.name, place.zone) for place in plan.place}
-        self.turns = [self.places[name] for name in plan.order()]
-        for name in kept.new:
-            self.places[name].version = plan.roll.version
+        self.slots = {slot.name: _SlotStatus(slot.name, slot.zone) for slot in plan.place}
+        self.slots_in_order = [self.slots[name] for name in plan.replacement_order()]
+        for name in stored.new:
+            self.slots[name].version = plan.roll.version
         for name in self.ordered:
-            self.places[name].due = now + plan.roll.order_s
-        self._observed = False
-        self._compares = False
-        self._dirty = False
-        self._kept_at = now
-        self._out: list[Action] = []
+            self.slots[name].order_ends_at = now + plan.roll.order_timeout_s
+        self._is_baseline_measured = False
+        self._is_comparing = False
+        self._is_changed = False
+        self._persisted_at = now
+        self._actions: list[Action] = []
 
     # What others see
 
     @property
     def ended(self) -> bool:
-        return self.state in ENDS
+        """Whether the state is final."""
+        return self.state in FINAL_STATES
 
-    def kept(self, now: float) -> Kept:
-        """Where it is."""
-        return Kept(
+    def to_stored(self, now: float) -> StoredRollout:
+        """Return the state to be stored."""
+        return StoredRollout(
             plan=self.digest,
-            roll=self.roll,
+            roll=self.token,
             state=self.state,
             stage=self.stage,
-            spent=now - self.began,
+            spent=now - self.state_began_at,
             ordered=dict(self.ordered),
-            new=tuple(self.new_places()),
+            new=tuple(self.new_slots()),
             failures=dict(self.failures),
             comparisons=self.comparisons,
-            before=self.before,
-            tried=self.tried,
-            accepts=self.accepts,
+            before=self.baseline,
+            tried=self.trial_succeeded,
+            accepts=self.go_ends_stage,
             cause=self.cause,
-            why=self.why,
+            why=self.reason,
         )
 
-    def new_places(self) -> list[str]:
-        """Places that were last known to have the new version, in the order of turns: the new side."""
-        return [place.name for place in self.turns if place.version == self.plan.roll.version]
+    def new_slots(self) -> list[str]:
+        """Return the slots that were last known to have the new version, in the order of replacement."""
+        return [slot.name for slot in self.slots_in_order if slot.version == self.plan.roll.version]
 
-    # What goes in
+    # Events
 
     def begin(self, now: float) -> list[Action]:
-        """What is to be done at the start or at a take-over."""
+        """Return what is to be done at the start or at a take-over."""
         if self.ended:
-            return [Note(f"the roll has ended: {self.state.value}; {self.why}")]
-        self.roll += 1
-        self._dirty = True
-        self._do(Ask(tuple(self.places)))
-        if self.state is State.PLANNED:
+            return [LogNote(f"the roll has ended: {self.state.value}; {self.reason}")]
+        self.token += 1
+        self._is_changed = True
+        self._add(QuerySlots(tuple(self.slots)))
+        if self.state is RolloutState.PLANNED:
             self._prepare(now)
-        elif self.state in FORWARD:
-            self._compare()
-        return self._flush(now)
+        elif self.state in FORWARD_STATES:
+            self._start_comparison()
+        return self._take_actions(now)
 
-    def hear(self, event: Event, now: float) -> list[Action]:
-        """What follows from an event: done in that order."""
+    def handle(self, event: Event, now: float) -> list[Action]:
+        """Return the actions that follow from an event, in order."""
         if self.ended:
             return []
         match event:
-            case Tried(wrong):
-                self._on_tried(wrong, now)
-            case Before(share):
-                if self.state is State.PLANNED:
-                    self.before, self._observed = share, True
-            case Found(name, version, busy):
-                self._on_found(self.places[name], version, busy)
-            case Replaced(name, version):
-                self._answered(self.places[name], version)
-                self._end_order(name)
-            case ReplaceFailed(name, why):
-                self._on_failed(name, why, now)
-            case Down(name):
-                place = self.places[name]
-                place.heard = place.serves = place.busy = False
-                place.lost = True
-            case Judged(finding, number):
-                self._on_judged(finding, number, now)
-            case Operator(call):
-                self._on_call(call, now)
+            case TrialEnded(error):
+                self._on_trial_ended(error, now)
+            case BaselineMeasured(share):
+                if self.state is RolloutState.PLANNED:
+                    self.baseline, self._is_baseline_measured = share, True
+            case ComparisonUpdated(finding, number):
+                self._on_comparison_updated(finding, number, now)
+            case CommandReceived(command):
+                self._on_command(command, now)
             case Tick():
                 pass
+            case _:
+                self._on_slot_event(event, now)
         self._step(now)
-        return self._flush(now)
+        return self._take_actions(now)
 
-    def _on_tried(self, wrong: str, now: float) -> None:
-        if self.state is not State.PLANNED:
+    def _on_slot_event(self, event: SlotEvent, now: float) -> None:
+        slot = self.slots[event.slot]
+        match event:
+            case SlotReported(_, version, is_replacing):
+                self._on_slot_reported(slot, version, is_replacing)
+            case SlotReplaced(_, version):
+                self._update_slot(slot, version)
+                self._end_order(slot.name)
+            case ReplacementFailed(_, reason):
+                self._on_replacement_failed(slot.name, reason, now)
+            case SlotUnreachable():
+                slot.is_reachable = slot.is_serving = slot.is_replacing = False
+                slot.is_stale = True
+
+    def _on_trial_ended(self, error: str, now: float) -> None:
+        if self.state is not RolloutState.PLANNED:
             return
-        if wrong:
-            self._go(Cause.REFUSED, now, f"the new version was not begun: {wrong}")
-        elif not self.tried:
-            self.tried = self._dirty = True
-
-    def _on_found(self, place: _Place, version: str, busy: bool) -> None:
-        wanted = self.ordered.get(place.name)
-        # What it said before it had the order says nothing of the order.
-        if not busy and (place.lost or version == wanted):
-            self._end_order(place.name)
-        self._answered(place, version)
-        place.busy = busy
-
-    def _answered(self, place: _Place, version: str) -> None:
-        place.heard, place.serves, place.busy, place.lost = True, bool(version), False, False
+        if error:
+            self._transition(TransitionCause.REFUSED, now, f"the new version was not begun: {error}")
+        elif not self.trial_succeeded:
+            self.trial_succeeded = self._is_changed = True
+
+    def _on_slot_reported(self, slot: _SlotStatus, version: str, is_replacing: bool) -> None:
+        ordered = self.ordered.get(slot.name)
+        # A report from before it had the order is no result of the order.
+        if not is_replacing and (slot.is_stale or version == ordered):
+            self._end_order(slot.name)
+        self._update_slot(slot, version)
+        slot.is_replacing = is_replacing
+
+    def _update_slot(self, slot: _SlotStatus, version: str) -> None:
+        slot.is_reachable, slot.is_serving = True, bool(version)
+        slot.is_replacing, slot.is_stale = False, False
         if version:
-            self._dirty |= self.plan.roll.version in (version, place.version) and version != place.version
-            place.version = version
+            concerns_new = self.plan.roll.version in (version, slot.version)
+            self._is_changed |= concerns_new and version != slot.version
+            slot.version = version
 
     def _end_order(self, name: str) -> None:
         if self.ordered.pop(name, None) is not None:
-            self._dirty = True
+            self._is_changed = True
 
-    def _on_failed(self, name: str, why: str, now: float) -> None:
-        wanted = self.ordered.get(name)
-        self.places[name].busy = False
-        if wanted is None:
+    def _on_replacement_failed(self, name: str, reason: str, now: float) -> None:
+        ordered = self.ordered.get(name)
+        self.slots[name].is_replacing = False
+        if ordered is None:
             return
         self._end_order(name)
-        forward = wanted == self.plan.roll.version
-        self._do(Note(f"{name} did not change to {wanted}: {why}"))
-        if forward != (self.state is not State.GOING_BACK):
-            return  # it was ordered before the roll turned round
+        is_forward = ordered == self.plan.roll.version
+        self._add(LogNote(f"{name} did not change to {ordered}: {reason}"))
+        if is_forward != (self.state is not RolloutState.GOING_BACK):
+            return  # it was ordered before the rollout turned back
         self.failures[name] = self.failures.get(name, 0) + 1
-        if forward and self.state in FORWARD and sum(self.failures.values()) >= self.plan.roll.tries:
-            self._go(Cause.FAILED, now, f"{name} did not take the new version: {why}")
-        elif not forward and self.failures[name] >= self.plan.roll.tries:
-            self.places[name].stuck = why
-
-    def _on_judged(self, finding: Finding, number: int, now: float) -> None:
-        if self.state not in FORWARD or number != self.comparisons or not self._compares:
+        is_too_many = sum(self.failures.values()) >= self.plan.roll.tries
+        if is_forward and self.state in FORWARD_STATES and is_too_many:
+            self._transition(TransitionCause.FAILED, now, f"{name} did not take the new version: {reason}")
+        elif not is_forward and self.failures[name] >= self.plan.roll.tries:
+            self.slots[name].stuck_reason = reason
+
+    def _on_comparison_updated(self, finding: Finding, number: int, now: float) -> None:
+        if self.state not in FORWARD_STATES or number != self.comparisons or not self._is_comparing:
             return
         self.finding = finding
         if finding.verdict is Verdict.WORSE:
-            self._go(Cause.WORSE, now, finding.why)
-
-    def _on_call(self, call: Call, now: float) -> None:
-        table = TABLE[self.state]
-        if call is Call.PAUSE and Cause.PAUSE in table:
-            self._go(Cause.PAUSE, now, "an operator paused it")
-        elif call is Call.BACK and Cause.BACK in table:
-            self._go(Cause.BACK, now, "an operator sent it back")
-        elif call is Call.GO and self.state is State.PAUSED:
+            self._transition(TransitionCause.WORSE, now, finding.reason)
+
+    def _on_command(self, command: OperatorCommand, now: float) -> None:
+        causes = TRANSITIONS[self.state]
+        if command is OperatorCommand.PAUSE and TransitionCause.PAUSE in causes:
+            self._transition(TransitionCause.PAUSE, now, "an operator paused it")
+        elif command is OperatorCommand.BACK and TransitionCause.BACK in causes:
+            self._transition(TransitionCause.BACK, now, "an operator sent it back")
+        elif command is OperatorCommand.GO and self.state is RolloutState.PAUSED:
             self._on_go(now)
         else:
-            self._do(Note(f"{call.value} says nothing to a roll that is {self.state.value}"))
+            self._add(LogNote(f"{command.value} says nothing to a roll that is {self.state.value}"))
 
     def _on_go(self, now: float) -> None:
-        why = "an operator let it go on"
+        reason = "an operator let it go on"
         self.failures.clear()
-        if not self.tried:
-            self._go(Cause.AGAIN, now, why)
-        elif not self.accepts:
-            self._go(Cause.GO, now, why)
+        if not self.trial_succeeded:
+            self._transition(TransitionCause.AGAIN, now, reason)
+        elif not self.go_ends_stage:
+            self._transition(TransitionCause.GO, now, reason)
         elif self._is_last:
-            self._go(Cause.ACCEPTED, now, "an operator accepted the last stage" + self._missing())
+            reason = "an operator accepted the last stage" + self._describe_missing()
+            self._transition(TransitionCause.ACCEPTED, now, reason)
         else:
-            self._next_stage()
-            self._go(Cause.GO, now, why)
+            self._begin_next_stage()
+            self._transition(TransitionCause.GO, now, reason)
 
     # What is due
 
     def _step(self, now: float) -> None:
-        for name in [name for name in self.ordered if now >= self.places[name].due]:
-            place = self.places[name]
-            if not place.busy:
-                if self.ordered[name] == self.plan.roll.version:
-                    place.version = self.plan.roll.version  # it may have it, until it says what it has
-                place.heard, place.serves, place.lost = False, False, True
-                self._on_failed(name, "nothing was heard of the order in time", now)
-            else:
-                place.due = now + self.plan.roll.order_s  # it says itself that it is not done
+        self._expire_orders(now)
         match self.state:
-            case State.PLANNED:
+            case RolloutState.PLANNED:
                 self._step_planned(now)
-            case State.REPLACING | State.COMPARING:
+            case RolloutState.REPLACING | RolloutState.COMPARING:
                 self._step_forward(now)
-            case State.PAUSED:
-                if now - self.began >= self.plan.roll.ask_s:
-                    self._go(Cause.UNANSWERED, now, f"nobody answered the pause in time; before: {self.why}")
-            case State.GOING_BACK:
+            case RolloutState.PAUSED:
+                if now - self.state_began_at >= self.plan.roll.ask_s:
+                    reason = f"nobody answered the pause in time; before: {self.reason}"
+                    self._transition(TransitionCause.UNANSWERED, now, reason)
+            case RolloutState.GOING_BACK:
                 self._step_back(now)
 
+    def _expire_orders(self, now: float) -> None:
+        """End orders without a result, those excepted whose slots report that they still replace."""
+        for name in [name for name in self.ordered if now >= self.slots[name].order_ends_at]:
+            slot = self.slots[name]
+            if slot.is_replacing:
+                slot.order_ends_at = now + self.plan.roll.order_timeout_s
+                continue
+            if self.ordered[name] == self.plan.roll.version:
+                slot.version = self.plan.roll.version  # it may have it, until it reports
+            slot.is_reachable, slot.is_serving, slot.is_stale = False, False, True
+            self._on_replacement_failed(name, "nothing was heard of the order in time", now)
+
     def _step_planned(self, now: float) -> None:
         roll = self.plan.roll
-        late = now - self.began >= max(roll.before_s, roll.order_s) + roll.order_s
-        if not self.tried:
-            if late:
-                self._go(Cause.REFUSED, now, "the new version was not begun: its trial did not end in time")
-        elif self._observed or late:
-            if self.before is not None and self.before < roll.least_before:
-                share, least = f"{self.before:.1%}", f"{roll.least_before:.0%}"
-                why = f"{share} of the requests were answered in time before the roll; {least} is the least"
-                self._go(Cause.UNWELL, now, why)
+        longest_s = max(roll.before_s, roll.order_timeout_s) + roll.order_timeout_s
+        is_late = now - self.state_began_at >= longest_s
+        if not self.trial_succeeded:
+            if is_late:
+                reason = "the new version was not begun: its trial did not end in time"
+                self._transition(TransitionCause.REFUSED, now, reason)
+        elif self._is_baseline_measured or is_late:
+            if self.baseline is not None and self.baseline < roll.least_before:
+                share, least = f"{self.baseline:.1%}", f"{roll.least_before:.0%}"
+                reason = (
+                    f"{share} of the requests were answered in time before the roll; {least} is the least"
+                )
+                self._transition(TransitionCause.UNWELL, now, reason)
             else:
-                self._go(Cause.BEGUN, now, "the trial of the new version went well")
+                self._transition(TransitionCause.BEGUN, now, "the trial of the new version went well")
 
     def _step_forward(self, now: float) -> None:
-        last, stage = self._is_last, self._stage
-        filled = self._fill(now)
-        if self.state is State.REPLACING and filled:
-            self._go(Cause.REPLACED, now, f"stage {self.stage + 1} has the new version")
-            self.since = now
-        missing = self._missing() if last else ""
-        fine = (
-            self.state is State.COMPARING
-            and filled
-            and now - self.since >= stage.soak_s
+        is_last, stage = self._is_last, self._stage
+        is_filled = self._fill_stage(now)
+        if self.state is RolloutState.REPLACING and is_filled:
+            reason = f"stage {self.stage + 1} has the new version"
+            self._transition(TransitionCause.REPLACED, now, reason)
+            self.comparing_since = now
+        missing = self._describe_missing() if is_last else ""
+        is_fine = (
+            self.state is RolloutState.COMPARING
+            and is_filled
+            and now - self.comparing_since >= stage.soak_s
             and self.finding is not None
             and self.finding.verdict is Verdict.FINE
         )
-        long = now - self.began >= stage.longest_s
-        why = self.finding.why if self.finding else "nothing could be compared"
-        if fine and not (missing and not long):
-            if stage.at_end == "pause":
-                self._go(Cause.AT_END, now, f"the plan asks after stage {self.stage + 1}: {why}")
-            elif last:
-                self._go(Cause.LAST, now, why + missing)
-            else:
-                self._next_stage()
-                self._go(Cause.FINE, now, why)
-        elif long:
-            self._go(Cause.TOO_LONG, now, f"stage {self.stage + 1} took its longest time: {self._waits(why)}")
-
-    def _waits(self, why: str) -> str:
-        if self.state is State.COMPARING:
-            return why
-        return "places wait for their turn" + (self._missing() if self._missing() else "")
-
-    def _fill(self, now: float) -> bool:
-        """Orders the new version where a place is wanted; whether all that can have it do."""
+        is_overdue = now - self.state_began_at >= stage.longest_s
+        reason = self.finding.reason if self.finding else "nothing could be compared"
+        if is_fine and not (missing and not is_overdue):
+            self._end_stage(now, reason, missing)
+        elif is_overdue:
+            waits = self._describe_wait(reason)
+            reason = f"stage {self.stage + 1} took its longest time: {waits}"
+            self._transition(TransitionCause.TOO_LONG, now, reason)
+
+    def _end_stage(self, now: float, reason: str, missing: str) -> None:
+        """The stage is fine: pause, end, or go on with the next one."""
+        if self._stage.at_end == "pause":
+            reason = f"the plan asks after stage {self.stage + 1}: {reason}"
+            self._transition(TransitionCause.AT_END, now, reason)
+        elif self._is_last:
+            self._transition(TransitionCause.LAST, now, reason + missing)
+        else:
+            self._begin_next_stage()
+            self._transition(TransitionCause.FINE, now, reason)
+
+    def _describe_wait(self, reason: str) -> str:
+        if self.state is RolloutState.COMPARING:
+            return reason
+        return "places wait for their turn" + self._describe_missing()
+
+    def _fill_stage(self, now: float) -> bool:
+        """Order the new version where the stage needs a slot; return whether all that can have it do."""
         new = self.plan.roll.version
-        wanted = self.plan.goal(self.stage)
-        wanted -= sum(new in (place.version, self.ordered.get(place.name)) for place in self.turns)
-        waits = False
-        for place in self.turns:
-            if wanted <= 0:
+        needed = self.plan.target_count(self.stage)
+        needed -= sum(new in (slot.version, self.ordered.get(slot.name)) for slot in self.slots_in_order)
+        is_waiting = False
+        for slot in self.slots_in_order:
+            if needed <= 0:
                 break
-            if place.version == new or not place.serves or place.name in self.ordered or place.busy:
+            if slot.version == new or not slot.is_serving or slot.name in self.ordered or slot.is_replacing:
                 continue
-            if self._may(place):
-                self._order(place, now)
-                wanted -= 1
+            if self._may_order(slot):
+                self._order(slot, now)
+                needed -= 1
             else:
-                waits = True
-        some = any(place.version == new for place in self.turns)
-        return some and not (waits or self.ordered)
+                is_waiting = True
+        has_some = any(slot.version == new for slot in self.slots_in_order)
+        return has_some and not (is_waiting or self.ordered)
 
     def _step_back(self, now: float) -> None:
         new = self.plan.roll.version
-        waits = False
-        for place in sorted(reversed(self.turns), key=lambda place: place.serves):
-            if place.name in self.ordered or place.busy:
-                waits = True
-            elif place.version != new or place.stuck:
-                continue  # it is back, never had the new one, or cannot go back
+        is_waiting = False
+        for slot in sorted(reversed(self.slots_in_order), key=lambda slot: slot.is_serving):
+            if slot.name in self.ordered or slot.is_replacing:
+                is_waiting = True
+            elif slot.version != new or slot.stuck_reason:
+                continue  # it is back, never had the new version, or cannot go back
             else:
-                waits = True
-                if place.heard and self._may(place):
-                    self._order(place, now)
-        if waits and now - self.began < self.plan.roll.back_s:
+                is_waiting = True
+                if slot.is_reachable and self._may_order(slot):
+                    self._order(slot, now)
+        if is_waiting and now - self.state_began_at < self.plan.roll.back_s:
             return
-        left = [place for place in self.turns if waits and (place.name in self.ordered or place.busy)]
-        left += [p for p in self.turns if p not in left and p.version == new]
+        left = self._slots_not_reverted(is_waiting)
         if left:
-            told = ", ".join(f"{p.name} ({p.stuck or ('down' if not p.heard else 'not done')})" for p in left)
-            self._go(Cause.LEFT, now, f"{self.why}; could not go back: {told}")
+            names = ", ".join(
+                f"{slot.name} ({slot.stuck_reason or ('down' if not slot.is_reachable else 'not done')})"
+                for slot in left
+            )
+            self._transition(TransitionCause.LEFT, now, f"{self.reason}; could not go back: {names}")
         else:
-            self._go(Cause.WHOLE, now, self.why)
+            self._transition(TransitionCause.WHOLE, now, self.reason)
+
+    def _slots_not_reverted(self, is_waiting: bool) -> list[_SlotStatus]:
+        slots = self.slots_in_order
+        left = [slot for slot in slots if is_waiting and (slot.name in self.ordered or slot.is_replacing)]
+        left += [slot for slot in slots if slot not in left and slot.version == self.plan.roll.version]
+        return left
 
-    def _missing(self) -> str:
+    def _describe_missing(self) -> str:
         new = self.plan.roll.version
-        names = [place.name for place in self.turns if place.version != new]
+        names = [slot.name for slot in self.slots_in_order if slot.version != new]
         return f"; without the new version: {', '.join(names)}" if names else ""
 
     @property
@@ -367,78 +420,84 @@
 
     @property
     def _is_last(self) -> bool:
-        return self.plan.goal(self.stage) == len(self.plan.place)
+        return self.plan.target_count(self.stage) == len(self.plan.place)
 
-    def _next_stage(self) -> None:
-        """The next one that has more places: in a small tier one and a tenth are the same."""
-        goal = self.plan.goal(self.stage)
-        while self.plan.goal(self.stage) == goal:
+    def _begin_next_stage(self) -> None:
+        """Go to the next stage that has more slots: in a small tier one and a tenth are the same."""
+        count = self.plan.target_count(self.stage)
+        while self.plan.target_count(self.stage) == count:
             self.stage += 1
 
     # Orders
 
-    def _is_out(self, place: _Place) -> bool:
-        return place.name in self.ordered or place.busy or not place.serves
+    def _is_unavailable(self, slot: _SlotStatus) -> bool:
+        return slot.name in self.ordered or slot.is_replacing or not slot.is_serving
 
-    def _may(self, place: _Place) -> bool:
-        """Whether an order may go to a place that answers and is not at it."""
-        if sum(one.name in self.ordered or one.busy for one in self.turns) >= self.plan.roll.at_once:
+    def _may_order(self, slot: _SlotStatus) -> bool:
+        """Whether an order may go to a slot that is reachable and does not replace."""
+        in_progress = sum(one.name in self.ordered or one.is_replacing for one in self.slots_in_order)
+        if in_progress >= self.plan.roll.at_once:
             return False
-        out = sum(one.zone == place.zone and self._is_out(one) for one in self.turns)
-        return self._is_out(place) or out < self.plan.most_out(place.zone)
-
-    def _order(self, place: _Place, now: float) -> None:
-        back = self.state is State.GOING_BACK
-        version = self.plan.roll.old if back else self.plan.roll.version
-        self.ordered[place.name] = version
-        place.due = now + self.plan.roll.order_s
-        self._dirty = True
-        self._do((Back if back else Replace)(place.name, version, self.roll))
-
-    # The table
-
-    def _go(self, cause: Cause, now: float, why: str) -> None:
-        before = self.state
-        to = TABLE[before][cause]
+        unavailable = sum(one.zone == slot.zone and self._is_unavailable(one) for one in self.slots_in_order)
+        return self._is_unavailable(slot) or unavailable < self.plan.max_unavailable(slot.zone)
+
+    def _order(self, slot: _SlotStatus, now: float) -> None:
+        is_back = self.state is RolloutState.GOING_BACK
+        version = self.plan.roll.old if is_back else self.plan.roll.version
+        self.ordered[slot.name] = version
+        slot.order_ends_at = now + self.plan.roll.order_timeout_s
+        self._is_changed = True
+        self._add((RevertSlot if is_back else ReplaceSlot)(slot.name, version, self.token))
+
+    # Transitions
+
+    def _transition(self, cause: TransitionCause, now: float, reason: str) -> None:
+        old = self.state
+        new = TRANSITIONS[old][cause]
         if self.plan.roll.on_worse == "stay":
-            to = STAYS.get(cause, to)
-        in_stage = before is State.REPLACING and to is State.COMPARING
-        self.accepts = before is State.COMPARING and cause in (Cause.AT_END, Cause.TOO_LONG, Cause.WORSE)
-        self.state, self.cause, self.why = to, cause, why
-        if not in_stage:
-            self.began = now
-            if self._compares:
-                self._compares = False
-                self._do(Stop())
-        self._dirty = True
-        self._do(Note(f"{before.value} -> {to.value}: {why}"))
-        if to is State.GOING_BACK:
+            new = TRANSITIONS_IF_STAYING.get(cause, new)
+        is_same_stage = old is RolloutState.REPLACING and new is RolloutState.COMPARING
+        self.go_ends_stage = old is RolloutState.COMPARING and cause in (
+            TransitionCause.AT_END,
+            TransitionCause.TOO_LONG,
+            TransitionCause.WORSE,
+        )
+        self.state, self.cause, self.reason = new, cause, reason
+        if not is_same_stage:
+            self.state_began_at = now
+            if self._is_comparing:
+                self._is_comparing = False
+                self._add(StopComparison())
+        self._is_changed = True
+        self._add(LogNote(f"{old.value} -> {new.value}: {reason}"))
+        if new is RolloutState.GOING_BACK:
             self.failures.clear()
-        elif to is State.REPLACING:
-            self._compare()
-        elif to is State.PLANNED:
+        elif new is RolloutState.REPLACING:
+            self._start_comparison()
+        elif new is RolloutState.PLANNED:
             self._prepare(now)
 
     def _prepare(self, now: float) -> None:
-        self._observed = False
-        self.began = now
-        self._do(Try(self.plan.roll.version))
-        self._do(Observe(self.plan.roll.before_s))
+        self._is_baseline_measured = False
+        self.state_began_at = now
+        self._add(StartTrial(self.plan.roll.version))
+        self._add(MeasureBaseline(self.plan.roll.before_s))
 
-    def _compare(self) -> None:
+    def _start_comparison(self) -> None:
         self.comparisons += 1
-        self.finding, self._compares, self._dirty = None, True, True
+        self.finding, self._is_comparing, self._is_changed = None, True, True
         alpha = self.plan.compare.alpha / (self.comparisons * (self.comparisons + 1))
-        self._do(Compare(self.comparisons, alpha, self._stage.soak_s, self.before, self._is_last))
-
-    def _do(self, action: Action) -> None:
-        self._out.append(action)
-
-    def _flush(self, now: float) -> list[Action]:
-        if now - self._kept_at >= KEEP_EVERY and not self.ended:
-            self._dirty = True
-        out, self._out = self._out, []
-        if self._dirty:
-            self._dirty, self._kept_at = False, now
-            out.insert(0, Keep(self.kept(now)))
-        return out
+        self._add(StartComparison(self.comparisons, alpha, self._stage.soak_s, self.baseline, self._is_last))
+
+    def _add(self, action: Action) -> None:
+        self._actions.append(action)
+
+    def _take_actions(self, now: float) -> list[Action]:
+        """Return the actions of this step, a changed state first."""
+        if now - self._persisted_at >= PERSIST_INTERVAL_S and not self.ended:
+            self._is_changed = True
+        actions, self._actions = self._actions, []
+        if self._is_changed:
+            self._is_changed, self._persisted_at = False, now
+            actions.insert(0, PersistRollout(self.to_stored(now)))
+        return actions
--- a/firvane/proxy/rollout/transitions.py
+++ b/firvane/proxy/rollout/transitions.py
@@ -1,59 +1,75 @@
-"""The states of a roll and what leads from each to the next: the table that its state machine goes by."""
+"""The transitions between the states of a rollout: the table that its state machine follows."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from typing import NamedTuple
 
-from firvane.proxy.rollout.messages import Cause, State
+from firvane.proxy.rollout.rollout_state import RolloutState, TransitionCause
 
-TABLE: dict[State, dict[Cause, State]] = {
-    State.PLANNED: {
-        Cause.BEGUN: State.REPLACING,
-        Cause.REFUSED: State.GIVEN_UP,
-        Cause.UNWELL: State.PAUSED,
-        Cause.PAUSE: State.PAUSED,
-        Cause.BACK: State.GOING_BACK,
+TRANSITIONS: dict[RolloutState, dict[TransitionCause, RolloutState]] = {
+    RolloutState.PLANNED: {
+        TransitionCause.BEGUN: RolloutState.REPLACING,
+        TransitionCause.REFUSED: RolloutState.GIVEN_UP,
+        TransitionCause.UNWELL: RolloutState.PAUSED,
+        TransitionCause.PAUSE: RolloutState.PAUSED,
+        TransitionCause.BACK: RolloutState.GOING_BACK,
     },
-    State.REPLACING: {
-        Cause.REPLACED: State.COMPARING,
-        Cause.WORSE: State.GOING_BACK,
-        Cause.FAILED: State.GOING_BACK,
-        Cause.TOO_LONG: State.PAUSED,
-        Cause.PAUSE: State.PAUSED,
-        Cause.BACK: State.GOING_BACK,
+    RolloutState.REPLACING: {
+        TransitionCause.REPLACED: RolloutState.COMPARING,
+        TransitionCause.WORSE: RolloutState.GOING_BACK,
+        TransitionCause.FAILED: RolloutState.GOING_BACK,
+        TransitionCause.TOO_LONG: RolloutState.PAUSED,
+        TransitionCause.PAUSE: RolloutState.PAUSED,
+        TransitionCause.BACK: RolloutState.GOING_BACK,
     },
-    State.COMPARING: {
-        Cause.FINE: State.REPLACING,
-        Cause.LAST: State.DONE,
-        Cause.AT_END: State.PAUSED,
-        Cause.WORSE: State.GOING_BACK,
-        Cause.FAILED: State.GOING_BACK,
-        Cause.TOO_LONG: State.PAUSED,
-        Cause.PAUSE: State.PAUSED,
-        Cause.BACK: State.GOING_BACK,
+    RolloutState.COMPARING: {
+        TransitionCause.FINE: RolloutState.REPLACING,
+        TransitionCause.LAST: RolloutState.DONE,
+        TransitionCause.AT_END: RolloutState.PAUSED,
+        TransitionCause.WORSE: RolloutState.GOING_BACK,
+        TransitionCause.FAILED: RolloutState.GOING_BACK,
+        TransitionCause.TOO_LONG: RolloutState.PAUSED,
+        TransitionCause.PAUSE: RolloutState.PAUSED,
+        TransitionCause.BACK: RolloutState.GOING_BACK,
     },
-    State.PAUSED: {
-        Cause.AGAIN: State.PLANNED,
-        Cause.GO: State.REPLACING,
-        Cause.ACCEPTED: State.DONE,
-        Cause.BACK: State.GOING_BACK,
-        Cause.UNANSWERED: State.GOING_BACK,
+    RolloutState.PAUSED: {
+        TransitionCause.AGAIN: RolloutState.PLANNED,
+        TransitionCause.GO: RolloutState.REPLACING,
+        TransitionCause.ACCEPTED: RolloutState.DONE,
+        TransitionCause.BACK: RolloutState.GOING_BACK,
+        TransitionCause.UNANSWERED: RolloutState.GOING_BACK,
     },
-    State.GOING_BACK: {Cause.WHOLE: State.BACK, Cause.LEFT: State.GIVEN_UP},
-    State.DONE: {},
-    State.BACK: {},
-    State.GIVEN_UP: {},
+    RolloutState.GOING_BACK: {
+        TransitionCause.WHOLE: RolloutState.BACK,
+        TransitionCause.LEFT: RolloutState.GIVEN_UP,
+    },
+    RolloutState.DONE: {},
+    RolloutState.BACK: {},
+    RolloutState.GIVEN_UP: {},
 }
 # Where the plan says "stay" these come before the table.
-STAYS = {Cause.WORSE: State.PAUSED, Cause.FAILED: State.PAUSED, Cause.UNANSWERED: State.GIVEN_UP}
-# In which places are changed to the new version.
-FORWARD = frozenset((State.REPLACING, State.COMPARING))
-
-
-def transitions() -> Iterator[tuple[State, Cause, State]]:
-    """All that stands in the tables, for the page and for tests."""
-    for state, causes in TABLE.items():
-        for cause, to in causes.items():
-            yield state, cause, to
-            if cause in STAYS:
-                yield state, cause, STAYS[cause]
+TRANSITIONS_IF_STAYING = {
+    TransitionCause.WORSE: RolloutState.PAUSED,
+    TransitionCause.FAILED: RolloutState.PAUSED,
+    TransitionCause.UNANSWERED: RolloutState.GIVEN_UP,
+}
+# In which slots are changed to the new version.
+FORWARD_STATES = frozenset((RolloutState.REPLACING, RolloutState.COMPARING))
+
+
+class Transition(NamedTuple):
+    """One row of the table."""
+
+    state: RolloutState
+    cause: TransitionCause
+    next_state: RolloutState
+
+
+def transitions() -> Iterator[Transition]:
+    """Yield all transitions of both tables, for the page and for tests."""
+    for state, causes in TRANSITIONS.items():
+        for cause, next_state in causes.items():
+            yield Transition(state, cause, next_state)
+            if cause in TRANSITIONS_IF_STAYING:
+                yield Transition(state, cause, TRANSITIONS_IF_STAYING[cause])
--- a/firvane/simulation/runner/rolling.py
+++ b/firvane/simulation/runner/rolling.py
@@ -15,30 +15,27 @@
 from typing import Any
 
 from firvane.proxy.rollout import measurements, plan
-from firvane.proxy.rollout.compare import Comparison, in_time_share
-from firvane.proxy.rollout.messages import (
+from firvane.proxy.rollout.comparison import Comparison, in_time_share
+from firvane.proxy.rollout.comparison_types import Block, Finding, Side, Verdict
+from firvane.proxy.rollout.events import (
     Action,
-    Back,
-    Before,
-    Block,
-    Compare,
+    BaselineMeasured,
+    ComparisonUpdated,
     Event,
-    Finding,
-    Found,
-    Judged,
-    Observe,
-    Replace,
-    Replaced,
-    ReplaceFailed,
-    Side,
-    State,
-    Stop,
+    MeasureBaseline,
+    ReplacementFailed,
+    ReplaceSlot,
+    RevertSlot,
+    SlotReplaced,
+    SlotReported,
+    StartComparison,
+    StartTrial,
+    StopComparison,
     Tick,
-    Tried,
-    Try,
-    Verdict,
+    TrialEnded,
 )
-from firvane.proxy.rollout.state_machine import RollStateMachine
+from firvane.proxy.rollout.rollout_state import RolloutState
+from firvane.proxy.rollout.state_machine import RolloutStateMachine
 from firvane.simulation.emulation.network import Seat
 from firvane.simulation.emulation.records import Rolled
 from firvane.simulation.emulation.scenario import Roll, Scenario
@@ -63,15 +60,15 @@
         for part in roll.stages
     ]
     return plan.Plan(
-        roll=plan.Roll(version=NEW, old=OLD, before_s=roll.before_s, prove_s=roll.prove_s, ask_s=1.0),
+        roll=plan.RollSettings(version=NEW, old=OLD, before_s=roll.before_s, prove_s=roll.prove_s, ask_s=1.0),
         version={OLD: plan.Version(command=(OLD,)), NEW: plan.Version(command=(NEW,))},
-        place=tuple(plan.Place(name=s.name, zone=s.zone, door=s.name, ops=s.name) for s in bank),
+        place=tuple(plan.SlotPlan(name=s.name, zone=s.zone, door=s.name, ops=s.name) for s in bank),
         stage=tuple(stages),
-        compare=plan.Limits(
+        compare=plan.ComparisonSettings(
             block_s=roll.block_s,
             settle_s=roll.settle_s,
             least_requests=roll.least_requests,
-            harms=plan.Harms(descriptors=DESCRIPTORS),
+            harms=plan.HarmThresholds(descriptors=DESCRIPTORS),
         ),
     )
 
@@ -106,7 +103,7 @@
 
 def errors(blocks: Sequence[Block]) -> tuple[int, int]:
     """Requests taken, and those refused or failed."""
-    all_ = [counts for block in blocks for key, counts in block.by.items() if key.startswith("class:")]
+    all_ = [counts for block in blocks for key, counts in block.counts.items() if key.startswith("class:")]
     return sum(c.taken for c in all_), sum(c.refused + c.failed for c in all_)
 
 
@@ -125,17 +122,17 @@
         self.has = dict.fromkeys(self.names, OLD)  # by place, what starts there
         self.runs: dict[str, str] = {}  # and what is running
         self.up: set[str] = set()  # those that are ready
-        self.orders: dict[str, Replace | Back] = {}
+        self.orders: dict[str, ReplaceSlot | RevertSlot] = {}
         self.samples: dict[str, measurements.Sample] = {}
         self.faults: dict[str, list[Fault]] = {OLD: [], NEW: []}
         self.earlier = 0  # requests before the roll
-        self.machine: RollStateMachine | None = None
+        self.machine: RolloutStateMachine | None = None
         self.judge: Comparison | Errors | None = None
         self.number, self.judged = 0, 0.0
         self.began, self.soak_s = 0.0, 0.0
         self.before: list[Block] = []
         self.before_until = -1.0
-        self.state: State | None = None
+        self.state: RolloutState | None = None
         for number, machine in enumerate(machines):
             machine.shim = lambda proxy, number=number: self._fit(number, proxy)
 
@@ -159,10 +156,10 @@
 
     def _begin(self, now: float) -> None:
         self.earlier = self._taken()[OLD]
-        self.machine = RollStateMachine(self.plan, "virtual", now)
+        self.machine = RolloutStateMachine(self.plan, "virtual", now)
         self._do(self.machine.begin(now), now)
         for name in self.names:
-            self._hear(Found(name, self._serves(name)), now)
+            self._hear(SlotReported(name, self._serves(name)), now)
         self.clock.call_at(now + TICK_S, self._tick)
         self.clock.call_at(now + self.roll.block_s, self._moment)
 
@@ -181,7 +178,7 @@
     def _proved(self, now: float, name: str, life: int) -> None:
         if name in self.orders and self._life(name) == life and name in self.up:
             order = self.orders.pop(name)
-            self._hear(Replaced(name, order.version), now)
+            self._hear(SlotReplaced(name, order.version), now)
 
     def ended(self, name: str, code: int) -> None:
         """It has ended, told to or not; it starts again as what its place has."""
@@ -190,7 +187,7 @@
         if order and code and self.runs.get(name) == order.version:
             del self.orders[name]
             self.has[name] = OLD
-            self._hear(ReplaceFailed(name, "it ended before it was proved"), self.clock.now())
+            self._hear(ReplacementFailed(name, "it ended before it was proved"), self.clock.now())
 
     def _serves(self, name: str) -> str:
         number = self.names.index(name)
@@ -206,27 +203,27 @@
 
     def _hear(self, event: Event, now: float) -> None:
         if self.machine and not self.machine.ended:
-            self._do(self.machine.hear(event, now), now)
+            self._do(self.machine.handle(event, now), now)
 
     def _do(self, actions: Sequence[Action], now: float) -> None:
         for action in actions:
             match action:
-                case Try():
-                    self.clock.call_at(now, lambda now: self._hear(Tried(), now))
-                case Observe(span):
+                case StartTrial():
+                    self.clock.call_at(now, lambda now: self._hear(TrialEnded(), now))
+                case MeasureBaseline(span):
                     self.before, self.before_until = [], now + span
-                case Replace(name, version) | Back(name, version):
+                case ReplaceSlot(name, version) | RevertSlot(name, version):
                     self._replace(name, version, action, now)
-                case Compare():
+                case StartComparison():
                     self._compare(action, now)
-                case Stop():
+                case StopComparison():
                     self.judge = None
                 case _:
                     pass
         machine = self.machine
         if machine and machine.state is not self.state:
             self.state = machine.state
-            self._note(machine.why, now)
+            self._note(machine.reason, now)
             if machine.ended:
                 self.over(now)
 
@@ -237,25 +234,27 @@
         all_ = taken[OLD] + taken[NEW] - self.earlier
         self.sink(Rolled(now, machine.state.value, machine.stage, text, taken[NEW], all_))
 
-    def _replace(self, name: str, version: str, order: Replace | Back, now: float) -> None:
+    def _replace(self, name: str, version: str, order: ReplaceSlot | RevertSlot, now: float) -> None:
         self.orders[name] = order
         self.has[name] = version
         self.tier.strike(Step(now, Deed.END, proxy=name))
 
-    def _compare(self, told: Compare, now: float) -> None:
+    def _compare(self, told: StartComparison, now: float) -> None:
         self.number, self.began, self.soak_s = told.number, now, told.soak_s
         if self.roll.judged_by == "errors":
             taken, bad = errors(self.before)
             self.judge = Errors(self.roll.most_errors, told.soak_s, bad / taken if taken else 0.0)
         else:
-            self.judge = Comparison(self.plan.compare, told.alpha, told.soak_s, told.before, told.alone)
+            self.judge = Comparison(
+                self.plan.compare, told.alpha, told.soak_s, told.baseline, told.covers_all
+            )
 
     def _tick(self, now: float) -> None:
         if self.before_until >= 0 and now >= self.before_until:
             self.before_until = -1.0
-            self._hear(Before(in_time_share(self.before)), now)
+            self._hear(BaselineMeasured(in_time_share(self.before)), now)
         for name in self.names:
-            self._hear(Found(name, self._serves(name), name in self.orders), now)
+            self._hear(SlotReported(name, self._serves(name), name in self.orders), now)
         self._hear(Tick(), now)
         if self.machine and not self.machine.ended:
             self.clock.call_at(now + TICK_S, self._tick)
@@ -267,10 +266,10 @@
             said = machine.proxy and machine.proxy.front.measures
             if not said:
                 continue
-            one = measurements.sample(said.text())  # type: ignore[attr-defined]
+            one = measurements.parse_sample(said.text())  # type: ignore[attr-defined]
             old, self.samples[name] = self.samples.get(name), one
             side = Side.NEW if self.runs[name] == NEW else Side.OLD
-            block = measurements.block(old, one, now, self.zones[name], side, name) if old else None
+            block = measurements.make_block(old, one, now, self.zones[name], side, name) if old else None
             if block:
                 blocks.append(block)
         if self.before_until >= 0:
@@ -287,4 +286,4 @@
             finding = Finding(Verdict.FINE if well else Verdict.CANNOT_TELL, "nothing is compared")
         else:
             finding = self.judge.verdict()
-        self._hear(Judged(finding, self.number), now)
+        self._hear(ComparisonUpdated(finding, self.number), now)
--- a/tests/proxy/rollout/helpers.py
+++ b/tests/proxy/rollout/helpers.py
@@ -7,31 +7,32 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from firvane.proxy.rollout.messages import (
-    ENDS,
-    Action,
-    Back,
+from firvane.proxy.rollout.comparison_types import (
     Block,
-    Compare,
-    Counts,
-    Down,
-    Event,
     Finding,
-    Found,
-    Judged,
-    Keep,
-    Kept,
-    Replace,
-    Replaced,
-    ReplaceFailed,
+    RequestCounts,
+    ResourceUsage,
     Side,
-    Tick,
-    Use,
     Verdict,
-    bucket,
+    latency_bucket,
+)
+from firvane.proxy.rollout.events import (
+    Action,
+    ComparisonUpdated,
+    Event,
+    PersistRollout,
+    ReplacementFailed,
+    ReplaceSlot,
+    RevertSlot,
+    SlotReplaced,
+    SlotReported,
+    SlotUnreachable,
+    StartComparison,
+    Tick,
 )
-from firvane.proxy.rollout.plan import Limits, Place, Plan, Roll, Stage, Version
-from firvane.proxy.rollout.state_machine import RollStateMachine
+from firvane.proxy.rollout.plan import ComparisonSettings, Plan, RollSettings, SlotPlan, Stage, Version
+from firvane.proxy.rollout.rollout_state import FINAL_STATES, StoredRollout
+from firvane.proxy.rollout.state_machine import RolloutStateMachine
 
 OLD, NEW = "a", "b"
 
@@ -39,10 +40,10 @@
 def a_plan(places: int = 6, zones: int = 3, **roll: Any) -> Plan:
     stages = (Stage(part="one", soak_s=30, longest_s=200), Stage(part=0.5, soak_s=30, longest_s=400))
     return Plan(
-        roll=Roll(version=NEW, old=OLD, **{"ask_s": 1000.0, "back_s": 300.0, **roll}),
+        roll=RollSettings(version=NEW, old=OLD, **{"ask_s": 1000.0, "back_s": 300.0, **roll}),
         version={name: Version(command=(name,)) for name in (OLD, NEW)},
         place=tuple(
-            Place(name=f"p{n}", zone=f"z{n % zones}", door=f"d{n}", ops=f"o{n}") for n in range(places)
+            SlotPlan(name=f"p{n}", zone=f"z{n % zones}", door=f"d{n}", ops=f"o{n}") for n in range(places)
         ),
         stage=(*stages, Stage(part=1.0, soak_s=30, longest_s=400)),
     )
@@ -71,12 +72,12 @@
     """Keepers, and a controller that may be killed after any of its actions."""
 
     plan: Plan
-    make: type[RollStateMachine] = RollStateMachine
+    make: type[RolloutStateMachine] = RolloutStateMachine
     now: float = 0.0
-    disk: Kept | None = None
+    disk: StoredRollout | None = None
     keepers: dict[str, Keeper] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
-    compared: Compare | None = None
+    compared: StartComparison | None = None
     spent: float = 0.0  # of alpha
     taking_over: int = 0
 
@@ -88,12 +89,12 @@
         """A controller begins with what is on disk."""
         for keeper in self.keepers.values():
             keeper.told_out = True
-        self.taking_over = 0 if self.disk is None or self.disk.state in ENDS else 1
+        self.taking_over = 0 if self.disk is None or self.disk.state in FINAL_STATES else 1
         self.machine = self.make(self.plan, "d", self.now, self.disk)
         self.do(self.machine.begin(self.now))
 
     def hear(self, event: Event, dies_after: int | None = None) -> None:
-        actions = self.machine.hear(event, self.now)
+        actions = self.machine.handle(event, self.now)
         self.do(actions[:dies_after])
         if dies_after is not None:
             self.start()
@@ -101,13 +102,13 @@
     def do(self, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Keep(kept):
+                case PersistRollout(kept):
                     if self.disk and kept.roll < self.disk.roll + self.taking_over:
                         self.broken.append("a take-over that places cannot tell from the one before")
                     self.disk, self.taking_over = kept, 0
-                case Compare():
+                case StartComparison():
                     self.compared, self.spent = action, self.spent + action.alpha
-                case Replace(name, version, roll) | Back(name, version, roll):
+                case ReplaceSlot(name, version, roll) | RevertSlot(name, version, roll):
                     self.ordered(self.keepers[name], version, roll)
 
     def ordered(self, keeper: Keeper, version: str, roll: int) -> None:
@@ -118,7 +119,7 @@
             self.broken.append("more than at_once")
         out = {one.name for one in self.keepers.values() if one.zone == keeper.zone and one.told_out}
         out |= {one.name for one in busy if one.zone == keeper.zone}
-        if keeper.name not in out and len(out) >= self.plan.most_out(keeper.zone):
+        if keeper.name not in out and len(out) >= self.plan.max_unavailable(keeper.zone):
             self.broken.append("more of a zone out than the plan says")
         if self.disk is None or self.disk.ordered.get(keeper.name) != version or self.disk.roll != roll:
             self.broken.append("an order that is not on disk")
@@ -139,16 +140,18 @@
             keeper.version, keeper.serves = version, True
         if heard and keeper.reached:
             keeper.told_out = not keeper.serves
-            event = Replaced(keeper.name, version) if well else ReplaceFailed(keeper.name, "it died")
+            event = SlotReplaced(keeper.name, version) if well else ReplacementFailed(keeper.name, "it died")
             self.hear(event)
 
     def ask(self, keeper: Keeper) -> None:
         if not keeper.reached:
             keeper.told_out = True
-            self.hear(Down(keeper.name))
+            self.hear(SlotUnreachable(keeper.name))
             return
         keeper.told_out = not keeper.serves or keeper.order is not None
-        self.hear(Found(keeper.name, keeper.version if keeper.serves else "", keeper.order is not None))
+        self.hear(
+            SlotReported(keeper.name, keeper.version if keeper.serves else "", keeper.order is not None)
+        )
 
     def wait(self, span: float) -> None:
         self.now += span
@@ -159,7 +162,7 @@
 
     def judge(self, verdict: Verdict) -> None:
         if self.compared:
-            self.hear(Judged(judged(verdict), self.compared.number))
+            self.hear(ComparisonUpdated(judged(verdict), self.compared.number))
 
     def calm_step(self, verdict: Verdict, heal: bool = True, well: bool = True) -> None:
         for keeper in self.keepers.values():
@@ -175,7 +178,7 @@
             if self.machine.ended:
                 return
             self.calm_step(verdict)
-        raise AssertionError(f"no end: {self.machine.state}, {self.machine.why}")
+        raise AssertionError(f"no end: {self.machine.state}, {self.machine.reason}")
 
     @property
     def new(self) -> int:
@@ -187,14 +190,14 @@
 
 
 TENANTS = (0.4, 0.3, 0.2, 0.1)
-LATENCIES = [bucket(0.03 * math.exp(random.Random(n).gauss(0, 0.5))) for n in range(500)]
+LATENCIES = [latency_bucket(0.03 * math.exp(random.Random(n).gauss(0, 0.5))) for n in range(500)]
 
 
 def traffic(
     seed: int, harm: str = "", size: float = 0.0, herd: bool = False, proxies: int = 6, rate: float = 120.0
 ) -> Any:
     """Moments of blocks without end: proxy 0 is new, and worse by `size` in one way. `rate` a proxy."""
-    rng, limits = random.Random(seed), Limits()
+    rng, limits = random.Random(seed), ComparisonSettings()
     rss = [40.0] * proxies
     shift = round(8 * math.log2(1 + size)) if harm == "slow" else 0
     n = 0
@@ -218,10 +221,10 @@
                 for number in rng.choices(LATENCIES, k=min(answered, 60)):
                     number += shift if new else 0
                     latency[number] = latency.get(number, 0) + 1
-                by[key] = Counts(taken, answered - late, refused, failed, taken + again, latency)
+                by[key] = RequestCounts(taken, answered - late, refused, failed, taken + again, latency)
             rss[one] += (size * limits.block_s / 60 if new and harm == "memory" else 0) + rng.gauss(0, 0.01)
             cpu = 0.6 * rng.uniform(0.9, 1.1) * (1 + (size if new and harm == "cpu" else 0))
-            use = Use(cpu, rss[one], 50 + rng.randrange(4), int(rng.random() < 0.02))
+            use = ResourceUsage(cpu, rss[one], 50 + rng.randrange(4), int(rng.random() < 0.02))
             side = Side.NEW if new else Side.OLD
             at = n * limits.block_s
             blocks.append(Block(at, f"z{one % 3}", side, f"p{one}", 1000 + at, by, use))
--- a/tests/proxy/rollout/test_compare.py
+++ b/tests/proxy/rollout/test_compare.py
@@ -10,10 +10,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.proxy.rollout import compare
-from firvane.proxy.rollout.compare import Comparison, half_width
-from firvane.proxy.rollout.messages import Finding, Side, Verdict, bucket, edge
-from firvane.proxy.rollout.plan import Limits
+from firvane.proxy.rollout import comparison
+from firvane.proxy.rollout.comparison import Comparison, half_width
+from firvane.proxy.rollout.comparison_types import Finding, Side, Verdict, bucket_start_s, latency_bucket
+from firvane.proxy.rollout.plan import ComparisonSettings
 from tests.proxy.rollout.helpers import traffic
 
 HARMS = [
@@ -29,7 +29,7 @@
 
 def look(moments: Any, most: int, make: type[Comparison] = Comparison, **given: Any) -> tuple[int, Finding]:
     """Looks after each moment until something is told; how many moments that took."""
-    comparison = make(Limits(), 0.05, **{"soak_s": 120.0, "before": 0.96, **given})
+    comparison = make(ComparisonSettings(), 0.05, **{"soak_s": 120.0, "baseline": 0.96, **given})
     finding = comparison.verdict()
     for n, moment in enumerate(islice(moments, most), 1):
         comparison.add(moment)
@@ -58,7 +58,7 @@
 
     def verdict(self) -> Finding:
         tracks = [track for track in self._tracks.values() if track.count >= 2]
-        if any(t.mean - 1.65 * (t.squares / t.count**2) ** 0.5 > t.least_harm for t in tracks):
+        if any(t.mean - 1.65 * (t.squares / t.count**2) ** 0.5 > t.threshold for t in tracks):
             return Finding(Verdict.WORSE, "by one look")
         return super().verdict()
 
@@ -80,24 +80,24 @@
     for seed in range(3):
         moments, finding = look(traffic(seed, harm, size), 150)
         assert (finding.verdict, finding.metric) == (Verdict.WORSE, metric), finding
-        assert moments <= 120 and finding.new > finding.old and finding.bound > finding.least
+        assert moments <= 120 and finding.new > finding.old and finding.bound > finding.threshold
         assert finding.key == (harm if ":" in harm else finding.key)
 
 
 def test_young_processes_are_left_out_and_too_few_requests_tell_nothing() -> None:
     def young() -> Any:
         for moment in traffic(1, "refused", 0.5):
-            yield [dataclasses.replace(b, up=5.0) if b.side is Side.NEW else b for b in moment]
+            yield [dataclasses.replace(b, uptime_s=5.0) if b.side is Side.NEW else b for b in moment]
 
     assert look(young(), 100)[1].verdict is Verdict.CANNOT_TELL
     assert look(traffic(1, rate=0.4), 100)[1].verdict is Verdict.CANNOT_TELL
 
 
 def test_a_fleet_struck_since_before_the_roll_is_not_judged() -> None:
-    _, finding = look(traffic(1), 100, before=1.2)
-    assert finding.verdict is Verdict.CANNOT_TELL and "nothing is judged" in finding.why
+    _, finding = look(traffic(1), 100, baseline=1.2)
+    assert finding.verdict is Verdict.CANNOT_TELL and "nothing is judged" in finding.reason
     # Harm is not judged meanwhile either: a new version may be blamed for what strikes all.
-    assert look(traffic(1, "refused", 0.3), 100, before=1.2)[1].verdict is Verdict.CANNOT_TELL
+    assert look(traffic(1, "refused", 0.3), 100, baseline=1.2)[1].verdict is Verdict.CANNOT_TELL
 
 
 @pytest.mark.parametrize("alone,verdict", [(True, Verdict.FINE), (False, Verdict.CANNOT_TELL)])
@@ -106,8 +106,8 @@
         for moment in traffic(1):
             yield [b for b in moment if b.side is Side.NEW]
 
-    assert look(all_new(), 80, alone=alone)[1].verdict is verdict
-    assert look(all_new(), 80, alone=alone, before=1.2)[1].verdict is Verdict.CANNOT_TELL
+    assert look(all_new(), 80, covers_all=alone)[1].verdict is verdict
+    assert look(all_new(), 80, covers_all=alone, baseline=1.2)[1].verdict is Verdict.CANNOT_TELL
 
 
 class AcrossZones(Comparison):
@@ -124,9 +124,9 @@
         for block in moment:
             worse = {
                 key: dataclasses.replace(c, refused=c.refused + c.in_time // 8, in_time=c.in_time * 7 // 8)
-                for key, c in block.by.items()
+                for key, c in block.counts.items()
             }
-            out.append(dataclasses.replace(block, by=worse) if block.zone == "z0" else block)
+            out.append(dataclasses.replace(block, counts=worse) if block.zone == "z0" else block)
         yield out
 
 
@@ -137,17 +137,17 @@
 
 @given(latency=st.floats(1e-6, 1e3))
 def test_a_bucket_holds_its_latency(latency: float) -> None:
-    number = bucket(latency)
-    assert edge(number) * (1 - 1e-6) <= latency < edge(number + 1) * (1 + 1e-6)
+    number = latency_bucket(latency)
+    assert bucket_start_s(number) * (1 - 1e-6) <= latency < bucket_start_s(number + 1) * (1 + 1e-6)
 
 
 def test_lingering_widens_the_bounds() -> None:
     """Ten moments that are alike are one observation rather than ten."""
     halves = []
     for repeat in (1, 10):
-        track = compare._Track(0.02, 60)
+        track = comparison._MetricTrack(0.02, 60)
         for n in range(200):
             value = 0.01 * (-1) ** (n // repeat * 7 % 3)
             track.add(0.0, value, value, 0.0)
-        halves.append(track.half(0.05))
+        halves.append(track.half_width(0.05))
     assert halves[1] > 1.5 * halves[0]
--- a/tests/proxy/rollout/test_plan.py
+++ b/tests/proxy/rollout/test_plan.py
@@ -29,9 +29,9 @@
 
 def test_a_plan_has_stages_by_itself_and_is_known_by_its_text() -> None:
     plan = parse(PLAN.encode())
-    assert [plan.goal(n) for n in range(4)] == [1, 2, 6, 12]
-    assert plan.order()[:4] == ("p0", "p1", "p2", "p3")  # from zone to zone
-    assert plan.most_out("z0") == 1 and plan.most_out("nowhere") == 1
+    assert [plan.target_count(n) for n in range(4)] == [1, 2, 6, 12]
+    assert plan.replacement_order()[:4] == ("p0", "p1", "p2", "p3")  # from zone to zone
+    assert plan.max_unavailable("z0") == 1 and plan.max_unavailable("nowhere") == 1
     assert digest(PLAN.encode()) != digest(PLAN.encode() + b"\n")
 
 
--- a/tests/proxy/rollout/test_state_machine.py
+++ b/tests/proxy/rollout/test_state_machine.py
@@ -9,37 +9,28 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule, run_state_machine_as_test
 
-from firvane.proxy.rollout.messages import (
-    ENDS,
-    Before,
-    Call,
-    Cause,
-    Compare,
-    Operator,
-    State,
-    Tick,
-    Tried,
-    Verdict,
-)
-from firvane.proxy.rollout.state_machine import RollStateMachine
-from firvane.proxy.rollout.transitions import FORWARD, STAYS, TABLE, transitions
+from firvane.proxy.rollout.comparison_types import Verdict
+from firvane.proxy.rollout.events import BaselineMeasured, CommandReceived, StartComparison, Tick, TrialEnded
+from firvane.proxy.rollout.rollout_state import FINAL_STATES, OperatorCommand, RolloutState, TransitionCause
+from firvane.proxy.rollout.state_machine import RolloutStateMachine
+from firvane.proxy.rollout.transitions import FORWARD_STATES, TRANSITIONS, TRANSITIONS_IF_STAYING, transitions
 from tests.proxy.rollout.helpers import NEW, OLD, World, a_plan
 
 NAMES = st.integers(0, 5).map("p{}".format)
 
 
 def test_every_state_is_reached_and_left_and_every_cause_is_used() -> None:
-    assert set(TABLE) == set(State)
-    assert {state for state in State if not TABLE[state]} == ENDS
-    assert {to for _, _, to in transitions()} == set(State)
-    assert {cause for _, cause, _ in transitions()} == set(Cause)
-    assert all(any(cause in causes for causes in TABLE.values()) for cause in STAYS)
+    assert set(TRANSITIONS) == set(RolloutState)
+    assert {state for state in RolloutState if not TRANSITIONS[state]} == FINAL_STATES
+    assert {to for _, _, to in transitions()} == set(RolloutState)
+    assert {cause for _, cause, _ in transitions()} == set(TransitionCause)
+    assert all(any(cause in causes for causes in TRANSITIONS.values()) for cause in TRANSITIONS_IF_STAYING)
 
 
 class AnyRoll(RuleBasedStateMachine):
     """Keepers, programs and the controller die at any time; answers are lost; operators call."""
 
-    make: type[RollStateMachine] = RollStateMachine
+    make: type[RolloutStateMachine] = RolloutStateMachine
 
     @initialize(
         on_worse=st.sampled_from(("back", "stay")),
@@ -56,8 +47,8 @@
 
     @rule(wrong=st.sampled_from(("", "", "", "no such file")), share=st.sampled_from((None, 0.2, 0.97)))
     def tried(self, wrong: str, share: float | None) -> None:
-        self.world.hear(Before(share))
-        self.world.hear(Tried(wrong))
+        self.world.hear(BaselineMeasured(share))
+        self.world.hear(TrialEnded(wrong))
 
     @rule()
     def all_answer(self) -> None:
@@ -84,9 +75,9 @@
     def judge(self, verdict: Verdict) -> None:
         self.world.judge(verdict)
 
-    @rule(call=st.sampled_from(tuple(Call)))
-    def operator(self, call: Call) -> None:
-        self.world.hear(Operator(call))
+    @rule(call=st.sampled_from(tuple(OperatorCommand)))
+    def operator(self, call: OperatorCommand) -> None:
+        self.world.hear(CommandReceived(call))
 
     @rule(span=st.sampled_from((1.0, 31.0, 31.0, 40.0, 450.0)))
     def wait(self, span: float) -> None:
@@ -104,9 +95,9 @@
         world, machine = self.world, self.world.machine
         assert not world.broken, world.broken
         assert world.spent <= world.plan.compare.alpha
-        if machine.state in FORWARD:
-            assert world.new <= world.plan.goal(machine.stage), "more new places than the stage says"
-        if machine.state is State.BACK:
+        if machine.state in FORWARD_STATES:
+            assert world.new <= world.plan.target_count(machine.stage), "more new places than the stage says"
+        if machine.state is RolloutState.BACK:
             assert not world.new, "it says that it went back, and a place has the new version"
 
     def teardown(self) -> None:
@@ -122,36 +113,38 @@
     run_state_machine_as_test(AnyRoll, settings=RUNS)
 
 
-def begun(plan: Any, make: type[RollStateMachine] = RollStateMachine) -> World:
+def begun(plan: Any, make: type[RolloutStateMachine] = RolloutStateMachine) -> World:
     world = World(plan, make)
-    world.hear(Tried())
-    world.hear(Before(0.97))
+    world.hear(TrialEnded())
+    world.hear(BaselineMeasured(0.97))
     return world
 
 
 @pytest.mark.parametrize("places,zones", [(2, 1), (6, 3), (12, 3), (40, 3)])
-@pytest.mark.parametrize("verdict,end", [(Verdict.FINE, State.DONE), (Verdict.WORSE, State.BACK)])
+@pytest.mark.parametrize(
+    "verdict,end", [(Verdict.FINE, RolloutState.DONE), (Verdict.WORSE, RolloutState.BACK)]
+)
 def test_a_fine_version_reaches_all_and_a_worse_one_none(
-    places: int, zones: int, verdict: Verdict, end: State
+    places: int, zones: int, verdict: Verdict, end: RolloutState
 ) -> None:
     world = begun(a_plan(places, zones, at_once=2))
     world.calm(verdict)
-    assert (world.machine.state, world.new) == (end, places if end is State.DONE else 0)
+    assert (world.machine.state, world.new) == (end, places if end is RolloutState.DONE else 0)
 
 
 @pytest.mark.parametrize(
     "on_worse,cause,verdict,end",
     [
-        ("back", Cause.TOO_LONG, Verdict.CANNOT_TELL, State.BACK),
-        ("stay", Cause.TOO_LONG, Verdict.CANNOT_TELL, State.GIVEN_UP),
-        ("stay", Cause.WORSE, Verdict.WORSE, State.GIVEN_UP),
+        ("back", TransitionCause.TOO_LONG, Verdict.CANNOT_TELL, RolloutState.BACK),
+        ("stay", TransitionCause.TOO_LONG, Verdict.CANNOT_TELL, RolloutState.GIVEN_UP),
+        ("stay", TransitionCause.WORSE, Verdict.WORSE, RolloutState.GIVEN_UP),
     ],
 )
 def test_a_pause_that_nobody_answers_ends_by_the_plan(
-    on_worse: str, cause: Cause, verdict: Verdict, end: State
+    on_worse: str, cause: TransitionCause, verdict: Verdict, end: RolloutState
 ) -> None:
     world = begun(a_plan(on_worse=on_worse))
-    while world.machine.state is not State.PAUSED:
+    while world.machine.state is not RolloutState.PAUSED:
         world.calm_step(verdict)
     assert world.machine.cause is cause and world.new == 1
     world.calm(verdict)
@@ -160,40 +153,40 @@
 
 def test_a_place_that_is_down_at_its_turn_is_passed_over_and_changed_when_it_is_back() -> None:
     world = begun(a_plan(9, 3))
-    first = world.keepers[world.plan.order()[0]]
+    first = world.keepers[world.plan.replacement_order()[0]]
     first.reached = False
     while world.machine.stage == 0:
         world.calm_step(Verdict.FINE, heal=False)
     assert world.new == 1 and first.version == OLD
     world.calm(Verdict.FINE)
-    assert world.machine.state is State.DONE and first.version == NEW
+    assert world.machine.state is RolloutState.DONE and first.version == NEW
 
 
 def test_two_starts_that_fail_stop_the_roll_and_an_old_version_that_is_gone_gives_up() -> None:
     world = begun(a_plan())
     while not world.machine.ended:
         world.calm_step(Verdict.FINE, well=False)
-    assert (world.machine.state, world.new) == (State.BACK, 0)
+    assert (world.machine.state, world.new) == (RolloutState.BACK, 0)
     world = begun(a_plan())
     while world.machine.stage == 0:
         world.calm_step(Verdict.FINE)
-    world.hear(Operator(Call.BACK))
+    world.hear(CommandReceived(OperatorCommand.BACK))
     while not world.machine.ended:
         world.calm_step(Verdict.FINE, well=False)
-    assert world.machine.state is State.GIVEN_UP and "it died" in world.machine.why
+    assert world.machine.state is RolloutState.GIVEN_UP and "it died" in world.machine.reason
 
 
 def test_a_fleet_that_is_unwell_and_a_trial_that_fails_begin_nothing() -> None:
     world = World(a_plan())
-    world.hear(Before(0.2))
-    world.hear(Tried())
-    assert (world.machine.state, world.machine.cause) == (State.PAUSED, Cause.UNWELL)
+    world.hear(BaselineMeasured(0.2))
+    world.hear(TrialEnded())
+    assert (world.machine.state, world.machine.cause) == (RolloutState.PAUSED, TransitionCause.UNWELL)
     world = World(a_plan())
-    world.hear(Tried("it cannot hear the old one"))
-    assert world.machine.state is State.GIVEN_UP and "cannot hear" in world.machine.why
+    world.hear(TrialEnded("it cannot hear the old one"))
+    assert world.machine.state is RolloutState.GIVEN_UP and "cannot hear" in world.machine.reason
 
 
-def killed_while_its_canary_is_cut_off(make: type[RollStateMachine]) -> int:
+def killed_while_its_canary_is_cut_off(make: type[RolloutStateMachine]) -> int:
     """How many places have the new version after that, of the one that the stage may have."""
     world = begun(a_plan(), make)
     while not world.new:
@@ -208,54 +201,54 @@
 
 
 def test_a_take_over_knows_of_new_places_that_say_nothing() -> None:
-    assert killed_while_its_canary_is_cut_off(RollStateMachine) == 1
+    assert killed_while_its_canary_is_cut_off(RolloutStateMachine) == 1
     assert killed_while_its_canary_is_cut_off(ForgetsNew) > 1
 
 
-class OrdersAtOnce(RollStateMachine):
-    def _may(self, place: Any) -> bool:
+class OrdersAtOnce(RolloutStateMachine):
+    def _may_order(self, place: Any) -> bool:
         return True
 
 
-class ForgetsOrders(RollStateMachine):
+class ForgetsOrders(RolloutStateMachine):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.ordered.clear()
 
 
-class KeepsLate(RollStateMachine):
-    def _flush(self, now: float) -> Any:
-        out = super()._flush(now)
+class KeepsLate(RolloutStateMachine):
+    def _take_actions(self, now: float) -> Any:
+        out = super()._take_actions(now)
         return out[1:] + out[:1]
 
 
-class ForgetsNew(RollStateMachine):
-    def new_places(self) -> list[str]:
+class ForgetsNew(RolloutStateMachine):
+    def new_slots(self) -> list[str]:
         return []
 
 
-class StaysOnTheRoll(RollStateMachine):
+class StaysOnTheRoll(RolloutStateMachine):
     def begin(self, now: float) -> Any:
-        self.roll -= 1
+        self.token -= 1
         return super().begin(now)
 
 
-class WaitsForever(RollStateMachine):
+class WaitsForever(RolloutStateMachine):
     def _step_back(self, now: float) -> None:
-        self.began = now
+        self.state_began_at = now
         super()._step_back(now)
 
 
-class AlphaEachTime(RollStateMachine):
-    def _compare(self) -> None:
-        super()._compare()
-        self._out[-1] = Compare(self.comparisons, 0.05, 30.0, None, False)
+class AlphaEachTime(RolloutStateMachine):
+    def _start_comparison(self) -> None:
+        super()._start_comparison()
+        self._actions[-1] = StartComparison(self.comparisons, 0.05, 30.0, None, False)
 
 
-class TrustsStale(RollStateMachine):
-    def _on_found(self, place: Any, version: str, busy: bool) -> None:
+class TrustsStale(RolloutStateMachine):
+    def _on_slot_reported(self, place: Any, version: str, busy: bool) -> None:
         self._end_order(place.name)
-        self._answered(place, version)
+        self._update_slot(place, version)
 
 
 MUTANTS = [
@@ -264,7 +257,7 @@
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_state_machine_that_breaks_a_promise_is_caught(mutant: type[RollStateMachine]) -> None:
+def test_a_state_machine_that_breaks_a_promise_is_caught(mutant: type[RolloutStateMachine]) -> None:
     machine = type("Mutant", (AnyRoll,), {"make": mutant})
     fast = settings(RUNS, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
     with pytest.raises(AssertionError):
--- a/tests/proxy/rollout/test_stored_formats.py
+++ b/tests/proxy/rollout/test_stored_formats.py
@@ -6,14 +6,14 @@
 from pathlib import Path
 
 from firvane.proxy.rollout import supervisor
-from firvane.proxy.rollout.event_log import Chronicle
-from firvane.proxy.rollout.messages import Cause, Kept, State
+from firvane.proxy.rollout.rollout_files import RolloutFiles
+from firvane.proxy.rollout.rollout_state import RolloutState, StoredRollout, TransitionCause
 from firvane.proxy.rollout.slot_types import StoredSlot
 
-ROLLOUT = Kept(
+ROLLOUT = StoredRollout(
     plan="ab" * 16,
     roll=7,
-    state=State.GOING_BACK,
+    state=RolloutState.GOING_BACK,
     stage=2,
     spent=12.5,
     ordered={"p1": "b"},
@@ -23,7 +23,7 @@
     before=0.97,
     tried=True,
     accepts=True,
-    cause=Cause.WORSE,
+    cause=TransitionCause.WORSE,
     why="the share failed",
 )
 ROLLOUT_BYTES = (
@@ -41,12 +41,12 @@
 
 
 def test_the_state_of_a_rollout_keeps_its_bytes(tmp_path: Path) -> None:
-    chronicle = Chronicle(tmp_path / "course")
-    chronicle.take()
-    chronicle.keep(ROLLOUT)
-    chronicle.release()
+    files = RolloutFiles(tmp_path / "course")
+    files.acquire()
+    files.write_state(ROLLOUT)
+    files.release()
     assert (tmp_path / "course").read_bytes().hex() == ROLLOUT_BYTES
-    assert chronicle.read() == ROLLOUT
+    assert files.read_state() == ROLLOUT
 
 
 def test_the_state_of_a_slot_keeps_its_bytes(tmp_path: Path) -> None:
@@ -57,9 +57,9 @@
 
 
 def test_the_event_log_has_a_line_of_json_for_each_event(tmp_path: Path) -> None:
-    chronicle = Chronicle(tmp_path / "course")
-    chronicle.note({"at": 1.5, "state": "planned", "stage": 1, "note": "a b"})
-    chronicle.release()
+    files = RolloutFiles(tmp_path / "course")
+    files.append_event({"at": 1.5, "state": "planned", "stage": 1, "note": "a b"})
+    files.release()
     line = (tmp_path / "course.events").read_bytes()
     assert line == b'{"at":1.5,"state":"planned","stage":1,"note":"a b"}\n'
-    assert list(chronicle.noted()) == [json.loads(line)]
+    assert list(files.read_events()) == [json.loads(line)]
--- a/tests/together/rolling.py
+++ b/tests/together/rolling.py
@@ -16,8 +16,8 @@
 
 from firvane.cli.admin_connection import call
 from firvane.proxy.rollout import readiness_probe, supervisor_calls
-from firvane.proxy.rollout.event_log import Chronicle
-from firvane.proxy.rollout.messages import Kept
+from firvane.proxy.rollout.rollout_files import RolloutFiles
+from firvane.proxy.rollout.rollout_state import StoredRollout
 from firvane.proxy.rollout.supervisor import TAG_VARIABLE
 from firvane.simulation.emulation.records import Abandoned, Arrived, Record
 from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries, Scenario
@@ -182,7 +182,7 @@
         self.old = self.new = "v1"
         self.ready_s = 20.0
         self.plan_file = self.folder / "roll.toml"
-        self.chronicle = Chronicle(f"{self.plan_file}.course")
+        self.files = RolloutFiles(f"{self.plan_file}.course")
 
     def _see(self, record: Record) -> None:
         super()._see(record)
@@ -330,7 +330,7 @@
         said = {"version": self.new, "old": self.old, **ROLL, **roll}
         plan = {"roll": said, "stage": stages, "compare": COMPARE, "place": places, "version": versions}
         self.plan_file = self.folder / f"roll-{number}.toml"
-        self.chronicle = Chronicle(f"{self.plan_file}.course")
+        self.files = RolloutFiles(f"{self.plan_file}.course")
         self.plan_file.write_text(toml(plan))
         self.lost = 0  # from here on
         self.answers.clear()
@@ -364,15 +364,15 @@
         assert controller.returncode == code, self.spoken(controller)
         return self.spoken(controller)
 
-    async def course(self, wanted: Callable[[Kept], Any]) -> Kept:
+    async def course(self, wanted: Callable[[StoredRollout], Any]) -> StoredRollout:
         """The course on disk, once it is as wanted."""
 
-        def found() -> Kept | None:
-            kept = self.chronicle.read()
+        def found() -> StoredRollout | None:
+            kept = self.files.read_state()
             return kept if kept and wanted(kept) else None
 
         kept = await self.until("the course", found)
-        assert isinstance(kept, Kept)
+        assert isinstance(kept, StoredRollout)
         return kept
 
     async def say(self, *words: str) -> tuple[int, str]:
--- a/tests/together/test_rollout.py
+++ b/tests/together/test_rollout.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from firvane.proxy.rollout.messages import Kept, State
+from firvane.proxy.rollout.rollout_state import RolloutState, StoredRollout
 from firvane.proxy.rollout.supervisor import TAG_VARIABLE
 from tests.together.rolling import STAGES, Fleets, Keepers, Rolling
 
@@ -58,7 +58,7 @@
             made.kill()
 
 
-def in_state(state: State) -> Callable[[Kept], bool]:
+def in_state(state: RolloutState) -> Callable[[StoredRollout], bool]:
     return lambda kept: kept.state is state
 
 
@@ -140,23 +140,23 @@
         fleet.write(fault)
         seen: set[object] = set()
 
-        def step(kept: Kept) -> object:
+        def step(kept: StoredRollout) -> object:
             return kept.state, kept.stage, tuple(kept.ordered)
 
         for _ in range(STEPS):
             controller = made = fleet.run()
 
             def new(made: Popen[bytes] = made) -> bool:
-                kept = fleet.chronicle.read()
+                kept = fleet.files.read_state()
                 return made.poll() is not None or bool(kept and step(kept) not in seen)
 
             await fleet.until("the next step", new)
             if controller.poll() is not None:
                 break
-            kept = fleet.chronicle.read()
+            kept = fleet.files.read_state()
             assert kept
             seen.add(step(kept))
-            if kept.state in (State.DONE, State.BACK):
+            if kept.state in (RolloutState.DONE, RolloutState.BACK):
                 break
             controller.kill()
             controller.wait()
@@ -172,17 +172,17 @@
     async def work(fleet: Rolling) -> None:
         fleet.write(stages=[{**STAGES[0], "at_end": "pause"}, STAGES[1]])
         first = fleet.run()
-        kept = await fleet.course(in_state(State.PAUSED))
+        kept = await fleet.course(in_state(RolloutState.PAUSED))
         first.send_signal(signal.SIGSTOP)
         assert f"process {first.pid} has" in await fleet.ends(fleet.run(), 3)
         second = fleet.run("--take-over")
         await fleet.course(lambda now: now.roll > kept.roll)
         assert (await fleet.say("go"))[0] == 0
         await fleet.ends(second, 0)
-        before = fleet.chronicle.path.read_bytes()
+        before = fleet.files.path.read_bytes()
         first.send_signal(signal.SIGCONT)
         assert "another process has taken" in await fleet.ends(first, 3)
-        assert fleet.chronicle.path.read_bytes() == before
+        assert fleet.files.path.read_bytes() == before
         # What it might have had on its way to a place would have been refused there.
         for number in range(3):
             said = await fleet.order(number, f"place-replace {fleet.old} {kept.roll}")
@@ -229,7 +229,7 @@
     async def work(fleet: Rolling) -> None:
         fleet.write(stages=[{**STAGES[0], "at_end": "pause"}, STAGES[1]])
         controller = fleet.run()
-        await fleet.course(in_state(State.PAUSED))
+        await fleet.course(in_state(RolloutState.PAUSED))
         said = [await fleet.place(number) for number in range(3)]
         new = next(n for n, one in enumerate(said) if one["version"] == fleet.new)
         old = (new + 1) % 3
@@ -267,7 +267,7 @@
         code, told = await fleet.say("go")
         assert code == 3 and "nobody carries the roll out" in told
         controller = fleet.run("--no-wait")  # and hears what was said meanwhile
-        await fleet.course(lambda kept: kept.stage == 1 and kept.state is State.COMPARING)
+        await fleet.course(lambda kept: kept.stage == 1 and kept.state is RolloutState.COMPARING)
         await fleet.have(fleet.new)
         assert (await fleet.say("status"))[0] == 3
         assert (await fleet.say("pause"))[0] == 0
@@ -290,7 +290,7 @@
         await fleet.serves(0, 1, 2)
         # By hand, once it is there again.
         fleet.be(fleet.old, "none")
-        kept = fleet.chronicle.read()
+        kept = fleet.files.read_state()
         assert kept
         said = await fleet.order(versions.index(fleet.new), f"place-back {kept.roll}")
         assert said.startswith("+OK")
