--- a/firvane/admin/fleet_commands.py
+++ b/firvane/admin/fleet_commands.py
@@ -31,7 +31,7 @@
     print_result,
 )
 from firvane.core.address import Address, parse_address
-from firvane.fleet.cluster.reports import HandOverAnswer, HandOverOrder, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import HandOverRequest, HandOverResponse, PartReport, PartsResponse
 
 MEMBERS_PATH = "/v1/fleet/members"
 PARTS_PATH = "/v1/fleet/parts"
@@ -110,7 +110,7 @@
         return complain(f"there is no part {part}", REFUSED)
     if not found.owned or found.owner_control is None:
         return complain(f"part {part}: has no owner that can be reached", NO_ANSWER)
-    order = msgspec.json.encode(HandOverOrder(part, found.term, to))
+    order = msgspec.json.encode(HandOverRequest(part, found.term, to))
     walk = CallWalk([parse_address(found.owner_control), *parse_addresses(addresses)], HAND_OVER_PATH, rounds)
     outcome = call(walk, Request("POST", order, {"Content-Type": "application/json"}))
     return _print_hand_over(outcome, json)
@@ -122,7 +122,7 @@
     if outcome.reply.status != 200:
         return _print_refusal(outcome, json)
     try:
-        answer = msgspec.json.decode(outcome.reply.body, type=HandOverAnswer)
+        answer = msgspec.json.decode(outcome.reply.body, type=HandOverResponse)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         return complain(f"the body is not an answer: {error}", NO_ANSWER)
     if json:
@@ -144,7 +144,7 @@
 def _ask_parts(addresses: Sequence[Address], rounds: int, json: bool) -> list[PartReport]:
     """The parts as their owners see them, where these can be reached."""
     first = _ask(addresses, PARTS_PATH, read_parts, rounds, json)
-    answers: list[PartsAnswer] = [first, *_ask_others(owner_addresses(first), PARTS_PATH, read_parts)]
+    answers: list[PartsResponse] = [first, *_ask_others(owner_addresses(first), PARTS_PATH, read_parts)]
     return merge_parts(answers)
 
 
--- a/firvane/admin/fleet_tables.py
+++ b/firvane/admin/fleet_tables.py
@@ -6,14 +6,14 @@
 
 from firvane.admin.fleet_views import Behind
 from firvane.admin.tables import cell, format_table, seconds
-from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, ReplicaReport
+from firvane.fleet.cluster.reports import MemberReport, MembersResponse, PartReport, ReplicaReport
 
 MEMBER_TITLES = ("ADDRESS", "ROLE", "ZONE", "STATE", "FOR", "VERSION", "INCARNATION", "CONTROL")
 REPLICA_TITLES = ("  REPLICA", "KIND", "SYNCED", "LAG", "SILENT", "TROUBLES", "INCARNATION")
 BEHIND_TITLES = ("ADDRESS", "ROLE", "ZONE", "STATE", "VERSION", "REPORTED")
 
 
-def members_table(answer: MembersAnswer) -> str:
+def members_table(answer: MembersResponse) -> str:
     """One line for each process, in the order of their addresses."""
     ordered = sorted(answer.members, key=lambda member: (member.role, member.zone, member.address))
     return format_table(MEMBER_TITLES, [_member_row(member) for member in ordered])
--- a/firvane/admin/fleet_views.py
+++ b/firvane/admin/fleet_views.py
@@ -8,19 +8,25 @@
 import msgspec
 
 from firvane.admin.answers import AnswerError
-from firvane.fleet.cluster.reports import FleetAnswer, MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import (
+    FleetResponse,
+    MemberReport,
+    MembersResponse,
+    PartReport,
+    PartsResponse,
+)
 
-AnswerType = TypeVar("AnswerType", bound=FleetAnswer)
+AnswerType = TypeVar("AnswerType", bound=FleetResponse)
 
 
-def read_members(body: bytes) -> MembersAnswer:
+def read_members(body: bytes) -> MembersResponse:
     """The answer to a question for members; `AnswerError` where it is none."""
-    return _read(body, MembersAnswer)
+    return _read(body, MembersResponse)
 
 
-def read_parts(body: bytes) -> PartsAnswer:
+def read_parts(body: bytes) -> PartsResponse:
     """The answer to a question for parts; `AnswerError` where it is none."""
-    return _read(body, PartsAnswer)
+    return _read(body, PartsResponse)
 
 
 def _read(body: bytes, kind: type[AnswerType]) -> AnswerType:
@@ -30,13 +36,13 @@
         raise AnswerError(f"the body is not an answer: {error}") from error
 
 
-def owner_addresses(answer: PartsAnswer) -> list[str]:
+def owner_addresses(answer: PartsResponse) -> list[str]:
     """The control addresses of the owners that have to be asked as well, each once."""
     elsewhere = [part.owner_control for part in answer.parts if not part.owned and part.owner_control]
     return list(dict.fromkeys(elsewhere))
 
 
-def merge_parts(answers: Iterable[PartsAnswer]) -> list[PartReport]:
+def merge_parts(answers: Iterable[PartsResponse]) -> list[PartReport]:
     """Each part as its owner sees it, or as the view with the highest term does where none is the owner's."""
     best: dict[int, PartReport] = {}
     for answer in answers:
@@ -63,7 +69,7 @@
         return not (self.behind or self.unknown)
 
 
-def other_controllers(answer: MembersAnswer) -> list[str]:
+def other_controllers(answer: MembersResponse) -> list[str]:
     """The control addresses of the other live controllers."""
     return [
         member.control
@@ -72,7 +78,7 @@
     ]
 
 
-def merge_versions(answers: Sequence[MembersAnswer]) -> Behind:
+def merge_versions(answers: Sequence[MembersResponse]) -> Behind:
     """Compare the last report of each live process with the newest version."""
     newest = max(answer.config_version for answer in answers)
     latest: dict[str, MemberReport] = {}
--- a/firvane/fleet/cluster/agent.py
+++ b/firvane/fleet/cluster/agent.py
@@ -17,15 +17,15 @@
 
 __all__ = ["Channel", "ClusterAgent", "Item", "KnownMember", "Member", "Role"]
 
-SWEEP_PERIOD = 5.0
-"""Seconds between two looks for idle links."""
-TIMER_SLACK = 0.005
-"""Seconds by which a timer may be late without being set anew."""
+SWEEP_INTERVAL_S = 5.0
+"""Between two checks for idle links."""
+TIMER_TOLERANCE_S = 0.005
+"""By which a timer may be late without being set anew."""
 _OWN_CHANNEL = 0
 
 
 class Channel(enum.IntEnum):
-    """Whose payload a frame carries; the agent's own channel is not among them."""
+    """The component whose payload a frame carries; the agent's own channel is not among them."""
 
     REPLICATION = 1
     ROWS = 2
@@ -36,7 +36,7 @@
 
 
 class ClusterAgent:
-    """One process's place in the cluster. All methods are to be called from the loop's thread."""
+    """One process as a member of the cluster. Not thread-safe: to be called from the loop's thread."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
     ) -> None:
         """`seeds` are internal addresses. `on_item` gets newly learned items, not own ones.
 
-        `is_withheld` tells of a key whether its item is not to be offered to others at this moment.
+        `is_withheld` returns whether the item of a key is not to be offered to others at this moment.
         """
         self._loop = loop
         self._log = log
@@ -64,7 +64,7 @@
         self._core = ClusterCore(identity, seeds, rng, loop.time(), is_withheld)
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = float("inf")
-        self._sweep_due = loop.time() + SWEEP_PERIOD
+        self._sweep_due = loop.time() + SWEEP_INTERVAL_S
         self._unreadable = 0
         self._is_started = False
         self._is_closed = False
@@ -75,13 +75,17 @@
         return self._core.identity
 
     async def start(self) -> None:
-        """Bind UDP and TCP on the identity's address and announce this process. `OSError` if that fails."""
+        """Bind UDP and TCP on the identity's address, and announce this process.
+
+        Raises:
+            OSError: The address cannot be bound; it may be tried again.
+        """
         await self._endpoint.start()
         self._is_started = True
         self._on_timer()
 
     def close(self, leave: bool = True) -> None:
-        """Stop; `leave` says to others that this process ends, so that they need not find out."""
+        """Stop; `leave` notifies others, so that they need not detect it as a failure."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -93,7 +97,7 @@
         self._endpoint.close()
 
     def publish(self, item: Item) -> None:
-        """Take an item here and pass it on to all; nothing happens if it is not newer than what is known."""
+        """Store an item and disseminate it; nothing happens if it is not newer than what is known."""
         self._apply(self._core.publish(item, self._loop.time()))
 
     def send(self, to: Address, channel: Channel, payload: bytes) -> None:
@@ -117,7 +121,7 @@
         return self._core.item(key)
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
-        """The seeds (internal addresses) were replaced in the settings."""
+        """Replace the seeds (internal addresses)."""
         self._core.set_seeds(seeds)
 
     def _on_payload(self, sender: Address, channel: int, payload: bytes) -> None:
@@ -127,7 +131,7 @@
         if channel == _OWN_CHANNEL:
             self._receive(sender, payload, now)
             return
-        self._core.heard(sender, now)
+        self._core.record_received(sender, now)
         known = _CHANNELS.get(channel)
         if known is not None:
             self._on_message(sender, known, payload)
@@ -137,11 +141,11 @@
             effects = self._core.receive(sender, payload, now)
         except PayloadError as error:
             self._unreadable += 1
-            if self._unreadable & (self._unreadable - 1) == 0:  # 1, 2, 4, 8 ...
+            if self._unreadable & (self._unreadable - 1) == 0:  # the 1st, 2nd, 4th, 8th ...
                 host, port = sender
                 total = self._unreadable
                 self._log.warning(
-                    "cluster: payload unreadable.", peer=f"{host}:{port}", reason=str(error), total=total
+                    "cluster_payload_unreadable", peer=f"{host}:{port}", reason=str(error), total=total
                 )
             return
         self._apply(effects)
@@ -151,7 +155,7 @@
         self._timer_due = float("inf")
         now = self._loop.time()
         if now >= self._sweep_due:
-            self._sweep_due = now + SWEEP_PERIOD
+            self._sweep_due = now + SWEEP_INTERVAL_S
             self._endpoint.sweep()
         self._apply(self._core.tick(now))
 
@@ -167,7 +171,7 @@
 
     def _set_timer(self) -> None:
         due = self._core.deadline()
-        if abs(due - self._timer_due) <= TIMER_SLACK:
+        if abs(due - self._timer_due) <= TIMER_TOLERANCE_S:
             return
         if self._timer is not None:
             self._timer.cancel()
--- a/firvane/fleet/cluster/applied.py
+++ b/firvane/fleet/cluster/applied.py
@@ -1,7 +1,8 @@
-"""Which version of the configuration is in force at each member, as the members report it. Pure.
+"""Which version of the configuration is in force at each member, as the members report it. Does no I/O.
 
 A report is a section of 9 bytes: a version byte and the version in force, both big-endian. It travels with
-the digests that go to controllers anyway, so that an operator can ask any controller who is behind.
+the digests that go to controllers anyway, so that an operator can ask any controller which members are
+behind.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class AppliedReport(Struct, frozen=True):
-    """What one life of a member has reported last."""
+    """The last report of one incarnation of a member."""
 
     incarnation: int
     version: int
@@ -41,7 +42,11 @@
         return None if self.own is None else _REPORT.pack(FORMAT_VERSION, self.own)
 
     def receive(self, sender: Member, content: bytes, now: float) -> None:
-        """Take a report. `EnvelopeError` if it is none."""
+        """Store a report.
+
+        Raises:
+            EnvelopeError: The content is no report.
+        """
         if len(content) != REPORT_BYTES:
             raise EnvelopeError("report has a wrong length")
         format_version, version = _REPORT.unpack(content)
@@ -50,7 +55,7 @@
         self._reports[sender.address] = AppliedReport(sender.incarnation, version, now)
 
     def report_of(self, member: Member) -> AppliedReport | None:
-        """The last report of this life of a member, or None."""
+        """The last report of this incarnation of a member, or None."""
         report = self._reports.get(member.address)
         return report if report is not None and report.incarnation == member.incarnation else None
 
--- a/firvane/fleet/cluster/core.py
+++ b/firvane/fleet/cluster/core.py
@@ -1,4 +1,4 @@
-"""Membership and dissemination of one process together, as one state machine: bytes in, bytes out. Pure."""
+"""Membership and dissemination of one process together, as one state machine: bytes in, bytes out."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 from firvane.fleet.membership.members import Member, MemberState, Role
 from firvane.fleet.membership.outbox import Send as MemberSend
 
-MAX_PAYLOAD = 1200
+MAX_PAYLOAD_BYTES = 1200
 """Bytes up to which sections for one peer are put into one payload."""
 _SUMMARY = struct.Struct(">I")
 
 
 class PayloadError(ValueError):
-    """A payload of another process that cannot be read; the text gives the reason."""
+    """The payload of another process cannot be read; the text gives the reason."""
 
 
 class Effects(Struct):
-    """What an input has led to."""
+    """What an input causes."""
 
     sends: list[tuple[Address, bytes]] = field(default_factory=list)
     learned: list[Item] = field(default_factory=list)
@@ -51,7 +51,7 @@
 
     state: MemberState
     applied_version: int | None = None
-    """None where its present life has not reported any."""
+    """None where its current incarnation has not reported any."""
     report_age: float | None = None
     """Seconds since that report came; 0 for this process."""
 
@@ -67,7 +67,7 @@
         now: float,
         is_withheld: Callable[[bytes], bool] = offer_everything,
     ) -> None:
-        """`is_withheld` tells of a key whether its item is not to be offered to others at this moment."""
+        """`is_withheld` returns whether the item of a key is not to be offered to others at this moment."""
         self._membership = Membership(identity, seeds, rng, now)
         self._dissemination = Dissemination(rng, now, is_withheld)
         self._peers_version = -1
@@ -99,7 +99,7 @@
         return KnownMember(state, report.version, now - report.received_at)
 
     def set_applied_version(self, version: int) -> None:
-        """This version of the configuration is in force in this process."""
+        """Report from now on that this version of the configuration is in force here."""
         self._applied.own = version
         self._dissemination.report_to_controllers()
 
@@ -108,7 +108,7 @@
         return self._dissemination.item(key)
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
-        """The seeds were replaced."""
+        """Replace the seeds."""
         self._membership.set_seeds(seeds)
 
     def deadline(self) -> float:
@@ -123,7 +123,11 @@
         return self._effects()
 
     def receive(self, sender: Address, payload: bytes, now: float) -> Effects:
-        """Take a payload of another process. `PayloadError` if it cannot be read."""
+        """Handle a payload of another process.
+
+        Raises:
+            PayloadError: It cannot be read; what came before the damage had its effect.
+        """
         try:
             for section in decode_envelope(payload):
                 self._receive_section(sender, section, now)
@@ -132,17 +136,17 @@
         return self._effects()
 
     def publish(self, item: Item, now: float) -> Effects:
-        """Take an own item and pass it on."""
+        """Store an own item and disseminate it."""
         self._refresh_peers()
         self._add_output(self._dissemination.publish(item, now))
         return self._effects()
 
-    def heard(self, sender: Address, now: float) -> None:
-        """Any payload came from the sender: it is alive."""
-        self._membership.heard(sender, now)
+    def record_received(self, sender: Address, now: float) -> None:
+        """Record a payload of the sender: it is alive."""
+        self._membership.record_received(sender, now)
 
     def leave(self, now: float) -> Effects:
-        """Say to some members that this process ends."""
+        """Notify some members that this process ends."""
         self._add_member_sends(self._membership.leave(now))
         return self._effects()
 
@@ -162,7 +166,7 @@
                 self._add_output(self._dissemination.receive(sender, section.content, now))
 
     def _receive_report(self, sender: Address, content: bytes, now: float) -> None:
-        """Take the report of a live member; one is kept for each, so that their number is bounded."""
+        """Store the report of a live member; one for each, so that their number is bounded."""
         member = self._membership.member(sender)
         if member is not None:
             self._applied.receive(member, content, now)
@@ -217,13 +221,13 @@
 
 
 def _pack(sections: Sequence[Section]) -> list[bytes]:
-    """Payloads that hold the sections in order, several to one payload while it fits a datagram."""
+    """Return payloads with the sections in order, several to one payload while it fits a datagram."""
     payloads = []
     batch: list[Section] = []
     size = ENVELOPE_OVERHEAD
     for section in sections:
         length = SECTION_OVERHEAD + len(section.content)
-        if batch and size + length > MAX_PAYLOAD:
+        if batch and size + length > MAX_PAYLOAD_BYTES:
             payloads.append(encode_envelope(batch))
             batch, size = [], ENVELOPE_OVERHEAD
         batch.append(section)
--- a/firvane/fleet/cluster/envelope.py
+++ b/firvane/fleet/cluster/envelope.py
@@ -19,7 +19,7 @@
 
 
 class EnvelopeError(ValueError):
-    """Bytes that are not an envelope; the text gives the reason."""
+    """The bytes are not an envelope; the text gives the reason."""
 
 
 class Plane(enum.IntEnum):
@@ -51,7 +51,11 @@
 
 
 def decode_envelope(data: bytes) -> list[Section]:
-    """The sections in `data`. `EnvelopeError` if there are none."""
+    """Return the sections in `data`.
+
+    Raises:
+        EnvelopeError: `data` is no envelope of this version.
+    """
     if not data or data[0] != VERSION:
         raise EnvelopeError("version is unknown")
     sections: list[Section] = []
--- a/firvane/fleet/cluster/reports.py
+++ b/firvane/fleet/cluster/reports.py
@@ -1,4 +1,4 @@
-"""What operators are told of the fleet, as JSON: the types of the answers that their client reads."""
+"""Reports on the fleet for operators: the JSON types that their client reads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MemberReport(msgspec.Struct, frozen=True):
-    """A process of the fleet as the asked one sees it. Addresses are `HOST:PORT`."""
+    """A process of the fleet as the responding one sees it. Addresses are `HOST:PORT`."""
 
     address: str
     """Internal address: the name of the process."""
@@ -27,11 +27,11 @@
     state_age_s: float
     """Seconds for which it has been seen in this state."""
     incarnation: str
-    """16 hexadecimal digits, since not every reader of JSON keeps 64 bits; higher in each later life."""
+    """16 hexadecimal digits, since not every reader of JSON keeps 64 bits; higher after each start."""
     control: str | None = None
     """Address of the operators' API, controllers only."""
     config_version: int | None = None
-    """The version in force there, None where it has not been reported to the asked process."""
+    """The version in force there; None where it was not reported to the responding process."""
     report_age_s: float | None = None
 
     @property
@@ -49,7 +49,7 @@
     address: str
     incarnation: str
     kind: str
-    """`voter`, `learner`, or `outside`: the asked process itself is no voter."""
+    """`voter`, `learner`, or `outside`: the responding process itself is no voter."""
     synced_index: int | None = None
     """Its disk holds the log up to here."""
     lag: int | None = None
@@ -60,13 +60,13 @@
 
 
 class PartReport(msgspec.Struct, frozen=True):
-    """One part as the asked controller sees it."""
+    """One part as the responding controller sees it."""
 
     part: int
     role: str
-    """Of the asked controller: `leader`, `follower`, `candidate`, or `closed` until its journal is open."""
+    """Of the responding controller: `leader`, `follower`, `candidate`, or `closed` before it has started."""
     owned: bool = False
-    """Whether the asked controller surely owns the part."""
+    """Whether the responding controller surely owns the part."""
     owner: str | None = None
     owner_control: str | None = None
     term: int = 0
@@ -78,50 +78,50 @@
     replicas: list[ReplicaReport] = []
 
 
-class FleetAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """What all answers begin with."""
+class FleetResponse(msgspec.Struct, frozen=True, kw_only=True):
+    """Fields of all responses."""
 
     code: int
     result: str
     config_version: int
-    """The newest version that the asked process knows of."""
+    """The newest version that the responding process knows of."""
     asked: str
-    """Internal address of the process that answers."""
+    """Internal address of the responding process."""
 
 
-class MembersAnswer(FleetAnswer, frozen=True, kw_only=True):
-    """The answer to `GET /v1/fleet/members`; the asked process comes first."""
+class MembersResponse(FleetResponse, frozen=True, kw_only=True):
+    """The response to `GET /v1/fleet/members`; the responding process comes first."""
 
     members: list[MemberReport]
 
 
-class PartsAnswer(FleetAnswer, frozen=True, kw_only=True):
-    """The answer to `GET /v1/fleet/parts`."""
+class PartsResponse(FleetResponse, frozen=True, kw_only=True):
+    """The response to `GET /v1/fleet/parts`."""
 
     parts: list[PartReport]
 
 
-class HandOverOrder(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class HandOverRequest(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The body of `POST /v1/fleet/hand-over`."""
 
     part: int
     term: int
-    """The part's term that the order builds on: a part that has passed on meanwhile is left alone."""
+    """The part's term that the request rests on: a part whose owner has changed since is left alone."""
     successor: str | None = None
     """Internal or control address; None for the best one."""
 
 
-class HandOverAnswer(FleetAnswer, frozen=True, kw_only=True):
-    """The answer to a hand-over that was carried out."""
+class HandOverResponse(FleetResponse, frozen=True, kw_only=True):
+    """The response to a hand-over that was carried out."""
 
     part: int
     owner: str
 
 
 def encode_members(own: Address, config_version: int, known: Iterable[KnownMember]) -> bytes:
-    """The answer to a question for members, of the process with the internal address `own`."""
+    """Return the members response of the process with the internal address `own`."""
     code = ResultCode.FLEET_STATE
-    answer = MembersAnswer(
+    answer = MembersResponse(
         code=code.value,
         result=code.name.lower(),
         config_version=config_version,
--- a/firvane/fleet/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -19,10 +19,10 @@
 from firvane.core.logs import Log
 from firvane.fleet.cluster.agent import Item, KnownMember, Member, Role
 from firvane.fleet.cluster.reports import (
-    FleetAnswer,
-    HandOverAnswer,
+    FleetResponse,
+    HandOverResponse,
     PartReport,
-    PartsAnswer,
+    PartsResponse,
     address_text,
     encode_members,
 )
@@ -105,7 +105,7 @@
         """All parts as this controller sees them."""
         code = ResultCode.FLEET_STATE
         parts = [self._part(part) for part in ALL_PARTS]
-        return self._answer(code, PartsAnswer(**self._head(code), parts=parts))
+        return self._answer(code, PartsResponse(**self._head(code), parts=parts))
 
     async def hand_over(self, body: bytes) -> Outcome:
         """Pass a part to the controller that the order names, or to the best one."""
@@ -165,10 +165,10 @@
 
     def _handed_over(self, part: int, owner: Address) -> Outcome:
         code = ResultCode.HANDED_OVER
-        return self._answer(code, HandOverAnswer(**self._head(code), part=part, owner=address_text(owner)))
+        return self._answer(code, HandOverResponse(**self._head(code), part=part, owner=address_text(owner)))
 
     @staticmethod
-    def _answer(code: ResultCode, answer: FleetAnswer) -> Outcome:
+    def _answer(code: ResultCode, answer: FleetResponse) -> Outcome:
         return Outcome(code, answer.config_version, document=msgspec.json.encode(answer))
 
     def _refuse(self, code: ResultCode, problem: Problem) -> Outcome:
--- a/firvane/fleet/controller/hand_over_order.py
+++ b/firvane/fleet/controller/hand_over_order.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from firvane.core.address import Address, parse_address
-from firvane.fleet.cluster.reports import HandOverOrder
+from firvane.fleet.cluster.reports import HandOverRequest
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import MAX_VERSION, Problem
 from firvane.fleet.partitions import ALL_PARTS
@@ -42,9 +42,9 @@
     return HandOver(order.part, order.term, _read_successor(order.successor))
 
 
-def _decode(body: bytes) -> HandOverOrder:
+def _decode(body: bytes) -> HandOverRequest:
     try:
-        return msgspec.json.decode(body, type=HandOverOrder)
+        return msgspec.json.decode(body, type=HandOverRequest)
     except msgspec.ValidationError as error:
         raise BadOrderError(ResultCode.WRONG_TYPE, "", str(error)) from None
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
--- a/firvane/fleet/dissemination/__init__.py
+++ b/firvane/fleet/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Versioned items passed on to all members: rumours to a few of them, digests that repair gaps."""
+"""Dissemination of versioned items to all members: gossip to a few of them, and anti-entropy by digests."""
--- a/firvane/fleet/dissemination/codec.py
+++ b/firvane/fleet/dissemination/codec.py
@@ -20,7 +20,7 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are not a message of dissemination; the text gives the reason."""
+    """The bytes are not a dissemination message; the text gives the reason."""
 
 
 class Kind(enum.IntEnum):
@@ -37,11 +37,11 @@
     REQUEST = 5
     """Versions wanted, or newer ones."""
     REPAIR = 6
-    """Items with their payloads, in answer to a digest; no rumour."""
+    """Items with their payloads, in answer to a digest; not to be forwarded."""
     ACCEPT = 7
-    """Requested versions that are sent now, or as soon as they are here."""
-    REFUSE = 8
-    """Requested versions that are neither here nor being fetched: ask another peer."""
+    """Requested versions that are sent now, or as soon as they have come."""
+    REJECT = 8
+    """Requested versions that are neither stored nor being fetched: ask another peer."""
 
 
 _WITH_PAYLOADS = frozenset({Kind.PUSH, Kind.REPAIR})
@@ -84,7 +84,11 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """The message in `data`. `MessageError` if there is none."""
+    """Return the message in `data`.
+
+    Raises:
+        MessageError: `data` is not a message of this version.
+    """
     try:
         return _decode(data)
     except (struct.error, ValueError) as error:
--- a/firvane/fleet/dissemination/items.py
+++ b/firvane/fleet/dissemination/items.py
@@ -1,4 +1,4 @@
-"""The items that are passed on, and the store that never goes back."""
+"""The items, and the store whose versions never go back."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 MAX_KEY_BYTES = 255
 MAX_ITEMS = 4096
-"""Keys a store takes; what is beyond is refused."""
+"""Keys that a store takes; further ones are rejected."""
 _VERSION = struct.Struct(">HQ")
 
 
@@ -40,7 +40,7 @@
         return -1 if item is None else item.version
 
     def put(self, item: Item) -> bool:
-        """Take an item if it is newer than what is known; whether it was taken."""
+        """Store an item if it is newer than what is known, and return whether it was stored."""
         if item.version <= self.version(item.key):
             return False
         if item.key not in self._items and len(self._items) >= MAX_ITEMS:
--- a/firvane/fleet/dissemination/peers.py
+++ b/firvane/fleet/dissemination/peers.py
@@ -1,4 +1,4 @@
-"""The peers to which items are passed on: a choice by zones. Pure."""
+"""The peers to which items are sent: a choice by zones. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from firvane.core.address import Address
 
 FANOUT = 3
-"""Members to which something new is passed on."""
+"""Members to which something new is forwarded."""
 MAX_SOURCES = 8
-"""Peers with fast links that are told first by who publishes."""
-OWN_ZONE_SHARE = 0.6
-"""Part of the digests that stay in the own zone, where bytes are cheap."""
-OTHER_ZONE_SHARE = 0.25
-"""Part of the relays that send one of their messages to another zone, in case that zone was missed."""
+"""Peers with fast links to which a publisher pushes first."""
+OWN_ZONE_RATIO = 0.6
+"""Ratio of the digests that stay in the own zone, where bytes are cheap."""
+OTHER_ZONE_RATIO = 0.25
+"""Ratio of the forwards of which one message goes to another zone, in case that zone was missed."""
 
 
 class Peer(Struct, frozen=True):
@@ -25,7 +25,7 @@
     address: Address
     zone: str
     is_source: bool = False
-    """Whether it has a fast link, so that large payloads are rather fetched from it."""
+    """Whether it has a fast link, so that large payloads are preferably fetched from it."""
 
 
 class PeerSet:
@@ -34,7 +34,7 @@
     def __init__(
         self, own_zone: str, peers: Iterable[Peer], successor: Address | None, is_source: bool = False
     ) -> None:
-        """`is_source`: the owner has a fast link; it fetches from who announces, and tells other sources."""
+        """`is_source`: the owner has a fast link, fetches from the announcer, and pushes to other sources."""
         self._is_source = is_source
         self._near: list[Address] = []
         self._far: dict[str, list[Address]] = {}
@@ -61,16 +61,17 @@
         return targets + self._nearby(rng, max(1, FANOUT - len(targets)), targets)
 
     def for_relay(self, rng: random.Random, source: Address, is_early: bool = False) -> list[Address]:
-        """Peers to which news from `source` is passed on: mostly of the own zone.
+        """Peers to which an update from `source` is forwarded: mostly of the own zone.
 
-        Only of the own zone if it `is_early`: the payload is not here yet, and must come from a source there.
+        Only of the own zone if it `is_early`: the payload has not come yet, and must be fetched from a
+        source there.
         """
         targets = self._nearby(rng, FANOUT, [source])
         if is_early:
             return [target for target in targets if target in self._near_set]
         if self._is_source:
             return [to for to in dict.fromkeys([*self._some_sources(rng), *targets]) if to != source]
-        if self._far_all and (len(targets) < FANOUT or rng.random() < OTHER_ZONE_SHARE):
+        if self._far_all and (len(targets) < FANOUT or rng.random() < OTHER_ZONE_RATIO):
             far = rng.sample(self._far_all, min(len(self._far_all), 2))
             targets = targets[: FANOUT - 1] + [target for target in far if target != source][:1]
         return targets
@@ -81,12 +82,12 @@
         return bool(self._own_sources)
 
     def source(self, rng: random.Random) -> Address | None:
-        """A peer of the own zone from which large payloads are rather fetched, or None."""
+        """A peer of the own zone from which large payloads are preferably fetched, or None."""
         return rng.choice(self._own_sources) if self._own_sources else None
 
     def for_digest(self, rng: random.Random) -> Address | None:
         """A random peer to compare with, or None."""
-        near = self._near and (not self._far_all or rng.random() < OWN_ZONE_SHARE)
+        near = self._near and (not self._far_all or rng.random() < OWN_ZONE_RATIO)
         candidates = self._near if near else self._far_all
         return rng.choice(candidates) if candidates else None
 
--- a/firvane/fleet/dissemination/requests.py
+++ b/firvane/fleet/dissemination/requests.py
@@ -1,4 +1,4 @@
-"""Fetching announced payloads: from one source at a time, from another one if it does not answer. Pure."""
+"""Fetches of announced payloads: from one source at a time, and another one on a time-out. Does no I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 from firvane.core.address import Address
 from firvane.fleet.dissemination.codec import Version
 
-ANSWER_TIMEOUT = 0.15
-"""Seconds to wait for an answer before another source is asked."""
-SLOWEST_LINK = 300_000
-"""Bytes a second of the slowest link on which a payload is waited for in full."""
+RESPONSE_TIMEOUT_S = 0.15
+"""Until another source is asked."""
+SLOWEST_LINK_BYTES_PER_S = 300_000
+"""Of the slowest link on which a payload is waited for until its end."""
 MAX_SOURCES = 8
-MAX_WANTED = 4096
-"""Payloads fetched at one time; further announcements are ignored."""
+MAX_FETCHES = 4096
+"""Concurrent fetches; further announcements are ignored."""
 MAX_WAITERS = 1024
-"""Requests of others that wait for a payload which is being fetched here."""
+"""Requests of others that wait for one payload being fetched here."""
 MAX_ATTEMPTS = 6
-"""Requests after which the next announcement or digest is waited for."""
+"""Requests of one payload, after which the next announcement or digest is awaited."""
 
 
-class _Wanted(Struct):
+class _Fetch(Struct):
     version: Version
     sources: list[Address]
     waiters: list[Address] = field(default_factory=list)
-    is_passed_on: bool = False
+    is_forwarded: bool = False
     attempts: int = 0
-    asked: Address | None = None
+    current_source: Address | None = None
     deadline: float = 0.0
 
 
@@ -39,104 +39,104 @@
     version: Version
 
 
-class Arrival(Struct, frozen=True):
-    """What was known of a payload before it came."""
+class FetchResult(Struct, frozen=True):
+    """A completed fetch."""
 
     waiters: Sequence[Address] = ()
-    """Who has requested it meanwhile."""
-    is_passed_on: bool = False
-    """Whether its announcement was passed on already."""
+    """Peers that have requested it meanwhile."""
+    is_forwarded: bool = False
+    """Whether its announcement was forwarded already."""
 
 
 class Requests:
-    """What is being fetched."""
+    """The fetches in flight, by key."""
 
     def __init__(self) -> None:
-        self._wanted: dict[bytes, _Wanted] = {}
+        self._fetches: dict[bytes, _Fetch] = {}
 
-    def announced(
+    def add_announcement(
         self, version: Version, source: Address, preferred: Address | None, now: float
     ) -> Request | None:
-        """The source has this version, which is newer than the own one: the request to send, if any.
+        """Record that a source has this version, newer than the own one; the request to send, if any.
 
         `preferred` is asked first; it may be fetching the version itself.
         """
-        wanted = self._wanted.get(version.key)
-        if wanted is not None and wanted.version.version >= version.version:
-            if source not in wanted.sources and len(wanted.sources) < MAX_SOURCES:
-                wanted.sources.append(source)
+        fetch = self._fetches.get(version.key)
+        if fetch is not None and fetch.version.version >= version.version:
+            if source not in fetch.sources and len(fetch.sources) < MAX_SOURCES:
+                fetch.sources.append(source)
             return None
         sources = [source] if preferred is None or preferred == source else [preferred, source]
-        if wanted is None and len(self._wanted) >= MAX_WANTED:
+        if fetch is None and len(self._fetches) >= MAX_FETCHES:
             return None
-        waiters = wanted.waiters if wanted is not None else []
-        wanted = self._wanted[version.key] = _Wanted(version, sources, waiters)
-        return self._ask(wanted, now)
-
-    def wait(self, version: Version, requester: Address) -> bool:
-        """Somebody requests a version that is not here: whether it waits, as it is being fetched."""
-        wanted = self._wanted.get(version.key)
-        if wanted is None or wanted.version.version < version.version or len(wanted.waiters) >= MAX_WAITERS:
+        waiters = fetch.waiters if fetch is not None else []
+        fetch = self._fetches[version.key] = _Fetch(version, sources, waiters)
+        return self._ask(fetch, now)
+
+    def add_waiter(self, version: Version, requester: Address) -> bool:
+        """Let a requester wait for a version that is being fetched; False where it is not."""
+        fetch = self._fetches.get(version.key)
+        if fetch is None or fetch.version.version < version.version or len(fetch.waiters) >= MAX_WAITERS:
             return False
-        if requester not in wanted.waiters:
-            wanted.waiters.append(requester)
+        if requester not in fetch.waiters:
+            fetch.waiters.append(requester)
         return True
 
     def accepted(self, version: Version, source: Address, now: float) -> None:
-        """The source sends this version: it has as long as a slow link takes."""
-        wanted = self._wanted.get(version.key)
-        if wanted is not None and wanted.version.version == version.version and wanted.asked == source:
-            size = max(version.size, wanted.version.size)
-            wanted.deadline = now + ANSWER_TIMEOUT + size / SLOWEST_LINK
-
-    def refused(self, version: Version, source: Address, now: float) -> Request | None:
-        """A source does not have this version: the request to send to another one, if there is one."""
-        wanted = self._wanted.get(version.key)
-        if wanted is None or wanted.version.version != version.version or wanted.asked != source:
+        """Extend the time-out, since the source sends this version, by what a slow link takes."""
+        fetch = self._fetches.get(version.key)
+        if fetch is not None and fetch.version.version == version.version and fetch.current_source == source:
+            size = max(version.size, fetch.version.size)
+            fetch.deadline = now + RESPONSE_TIMEOUT_S + size / SLOWEST_LINK_BYTES_PER_S
+
+    def rejected(self, version: Version, source: Address, now: float) -> Request | None:
+        """Drop a source that does not have this version; the request to send to another one, if any."""
+        fetch = self._fetches.get(version.key)
+        if fetch is None or fetch.version.version != version.version or fetch.current_source != source:
             return None
-        wanted.sources.remove(source)
-        if not wanted.sources:
-            del self._wanted[version.key]
+        fetch.sources.remove(source)
+        if not fetch.sources:
+            del self._fetches[version.key]
             return None
-        return self._ask(wanted, now)
+        return self._ask(fetch, now)
 
-    def pass_on(self, versions: Iterable[Version]) -> list[Version]:
-        """Versions being fetched whose announcement was not passed on yet; they count as passed on now."""
-        news = []
+    def take_unforwarded(self, versions: Iterable[Version]) -> list[Version]:
+        """Take the versions being fetched whose announcement is not forwarded yet."""
+        updates = []
         for version in versions:
-            wanted = self._wanted.get(version.key)
-            if wanted is not None and wanted.version == version and not wanted.is_passed_on:
-                wanted.is_passed_on = True
-                news.append(version)
-        return news
-
-    def arrived(self, key: bytes, version: int) -> Arrival:
-        """This version has come: requests for it or older ones are done."""
-        wanted = self._wanted.get(key)
-        if wanted is None or wanted.version.version > version:
-            return Arrival()
-        del self._wanted[key]
-        is_passed_on = wanted.is_passed_on and wanted.version.version == version
-        return Arrival(wanted.waiters, is_passed_on)
+            fetch = self._fetches.get(version.key)
+            if fetch is not None and fetch.version == version and not fetch.is_forwarded:
+                fetch.is_forwarded = True
+                updates.append(version)
+        return updates
+
+    def complete(self, key: bytes, version: int) -> FetchResult:
+        """End the fetches that this version, which has come, completes."""
+        fetch = self._fetches.get(key)
+        if fetch is None or fetch.version.version > version:
+            return FetchResult()
+        del self._fetches[key]
+        is_forwarded = fetch.is_forwarded and fetch.version.version == version
+        return FetchResult(fetch.waiters, is_forwarded)
 
     def overdue(self, now: float) -> list[Request]:
         """Requests to repeat with another source."""
         again = []
-        for wanted in [w for w in self._wanted.values() if w.deadline <= now]:
-            if wanted.attempts >= MAX_ATTEMPTS:
-                del self._wanted[wanted.version.key]
+        for fetch in [w for w in self._fetches.values() if w.deadline <= now]:
+            if fetch.attempts >= MAX_ATTEMPTS:
+                del self._fetches[fetch.version.key]
             else:
-                again.append(self._ask(wanted, now))
+                again.append(self._ask(fetch, now))
         return again
 
     def deadline(self) -> float:
-        """When the next request is overdue; infinite if nothing is fetched."""
-        return min((wanted.deadline for wanted in self._wanted.values()), default=float("inf"))
+        """When the next request is overdue; infinite without fetches."""
+        return min((fetch.deadline for fetch in self._fetches.values()), default=float("inf"))
 
     @staticmethod
-    def _ask(wanted: _Wanted, now: float) -> Request:
-        source = wanted.sources[wanted.attempts % len(wanted.sources)]
-        wanted.attempts += 1
-        wanted.asked = source
-        wanted.deadline = now + ANSWER_TIMEOUT
-        return Request(source, wanted.version)
+    def _ask(fetch: _Fetch, now: float) -> Request:
+        source = fetch.sources[fetch.attempts % len(fetch.sources)]
+        fetch.attempts += 1
+        fetch.current_source = source
+        fetch.deadline = now + RESPONSE_TIMEOUT_S
+        return Request(source, fetch.version)
--- a/firvane/fleet/dissemination/uploads.py
+++ b/firvane/fleet/dissemination/uploads.py
@@ -1,4 +1,4 @@
-"""Payloads sent on request, so that a request that is repeated too early is not answered twice. Pure."""
+"""Payloads sent on request, so that a request repeated too early is not served twice. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from firvane.core.address import Address
 from firvane.fleet.dissemination.items import Item
-from firvane.fleet.dissemination.requests import SLOWEST_LINK
+from firvane.fleet.dissemination.requests import SLOWEST_LINK_BYTES_PER_S
 
-RESEND_PAUSE = 0.1
-"""Seconds, beside the time that a slow link takes, after which a payload is sent again to who asks again.
+RESEND_DELAY_S = 0.1
+"""Beside the time that a slow link takes, after which a payload is sent again on a repeated request.
 
-Shorter than `ANSWER_TIMEOUT`: a request that is repeated because nothing came is answered.
+Shorter than `RESPONSE_TIMEOUT_S`: a request that is repeated because nothing came is served.
 """
 MAX_UPLOADS = 4096
 """Uploads remembered at one time."""
@@ -23,7 +23,7 @@
 
 
 class Uploads:
-    """Which version of a key was sent to whom, and until when it may be on its way."""
+    """Which version of a key was sent to which peer, and until when it may be in flight."""
 
     def __init__(self) -> None:
         self._sent: dict[tuple[Address, bytes], _Upload] = {}
@@ -31,17 +31,17 @@
     def __len__(self) -> int:
         return len(self._sent)
 
-    def begin(self, requester: Address, item: Item, now: float) -> bool:
-        """Note that an item is sent now; False if it, or a newer one, is still on its way there."""
+    def start(self, requester: Address, item: Item, now: float) -> bool:
+        """Record that an item is sent now; False if it, or a newer one, is still in flight there."""
         before = self._sent.get((requester, item.key))
         if before is not None and before.version >= item.version and now < before.until:
             return False
         if len(self._sent) >= MAX_UPLOADS:
             self._forget(now)
-        until = now + RESEND_PAUSE + len(item.payload) / SLOWEST_LINK
+        until = now + RESEND_DELAY_S + len(item.payload) / SLOWEST_LINK_BYTES_PER_S
         self._sent[requester, item.key] = _Upload(item.version, until)
         return True
 
     def _forget(self, now: float) -> None:
-        recent = {place: upload for place, upload in self._sent.items() if now < upload.until}
+        recent = {target: upload for target, upload in self._sent.items() if now < upload.until}
         self._sent = recent if len(recent) < MAX_UPLOADS else {}
--- a/firvane/fleet/membership/__init__.py
+++ b/firvane/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: members of the cluster, their incarnations, and the detection of those that failed."""
+"""Cluster membership: members, their incarnations, and failure detection (after SWIM)."""
--- a/firvane/fleet/membership/codec.py
+++ b/firvane/fleet/membership/codec.py
@@ -23,7 +23,7 @@
 MAX_RECORDS = 64
 MAX_INCARNATION = 2**64 - 2**16
 MAX_COUNTER = 2**32 - 2
-_AGE_UNIT = 0.01
+_AGE_UNIT_S = 0.01
 _HEAD = struct.Struct(">BBIBH")
 _PROBE = struct.Struct(">I4sH")
 _RECORD = struct.Struct(">4sHBBQIB4sHB")
@@ -31,7 +31,7 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are not a message of membership; the text gives the reason."""
+    """The bytes are not a membership message; the text gives the reason."""
 
 
 class Kind(enum.IntEnum):
@@ -39,8 +39,8 @@
 
     HEARTBEAT = 1
     """I am alive; this is the summary of my table."""
-    RUMOUR = 2
-    """New records; pass them on once."""
+    UPDATE = 2
+    """New records; forward them once."""
     PROBE = 3
     """Answer with ACK."""
     ACK = 4
@@ -51,15 +51,15 @@
     """These are the checksums of my buckets: send me your records where they differ."""
     RECORDS = 7
     """Records of buckets that differ; with checksums, the receiver sends back its own."""
-    NOTICE = 8
-    """This is what I know of you, and it is newer than what you say, or not alive."""
+    CORRECTION = 8
+    """Your record as I know it: it is newer than what you say, or not alive."""
 
 
 _PROBE_KINDS = frozenset({Kind.PROBE, Kind.ACK, Kind.PROBE_REQUEST})
 
 
 class Message(Struct, frozen=True):
-    """One message; `nonce` and `target` are of meaning for probes and their answers only."""
+    """One message; `nonce` and `target` are used by probes and their answers only."""
 
     kind: Kind
     records: tuple[Record, ...] = ()
@@ -82,7 +82,7 @@
             record.status,
             member.incarnation,
             record.counter,
-            min(255, round(record.age / _AGE_UNIT)),
+            min(255, round(record.age / _AGE_UNIT_S)),
             pack_host(control[0]) if control else _NO_CONTROL,
             control[1] if control else 0,
             len(zone),
@@ -105,7 +105,11 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """The message in `data`. `MessageError` if there is none."""
+    """Return the message in `data`.
+
+    Raises:
+        MessageError: `data` is not a message of this version.
+    """
     try:
         return _decode(data)
     except (struct.error, ValueError) as error:
@@ -137,7 +141,7 @@
 
 
 def _decode_record(data: bytes, offset: int) -> tuple[Record, int]:
-    """The record at an offset, and the offset behind it."""
+    """Return the record at an offset, and the offset after it."""
     zone_at = offset + _RECORD.size - 1
     end = zone_at + 1 + data[zone_at] if zone_at < len(data) else len(data) + 1
     if end > len(data):
@@ -145,7 +149,7 @@
     return _parse_record(data[offset:end]), end
 
 
-@functools.lru_cache(maxsize=1024)  # the same records come again and again
+@functools.lru_cache(maxsize=1024)  # the same records arrive repeatedly
 def _parse_record(data: bytes) -> Record:
     host, port, role, status, incarnation, counter, age, control_host, control_port, zone_length = (
         _RECORD.unpack_from(data)
@@ -158,4 +162,4 @@
     address = (unpack_host(host), port)
     zone = data[_RECORD.size :].decode()
     member = Member(address, Role(role), zone, control, incarnation)
-    return Record(member, counter, Status(status), age * _AGE_UNIT)
+    return Record(member, counter, Status(status), age * _AGE_UNIT_S)
--- a/firvane/fleet/membership/detector.py
+++ b/firvane/fleet/membership/detector.py
@@ -1,8 +1,8 @@
-"""The detection of failed members: who watches whom, probes, helpers, suspicions. Pure.
+"""Failure detection: heartbeats along a ring, direct and indirect probes, suspicions. Does no I/O.
 
-Members form a ring, and each sends its heartbeats to its successor. So a process watches its
-predecessor, and those further back once the predecessor is in doubt: a long run of dead members is
-covered in a few steps.
+Members form a ring, and each sends its heartbeats to its successor. So a process watches its predecessor,
+and those further back while the predecessor is unresponsive: a long run of dead members is covered in a few
+steps.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from firvane.fleet.membership.outbox import Outbox
 from firvane.fleet.membership.probes import Probe, Probes, Stage
 from firvane.fleet.membership.table import Entry
-from firvane.fleet.membership.view import EPSILON, MemberView
+from firvane.fleet.membership.view import TIME_TOLERANCE_S, MemberView
 
-HEARTBEAT_PERIOD = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 """Seconds between two heartbeats to the successor in the ring."""
-HEARTBEAT_GRACE = 0.9
+HEARTBEAT_TIMEOUT_S = 0.9
 """Seconds without a message after which a predecessor is probed."""
-HELPERS = 3
-"""Members asked to probe a member that does not answer."""
+INDIRECT_PROBE_COUNT = 3
+"""Members asked to probe a member that does not answer (indirect probe)."""
 
 
 def some_members(
     view: MemberView, rng: random.Random, count: int, exclude: Sequence[Address]
 ) -> list[Address]:
-    """Some random live members that are not suspected."""
+    """Return some random live members that are not suspected."""
     live = view.table.live()
     picked = rng.sample(live, min(len(live), count + len(exclude) + 2))
     good = [entry.member.address for entry in picked if entry.status is Status.ALIVE]
@@ -57,23 +57,23 @@
             self.probe_once(address, now)
         self._watch(now)
 
-    def heard(self, sender: Address, now: float) -> None:
-        """Any message came from the sender: it is alive."""
+    def record_received(self, sender: Address, now: float) -> None:
+        """Record a message of the sender: it is alive."""
         entry = self._view.table.get(sender)
         if entry is not None and entry.is_live:
-            entry.heard = now
+            entry.last_received_at = now
             self._probes.cancel(sender)
 
-    def wake(self) -> None:
-        """This process was frozen: answers may have been missed."""
+    def reset_after_freeze(self) -> None:
+        """Cancel all probes: this process was suspended and may have missed the answers."""
         self._probes.clear()
 
     def probe_once(self, address: Address, now: float) -> None:
         """Probe an address without a consequence if it does not answer."""
         self._send_probe(address, self._nonce(), now)
 
-    def doubt(self, report: Record, now: float) -> None:
-        """Another member believes this live one dead: probe it, and let it know, so that it refutes that."""
+    def probe_reported_dead(self, report: Record, now: float) -> None:
+        """Probe a live member that another one reports dead, and send it the report to refute."""
         address = report.member.address
         if self._probes.get(address) is not None:
             return
@@ -95,7 +95,7 @@
             self._send_probe(message.target, nonce, now)
 
     def on_ack(self, message: Message, now: float) -> None:
-        """An answer, to an own probe or to one sent for another member."""
+        """Handle an answer to an own probe, or to one sent for another member."""
         relay = self._probes.relayed(message.nonce, now)
         if relay is not None:
             answer = Message(Kind.ACK, nonce=relay.nonce, target=message.target)
@@ -103,34 +103,34 @@
             return
         probe = self._probes.get(message.target)
         if probe is not None and probe.nonce == message.nonce:
-            self.heard(message.target, now)
+            self.record_received(message.target, now)
             self._probes.cancel(message.target)
 
     def _watch_due(self) -> float:
-        """When the predecessor is overdue; infinite while it is in doubt, as its probe has a deadline."""
+        """Return when the predecessor is overdue; infinite while it is probed, which has a deadline."""
         for entry in self._view.table.predecessors():
             if entry.status is Status.ALIVE and self._probes.get(entry.member.address) is None:
-                return entry.heard + HEARTBEAT_GRACE
+                return entry.last_received_at + HEARTBEAT_TIMEOUT_S
             break
         return float("inf")
 
     def _watch(self, now: float) -> None:
-        """Probe the predecessor if it is overdue, and for each one in doubt two more behind it."""
-        in_doubt = 0
-        for looked_at, entry in enumerate(self._view.table.predecessors(), start=1):
+        """Probe the predecessor if it is overdue, and two more behind each unresponsive one."""
+        unresponsive = 0
+        for checked, entry in enumerate(self._view.table.predecessors(), start=1):
             probe = self._probes.get(entry.member.address)
             if entry.status is Status.SUSPECT or (probe is not None and probe.stage is Stage.INDIRECT):
-                in_doubt += 1
-            elif probe is None and self._is_overdue(entry, now, in_doubt):
+                unresponsive += 1
+            elif probe is None and self._is_overdue(entry, now, unresponsive):
                 self._start_probe(entry, now)
-            if looked_at > 2 * in_doubt:
+            if checked > 2 * unresponsive:
                 return
 
     @staticmethod
-    def _is_overdue(entry: Entry, now: float, in_doubt: int) -> bool:
-        """Members further back send their heartbeats elsewhere: they are probed if not heard just now."""
-        grace = HEARTBEAT_PERIOD if in_doubt else HEARTBEAT_GRACE
-        return now - entry.heard >= grace - EPSILON
+    def _is_overdue(entry: Entry, now: float, unresponsive: int) -> bool:
+        """Return whether a member is to be probed; those further back send their heartbeats elsewhere."""
+        grace = HEARTBEAT_INTERVAL_S if unresponsive else HEARTBEAT_TIMEOUT_S
+        return now - entry.last_received_at >= grace - TIME_TOLERANCE_S
 
     def _start_probe(self, entry: Entry, now: float) -> None:
         probe = self._probes.start(entry.member.address, self._nonce(), now)
@@ -141,21 +141,21 @@
         if entry is None or not entry.is_live:
             self._probes.cancel(probe.target)
         elif probe.stage is Stage.DIRECT:
-            self._ask_helpers(probe, now)
+            self._probe_indirectly(probe, now)
         else:
             self._probes.cancel(probe.target)
             if probe.is_reported_dead:
-                self._view.bury(probe.target, now)
+                self._view.mark_dead(probe.target, now)
             else:
                 self._view.suspect(probe.target, now)
-                self.probe_once(probe.target, now)  # it learns of the suspicion, and can refute it
+                self.probe_once(probe.target, now)  # it learns of the suspicion and can refute it
 
-    def _ask_helpers(self, probe: Probe, now: float) -> None:
+    def _probe_indirectly(self, probe: Probe, now: float) -> None:
         probe.advance(now)
         self._send_probe(probe.target, probe.nonce, now)
         request = Message(Kind.PROBE_REQUEST, nonce=probe.nonce, target=probe.target)
-        for helper in some_members(self._view, self._rng, HELPERS, exclude=(probe.target,)):
-            self._outbox.add(helper, request, self._view.records([probe.target], now))
+        for proxy in some_members(self._view, self._rng, INDIRECT_PROBE_COUNT, exclude=(probe.target,)):
+            self._outbox.add(proxy, request, self._view.records([probe.target], now))
 
     def _send_probe(self, target: Address, nonce: int, now: float) -> None:
         message = Message(Kind.PROBE, nonce=nonce, target=target)
--- a/firvane/fleet/membership/failed_members.py
+++ b/firvane/fleet/membership/failed_members.py
@@ -1,4 +1,4 @@
-"""Addresses of members that died, probed now and then: two halves find each other after a cut. Pure."""
+"""Addresses of failed members, probed at intervals, so that partitions merge again. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,57 +8,61 @@
 
 from firvane.core.address import Address
 
-FIRST_PAUSE = 0.5
-MAX_PAUSE = 5.0
-"""Pauses between two probes of one address, in seconds: doubled from the first to the largest."""
-MIN_INTERVAL = 0.25
+INITIAL_BACKOFF_S = 0.5
+MAX_BACKOFF_S = 5.0
+"""Exponential backoff between two probes of one address."""
+MIN_PROBE_INTERVAL_S = 0.25
 """Seconds between two probes by one process, whatever the number of addresses."""
-LIFETIME = 900.0
+GIVE_UP_AFTER_S = 900.0
 """Seconds after which an address that never answered is given up."""
-MAX_LOST = 1024
+MAX_FAILED_MEMBERS = 1024
+MIN_JITTER = 0.75
+MAX_JITTER = 1.25
 
 
-class _Lost(Struct):
-    pause: float
+class _FailedMember(Struct):
+    backoff: float
     due: float
     expires: float
 
 
-class LostMembers:
-    """When to probe which address."""
+class FailedMembers:
+    """Schedules the probes of failed members."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._lost: dict[Address, _Lost] = {}
+        self._members: dict[Address, _FailedMember] = {}
         self._due = float("inf")
 
     def add(self, address: Address, now: float) -> None:
-        """A member died; the oldest one is given up if there are too many."""
-        if len(self._lost) >= MAX_LOST:
-            del self._lost[next(iter(self._lost))]
-        self._lost[address] = _Lost(FIRST_PAUSE, now + FIRST_PAUSE, now + LIFETIME)
-        self._due = min(self._due, now + FIRST_PAUSE)
+        """Add a member that died; the oldest one is given up if there are too many."""
+        if len(self._members) >= MAX_FAILED_MEMBERS:
+            del self._members[next(iter(self._members))]
+        self._members[address] = _FailedMember(
+            INITIAL_BACKOFF_S, now + INITIAL_BACKOFF_S, now + GIVE_UP_AFTER_S
+        )
+        self._due = min(self._due, now + INITIAL_BACKOFF_S)
 
     def discard(self, address: Address) -> None:
-        """The member is back, or has left."""
-        if self._lost.pop(address, None) is not None and not self._lost:
+        """Remove a member that is back or has left."""
+        if self._members.pop(address, None) is not None and not self._members:
             self._due = float("inf")
 
     def deadline(self) -> float:
-        """When the next probe is due; infinite if no member is lost."""
+        """Return when the next probe is due; infinite without failed members."""
         return self._due
 
     def take(self, now: float) -> Address | None:
-        """An address to probe now, or None; the longest overdue one."""
+        """Return the longest overdue address to probe now, or None."""
         if now < self._due:
             return None
-        address = min(self._lost, key=lambda a: self._lost[a].due)
-        lost = self._lost[address]
-        if lost.expires <= now:
-            del self._lost[address]
+        address = min(self._members, key=lambda a: self._members[a].due)
+        member = self._members[address]
+        if member.expires <= now:
+            del self._members[address]
         else:
-            lost.pause = min(lost.pause * 2, MAX_PAUSE)
-            lost.due = now + lost.pause * self._rng.uniform(0.75, 1.25)
-        first = min((entry.due for entry in self._lost.values()), default=float("inf"))
-        self._due = max(first, now + MIN_INTERVAL)
+            member.backoff = min(member.backoff * 2, MAX_BACKOFF_S)
+            member.due = now + member.backoff * self._rng.uniform(MIN_JITTER, MAX_JITTER)
+        first = min((entry.due for entry in self._members.values()), default=float("inf"))
+        self._due = max(first, now + MIN_PROBE_INTERVAL_S)
         return address
--- a/firvane/fleet/membership/machine.py
+++ b/firvane/fleet/membership/machine.py
@@ -1,18 +1,18 @@
-"""Membership as a state machine: joining, heartbeats, rumours, comparison of tables. Pure.
+"""Membership as a state machine: joining, heartbeats, updates, anti-entropy. Does no I/O.
 
-1. Live members form a ring. Each sends a heartbeat to its successor every `HEARTBEAT_PERIOD`; who
-   misses those of its predecessor probes it, directly and through helpers, and suspects it if nothing
+1. Live members form a ring. Each sends a heartbeat to its successor every `HEARTBEAT_INTERVAL_S`; a member
+   that misses those of its predecessor probes it, directly and indirectly, and suspects it if nothing
    answers (`detector`).
 2. A suspicion carries its age, so that every member confirms the death at nearly the same time,
-   `SUSPICION_TIME` after its start, unless the suspected member refutes it with a higher counter
+   `SUSPICION_TIMEOUT_S` after its start, unless the suspected member refutes it with a higher counter
    (`view`).
-3. New records are passed on once to `FANOUT` members, in batches. What is missed that way is repaired:
-   heartbeats and digests carry a summary of the table, and members whose summaries differ compare
-   checksums of buckets.
+3. New records are forwarded once to `FANOUT` members, in batches. What is missed that way is repaired by
+   anti-entropy: heartbeats and digests carry a summary of the table, and members whose summaries differ
+   compare checksums of buckets.
 4. A report of a death never overrides a live record of the same stamp: the member is probed instead.
-5. Two members that believed each other dead in their present lives were cut off: they forget the deaths
-   of that time, and take what the other one reports.
-6. A process that was frozen (no input for `FREEZE_TIME`) blames nobody for its own silence.
+5. Two members that believe each other dead in their current incarnations were partitioned: they forget the
+   deaths of that time, and accept what the other one reports.
+6. A process that was suspended (no input for `FREEZE_THRESHOLD_S`) suspects nobody for what it missed.
 """
 
 from __future__ import annotations
@@ -22,27 +22,29 @@
 
 from firvane.core.address import Address
 from firvane.fleet.membership.codec import Kind, Message, MessageError, decode_message, encode_message
-from firvane.fleet.membership.detector import HEARTBEAT_PERIOD, FailureDetector, some_members
+from firvane.fleet.membership.detector import HEARTBEAT_INTERVAL_S, FailureDetector, some_members
 from firvane.fleet.membership.members import Member, MemberState, Status
 from firvane.fleet.membership.outbox import Outbox, Send, batches
 from firvane.fleet.membership.table import BUCKETS
 from firvane.fleet.membership.view import MemberView
 
-FREEZE_TIME = 1.5
-"""Seconds without any input after which this process was frozen: it has a timer each `HEARTBEAT_PERIOD`."""
-RUMOUR_DELAY = 0.04
-"""Seconds for which new records are gathered before they are passed on."""
+FREEZE_THRESHOLD_S = 1.5
+"""Without any input for so long this process was suspended: it has a timer each `HEARTBEAT_INTERVAL_S`."""
+UPDATE_DELAY_S = 0.04
+"""New records are batched for so long before they are forwarded."""
 FANOUT = 3
-"""Members to which new records are passed on."""
-COMPARE_INTERVAL = 0.3
+"""Members to which new records are forwarded."""
+COMPARE_INTERVAL_S = 0.3
 """Seconds between two comparisons of tables started by this process."""
-FIRST_JOIN_PAUSE = 0.1
-MAX_JOIN_PAUSE = 1.0
-"""Pauses between two announcements to the seeds, in seconds: doubled from the first to the largest."""
-MAX_MESSAGES = 64
+INITIAL_JOIN_BACKOFF_S = 0.1
+MAX_JOIN_BACKOFF_S = 1.0
+"""Exponential backoff between two announcements to the seeds."""
+MIN_JITTER = 0.8
+MAX_JITTER = 1.2
+MAX_RECORD_MESSAGES = 64
 """Messages with records sent in answer to one comparison."""
 LEAVE_FANOUT = 8
-"""Members to which a leaving member says so itself."""
+"""Members that a leaving member notifies itself."""
 
 
 class Membership:
@@ -57,10 +59,10 @@
         self._seeds: list[Address] = []
         self.set_seeds(seeds)
         self._is_leaving = False
-        self._rumour_due = float("inf")
+        self._update_due = float("inf")
         self._heartbeat_due = now
         self._join_due = now
-        self._join_pause = FIRST_JOIN_PAUSE
+        self._join_backoff = INITIAL_JOIN_BACKOFF_S
         self._compare_due = now
         self._last_input = now
         self._started = now
@@ -85,7 +87,7 @@
         return entry.member if entry is not None and entry.is_live else None
 
     def states(self, now: float) -> list[MemberState]:
-        """All known members, this process first; those that died or left are kept for `TOMBSTONE_TIME`."""
+        """All known members, this process first; the dead and left ones for `TOMBSTONE_LIFETIME_S`."""
         own = MemberState(self._view.own, Status.ALIVE, now - self._started)
         entries = self._table.all()
         return [own, *(MemberState(each.member, each.status, now - each.since) for each in entries)]
@@ -100,13 +102,13 @@
         return self._table.summary()
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
-        """The seeds were replaced."""
+        """Replace the seeds."""
         self._seeds = [seed for seed in seeds if seed != self._view.own.address]
 
     def deadline(self) -> float:
         """When `tick` is due next."""
         due = min(
-            self._heartbeat_due, self._rumour_due, self._detector.deadline(), self._view.lost.deadline()
+            self._heartbeat_due, self._update_due, self._detector.deadline(), self._view.failed.deadline()
         )
         return min(due, self._join_due) if self._needs_join() else due
 
@@ -114,74 +116,78 @@
         """Do what is due."""
         if self._is_leaving:
             return []
-        self._observe(now)
+        self._detect_freeze(now)
         self._detector.tick(now)
         if now >= self._heartbeat_due:
             self._heartbeat(now)
         if now >= self._join_due and self._needs_join():
             self._announce(now)
-        lost = self._view.lost.take(now)
-        if lost is not None:
-            self._detector.probe_once(lost, now)
-        if now >= self._rumour_due:
-            self._pass_on(now)
+        failed = self._view.failed.take(now)
+        if failed is not None:
+            self._detector.probe_once(failed, now)
+        if now >= self._update_due:
+            self._send_updates(now)
         return self._finish(now)
 
     def receive(self, sender: Address, payload: bytes, now: float) -> list[Send]:
-        """Take a message. `MessageError` if it is none."""
+        """Handle a message.
+
+        Raises:
+            MessageError: The payload is no message, or not one of its sender.
+        """
         message = decode_message(payload)
         if message.records[0].member.address != sender:
             raise MessageError("first record is not the sender's")
         if sender == self._view.own.address or self._is_leaving:
             return []
-        self._observe(now)
+        self._detect_freeze(now)
         is_first = not self._table.live()
-        if not self._view.is_believed(message.records[0]):
-            self._outbox.add(sender, Message(Kind.NOTICE), self._view.records([sender], now))
-        if self._view.was_cut_off(message.records[0], message.records):
-            self._view.forget_deaths()
+        if not self._view.is_consistent(message.records[0]):
+            self._outbox.add(sender, Message(Kind.CORRECTION), self._view.records([sender], now))
+        if self._view.was_partitioned(message.records[0], message.records):
+            self._view.forget_dead_members()
         for record in message.records:
-            if self._view.merge(record, now, is_rumour=message.kind is not Kind.RECORDS):
-                self._detector.doubt(record, now)
-        self._detector.heard(sender, now)
+            if self._view.merge(record, now, is_update=message.kind is not Kind.RECORDS):
+                self._detector.probe_reported_dead(record, now)
+        self._detector.record_received(sender, now)
         if is_first and sender not in self._seeds:
             self._send_compare(sender, is_join=True)
         self._handle(message, sender, now)
         return self._finish(now)
 
     def compare_summary(self, sender: Address, summary: int, now: float) -> list[Send]:
-        """Another plane carried the sender's `summary`: start a comparison if it differs."""
+        """Compare the sender's summary, which another plane carried, and start anti-entropy if it differs."""
         if self._is_leaving:
             return []
-        self.heard(sender, now)
+        self.record_received(sender, now)
         self._compare(sender, summary, now)
         return self._finish(now)
 
-    def heard(self, sender: Address, now: float) -> None:
-        """Any message came from the sender: it is alive."""
-        self._observe(now)
-        self._detector.heard(sender, now)
+    def record_received(self, sender: Address, now: float) -> None:
+        """Record a message of the sender: it is alive."""
+        self._detect_freeze(now)
+        self._detector.record_received(sender, now)
 
     def leave(self, now: float) -> list[Send]:
-        """Say to some members that this process ends; nothing is sent afterwards."""
+        """Notify some members that this process ends; nothing is sent afterwards."""
         self._is_leaving = True
         payload = encode_message(
-            Message(Kind.RUMOUR, summary=self._table.summary()), [self._view.own_record(Status.LEFT)]
+            Message(Kind.UPDATE, summary=self._table.summary()), [self._view.own_record(Status.LEFT)]
         )
-        return [Send(to, payload) for to in self._rumour_targets(LEAVE_FANOUT)]
+        return [Send(to, payload) for to in self._update_targets(LEAVE_FANOUT)]
 
-    def _observe(self, now: float) -> None:
-        if now - self._last_input > FREEZE_TIME:
-            self._detector.wake()
-            self._view.wake(now)
+    def _detect_freeze(self, now: float) -> None:
+        if now - self._last_input > FREEZE_THRESHOLD_S:
+            self._detector.reset_after_freeze()
+            self._view.reset_after_freeze(now)
             self._heartbeat_due = now
-            self._join_pause = FIRST_JOIN_PAUSE
+            self._join_backoff = INITIAL_JOIN_BACKOFF_S
         self._last_input = now
 
     def _finish(self, now: float) -> list[Send]:
-        """Schedule what is to be passed on, and return the messages."""
-        if self._view.fresh and self._rumour_due == float("inf"):
-            self._rumour_due = now + RUMOUR_DELAY
+        """Schedule the forwarding of new records, and return the messages."""
+        if self._view.pending_updates and self._update_due == float("inf"):
+            self._update_due = now + UPDATE_DELAY_S
         return self._outbox.take()
 
     def _handle(self, message: Message, sender: Address, now: float) -> None:
@@ -195,14 +201,14 @@
             case Kind.ACK:
                 self._detector.on_ack(message, now)
             case Kind.COMPARE:
-                self._answer_compare(sender, message.buckets, now, with_checksums=True)
+                self._send_differing_records(sender, message.buckets, now, with_checksums=True)
             case Kind.RECORDS if message.buckets:
-                self._answer_compare(sender, message.buckets, now, with_checksums=False)
+                self._send_differing_records(sender, message.buckets, now, with_checksums=False)
 
     def _heartbeat(self, now: float) -> None:
-        self._heartbeat_due += HEARTBEAT_PERIOD
+        self._heartbeat_due += HEARTBEAT_INTERVAL_S
         if self._heartbeat_due <= now:
-            self._heartbeat_due = now + HEARTBEAT_PERIOD
+            self._heartbeat_due = now + HEARTBEAT_INTERVAL_S
         successor = self.successor()
         if successor is not None:
             self._outbox.add(successor, Message(Kind.HEARTBEAT), is_heartbeat=True)
@@ -214,34 +220,34 @@
     def _announce(self, now: float) -> None:
         for seed in self._seeds:
             self._send_compare(seed, is_join=True)
-        self._join_due = now + self._join_pause * self._rng.uniform(0.8, 1.2)
-        self._join_pause = min(self._join_pause * 2, MAX_JOIN_PAUSE)
+        self._join_due = now + self._join_backoff * self._rng.uniform(MIN_JITTER, MAX_JITTER)
+        self._join_backoff = min(self._join_backoff * 2, MAX_JOIN_BACKOFF_S)
 
-    def _pass_on(self, now: float) -> None:
+    def _send_updates(self, now: float) -> None:
         """Send the new records to the successor and to random members."""
-        records = self._view.records(list(self._view.fresh), now)
-        self._view.fresh.clear()
-        self._rumour_due = float("inf")
-        targets = self._rumour_targets(FANOUT)
+        records = self._view.records(list(self._view.pending_updates), now)
+        self._view.pending_updates.clear()
+        self._update_due = float("inf")
+        targets = self._update_targets(FANOUT)
         for batch in batches(records):
             for to in targets:
-                self._outbox.add(to, Message(Kind.RUMOUR), batch)
+                self._outbox.add(to, Message(Kind.UPDATE), batch)
 
-    def _rumour_targets(self, count: int) -> list[Address]:
+    def _update_targets(self, count: int) -> list[Address]:
         successor = self.successor()
         targets = [] if successor is None else [successor]
         return targets + some_members(self._view, self._rng, count - len(targets), exclude=targets)
 
     def _compare(self, sender: Address, summary: int, now: float) -> None:
-        if summary == self._table.summary() or self._view.fresh or now < self._compare_due:
+        if summary == self._table.summary() or self._view.pending_updates or now < self._compare_due:
             return
-        self._compare_due = now + COMPARE_INTERVAL
+        self._compare_due = now + COMPARE_INTERVAL_S
         self._send_compare(sender)
 
     def _send_compare(self, to: Address, is_join: bool = False) -> None:
         self._outbox.add(to, Message(Kind.COMPARE, buckets=self._table.checksums()), is_join=is_join)
 
-    def _answer_compare(
+    def _send_differing_records(
         self, to: Address, checksums: Sequence[int], now: float, with_checksums: bool
     ) -> None:
         """Send the records of the buckets that differ, tombstones included."""
@@ -252,7 +258,7 @@
         if not differing:
             return
         records = [entry.encoded(now) for entry in self._table.in_buckets(differing)]
-        answers = list(batches(records))[:MAX_MESSAGES] or [[]]
+        answers = list(batches(records))[:MAX_RECORD_MESSAGES] or [[]]
         for batch in answers[:-1]:
             self._outbox.add(to, Message(Kind.RECORDS), batch)
         last = Message(Kind.RECORDS, buckets=own if with_checksums else ())
--- a/firvane/fleet/membership/members.py
+++ b/firvane/fleet/membership/members.py
@@ -1,4 +1,4 @@
-"""What is known of a member: its identity, and the record of its state that members pass on.
+"""The identity of a member, and the record of its state that members exchange.
 
 A record is ordered by its stamp, (incarnation, counter), and at equal stamps by its status. Only the member
 itself raises its stamp: a new incarnation at each start of its process, a higher counter to refute a report
@@ -31,7 +31,7 @@
     control: Address | None
     """Address of the operators' API, controllers only."""
     incarnation: int
-    """64 bits, new at each start of the process, rising."""
+    """64 bits; rises with each start of the process."""
 
 
 class Status(enum.IntEnum):
--- a/firvane/fleet/membership/outbox.py
+++ b/firvane/fleet/membership/outbox.py
@@ -1,4 +1,4 @@
-"""The messages that one input leads to, each with the own record and the summary of the table. Pure."""
+"""The messages that one input causes, each with the own record and the summary of the table. Does no I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from firvane.fleet.membership.codec import MAX_RECORDS, Message, encode_message
 from firvane.fleet.membership.view import MemberView
 
-BATCH_BYTES = 950
+MAX_BATCH_BYTES = 950
 """Bytes of records in one message, so that it fits a datagram with checksums, envelope and own record."""
 
 
@@ -23,7 +23,7 @@
     is_heartbeat: bool = False
     """Whether it is the regular heartbeat, to which other planes add what they compare."""
     is_join: bool = False
-    """Whether it announces this process to a seed, or to the first member that it has met."""
+    """Whether it announces this process to a seed, or to the first member that has contacted it."""
 
 
 class Outbox:
@@ -41,7 +41,7 @@
         is_heartbeat: bool = False,
         is_join: bool = False,
     ) -> None:
-        """A message, with encoded records behind the own one."""
+        """Add a message, with encoded records after the own one."""
         message = replace(message, summary=self._view.table.summary())
         payload = encode_message(message, [self._view.own_record(), *records])
         self._sends.append(Send(to, payload, is_heartbeat, is_join))
@@ -53,11 +53,11 @@
 
 
 def batches(records: Sequence[bytes]) -> Iterator[list[bytes]]:
-    """Cut encoded records into lists that fit a datagram."""
+    """Split encoded records into lists that fit a datagram."""
     batch: list[bytes] = []
     size = 0
     for record in records:
-        if batch and (size + len(record) > BATCH_BYTES or len(batch) >= MAX_RECORDS - 1):
+        if batch and (size + len(record) > MAX_BATCH_BYTES or len(batch) >= MAX_RECORDS - 1):
             yield batch
             batch, size = [], 0
         batch.append(record)
--- a/firvane/fleet/membership/probes.py
+++ b/firvane/fleet/membership/probes.py
@@ -1,4 +1,4 @@
-"""Probes of members that were not heard from: one directly, then one more with the help of others. Pure."""
+"""Probes of overdue members: a direct one, then an indirect one through other members. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 from firvane.core.address import Address
 
-DIRECT_TIMEOUT = 0.25
+DIRECT_TIMEOUT_S = 0.25
 """Seconds to wait for the answer to a direct probe."""
-INDIRECT_TIMEOUT = 0.35
-"""Seconds to wait for an answer that may come through a helper."""
-RELAY_LIFETIME = 1.0
-"""Seconds for which a helper remembers for whom it probes."""
+INDIRECT_TIMEOUT_S = 0.35
+"""Seconds to wait for an answer that may come through another member."""
+RELAY_LIFETIME_S = 1.0
+"""Seconds for which a member remembers for whom it probes."""
 MAX_RELAYS = 256
 
 
@@ -36,9 +36,9 @@
     """Whether another member has already confirmed the death of the target."""
 
     def advance(self, now: float) -> None:
-        """No answer came in time: wait once more, now with helpers."""
+        """Go on to the indirect probe, since no answer came in time."""
         self.stage = Stage.INDIRECT
-        self.deadline = now + INDIRECT_TIMEOUT
+        self.deadline = now + INDIRECT_TIMEOUT_S
 
 
 class Relay(Struct, frozen=True):
@@ -51,7 +51,7 @@
 
 
 class Probes:
-    """The probes under way, and those sent for others."""
+    """The probes in flight, and those sent for others."""
 
     def __init__(self) -> None:
         self._probes: dict[Address, Probe] = {}
@@ -62,22 +62,22 @@
         return self._probes.get(target)
 
     def start(self, target: Address, nonce: int, now: float) -> Probe:
-        """A new direct probe."""
-        probe = self._probes[target] = Probe(target, nonce, now, now + DIRECT_TIMEOUT)
+        """Start a direct probe."""
+        probe = self._probes[target] = Probe(target, nonce, now, now + DIRECT_TIMEOUT_S)
         return probe
 
     def report_dead(self, target: Address) -> None:
-        """Another member believes the target of a probe dead."""
+        """Record that another member believes the target of a probe dead."""
         probe = self._probes.get(target)
         if probe is not None:
             probe.is_reported_dead = True
 
     def cancel(self, target: Address) -> None:
-        """The target was heard, or is no longer probed."""
+        """End the probe of a target."""
         self._probes.pop(target, None)
 
     def clear(self) -> None:
-        """Forget all probes: they were held up here."""
+        """End all probes."""
         self._probes.clear()
 
     def overdue(self, now: float) -> list[Probe]:
@@ -85,7 +85,7 @@
         return [probe for probe in self._probes.values() if probe.deadline <= now]
 
     def deadline(self) -> float:
-        """When the next probe is overdue; infinite if none is under way."""
+        """When the next probe is overdue; infinite if none is in flight."""
         return min((probe.deadline for probe in self._probes.values()), default=float("inf"))
 
     def relay(self, nonce: int, requester: Address, requester_nonce: int, now: float) -> bool:
@@ -94,10 +94,10 @@
             del self._relays[old]
         if len(self._relays) >= MAX_RELAYS:
             return False
-        self._relays[nonce] = Relay(requester, requester_nonce, now + RELAY_LIFETIME)
+        self._relays[nonce] = Relay(requester, requester_nonce, now + RELAY_LIFETIME_S)
         return True
 
     def relayed(self, nonce: int, now: float) -> Relay | None:
-        """For whom the probe with this nonce was sent, once."""
+        """Return, once, for whom the probe with this nonce was sent; None where that is not known."""
         relay = self._relays.pop(nonce, None)
         return relay if relay is not None and relay.expires > now else None
--- a/firvane/fleet/membership/table.py
+++ b/firvane/fleet/membership/table.py
@@ -1,4 +1,4 @@
-"""The table of members one process knows: records, a ring, checksums of buckets. Pure."""
+"""The members that one process knows: records, the ring, and checksums of buckets. Does no I/O."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     status: Status
     since: float
     """When it became suspected, dead or left."""
-    heard: float
-    """When it was last heard directly, or learned of."""
+    last_received_at: float
+    """When a message last came from it, or it became known."""
     _encoded: bytes = b""
 
     @property
@@ -51,10 +51,10 @@
 
     def with_status(self, status: Status, since: float) -> Entry:
         """The same member and stamp, in another state."""
-        return Entry(self.member, self.counter, status, since, self.heard)
+        return Entry(self.member, self.counter, status, since, self.last_received_at)
 
     def encoded(self, now: float) -> bytes:
-        """The record to pass on, encoded."""
+        """The encoded record for other members."""
         if self.status is Status.SUSPECT:
             return encode_record(Record(self.member, self.counter, self.status, now - self.since))
         if not self._encoded:
@@ -65,7 +65,7 @@
 class Table:
     """All known members but the owner of the table, with tombstones of those that died or left.
 
-    Live members and the owner stand in a ring, ordered by zone and then by a hash of the address, so that
+    Live members and the owner form a ring, ordered by zone and then by a hash of the address, so that
     neighbours are mostly of one zone. Checksums cover the live members and the owner itself.
     """
 
@@ -100,7 +100,7 @@
         return self._live
 
     def put(self, entry: Entry) -> None:
-        """Add an entry, or take over a change of one."""
+        """Add or replace an entry."""
         address = entry.member.address
         before = self._entries.get(address)
         was_live = address in self._keys
@@ -139,7 +139,7 @@
         self._dirty.add(bucket)
 
     def predecessors(self) -> Iterator[Entry]:
-        """Live members that stand before the owner in the ring, nearest first."""
+        """Live members before the owner in the ring, nearest first."""
         position = bisect.bisect_left(self._ring, self._own_key)
         for step in range(1, len(self._ring)):
             yield self._entries[self._ring[position - step][2]]
--- a/firvane/fleet/membership/view.py
+++ b/firvane/fleet/membership/view.py
@@ -1,6 +1,6 @@
-"""What one process believes of all others, and of its own standing: merging of records by their stamps. Pure.
+"""One process's view of all members: the rules by which records are merged. Does no I/O.
 
-Knows no messages. What is new here is collected in `fresh`, to be passed on by the caller.
+Knows no messages. New records are collected in `pending_updates`, which the caller forwards.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 from firvane.core.address import Address
 from firvane.fleet.membership.codec import MAX_COUNTER, MAX_INCARNATION, encode_record
-from firvane.fleet.membership.failed_members import LostMembers
+from firvane.fleet.membership.failed_members import FailedMembers
 from firvane.fleet.membership.members import Member, Record, Status
 from firvane.fleet.membership.table import Entry, Table
 
-SUSPICION_TIME = 1.0
+SUSPICION_TIMEOUT_S = 1.0
 """Seconds from the first suspicion until a member counts as dead."""
-TOMBSTONE_TIME = 30.0
+TOMBSTONE_LIFETIME_S = 30.0
 """Seconds for which the record of a dead or left member is kept."""
 MAX_MEMBERS = 4096
 """Addresses a view holds, tombstones included; records of further ones are ignored."""
-EPSILON = 1e-6
+TIME_TOLERANCE_S = 1e-6
 """Seconds by which sums of floating-point times may be off."""
 
 
@@ -33,9 +33,9 @@
         self.own = own
         """This process; its incarnation rises if the cluster knows a higher one of its address."""
         self.table = Table(own)
-        self.lost = LostMembers(rng)
-        self.fresh: dict[Address, None] = {}
-        """Addresses of which something new is known that was not passed on yet, oldest first."""
+        self.failed = FailedMembers(rng)
+        self.pending_updates: dict[Address, None] = {}
+        """Addresses whose new records are not forwarded yet, oldest first."""
         self._counter = 0
         self._suspects: set[Address] = set()
         self._tombstones: dict[Address, float] = {}
@@ -55,18 +55,18 @@
                 found.append(self.own_record())
         return found
 
-    def is_believed(self, record: Record) -> bool:
-        """Whether a member's own record is news or agrees with what is known; else it must be told."""
+    def is_consistent(self, record: Record) -> bool:
+        """Return whether a member's own record is not behind what is known; else notify the member."""
         entry = self.table.get(record.member.address)
         if entry is None or record.stamp > entry.stamp or record.status is Status.LEFT:
             return True
         return record.stamp == entry.stamp and entry.status is Status.ALIVE
 
-    def merge(self, record: Record, now: float, is_rumour: bool = True) -> bool:
-        """Take a report. True if it calls a member dead that is live here: the member must be probed.
+    def merge(self, record: Record, now: float, is_update: bool = True) -> bool:
+        """Merge a record. True if it reports a member dead that is live here: the member must be probed.
 
-        Such a report is not believed by itself: after a cut both sides believe the other one dead. A member
-        that was unknown is passed on if the report is a rumour, not if it belongs to a compared table.
+        Such a report is not enough by itself: after a partition both sides believe the other one dead. A
+        member that was unknown is forwarded if the record is an update, not if it comes from anti-entropy.
         """
         if record.member.address == self.own.address:
             self._refute(record)
@@ -76,11 +76,11 @@
             return False
         if record.status is Status.DEAD and entry is not None and entry.is_live:
             return entry.status is Status.ALIVE
-        self._adopt(record, entry, now, is_rumour or entry is not None)
+        self._adopt(record, entry, now, is_update or entry is not None)
         return False
 
-    def was_cut_off(self, sender: Record, records: Iterable[Record]) -> bool:
-        """Whether sender and owner each believe that the other one died in its present life."""
+    def was_partitioned(self, sender: Record, records: Iterable[Record]) -> bool:
+        """Return whether sender and owner each believe that the other one died in its current incarnation."""
         entry = self.table.get(sender.member.address)
         if entry is None or entry.status is not Status.DEAD or entry.stamp != sender.stamp:
             return False
@@ -92,8 +92,8 @@
             for record in records
         )
 
-    def forget_deaths(self) -> None:
-        """What looked like deaths was a cut: take what others report. The addresses are still probed."""
+    def forget_dead_members(self) -> None:
+        """Forget the deaths of a partition, to accept what others report; the addresses are still probed."""
         for address in list(self._tombstones):
             entry = self.table.get(address)
             if entry is not None and entry.status is Status.DEAD:
@@ -101,14 +101,14 @@
                 self.table.remove(address)
 
     def suspect(self, address: Address, now: float) -> None:
-        """A live member did not answer; it is suspected from now on."""
+        """Suspect a live member that did not answer."""
         entry = self.table.get(address)
         if entry is not None and entry.status is Status.ALIVE:
             self._put(entry.with_status(Status.SUSPECT, now), now)
-            self.fresh[address] = None
+            self.pending_updates[address] = None
 
-    def bury(self, address: Address, now: float) -> None:
-        """A live member did not answer, and others have confirmed its death."""
+    def mark_dead(self, address: Address, now: float) -> None:
+        """Mark a live member dead that did not answer and whose death others have confirmed."""
         entry = self.table.get(address)
         if entry is not None and entry.is_live:
             self._put(entry.with_status(Status.DEAD, now), now)
@@ -116,27 +116,27 @@
     def confirm_deaths(self, now: float) -> list[Address]:
         """End suspicions that have lasted long enough.
 
-        Returns members that were heard meanwhile: their suspicion begins anew, and they must be probed.
+        Returns members that sent a message meanwhile: their suspicion starts anew, and they must be probed.
         """
-        heard = []
+        alive = []
         for address in list(self._suspects):
             entry = self.table.get(address)
-            if entry is None or now < entry.since + SUSPICION_TIME - EPSILON:
+            if entry is None or now < entry.since + SUSPICION_TIMEOUT_S - TIME_TOLERANCE_S:
                 continue
-            if entry.heard > entry.since:
+            if entry.last_received_at > entry.since:
                 entry.since = now
-                heard.append(address)
+                alive.append(address)
             else:
                 self._put(entry.with_status(Status.DEAD, now), now)
-        return heard
+        return alive
 
     def deadline(self) -> float:
-        """When the next suspicion ends; infinite if nobody is suspected."""
+        """When the next suspicion ends; infinite without suspicions."""
         due = float("inf")
         for address in self._suspects:
             entry = self.table.get(address)
             if entry is not None:
-                due = min(due, entry.since + SUSPICION_TIME)
+                due = min(due, entry.since + SUSPICION_TIMEOUT_S)
         return due
 
     def forget(self, now: float) -> None:
@@ -145,10 +145,10 @@
             del self._tombstones[address]
             self.table.remove(address)
 
-    def wake(self, now: float) -> None:
-        """This process was frozen: nobody is to blame for silence until now."""
+    def reset_after_freeze(self, now: float) -> None:
+        """Restart all time-outs, since this process was suspended."""
         for entry in self.table.live():
-            entry.heard = now
+            entry.last_received_at = now
             if entry.status is Status.SUSPECT:
                 entry.since = now
 
@@ -157,7 +157,7 @@
         return record.stamp > entry.stamp or (record.stamp == entry.stamp and record.status > entry.status)
 
     def _refute(self, record: Record) -> None:
-        """A report about this process itself: raise the own stamp above it, unless it is outdated."""
+        """Refute a report about this process: raise the own stamp above it, unless it is outdated."""
         own_stamp = (self.own.incarnation, self._counter)
         is_report = record.status is not Status.ALIVE
         if record.stamp < own_stamp or (record.stamp == own_stamp and not is_report):
@@ -170,15 +170,15 @@
         else:
             self._counter = record.counter + 1
         self.table.update_own(self.own, self._counter)
-        self.fresh[self.own.address] = None
+        self.pending_updates[self.own.address] = None
 
-    def _adopt(self, record: Record, before: Entry | None, now: float, is_news: bool) -> None:
+    def _adopt(self, record: Record, before: Entry | None, now: float, is_update: bool) -> None:
         if before is None and len(self.table) >= MAX_MEMBERS:
             return
-        heard = before.heard if before is not None and before.is_live else now
-        self._put(Entry(record.member, record.counter, record.status, now - record.age, heard), now)
-        if is_news and (before is not None or record.is_live):
-            self.fresh[record.member.address] = None
+        received_at = before.last_received_at if before is not None and before.is_live else now
+        self._put(Entry(record.member, record.counter, record.status, now - record.age, received_at), now)
+        if is_update and (before is not None or record.is_live):
+            self.pending_updates[record.member.address] = None
 
     def _put(self, entry: Entry, now: float) -> None:
         address = entry.member.address
@@ -189,8 +189,8 @@
         if entry.is_live:
             self._tombstones.pop(address, None)
         else:
-            self._tombstones[address] = now + TOMBSTONE_TIME
+            self._tombstones[address] = now + TOMBSTONE_LIFETIME_S
         if entry.status is Status.DEAD:
-            self.lost.add(address, now)
+            self.failed.add(address, now)
         else:
-            self.lost.discard(address)
+            self.failed.discard(address)
--- a/firvane/fleet/transport/endpoint.py
+++ b/firvane/fleet/transport/endpoint.py
@@ -1,7 +1,7 @@
 """The endpoint of one process: a UDP socket and a TCP listener on its internal address.
 
-Best effort: `send` never raises and never waits. A payload may be lost, doubled or reordered; the planes
-above repeat what matters to them.
+Best effort: `send` never raises and never waits. A payload may be lost, duplicated or reordered; the callers
+retry what matters to them.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import Log
-from firvane.fleet.transport.frames import HEADER_SIZE, Frame, FrameError, decode_datagram, encode_header
+from firvane.fleet.transport.frames import HEADER_BYTES, Frame, FrameError, decode_datagram, encode_header
 from firvane.fleet.transport.link import CLOSED_BY_PEER, IDLE, Link, set_options
 from firvane.fleet.transport.queue import FrameQueue
 
-MAX_DATAGRAM_PAYLOAD = 1200
+MAX_DATAGRAM_PAYLOAD_BYTES = 1200
 """Payloads up to this many bytes go as datagrams, larger ones over a TCP link."""
-CONNECT_TIMEOUT = 0.5
-"""Seconds after which an attempt to connect is given up: a machine without power does not answer."""
-FIRST_BACKOFF = 0.1
-MAX_BACKOFF = 1.0
-"""Pauses between attempts to connect to one peer, in seconds: doubled from the first to the largest."""
-OPENER_IDLE = 10.0
-ACCEPTOR_IDLE = 15.0
-"""Seconds without a frame after which the side that opened a link closes it, and the other side."""
+CONNECT_TIMEOUT_S = 0.5
+"""A machine without power does not answer."""
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 1.0
+"""Exponential backoff between attempts to connect to one peer."""
+OPENER_IDLE_TIMEOUT_S = 10.0
+ACCEPTOR_IDLE_TIMEOUT_S = 15.0
+"""Without a frame; the side that opened a link closes it first."""
 MAX_ACCEPTED_LINKS = 1024
 MAX_INCOMPLETE_BYTES = 32 * 1024 * 1024
-"""Bytes that all links together may hold for incomplete frames."""
+"""Of incomplete frames, over all links."""
 LISTEN_BACKLOG = 256
-RECEIVE_BUFFER = 1024 * 1024
-"""Size asked for the UDP socket's receive buffer, in bytes."""
+RECEIVE_BUFFER_BYTES = 1024 * 1024
+"""Requested for the UDP socket."""
 
 
 class _Backoff(Struct):
-    pause: float
+    delay: float
     until: float
 
 
@@ -68,7 +68,11 @@
         self._is_closed = False
 
     async def start(self) -> None:
-        """Bind both sockets. `OSError` if the address is not this machine's; it may then be tried again."""
+        """Bind both sockets.
+
+        Raises:
+            OSError: The address cannot be bound; it may be tried again.
+        """
         listener = self._bind(socket.SOCK_STREAM)
         try:
             self._datagrams = self._bind(socket.SOCK_DGRAM)
@@ -76,7 +80,7 @@
             listener.close()
             raise
         with contextlib.suppress(OSError):
-            self._datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+            self._datagrams.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
         self._loop.add_reader(self._datagrams.fileno(), self._receive_datagram)
         self._listener = await self._loop.create_server(self._accept, sock=listener, backlog=LISTEN_BACKLOG)
 
@@ -101,9 +105,9 @@
         try:
             header = encode_header(self._address, channel, len(payload))
         except FrameError as error:
-            self._log.warning("transport: frame not sent.", peer=_text(to), reason=str(error))
+            self._log.warning("transport_frame_not_sent", peer=_text(to), reason=str(error))
             return
-        if len(payload) <= MAX_DATAGRAM_PAYLOAD:
+        if len(payload) <= MAX_DATAGRAM_PAYLOAD_BYTES:
             self._send_datagram(to, header + payload)
         else:
             self._send_on_link(to, header + payload)
@@ -115,12 +119,12 @@
 
     @property
     def connecting_count(self) -> int:
-        """Attempts to connect that are under way."""
+        """Attempts to connect that are in flight."""
         return len(self._connecting)
 
     @property
     def incomplete_bytes(self) -> int:
-        """Bytes held for incomplete frames."""
+        """Buffered bytes of incomplete frames."""
         return self._incomplete_bytes
 
     def sweep(self, idle_since: float | None = None) -> None:
@@ -130,10 +134,10 @@
         """
         now = self._loop.time()
         for link in [*self._links.values(), *self._accepted]:
-            limit = now - (OPENER_IDLE if link.is_opener else ACCEPTOR_IDLE)
+            limit = now - (OPENER_IDLE_TIMEOUT_S if link.is_opener else ACCEPTOR_IDLE_TIMEOUT_S)
             if link.used_at < (limit if idle_since is None else idle_since):
                 link.close(IDLE)
-        old = [peer for peer, backoff in self._backoffs.items() if now > backoff.until + MAX_BACKOFF]
+        old = [peer for peer, backoff in self._backoffs.items() if now > backoff.until + MAX_BACKOFF_S]
         for peer in old:
             del self._backoffs[peer]
 
@@ -162,9 +166,9 @@
         if self._is_closed or reason == IDLE:
             return
         if reason == CLOSED_BY_PEER:
-            self._log.debug("transport: link closed.", peer=_text(link.peer), reason=reason)
+            self._log.debug("transport_link_closed", peer=_text(link.peer), reason=reason)
         else:
-            self._log.info("transport: link closed.", peer=_text(link.peer), reason=reason)
+            self._log.info("transport_link_closed", peer=_text(link.peer), reason=reason)
 
     def _bind(self, kind: socket.SocketKind) -> socket.socket:
         sock = socket.socket(socket.AF_INET, kind)
@@ -180,23 +184,23 @@
     def _send_datagram(self, to: Address, frame: bytes) -> None:
         if self._datagrams is None:
             return
-        with contextlib.suppress(OSError):  # a full send buffer or no route: lost, as a datagram may be
+        with contextlib.suppress(OSError):  # a full send buffer or no route: lost, like any datagram
             self._datagrams.sendto(frame, to)
 
     def _receive_datagram(self) -> None:
         if self._datagrams is None:
             return
         try:
-            data = self._datagrams.recv(HEADER_SIZE + MAX_DATAGRAM_PAYLOAD + 1)
+            data = self._datagrams.recv(HEADER_BYTES + MAX_DATAGRAM_PAYLOAD_BYTES + 1)
         except OSError:
             return
         try:
             frame = decode_datagram(data)
         except FrameError as error:
             self._damaged_datagrams += 1
-            if self._damaged_datagrams & (self._damaged_datagrams - 1) == 0:  # 1, 2, 4, 8 ...
+            if self._damaged_datagrams & (self._damaged_datagrams - 1) == 0:  # the 1st, 2nd, 4th, 8th ...
                 self._log.warning(
-                    "transport: datagram damaged.", reason=str(error), total=self._damaged_datagrams
+                    "transport_datagram_damaged", reason=str(error), total=self._damaged_datagrams
                 )
             return
         self._deliver(frame)
@@ -236,7 +240,7 @@
         try:
             sock.setblocking(False)
             set_options(sock)
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.sock_connect(sock, to)
             link = Link(self, queue, self._loop.time(), peer=to)
             if replaced := self._links.get(to):  # the peer has opened one meanwhile; it still receives
@@ -255,11 +259,11 @@
     def _back_off(self, to: Address, queue: FrameQueue, error: OSError) -> None:
         queue.clear()
         previous = self._backoffs.get(to)
-        pause = min(previous.pause * 2, MAX_BACKOFF) if previous else FIRST_BACKOFF
-        self._backoffs[to] = _Backoff(pause, self._loop.time() + pause)
+        delay = min(previous.delay * 2, MAX_BACKOFF_S) if previous else INITIAL_BACKOFF_S
+        self._backoffs[to] = _Backoff(delay, self._loop.time() + delay)
         if previous is None:
             reason = str(error) or "timed out"
-            self._log.info("transport: cannot connect.", peer=_text(to), reason=reason)
+            self._log.info("transport_connect_failed", peer=_text(to), reason=reason)
 
 
 def _text(address: Address | None) -> str:
--- a/firvane/fleet/transport/frames.py
+++ b/firvane/fleet/transport/frames.py
@@ -27,16 +27,16 @@
 
 MAGIC = b"FV"
 VERSION = 1
-MAX_PAYLOAD = 8 * 1024 * 1024
+MAX_PAYLOAD_BYTES = 8 * 1024 * 1024
 """Largest payload of a frame, in bytes."""
 
 _HEADER = struct.Struct(">2sBBI4sH")
-HEADER_SIZE = _HEADER.size
+HEADER_BYTES = _HEADER.size
 """Size of the header, in bytes."""
 
 
 class FrameError(ValueError):
-    """Bytes that are not a frame; the message gives the reason."""
+    """The bytes are not a frame; the text gives the reason."""
 
 
 class Frame(Struct, frozen=True):
@@ -54,8 +54,12 @@
 
 
 def encode_header(sender: Address, channel: int, length: int) -> bytes:
-    """The header of a frame. `FrameError` if a field is out of its range."""
-    if length > MAX_PAYLOAD:
+    """Return the header of a frame.
+
+    Raises:
+        FrameError: A field is out of its range.
+    """
+    if length > MAX_PAYLOAD_BYTES:
         raise FrameError(f"payload of {length} bytes is too long")
     try:
         return _HEADER.pack(MAGIC, VERSION, channel, length, pack_host(sender[0]), sender[1])
@@ -64,7 +68,11 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Header and payload. `FrameError` if a field is out of its range."""
+    """Return header and payload.
+
+    Raises:
+        FrameError: A field is out of its range.
+    """
     return encode_header(frame.sender, frame.channel, len(frame.payload)) + frame.payload
 
 
@@ -74,43 +82,48 @@
         raise FrameError("magic is wrong")
     if version != VERSION:
         raise FrameError(f"version {version} is unknown")
-    if length > MAX_PAYLOAD:
+    if length > MAX_PAYLOAD_BYTES:
         raise FrameError(f"payload of {length} bytes is too long")
     return _Header(channel, length, (unpack_host(host), port))
 
 
 def decode_datagram(data: bytes) -> Frame:
-    """The one frame that fills `data`. `FrameError` if there is none."""
-    if len(data) < HEADER_SIZE:
+    """Return the one frame that fills `data`.
+
+    Raises:
+        FrameError: `data` is not exactly one frame.
+    """
+    if len(data) < HEADER_BYTES:
         raise FrameError("header is cut short")
     header = _decode_header(data)
-    if header.length != len(data) - HEADER_SIZE:
+    if header.length != len(data) - HEADER_BYTES:
         raise FrameError("length of the datagram differs from its header")
-    return Frame(header.sender, header.channel, data[HEADER_SIZE:])
+    return Frame(header.sender, header.channel, data[HEADER_BYTES:])
 
 
 class FrameReader:
-    """Cuts a byte stream into frames. Buffers at most one incomplete frame and what came with it."""
+    """Splits a byte stream into frames. Buffers at most one incomplete frame and what came with it."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def buffered(self) -> int:
-        """Bytes held for a frame that is not complete yet."""
+        """Buffered bytes of an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes, however they are cut, and return the frames that are complete now.
+        """Take bytes, however they are split, and return the frames that are complete now.
 
-        `FrameError` if the stream is damaged; the reader must not be used afterwards.
+        Raises:
+            FrameError: The stream is damaged; the reader must not be used afterwards.
         """
         self._buffer += data
         frames: list[Frame] = []
         offset = 0
-        while len(self._buffer) - offset >= HEADER_SIZE:
+        while len(self._buffer) - offset >= HEADER_BYTES:
             header = _decode_header(self._buffer, offset)
-            start = offset + HEADER_SIZE
+            start = offset + HEADER_BYTES
             end = start + header.length
             if end > len(self._buffer):
                 break
--- a/firvane/fleet/transport/link.py
+++ b/firvane/fleet/transport/link.py
@@ -12,23 +12,23 @@
 
 USER_TIMEOUT_MS = 1500
 """`TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the connection is reset."""
-WRITE_BUFFER_HIGH = 256 * 1024
+WRITE_BUFFER_HIGH_BYTES = 256 * 1024
 """Bytes in the connection's send buffer above which frames wait in the queue."""
 
 
 IDLE = "idle"
 CLOSED_BY_PEER = "closed by the peer"
-"""Reasons for the end of a link that are no trouble."""
+"""Reasons for the end of a link that are no failure."""
 
 
 class LinkOwner(Protocol):
-    """What a link tells its owner."""
+    """Callbacks of a link."""
 
     def on_link_frame(self, link: Link, frame: Frame) -> None:
         """A frame has arrived."""
 
     def on_link_buffered(self, change: int) -> bool:
-        """The bytes held for incomplete frames changed by `change`; False if they are too many."""
+        """The buffered bytes of incomplete frames changed by `change`; False if they are too many."""
 
     def on_link_closed(self, link: Link, reason: str) -> None:
         """The connection has ended; the link must be forgotten."""
@@ -57,7 +57,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Set the connection's options and send what was queued."""
         self._transport = cast(asyncio.Transport, transport)
-        self._transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH)
+        self._transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_BYTES)
         sock = transport.get_extra_info("socket")
         if sock is not None:
             set_options(sock)
@@ -84,12 +84,12 @@
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """The send buffer has room again."""
+        """The send buffer has capacity again."""
         self._is_paused = False
         self._flush()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the owner, with the reason."""
+        """Notify the owner, with the reason."""
         self._owner.on_link_buffered(-self._reader.buffered)
         self._reader = FrameReader()
         self._transport = None
--- a/firvane/fleet/transport/queue.py
+++ b/firvane/fleet/transport/queue.py
@@ -9,7 +9,7 @@
 
 
 class FrameQueue:
-    """Frames that wait for a connection or for room in its send buffer, oldest first."""
+    """Frames that wait for a connection or for its send buffer, oldest first."""
 
     def __init__(self, max_bytes: int = MAX_QUEUED_BYTES, max_frames: int = MAX_QUEUED_FRAMES) -> None:
         self._frames: deque[bytes] = deque()
--- a/tests/admin/stand_in.py
+++ b/tests/admin/stand_in.py
@@ -10,7 +10,13 @@
 
 import msgspec
 
-from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer, ReplicaReport
+from firvane.fleet.cluster.reports import (
+    MemberReport,
+    MembersResponse,
+    PartReport,
+    PartsResponse,
+    ReplicaReport,
+)
 from firvane.fleet.configuration.codes import ResultCode
 
 HOST = "127.0.0.1"
@@ -39,11 +45,11 @@
         return f"10.0.0.9:{self.address.rpartition(':')[2]}"
 
     def tells_members(self, version: int, *members: MemberReport) -> None:
-        answer = MembersAnswer(**head(version, self.internal), members=list(members))
+        answer = MembersResponse(**head(version, self.internal), members=list(members))
         self.answers["/v1/fleet/members"] = Canned(200, msgspec.json.encode(answer))
 
     def tells_parts(self, *parts: PartReport) -> None:
-        answer = PartsAnswer(**head(7, self.internal), parts=list(parts))
+        answer = PartsResponse(**head(7, self.internal), parts=list(parts))
         self.answers["/v1/fleet/parts"] = Canned(200, msgspec.json.encode(answer))
 
 
--- a/tests/admin/test_fleet_views.py
+++ b/tests/admin/test_fleet_views.py
@@ -7,16 +7,16 @@
 from firvane.admin.answers import AnswerError
 from firvane.admin.fleet_views import merge_parts, merge_versions, read_members, read_parts
 from firvane.admin.tables import cell, format_table, seconds
-from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import MemberReport, MembersResponse, PartReport, PartsResponse
 from tests.admin.stand_in import head, member, part
 
 
-def told(version: int, *members: MemberReport) -> MembersAnswer:
-    return MembersAnswer(**head(version, "10.0.0.1:7300"), members=list(members))
+def told(version: int, *members: MemberReport) -> MembersResponse:
+    return MembersResponse(**head(version, "10.0.0.1:7300"), members=list(members))
 
 
-def parts_of(*parts: PartReport) -> PartsAnswer:
-    return PartsAnswer(**head(7, "10.0.0.1:7300"), parts=list(parts))
+def parts_of(*parts: PartReport) -> PartsResponse:
+    return PartsResponse(**head(7, "10.0.0.1:7300"), parts=list(parts))
 
 
 def test_an_owners_view_counts_more_than_a_higher_term() -> None:
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -18,8 +18,8 @@
     Mutant(
         "what is withheld is not sent when it is asked for",
         "firvane/fleet/dissemination/machine.py",
-        "if item is not None and is_here and not self._is_withheld(item.key):",
-        "if item is not None and is_here:",
+        "if item is not None and is_stored and not self._is_withheld(item.key):",
+        "if item is not None and is_stored:",
         "tests/fleet/dissemination/test_machine.py -k withheld",
     ),
     Mutant(
--- a/tests/fleet/cluster/test_applied.py
+++ b/tests/fleet/cluster/test_applied.py
@@ -27,7 +27,7 @@
 
 
 @given(st.integers(0, 2**64 - 1))
-def test_a_report_comes_back_as_it_was(version: int) -> None:
+def test_a_report_is_decoded_as_it_was_encoded(version: int) -> None:
     versions = AppliedVersions()
     section = section_of(version)
     assert len(section) == REPORT_BYTES == 9
@@ -41,7 +41,7 @@
         AppliedVersions().receive(ONE, data, 1.0)
 
 
-def test_other_lengths_and_formats_are_refused() -> None:
+def test_other_lengths_and_formats_are_rejected() -> None:
     section = section_of(7)
     for wrong in (b"", section[:-1], section + b"x", b"\x02" + section[1:]):
         versions = AppliedVersions()
@@ -54,7 +54,7 @@
     assert AppliedVersions().section() is None
 
 
-def test_a_report_of_an_earlier_life_does_not_count() -> None:
+def test_a_report_of_an_earlier_incarnation_does_not_count() -> None:
     versions = AppliedVersions()
     versions.receive(ONE, section_of(7), 1.0)
     assert versions.report_of(make_member(1, incarnation=11)) is None
@@ -75,7 +75,7 @@
     return {each.state.member.address[0]: each for each in process.core.known_members(world.now)}
 
 
-def test_every_controller_hears_the_version_of_every_member() -> None:
+def test_every_controller_receives_the_version_of_every_member() -> None:
     world = World(7, 3, loss=0.03)
     world.start_all()
     world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
@@ -127,7 +127,7 @@
     assert (known.state.status, known.applied_version, known.report_age) == (Status.DEAD, None, None)
 
 
-def test_who_is_no_member_reports_nothing() -> None:
+def test_reports_of_non_members_are_ignored() -> None:
     world = World(1, 3)
     world.start_all()
     world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
--- a/tests/fleet/cluster/test_core.py
+++ b/tests/fleet/cluster/test_core.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from firvane.core.address import Address
-from firvane.fleet.cluster.core import MAX_PAYLOAD, ClusterCore, PayloadError
+from firvane.fleet.cluster.core import MAX_PAYLOAD_BYTES, ClusterCore, PayloadError
 from firvane.fleet.cluster.envelope import Plane, Section, decode_envelope, encode_envelope
 from firvane.fleet.dissemination.items import Item
 from firvane.fleet.membership.members import Member, Role
@@ -41,7 +41,7 @@
     assert [section.plane for section in decode_envelope(payload)] == [Plane.MEMBERSHIP, Plane.DISSEMINATION]
     effects = first.receive(TWO, payload, 0.0)
     assert effects.members_changed
-    assert len(effects.sends) == 1 and len(effects.sends[0][1]) <= MAX_PAYLOAD
+    assert len(effects.sends) == 1 and len(effects.sends[0][1]) <= MAX_PAYLOAD_BYTES
     answer = second.receive(ONE, effects.sends[0][1], 0.0)
     assert [item.key for item in answer.learned] == [b"configuration"]
     assert answer.members_changed
@@ -60,7 +60,7 @@
     assert len(sends) == 1
 
 
-def test_what_is_read_before_a_damaged_section_has_its_effect() -> None:
+def test_sections_before_a_damaged_one_have_their_effect() -> None:
     first, second = make_pair()
     first.publish(Item(b"a", 1, b"x"), 1.0)
     push = next(payload for to, payload in first.publish(Item(b"b", 1, b"x"), 1.0).sends if to == TWO)
@@ -86,7 +86,7 @@
     assert [to for to, _ in core.tick(0.0).sends] == [("10.0.0.9", 7300)]
 
 
-def test_a_leaving_core_tells_its_peers() -> None:
+def test_a_leaving_core_notifies_its_peers() -> None:
     first, second = make_pair()
     for to, payload in second.leave(1.0).sends:
         assert to == ONE
--- a/tests/fleet/cluster/test_envelope.py
+++ b/tests/fleet/cluster/test_envelope.py
@@ -22,7 +22,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(sections)
-def test_sections_come_back_as_they_were(some: list[Section]) -> None:
+def test_sections_are_decoded_as_they_were_encoded(some: list[Section]) -> None:
     assert decode_envelope(encode_envelope(some)) == some
 
 
@@ -34,7 +34,7 @@
             decode_envelope(hostile)
 
 
-def test_cuts_versions_planes_and_counts_are_checked() -> None:
+def test_lengths_versions_planes_and_counts_are_checked() -> None:
     one = Section(Plane.SUMMARY, b"abcd")
     encoded = encode_envelope([one])
     wrong = [encoded[:length] for length in range(len(encoded)) if length != 1]
--- a/tests/fleet/cluster/test_world.py
+++ b/tests/fleet/cluster/test_world.py
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("routers", "seconds"), [(7, 60.0), (67, 10.0)])
-def test_calm_times_are_cheap_and_without_blame(routers: int, seconds: float) -> None:
+def test_calm_times_are_cheap_and_without_suspicion(routers: int, seconds: float) -> None:
     world = start(routers)
     world.run(5.0)
     world.clear_traffic()
@@ -70,7 +70,7 @@
         assert mean < 1.1 * size + 5000
 
 
-def test_380_processes_learn_and_bury_and_their_cost_is_flat() -> None:
+def test_380_processes_converge_and_their_cost_is_flat() -> None:
     """How they meet is played by the benchmark: it takes long."""
     world = World(375, 5, seed=1, loss=0.03, duplicates=0.01, router_bandwidth=SLOW_LINK)
     world.acquaint()
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize("routers", [7, 67])
-def test_deaths_and_departures_settle(routers: int) -> None:
+def test_deaths_and_departures_converge(routers: int) -> None:
     world = start(routers)
     for number in (1, 5, 8):
         world.kill(world.place(number))
@@ -123,7 +123,7 @@
     return all(process.core is not None and identity in process.core.members() for process in world.running())
 
 
-def test_a_frozen_process_comes_back_and_learns_what_it_missed() -> None:
+def test_a_suspended_process_comes_back_and_learns_what_it_missed() -> None:
     world = start(7)
     frozen = world.place(5)
     world.freeze(frozen, 5.0)
@@ -136,7 +136,7 @@
     assert world.false_deaths == []
 
 
-def test_a_mass_kill_settles_and_all_come_back() -> None:
+def test_a_mass_kill_converges_and_all_come_back() -> None:
     world = start(67)
     item = publish(world, 5, 30_000)
     world.run(3.0)
@@ -152,7 +152,7 @@
 
 
 @pytest.mark.parametrize(("routers", "span"), [(7, 6.0), (7, 45.0), (67, 6.0)])
-def test_two_halves_find_each_other_after_a_cut(routers: int, span: float) -> None:
+def test_two_halves_merge_after_a_partition(routers: int, span: float) -> None:
     world = start(routers)
     half = {address: number % 2 for number, address in enumerate(world.processes)}
     world.is_cut = lambda source, target: half[source] != half[target]
@@ -166,7 +166,7 @@
     assert world.false_deaths == []
 
 
-def test_one_process_that_was_cut_off_does_not_trouble_the_others() -> None:
+def test_one_partitioned_process_does_not_disturb_the_others() -> None:
     world = start(67)
     lone = world.place(9).address
     world.is_cut = lambda source, target: (source == lone) != (target == lone)
@@ -199,7 +199,7 @@
     assert time_to_agree(world) < 1.0
 
 
-def test_a_cluster_whose_processes_all_die_at_once_meets_again() -> None:
+def test_a_cluster_whose_processes_all_die_at_once_forms_again() -> None:
     world = start(7)
     for process in world.running():
         world.kill(process)
--- a/tests/fleet/cluster/world.py
+++ b/tests/fleet/cluster/world.py
@@ -12,12 +12,12 @@
 from dataclasses import dataclass, field
 
 from firvane.core.address import Address
-from firvane.fleet.cluster.core import MAX_PAYLOAD, ClusterCore, Effects
+from firvane.fleet.cluster.core import MAX_PAYLOAD_BYTES, ClusterCore, Effects
 from firvane.fleet.cluster.envelope import Plane, Section, encode_envelope
 from firvane.fleet.dissemination.items import Item
 from firvane.fleet.membership.codec import Kind, Message, encode_message, encode_record
 from firvane.fleet.membership.members import Member, Record, Role, Status
-from firvane.fleet.transport.frames import HEADER_SIZE
+from firvane.fleet.transport.frames import HEADER_BYTES
 
 PORT = 7300
 ZONES = ("apapa", "ikeja", "lekki", "yaba")
@@ -240,8 +240,8 @@
 
     def _send(self, source: Process, to: Address, payload: bytes) -> None:
         target = self.processes.get(to)
-        is_datagram = len(payload) <= MAX_PAYLOAD
-        size = len(payload) + HEADER_SIZE + DATAGRAM_OVERHEAD
+        is_datagram = len(payload) <= MAX_PAYLOAD_BYTES
+        size = len(payload) + HEADER_BYTES + DATAGRAM_OVERHEAD
         source.traffic.messages += 1
         source.traffic.sent_bytes += size
         if target is None:
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from firvane.fleet.cluster.reports import MemberReport, MembersAnswer, PartReport, PartsAnswer
+from firvane.fleet.cluster.reports import MemberReport, MembersResponse, PartReport, PartsResponse
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.partitions import ALL_PARTS
 from tests.fleet.controller.test_controller import Core, play, until, until_true
@@ -18,7 +18,7 @@
 async def members(core: Core, number: int) -> dict[str, MemberReport]:
     status, body = await core.call(number, "GET", "/v1/fleet/members")
     assert status == 200
-    answer = msgspec.json.decode(body, type=MembersAnswer)
+    answer = msgspec.json.decode(body, type=MembersResponse)
     assert answer.asked == answer.members[0].address == f"127.0.0.{number}:{core.port}"
     return {each.address.partition(":")[0]: each for each in answer.members}
 
@@ -26,7 +26,7 @@
 async def parts(core: Core, number: int) -> list[PartReport]:
     status, body = await core.call(number, "GET", "/v1/fleet/parts")
     assert status == 200
-    return msgspec.json.decode(body, type=PartsAnswer).parts
+    return msgspec.json.decode(body, type=PartsResponse).parts
 
 
 async def until_owned(core: Core) -> None:
--- a/tests/fleet/controller/test_fleet_service.py
+++ b/tests/fleet/controller/test_fleet_service.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from firvane.core.address import Address
-from firvane.fleet.cluster.reports import MembersAnswer, PartsAnswer, ReplicaReport
+from firvane.fleet.cluster.reports import MembersResponse, PartsResponse, ReplicaReport
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.controller.configuration_service import Outcome
 from firvane.fleet.controller.hand_over_order import MAX_ORDER_BYTES, BadOrderError, HandOver, read_order
@@ -95,13 +95,13 @@
         for number in range(MAX_MEMBERS)
     ]
     document = rig.service.members().document
-    assert len(msgspec.json.decode(document, type=MembersAnswer).members) == MAX_MEMBERS
+    assert len(msgspec.json.decode(document, type=MembersResponse).members) == MAX_MEMBERS
     assert len(document) < 1_200_000
 
 
 def test_parts_are_told_with_owner_term_and_the_lag_of_each_replica() -> None:
     outcome = FleetRig().service.parts()
-    answer = msgspec.json.decode(outcome.document, type=PartsAnswer)
+    answer = msgspec.json.decode(outcome.document, type=PartsResponse)
     own, other, closed = answer.parts
     assert (own.role, own.owned, own.owner, own.owner_control) == (
         "leader",
--- a/tests/fleet/dissemination/test_codec.py
+++ b/tests/fleet/dissemination/test_codec.py
@@ -24,7 +24,7 @@
 items = st.builds(Item, keys, numbers, st.binary(max_size=200))
 versions = st.builds(Version, keys, numbers, st.integers(0, 2**32 - 1))
 WITH_PAYLOADS = (Kind.PUSH, Kind.REPAIR)
-WITH_VERSIONS = (Kind.DIGEST, Kind.ANNOUNCE, Kind.REQUEST, Kind.ACCEPT, Kind.REFUSE)
+WITH_VERSIONS = (Kind.DIGEST, Kind.ANNOUNCE, Kind.REQUEST, Kind.ACCEPT, Kind.REJECT)
 messages = st.one_of(
     st.builds(lambda summary: Message(Kind.SUMMARY, summary=summary), st.integers(0, 2**32 - 1)),
     st.builds(
@@ -42,7 +42,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages)
-def test_a_message_comes_back_as_it_was(message: Message) -> None:
+def test_a_message_is_decoded_as_it_was_encoded(message: Message) -> None:
     assert decode_message(encode_message(message)) == message
 
 
@@ -72,14 +72,14 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages)
-def test_every_cut_and_every_addition_is_refused(message: Message) -> None:
+def test_every_truncation_and_every_addition_is_rejected(message: Message) -> None:
     encoded = encode_message(message)
     for wrong in (*(encoded[:length] for length in range(len(encoded))), encoded + b"x"):
         with pytest.raises(MessageError):
             decode_message(wrong)
 
 
-def test_unknown_versions_and_kinds_are_refused() -> None:
+def test_unknown_versions_and_kinds_are_rejected() -> None:
     encoded = encode_message(Message(Kind.SUMMARY))
     for wrong in (b"\x02" + encoded[1:], encoded[:1] + b"\x63" + encoded[2:]):
         with pytest.raises(MessageError):
--- a/tests/fleet/dissemination/test_machine.py
+++ b/tests/fleet/dissemination/test_machine.py
@@ -16,7 +16,13 @@
     encode_message,
 )
 from firvane.fleet.dissemination.items import Item
-from firvane.fleet.dissemination.machine import BUSY_PERIOD, BUSY_TIME, CALM_PERIOD, Dissemination, Output
+from firvane.fleet.dissemination.machine import (
+    BUSY_DIGEST_INTERVAL_S,
+    BUSY_DURATION_S,
+    DIGEST_INTERVAL_S,
+    Dissemination,
+    Output,
+)
 from firvane.fleet.dissemination.peers import FANOUT, Peer, PeerSet
 
 SMALL, LARGE = Item(b"small", 3, b"x" * 30), Item(b"large", 5, b"y" * 30_000)
@@ -91,17 +97,17 @@
     group.carry(address(0), group.machines[address(0)].publish(LARGE, group.now))
     group.carry(address(1), group.machines[address(1)].publish(Item(b"third", 1, b""), group.now))
     group.lost.clear()
-    group.now += CALM_PERIOD
+    group.now += DIGEST_INTERVAL_S
     group.tick(asker)
     for item in (SMALL, LARGE, Item(b"third", 1, b"")):
         assert group.holders(item) == 2
     group.sent.clear()
-    group.now += CALM_PERIOD
+    group.now += DIGEST_INTERVAL_S
     group.tick(asker)
     assert [message.kind for _, _, message in group.sent] == [Kind.SUMMARY]
 
 
-def test_an_older_payload_changes_nothing_and_is_not_passed_on() -> None:
+def test_an_older_payload_changes_nothing_and_is_not_forwarded() -> None:
     group = Group(4)
     machine = group.machines[address(0)]
     machine.publish(SMALL, group.now)
@@ -111,7 +117,7 @@
     assert machine.item(b"small") == SMALL
 
 
-def test_a_repair_is_passed_on_by_who_had_an_older_version_only() -> None:
+def test_a_repair_is_forwarded_only_with_an_older_version() -> None:
     group = Group(4)
     machine = group.machines[address(0)]
     repair = encode_message(Message(Kind.REPAIR, items=(SMALL,)))
@@ -122,7 +128,7 @@
     assert output.learned == [newer] and output.sends != []
 
 
-def test_a_request_for_what_is_not_here_is_refused_and_the_announcer_asked() -> None:
+def test_a_request_for_a_missing_payload_is_rejected_and_the_announcer_asked() -> None:
     group = Group(3)
     asker, source, announcer = address(0), address(1), address(2)
     peers = [Peer(source, "a", is_source=True), Peer(announcer, "a")]
@@ -135,17 +141,17 @@
     group.carry(asker, group.machines[asker].receive(announcer, digest, group.now))
     assert group.machines[asker].item(b"large") == LARGE
     kinds = [(sender, message.kind) for sender, to, message in group.sent if to in (asker, source)]
-    assert kinds[:2] == [(asker, Kind.REQUEST), (source, Kind.REFUSE)]
+    assert kinds[:2] == [(asker, Kind.REQUEST), (source, Kind.REJECT)]
 
 
-def test_an_announcement_goes_on_before_its_payload_is_here_and_not_again() -> None:
+def test_an_announcement_is_forwarded_once_before_its_payload_has_come() -> None:
     machine = Dissemination(random.Random(1), 0.0)
     peers = [Peer(address(number), "a", is_source=number == 1) for number in range(1, 9)]
     machine.set_peers(PeerSet("a", peers, address(5)))
-    news = encode_message(Message(Kind.ANNOUNCE, (Version(LARGE.key, LARGE.version, len(LARGE.payload)),)))
-    first = [decode_message(send.payload).kind for send in machine.receive(address(8), news, 0.0).sends]
+    updates = encode_message(Message(Kind.ANNOUNCE, (Version(LARGE.key, LARGE.version, len(LARGE.payload)),)))
+    first = [decode_message(send.payload).kind for send in machine.receive(address(8), updates, 0.0).sends]
     assert first == [Kind.REQUEST] + [Kind.ANNOUNCE] * FANOUT
-    assert machine.receive(address(7), news, 0.0).sends == []
+    assert machine.receive(address(7), updates, 0.0).sends == []
     payload = encode_message(Message(Kind.PUSH, items=(LARGE,)))
     output = machine.receive(address(1), payload, 0.1)
     assert (output.learned, output.sends) == ([LARGE], [])
@@ -155,17 +161,17 @@
     machine = Dissemination(random.Random(1), 0.0)
     machine.set_peers(PeerSet("a", [Peer(address(1), "a")], None))
     machine.tick(0.0)
-    assert machine.deadline() == CALM_PERIOD
+    assert machine.deadline() == DIGEST_INTERVAL_S
     machine.publish(SMALL, 0.2)
-    assert machine.deadline() == 0.2 + BUSY_PERIOD
+    assert machine.deadline() == 0.2 + BUSY_DIGEST_INTERVAL_S
     now, times = 0.2, []
     while now < 12:
         now = machine.deadline()
         times.append(now)
         assert machine.tick(now).sends != []
-    busy = [when for when in times if when <= 0.2 + BUSY_TIME]
-    assert len(busy) == round(BUSY_TIME / BUSY_PERIOD)
-    assert times[-1] - times[-2] == CALM_PERIOD
+    busy = [when for when in times if when <= 0.2 + BUSY_DURATION_S]
+    assert len(busy) == round(BUSY_DURATION_S / BUSY_DIGEST_INTERVAL_S)
+    assert times[-1] - times[-2] == DIGEST_INTERVAL_S
 
 
 def test_hostile_bytes_raise_the_one_error() -> None:
@@ -195,7 +201,7 @@
 
 
 @pytest.mark.parametrize("item", [SMALL, LARGE])
-def test_what_is_withheld_is_offered_to_nobody_until_it_may_be(item: Item) -> None:
+def test_a_withheld_item_is_offered_to_nobody(item: Item) -> None:
     pair = Pair()
     pair.holder.publish(item, 10.0)
     pair.withheld.add(item.key)
@@ -203,14 +209,14 @@
     pair.exchange()
     request = encode_message(Message(Kind.REQUEST, (Version(item.key, item.version, len(item.payload)),)))
     answer = pair.holder.receive(address(1), request, 10.0)
-    assert [decode_message(send.payload).kind for send in answer.sends] == [Kind.REFUSE]
+    assert [decode_message(send.payload).kind for send in answer.sends] == [Kind.REJECT]
     assert pair.joiner.item(item.key) is None
     pair.withheld.clear()
     pair.exchange()
     assert pair.joiner.item(item.key) == item
 
 
-def test_only_what_is_withheld_is_left_out() -> None:
+def test_only_withheld_items_are_left_out() -> None:
     pair = Pair()
     pair.holder.publish(SMALL, 10.0)
     pair.holder.publish(LARGE, 10.0)
@@ -220,7 +226,7 @@
     assert pair.joiner.item(LARGE.key) == LARGE
 
 
-def test_news_is_taken_and_passed_on_also_where_it_would_be_withheld() -> None:
+def test_updates_are_stored_and_forwarded_even_if_withheld() -> None:
     pair = Pair()
     pair.withheld.add(SMALL.key)
     push = encode_message(Message(Kind.PUSH, items=(SMALL,)))
--- a/tests/fleet/dissemination/test_peers.py
+++ b/tests/fleet/dissemination/test_peers.py
@@ -28,7 +28,7 @@
     return Counter(chr(int(host.split(".")[2])) for host, _ in targets)
 
 
-def test_who_publishes_tells_sources_other_zones_and_the_own_zone() -> None:
+def test_a_publisher_pushes_to_sources_other_zones_and_the_own_zone() -> None:
     chosen = PeerSet("a", peers({"a": 5, "b": 5, "c": 5, "d": 5}, ("b", "c")), address("a", 3))
     for _ in range(20):
         targets = chosen.for_publisher(RNG)
@@ -53,7 +53,7 @@
     assert len(targets) <= MAX_SOURCES + FANOUT + 1
 
 
-def test_news_stays_mostly_in_the_own_zone_and_does_not_go_back() -> None:
+def test_updates_stay_mostly_in_the_own_zone_and_do_not_go_back() -> None:
     chosen = PeerSet("a", peers({"a": 9, "b": 9}), address("a", 1))
     counts: Counter[str] = Counter()
     for _ in range(300):
@@ -65,13 +65,13 @@
     assert 0 < counts["b"] < 0.2 * counts["a"]
 
 
-def test_early_news_stays_in_the_own_zone() -> None:
+def test_early_updates_stay_in_the_own_zone() -> None:
     chosen = PeerSet("a", peers({"a": 9, "b": 9}, ("a",)), address("b", 1))
     for _ in range(100):
         assert set(zones_of(chosen.for_relay(RNG, address("b", 0), is_early=True))) == {"a"}
 
 
-def test_a_source_tells_the_other_sources() -> None:
+def test_a_source_pushes_to_the_other_sources() -> None:
     chosen = PeerSet("a", peers({"a": 9, "b": 3, "c": 3}, ("a", "b", "c")), None, is_source=True)
     targets = chosen.for_relay(RNG, address("b", 0))
     assert {address("a", 0), address("c", 0)} <= set(targets)
@@ -92,7 +92,7 @@
     assert counts["a"] > counts["b"] > 20
 
 
-def test_without_peers_there_is_nobody_to_tell() -> None:
+def test_without_peers_there_are_no_targets() -> None:
     alone = PeerSet("a", (), None)
     assert alone.for_publisher(RNG) == []
     assert alone.for_relay(RNG, address("a", 1)) == []
--- a/tests/fleet/membership/test_codec.py
+++ b/tests/fleet/membership/test_codec.py
@@ -40,7 +40,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages())
-def test_a_message_comes_back_as_it_was(message: Message) -> None:
+def test_a_message_is_decoded_as_it_was_encoded(message: Message) -> None:
     decoded = decode_message(encode_message(message))
     assert decoded.kind is message.kind
     assert (decoded.summary, decoded.nonce, decoded.target) == (
@@ -83,7 +83,7 @@
             decode_message(damaged)
 
 
-def test_every_cut_is_refused() -> None:
+def test_every_truncation_is_rejected() -> None:
     encoded = encode_message(
         Message(Kind.PROBE, (Record(make_member(1), 5, Status.SUSPECT, 0.4),), buckets=(1, 2))
     )
@@ -94,7 +94,7 @@
 
 def test_counts_are_bounded() -> None:
     record = encode_record(Record(make_member(1), 0, Status.ALIVE))
-    assert len(decode_message(encode_message(Message(Kind.RUMOUR), [record] * MAX_RECORDS)).records) == 64
+    assert len(decode_message(encode_message(Message(Kind.UPDATE), [record] * MAX_RECORDS)).records) == 64
     for count in (0, MAX_RECORDS + 1):
         with pytest.raises(MessageError):
-            decode_message(encode_message(Message(Kind.RUMOUR), [record] * count))
+            decode_message(encode_message(Message(Kind.UPDATE), [record] * count))
--- a/tests/fleet/membership/test_machine.py
+++ b/tests/fleet/membership/test_machine.py
@@ -10,10 +10,10 @@
 
 from firvane.core.address import Address
 from firvane.fleet.membership.codec import Kind, Message, MessageError, decode_message, encode_message
-from firvane.fleet.membership.machine import FREEZE_TIME, MAX_JOIN_PAUSE, Membership
+from firvane.fleet.membership.machine import FREEZE_THRESHOLD_S, MAX_JOIN_BACKOFF_S, Membership
 from firvane.fleet.membership.members import Member, Record, Role, Status
 from firvane.fleet.membership.outbox import Send
-from firvane.fleet.membership.probes import DIRECT_TIMEOUT, INDIRECT_TIMEOUT
+from firvane.fleet.membership.probes import DIRECT_TIMEOUT_S, INDIRECT_TIMEOUT_S
 from tests.fleet.membership.strategies import make_member
 
 STEP = 0.01
@@ -82,7 +82,7 @@
     assert all(group.seen_by(number) == {1, 2, 3, 5, 6} for number in (1, 2, 3, 5, 6))
 
 
-def test_helpers_save_a_member_whose_watcher_cannot_hear_it() -> None:
+def test_indirect_probes_save_a_member_that_its_successor_cannot_reach() -> None:
     group = Group(5)
     group.run(2.0)
     target = make_member(3).address
@@ -95,7 +95,7 @@
     assert all(group.seen_by(number) == {1, 2, 3, 4, 5} for number in range(1, 6))
 
 
-def test_a_frozen_process_blames_nobody_and_refutes_its_death() -> None:
+def test_a_suspended_process_suspects_nobody_and_refutes_its_death() -> None:
     group = Group(5)
     group.run(2.0)
     frozen = make_member(2).address
@@ -115,14 +115,16 @@
     assert suspects == []
 
 
-@pytest.mark.parametrize(("silence", "is_frozen"), [(FREEZE_TIME, False), (FREEZE_TIME + 0.01, True)])
-def test_only_a_long_silence_of_the_own_timer_is_a_freeze(silence: float, is_frozen: bool) -> None:
+@pytest.mark.parametrize(
+    ("silence", "is_frozen"), [(FREEZE_THRESHOLD_S, False), (FREEZE_THRESHOLD_S + 0.01, True)]
+)
+def test_only_a_long_gap_of_the_own_timer_is_a_suspension(silence: float, is_frozen: bool) -> None:
     machine = alone_with(make_member(2, zone="a"))
     kinds = [decode_message(send.payload).kind for send in machine.tick(silence)]
     assert (Kind.PROBE not in kinds) == is_frozen
 
 
-def test_a_leaving_member_is_gone_at_once_and_says_nothing_more() -> None:
+def test_a_leaving_member_is_gone_at_once_and_sends_nothing_more() -> None:
     group = Group(5)
     group.run(2.0)
     leaver = make_member(3).address
@@ -134,7 +136,7 @@
     assert all(group.seen_by(number) == {1, 2, 4, 5} for number in (1, 2, 4, 5))
 
 
-def test_announcements_go_on_with_growing_pauses_while_no_controller_is_known() -> None:
+def test_announcements_are_repeated_with_backoff_while_no_controller_is_known() -> None:
     machine = Membership(make_member(2), [make_member(1).address], random.Random(1), 0.0)
     times = []
     now = 0.0
@@ -143,7 +145,7 @@
             times.append(now)
         now = max(machine.deadline(), now + 1e-6)
     pauses = [later - earlier for earlier, later in itertools.pairwise(times)]
-    assert pauses[0] < 0.2 < pauses[-1] <= 1.2 * MAX_JOIN_PAUSE + 1e-6
+    assert pauses[0] < 0.2 < pauses[-1] <= 1.2 * MAX_JOIN_BACKOFF_S + 1e-6
     assert 10 <= len(times) <= 16
 
 
@@ -161,13 +163,13 @@
     assert all(4 in group.seen_by(number) for number in (1, 2, 3, 5))
 
 
-def test_a_message_whose_first_record_is_not_the_senders_is_refused() -> None:
+def test_a_message_whose_first_record_is_not_the_senders_is_rejected() -> None:
     machine = Membership(make_member(1), [], random.Random(1), 0.0)
     payload = Membership(make_member(2), [make_member(1).address], random.Random(1), 0.0).tick(0.0)[0].payload
     with pytest.raises(MessageError):
         machine.receive(make_member(3).address, payload, 0.0)
     with pytest.raises(MessageError):
-        machine.receive(make_member(3).address, encode_message(Message(Kind.RUMOUR)), 0.0)
+        machine.receive(make_member(3).address, encode_message(Message(Kind.UPDATE)), 0.0)
     assert machine.members() == [make_member(1)]
 
 
@@ -192,11 +194,11 @@
     """A machine that has just heard of these."""
     machine = Membership(make_member(1, zone="a"), [], random.Random(1), 0.0)
     for member in members:
-        machine.receive(member.address, as_member(member, Kind.NOTICE), 0.0)
+        machine.receive(member.address, as_member(member, Kind.CORRECTION), 0.0)
     return machine
 
 
-def test_a_probe_that_was_held_up_by_a_freeze_blames_nobody() -> None:
+def test_a_probe_delayed_by_a_suspension_suspects_nobody() -> None:
     target = make_member(2, zone="a")
     machine = alone_with(target)
     now = 0.0
@@ -210,24 +212,24 @@
     assert machine.summary() == alone_with(target).summary()
 
 
-def test_a_suspicion_that_a_freeze_cut_short_begins_anew() -> None:
+def test_a_suspicion_interrupted_by_a_suspension_starts_anew() -> None:
     target = make_member(2, zone="a")
     machine = alone_with(target)
     report = Record(target, 0, Status.SUSPECT, 0.5)
     other = make_member(3, zone="a")
-    machine.receive(other.address, as_member(other, Kind.RUMOUR, report), 0.1)
+    machine.receive(other.address, as_member(other, Kind.UPDATE, report), 0.1)
     machine.tick(60.0)
     assert target in machine.members()
 
 
-def test_a_member_believed_dead_is_told_so_whatever_it_sends() -> None:
+def test_a_member_believed_dead_is_notified_whatever_it_sends() -> None:
     member, other = make_member(2, zone="a"), make_member(3, zone="a")
     machine = alone_with(member, other)
     left = Record(member, 0, Status.LEFT)
-    machine.receive(other.address, as_member(other, Kind.RUMOUR, left), 0.1)
+    machine.receive(other.address, as_member(other, Kind.UPDATE, left), 0.1)
     sends = machine.receive(member.address, as_member(member, Kind.ACK), 0.2)
     notices = [decode_message(send.payload) for send in sends if send.to == member.address]
-    assert [notice.kind for notice in notices] == [Kind.NOTICE]
+    assert [notice.kind for notice in notices] == [Kind.CORRECTION]
     assert Record(member, 0, Status.LEFT) in notices[0].records
 
 
@@ -239,7 +241,7 @@
         second.address: Membership(second, [first.address], random.Random(2), 0.0),
     }
     for machine, member in ((machines[first.address], only_first), (machines[second.address], only_second)):
-        machine.receive(member.address, as_member(member, Kind.NOTICE), 0.0)
+        machine.receive(member.address, as_member(member, Kind.CORRECTION), 0.0)
     pending = [(second.address, send) for send in machines[second.address].tick(0.0)]
     while pending:
         source, send = pending.pop(0)
@@ -259,10 +261,10 @@
     [probe] = [decode_message(send.payload) for send in sends if send.to == dead.address]
     assert probe.kind is Kind.PROBE and report in probe.records
     now = 0.3
-    while now < 0.3 + DIRECT_TIMEOUT + INDIRECT_TIMEOUT:
+    while now < 0.3 + DIRECT_TIMEOUT_S + INDIRECT_TIMEOUT_S:
         assert dead in machine.members()
-        now = min(machine.deadline(), 0.3 + DIRECT_TIMEOUT + INDIRECT_TIMEOUT)
-        machine.receive(other.address, as_member(other, Kind.NOTICE), now)
+        now = min(machine.deadline(), 0.3 + DIRECT_TIMEOUT_S + INDIRECT_TIMEOUT_S)
+        machine.receive(other.address, as_member(other, Kind.CORRECTION), now)
         machine.tick(now)
     machine.tick(now + 0.01)
     assert dead not in machine.members()
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -10,9 +10,9 @@
 from msgspec.structs import replace
 
 from firvane.fleet.membership.codec import MAX_COUNTER, MAX_INCARNATION
-from firvane.fleet.membership.failed_members import FIRST_PAUSE
+from firvane.fleet.membership.failed_members import INITIAL_BACKOFF_S
 from firvane.fleet.membership.members import Record, Status
-from firvane.fleet.membership.view import MAX_MEMBERS, SUSPICION_TIME, TOMBSTONE_TIME, MemberView
+from firvane.fleet.membership.view import MAX_MEMBERS, SUSPICION_TIMEOUT_S, TOMBSTONE_LIFETIME_S, MemberView
 from tests.fleet.membership.strategies import make_member
 
 OWN, OTHER = make_member(0, incarnation=10), make_member(1, incarnation=10)
@@ -78,30 +78,30 @@
 def test_a_suspicion_ends_at_its_age_and_leaves_a_tombstone() -> None:
     view = make_view()
     view.merge(report(Status.SUSPECT, age=0.6), NOW)
-    due = NOW - 0.6 + SUSPICION_TIME
+    due = NOW - 0.6 + SUSPICION_TIMEOUT_S
     assert view.deadline() == pytest.approx(due)
-    view.table.live()[0].heard = 0.0
+    view.table.live()[0].last_received_at = 0.0
     assert view.confirm_deaths(due - 0.01) == []
     assert status_of(view) is Status.SUSPECT
     view.confirm_deaths(due)
     assert status_of(view) is Status.DEAD
     view.merge(report(Status.ALIVE), due + 1)
     assert status_of(view) is Status.DEAD
-    assert view.lost.take(due + FIRST_PAUSE) == OTHER.address
-    view.forget(due + TOMBSTONE_TIME - 0.1)
+    assert view.failed.take(due + INITIAL_BACKOFF_S) == OTHER.address
+    view.forget(due + TOMBSTONE_LIFETIME_S - 0.1)
     assert status_of(view) is Status.DEAD
-    view.forget(due + TOMBSTONE_TIME)
+    view.forget(due + TOMBSTONE_LIFETIME_S)
     assert status_of(view) is None
 
 
-def test_a_suspected_member_that_was_heard_gets_more_time() -> None:
+def test_a_suspected_member_that_sent_a_message_gets_more_time() -> None:
     view = make_view()
     view.merge(report(Status.ALIVE), NOW)
     view.suspect(OTHER.address, NOW)
-    view.table.live()[0].heard = NOW + 0.5
-    assert view.confirm_deaths(NOW + SUSPICION_TIME) == [OTHER.address]
+    view.table.live()[0].last_received_at = NOW + 0.5
+    assert view.confirm_deaths(NOW + SUSPICION_TIMEOUT_S) == [OTHER.address]
     assert status_of(view) is Status.SUSPECT
-    assert view.confirm_deaths(NOW + 2 * SUSPICION_TIME) == []
+    assert view.confirm_deaths(NOW + 2 * SUSPICION_TIMEOUT_S) == []
     assert status_of(view) is Status.DEAD
 
 
@@ -111,11 +111,11 @@
     view.merge(report(Status.ALIVE, counter=1), NOW)
     assert status_of(view) is Status.ALIVE
     assert view.deadline() == float("inf")
-    view.bury(OTHER.address, NOW)
+    view.mark_dead(OTHER.address, NOW)
     assert status_of(view) is Status.DEAD
     view.merge(report(Status.ALIVE, counter=2), NOW)
     assert status_of(view) is Status.ALIVE
-    assert view.lost.deadline() == float("inf")
+    assert view.failed.deadline() == float("inf")
 
 
 def test_a_reported_death_of_a_live_member_is_to_be_checked() -> None:
@@ -127,7 +127,7 @@
     assert status_of(view) is Status.ALIVE
 
 
-def test_a_member_that_leaves_is_gone_at_once_and_not_sought() -> None:
+def test_a_member_that_leaves_is_gone_at_once_and_not_probed() -> None:
     view = make_view()
     view.merge(report(Status.ALIVE), NOW)
     version = view.table.version
@@ -135,7 +135,7 @@
     assert status_of(view) is Status.LEFT
     assert view.table.live() == []
     assert view.table.version > version
-    assert view.lost.deadline() == float("inf")
+    assert view.failed.deadline() == float("inf")
     view.merge(report(Status.ALIVE, incarnation=11), NOW)
     assert status_of(view) is Status.ALIVE
 
@@ -156,7 +156,7 @@
     view = make_view()
     view.merge(Record(replace(OWN, incarnation=50), 3, Status.ALIVE), NOW)
     assert view.own.incarnation == 51
-    assert OWN.address in view.fresh
+    assert OWN.address in view.pending_updates
     view.merge(Record(replace(OWN, incarnation=20), 9, Status.DEAD), NOW)
     assert view.own.incarnation == 51
 
@@ -177,28 +177,28 @@
     assert len(view.table) == MAX_MEMBERS
 
 
-def test_only_mutual_deaths_of_present_lives_are_a_cut() -> None:
+def test_only_mutual_deaths_of_current_incarnations_are_a_partition() -> None:
     view = make_view()
     view.merge(report(Status.DEAD), NOW)
     sender, claim = report(Status.ALIVE), Record(OWN, 0, Status.DEAD)
-    assert view.was_cut_off(sender, (sender, claim))
-    assert not view.was_cut_off(sender, (sender,))
-    assert not view.was_cut_off(report(Status.ALIVE, counter=1), (sender, claim))
-    assert not view.was_cut_off(sender, (sender, Record(OWN, 1, Status.DEAD)))
-    view.forget_deaths()
+    assert view.was_partitioned(sender, (sender, claim))
+    assert not view.was_partitioned(sender, (sender,))
+    assert not view.was_partitioned(report(Status.ALIVE, counter=1), (sender, claim))
+    assert not view.was_partitioned(sender, (sender, Record(OWN, 1, Status.DEAD)))
+    view.forget_dead_members()
     assert status_of(view) is None
 
 
-def test_what_a_compared_table_adds_is_no_news() -> None:
+def test_a_record_from_anti_entropy_is_not_forwarded() -> None:
     view = make_view()
-    view.merge(report(Status.ALIVE), NOW, is_rumour=False)
+    view.merge(report(Status.ALIVE), NOW, is_update=False)
     view.merge(report(Status.ALIVE, number=2), NOW)
-    assert list(view.fresh) == [make_member(2).address]
-    view.merge(report(Status.ALIVE, counter=1), NOW, is_rumour=False)
-    assert OTHER.address in view.fresh
+    assert list(view.pending_updates) == [make_member(2).address]
+    view.merge(report(Status.ALIVE, counter=1), NOW, is_update=False)
+    assert OTHER.address in view.pending_updates
 
 
 def _own_record(view: MemberView) -> Record:
     from firvane.fleet.membership.codec import Kind, Message, decode_message, encode_message
 
-    return decode_message(encode_message(Message(Kind.NOTICE), [view.own_record()])).records[0]
+    return decode_message(encode_message(Message(Kind.CORRECTION), [view.own_record()])).records[0]
--- a/tests/fleet/transport/test_endpoint.py
+++ b/tests/fleet/transport/test_endpoint.py
@@ -12,7 +12,7 @@
 from firvane.core import logs
 from firvane.core.address import Address
 from firvane.fleet.transport import endpoint as endpoint_module
-from firvane.fleet.transport.endpoint import MAX_DATAGRAM_PAYLOAD, Endpoint
+from firvane.fleet.transport.endpoint import MAX_DATAGRAM_PAYLOAD_BYTES, Endpoint
 from firvane.fleet.transport.frames import Frame, encode_frame, encode_header
 
 TIMEOUT = 5.0
@@ -51,7 +51,7 @@
                 await self.changed.wait()
 
     def logged(self, event: str) -> list[str]:
-        return [line for line in self.lines if f'event="transport: {event}."' in line]
+        return [line for line in self.lines if f"event=transport_{event} " in line]
 
 
 def play(scenario: Callable[[Side, Side], Awaitable[None]]) -> None:
@@ -71,7 +71,7 @@
 
 def test_payloads_at_the_bound_of_a_datagram_and_above_it_arrive() -> None:
     async def scenario(first: Side, second: Side) -> None:
-        sizes = (0, MAX_DATAGRAM_PAYLOAD, MAX_DATAGRAM_PAYLOAD + 1, 1_000_000)
+        sizes = (0, MAX_DATAGRAM_PAYLOAD_BYTES, MAX_DATAGRAM_PAYLOAD_BYTES + 1, 1_000_000)
         for size in sizes:
             first.endpoint.send(second.address, 7, b"x" * size)
         await second.until(lambda: len(second.received) == len(sizes))
@@ -97,7 +97,7 @@
         first.endpoint.send(second.address, 1, LARGE)
         await second.until(lambda: second.received)
         first.endpoint.sweep(idle_since=asyncio.get_running_loop().time() + 1)
-        await second.until(lambda: second.logged("link closed"))
+        await second.until(lambda: second.logged("link_closed"))
         assert second.endpoint.link_count == 0
         first.endpoint.send(second.address, 1, LARGE)
         await second.until(lambda: len(second.received) == 2)
@@ -112,9 +112,9 @@
         async with asyncio.timeout(TIMEOUT):
             assert await reader.read() == b""
         writer.close()
-        await first.until(lambda: first.logged("link closed"))
-        assert len(first.logged("link closed")) == 1
-        assert "magic is wrong" in first.logged("link closed")[0]
+        await first.until(lambda: first.logged("link_closed"))
+        assert len(first.logged("link_closed")) == 1
+        assert "magic is wrong" in first.logged("link_closed")[0]
         assert first.endpoint.incomplete_bytes == 0
 
     play(scenario)
@@ -126,7 +126,7 @@
         writer.write(encode_frame(Frame(second.address, 3, b"good")))
         await first.until(lambda: first.received)
         writer.write(b"\0" * 100)
-        await first.until(lambda: first.logged("link closed"))
+        await first.until(lambda: first.logged("link_closed"))
         assert first.received == [(second.address, 3, b"good")]
         writer.close()
 
@@ -139,8 +139,8 @@
     async def scenario(first: Side, second: Side) -> None:
         _, writer = await asyncio.open_connection(*first.address)
         writer.write(encode_header(second.address, 1, 8_000_000) + b"x" * 20_000)
-        await first.until(lambda: first.logged("link closed"))
-        assert "too many bytes" in first.logged("link closed")[0]
+        await first.until(lambda: first.logged("link_closed"))
+        assert "too many bytes" in first.logged("link_closed")[0]
         assert first.endpoint.incomplete_bytes == 0
         writer.close()
 
@@ -154,30 +154,30 @@
                 sock.sendto(b"nonsense", first.address)
             sock.sendto(encode_frame(Frame(second.address, 1, b"good")), first.address)
         await first.until(lambda: first.received)
-        assert len(first.logged("datagram damaged")) == 4  # the first, second, fourth and eighth
+        assert len(first.logged("datagram_damaged")) == 4  # the first, second, fourth and eighth
 
     play(scenario)
 
 
-def test_a_peer_that_is_not_there_costs_one_line_and_a_pause() -> None:
+def test_an_unreachable_peer_costs_one_line_and_a_backoff() -> None:
     async def scenario(first: Side, second: Side) -> None:
         nobody = ("127.0.0.3", second.address[1])
         first.endpoint.send(nobody, 1, LARGE)
-        await first.until(lambda: first.logged("cannot connect"))
+        await first.until(lambda: first.logged("connect_failed"))
         for _ in range(100):
             first.endpoint.send(nobody, 1, LARGE)
             first.endpoint.send(nobody, 1, b"small")
         assert first.endpoint.connecting_count == 0
-        assert len(first.logged("cannot connect")) == 1
+        assert len(first.logged("connect_failed")) == 1
 
     play(scenario)
 
 
-def test_a_message_from_a_peer_ends_the_pause() -> None:
+def test_a_message_from_a_peer_ends_the_backoff() -> None:
     async def scenario(first: Side, second: Side) -> None:
         second.endpoint.close()
         first.endpoint.send(second.address, 1, LARGE)
-        await first.until(lambda: first.logged("cannot connect"))
+        await first.until(lambda: first.logged("connect_failed"))
         again = Side(second.address)
         await again.endpoint.start()  # at once, on the same port
         again.endpoint.send(first.address, 1, b"back")
@@ -211,7 +211,7 @@
             first.endpoint.send(to, 1, LARGE)
         first.endpoint.send(second.address, 1, b"x" * (9 * 1024 * 1024))
         first.endpoint.send(second.address, 300, b"x")
-        assert len(first.logged("frame not sent")) == 2
+        assert len(first.logged("frame_not_sent")) == 2
         first.endpoint.close()
         first.endpoint.send(second.address, 1, b"after the end")
 
--- a/tests/fleet/transport/test_frames.py
+++ b/tests/fleet/transport/test_frames.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from firvane.fleet.transport.frames import (
-    HEADER_SIZE,
-    MAX_PAYLOAD,
+    HEADER_BYTES,
+    MAX_PAYLOAD_BYTES,
     Frame,
     FrameError,
     FrameReader,
@@ -25,13 +25,13 @@
 
 @settings(derandomize=True, deadline=None)
 @given(frames)
-def test_a_datagram_comes_back_as_it_was(frame: Frame) -> None:
+def test_a_datagram_is_decoded_as_it_was_encoded(frame: Frame) -> None:
     assert decode_datagram(encode_frame(frame)) == frame
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(frames, max_size=6), st.lists(st.integers(1, 400), max_size=30))
-def test_a_stream_comes_back_however_it_is_cut(sent: list[Frame], cuts: list[int]) -> None:
+def test_a_stream_is_decoded_however_it_is_split(sent: list[Frame], cuts: list[int]) -> None:
     stream = b"".join(encode_frame(frame) for frame in sent)
     reader, received = FrameReader(), []
     for cut in [*cuts, len(stream)]:
@@ -58,7 +58,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(frames, st.data())
-def test_a_damaged_datagram_is_refused_or_is_another_frame(frame: Frame, data: st.DataObject) -> None:
+def test_a_damaged_datagram_is_rejected_or_is_another_frame(frame: Frame, data: st.DataObject) -> None:
     encoded = bytearray(encode_frame(frame))
     position = data.draw(st.integers(0, len(encoded) - 1))
     encoded[position] ^= data.draw(st.integers(1, 255))
@@ -66,23 +66,23 @@
         assert decode_datagram(bytes(encoded)) != frame
 
 
-def test_a_length_beyond_the_bound_is_refused_with_the_header() -> None:
+def test_a_length_beyond_the_bound_is_rejected_with_the_header() -> None:
     header = bytearray(encode_header(("10.0.0.1", 7300), 1, 0))
-    header[4:8] = (MAX_PAYLOAD + 1).to_bytes(4, "big")
+    header[4:8] = (MAX_PAYLOAD_BYTES + 1).to_bytes(4, "big")
     with pytest.raises(FrameError, match="too long"):
         FrameReader().feed(bytes(header))
     with pytest.raises(FrameError, match="too long"):
-        encode_header(("10.0.0.1", 7300), 1, MAX_PAYLOAD + 1)
+        encode_header(("10.0.0.1", 7300), 1, MAX_PAYLOAD_BYTES + 1)
 
 
 @pytest.mark.parametrize("sender", [("nowhere", 1), ("10.0.0.1", 70000), ("10.0.0.1", -1)])
-def test_an_address_that_does_not_fit_is_refused(sender: tuple[str, int]) -> None:
+def test_an_address_that_does_not_fit_is_rejected(sender: tuple[str, int]) -> None:
     with pytest.raises(FrameError):
         encode_header(sender, 1, 0)
 
 
 def test_a_datagram_holds_exactly_one_frame() -> None:
     encoded = encode_frame(Frame(("10.0.0.1", 7300), 1, b"abc"))
-    for wrong in (encoded[:-1], encoded + b"x", encoded[: HEADER_SIZE - 1], b""):
+    for wrong in (encoded[:-1], encoded + b"x", encoded[: HEADER_BYTES - 1], b""):
         with pytest.raises(FrameError):
             decode_datagram(wrong)
