--- a/firvane/programs/__init__.py
+++ b/firvane/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The daemons of the router fleet: each puts together the packages that it runs."""
+"""The daemons of the router fleet: entry points, settings, logging and signals."""
--- a/firvane/programs/controller.py
+++ b/firvane/programs/controller.py
@@ -1,4 +1,4 @@
-"""The controller's process: its settings file in, one controller on an event loop, signals passed on."""
+"""The controller daemon: reads its settings file and runs one controller on an event loop."""
 
 from __future__ import annotations
 
@@ -25,11 +25,16 @@
     load_or_exit,
 )
 
-SIGNALS_BLOCKED = 1.0  # s at the most that signals wait for the start
+MAX_START_S = 1.0  # for which signals are blocked during the start
+EXIT_OK = 0
 
 
 def controller_options(settings: Settings) -> ControllerOptions:
-    """What the settings file says, as a controller needs it; `SettingsError` where something is missing."""
+    """Return the options of a controller.
+
+    Raises:
+        SettingsError: The settings lack what a controller needs.
+    """
     if settings.control is None:
         raise SettingsError("listen_addresses: a controller needs control")
     if settings.data_directory is None:
@@ -55,31 +60,31 @@
 
 
 async def run(options: ControllerOptions, log: Log) -> None:
-    """One controller from its start to its end by SIGTERM."""
+    """Run one controller until SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     controller = Controller(loop, options, log)
-    lifetime = handle_process_events(
+    events = handle_process_events(
         loop,
         log,
         lambda settings: controller.reload(settings.seed_internal, settings.cloud_api.address),
     )
-    lifetime.watch.start()
+    events.watch.start()
     starting = loop.create_task(controller.start())
     starting.add_done_callback(lambda _: tune_collector())
-    await asyncio.wait({starting}, timeout=SIGNALS_BLOCKED)
+    await asyncio.wait({starting}, timeout=MAX_START_S)
     process_signals.unblock()
-    await lifetime.ended.wait()
-    lifetime.watch.stop()
+    await events.stop_requested.wait()
+    events.watch.stop()
     starting.cancel()
     try:
         await controller.stop()
-    except Exception:
-        log.exception("controller: stop failed.")
+    except Exception:  # the exit status must not depend on a failed stop
+        log.exception("controller_stop_failed")
     process_signals.block()  # the loop closes next: one more signal must not change the exit status
 
 
 def main() -> int:
-    """Run the daemon; the exit status."""
+    """Run the daemon, and return its exit status."""
     settings = load_or_exit()
     try:
         options = controller_options(settings)
@@ -90,7 +95,7 @@
     bridge_library_logs(log)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(run(options, log))
-    return 0
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/firvane/programs/logging.py
+++ b/firvane/programs/logging.py
@@ -1,7 +1,7 @@
 """The log of a daemon: structlog, one logfmt line for each event on standard error.
 
-Events are short sentences that begin with the part they come from ("config: version committed."). What
-differs from one time to the next is a field. A line that cannot be written is lost: no log may end a daemon.
+Events are constant names in snake case that begin with their component (`configuration_applied`); all that
+varies is a field, with the unit in its name. A line that cannot be written is lost: no log may end a daemon.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class LineWriter:
-    """Writes rendered lines; the methods that structlog calls are named after levels."""
+    """Writes rendered lines; structlog calls the method of the level."""
 
     def __init__(self, stream: TextIO) -> None:
         self._stream = stream
@@ -35,7 +35,7 @@
 
 
 def make_log(program: str, node: str, level: int = logging.INFO, stream: TextIO | None = None) -> Log:
-    """A logger bound to the names of the program and the node; events below `level` cost one call."""
+    """Return a logger bound to the names of the program and the node; lower events cost one call."""
     target = stream or sys.stderr
     processors: list[Any] = [
         structlog.processors.add_log_level,
@@ -53,5 +53,5 @@
 
 
 def bridge_library_logs(log: Log) -> None:
-    """Pass warnings of libraries, asyncio's above all, on to the daemon's log."""
+    """Write the warnings of libraries, asyncio's above all, to the daemon's log."""
     logging.getLogger().addHandler(Bridge(log))
--- a/firvane/programs/process.py
+++ b/firvane/programs/process.py
@@ -1,4 +1,4 @@
-"""What the processes of the fleet's daemons have in common, whatever they run."""
+"""What the daemons have in common: incarnation, signals, garbage collection."""
 
 from __future__ import annotations
 
@@ -12,61 +12,69 @@
 from typing import Any
 
 from firvane.core.logs import Log
-from firvane.programs.settings import Settings, load_again
+from firvane.programs.settings import Settings, reload_settings
 from firvane.programs.settings_watch import SettingsWatch
 
 INCARNATION_RANDOM_BITS = 16
-GARBAGE_THRESHOLDS = (20_000, 20, 50)  # requests and messages leave little behind in cycles
+GARBAGE_THRESHOLDS = (20_000, 20, 50)  # higher than usual, since requests leave few cycles
 
 
 def new_incarnation() -> int:
-    """A number of 64 bits that rises from start to start as far as the time of day does.
+    """Return 64 bits that rise from start to start as far as the time of day does.
 
-    Milliseconds of Unix time, then random bits: the time of day may have stepped back, which the cluster's
-    membership settles.
+    Milliseconds of Unix time, then random bits. Where the time of day has stepped back, the cluster's
+    membership raises the incarnation.
     """
     milliseconds = int(time.time() * 1000)
     return (milliseconds << INCARNATION_RANDOM_BITS) | random.getrandbits(INCARNATION_RANDOM_BITS)
 
 
 @dataclass(frozen=True, slots=True)
-class Lifetime:
-    """What reaches a running daemon from outside."""
+class ProcessEvents:
+    """What reaches a running daemon from outside.
 
-    ended: asyncio.Event  # SIGTERM or SIGINT has come
-    watch: SettingsWatch  # reads the settings file again; it is to be started and stopped
+    Attributes:
+        stop_requested: Set at SIGTERM or SIGINT.
+        watch: Reloads the settings file; to be started and stopped by the daemon.
+    """
+
+    stop_requested: asyncio.Event
+    watch: SettingsWatch
 
 
 def handle_process_events(
     loop: asyncio.AbstractEventLoop, log: Log, reload: Callable[[Settings], None]
-) -> Lifetime:
-    """Handle the process's signals and log what its callbacks raise.
+) -> ProcessEvents:
+    """Handle the process's signals, and log what its callbacks raise.
 
-    `reload` is called with the settings when the file has changed; a bad file changes nothing.
+    Args:
+        loop: The event loop.
+        log: The log.
+        reload: Called with the new settings when the file has changed; an invalid file changes nothing.
     """
 
-    def read_again() -> None:
-        settings = load_again(log)
+    def reload_if_valid() -> None:
+        settings = reload_settings(log)
         if settings is not None:
             reload(settings)
 
     loop.set_exception_handler(
-        lambda _, context: log.error("process: callback failed.", **describe_fault(context))
+        lambda _, context: log.error("process_callback_failed", **exception_fields(context))
     )
-    lifetime = Lifetime(asyncio.Event(), SettingsWatch(loop, read_again))
+    events = ProcessEvents(asyncio.Event(), SettingsWatch(loop, reload_if_valid))
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, lifetime.ended.set)
-    loop.add_signal_handler(signal.SIGHUP, lifetime.watch.signalled)
-    return lifetime
+        loop.add_signal_handler(number, events.stop_requested.set)
+    loop.add_signal_handler(signal.SIGHUP, events.watch.on_signal)
+    return events
 
 
 def tune_collector() -> None:
-    """Leave what has been set up out of all later garbage collections."""
+    """Exclude what exists after the start from all later garbage collections."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GARBAGE_THRESHOLDS)
 
 
-def describe_fault(context: dict[str, Any]) -> dict[str, Any]:
-    """The fields of a log line for what an event loop reports to its exception handler."""
+def exception_fields(context: dict[str, Any]) -> dict[str, Any]:
+    """Return the log fields of what an event loop reports to its exception handler."""
     return {"message": str(context.get("message")), "exc_info": context.get("exception")}
--- a/firvane/programs/router.py
+++ b/firvane/programs/router.py
@@ -1,4 +1,4 @@
-"""The router's process: its settings file in, one router on an event loop, signals passed on."""
+"""The router daemon: reads its settings file and runs one router on an event loop."""
 
 from __future__ import annotations
 
@@ -23,11 +23,16 @@
     load_or_exit,
 )
 
+EXIT_OK = 0
 EXIT_FAILED = 1
 
 
 def router_settings(settings: Settings) -> RouterSettings:
-    """What the settings file says, as a router needs it; `SettingsError` where an address is missing."""
+    """Return the settings of a router.
+
+    Raises:
+        SettingsError: An address that a router needs is missing.
+    """
     if settings.front is None or settings.readiness is None:
         raise SettingsError("listen_addresses: a router needs front and readiness")
     return RouterSettings(
@@ -47,24 +52,22 @@
 
 
 async def run(options: RouterSettings, log: Log) -> None:
-    """One router from its start to its end by SIGTERM."""
+    """Run one router until it has drained after SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     router = Router(loop, options, log)
-    lifetime = handle_process_events(
-        loop, log, lambda settings: router.agent.set_seeds(settings.seed_internal)
-    )
-    await router.start()  # the loop's threads begin here, and block signals for ever
+    events = handle_process_events(loop, log, lambda settings: router.agent.set_seeds(settings.seed_internal))
+    await router.start()  # starts the loop's threads, which block signals for ever
     process_signals.unblock()
-    lifetime.watch.start()
+    events.watch.start()
     tune_collector()
-    await lifetime.ended.wait()
-    lifetime.watch.stop()
+    await events.stop_requested.wait()
+    events.watch.stop()
     await router.drain()
     process_signals.block()  # the loop closes next: one more signal must not change the exit status
 
 
 def main() -> int:
-    """Run the daemon; the exit status."""
+    """Run the daemon, and return its exit status."""
     settings = load_or_exit()
     try:
         options = router_settings(settings)
@@ -79,7 +82,7 @@
     except OSError as error:
         print(f"firvane: cannot start: {error}", file=sys.stderr, flush=True)
         return EXIT_FAILED
-    return 0
+    return EXIT_OK
 
 
 if __name__ == "__main__":
--- a/firvane/programs/settings.py
+++ b/firvane/programs/settings.py
@@ -1,6 +1,6 @@
-"""The settings file of a daemon: YAML at the path held in `FIRVANE_BOOT`.
+"""The settings file of a daemon: YAML at the path in the environment variable `FIRVANE_BOOT`.
 
-Unknown fields are skipped, since the platform may add some. A known field of the wrong form makes the whole
+Unknown fields are ignored, since the platform may add some. A known field of the wrong form makes the whole
 file invalid: `SettingsError` names the field, and `load_or_exit` ends the process with it.
 """
 
@@ -21,7 +21,9 @@
 
 PATH_VARIABLE = "FIRVANE_BOOT"
 EXIT_BAD_SETTINGS = 2
-MOST_NUMBER = 1e15  # of any figure, whatever its unit
+MAX_NUMBER = 1e15  # of any field, whatever its unit
+MAX_PORT = 65535
+PORT_RANGE_LENGTH = 2  # the first and the last port
 
 T = TypeVar("T")
 
@@ -32,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What this process may use of its machine."""
+    """Resources that this process may use."""
 
     cpu_share: float = 1.0  # of one core
     cpu_cores: float = 1.0  # how many times as fast that core is
@@ -44,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many of each may be lost at the same time while every rule holds."""
+    """How many of each may fail at the same time while every rule holds."""
 
     machines: int = 1
     zones: int = 0
@@ -53,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The figures of the rules; the unit is the suffix of each name."""
+    """The bounds of the rules; the suffix of each name is its unit."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CloudApi:
-    """The platform's interface, which holds the list of backends."""
+    """The platform's API, which lists the backends."""
 
     address: Address | None = None
     rate_per_s: float = 10.0  # calls of all processes together
@@ -91,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one process."""
+    """The settings of one process; the fields are named like their keys in the file."""
 
     node_name: str
     role: str
@@ -116,7 +118,7 @@
 
     @property
     def internal_address(self) -> Address:
-        """Where the other processes of the fleet reach this one, over UDP and TCP."""
+        """The address at which the other processes of the fleet reach this one, over UDP and TCP."""
         return self.ip_address, self.internal_ports[0]
 
     @property
@@ -126,7 +128,11 @@
 
 
 def load_settings(path: str | Path) -> Settings:
-    """Read and check the file; `SettingsError` where it cannot be read or a field has the wrong form."""
+    """Read and check a settings file.
+
+    Raises:
+        SettingsError: It cannot be read, or a field has the wrong form.
+    """
     try:
         text = Path(path).read_bytes()
         document = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
@@ -140,7 +146,7 @@
 
 
 def load_or_exit() -> Settings:
-    """The settings of this process; with bad ones, one line on standard error and exit status 2."""
+    """Return the settings of this process; invalid ones end it with status 2 and a line on standard error."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
         _exit(f"{PATH_VARIABLE} does not name a settings file")
@@ -150,12 +156,12 @@
         _exit(str(error))
 
 
-def load_again(log: Log) -> Settings | None:
-    """The settings as they stand now; None where they cannot be used, which is logged and changes nothing."""
+def reload_settings(log: Log) -> Settings | None:
+    """Return the current settings; None, with a log line, where they are invalid."""
     try:
         return load_settings(os.environ.get(PATH_VARIABLE, ""))
     except SettingsError as error:
-        log.error("settings: the file cannot be used.", reason=str(error))
+        log.error("settings_invalid", reason=str(error))
         return None
 
 
@@ -165,7 +171,11 @@
 
 
 def parse_settings(document: Mapping[str, Any]) -> Settings:
-    """The settings in a document that has been read; `SettingsError` where a field has the wrong form."""
+    """Return the settings in a parsed document.
+
+    Raises:
+        SettingsError: A field has the wrong form.
+    """
     listen = _mapping(document, "listen_addresses")
     directory = _text(document, "data_directory", "")
     return Settings(
@@ -182,12 +192,12 @@
         seeds=_addresses(document, "seed_nodes"),
         first_start=_flag(document, "first_start"),
         loss_counted=_flag(document, "loss_counted"),
-        limits=_figures(Limits, document, "limits"),
+        limits=_numbers_from(Limits, document, "limits"),
         data_directory=Path(directory) if directory else None,
         heartbeat_ms=_number(document, "heartbeat_ms", 1000.0),
         active_contracts=_texts(document, "active_contracts"),
-        fault_tolerance=_figures(FaultTolerance, document, "fault_tolerance"),
-        bounds=_figures(Bounds, document, "bounds"),
+        fault_tolerance=_numbers_from(FaultTolerance, document, "fault_tolerance"),
+        bounds=_numbers_from(Bounds, document, "bounds"),
         cloud_api=_cloud_api(_mapping(document, "cloud_api")),
     )
 
@@ -201,8 +211,8 @@
     )
 
 
-def _figures(kind: type[T], document: Mapping[str, Any], name: str) -> T:
-    """A dataclass whose fields are numbers or flags with defaults, from the mapping of that name."""
+def _numbers_from(kind: type[T], document: Mapping[str, Any], name: str) -> T:
+    """Return a dataclass of numbers and flags with defaults, from the mapping of that name."""
     given = _mapping(document, name)
     defaults = dataclasses.asdict(kind())  # type: ignore[call-overload]  # a dataclass
     values: dict[str, float] = {}
@@ -221,8 +231,8 @@
         return default
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise SettingsError(f"{name}: {value!r} is not a number")
-    if not 0 <= value <= MOST_NUMBER:
-        raise SettingsError(f"{name}: {value!r} is not between 0 and {MOST_NUMBER:g}")
+    if not 0 <= value <= MAX_NUMBER:
+        raise SettingsError(f"{name}: {value!r} is not between 0 and {MAX_NUMBER:g}")
     return float(value)
 
 
@@ -268,14 +278,14 @@
 
 def _address(given: Mapping[str, Any], name: str) -> Address | None:
     value = given.get(name)
-    return None if value is None else _parsed(value, name)
+    return None if value is None else _parse_address(value, name)
 
 
 def _addresses(given: Mapping[str, Any], name: str) -> tuple[Address, ...]:
-    return tuple(_parsed(item, f"{name}[{index}]") for index, item in enumerate(_list(given, name)))
+    return tuple(_parse_address(item, f"{name}[{index}]") for index, item in enumerate(_list(given, name)))
 
 
-def _parsed(value: object, name: str) -> Address:
+def _parse_address(value: object, name: str) -> Address:
     try:
         return parse_address(value)
     except ValueError as error:
@@ -284,12 +294,12 @@
 
 def _host(given: Mapping[str, Any], name: str) -> str:
     host = _text(given, name)
-    return _parsed(f"{host}:0", name)[0]
+    return _parse_address(f"{host}:0", name)[0]
 
 
 def _ports(given: Mapping[str, Any], name: str) -> tuple[int, int]:
     ports = _list(given, name)
     numeric = all(isinstance(port, int) and not isinstance(port, bool) for port in ports)
-    if len(ports) != 2 or not numeric or not 0 < ports[0] <= ports[1] < 65536:
+    if len(ports) != PORT_RANGE_LENGTH or not numeric or not 0 < ports[0] <= ports[1] <= MAX_PORT:
         raise SettingsError(f"{name}: is not a first and a last port")
     return ports[0], ports[1]
--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     ("field", "value"), [("listen_addresses", {"front": "10.1.0.14:80"}), ("data_directory", None)]
 )
-def test_what_a_controller_needs_is_missed(field: str, value: Any) -> None:
+def test_a_missing_field_of_a_controller_is_named(field: str, value: Any) -> None:
     with pytest.raises(SettingsError, match=field):
         controller.controller_options(parse_settings(DOCUMENT | {field: value}))
 
--- a/tests/programs/test_logging.py
+++ b/tests/programs/test_logging.py
@@ -14,19 +14,20 @@
 def test_an_event_is_one_line_with_its_fields() -> None:
     stream = io.StringIO()
     log = make_log("controller", "core-1", stream=stream)
-    log.info("config: version committed.", version=7, changed=True)
+    log.info("configuration_committed", version=7, changed=True, reason="two words")
     line = stream.getvalue()
     assert line.endswith("\n") and line.count("\n") == 1
-    assert 'program=controller node=core-1 event="config: version committed." version=7 changed=true' in line
+    assert "program=controller node=core-1 event=configuration_committed version=7 changed=true" in line
+    assert 'reason="two words"' in line
 
 
-def test_an_exception_stands_in_its_line() -> None:
+def test_an_exception_is_in_its_line() -> None:
     stream = io.StringIO()
     log = make_log("controller", "core-1", stream=stream)
     try:
         raise ValueError("no\nnumber")
     except ValueError:
-        log.exception("poll: failed.")
+        log.exception("poll_failed")
     assert stream.getvalue().count("\n") == 1
     assert "ValueError" in stream.getvalue()
 
@@ -34,16 +35,16 @@
 def test_levels_below_are_not_written() -> None:
     stream = io.StringIO()
     log = make_log("controller", "core-1", stream=stream)
-    log.debug("config: details.")
+    log.debug("configuration_details")
     assert not log.is_enabled_for(logging.DEBUG)
     assert stream.getvalue() == ""
 
 
 def test_a_broken_stream_loses_the_line_only() -> None:
-    make_log("controller", "core-1", stream=BrokenStream()).info("config: version committed.")
+    make_log("controller", "core-1", stream=BrokenStream()).info("configuration_committed")
 
 
-def test_what_libraries_warn_of_is_passed_on() -> None:
+def test_warnings_of_libraries_are_logged() -> None:
     stream = io.StringIO()
     root = logging.getLogger()
     before = list(root.handlers)
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -45,7 +45,7 @@
     return path
 
 
-def test_reads_a_whole_file(tmp_path: Path) -> None:
+def test_all_fields_of_a_file_are_read(tmp_path: Path) -> None:
     read = settings.load_settings(write(tmp_path, FULL))
     assert read.internal_address == ("10.1.0.14", 7300)
     assert read.control == ("10.1.0.14", 8262)
@@ -63,7 +63,7 @@
     assert read.first_start
 
 
-def test_defaults_stand_for_what_is_not_given(tmp_path: Path) -> None:
+def test_defaults_replace_missing_fields(tmp_path: Path) -> None:
     read = settings.load_settings(write(tmp_path, MINIMAL))
     assert read.bounds == settings.Bounds()
     assert read.seeds == ()
@@ -100,7 +100,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "- a list", "a: [", "\x00", "a: &a [*a", "{" * 5000])
-def test_refuses_what_is_no_mapping(tmp_path: Path, text: str) -> None:
+def test_a_document_that_is_no_mapping_is_rejected(tmp_path: Path, text: str) -> None:
     with pytest.raises(settings.SettingsError):
         settings.load_settings(write(tmp_path, text))
 
@@ -125,14 +125,14 @@
         settings.load_or_exit()
 
 
-def test_a_bad_file_read_again_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_invalid_file_changes_nothing_on_reload(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     lines: list[str] = []
     log = logs.make(write=lines.append)
     monkeypatch.setenv("FIRVANE_BOOT", str(write(tmp_path, FULL)))
-    read = settings.load_again(log)
+    read = settings.reload_settings(log)
     assert read and read.zone == "east"
     write(tmp_path, FULL | {"zone": 5})
-    assert settings.load_again(log) is None
+    assert settings.reload_settings(log) is None
     assert "zone: 5 is not a string" in lines[0]
 
 
@@ -146,6 +146,6 @@
 
 @hypothesis_settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 @given(st.dictionaries(st.sampled_from(sorted(FULL)), ANY))
-def test_any_document_is_read_or_refused_by_name(changed: dict[str, Any]) -> None:
+def test_any_document_is_read_or_rejected_with_the_name_of_a_field(changed: dict[str, Any]) -> None:
     with contextlib.suppress(settings.SettingsError):
         settings.parse_settings(FULL | changed)
--- a/tests/programs/test_settings_watch.py
+++ b/tests/programs/test_settings_watch.py
@@ -46,7 +46,7 @@
     loop.turn()
     assert len(changes) == 1
     path.write_text("a: 123")
-    watch.signalled()
+    watch.on_signal()
     loop.turn()
     assert len(changes) == 2
     watch.stop()
