--- a/tests/simulation/localfleet/test_layout.py
+++ b/tests/simulation/localfleet/test_layout.py
@@ -40,7 +40,7 @@
         assert options.first_start
         assert options.platform == LAYOUT.platform
     else:
-        assert router_settings(settings).front in LAYOUT.fronts
+        assert router_settings(settings).client_address in LAYOUT.fronts
 
 
 def test_the_example_files_are_what_the_command_would_write() -> None:
