--- a/firvane/core/net/dialer.py
+++ b/firvane/core/net/dialer.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Generic, Protocol, TypeVar
 
-from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Ending
 
@@ -31,7 +31,7 @@
         self,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> Dialing:
@@ -50,7 +50,7 @@
         dialer: SocketDialer,
         sock: socket.socket,
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> None:
@@ -84,7 +84,7 @@
         self._fail(Ending.CANCELLED)
 
     def wanted(self) -> P | None:
-        return None if self.closed else self.factory(partial(is_quiet, self.sock))
+        return None if self.closed else self.factory(partial(has_no_input, self.sock))
 
     def made(self, protocol: P) -> None:
         self.up(protocol)
@@ -103,7 +103,7 @@
         self,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> Dialing:
@@ -129,7 +129,7 @@
 NO_DIAL = NoDial()
 
 
-def is_quiet(sock: socket.socket) -> bool:
+def has_no_input(sock: socket.socket) -> bool:
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -139,7 +139,7 @@
     return False
 
 
-def resets(transport: asyncio.Transport) -> None:
+def reset_on_close(transport: asyncio.Transport) -> None:
     """From now on any close of it resets the connection, also that of an exit; an end of sending does not.
 
     Guards a body that lasts until the connection ends against passing for whole where it was cut.
@@ -151,7 +151,7 @@
 ESTABLISHED = 1  # the first byte of TCP_INFO: neither side has ended the connection
 
 
-def stands(sock: socket.socket) -> bool:
+def is_peer_open(sock: socket.socket) -> bool:
     """Whether the other side has neither closed nor reset it, as far as the kernel knows.
 
     Bytes that nobody has read yet hide its end from a read, and from a loop that does not read; not from
--- /dev/null
+++ b/firvane/core/net/http_reader.py
@@ -0,0 +1,216 @@
+"""HTTP/1.1 messages parsed from bytes that are cut anywhere, with bounds on all that is kept in memory."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import httptools
+
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.request_scan import END_OF_HEAD
+
+Parser = httptools.HttpRequestParser | httptools.HttpResponseParser
+MAX_BODY_BYTES = 64 * 1024  # of a body that is buffered
+MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024  # of one that is passed on as it arrives
+MAX_HEAD_BYTES = 16 * 1024
+MAX_HEADER_FIELDS = 128  # a field of two bytes costs a hundred times as many once it is parsed
+MAX_LENGTH_DIGITS = 12  # of a Content-Length
+CHUNK_OVERHEAD = 6  # bytes of framing that a byte of a body may bring: a chunk of one has five
+CHUNKED_STEP_BYTES = 1024  # of a body in chunks that are parsed in one step
+STREAMED_STEP_BYTES = 8 * CHUNKED_STEP_BYTES  # the same where the body is passed on
+SMALL_BUFFER_BYTES = 1024  # body data below is merged: a buffer of its own would cost more than it holds
+MAX_READ_BYTES = 16 * 1024  # read from a connection at once; the rest waits in the kernel
+READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))  # shared by all connections, and emptied at once
+HTTP_BAD_REQUEST = 400
+HTTP_CONTENT_TOO_LARGE = 413
+HTTP_HEADERS_TOO_LARGE = 431
+
+
+class BoundedReadProtocol(asyncio.BufferedProtocol):
+    """A connection that reads at most `MAX_READ_BYTES` at once."""
+
+    def get_buffer(self, sizehint: int) -> memoryview:
+        """The buffer to read into, for asyncio."""
+        return READ_BUFFER
+
+    def buffer_updated(self, nbytes: int) -> None:
+        """Pass on what was read, for asyncio."""
+        self.data_received(bytes(READ_BUFFER[:nbytes]))
+
+    def data_received(self, data: bytes) -> None:
+        """Bytes were read."""
+        raise NotImplementedError
+
+
+class MessageReader:
+    """Parses messages. Complete ones are queued in `completed`; `step` raises on malformed ones.
+
+    The caller of `step` decides how far to parse: a step goes to the end of one message at the most, wherever
+    the bytes are cut, so that what is not needed yet stays unparsed, which costs least memory. Only behind a
+    response it may go on.
+
+    The parser's callbacks only collect: an exception of the proxy's own code would otherwise come out of the
+    parser as an error of the peer.
+
+    Attributes:
+        raw_size: Bytes of the message that is being parsed, its framing included.
+        tail: The last three of them, since an empty line may be cut.
+        message: The message that is being parsed.
+        in_head: Whether its head is incomplete.
+    """
+
+    def __init__(
+        self,
+        parser: Callable[[object], Parser],
+        buffer_limit: int = MAX_BODY_BYTES,
+        body_limit: int = MAX_STREAMED_BODY_BYTES,
+    ) -> None:
+        """Create a reader.
+
+        Args:
+            parser: Makes the parser, for requests or for responses.
+            buffer_limit: Bytes of a body; a longer one is passed on as it arrives (`exceeds_buffer`).
+            body_limit: Bytes of a body; a longer one is an error.
+        """
+        self._parser = parser(self)
+        self.buffer_limit, self.body_limit = buffer_limit, body_limit
+        self.raw_size = 0
+        self.tail = b""
+        self.message: Message | None = None
+        self.in_head = False
+        self.completed: list[Message] = []
+
+    def step(self, data: bytes, start: int = 0) -> int:
+        """Parse `data` from `start`, to the end of a message at the most.
+
+        Returns:
+            The offset in `data` up to which it was parsed.
+
+        Raises:
+            HttpError: The message is malformed or exceeds a limit.
+        """
+        end = self._step_end(data, start)
+        self.raw_size += end - start
+        try:
+            self._parser.feed_data(data[start:end] if end - start < len(data) else data)
+        except httptools.HttpParserUpgrade:
+            # An offer to switch protocols may be ignored, but what follows it cannot be parsed.
+            if self.completed:
+                self.completed[-1].keep_alive = False
+            return len(data)
+        except httptools.HttpParserCallbackError as error:
+            cause = error.__context__
+            raise cause if isinstance(cause, HttpError) else HttpError(HTTP_BAD_REQUEST) from None
+        except httptools.HttpParserError:
+            raise HttpError(HTTP_BAD_REQUEST) from None
+        self.tail = (self.tail + data[max(start, end - 3) : end])[-3:] if self.message else b""
+        if self.message:
+            # Bounds heads, chunk extensions and trailers without an end: what the parser itself gathers or
+            # skips is counted nowhere else.
+            if self.raw_size > MAX_HEAD_BYTES + (1 + CHUNK_OVERHEAD) * self.message.size:
+                raise HttpError(HTTP_HEADERS_TOO_LARGE if self.in_head else HTTP_CONTENT_TOO_LARGE)
+        elif not self.completed:  # empty lines between messages
+            self.raw_size = 0
+        return end
+
+    def _step_end(self, data: bytes, start: int) -> int:
+        """The offset up to which the next step may parse."""
+        message, end = self.message, len(data)
+        if message and not self.in_head and b"content-length" in message.fields:
+            return min(end, start + max(1, int(message.fields[b"content-length"]) - message.size))
+        if self.in_unsized_body():
+            streamed = message is not None and message.exceeds_buffer
+            end = min(end, start + (STREAMED_STEP_BYTES if streamed else CHUNKED_STEP_BYTES))
+        # A head ends with an empty line, and so does a chunked body. A step must not go on behind that body:
+        # the next request would begin before this one is taken up, and pass for more of it. Responses are not
+        # pipelined.
+        if not (message and message.status):
+            seam = (self.tail + data[start : start + 3]).find(END_OF_HEAD) if self.tail else -1
+            if seam >= 0:
+                return min(end, start + seam + len(END_OF_HEAD) - len(self.tail))
+            if (found := data.find(END_OF_HEAD, start, end)) >= 0:
+                return found + len(END_OF_HEAD)
+        return end
+
+    def in_unsized_body(self) -> bool:
+        """Whether a body of unknown length is being parsed, where each byte may cost a chunk."""
+        message = self.message
+        return message is not None and not self.in_head and b"content-length" not in message.fields
+
+    def reset(self) -> None:
+        """Drop what is parsed, complete or not: the connection has ended."""
+        self.message, self.raw_size = None, 0
+        self.completed.clear()
+
+    def feed(self, data: bytes) -> None:
+        """Parse all of `data`; raises `HttpError` as `step` does."""
+        at = 0
+        while at < len(data):
+            at = self.step(data, at)
+
+    def on_message_begin(self) -> None:
+        """Begin a message (parser callback)."""
+        self.message, self.in_head = Message(), True
+
+    def on_url(self, url: bytes) -> None:
+        """Add to the request target (parser callback)."""
+        if self.message:
+            self.message.url += url
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field (parser callback); trailers are dropped."""
+        if self.message and self.in_head:
+            value = value.strip(b" \t")  # the parser leaves trailing white space
+            self.message.headers.append((name, value))
+            if len(self.message.headers) > MAX_HEADER_FIELDS:
+                raise HttpError(HTTP_HEADERS_TOO_LARGE)
+            key = name.lower()
+            if key in self.message.fields:
+                self.message.repeated_fields.append(key)
+            self.message.fields[key] = value
+
+    def on_headers_complete(self) -> None:
+        """Check the head (parser callback)."""
+        self.in_head = False
+        message = self.message
+        if message is None:
+            return
+        head_size = len(message.url) + sum(len(name) + len(value) + 4 for name, value in message.headers)
+        if head_size > MAX_HEAD_BYTES:
+            raise HttpError(HTTP_HEADERS_TOO_LARGE)
+        message.is_framed = b"content-length" in message.fields or b"transfer-encoding" in message.fields
+        length = message.fields.get(b"content-length", b"0").strip()
+        if length.isdigit() and int(length) > self.buffer_limit:
+            if len(length) > MAX_LENGTH_DIGITS or int(length) > self.body_limit:
+                raise HttpError(HTTP_CONTENT_TOO_LARGE)
+            message.exceeds_buffer = True
+        if isinstance(self._parser, httptools.HttpResponseParser):
+            message.status = self._parser.get_status_code()
+        else:
+            message.method = self._parser.get_method()
+            message.version = self._parser.get_http_version().encode()
+
+    def on_body(self, body: bytes) -> None:
+        """Add to the body (parser callback)."""
+        message = self.message
+        if message is None:
+            return
+        message.size += len(body)
+        if message.size > self.buffer_limit:
+            if message.size > self.body_limit:
+                raise HttpError(HTTP_CONTENT_TOO_LARGE)
+            message.exceeds_buffer = True
+        last = message.body[-1] if message.body else None
+        if isinstance(last, bytearray) and len(last) < SMALL_BUFFER_BYTES:
+            last += body
+        else:
+            message.body.append(body if len(body) >= SMALL_BUFFER_BYTES else bytearray(body))
+
+    def on_message_complete(self) -> None:
+        """Queue the message (parser callback)."""
+        if self.message:
+            self.message.keep_alive = self._parser.should_keep_alive()
+            self.message.complete = True
+            self.completed.append(self.message)
+            self.message, self.raw_size = None, 0
--- a/firvane/core/net/transport_pool.py
+++ b/firvane/core/net/transport_pool.py
@@ -12,10 +12,10 @@
 from functools import partial
 from typing import Any, Protocol
 
-MAKERS = 16  # coroutines, each of which makes one transport at a time
+TRANSPORT_WORKERS = 16  # coroutines, each of which makes one transport at a time
 
 
-class Standing(Protocol):
+class PendingSocket(Protocol):
     """Who has a socket that stands."""
 
     sock: socket.socket
@@ -35,7 +35,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.line: asyncio.Queue[Standing] = asyncio.Queue()
+        self.line: asyncio.Queue[PendingSocket] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
         self.busy = 0  # sockets whose transport is being made
 
@@ -43,9 +43,9 @@
         return self.busy > 0 or not self.line.empty()
 
     def start(self) -> None:
-        self.tasks = [self.loop.create_task(self._work()) for _ in range(MAKERS)]
+        self.tasks = [self.loop.create_task(self._work()) for _ in range(TRANSPORT_WORKERS)]
 
-    def give(self, standing: Standing) -> None:
+    def give(self, standing: PendingSocket) -> None:
         self.line.put_nowait(standing)
 
     def close(self) -> None:
@@ -64,7 +64,7 @@
             finally:
                 self.busy -= 1
 
-    async def _make(self, standing: Standing) -> None:
+    async def _make(self, standing: PendingSocket) -> None:
         try:
             protocol = standing.wanted()
             if protocol is None:
--- a/firvane/core/net/upstream_exchange.py
+++ b/firvane/core/net/upstream_exchange.py
@@ -6,7 +6,7 @@
 
 from firvane.core.engine import Exchange
 from firvane.core.net.dialer import Dialing
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.terminations import Ending
 
 
--- a/firvane/fleet/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -23,7 +23,8 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import Log
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.fleet.controller.responses import Response, encode_response
 
 Handler = Callable[[Message], Awaitable[Response]]
@@ -141,9 +142,9 @@
         self._request: Message | None = None
         self._writable = True
 
-    def _new_reader(self) -> Reader:
+    def _new_reader(self) -> MessageReader:
         most = self.server.bounds.body_bytes
-        return Reader(httptools.HttpRequestParser, held=most, most=most)
+        return MessageReader(httptools.HttpRequestParser, buffer_limit=most, body_limit=most)
 
     @property
     def body_size(self) -> int:
@@ -202,14 +203,14 @@
         """Read up to the end of one request; keep what stands behind it."""
         at = 0
         try:
-            while at < len(data) and not self._reader.done:
+            while at < len(data) and not self._reader.completed:
                 at = self._reader.step(data, at)
-        except Fault as fault:
+        except HttpError as fault:
             self._refuse(fault.status)
             return
-        if self._reader.done:
+        if self._reader.completed:
             self._rest = data[at:]
-            self._begin(self._reader.done.pop(0))
+            self._begin(self._reader.completed.pop(0))
         else:
             self._await_more()
 
@@ -260,7 +261,7 @@
             self._answer(request, response, self.transport)
 
     def _answer(self, request: Message, response: Response, transport: asyncio.Transport) -> None:
-        close = not request.keep or (self.server.stopping and not self._rest)
+        close = not request.keep_alive or (self.server.stopping and not self._rest)
         self._request = None
         self._enter(State.WRITING)
         transport.write(encode_response(response, close))
--- a/firvane/fleet/controller/operator_api.py
+++ b/firvane/fleet/controller/operator_api.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from firvane.core.address import Address
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import MAX_VERSION, Order, OrderKind, Problem
 from firvane.fleet.controller.configuration_service import ConfigurationService, Outcome
@@ -116,7 +116,7 @@
 def _base_version(request: Message) -> int | None:
     """The version that an order builds on; None where it is not given as one whole number."""
     text = request.fields.get(BASE_VERSION_FIELD, b"")
-    if BASE_VERSION_FIELD in request.repeated or not text.isdigit() or len(text) > MAX_VERSION_DIGITS:
+    if BASE_VERSION_FIELD in request.repeated_fields or not text.isdigit() or len(text) > MAX_VERSION_DIGITS:
         return None
     base = int(text)
     return base if base <= MAX_VERSION else None
--- a/firvane/fleet/controller/platform_client.py
+++ b/firvane/fleet/controller/platform_client.py
@@ -9,7 +9,8 @@
 from msgspec import Struct
 
 from firvane.core.address import Address
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 
 MOST_BODY = 4 * 1024 * 1024  # bytes of an answer
 REQUEST_TIMEOUT = 0.6  # s for one request, with the connection where there is none yet
@@ -33,7 +34,9 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.transport: asyncio.Transport | None = None
-        self.reader = Reader(httptools.HttpResponseParser, held=MOST_BODY, most=MOST_BODY)
+        self.reader = MessageReader(
+            httptools.HttpResponseParser, buffer_limit=MOST_BODY, body_limit=MOST_BODY
+        )
         self.answer: asyncio.Future[Message] | None = None
         self.received = False  # any byte of the answer that is awaited
 
@@ -57,14 +60,14 @@
             return
         try:
             self.reader.feed(data)
-        except Fault as fault:
+        except HttpError as fault:
             self._fail(f"bytes that are no answer ({fault.status})")
             return
-        if self.reader.done:
-            self._complete(self.reader.done.pop(0))
+        if self.reader.completed:
+            self._complete(self.reader.completed.pop(0))
 
     def _complete(self, message: Message) -> None:
-        if self.reader.done or self.reader.message or not message.keep:
+        if self.reader.completed or self.reader.message or not message.keep_alive:
             self.close()
         if self.answer and not self.answer.done():
             self.answer.set_result(message)
@@ -77,7 +80,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         message = self.reader.message
-        if message and not message.framed and not self.reader.in_head and error is None:
+        if message and not message.is_framed and not self.reader.in_head and error is None:
             self._complete(message)  # without a length, an answer ends with its connection
         else:
             self._fail("connection lost")
--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -16,7 +16,7 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import Log
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, Route, Tenant
 from firvane.fleet.partitions import part_of
@@ -132,7 +132,7 @@
         if self._keys is None:
             applicant.admitted(OPEN)
             return
-        if AUTHORIZATION in message.repeated:
+        if AUTHORIZATION in message.repeated_fields:
             applicant.turned_away(400, 0.0)
             return
         now = self._loop.time()
--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from firvane.core.engine import Engine
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.discovery.instances import Instance, InstanceState, InstanceTable
 from firvane.fleet.placement.events import InstancesChanged
 from firvane.fleet.router.requests import ProxiedRequest
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -17,19 +17,10 @@
 import httptools
 
 from firvane.core.engine import Flow
-from firvane.core.net.dialer import resets
-from firvane.core.net.http import (
-    LAST_CHUNK,
-    Buffered,
-    Fault,
-    Message,
-    Piece,
-    Reader,
-    Stream,
-    answer,
-    answer_head,
-    framed,
-)
+from firvane.core.net.dialer import reset_on_close
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
 from firvane.fleet.configuration.routes import Route, RouteTable
 from firvane.fleet.router.admission import OPEN, Admitted
 from firvane.fleet.router.client_side import ClientSide
@@ -46,12 +37,12 @@
 NO_CONFIGURATION_RETRY = 1.0  # s asked for after that: a client comes again but a few times
 
 
-class ClientConnection(Buffered):
+class ClientConnection(BoundedReadProtocol):
     """One client's connection."""
 
     def __init__(self, front: ClientSide) -> None:
         self.front = front
-        self.reader = Reader(httptools.HttpRequestParser, front.max_body, front.max_body)
+        self.reader = MessageReader(httptools.HttpRequestParser, front.max_body, front.max_body)
         self.pending = b""  # bytes that came, of which those from `position` on are not read yet
         self.position = 0
         self.flow: Flow[ProxiedRequest, Message] | None = None
@@ -85,7 +76,7 @@
         self.front.connections.pop(self, None)
         self.closing = True
         self.pending = b""
-        self.reader.drop()
+        self.reader.reset()
         self.source = self.unrouted = self.applicant = None
         flow, self.flow = self.flow, None
         if flow:
@@ -130,13 +121,13 @@
         while self._has_more() and not (self._is_asking() or self.closing or self.choked):
             try:
                 self.position = self.reader.step(self.pending, self.position)
-            except Fault as fault:
+            except HttpError as fault:
                 self.position = len(self.pending)
                 self._turn_down(fault)
                 break
             self._note_reading()
-            if self.reader.done:
-                message = self.reader.done.pop(0)
+            if self.reader.completed:
+                message = self.reader.completed.pop(0)
                 self.reading = False
                 self._take(message)
         self.pending = b"" if self.closing else self.pending[self.position :]
@@ -157,20 +148,20 @@
         if not self.reading:
             self.reading = True
             self.since = self.front.loop.time()
-        if not self.reader.in_head and b"expect" in message.fields and not message.continued:
-            message.continued = True
+        if not self.reader.in_head and b"expect" in message.fields and not message.continue_sent:
+            message.continue_sent = True
             if not message.body:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _take(self, message: Message) -> None:
         """Take up a request that is here whole."""
         front = self.front
-        self.keep = message.keep
+        self.keep = message.keep_alive
         self.head_sent = False
         self.asked += 1
         try:
             check_framing(message)
-        except Fault as fault:
+        except HttpError as fault:
             self._turn_down(fault)
             return
         request_id = message.fields.get(REQUEST_ID)
@@ -233,14 +224,14 @@
         front.engine.take(flow, front.prompt_request(request))
         request.flow_id = flow.id
 
-    def _turn_down(self, fault: Fault) -> None:
+    def _turn_down(self, fault: HttpError) -> None:
         self.keep = False
         self._finish(fault.status)
 
     # Answers: the engine's side
 
     def served(self, message: Message) -> None:
-        headers = list(message.passed_on())
+        headers = list(message.end_to_end_fields())
         self._write_whole(message.status, message.body, message.size, headers)
 
     def begins(self, message: Message) -> None:
@@ -250,10 +241,10 @@
         if not self.head_sent:
             self._write_head(message)
         self.source = stream
-        stream.pour(self)
+        stream.connect(self)
 
     def _write_head(self, message: Message) -> None:
-        length = message.length()
+        length = message.content_length()
         self.head_sent = True
         self.chunked = (
             length is None and self.flow is not None and self.flow.request.message.version == b"1.1"
@@ -261,14 +252,14 @@
         self.bare = length is None and not self.chunked
         self.keep = self._is_kept() and not self.bare
         if self.bare:
-            resets(self.transport)
-        self.transport.writelines(answer_head(message, self.chunked, not self.keep))
+            reset_on_close(self.transport)
+        self.transport.writelines(format_response_head(message, self.chunked, not self.keep))
 
-    def more(self, pieces: list[Piece]) -> None:
+    def write_body(self, buffers: list[BytesLike]) -> None:
         if self.flow and not self.transport.is_closing():
-            self.transport.writelines(framed(pieces, self.chunked))
+            self.transport.writelines(frame_chunk(buffers, self.chunked))
 
-    def last(self) -> None:
+    def end_body(self) -> None:
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
@@ -327,9 +318,9 @@
         body = b"%d\n" % status
         self._write_whole(status, [body], len(body), headers or [])
 
-    def _write_whole(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
+    def _write_whole(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
         self.keep = self._is_kept()
-        self.transport.writelines(answer(status, body, size, not self.keep, headers))
+        self.transport.writelines(format_response(status, body, size, not self.keep, headers))
         self._over()
 
     def _is_kept(self) -> bool:
@@ -356,12 +347,12 @@
     def pause_writing(self) -> None:
         self.choked = True
         if self.source:
-            self.source.choke(True)
+            self.source.set_paused(True)
 
     def resume_writing(self) -> None:
         self.choked = False
         if self.source:
-            self.source.choke(False)
+            self.source.set_paused(False)
         elif self.pending and not self._is_asking():
             self._advance()
 
--- a/firvane/fleet/router/client_side.py
+++ b/firvane/fleet/router/client_side.py
@@ -7,7 +7,7 @@
 
 from firvane.core.engine import Engine
 from firvane.core.logs import QUIET, Log
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.configuration.routes import Limits, RouteKind, RouteTable
 from firvane.fleet.placement.events import PromptRequest, RequestKind
 from firvane.fleet.router.admission import Admission, Admitted
--- a/firvane/fleet/router/requests.py
+++ b/firvane/fleet/router/requests.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from firvane.core.net.http import Fault, Message
+from firvane.core.net.http_message import HttpError, Message
 from firvane.fleet.configuration.routes import Route
 
 REQUEST_ID = b"x-request-id"
@@ -50,12 +50,12 @@
 
 
 def check_framing(message: Message) -> None:
-    """Raise `Fault` where a message could be read in two ways, or names itself twice."""
-    if not SINGLE_FIELDS.isdisjoint(message.repeated):
-        raise Fault(400)
+    """Raise `HttpError` where a message could be read in two ways, or names itself twice."""
+    if not SINGLE_FIELDS.isdisjoint(message.repeated_fields):
+        raise HttpError(400)
     coding = message.fields.get(b"transfer-encoding")
     if coding is not None and (coding.lower() != b"chunked" or b"content-length" in message.fields):
-        raise Fault(400)
+        raise HttpError(400)
 
 
 def client_deadline_ms(message: Message) -> int | None:
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -13,7 +13,7 @@
 from firvane.core.engine import Engine
 from firvane.core.logs import Log
 from firvane.core.net.dialer import SocketDialer
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.net.transport_pool import TransportPool
 from firvane.fleet.cluster.agent import Channel, ClusterAgent, Item, Member, Role
 from firvane.fleet.cluster.reports import encode_members
--- a/firvane/fleet/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -13,7 +13,7 @@
 from firvane.core.address import Address
 from firvane.core.engine import Exchange
 from firvane.core.net.dialer import Dialer
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.net.upstream_exchange import UpstreamRun
 from firvane.core.terminations import Ending
 from firvane.fleet.router.requests import ProxiedRequest
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -23,8 +23,10 @@
 import httptools
 
 from firvane.core.address import Address
-from firvane.core.net.connection_checks import Quiet
-from firvane.core.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
+from firvane.core.net.connection_checks import NoInputCheck
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import format_forwarded_head
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
 from firvane.core.terminations import Ending
 from firvane.fleet.router.events import EventFramer
@@ -88,12 +90,12 @@
 Run: TypeAlias = UpstreamRun[ProxiedRequest, "UpstreamConnection", Pool]
 
 
-class UpstreamConnection(Buffered):
+class UpstreamConnection(BoundedReadProtocol):
     """One connection to a backend; it is in its pool whenever it is idle."""
 
-    def __init__(self, upstreams: Connections, pool: Pool, quiet: Quiet) -> None:
+    def __init__(self, upstreams: Connections, pool: Pool, quiet: NoInputCheck) -> None:
         self.upstreams, self.pool, self.quiet = upstreams, pool, quiet
-        self.reader = Reader(httptools.HttpResponseParser, HELD_ANSWER, MAX_ANSWER)
+        self.reader = MessageReader(httptools.HttpResponseParser, HELD_ANSWER, MAX_ANSWER)
         self.run: Run | None = None
         self.written = True  # the last byte of the request is with the kernel
         self.skipped = 0  # answers passed over since the request was sent
@@ -115,7 +117,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.lost = True
         self.upstreams.connections -= 1
-        self.reader.drop()
+        self.reader.reset()
         self._stop_streaming()
         if self in self.pool.idle:
             self.pool.idle.remove(self)
@@ -125,7 +127,7 @@
 
     def eof_received(self) -> None:
         message = self.reader.message
-        if self.run and message and not self.reader.in_head and not message.framed and self.stream:
+        if self.run and message and not self.reader.in_head and not message.is_framed and self.stream:
             self._complete(message)  # a body that lasts until the connection ends
         else:
             self.close()
@@ -161,7 +163,7 @@
         self.run, run.connection = run, self
         request.note_sent()
         self.written, self.skipped, self.moved = False, 0, now
-        head = forward_head(request.message, host, without, fields)
+        head = format_forwarded_head(request.message, host, without, fields)
         self.transport.writelines([*head, *request.message.body])
         self._note_written()
 
@@ -189,7 +191,7 @@
         while at < len(data) and self.run:
             try:
                 at = self.reader.step(data, at)
-            except Fault:
+            except HttpError:
                 self._fail(Ending.BAD_ANSWER)
                 return
             if not self._read_on(at < len(data)):
@@ -197,7 +199,7 @@
 
     def _read_on(self, followed: bool) -> bool:
         """Act on what has been read; whether the exchange goes on."""
-        done = self.reader.done
+        done = self.reader.completed
         message = done[0] if done else self.reader.message
         if message is None or (not done and self.reader.in_head):
             return True
@@ -226,12 +228,12 @@
         return run is not None and echoed is not None and echoed != run.request.request_id
 
     def _skip(self, message: Message, followed: bool) -> bool:
-        message.taken()
+        message.take_body()
         if not message.complete:
             return True
-        self.reader.done.pop(0)
+        self.reader.completed.pop(0)
         self.skipped += 1
-        if self.skipped > MAX_INTERIM or message.status == 101 or not message.keep:
+        if self.skipped > MAX_INTERIM or message.status == 101 or not message.keep_alive:
             self._fail(Ending.BAD_ANSWER)
             return False
         return self._read_on(followed)
@@ -239,7 +241,7 @@
     def _is_passed_on(self, message: Message) -> bool:
         """Whether an answer goes to the client as it comes, and not only once it is whole."""
         kind = message.fields.get(b"content-type", b"")
-        length = message.length()
+        length = message.content_length()
         return kind.startswith(STREAM_TYPE) or length is None or length > HELD_ANSWER
 
     def _begin(self, message: Message) -> bool:
@@ -254,7 +256,7 @@
         return self.run is run
 
     def _feed(self, message: Message) -> None:
-        pieces = message.taken()
+        pieces = message.take_body()
         if self.framer:
             whole = self.framer.feed(b"".join(pieces))
             pieces = [whole] if whole else []
@@ -270,7 +272,7 @@
         """An answer is whole."""
         if self.stream:
             self._feed(message)
-            rest: Piece = self.framer.finish() if self.framer else b""
+            rest: BytesLike = self.framer.finish() if self.framer else b""
             if rest:
                 self.stream.feed([rest])
             self.stream.end()
@@ -280,8 +282,8 @@
         if run and ending is Ending.TURNED_AWAY:
             self.refused.add(run.request.request_id)
             run.request.note_turned_away()
-        is_clean = message.framed and self.written and not (followed or self.skipped)
-        reusable = message.keep and is_clean and len(self.refused) <= MAX_REFUSED
+        is_clean = message.is_framed and self.written and not (followed or self.skipped)
+        reusable = message.keep_alive and is_clean and len(self.refused) <= MAX_REFUSED
         if reusable and not self.lost and not self.transport.is_closing():
             self.upstreams.park(self, message)
         else:
@@ -302,11 +304,11 @@
             self.upstreams.streams.pop(self, None)
         self.held = False
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """The client takes no more of the answer, or more again."""
-        if held is not self.held and not self.lost and not self.transport.is_closing():
-            self.held, self.moved = held, self.upstreams.loop.time()
-            (self.transport.pause_reading if held else self.transport.resume_reading)()
+        if paused is not self.held and not self.lost and not self.transport.is_closing():
+            self.held, self.moved = paused, self.upstreams.loop.time()
+            (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def check_silence(self, now: float) -> None:
         """Give up a resumable stream that has been silent for far longer than its pauses should last.
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -4,20 +4,24 @@
 
 import asyncio
 
-from firvane.core.net.connection_checks import Quiet, Stands
-from firvane.core.net.http import Buffered
+from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck
+from firvane.core.net.http_reader import BoundedReadProtocol
 
 IDLE = 60.0  # s between requests
 BUSY = 5  # the claim of a connection that is in use
 
 
-class ClientConnection(Buffered):
+class ClientConnection(BoundedReadProtocol):
     """One client's connection, as far as its claim to a place goes."""
 
-    def __init__(self, quiet: Quiet, stands: Stands) -> None:
-        """`quiet` tells whether nothing has come that the loop has yet to hand over, `stands` whether its
-        client has not ended the connection behind whatever is unread."""
-        self.quiet, self.stands = quiet, stands
+    def __init__(self, has_no_input: NoInputCheck, is_peer_open: PeerOpenCheck) -> None:
+        """Create a connection.
+
+        Args:
+            has_no_input: Whether the kernel holds nothing that the loop has yet to hand over.
+            is_peer_open: Whether the client has not ended the connection behind whatever is unread.
+        """
+        self.has_no_input, self.is_peer_open = has_no_input, is_peer_open
         self.paused = False  # nothing more is taken from the kernel
         self.asked = 0  # requests of its that have been taken on
         self.second, self.recent = 0, 0  # the last second in which it asked, and how often
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -11,7 +11,9 @@
 
 from firvane.core import interface as api
 from firvane.core.engine import Engine, Flow
-from firvane.core.net.http import Fault, Message, refusals, unescaped
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_writer import make_rejections
+from firvane.core.net.request_scan import percent_decode
 from firvane.core.request_counters import Counts
 from firvane.proxy.limits.admission_gate import Gate
 from firvane.proxy.net.client_connection import ClientConnection
@@ -69,7 +71,7 @@
         self.gate = Gate((), guard.turns.full)
         self.retune(settings, tuple(range(len(settings.classes))))
         guard.counts = lambda: (self.gate.wished, self.gate.overflowed, self.gate.told())
-        self.refusals = itertools.cycle(refusals(0.0, 0.0))
+        self.make_rejections = itertools.cycle(make_rejections(0.0, 0.0))
         self.agreement: Agreement | None = None  # where there is one on the policy for all proxies
         self.measures: Measures | None = None  # where they are asked for
         self.pauses = itertools.cycle(PAUSES)
@@ -98,39 +100,39 @@
         self.former.clear()
 
     def read(self, message: Message) -> tuple[api.Request, float]:
-        """The request that a message holds and its deadline; `Fault` where it holds none."""
+        """The request that a message holds and its deadline; `HttpError` where it holds none."""
         path = message.url.split(b"?", 1)[0]
         if not path.startswith(b"/"):  # the absolute form, as sent to a proxy
             try:
                 path = httptools.parse_url(message.url).path or b"/"
             except httptools.HttpParserInvalidURLError:
-                raise Fault(400) from None
+                raise HttpError(400) from None
         name = path.split(b"/", 2)[1]
         known = self.classes.get(name)
         if known is None and b"%" in name:  # what a path cannot hold as it is comes percent-encoded
-            name = unescaped(name)
+            name = percent_decode(name)
             known = self.classes.get(name)
         if known is None or message.method != method(known[1]):
             known = self.former.get((name, message.method), known)
         if known is None:
-            raise Fault(404)
+            raise HttpError(404)
         number, cls = known
         if message.method != method(cls):
-            raise Fault(405)
+            raise HttpError(405)
         fields = message.fields
-        if not SINGLE.isdisjoint(message.repeated) or (message.size and message.method == b"GET"):
-            raise Fault(400)
+        if not SINGLE.isdisjoint(message.repeated_fields) or (message.size and message.method == b"GET"):
+            raise HttpError(400)
         if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise Fault(400)  # a coding that would pass as the body itself
+            raise HttpError(400)  # a coding that would pass as the body itself
         if fields.get(b"x-call-id") in self.ids:
-            raise Fault(409)  # only one of two can be the one that a target's answer is for
+            raise HttpError(409)  # only one of two can be the one that a target's answer is for
         budget, tenant = fields.get(b"x-budget-ms", b""), None
         if not fields.get(b"x-call-id") or not budget.isdigit() or len(budget) > 9:
-            raise Fault(400)
+            raise HttpError(400)
         if self.tenants:
             tenant = self.tenants.get(fields.get(b"x-caller", b""))
             if tenant is None:
-                raise Fault(400)
+                raise HttpError(400)
         cost, key = fields.get(b"x-call-cost", b""), fields.get(b"x-route-hash")
         request = api.Request(
             id=-1,
@@ -165,7 +167,7 @@
         self.gate.set(parts, again)
         limits = self.settings.limits
         pause = retry_after if limits.retry_after else 0.0
-        self.refusals = itertools.cycle(refusals(pause, limits.max_retry_after))
+        self.make_rejections = itertools.cycle(make_rejections(pause, limits.max_retry_after))
 
     def count_refused(self, message: Message) -> float:
         """Whatever it asks for, nobody may decide on it now; for how many seconds its client should wait."""
--- a/firvane/proxy/net/client_requests.py
+++ b/firvane/proxy/net/client_requests.py
@@ -6,7 +6,8 @@
 from typing import cast
 
 from firvane.core.engine import Flow
-from firvane.core.net.http import Fault, Message, Stream, bare_class, bare_tenant, is_again
+from firvane.core.net.http_message import HttpError, Message, Stream
+from firvane.core.net.request_scan import scan_is_retry, scan_request_class, scan_tenant
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.loop_budget import CHUNKED, DECIDE, READ_ONE
 from firvane.proxy.limits.memory_account import SMALL, Held
@@ -66,7 +67,7 @@
         self.ending = True
         self.upload = self.pouring = None
         self.rest, self.at = b"", 0
-        self.reader.drop()
+        self.reader.reset()
         self._settle()
         self._read_out()
         front.guard.leases.give_back(self)
@@ -83,7 +84,7 @@
 
     def waits(self) -> bool:
         """Whether its client is still there, now that something is to be sent on for it."""
-        if here := self.stands():
+        if here := self.is_peer_open():
             return here
         self.has_gone()
         return False
@@ -96,7 +97,7 @@
 
     def owes(self) -> bool:
         """Whether something that has come whole, or may have, is still to be answered."""
-        return bool(self.flow or self.queued or self.rest or self.reader.done)
+        return bool(self.flow or self.queued or self.rest or self.reader.completed)
 
     def is_idle(self) -> bool:
         return not (self.owes() or self.started or self.ending or self.choked)
@@ -119,7 +120,7 @@
     def expire(self) -> None:
         now = self.front.loop.time()
         if self.upload and not self.held:
-            self.fault = Fault(408)  # no byte of it for long
+            self.fault = HttpError(408)  # no byte of it for long
             self._give_up()
             self.go_on()
         elif self.started and not self.flow and self._pace(now):
@@ -129,16 +130,18 @@
         elif self.flow or self.queued:
             self.expires = self.front.loop.time() + SLOW
         elif self.started:
-            self.fault = Fault(408)
+            self.fault = HttpError(408)
             self.go_on()
-        elif self.quiet():  # else a request has come that the loop does not know of yet, and would be lost
+        elif (
+            self.has_no_input()
+        ):  # else a request has come that the loop does not know of yet, and would be lost
             self.transport.close()
 
     def turn_out(self) -> None:
         if self.started and not self.owes():
-            self.fault = Fault(503)
+            self.fault = HttpError(503)
             self.go_on()
-        elif self.is_idle() and self.quiet():
+        elif self.is_idle() and self.has_no_input():
             self.transport.close()
 
     def pause_writing(self) -> None:
@@ -149,7 +152,7 @@
         self._read_out()
         if self.pouring:
             self.expires = self.front.loop.time() + STALLED
-            self.pouring.choke(False)
+            self.pouring.set_paused(False)
             return
         if not self.ending:
             self.since = self.front.loop.time()
@@ -166,15 +169,15 @@
             self.behind = False
             greedy = front.is_greedy(self)
             if gate.shut or gate.crowded(greedy) or front.account.pressed:
-                tenant = bare_tenant(data)
-                again = gate.again and is_again(data)
-                counts = None if tenant is None else front.counts.get(bare_class(data))
+                tenant = scan_tenant(data)
+                again = gate.again and scan_is_retry(data)
+                counts = None if tenant is None else front.counts.get(scan_request_class(data))
                 if (tenant is not None and counts) and (
                     gate.turns_away(tenant, greedy, again) or front.account.pressed
                 ):
                     self.counts = counts
                     if front.measures is not None:
-                        front.count_unseen(bare_class(data), tenant)
+                        front.count_unseen(scan_request_class(data), tenant)
                     front.turns.refuse(self)
                     return
         self.rest, self.at = (self.rest[self.at :] + data if self.rest else data), 0
@@ -190,7 +193,7 @@
         self.asked += 1
         self.since = self.front.loop.time()
         self.expires = self.since + 2 * IDLE
-        self.transport.write(next(self.front.refusals))
+        self.transport.write(next(self.front.make_rejections))
         if self.choked:
             self._count_unread(self.since + LINGER)
         if self.rest:
@@ -221,7 +224,7 @@
         """Bring the account up to what is here."""
         kept = len(self.rest) - self.at
         if (message := self.reader.message) and not self.upload:
-            kept += self.reader.raw
+            kept += self.reader.raw_size
             leases = self.front.guard.leases
             self.unleased = message.size > SMALL and not leases.ask(self, self._leased)
         if kept != self.kept:
@@ -234,19 +237,19 @@
 
     def _cost(self) -> int:
         """Units of what there is to do next."""
-        return DECIDE if self.reader.done else CHUNKED if self.reader.in_chunks() else READ_ONE
+        return DECIDE if self.reader.completed else CHUNKED if self.reader.in_unsized_body() else READ_ONE
 
     def _has_work(self) -> bool:
         if self.upload and not self.ending:
             return bool(self.rest) and not self.held
         if self.flow or self.ending or self.choked:
             return False
-        return bool(self.rest or self.reader.done or self.fault)
+        return bool(self.rest or self.reader.completed or self.fault)
 
     def _work(self) -> None:
         """Take up a request that is read, or read up to the end of one, or turn down what cannot be."""
-        if self.reader.done:
-            self._take(self.reader.done.pop(0))
+        if self.reader.completed:
+            self._take(self.reader.completed.pop(0))
         elif self.rest:
             self._read()
         elif self.fault:
@@ -255,7 +258,7 @@
     def _read(self) -> None:
         try:
             self.at = self.reader.step(self.rest, self.at)
-        except Fault as fault:
+        except HttpError as fault:
             self.fault, self.at = fault, len(self.rest)
             if self.upload:
                 self._give_up()
@@ -273,11 +276,11 @@
         self.started = started
         if message and not self.reader.in_head:
             self.head_at = self.head_at or self.front.loop.time()
-            if b"expect" in message.fields and not message.continued:
-                message.continued = True
+            if b"expect" in message.fields and not message.continue_sent:
+                message.continue_sent = True
                 if not message.body:
                     self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
-            if message.long and not self.fault:
+            if message.exceeds_buffer and not self.fault:
                 self._take_long(message)
 
     # Long requests
@@ -289,19 +292,19 @@
         self.upload = message.stream = Stream(self)
         # What has come of a body of unknown length goes the way of the rest. Guards a target that has an idle
         # connection, and is written to in this very call, against getting it bare of chunks, and then again.
-        self.upload.feed(message.taken())
+        self.upload.feed(message.take_body())
         self.expires = self.front.loop.time() + STALL
         self._take(message)
 
     def _upload(self, upload: Stream) -> None:
         """Pass on what has been read of it."""
-        message = self.reader.message or (self.reader.done.pop(0) if self.reader.done else None)
+        message = self.reader.message or (self.reader.completed.pop(0) if self.reader.completed else None)
         if message is None:
             return
         self.expires = self.front.loop.time() + STALL
-        upload.feed(message.taken())
+        upload.feed(message.take_body())
         if message.complete:
-            self.upload, self.held, self.started, self.keep = None, False, False, message.keep
+            self.upload, self.held, self.started, self.keep = None, False, False, message.keep_alive
             upload.end()
 
     def _give_up(self) -> None:
@@ -311,22 +314,22 @@
         if flow:
             self._leave(flow)
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """The target takes no more of a long request, or more again."""
-        if held is not self.held:
-            self.held = held
+        if paused is not self.held:
+            self.held = paused
             self.expires = self.front.loop.time() + STALL
             self.go_on()
 
     def _take(self, message: Message) -> None:
         """Take up a request that is here."""
-        self.keep = message.keep
+        self.keep = message.keep_alive
         if message.url == READY_PATH and b"x-call-id" not in message.fields:  # else of a class with that name
             self._ready(message)
             return
         # Guards against sending on, after a wait for a turn, a lease or an answer before it, what nobody
         # waits for any more: the end of its connection stands behind bytes that were not read.
-        if not self.stands():
+        if not self.is_peer_open():
             self.has_gone()
             return
         # Asked before anything of the request is decided; a process may have stood still since it was read.
@@ -338,7 +341,7 @@
             self.stamp = agreement.stamp
         try:
             request, left = self.front.read(message)
-        except Fault as fault:
+        except HttpError as fault:
             self._turn_down(fault)
             return
         # Nothing new is taken on until the list is here, nor, in need, until what is here has gone.
@@ -349,14 +352,14 @@
                 self.front.count_unseen(cls.name.encode(), message.fields.get(b"x-caller", b""))
             self._reply(503)
             return
-        if message.long and message.method == b"GET":
-            self._turn_down(Fault(400))
+        if message.exceeds_buffer and message.method == b"GET":
+            self._turn_down(HttpError(400))
             return
         more = UPLOAD if self.upload else 0.0
         deadline = min(self.front.loop.time() + left + more, self.front.last)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
         self.flow.left = left if self.upload else 0.0
-        message.wanted = self.waits
+        message.sender_waits = self.waits
         self.charged = FLOW + (WINDOW if self.upload else message.size)
         self.front.account.charge(Held.FLOWS, self.charged)
         self.asked += 1
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -5,19 +5,11 @@
 import httptools
 
 from firvane.core.engine import Flow
-from firvane.core.net.connection_checks import Quiet, Stands, always
-from firvane.core.net.dialer import resets
-from firvane.core.net.http import (
-    LAST_CHUNK,
-    Fault,
-    Message,
-    Piece,
-    Reader,
-    Stream,
-    answer,
-    answer_head,
-    framed,
-)
+from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
+from firvane.core.net.dialer import reset_on_close
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
 from firvane.core.request_counters import Counts
 from firvane.proxy.limits.memory_account import Held
 from firvane.proxy.limits.memory_costs import WINDOW
@@ -32,13 +24,18 @@
 class AnsweringConnection(ClientConnection):
     """A client's connection with the state of its request and its answer, and the writing of that answer."""
 
-    def __init__(self, front: ClientSide, quiet: Quiet = always, stands: Stands = always) -> None:
-        super().__init__(quiet, stands)
+    def __init__(
+        self,
+        front: ClientSide,
+        has_no_input: NoInputCheck = always_true,
+        is_peer_open: PeerOpenCheck = always_true,
+    ) -> None:
+        super().__init__(has_no_input, is_peer_open)
         self.front = front
-        self.reader = Reader(httptools.HttpRequestParser)
+        self.reader = MessageReader(httptools.HttpRequestParser)
         self.flow: Flow[Message, Message] | None = None
         self.keep = True  # the request being served lets the connection live on
-        self.fault: Fault | None = None  # framing is lost: to be answered after what came before
+        self.fault: HttpError | None = None  # framing is lost: to be answered after what came before
         self.lost = False  # the fault is being answered: whatever still comes is not read
         self.ending = False  # the last answer is written
         self.started = False  # part of a request has come
@@ -68,31 +65,31 @@
         flow, stream = self.flow, answer.stream
         if flow is None or stream is None:
             return
-        front, length = self.front, answer.length()
+        front, length = self.front, answer.content_length()
         self.chunked = length is None and flow.request.version == b"1.1"
         bare = length is None and not self.chunked
         self.closes = self._is_last() or bare
         if bare:
-            resets(self.transport)
+            reset_on_close(self.transport)
         self.charged += WINDOW
         front.account.charge(Held.FLOWS, WINDOW)
-        head = answer_head(answer, self.chunked, self.closes)
+        head = format_response_head(answer, self.chunked, self.closes)
         if self.stamp:
             head.insert(1, self.stamp)
             self.stamp = b""
         self.transport.writelines(head)
         self.pouring = stream
         self.expires = front.loop.time() + STALLED
-        stream.pour(self)
+        stream.connect(self)
 
-    def more(self, pieces: list[Piece]) -> None:
+    def write_body(self, buffers: list[BytesLike]) -> None:
         if self.pouring and not self.transport.is_closing():
-            self.transport.writelines(framed(pieces, self.chunked))
+            self.transport.writelines(frame_chunk(buffers, self.chunked))
             self.expires = self.front.loop.time() + STALLED
             if self.choked:
-                self.pouring.choke(True)
+                self.pouring.set_paused(True)
 
-    def last(self) -> None:
+    def end_body(self) -> None:
         if self.chunked and self.pouring and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
@@ -107,7 +104,7 @@
         self.transport.abort()
 
     def served(self, answer: Message) -> None:
-        self._finish(200, answer.body, answer.size, list(answer.passed_on()))
+        self._finish(200, answer.body, answer.size, list(answer.end_to_end_fields()))
 
     def refused(self, retry_after: float) -> None:
         extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
@@ -117,18 +114,18 @@
         self._finish(502, [b"failed\n"], 7, [])
 
     def at_fault(self) -> None:
-        self._turn_down(Fault(400))
+        self._turn_down(HttpError(400))
 
     def _reply(self, status: int) -> None:
         """An answer of the proxy's own, with its status as a short body."""
         headers = [b"Content-Type: text/plain\r\n"] + ([b"Allow: GET\r\n"] if status == 405 else [])
         self._finish(status, [b"%d\n" % status], 4, headers)
 
-    def _finish(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
+    def _finish(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
         close = self._is_last()
         if self.stamp:
             headers, self.stamp = [self.stamp, *headers], b""
-        self.transport.writelines(answer(status, body, size, close, headers))
+        self.transport.writelines(format_response(status, body, size, close, headers))
         self._over(close, LINGER, size > AT_ONCE)
 
     def _is_last(self) -> bool:
@@ -150,13 +147,13 @@
         self._count_unread(max(self.since, flow.deadline if flow else 0.0) + patience)
         if close:
             self.ending = True
-            self.reader.done.clear()
+            self.reader.completed.clear()
             self.rest, self.at = b"", 0
             # Guards the answer against a reset, which destroys what of it is on its way: a close brings one
             # where bytes are unread (what cannot be used, what stood behind a request, what has come since
             # the loop last looked), and where more come before the last of the answer has left.
             self.expires = front.loop.time() + patience
-            if self.lost or self.paused or long or not self.quiet():
+            if self.lost or self.paused or long or not self.has_no_input():
                 self.transport.write_eof()
             else:
                 self.transport.close()
@@ -177,7 +174,7 @@
             self.front.account.charge(Held.FLOWS, -self.charged)
         return flow
 
-    def _turn_down(self, fault: Fault) -> None:
+    def _turn_down(self, fault: HttpError) -> None:
         """Answer what is at fault and hang up: what follows it may not be what its client meant, or worse."""
         self.keep, self.lost = False, True
         self.front.engine.endings[f"turned down {fault.status}"] += 1
--- a/firvane/proxy/net/connection_limiter.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -4,7 +4,7 @@
 
 import heapq
 
-from firvane.core.net.connection_checks import Quiet, Stands, always
+from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.overload import Measure
 from firvane.proxy.net.client_connection import BUSY, IDLE
@@ -22,8 +22,10 @@
 class Front(ClientSide):
     """The places of client connections: given, taken back where they are short, and ended in order."""
 
-    def accept(self, quiet: Quiet = always, stands: Stands = always) -> Listener:
-        return Listener(self, quiet, stands)
+    def accept(
+        self, has_no_input: NoInputCheck = always_true, is_peer_open: PeerOpenCheck = always_true
+    ) -> Listener:
+        return Listener(self, has_no_input, is_peer_open)
 
     def sweep(self) -> None:
         """End what has stood unused, or has kept a request half sent, for too long."""
@@ -35,7 +37,7 @@
             kept = SHORTEST_IDLE
         for connection in list(self.connections):
             idle = kept[min(2, connection.asked)]
-            if connection.paused and not connection.stands():
+            if connection.paused and not connection.is_peer_open():
                 connection.has_gone()
             elif connection.expires <= now or (connection.since <= now - idle and connection.is_idle()):
                 connection.expire()
@@ -60,7 +62,7 @@
             others = (c for c in self.connections if not c.transport.get_write_buffer_size())
             spare = [(c.claim(), n, c) for n, c in enumerate(others)]
             for (claim, _), _, least in heapq.nsmallest(wanted - free, spare):
-                if claim < BUSY and least.quiet():
+                if claim < BUSY and least.has_no_input():
                     least.transport.abort()  # nothing of an answer is left on it
         self.loop.call_at(self.loop.time() + ROOM_EVERY, self._reopen)
 
@@ -79,7 +81,7 @@
         first on a connection: nobody sends that again where its connection is closed with no answer.
         """
         for connection in list(self.connections):
-            if connection.asked and connection.is_idle() and connection.quiet():
+            if connection.asked and connection.is_idle() and connection.has_no_input():
                 connection.transport.close()
 
     def turn_out(self) -> None:
--- a/firvane/proxy/net/listening_socket.py
+++ b/firvane/proxy/net/listening_socket.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from firvane.core.logs import QUIET, Log
-from firvane.core.net.connection_checks import Quiet, Stands, always
-from firvane.core.net.dialer import is_quiet, stands
+from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
+from firvane.core.net.dialer import has_no_input, is_peer_open
 from firvane.core.net.transport_pool import TransportPool
 
 BACKLOG = 1024  # connections that the kernel holds until they are accepted
@@ -21,7 +21,7 @@
 
 
 # Makes a connection's protocol, which may ask what the kernel holds.
-Accept = Callable[[Quiet, Stands], asyncio.BaseProtocol]
+Accept = Callable[[NoInputCheck, PeerOpenCheck], asyncio.BaseProtocol]
 
 
 class Door(Protocol):
@@ -48,7 +48,7 @@
         self.sock, self.accept = sock, accept
 
     def wanted(self) -> asyncio.BaseProtocol:
-        return self.accept(partial(is_quiet, self.sock), partial(stands, self.sock))
+        return self.accept(partial(has_no_input, self.sock), partial(is_peer_open, self.sock))
 
     def made(self, protocol: asyncio.BaseProtocol) -> None: ...
 
@@ -160,7 +160,7 @@
         self.server: asyncio.Server | None = None
 
     async def open(self, address: tuple[str, int], accept: Accept) -> None:
-        self.server = await self.loop.create_server(lambda: accept(always, always), *address)
+        self.server = await self.loop.create_server(lambda: accept(always_true, always_true), *address)
 
     def address(self) -> tuple[str, int]:
         if self.server is None:
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -12,7 +12,7 @@
 
 from firvane.core import interface as api
 from firvane.core.logs import QUIET, Log
-from firvane.core.net.http import MAX_BODY, MAX_HEAD
+from firvane.core.net.http_reader import MAX_BODY_BYTES, MAX_HEAD_BYTES
 from firvane.proxy.limits.admission import Admission
 from firvane.proxy.limits.descriptors import Descriptors, Use
 from firvane.proxy.limits.loop_budget import Turns
@@ -72,7 +72,7 @@
         self.bounds: Bounds = derive(memory_mb, sockets, cores)
         self.limit = memory_mb * MB
         self.account = Account(self.bounds.memory)
-        self.leases = Leases(self.bounds.bodies, MAX_BODY + MAX_HEAD)
+        self.leases = Leases(self.bounds.bodies, MAX_BODY_BYTES + MAX_HEAD_BYTES)
         self.descriptors = Descriptors(self.bounds.sockets)
         self.turns = Turns(loop.call_soon, 0.0)
         self.retune(settings)
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -23,19 +23,11 @@
 
 from firvane.core.engine import Exchange
 from firvane.core.interface import Limits, Rules
-from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.dialer import Dialer
-from firvane.core.net.http import (
-    LAST_CHUNK,
-    Buffered,
-    Fault,
-    Message,
-    Piece,
-    Reader,
-    Stream,
-    framed,
-    request_head,
-)
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, format_request_head, frame_chunk
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
@@ -76,12 +68,12 @@
 Run: TypeAlias = UpstreamRun[Message, "Connection", Pool]
 
 
-class Connection(Buffered):
+class Connection(BoundedReadProtocol):
     """One connection to a target; it is in its pool whenever it is idle."""
 
-    def __init__(self, forwards: Forwards, pool: Pool, quiet: Quiet) -> None:
-        self.forwards, self.pool, self.quiet = forwards, pool, quiet
-        self.reader = Reader(httptools.HttpResponseParser)
+    def __init__(self, forwards: Forwards, pool: Pool, has_no_input: NoInputCheck) -> None:
+        self.forwards, self.pool, self.has_no_input = forwards, pool, has_no_input
+        self.reader = MessageReader(httptools.HttpResponseParser)
         self.spoilt = False  # what came last made no sense
         self.interim = 0  # 1xx answers to the request that is out
         self.run: Run | None = None
@@ -111,11 +103,11 @@
             left = min(left, int(run.request.fields.get(b"x-budget-ms", b"1")))
         self.run, run.connection, self.written, self.interim = run, self, False, 0
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
-        self.transport.writelines([*request_head(run.request, left, host), *run.request.body])
+        self.transport.writelines([*format_request_head(run.request, left, host), *run.request.body])
         if run.request.stream:
             run.exchange.spent()
-            self.pouring, self.chunked = run.request.stream, run.request.length() is None
-            self.pouring.pour(self)
+            self.pouring, self.chunked = run.request.stream, run.request.content_length() is None
+            self.pouring.connect(self)
             return
         self._is_written(run)
 
@@ -129,31 +121,31 @@
 
         An end would turn the next forward into a reset, and more of the last answer into its answer.
         """
-        return not self.transport.is_closing() and self.quiet()
+        return not self.transport.is_closing() and self.has_no_input()
 
-    def more(self, pieces: list[Piece]) -> None:
+    def write_body(self, buffers: list[BytesLike]) -> None:
         """More of a long request; once the answer is here nobody wants it any more."""
         if self.pouring and not self.transport.is_closing():
-            self.transport.writelines(framed(pieces, self.chunked))
+            self.transport.writelines(frame_chunk(buffers, self.chunked))
             if self.transport.get_write_buffer_size():
-                self.pouring.choke(True)
+                self.pouring.set_paused(True)
 
-    def last(self) -> None:
+    def end_body(self) -> None:
         if self.pouring and self.run and not self.transport.is_closing():
             self.pouring = None
             if self.chunked:
                 self.transport.write(LAST_CHUNK)
             self._is_written(self.run)
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """The client takes no more of a long answer, or more again."""
-        if held is not self.held and not self.transport.is_closing():
-            self.held, self.moved = held, self.forwards.loop.time()
-            (self.transport.pause_reading if held else self.transport.resume_reading)()
+        if paused is not self.held and not self.transport.is_closing():
+            self.held, self.moved = paused, self.forwards.loop.time()
+            (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def resume_writing(self) -> None:
         if self.pouring:
-            self.pouring.choke(False)
+            self.pouring.set_paused(False)
         elif self.run and not self.written:
             self._is_written(self.run)
 
@@ -166,12 +158,12 @@
         while at < len(data) and not self.spoilt:
             try:
                 at = self.reader.step(data, at)
-            except Fault:
+            except HttpError:
                 self.spoilt = True  # an answer that was whole before it is still one
             if self._begin() and not self.run:
                 return  # nobody wants it
-            if self.reader.done:
-                message = self.reader.done.pop(0)
+            if self.reader.completed:
+                message = self.reader.completed.pop(0)
                 if message.status >= 200:  # an interim answer is followed by the real one
                     self._answered(message, at < len(data))
                     return
@@ -191,13 +183,13 @@
         now = self.forwards.loop.time()
         if self.stream is None and message:
             self.headed = self.headed or now
-            unsure = message.size > SMALL and message.length() is None and now > self.headed + UNSURE
-            if not message.long and not unsure:
+            unsure = message.size > SMALL and message.content_length() is None and now > self.headed + UNSURE
+            if not message.exceeds_buffer and not unsure:
                 return False
             if message.status != 200 or self.run is None:
                 self._end(self._meaning(message))
                 return True
-            message.long = True
+            message.exceeds_buffer = True
             message.stream = self.stream = Stream(self)
             self._release()
             self.forwards.streams[self] = None
@@ -205,7 +197,7 @@
             self.run.exchange.begun(message)
         self.moved = now
         if message and self.stream:
-            self.stream.feed(message.taken())
+            self.stream.feed(message.take_body())
         return True
 
     def _cease(self) -> None:
@@ -223,7 +215,7 @@
     def _settle(self) -> None:
         """Charge what is half here; an answer that grows large is read on only with a lease."""
         guard, message = self.forwards.guard, self.reader.message
-        kept = self.reader.raw if message else 0
+        kept = self.reader.raw_size if message else 0
         if kept != self.kept:
             guard.account.charge(Held.ANSWERS, kept - self.kept)
             self.kept = kept
@@ -249,12 +241,12 @@
         self._release()
         ending = self._meaning(message)
         if self.stream:
-            self.stream.feed(message.taken())
+            self.stream.feed(message.take_body())
             self.stream.end()
-        more = followed or self.spoilt or self.reader.done or self.reader.message or not self.written
+        more = followed or self.spoilt or self.reader.completed or self.reader.message or not self.written
         self.pouring = None
-        if message.keep and message.framed and not more and not self.transport.is_closing():
-            self.hold(False)
+        if message.keep_alive and message.is_framed and not more and not self.transport.is_closing():
+            self.set_paused(False)
             self._cease()
             run, self.run = self.run, None
             self.forwards.park(self)
@@ -271,7 +263,7 @@
             return Ending.AT_FAULT
         if message.status in (503, 504) and message.fields.get(b"x-rejected") == b"1":
             # What is said on a connection that was never used, and ends it, is said of the connection.
-            new = not message.keep and not self.idle_since
+            new = not message.keep_alive and not self.idle_since
             return Ending.NO_PLACE if new else Ending.TURNED_AWAY
         return Ending.SERVER_ERROR
 
@@ -284,7 +276,13 @@
 
     def eof_received(self) -> None:
         message = self.reader.message
-        if self.run and message and message.status == 200 and not self.reader.in_head and not message.framed:
+        if (
+            self.run
+            and message
+            and message.status == 200
+            and not self.reader.in_head
+            and not message.is_framed
+        ):
             # A body that lasts until the connection ends; unless the head says so, it may be cut short.
             told = message.fields.get(b"connection", b"").lower() == b"close"
             if told and self.stream:
@@ -295,7 +293,7 @@
         guard = self.forwards.guard
         guard.descriptors.give_back(Use.TARGETS)
         guard.account.charge(Held.TARGETS, -IDLE_TARGET)
-        self.reader.drop()
+        self.reader.reset()
         self._release()
         self._cease()
         self.pouring = None
@@ -387,7 +385,7 @@
         # Guards a target against a request whose time ran out in the same turn that its dial came up in, and
         # against a next attempt or a copy for a client whose end stands behind bytes that were not read.
         # And against one that would run again what it has run: it drops repeats up to a time.
-        over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()
+        over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()
         return Ending.WITHDRAWN if over else None
 
     def _dial(self, run: Run) -> None:
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -15,7 +15,7 @@
 from firvane.core import logs
 from firvane.core.engine import Engine
 from firvane.core.net.dialer import Dialer, SocketDialer
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.net.transport_pool import TransportPool
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import Asked, Call
--- a/firvane/proxy/quorum/fetch.py
+++ b/firvane/proxy/quorum/fetch.py
@@ -16,7 +16,7 @@
 from typing import cast
 
 from firvane.core.address import Address
-from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.dialer import Dialer, Dialing
 from firvane.core.terminations import Ending
 from firvane.proxy.admin_api.calls import Call, got
@@ -118,7 +118,7 @@
             lambda ending: self._undialled(piece, ending),
         )
 
-    def _made(self, piece: Piece, quiet: Quiet) -> Piece:
+    def _made(self, piece: Piece, quiet: NoInputCheck) -> Piece:
         return piece
 
     def _undialled(self, piece: Piece, ending: Ending) -> None:
--- a/firvane/simulation/localfleet/client_attempt.py
+++ b/firvane/simulation/localfleet/client_attempt.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from firvane.core.net.http import Message, Piece
+from firvane.core.net.http_message import BytesLike, Message
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
 from firvane.simulation.localfleet.http_client import ClientConnection
 from firvane.simulation.localfleet.retries import TryEnd, TryResult
@@ -71,7 +71,7 @@
             elif not message.fields.get(b"x-server-seal"):
                 self._wrong("a success without a seal")
 
-    def on_body(self, pieces: list[Piece]) -> None:
+    def on_body(self, pieces: list[BytesLike]) -> None:
         """Check the events that are whole."""
         self._moved = self._loop.time()
         if not 200 <= self._status < 300:
--- a/firvane/simulation/localfleet/http_client.py
+++ b/firvane/simulation/localfleet/http_client.py
@@ -10,7 +10,8 @@
 import httptools
 
 from firvane.core.address import Address
-from firvane.core.net.http import Fault, Message, Piece, Reader
+from firvane.core.net.http_message import BytesLike, HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 
 MAX_ANSWER = 16 * 1024 * 1024  # bytes
 
@@ -21,7 +22,7 @@
     def on_head(self, message: Message) -> None:
         """Status and header fields are here."""
 
-    def on_body(self, pieces: list[Piece]) -> None:
+    def on_body(self, pieces: list[BytesLike]) -> None:
         """More of the body is here."""
 
     def on_complete(self, message: Message) -> None:
@@ -35,7 +36,7 @@
     """One connection; a request at a time."""
 
     def __init__(self) -> None:
-        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
+        self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
         self._sink: AnswerSink | None = None
         self._head_told = False
         self.closed = False
@@ -63,7 +64,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.closed = True
         message = self._reader.message
-        if error is None and message and not message.framed and not self._reader.in_head:
+        if error is None and message and not message.is_framed and not self._reader.in_head:
             self._complete(message)  # without a length, an answer ends with its connection
         else:
             self._break("connection lost")
@@ -75,21 +76,21 @@
             return
         try:
             self._reader.feed(data)
-        except Fault as fault:
+        except HttpError as fault:
             self.close()
             self._break(f"bytes that are no answer ({fault.status})")
             return
         self._pass_on()
 
     def _pass_on(self) -> None:
-        done = self._reader.done
+        done = self._reader.completed
         message = done[0] if done else self._reader.message
         if message is None or self._sink is None or (not done and self._reader.in_head):
             return
         if not self._head_told:
             self._head_told = True
             self._sink.on_head(message)
-        if self._sink and (pieces := message.taken()):
+        if self._sink and (pieces := message.take_body()):
             self._sink.on_body(pieces)
         if done:
             done.pop(0)
@@ -99,7 +100,7 @@
             self._complete(message)
 
     def _complete(self, message: Message) -> None:
-        if not message.keep:
+        if not message.keep_alive:
             self.close()
         sink, self._sink = self._sink, None
         if sink:
@@ -125,12 +126,12 @@
 
     def __init__(self, future: asyncio.Future[Response]) -> None:
         self._future = future
-        self._body: list[Piece] = []
+        self._body: list[BytesLike] = []
 
     def on_head(self, message: Message) -> None:
         pass
 
-    def on_body(self, pieces: list[Piece]) -> None:
+    def on_body(self, pieces: list[BytesLike]) -> None:
         self._body += pieces
 
     def on_complete(self, message: Message) -> None:
--- a/firvane/simulation/localfleet/http_server.py
+++ b/firvane/simulation/localfleet/http_server.py
@@ -8,7 +8,9 @@
 
 import httptools
 
-from firvane.core.net.http import LAST_CHUNK, Fault, Message, Reader, framed, status_line
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, frame_chunk, status_line
 
 MAX_BODY = 8 * 1024 * 1024  # bytes of one request
 Header = tuple[bytes, bytes]
@@ -18,7 +20,7 @@
     """Takes one request at a time; what comes behind it waits."""
 
     def __init__(self) -> None:
-        self._reader = Reader(httptools.HttpRequestParser, MAX_BODY, MAX_BODY)
+        self._reader = MessageReader(httptools.HttpRequestParser, MAX_BODY, MAX_BODY)
         self._pending = b""
         self._request: Message | None = None
         self._reading = False
@@ -56,7 +58,7 @@
 
     def write_piece(self, piece: bytes) -> None:
         """One chunk of it."""
-        self.transport.writelines(framed([piece], chunked=True))
+        self.transport.writelines(frame_chunk([piece], chunked=True))
 
     def end_stream(self, *, close: bool) -> None:
         """Its end in order."""
@@ -76,7 +78,7 @@
         self.transport.write(b"".join([status_line(status), *lines, b"\r\n"]))
 
     def _finish(self, close: bool) -> None:
-        keep = self._request is not None and self._request.keep and not close
+        keep = self._request is not None and self._request.keep_alive and not close
         self._request = None
         self.on_answered()
         if not keep:
@@ -110,11 +112,11 @@
     def _read_some(self) -> None:
         try:
             read = self._reader.step(self._pending)
-        except Fault as fault:
+        except HttpError as fault:
             self._pending = b""
             self.respond(fault.status, close=True)
             return
         self._pending = self._pending[read:]
-        if self._reader.done:
-            self._request = self._reader.done.pop(0)
+        if self._reader.completed:
+            self._request = self._reader.completed.pop(0)
             self.on_request(self._request)
--- a/firvane/simulation/localfleet/model_connection.py
+++ b/firvane/simulation/localfleet/model_connection.py
@@ -6,7 +6,7 @@
 import enum
 from typing import Protocol
 
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.simulation.localfleet.http_server import Header, ServerConnection
 from firvane.simulation.localfleet.instance_list import ListedInstance
 from firvane.simulation.localfleet.profiles import HEALTH_PATH, ServerProfile
--- a/firvane/simulation/localfleet/model_server.py
+++ b/firvane/simulation/localfleet/model_server.py
@@ -8,7 +8,7 @@
 import zlib
 from dataclasses import dataclass
 
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.simulation.localfleet.batch import (
     Batch,
     Job,
--- a/firvane/simulation/localfleet/platform_server.py
+++ b/firvane/simulation/localfleet/platform_server.py
@@ -6,7 +6,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from firvane.core.address import Address
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.simulation.localfleet.http_server import ServerConnection
 from firvane.simulation.localfleet.instance_list import InstanceList
 
--- a/firvane/simulation/runner/backends.py
+++ b/firvane/simulation/runner/backends.py
@@ -14,7 +14,8 @@
 
 import httptools
 
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.simulation.emulation.backend import Box, Done, End
 from firvane.simulation.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Record
 from firvane.simulation.runner.clock import Clock, Timer
@@ -75,7 +76,7 @@
         self.way = way
         self.transport: asyncio.Transport
         self.attempt: str | None = None  # the model's name of the one that is out
-        self.reader: Reader | None = None  # once a message has come in pieces or in another form
+        self.reader: MessageReader | None = None  # once a message has come in pieces or in another form
         self.began = -1.0
         self.is_used = False
         self.is_over = False  # one more than the box holds
@@ -120,16 +121,16 @@
         host = self.way.host
         now = host.clock.now()
         if self.reader is None:
-            self.reader, self.began = Reader(httptools.HttpRequestParser), now
+            self.reader, self.began = MessageReader(httptools.HttpRequestParser), now
         try:
             self.reader.feed(data)
-        except Fault:
+        except HttpError:
             reset(self.transport)
             return
-        if len(self.reader.done) > 1:
+        if len(self.reader.completed) > 1:
             reset(self.transport)
-        elif self.reader.done:
-            message = self.reader.done.pop()
+        elif self.reader.completed:
+            message = self.reader.completed.pop()
             self.reader = None
             host.asked(self, _ask(message), self.began, now)
 
--- a/firvane/simulation/runner/connections.py
+++ b/firvane/simulation/runner/connections.py
@@ -14,7 +14,8 @@
 
 import httptools
 
-from firvane.core.net.http import Fault, Reader
+from firvane.core.net.http_message import HttpError
+from firvane.core.net.http_reader import MessageReader
 from firvane.simulation.emulation.clients import Try
 from firvane.simulation.emulation.records import Decided
 from firvane.simulation.runner.backends import Sink
@@ -84,7 +85,7 @@
         self.bank = bank
         self.transport: asyncio.Transport
         self.run: Run | None = None
-        self.reader: Reader | None = None  # once an answer comes in pieces
+        self.reader: MessageReader | None = None  # once an answer comes in pieces
         self.is_used = False
         self.last_call = ""
 
@@ -122,26 +123,28 @@
             self._answered(status, body, retry_after, keep)
             return
         if self.reader is None:
-            self.reader = Reader(httptools.HttpResponseParser)
+            self.reader = MessageReader(httptools.HttpResponseParser)
         try:
             self.reader.feed(data)
-        except Fault:
+        except HttpError:
             self._broken()
             return
-        done = [message for message in self.reader.done if message.status >= FINE]
-        self.reader.done.clear()
+        done = [message for message in self.reader.completed if message.status >= FINE]
+        self.reader.completed.clear()
         if done:
             message, more = done[0], len(done) > 1 or self.reader.message is not None
             self.reader = None
             retry_after = _seconds(message.fields.get(b"retry-after", b""))
             self._decided(message.fields.get(b"x-policy-epoch", b""))
-            self._answered(message.status, b"".join(message.body), retry_after, message.keep and not more)
+            self._answered(
+                message.status, b"".join(message.body), retry_after, message.keep_alive and not more
+            )
             if more:
                 self.bank.clients.answered_twice(self, data)
 
     def eof_received(self) -> None:
         message = self.reader.message if self.reader else None
-        if self.run and message and not self.reader_in_head() and not message.framed:
+        if self.run and message and not self.reader_in_head() and not message.is_framed:
             # A body that lasts until its connection ends.
             self._answered(message.status, b"".join(message.body), 0.0, False)
 
@@ -229,14 +232,14 @@
 
     def data_received(self, data: bytes) -> None:
         clients = self.bank.clients
-        reader = self.reader = self.reader or Reader(httptools.HttpResponseParser)
+        reader = self.reader = self.reader or MessageReader(httptools.HttpResponseParser)
         try:
             reader.feed(data)
-        except Fault:
+        except HttpError:
             self.transport.abort()  # what is still out ends with it
             return
-        done = [message for message in reader.done if message.status >= FINE]
-        reader.done.clear()
+        done = [message for message in reader.completed if message.status >= FINE]
+        reader.completed.clear()
         for message in done:
             if self.run is None:
                 clients.answered_twice(self, data)
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -12,7 +12,7 @@
 from typing import Any, Generic, TypeVar, cast
 
 from firvane.core.logs import Log
-from firvane.core.net.connection_checks import Quiet, always
+from firvane.core.net.connection_checks import NoInputCheck, always_true
 from firvane.core.net.dialer import Dialing
 from firvane.core.terminations import Ending
 from firvane.proxy.config.node import Config
@@ -39,7 +39,7 @@
         dialer: MemoryDialer,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> None:
@@ -85,7 +85,7 @@
         self,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> Dialing:
@@ -100,7 +100,7 @@
     async def open(self, address: tuple[str, int], accept: Accept) -> None:
         def made() -> asyncio.BaseProtocol:
             assert server.newcomer
-            return accept(always, server.newcomer.stands)
+            return accept(always_true, server.newcomer.stands)
 
         server = cast(VirtualLoop, self.loop).memory.listen(address, made)
         self.server = cast(asyncio.Server, server)
--- a/firvane/simulation/soak/backends.py
+++ b/firvane/simulation/soak/backends.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.simulation.localfleet.backends import Backends
 from firvane.simulation.localfleet.instance_list import ListedInstance
 from firvane.simulation.localfleet.layout import Layout
--- a/firvane/simulation/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -8,7 +8,8 @@
 
 import httptools
 
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
 from firvane.simulation.soak.records import TryEnd, TryRecord
 
@@ -56,7 +57,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: str) -> None:
         self._loop, self.router = loop, router
-        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
+        self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER, MAX_ANSWER)
         self._waiting: deque[Exchange] = deque()
         self._head_told = False
         self.requests = 0
@@ -98,7 +99,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         message = self._reader.message
-        if error is None and message and not message.framed and not self._reader.in_head:
+        if error is None and message and not message.is_framed and not self._reader.in_head:
             self._complete(message)  # without a length, an answer ends with its connection
         self.closed = True
         for exchange in self._waiting:
@@ -109,13 +110,13 @@
         try:
             self._reader.feed(data)
             self._pass_on()
-        except (Fault, StreamError) as error:
-            self._wrong(f"bytes that are no answer ({error})" if isinstance(error, Fault) else str(error))
+        except (HttpError, StreamError) as error:
+            self._wrong(f"bytes that are no answer ({error})" if isinstance(error, HttpError) else str(error))
 
     def _pass_on(self) -> None:
-        while self._reader.done:
-            self._tell(self._reader.done[0])
-            self._complete(self._reader.done.pop(0))
+        while self._reader.completed:
+            self._tell(self._reader.completed[0])
+            self._complete(self._reader.completed.pop(0))
         if self._reader.message and not self._reader.in_head:
             self._tell(self._reader.message)
 
@@ -128,9 +129,9 @@
             self._head_told = True
             if len(self._waiting) > 1:
                 self._waiting[1].record.head_before = self._loop.time()
-            self.told_to_close = self.told_to_close or not message.keep
+            self.told_to_close = self.told_to_close or not message.keep_alive
             exchange.on_head(message)
-        if pieces := message.taken():
+        if pieces := message.take_body():
             exchange.on_body(b"".join(pieces))
 
     def _complete(self, message: Message) -> None:
--- a/tests/core/net/test_http.py
+++ b/tests/core/net/test_http.py
@@ -13,7 +13,7 @@
 
 from firvane.core import interface as api
 from firvane.core.engine import Flow
-from firvane.core.net import http
+from firvane.core.net import http_message, http_reader, http_writer
 from firvane.core.request_counters import Tally
 from firvane.proxy.limits.loop_budget import BEHIND, DECIDE, READ_ONE, TURN
 from firvane.proxy.net.client_requests import Listener
@@ -61,8 +61,8 @@
     return [int(code) for code in re.findall(rb"HTTP/1.1 (\d+)", wire.written)]
 
 
-def answer(body: bytes = b"hello") -> http.Message:
-    message = http.Message()
+def answer(body: bytes = b"hello") -> http_message.Message:
+    message = http_message.Message()
     message.status, message.body, message.size = 200, [body], len(body)
     message.headers = [(b"Content-Type", b"text/html"), (b"Connection", b"close")]
     return message
@@ -107,21 +107,26 @@
 @seeded
 @given(st.sampled_from(FRAMED), places)
 def test_answers_come_out_whole_however_they_are_cut(rest: bytes, where: list[int]) -> None:
-    reader = http.Reader(httptools.HttpResponseParser)
+    reader = http_reader.MessageReader(httptools.HttpResponseParser)
     for piece in cut(b"HTTP/1.1 200 OK\r\nX-Hit: 1\r\n" + rest, where):
         reader.feed(piece)
-    (message,) = reader.done
-    assert message.status == 200 and b"".join(message.body) == b"hello" and message.keep and message.framed
+    (message,) = reader.completed
+    assert (
+        message.status == 200
+        and b"".join(message.body) == b"hello"
+        and message.keep_alive
+        and message.is_framed
+    )
 
 
 @seeded
 @given(garbage, places)
 def test_garbage_from_targets_is_a_fault_at_worst(data: bytes, where: list[int]) -> None:
-    reader = http.Reader(httptools.HttpResponseParser)
+    reader = http_reader.MessageReader(httptools.HttpResponseParser)
     try:
         for piece in cut(data, where):
             reader.feed(piece)
-    except http.Fault:
+    except http_message.HttpError:
         pass
 
 
@@ -267,7 +272,7 @@
 
 
 def test_a_body_in_chunks_of_one_byte_costs_little_more_than_its_bytes() -> None:
-    reader = http.Reader(httptools.HttpRequestParser)
+    reader = http_reader.MessageReader(httptools.HttpRequestParser)
     reader.feed(b"POST /pay HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"1\r\nx\r\n" * 30000)
     assert reader.message and reader.message.size == 30000 and len(reader.message.body) < 40
 
@@ -280,7 +285,7 @@
     # Parsed as it came, one connection took the proxy to a gigabyte in 8 s.
     made, wire, taken = listener()
     made.data_received(GET.replace(b"9b1f", b"0") + GET * 9)
-    assert len(taken.flows) == 1 and not made.reader.done and wire.paused
+    assert len(taken.flows) == 1 and not made.reader.completed and wire.paused
     for n in range(1, 10):
         made.rest = made.rest.replace(b"9b1f", b"%d" % n, 1)
         made.served(answer())
@@ -376,9 +381,9 @@
 
 
 def test_what_holds_for_one_connection_is_not_passed_on() -> None:
-    reader = http.Reader(httptools.HttpRequestParser)
+    reader = http_reader.MessageReader(httptools.HttpRequestParser)
     reader.feed(GET.replace(b"Host: app", b"Host: app\r\nConnection: keep-alive, X-Own\r\nX-Own: 1\r\nTE: x"))
-    head = b"".join(http.request_head(reader.done[0], 77, b"h:1"))
+    head = b"".join(http_writer.format_request_head(reader.completed[0], 77, b"h:1"))
     assert head.startswith(b"GET /read/x?a=1 HTTP/1.1\r\n") and b"X-Call-Id: 9b1f\r\n" in head
     assert b"X-Own" not in head and b"TE:" not in head and b"Budget-Ms: 480" not in head
     assert head.endswith(b"X-Budget-Ms: 77\r\n\r\n")
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -67,22 +67,22 @@
     Mutant(
         "a body arrives as it was sent, whatever connection it goes on",
         "firvane/proxy/net/client_requests.py",
-        "        self.upload.feed(message.taken())\n",
+        "        self.upload.feed(message.take_body())\n",
         "",
         f"{FILE} -k arrives_as_it_was_sent",
     ),
     Mutant(
         "what is sent behind a body in chunks is none of it",
-        "firvane/core/net/http.py",
-        "            if not (message and message.status):",
-        "            if not self.in_chunks():",
+        "firvane/core/net/http_reader.py",
+        "        if not (message and message.status):",
+        "        if not self.in_unsized_body():",
         f"{FILE} -k none_of_it",
     ),
     Mutant(
         "nothing is written once its time is over",
         FORWARD,
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
-        "over = not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()",
+        "over = not run.request.sender_waits()",
         f"{FILE} -k time_is_over",
     ),
     Mutant(
@@ -130,7 +130,7 @@
     Mutant(
         "an idle connection is looked at before it is used",
         FORWARD,
-        "return not self.transport.is_closing() and self.quiet()",
+        "return not self.transport.is_closing() and self.has_no_input()",
         "return not self.transport.is_closing()",
         f"{FILE} -k turns_out_closed",
     ),
--- a/tests/crossings/mutants/client_gone.py
+++ b/tests/crossings/mutants/client_gone.py
@@ -9,14 +9,14 @@
     Mutant(
         "a request is not taken up whose client has gone",
         "firvane/proxy/net/client_requests.py",
-        "        if not self.stands():\n",
+        "        if not self.is_peer_open():\n",
         "        if False:\n",
         f"{HERE} -k asked_and_left or sweep",
     ),
     Mutant(
         "bytes behind a request do not hide that its client left",
         "firvane/proxy/net/connection_limiter.py",
-        "if connection.paused and not connection.stands():",
+        "if connection.paused and not connection.is_peer_open():",
         "if False:",
         f"{HERE} -k behind_another",
     ),
@@ -37,7 +37,7 @@
     Mutant(
         "nothing more is written for whom the kernel knows to have gone",
         "firvane/proxy/net/upstream_pool.py",
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()",
         "over = now >= min(run.exchange.deadline, run.exchange.by)",
         f"{HERE} -k between_two_sweeps",
     ),
--- a/tests/crossings/mutants/closes.py
+++ b/tests/crossings/mutants/closes.py
@@ -10,22 +10,22 @@
     Mutant(
         "an answer that ends with its connection does not pass for whole where it was cut",
         ANSWERS,
-        "            resets(self.transport)",
+        "            reset_on_close(self.transport)",
         "            pass",
         f"{HERE}test_a_client_can_tell_that_a_long_answer_without_a_length_was_cut",
     ),
     Mutant(
         "bytes unread behind a last answer do not destroy it",
         ANSWERS,
-        "if self.lost or self.paused or long or not self.quiet():",
+        "if self.lost or self.paused or long or not self.has_no_input():",
         "if self.lost or self.paused or long:",
         f"{HERE}test_bytes_behind_a_last_answer_do_not_destroy_it",
     ),
     Mutant(
         "nor do bytes that come while it is still here",
         ANSWERS,
-        "if self.lost or self.paused or long or not self.quiet():",
-        "if self.lost or self.paused or not self.quiet():",
+        "if self.lost or self.paused or long or not self.has_no_input():",
+        "if self.lost or self.paused or not self.has_no_input():",
         f"{HERE}test_bytes_behind_a_last_answer_do_not_destroy_it",
     ),
     Mutant(
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -137,8 +137,8 @@
     Mutant(
         "a connection on which a request is not written whole is not used again",
         "firvane/fleet/router/upstream_connection.py",
-        "is_clean = message.framed and self.written and not",
-        "is_clean = message.framed and not",
+        "is_clean = message.is_framed and self.written and not",
+        "is_clean = message.is_framed and not",
         UPSTREAM,
     ),
 ]
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -108,15 +108,15 @@
     Mutant(
         "a request that arrives as idle connections close is answered",
         "firvane/proxy/net/connection_limiter.py",
-        "            if connection.asked and connection.is_idle() and connection.quiet():",
+        "            if connection.asked and connection.is_idle() and connection.has_no_input():",
         "            if connection.asked and connection.is_idle():",
         f"{ENDS}test_a_request_that_arrives_as_idle_connections_are_closed_is_answered",
     ),
     Mutant(
         "who has yet to ask its first is left to do so",
         "firvane/proxy/net/connection_limiter.py",
-        "            if connection.asked and connection.is_idle() and connection.quiet():",
-        "            if connection.is_idle() and connection.quiet():",
+        "            if connection.asked and connection.is_idle() and connection.has_no_input():",
+        "            if connection.is_idle() and connection.has_no_input():",
         f"{ENDS}test_who_has_yet_to_ask_is_served_up_to_the_end",
     ),
     Mutant(
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -103,7 +103,7 @@
     Mutant(
         "a class that comes percent-encoded is served",
         "firvane/proxy/net/client_context.py",
-        "            name = unescaped(name)\n",
+        "            name = percent_decode(name)\n",
         "",
         f"{TEST}::test_so_is_one_that_comes_percent_encoded",
     ),
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -118,7 +118,7 @@
 ) -> None:
     """The target ends an idle connection as a request is about to be written to it: just before the last
     look at it, or between that and the write."""
-    quiet = connection.quiet
+    quiet = connection.has_no_input
 
     def look() -> bool:
         before = quiet()
@@ -126,7 +126,7 @@
         then()
         return quiet() if seen else before
 
-    connection.quiet = look
+    connection.has_no_input = look
 
 
 class Making:
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -52,7 +52,7 @@
     """The client leaves, and its end is with the proxy's kernel; the loop may not have read that far."""
     listener = await made.listener(client)
     client.leave(how)
-    await made.see(lambda: not listener.stands())
+    await made.see(lambda: not listener.is_peer_open())
 
 
 async def unleased(made: Rig) -> tuple[Link, Any]:
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from firvane.core.net.transport_pool import MAKERS
+from firvane.core.net.transport_pool import TRANSPORT_WORKERS
 from firvane.core.process_signals import SIGNALS
 from firvane.proxy.net.listening_socket import ACCEPTS
 from firvane.proxy.proxy import LAME
@@ -402,7 +402,7 @@
                 raise RuntimeError("a fault")
 
             made.proxy.door.accept = fails
-            for _ in range(MAKERS):
+            for _ in range(TRANSPORT_WORKERS):
                 assert await (await made.client()).gone() == "fin"
             made.proxy.door.accept = accept
             assert b" 200 " in await asked(await made.client(), "c1")
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -14,7 +14,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.terminations import Ending
 from firvane.proxy.limits import discovery_timing
 from firvane.proxy.net import target_group
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -27,7 +27,7 @@
 from firvane.core import interface as api
 from firvane.core import logs
 from firvane.core.engine import Flow
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.terminations import Ending
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.limits.overload import Measure, Resource
--- a/tests/fleet/controller/test_http_server.py
+++ b/tests/fleet/controller/test_http_server.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from firvane.core.logs import QUIET
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.controller.http_server import CONTINUE, Bounds, Connection, HttpServer, State
 from firvane.fleet.controller.responses import Response
 
--- a/tests/fleet/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -11,7 +11,7 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import QUIET
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import Order, OrderKind
 from firvane.fleet.configuration.state import ConfigurationState
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -10,7 +10,7 @@
 from firvane.core import interface as api
 from firvane.core.engine import Engine
 from firvane.core.net.dialer import SocketDialer
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.net.transport_pool import TransportPool
 from firvane.fleet.configuration.routes import Configuration, Route, RouteKind, RouteTable, Target
 from firvane.fleet.router.front import Front
--- a/tests/fleet/router/test_requests.py
+++ b/tests/fleet/router/test_requests.py
@@ -4,7 +4,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from firvane.core.net.http import Fault, Message
+from firvane.core.net.http_message import HttpError, Message
 from firvane.fleet.router.requests import check_framing, client_deadline_ms, prompt_shape
 
 
@@ -44,9 +44,9 @@
         {"transfer_encoding": b"gzip, chunked"},
         {"transfer_encoding": b"chunked", "content_length": b"5"},
     ):
-        with pytest.raises(Fault):
+        with pytest.raises(HttpError):
             check_framing(message(**fields))
     twice = message(host=b"a")
-    twice.repeated.append(b"host")
-    with pytest.raises(Fault):
+    twice.repeated_fields.append(b"host")
+    with pytest.raises(HttpError):
         check_framing(twice)
--- a/tests/fleet/router/upstream_model.py
+++ b/tests/fleet/router/upstream_model.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from firvane.core.net.http import Message, Piece, Stream
+from firvane.core.net.http_message import BytesLike, Message, Stream
 from firvane.core.terminations import RESULTS, Ending
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream import Upstreams
@@ -117,7 +117,7 @@
 
     # The model
 
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         return not self.arrived and not self.end_arrived
 
     def drain(self) -> None:
@@ -190,7 +190,7 @@
     def begun(self, message: Message) -> None:
         self.check_open()
         assert isinstance(message.stream, Stream)
-        message.stream.pour(self)
+        message.stream.connect(self)
 
     def ended(self, ending: Ending, answer: Message | None = None) -> None:
         self.check_open()
@@ -201,13 +201,13 @@
                 raise WrongOwnerError(f"{self.owner!r} was answered with {body!r}")
         self.world.settle(self, ending)
 
-    def more(self, pieces: list[Piece]) -> None:
-        self.passed += b"".join(bytes(piece) for piece in pieces)
+    def write_body(self, buffers: list[BytesLike]) -> None:
+        self.passed += b"".join(bytes(piece) for piece in buffers)
         for line in self.passed.split(b"\n")[:-1]:
             if line.startswith(b"data: ") and line != b"data: " + self.owner:
                 raise WrongOwnerError(f"{self.owner!r} was given {line!r}")
 
-    def last(self) -> None: ...
+    def end_body(self) -> None: ...
 
     def check_open(self) -> None:
         if self.cancelled or self.endings:
@@ -264,7 +264,7 @@
         link = dial.link
         if self.chance.random() < 0.3:
             link.room = self.chance.randrange(0, 200)
-        link.protocol = dial.factory(link.is_quiet)
+        link.protocol = dial.factory(link.has_no_input)
         link.protocol.connection_made(link)
         self.links.append(link)
         dial.up(link.protocol)
@@ -281,7 +281,7 @@
         message.method, message.url = b"POST", b"/p/a"
         message.headers = [(b"X-Request-Id", owner)]
         message.fields = {b"x-request-id": owner}
-        message.body, message.size, message.framed, message.complete = [BODY], len(BODY), True, True
+        message.body, message.size, message.is_framed, message.complete = [BODY], len(BODY), True, True
         self.sends[owner] += 1
         self.dialled = self.chance.choice(self.backends)
         attempt = Attempt(self, owner, self.dialled)
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -12,7 +12,8 @@
 from hypothesis import strategies as st
 
 from firvane.core import interface as api
-from firvane.core.net.http import MAX_BODY, bare_tenant, is_again
+from firvane.core.net.http_reader import MAX_BODY_BYTES
+from firvane.core.net.request_scan import scan_is_retry, scan_tenant
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
@@ -46,7 +47,7 @@
 
     def __init__(self) -> None:
         self.front, self.taken, self.clock = front()
-        self.front.guard.leases = Leases(2 * (MAX_BODY + 1), MAX_BODY + 1)
+        self.front.guard.leases = Leases(2 * (MAX_BODY_BYTES + 1), MAX_BODY_BYTES + 1)
         self.wires = [Wire(self.front.accept()) for _ in range(4)]
         self.number = 0
 
@@ -182,8 +183,8 @@
 def test_only_what_is_surely_one_request_without_a_body_is_refused_unread(
     data: bytes, tenant: bytes | None
 ) -> None:
-    assert bare_tenant(data) == tenant
-    assert is_again(GET) and not is_again(GET.replace(b"Again: 1", b"Again: 0"))
+    assert scan_tenant(data) == tenant
+    assert scan_is_retry(GET) and not scan_is_retry(GET.replace(b"Again: 1", b"Again: 0"))
 
 
 def test_marked_retries_are_refused_where_they_come_too_late_in_any_case() -> None:
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -11,7 +11,8 @@
 
 from firvane.core import interface as api
 from firvane.core.net.dialer import SocketDialer
-from firvane.core.net.http import Message, Reader
+from firvane.core.net.http_message import Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
@@ -25,7 +26,7 @@
 Target = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
-def quiet() -> bool:
+def has_no_input() -> bool:
     return True
 
 
@@ -36,13 +37,13 @@
 
 def connected(forwards: Forwards, pool: Pool) -> Connection:
     forwards.guard.descriptors.count(Use.TARGETS)
-    return Connection(forwards, pool, quiet)
+    return Connection(forwards, pool, has_no_input)
 
 
 def request() -> Message:
-    reader = Reader(httptools.HttpRequestParser)
+    reader = MessageReader(httptools.HttpRequestParser)
     reader.feed(b"GET /read/x HTTP/1.1\r\nHost: app\r\nX-Call-Id: 1\r\nX-Budget-Ms: 1000\r\n\r\n")
-    return reader.done[0]
+    return reader.completed[0]
 
 
 LEFT = 1000.0  # s that a forward has: what ends it is never that a busy machine was late
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -13,7 +13,7 @@
 
 from firvane.core import interface as api
 from firvane.core.logs import QUIET
-from firvane.core.net.http import Fault, Message
+from firvane.core.net.http_message import HttpError, Message
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.proxy import Proxy
 from firvane.proxy.settings_reload import merged, retired
@@ -84,7 +84,7 @@
         assert files.proxy.engine.settings.classes[number].name == "fresh"
         assert front.read(request(b"/" + first, safe))[0].cls == 0
         files.proxy._settle(files.proxy.retuned_at)
-        with pytest.raises(Fault):
+        with pytest.raises(HttpError):
             front.read(request(b"/" + first, safe))
 
     run(work())
