--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -24,7 +24,7 @@
 from msgspec import Struct
 
 from firvane.proxy.limits.token_buckets import Rates
-from firvane.proxy.net.peer_datagrams import BURST, RATE
+from firvane.proxy.net.peer_datagrams import DATAGRAM_BURST, DATAGRAM_RATE_PER_S
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.member import Member
@@ -67,7 +67,7 @@
         self.stands = False
         self.waiting: list[events.Event] = []
         self.full = False  # its disk
-        self.rates = Rates(RATE, BURST)
+        self.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.open: tuple[float, int] | None = None  # since when it holds, and which epoch
         self.tick_at = inf
 
@@ -185,7 +185,7 @@
             seat.number, self.told.proxies, self.voters, self.times, seed, seat.clock(self.now),
             seat.kept, has,
         )  # fmt: skip
-        seat.rates = Rates(RATE, BURST)
+        seat.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.judge.see(ProxyState(self.now, self.name(seat.number), "ready"))
         self.give(seat, events.Tick())
 
--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -19,7 +19,8 @@
 from firvane.core.balancing.records import Backend
 from firvane.core.logs import QUIET
 from firvane.proxy.capacity.backend_estimates import Evidence
-from firvane.proxy.net.target_group import ListReader, TargetGroup
+from firvane.proxy.net.endpoint_list import EndpointListReader
+from firvane.proxy.net.target_group import TargetGroup
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.file import Keeper, read
@@ -93,7 +94,7 @@
     recovery = Recovery(api.Recovery(), SETTINGS, evidence, random.Random(1), 0.0)
     servers = [Backend(api.Server(f"box-{n}", up_since=1e9 + n), n, 1.0, 1e9 + n) for n in range(boxes)]
     recovery.proven = set(servers)
-    reader = ListReader(("a",), ("k",))
+    reader = EndpointListReader(("a",), ("k",))
     group = TargetGroup(asyncio.new_event_loop(), None, reader, lambda *a: None, lambda news: None)
     group.addresses = {}
     endpoints = [
--- a/firvane/core/net/connection_checks.py
+++ b/firvane/core/net/connection_checks.py
@@ -1,15 +1,16 @@
-"""What a connection may be asked of the kernel, by whoever holds no socket itself."""
+"""Questions about a connection that only its socket can answer, for code that holds no socket itself."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Whether nothing has come on an idle connection, neither bytes nor its end, as far as the kernel knows: the
-# loop may not know yet.
+# Whether the kernel holds no unread input of a connection, neither bytes nor its end: the event loop may not
+# know of either yet.
 NoInputCheck = Callable[[], bool]
-PeerOpenCheck = Callable[[], bool]  # whether the other side has not ended it, however much of its is unread
+# Whether the peer has not ended the connection, however many of its bytes are unread.
+PeerOpenCheck = Callable[[], bool]
 
 
 def always_true() -> bool:
-    """Nothing ever comes unseen: for connections without a kernel behind them."""
+    """The answer for connections without a kernel behind them, where nothing arrives unseen."""
     return True
--- a/firvane/core/net/dialer.py
+++ b/firvane/core/net/dialer.py
@@ -1,4 +1,4 @@
-"""How connections to targets are made: the dialer that `Forwards` is handed, and the one on real sockets."""
+"""Outgoing TCP connections: the interface of a dialer, and the dialer on real sockets."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class Dialing(Protocol):
-    """A connection being made."""
+    """A connection attempt."""
 
     def close(self) -> None:
-        """Give it up. Where its transport is already in the making it still comes up."""
+        """Cancel the attempt. Where its transport is already being made, `up` is still called."""
 
 
 class Dialer(Protocol):
-    """The way to new connections. Of `up` and `ended` exactly one is called for each dial, once."""
+    """Makes connections. For each dial exactly one of `up` and `ended` is called, once."""
 
     def dial(
         self,
@@ -35,15 +35,20 @@
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> Dialing:
-        """Connect to an address by a deadline on the loop's clock.
-
-        `up` is called with the factory's protocol once it has its transport, `ended` where there will be
-        none; that may be before the call returns, and after a close as well.
+        """Connect to an address.
+
+        Args:
+            address: Numeric host and port.
+            deadline: Loop time in seconds at which the attempt fails.
+            factory: Makes the protocol of the connection.
+            up: Called with that protocol once it has its transport.
+            ended: Called with the reason where there will be no connection; possibly before this call
+                returns, and after a close as well.
         """
 
 
 class SocketDial(Generic[P]):
-    """A socket until it stands, a transport's from then on."""
+    """A connection attempt that owns its socket until the transport takes it over."""
 
     def __init__(
         self,
@@ -59,10 +64,10 @@
         loop = dialer.loop
         loop.add_writer(sock.fileno(), self._writable)
         self.timer = loop.call_at(deadline, self._fail, Ending.DIAL_EXPIRED)
-        self.waiting, self.closed = True, False
+        self.connecting, self.closed = True, False
 
     def _stop_waiting(self) -> None:
-        self.waiting = False
+        self.connecting = False
         self.timer.cancel()
         self.dialer.loop.remove_writer(self.sock.fileno())
 
@@ -71,30 +76,34 @@
             self._fail(Ending.REFUSED)
         else:
             self._stop_waiting()
-            self.dialer.transports.give(self)
+            self.dialer.transports.submit(self)
 
     def _fail(self, ending: Ending) -> None:
-        if self.waiting:
+        if self.connecting:
             self._stop_waiting()
             self.sock.close()
             self.ended(ending)
 
     def close(self) -> None:
+        """Cancel the attempt."""
         self.closed = True
         self._fail(Ending.CANCELLED)
 
-    def wanted(self) -> P | None:
+    def make_protocol(self) -> P | None:
+        """The protocol of the connection, or None where the attempt was cancelled meanwhile."""
         return None if self.closed else self.factory(partial(has_no_input, self.sock))
 
     def made(self, protocol: P) -> None:
+        """The connection has its transport."""
         self.up(protocol)
 
-    def unmade(self) -> None:
+    def failed(self) -> None:
+        """No transport could be made."""
         self.ended(Ending.BROKE_UNSENT)
 
 
 class SocketDialer:
-    """Dials as non-blocking connects, which become transports in the pool that it is given."""
+    """Dials by non-blocking connects, whose sockets get their transports from a pool."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, transports: TransportPool) -> None:
         self.loop, self.transports = loop, transports
@@ -107,6 +116,7 @@
         up: Callable[[P], None],
         ended: Callable[[Ending], None],
     ) -> Dialing:
+        """Connect to an address (see `Dialer.dial`)."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:
@@ -121,15 +131,17 @@
 
 
 class NoDial:
-    """One that has ended before it began."""
+    """A connection attempt that failed at once."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Nothing is left to cancel."""
 
 
 NO_DIAL = NoDial()
 
 
 def has_no_input(sock: socket.socket) -> bool:
+    """Whether nothing is to be read from a socket, neither bytes nor its end."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -140,24 +152,23 @@
 
 
 def reset_on_close(transport: asyncio.Transport) -> None:
-    """From now on any close of it resets the connection, also that of an exit; an end of sending does not.
+    """Make any close from now on reset the connection, also the close at process exit, but not `write_eof`.
 
-    Guards a body that lasts until the connection ends against passing for whole where it was cut.
+    A body that ends with its connection would otherwise pass for complete where it was truncated.
     """
     if sock := transport.get_extra_info("socket"):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-ESTABLISHED = 1  # the first byte of TCP_INFO: neither side has ended the connection
+TCP_ESTABLISHED = 1  # tcpi_state, the first byte of TCP_INFO: neither side has ended the connection
 
 
 def is_peer_open(sock: socket.socket) -> bool:
-    """Whether the other side has neither closed nor reset it, as far as the kernel knows.
+    """Whether the peer has neither closed nor reset the connection, as far as the kernel knows.
 
-    Bytes that nobody has read yet hide its end from a read, and from a loop that does not read; not from
-    this.
+    Unread bytes hide the end of a connection from reads and from the event loop, but not from TCP_INFO.
     """
     try:
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == ESTABLISHED
+        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_ESTABLISHED
     except OSError:
         return False
--- a/firvane/core/net/transport_pool.py
+++ b/firvane/core/net/transport_pool.py
@@ -1,8 +1,8 @@
-"""Transports for sockets that stand already: accepted ones, and dials that have come up.
+"""Transports for sockets that are connected already: accepted ones, and dials that have come up.
 
-Making a transport is a coroutine that takes a turn of the loop, and none may be started for a request or a
-connection: a few that live as long as the proxy serve all of them. With one alone, a loop at its limit would
-take in one connection a turn, and all others would wait until their clients have left.
+Making a transport is a coroutine that takes a turn of the event loop, and no task is started for a request or
+a connection: a few workers that live as long as the process serve all of them. With a single one, a loop at
+its limit would take in one connection a turn, and clients would time out before they are served.
 """
 
 from __future__ import annotations
@@ -12,71 +12,78 @@
 from functools import partial
 from typing import Any, Protocol
 
-TRANSPORT_WORKERS = 16  # coroutines, each of which makes one transport at a time
+TRANSPORT_WORKERS = 16  # tasks, each of which makes one transport at a time
 
 
 class PendingSocket(Protocol):
-    """Who has a socket that stands."""
+    """A connected socket that waits for its transport."""
 
     sock: socket.socket
 
-    def wanted(self) -> asyncio.BaseProtocol | None:
-        """The protocol that it is for, or None where nobody wants it any more."""
+    def make_protocol(self) -> asyncio.BaseProtocol | None:
+        """The protocol of the connection, or None where it is no longer needed."""
 
     def made(self, protocol: Any) -> None:
-        """It has its transport."""
+        """The connection has its transport."""
 
-    def unmade(self) -> None:
-        """It has none, and is closed."""
+    def failed(self) -> None:
+        """No transport could be made; the socket is closed."""
 
 
 class TransportPool:
-    """The coroutines that make transports, and the line of sockets before them."""
+    """The workers that make transports, and the queue of sockets before them."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.line: asyncio.Queue[PendingSocket] = asyncio.Queue()
+        self.queue: asyncio.Queue[PendingSocket] = asyncio.Queue()
         self.tasks: list[asyncio.Task[None]] = []
-        self.busy = 0  # sockets whose transport is being made
+        self.in_progress = 0  # sockets whose transport is being made
 
     def has_work(self) -> bool:
-        return self.busy > 0 or not self.line.empty()
+        """Whether sockets wait for their transports."""
+        return self.in_progress > 0 or not self.queue.empty()
 
     def start(self) -> None:
+        """Start the workers."""
         self.tasks = [self.loop.create_task(self._work()) for _ in range(TRANSPORT_WORKERS)]
 
-    def give(self, standing: PendingSocket) -> None:
-        self.line.put_nowait(standing)
+    def submit(self, pending: PendingSocket) -> None:
+        """Queue a socket for its transport."""
+        self.queue.put_nowait(pending)
 
     def close(self) -> None:
+        """Cancel the workers."""
         for task in self.tasks:
             task.cancel()
 
     async def _work(self) -> None:
         while True:
-            standing = await self.line.get()
-            self.busy += 1
+            pending = await self.queue.get()
+            self.in_progress += 1
             try:
-                await self._make(standing)
+                await self._make(pending)
             except Exception as error:
-                # A fault of whoever is told must not cost a coroutine: without any, nobody would come in.
+                # A fault in a callback must not end the worker: without workers nobody could connect.
                 self.loop.call_exception_handler({"message": "a socket is lost", "exception": error})
             finally:
-                self.busy -= 1
+                self.in_progress -= 1
 
-    async def _make(self, standing: PendingSocket) -> None:
+    async def _make(self, pending: PendingSocket) -> None:
         try:
-            protocol = standing.wanted()
-            if protocol is None:
-                raise OSError("given up meanwhile")
-            await self.loop.connect_accepted_socket(partial(_itself, protocol), standing.sock)
-        except Exception as error:
-            standing.sock.close()
-            standing.unmade()
+            protocol = pending.make_protocol()
+            if protocol is not None:
+                await self.loop.connect_accepted_socket(partial(_itself, protocol), pending.sock)
+        except Exception as error:  # by a protocol's own code, too: its socket is closed in any case
+            pending.sock.close()
+            pending.failed()
             if not isinstance(error, OSError):
                 raise
+            return
+        if protocol is None:
+            pending.sock.close()
+            pending.failed()
         else:
-            standing.made(protocol)
+            pending.made(protocol)
 
 
 def _itself(protocol: asyncio.BaseProtocol) -> asyncio.BaseProtocol:
--- a/firvane/core/net/upstream_exchange.py
+++ b/firvane/core/net/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange on its way to a server, as the upstream connections of the proxy and the router share it."""
+"""One exchange with a server: what the upstream connections of the proxy and of the router share."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class RunConnection(Protocol):
-    """A connection that carries one run at a time."""
+    """An upstream connection, which carries one run at a time."""
 
     run: Any
     idle_since: float  # loop time in s
@@ -26,7 +26,7 @@
 
 
 class UpstreamRun(Generic[RequestT, ConnectionT, PoolT]):
-    """An exchange on its way to a server, over an idle connection of its pool or a new one."""
+    """An attempt of the engine on the network, over an idle connection of its pool or a new one."""
 
     __slots__ = ("connection", "dial", "exchange", "over", "pool", "request")
 
@@ -37,7 +37,7 @@
         self.over = False
 
     def cancel(self) -> None:
-        """Give it up. The connection goes with it: that is how the server learns of it."""
+        """Cancel the run and close its connection, by which the server learns of it."""
         self.over = True
         if self.connection:
             self.connection.run = None
@@ -46,13 +46,13 @@
             self.dial.close()
 
     def end(self, ending: Ending, answer: Message | None = None) -> None:
-        """Report its end, once."""
+        """Report to the engine how the run ended, once."""
         if not self.over:
             self.over = True
             self.exchange.ended(ending, answer)
 
 
 def close_idle(idle: list[ConnectionT], before: float = float("inf")) -> None:
-    """Close and remove the connections idle since before a loop time; the oldest come first."""
+    """Close and remove the connections that fell idle before a loop time in s; the oldest come first."""
     while idle and idle[0].idle_since < before:
         idle.pop(0).close()
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -25,8 +25,9 @@
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.types import State
 from firvane.proxy.limits.discovery_timing import Pauses
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.target_group import ListReader, TargetGroup
+from firvane.proxy.net.endpoint_list import EndpointListReader
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.target_group import TargetGroup
 
 REPORT = 5.0  # s from one line of figures in the log to the next
 GRACE = 1.0  # s for streams to end at a stop
@@ -41,7 +42,7 @@
     ]
 
 
-def _itself(peers: Peers) -> Peers:
+def _itself(peers: PeerDatagrams) -> PeerDatagrams:
     return peers
 
 
@@ -61,11 +62,11 @@
         self.log: logs.Log = log.bind(control=words.service)
         self.loop, self.config = loop, config
         self.name = words.service
-        reader = ListReader(config.zones, config.kinds)
+        reader = EndpointListReader(config.zones, config.kinds)
         pauses = Pauses(0, random.Random(config.seed))
         self.group = TargetGroup(loop, config.discovery, reader, self._target, self._listed, self.log, pauses)
         self.peers = [
-            Peers(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
+            PeerDatagrams(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
             for place, own in enumerate(places(config, words))
         ]
         self.ads = Ads(loop, self, words.report_s, self.log)
--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -46,10 +46,10 @@
     "firvane.core.net.http_writer",
     "firvane.core.net.upstream_exchange",
     "firvane.proxy.net.upstream_pool",
-    "firvane.proxy.net.client_connection",
+    "firvane.proxy.net.managed_connection",
     "firvane.proxy.net.client_context",
     "firvane.proxy.net.client_responses",
-    "firvane.proxy.net.client_requests",
+    "firvane.proxy.net.client_connection",
     "firvane.proxy.net.connection_limiter",
 )
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -1,51 +1,425 @@
-"""What is seen of one client's connection by whoever gives out the places of all of them."""
+"""Client connections: requests are parsed, shed or taken up, within the budget of each turn."""
 
 from __future__ import annotations
 
 import asyncio
+from typing import Final, cast
 
-from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck
-from firvane.core.net.http_reader import BoundedReadProtocol
+from firvane.core import interface as api
+from firvane.core.engine import Flow
+from firvane.core.net.http_message import HttpError, Message, Stream
+from firvane.core.net.request_scan import scan_is_retry, scan_request_class, scan_tenant
+from firvane.proxy.limits.descriptors import Use
+from firvane.proxy.limits.loop_budget import CHUNKED, DECIDE, READ_ONE
+from firvane.proxy.limits.memory_account import SMALL, Held
+from firvane.proxy.limits.memory_costs import FLOW, IDLE_CLIENT, WINDOW
+from firvane.proxy.limits.overload import Measure
+from firvane.proxy.net.client_responses import (
+    CLIENT_STALL_TIMEOUT_S,
+    LINGER_TIMEOUT_S,
+    REQUEST_TIMEOUT_S,
+    RespondingConnection,
+)
+from firvane.proxy.net.managed_connection import BUSY, IDLE_TIMEOUT_S
 
-IDLE = 60.0  # s between requests
-BUSY = 5  # the claim of a connection that is in use
+READY_PATH = b"/up"
+FIRST_REQUEST_TIMEOUT_S = 2.85  # from connecting on, for the head of the first request
+MIN_BODY_RATE = 24_000.0  # bytes a second
+PROGRESS_INTERVAL_S = 0.4  # between checks of that rate
+UPLOAD_STALL_TIMEOUT_S = 10.0  # without a byte of a long request
+UPLOAD_TIME_S = 45.0  # for a long request to arrive, beside its budget
+FIRST_REQUEST_GRACE_S = 0.2  # after connecting, in which the first request may well be in transit
+# Ranks of `retention_priority`, below `BUSY`.
+UNUSED: Final = 0
+INCOMPLETE: Final = 1
+IDLE_AFTER_ONE: Final = 2
+NEW: Final = 3
+IDLE_REGULAR: Final = 4
 
 
-class ClientConnection(BoundedReadProtocol):
-    """One client's connection, as far as its claim to a place goes."""
+class ClientConnection(RespondingConnection):
+    """One client's connection, which serves requests in their order, one at a time.
 
-    def __init__(self, has_no_input: NoInputCheck, is_peer_open: PeerOpenCheck) -> None:
-        """Create a connection.
+    Invariants:
 
-        Args:
-            has_no_input: Whether the kernel holds nothing that the loop has yet to hand over.
-            is_peer_open: Whether the client has not ended the connection behind whatever is unread.
-        """
-        self.has_no_input, self.is_peer_open = has_no_input, is_peer_open
-        self.paused = False  # nothing more is taken from the kernel
-        self.asked = 0  # requests of its that have been taken on
-        self.second, self.recent = 0, 0  # the last second in which it asked, and how often
-        self.since = 0.0  # when it was made or last fell idle
-        self.expires = 0.0
-        self.transport: asyncio.Transport
+    1. Its memory is bounded whatever its client does: the unparsed bytes of one read (reading is paused while
+       there are any that cannot be parsed yet), one request, and one response. While the response is not with
+       the kernel the next request is not taken up.
+    2. After the last response only the sending side is closed, and the connection once the client has closed
+       it, too, or has had its time. It is closed at once only where no part of the response could be lost.
+       Input behind a last response is dropped.
+    3. A client that closes its connection has gone, and its requests end. The event loop reports that only
+       while it reads, after all input before. So the kernel is asked as well: when a request is taken up, at
+       the first byte of each attempt, and, of a connection that is not read, at each sweep. Its requests end
+       within that call, so that the decisions start no further attempt.
+    """
 
-    def is_idle(self) -> bool:
-        """Whether nothing of a request or of an answer is here."""
-        raise NotImplementedError
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection has its transport (asyncio)."""
+        self.transport = cast(asyncio.Transport, transport)
+        # Without a buffer, writes go to the kernel at once, and `pause_writing` reports those that cannot.
+        self.transport.set_write_buffer_limits(0)
+        context = self.context
+        context.connections[self] = None
+        context.account.charge(Held.CLIENTS, IDLE_CLIENT)
+        self.idle_since = context.loop.time()
+        self.expires_at = self.idle_since + REQUEST_TIMEOUT_S
+        if not context.monitor.descriptors.count(Use.CLIENTS):
+            context.over_capacity = True
+            context.pause_accepting()
+        if context.monitor.gives_up(Measure.REFUSE_NEW):
+            self.keep_alive = False
+            self._respond(503, [b"refused\n"], 8, [])
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """The connection is closed (asyncio)."""
+        context = self.context
+        if self in context.connections:
+            del context.connections[self]
+            context.monitor.descriptors.give_back(Use.CLIENTS)
+            context.over_capacity = (
+                context.over_capacity and context.monitor.descriptors.free(Use.CLIENTS) < 0
+            )
+            context.account.charge(Held.CLIENTS, -IDLE_CLIENT)
+        self.ending = True
+        self.upload = self.response_stream = None
+        self.unparsed, self.offset = b"", 0
+        self.reader.reset()
+        self._update_account()
+        self._release_output()
+        context.monitor.leases.give_back(self)
+        flow = self._detach_flow()
+        if flow:
+            self._abandon(flow)
+
+    def on_client_gone(self) -> None:
+        """The client has closed the connection: abort it, and end its request."""
+        if not self.ending:
+            self.context.engine.endings["client left unread"] += 1
+            self.ending = True  # no input is taken up until `connection_lost`
+            self.transport.abort()
+            self._abort_upload()
+
+    def client_waits(self) -> bool:
+        """Whether the client is still connected, asked before an attempt is sent for it."""
+        if is_open := self.is_peer_open():
+            return is_open
+        self.on_client_gone()
+        return False
 
-    def claim(self) -> tuple[int, float]:
-        """How strong its claim to a place is: those that only stand there go before the usual clients'."""
-        raise NotImplementedError
+    def _abandon(self, flow: Flow[Message, Message]) -> None:
+        """End a request whose client has gone."""
+        if self.context.metrics is not None:
+            self.context.metrics.left(flow)
+        self.context.engine.leave(flow)
+
+    def has_pending_work(self) -> bool:
+        """Whether a request that has arrived, or may have, is still to be answered."""
+        return bool(self.flow or self.queued or self.unparsed or self.reader.completed)
+
+    def is_idle(self) -> bool:
+        """Whether it has no part of a request or of a response."""
+        return not (self.has_pending_work() or self.request_started or self.ending or self.write_blocked)
 
-    def has_gone(self) -> None:
-        """Its client has left, and what it had sent hid that from the loop."""
-        raise NotImplementedError
+    def retention_priority(self) -> tuple[int, float]:
+        """How far it is worth keeping, as a rank (`BUSY` for one in use) and `idle_since`."""
+        if self.has_pending_work():
+            return BUSY, self.idle_since
+        if not self.request_count or self.ending:
+            if self.context.loop.time() < self.idle_since + FIRST_REQUEST_GRACE_S:
+                return NEW, self.idle_since
+            return (INCOMPLETE if self.request_started or self.ending else UNUSED), self.idle_since
+        if not self.is_idle():
+            return BUSY, self.idle_since
+        return (IDLE_AFTER_ONE if self.request_count == 1 else IDLE_REGULAR), self.idle_since
 
-    def turn_out(self) -> None:
-        """Who has asked nothing goes, and who is still at it is refused: its last byte may cross the end, and
-        is then answered."""
-        raise NotImplementedError
+    def _makes_progress(self, now: float) -> bool:
+        """Whether a body is arriving at `MIN_BODY_RATE` at least, by loop time `now` in s."""
+        message = self.reader.message
+        if message is None or self.reader.in_head:
+            return False
+        return message.size > MIN_BODY_RATE * (now - self.head_received_at)
 
     def expire(self) -> None:
-        """What it has kept for too long ends, or has its time anew where it may go on."""
-        raise NotImplementedError
+        """End the connection, whose time is over, or extend its time where it makes progress."""
+        now = self.context.loop.time()
+        if self.upload and not self.upload_paused:
+            self.error = HttpError(408)  # the upload has stalled
+            self._abort_upload()
+            self.go_on()
+        elif self.request_started and not self.flow and self._makes_progress(now):
+            self.expires_at = now + PROGRESS_INTERVAL_S
+        elif self.ending or self.write_blocked:
+            self.transport.abort()
+        elif self.flow or self.queued:
+            self.expires_at = self.context.loop.time() + REQUEST_TIMEOUT_S
+        elif self.request_started:
+            self.error = HttpError(408)
+            self.go_on()
+        elif (
+            self.has_no_input()
+        ):  # else a request has come that the loop does not know of yet, and would be lost
+            self.transport.close()
+
+    def close_or_reject(self) -> None:
+        """Close the connection where it is idle, and reject a request that is incomplete."""
+        if self.request_started and not self.has_pending_work():
+            self.error = HttpError(503)
+            self.go_on()
+        elif self.is_idle() and self.has_no_input():
+            self.transport.close()
+
+    def pause_writing(self) -> None:
+        """Part of what was written is not with the kernel (asyncio)."""
+        self.write_blocked = True
+
+    def resume_writing(self) -> None:
+        """All that was written is with the kernel (asyncio)."""
+        self.write_blocked = False
+        self._release_output()
+        if self.response_stream:
+            self.expires_at = self.context.loop.time() + CLIENT_STALL_TIMEOUT_S
+            self.response_stream.set_paused(False)
+            return
+        if not self.ending:
+            self.idle_since = self.context.loop.time()
+            self.expires_at = self.idle_since + 2 * IDLE_TIMEOUT_S
+            self.context.turns.wait(self)
+
+    def data_received(self, data: bytes) -> None:
+        """Reject a request unparsed where the proxy sheds load, or process it (asyncio)."""
+        if self.ending or self.error:
+            return  # input behind the last response is dropped, so that no reset destroys the response
+        context = self.context
+        gate = context.gate
+        idle = not (self.flow or self.unparsed or self.request_started or self.queued or self.write_blocked)
+        if idle:
+            self.pipelined = False
+            is_excessive = context.exceeds_fair_rate(self)
+            if gate.shut or gate.crowded(is_excessive) or context.account.pressed:
+                tenant = scan_tenant(data)
+                again = gate.again and scan_is_retry(data)
+                counts = None if tenant is None else context.counts.get(scan_request_class(data))
+                if (tenant is not None and counts) and (
+                    gate.turns_away(tenant, is_excessive, again) or context.account.pressed
+                ):
+                    self.counts = counts
+                    if context.metrics is not None:
+                        context.count_unparsed(scan_request_class(data), tenant)
+                    context.turns.refuse(self)
+                    return
+        self.unparsed, self.offset = (self.unparsed[self.offset :] + data if self.unparsed else data), 0
+        self.go_on()
+
+    def refuse(self) -> None:
+        """Reject a request before it is parsed (called by `Turns`)."""
+        if self.ending:
+            return
+        if self.counts:
+            self.counts.dropped += 1
+            self.counts = None
+        self.request_count += 1
+        self.idle_since = self.context.loop.time()
+        self.expires_at = self.idle_since + 2 * IDLE_TIMEOUT_S
+        self.transport.write(next(self.context.rejections))
+        if self.write_blocked:
+            self._count_unread(self.idle_since + LINGER_TIMEOUT_S)
+        if self.unparsed:
+            self.go_on()
+
+    def go_on(self, given: bool = False) -> None:
+        """Process input as far as the turn allows; `given` where it has waited for this turn."""
+        if self.working:
+            return
+        self.working, turns = True, self.context.turns
+        turns.begin()
+        while not self.queued and self._has_work():
+            if not given and (self.pipelined or self.context.exceeds_fair_rate(self)):
+                turns.wait(self, behind=True)
+            elif turns.spend(self._cost()):
+                self._work()
+            else:
+                turns.wait(self)
+        self.working = False
+        self._update_account()
+        # Reading pauses while input cannot be processed, but not behind the last response.
+        pause = (bool(self.unparsed) or self.awaiting_lease or self.upload_paused) and not self.ending
+        if pause is not self.reading_paused and not self.transport.is_closing():
+            self.reading_paused = pause
+            (self.transport.pause_reading if pause else self.transport.resume_reading)()
+
+    def _update_account(self) -> None:
+        """Charge the input that is kept, and ask for a lease on memory where a body grows large."""
+        size = len(self.unparsed) - self.offset
+        if (message := self.reader.message) and not self.upload:
+            size += self.reader.raw_size
+            leases = self.context.monitor.leases
+            self.awaiting_lease = message.size > SMALL and not leases.ask(self, self._leased)
+        if size != self.charged_input:
+            self.context.account.charge(Held.READING, size - self.charged_input)
+            self.charged_input = size
+
+    def _leased(self) -> None:
+        self.awaiting_lease = False
+        self.go_on()
+
+    def _cost(self) -> int:
+        """The cost of the next step, in units of the turn's budget."""
+        if self.reader.completed:
+            return DECIDE
+        return CHUNKED if self.reader.in_unsized_body() else READ_ONE
+
+    def _has_work(self) -> bool:
+        if self.upload and not self.ending:
+            return bool(self.unparsed) and not self.upload_paused
+        if self.flow or self.ending or self.write_blocked:
+            return False
+        return bool(self.unparsed or self.reader.completed or self.error)
+
+    def _work(self) -> None:
+        """Take one step: take up a request, parse to the end of one, or reject malformed input."""
+        if self.reader.completed:
+            self._handle(self.reader.completed.pop(0))
+        elif self.unparsed:
+            self._parse()
+        elif self.error:
+            self._reject_malformed(self.error)
+
+    def _parse(self) -> None:
+        try:
+            self.offset = self.reader.step(self.unparsed, self.offset)
+        except HttpError as fault:
+            self.error, self.offset = fault, len(self.unparsed)
+            if self.upload:
+                self._abort_upload()
+        if self.offset >= len(self.unparsed):
+            self.unparsed, self.offset = b"", 0
+        if self.upload:
+            self._continue_upload(self.upload)
+            return
+        message = self.reader.message
+        started = message is not None
+        if started and not self.request_started:
+            self.head_received_at, now = 0.0, self.context.loop.time()
+            first = max(
+                self.expires_at, min(now + REQUEST_TIMEOUT_S, self.idle_since + FIRST_REQUEST_TIMEOUT_S)
+            )
+            self.expires_at = now + REQUEST_TIMEOUT_S if self.request_count else first
+        self.request_started = started
+        if message and not self.reader.in_head:
+            self.head_received_at = self.head_received_at or self.context.loop.time()
+            if b"expect" in message.fields and not message.continue_sent:
+                message.continue_sent = True
+                if not message.body:
+                    self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+            if message.exceeds_buffer and not self.error:
+                self._begin_upload(message)
+
+    # Long requests
+
+    def _begin_upload(self, message: Message) -> None:
+        """Take up a long request before it is complete: the rest is passed on as it arrives."""
+        self.context.monitor.leases.give_back(self)
+        self.awaiting_lease = False
+        self.upload = message.stream = Stream(self)
+        # What has arrived of the body goes through the stream like the rest: a target with an idle connection
+        # is written to within this call, and would get it without chunked framing, and then again.
+        self.upload.feed(message.take_body())
+        self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
+        self._handle(message)
+
+    def _continue_upload(self, upload: Stream) -> None:
+        """Pass on what has been parsed of a long request."""
+        message = self.reader.message or (self.reader.completed.pop(0) if self.reader.completed else None)
+        if message is None:
+            return
+        self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
+        upload.feed(message.take_body())
+        if message.complete:
+            self.upload, self.upload_paused, self.request_started, self.keep_alive = (
+                None,
+                False,
+                False,
+                message.keep_alive,
+            )
+            upload.end()
+
+    def _abort_upload(self) -> None:
+        """End a long request whose rest will not arrive or is malformed."""
+        flow = self._detach_flow()
+        self.upload, self.upload_paused = None, False
+        if flow:
+            self._abandon(flow)
+
+    def set_paused(self, paused: bool) -> None:
+        """Pause reading a long request while its target takes no more, or resume."""
+        if paused is not self.upload_paused:
+            self.upload_paused = paused
+            self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
+            self.go_on()
+
+    def _handle(self, message: Message) -> None:
+        """Take up a request: reject it, or hand it to the engine."""
+        self.keep_alive = message.keep_alive
+        if message.url == READY_PATH and b"x-call-id" not in message.fields:  # else of a class of that name
+            self._handle_ready(message)
+            return
+        # The client may have closed the connection while the request waited for a turn, a lease or a response
+        # before it, and unread input hides that.
+        if not self.is_peer_open():
+            self.on_client_gone()
+            return
+        # Asked at each request: the process may have been suspended since it was read.
+        policy_lease = self.context.policy_lease
+        if policy_lease is not None and self.context.ready:
+            if not policy_lease.may():
+                self.refused(self.context.count_rejected(message))
+                return
+            self.policy_field = policy_lease.stamp
+        try:
+            request, left = self.context.parse_request(message)
+        except HttpError as error:
+            self._reject_malformed(error)
+            return
+        # No request is taken up before the endpoint list is known, nor while memory is short.
+        if not self.context.ready or self.context.account.pressed:
+            cls = self.context.settings.classes[request.cls]
+            self.context.engine.tally.of(cls.name).dropped += 1
+            if self.context.metrics is not None:
+                self.context.count_unparsed(cls.name.encode(), message.fields.get(b"x-caller", b""))
+            self._respond_status(503)
+        elif message.exceeds_buffer and message.method == b"GET":
+            self._reject_malformed(HttpError(400))
+        else:
+            self._start_flow(message, request, left)
+
+    def _start_flow(self, message: Message, request: api.Request, left: float) -> None:
+        """Hand a request to the engine; its client allows `left` s for it."""
+        context = self.context
+        upload_time = UPLOAD_TIME_S if self.upload else 0.0
+        deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
+        self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
+        self.flow.left = left if self.upload else 0.0
+        message.sender_waits = self.client_waits
+        self.charged_flow = FLOW + (WINDOW if self.upload else message.size)
+        context.account.charge(Held.FLOWS, self.charged_flow)
+        self.request_count += 1
+        self.pipelined = bool(self.unparsed)
+        context.count_request(self)
+        context.open_ids.add(message.fields[b"x-call-id"])
+        if context.metrics is not None:
+            context.metrics.take(self.flow, request, context.settings)
+        context.engine.take(self.flow, request)
+
+    def _handle_ready(self, message: Message) -> None:
+        self.request_count += 1
+        if message.method != b"GET":
+            self._respond_status(405)
+        else:
+            context = self.context
+            up = (
+                context.ready
+                and not context.draining
+                and (context.policy_lease is None or context.policy_lease.may())
+            )
+            self._respond_status(200 if up else 503)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -1,11 +1,11 @@
-"""What all client connections share: their state, what they may ask for, and what is refused unseen."""
+"""What all client connections of a proxy share: their state, the parsing of requests, and load shedding."""
 
 from __future__ import annotations
 
 import asyncio
 import itertools
 from collections.abc import Callable, Sequence
-from typing import Protocol
+from typing import Final, Protocol
 
 import httptools
 
@@ -16,118 +16,136 @@
 from firvane.core.net.request_scan import percent_decode
 from firvane.core.request_counters import Counts
 from firvane.proxy.limits.admission_gate import Gate
-from firvane.proxy.net.client_connection import ClientConnection
-from firvane.proxy.net.resource_monitor import Guard
+from firvane.proxy.net.managed_connection import ManagedConnection
+from firvane.proxy.net.resource_monitor import ResourceMonitor
 
-# Two values of one of these would let the proxy and a target go by different ones.
-SINGLE = frozenset((b"host", b"x-call-id", b"x-caller", b"x-budget-ms", b"x-route-hash", b"x-call-cost"))
-# s after which clients of a proxy that may decide nothing come back, spread: its next lease may be near.
-PAUSES = tuple(0.25 + step / 16 for step in (3, 11, 7, 15, 1, 9, 5, 13, 0, 8, 4, 12, 2, 10, 6, 14))
-GREEDY = 4.0  # times as often as others, and four times more, is far more than they ask
+# Fields that may not be repeated: the proxy and a target could go by different values.
+SINGLE_FIELDS = frozenset(
+    (b"host", b"x-call-id", b"x-caller", b"x-budget-ms", b"x-route-hash", b"x-call-cost")
+)
+# Retry-After of a proxy without a lease on the policy, spread: it may have its next lease soon.
+LEASE_BACKOFFS_S = tuple(0.25 + step / 16 for step in (3, 11, 7, 15, 1, 9, 5, 13, 0, 8, 4, 12, 2, 10, 6, 14))
+EXCESSIVE_RATE_FACTOR = 4.0  # times the mean of other connections
+MAX_BUDGET_DIGITS: Final = 9
+MAX_COST_DIGITS: Final = 12
 
 
-class Agreement(Protocol):
-    """Whether requests may be decided here at all, and by which policy; as the proxy has it."""
+class PolicyLease(Protocol):
+    """Whether requests may be decided now, and by which policy."""
 
-    stamp: bytes  # a header line for each answer, or none
+    stamp: bytes  # a header line that names the policy in each response, or b""
 
-    def may(self) -> bool: ...
+    def may(self) -> bool:
+        """Whether a new request may be decided now."""
 
 
-class Measures(Protocol):
-    """Counts by class and tenant, as the proxy has them where they are asked for."""
+class RequestMetrics(Protocol):
+    """Counts of requests by class and tenant."""
 
-    def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None: ...
+    def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
+        """A request is taken up."""
 
-    def left(self, flow: Flow[Message, Message]) -> None: ...
+    def left(self, flow: Flow[Message, Message]) -> None:
+        """The client of a request has gone."""
 
-    def unseen(self, cls: str, tenant: str | None) -> None: ...
+    def unseen(self, cls: str, tenant: str | None) -> None:
+        """A request was rejected before it was parsed."""
 
 
-def method(cls: api.RequestClass) -> bytes:
-    """That of its requests."""
+def request_method(cls: api.RequestClass) -> bytes:
+    """The HTTP method of the requests of a class."""
     return b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"
 
 
-class ClientSide:
-    """What all client connections of the proxy share, whoever may be here (`net.front`)."""
+class ClientContext:
+    """The state that all client connections of a proxy share.
+
+    Attributes:
+        classes: The current request classes and their numbers, by the first segment of the path.
+        previous_classes: Those before the last change of the settings, for a while, by path and method.
+        counts: Counters of the current classes.
+        tenants: The numbers of the tenants, by name.
+        connections: All client connections, in the order of their arrival (a set's order would differ from
+            run to run).
+        policy_lease: The lease on the policy that all proxies agree on, where there is one.
+        metrics: Counts by class and tenant, where they are configured.
+        set_accepting: Pauses or resumes the acceptance of connections.
+        accepting_paused: It is paused.
+        over_capacity: There are more connections than descriptors for them.
+        rate_second: The current second of loop time.
+        active_connections: Connections that have sent requests in it.
+        request_count: Their requests in it.
+        mean_requests: Requests of an active connection in the second before.
+        open_ids: The ids of the requests that are in flight.
+        ready: New requests are taken up.
+        draining: The proxy is no longer ready for new clients.
+        closing: Each response is the last one of its connection.
+        drain_deadline: Loop time in s by which all requests must have ended.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         engine: Engine[Message, Message],
         settings: api.Settings,
-        guard: Guard,
+        monitor: ResourceMonitor,
     ) -> None:
-        self.loop, self.engine, self.settings, self.guard = loop, engine, settings, guard
+        self.loop, self.engine, self.settings, self.monitor = loop, engine, settings, monitor
         engine.gate = self
-        # Classes by the first part of a path; and, for a while, those that were there before, by their form.
         self.classes: dict[bytes, tuple[int, api.RequestClass]] = {}
-        self.former: dict[tuple[bytes, bytes], tuple[int, api.RequestClass]] = {}
+        self.previous_classes: dict[tuple[bytes, bytes], tuple[int, api.RequestClass]] = {}
         self.counts: dict[bytes, Counts] = {}
         self.tenants: dict[bytes, int] = {}
-        self.connections: dict[ClientConnection, None] = {}  # in order: a set's would differ from run to run
-        self.turns, self.account = guard.turns, guard.account
-        self.gate = Gate((), guard.turns.full)
-        self.retune(settings, tuple(range(len(settings.classes))))
-        guard.counts = lambda: (self.gate.wished, self.gate.overflowed, self.gate.told())
-        self.make_rejections = itertools.cycle(make_rejections(0.0, 0.0))
-        self.agreement: Agreement | None = None  # where there is one on the policy for all proxies
-        self.measures: Measures | None = None  # where they are asked for
-        self.pauses = itertools.cycle(PAUSES)
-        self.door: Callable[[bool], None] = lambda opened: None  # opens or shuts the way for new connections
-        self.shut_out = False  # it is shut
-        self.crowded = False  # more are here than there are places
-        self.second, self.askers, self.asked = 0, 0, 0  # who has asked in this second, and how often
-        self.usual = 0.0  # requests that a connection which asks has brought in the last one
-        self.ids: set[bytes] = set()  # of the flows that are open here
+        self.connections: dict[ManagedConnection, None] = {}
+        self.turns, self.account = monitor.turns, monitor.account
+        self.gate = Gate((), monitor.turns.full)
+        self.apply_settings(settings, tuple(range(len(settings.classes))))
+        monitor.counts = lambda: (self.gate.wished, self.gate.overflowed, self.gate.told())
+        self.rejections = itertools.cycle(make_rejections(0.0, 0.0))
+        self.policy_lease: PolicyLease | None = None
+        self.metrics: RequestMetrics | None = None
+        self.lease_backoffs = itertools.cycle(LEASE_BACKOFFS_S)
+        self.set_accepting: Callable[[bool], None] = lambda accepting: None
+        self.accepting_paused = False
+        self.over_capacity = False
+        self.rate_second = 0
+        self.active_connections = 0
+        self.request_count = 0
+        self.mean_requests = 0.0
+        self.open_ids: set[bytes] = set()
         self.ready = False
-        self.draining = False  # no longer ready for new clients
-        self.closing = False  # nor for those that are here: each answer is a connection's last
-        self.last = float("inf")  # no flow may still be open then
-
-    def retune(self, settings: api.Settings, current: Sequence[int]) -> None:
-        """Requests come by these settings from now on; clients may name the current classes."""
-        self.former = {(name, method(cls)): (number, cls) for name, (number, cls) in self.classes.items()}
+        self.draining = False
+        self.closing = False
+        self.drain_deadline = float("inf")
+
+    def apply_settings(self, settings: api.Settings, current: Sequence[int]) -> None:
+        """Use other settings; clients may name the classes with the numbers in `current`."""
+        known = self.classes.items()
+        self.previous_classes = {(name, request_method(cls)): (number, cls) for name, (number, cls) in known}
         self.settings = settings
         self.classes = {settings.classes[i].name.encode(): (i, settings.classes[i]) for i in current}
         self.counts = {name: self.engine.tally.of(cls.name) for name, (_, cls) in self.classes.items()}
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
         self.gate.name(tuple(self.tenants))
 
-    def forget(self) -> None:
-        """Nobody comes by the settings of before any more."""
-        self.former.clear()
+    def forget_previous_settings(self) -> None:
+        """Accept no more requests by the settings before the current ones."""
+        self.previous_classes.clear()
 
-    def read(self, message: Message) -> tuple[api.Request, float]:
-        """The request that a message holds and its deadline; `HttpError` where it holds none."""
-        path = message.url.split(b"?", 1)[0]
-        if not path.startswith(b"/"):  # the absolute form, as sent to a proxy
-            try:
-                path = httptools.parse_url(message.url).path or b"/"
-            except httptools.HttpParserInvalidURLError:
-                raise HttpError(400) from None
-        name = path.split(b"/", 2)[1]
-        known = self.classes.get(name)
-        if known is None and b"%" in name:  # what a path cannot hold as it is comes percent-encoded
-            name = percent_decode(name)
-            known = self.classes.get(name)
-        if known is None or message.method != method(known[1]):
-            known = self.former.get((name, message.method), known)
-        if known is None:
-            raise HttpError(404)
-        number, cls = known
-        if message.method != method(cls):
-            raise HttpError(405)
+    def parse_request(self, message: Message) -> tuple[api.Request, float]:
+        """The request that a message holds, and its deadline in s; raises `HttpError` where it is invalid."""
+        number, cls = self._find_class(message)
         fields = message.fields
-        if not SINGLE.isdisjoint(message.repeated_fields) or (message.size and message.method == b"GET"):
+        if not SINGLE_FIELDS.isdisjoint(message.repeated_fields) or (
+            message.size and message.method == b"GET"
+        ):
             raise HttpError(400)
         if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise HttpError(400)  # a coding that would pass as the body itself
-        if fields.get(b"x-call-id") in self.ids:
-            raise HttpError(409)  # only one of two can be the one that a target's answer is for
+            raise HttpError(400)  # another coding would pass for the body itself
+        if fields.get(b"x-call-id") in self.open_ids:
+            raise HttpError(409)  # a target's response must belong to one request only
         budget, tenant = fields.get(b"x-budget-ms", b""), None
-        if not fields.get(b"x-call-id") or not budget.isdigit() or len(budget) > 9:
+        if not fields.get(b"x-call-id") or not budget.isdigit() or len(budget) > MAX_BUDGET_DIGITS:
             raise HttpError(400)
         if self.tenants:
             tenant = self.tenants.get(fields.get(b"x-caller", b""))
@@ -140,52 +158,82 @@
             left=0.0,
             key=key.decode("latin-1") if key else None,
             tenant=tenant,
-            work=int(cost) / 1e6 if cost.isdigit() and len(cost) <= 12 else None,
+            work=int(cost) / 1e6 if cost.isdigit() and len(cost) <= MAX_COST_DIGITS else None,
             is_retry=fields.get(b"x-again") == b"1",
             is_write=cls.repeat is not api.Repeat.SAFE,
         )
         return request, min(int(budget) / 1000, cls.deadline)
 
-    def count(self, connection: ClientConnection) -> None:
-        """A request of its is taken up: how often it asks, and how often others do, second by second."""
+    def _find_class(self, message: Message) -> tuple[int, api.RequestClass]:
+        """The number and the class that a request's path and method name."""
+        path = message.url.split(b"?", 1)[0]
+        if not path.startswith(b"/"):  # the absolute form (RFC 9112, 3.2.2)
+            try:
+                path = httptools.parse_url(message.url).path or b"/"
+            except httptools.HttpParserInvalidURLError:
+                raise HttpError(400) from None
+        name = path.split(b"/", 2)[1]
+        known = self.classes.get(name)
+        if known is None and b"%" in name:
+            name = percent_decode(name)
+            known = self.classes.get(name)
+        if known is None or message.method != request_method(known[1]):
+            known = self.previous_classes.get((name, message.method), known)
+        if known is None:
+            raise HttpError(404)
+        if message.method != request_method(known[1]):
+            raise HttpError(405)
+        return known
+
+    def count_request(self, connection: ManagedConnection) -> None:
+        """Count a request for the rates of its connection and of the others, second by second."""
         second = int(self.loop.time())
-        if second != self.second:
-            self.usual = self.asked / self.askers if self.askers else 0.0
-            self.second, self.askers, self.asked = second, 0, 0
-        if connection.second != second:
-            connection.second, connection.recent = second, 0
-            self.askers += 1
-        connection.recent += 1
-        self.asked += 1
-
-    def is_greedy(self, connection: ClientConnection) -> bool:
-        """Whether it has asked far more in this second than others did in the last."""
-        return connection.second == self.second and connection.recent > GREEDY * (1.0 + self.usual)
+        if second != self.rate_second:
+            active = self.active_connections
+            self.mean_requests = self.request_count / active if active else 0.0
+            self.rate_second, self.active_connections, self.request_count = second, 0, 0
+        if connection.rate_second != second:
+            connection.rate_second, connection.rate_count = second, 0
+            self.active_connections += 1
+        connection.rate_count += 1
+        self.request_count += 1
+
+    def exceeds_fair_rate(self, connection: ManagedConnection) -> bool:
+        """Whether a connection has sent far more in this second than others did in the last."""
+        if connection.rate_second != self.rate_second:
+            return False
+        return connection.rate_count > EXCESSIVE_RATE_FACTOR * (1.0 + self.mean_requests)
 
     def turn_away(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
-        """The decisions' word on what to refuse unseen."""
+        """Set what part of each tenant's requests is rejected before it is parsed (called by the engine).
+
+        Args:
+            parts: The part to reject, from 0 to 1, for each tenant.
+            retry_after: Mean seconds after which rejected clients are to retry; 0 for none.
+            again: Whether retries are rejected first.
+        """
         self.gate.set(parts, again)
         limits = self.settings.limits
         pause = retry_after if limits.retry_after else 0.0
-        self.make_rejections = itertools.cycle(make_rejections(pause, limits.max_retry_after))
+        self.rejections = itertools.cycle(make_rejections(pause, limits.max_retry_after))
 
-    def count_refused(self, message: Message) -> float:
-        """Whatever it asks for, nobody may decide on it now; for how many seconds its client should wait."""
+    def count_rejected(self, message: Message) -> float:
+        """Count a request that is rejected for want of a lease on the policy; return its Retry-After in s."""
         name = message.url.split(b"?", 1)[0].split(b"/", 2)[1:2]
         if counts := self.counts.get(name[0] if name else b""):
             counts.dropped += 1
-            if self.measures is not None:
-                self.count_unseen(name[0], message.fields.get(b"x-caller", b""))
+            if self.metrics is not None:
+                self.count_unparsed(name[0], message.fields.get(b"x-caller", b""))
         self.engine.endings["no lease on the policy"] += 1
         limits = self.settings.limits
-        return min(limits.max_retry_after, next(self.pauses)) if limits.retry_after else 0.0
+        return min(limits.max_retry_after, next(self.lease_backoffs)) if limits.retry_after else 0.0
 
-    def count_unseen(self, cls: bytes, tenant: bytes) -> None:
-        """A request of these, as they stand on the wire, is refused before anything is decided on it."""
-        if self.measures is not None:
+    def count_unparsed(self, cls: bytes, tenant: bytes) -> None:
+        """Count a request that is rejected before any decision, by its class and tenant on the wire."""
+        if self.metrics is not None:
             known = tenant.decode("latin-1") if tenant in self.tenants else None
-            self.measures.unseen(cls.decode("latin-1"), known)
+            self.metrics.unseen(cls.decode("latin-1"), known)
 
-    def no_place(self) -> None:
-        """All places are taken."""
+    def pause_accepting(self) -> None:
+        """All descriptors for client connections are in use."""
         raise NotImplementedError
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -1,4 +1,4 @@
-"""The answers on one client's connection, and its end behind the last one."""
+"""The responses on a client's connection, and its end after the last one."""
 
 from __future__ import annotations
 
@@ -13,175 +13,227 @@
 from firvane.core.request_counters import Counts
 from firvane.proxy.limits.memory_account import Held
 from firvane.proxy.limits.memory_costs import WINDOW
-from firvane.proxy.net.client_connection import IDLE, ClientConnection
-from firvane.proxy.net.client_context import ClientSide
-
-SLOW, LINGER = 2.4, 2.0  # s for a whole request, the first from connecting on; to read the last answer
-AT_ONCE = 8 * 1024  # bytes of an answer that any connection takes at once: a new one may send ten packets
-STALLED = 30.0  # s in which a client takes nothing of a long answer
-
-
-class AnsweringConnection(ClientConnection):
-    """A client's connection with the state of its request and its answer, and the writing of that answer."""
+from firvane.proxy.net.client_context import ClientContext
+from firvane.proxy.net.managed_connection import IDLE_TIMEOUT_S, ManagedConnection
+
+REQUEST_TIMEOUT_S = 2.4  # for a complete request, the first one from connecting on
+LINGER_TIMEOUT_S = 2.0  # for the client to read the last response
+INITIAL_WINDOW_BYTES = 8 * 1024  # of a response that a new connection sends at once: ten packets
+CLIENT_STALL_TIMEOUT_S = 30.0  # in which a client reads nothing of a long response
+METHOD_NOT_ALLOWED = 405
+
+
+class RespondingConnection(ManagedConnection):
+    """A client's connection with the state of its request, and the writing of the response.
+
+    Attributes:
+        flow: The request that is in flight.
+        keep_alive: The connection stays open after the current response, as far as the request goes.
+        error: The input is malformed: it is answered after the requests before it.
+        discarding: That is being answered: further input is dropped.
+        ending: The last response is written.
+        request_started: A request has arrived in part.
+        unparsed: Input that is not parsed yet, from `offset` on.
+        write_blocked: Part of a response is not with the kernel yet.
+        charged_input: Bytes of memory charged for input that is no flow yet.
+        charged_flow: The same for the flow.
+        charged_output: The same for a response that the client has yet to read.
+        awaiting_lease: Reading is paused until a lease on memory for a large body is given.
+        queued: It waits for its turn in the event loop (set by `Turns`).
+        pipelined: The input was sent behind a request that is in flight.
+        policy_field: A header line for the response that names the policy, or b"".
+        head_received_at: When the head of the current request arrived, in loop time.
+        upload: The rest of the flow's request, which is still arriving.
+        upload_paused: The target takes no more of it now.
+        response_stream: The rest of the flow's response.
+        chunked: That response is written in chunks.
+        closes_after: The connection ends with it.
+        working: `go_on` is running.
+        counts: Counters of the class of a request that is to be rejected unparsed.
+    """
 
     def __init__(
         self,
-        front: ClientSide,
+        context: ClientContext,
         has_no_input: NoInputCheck = always_true,
         is_peer_open: PeerOpenCheck = always_true,
     ) -> None:
         super().__init__(has_no_input, is_peer_open)
-        self.front = front
+        self.context = context
         self.reader = MessageReader(httptools.HttpRequestParser)
         self.flow: Flow[Message, Message] | None = None
-        self.keep = True  # the request being served lets the connection live on
-        self.fault: HttpError | None = None  # framing is lost: to be answered after what came before
-        self.lost = False  # the fault is being answered: whatever still comes is not read
-        self.ending = False  # the last answer is written
-        self.started = False  # part of a request has come
-        self.rest, self.at = b"", 0  # what has come, and how far it has been read
-        self.choked = False  # an answer is not yet with the kernel
-        self.kept = 0  # bytes that are charged for what has come and is not a flow yet
-        self.charged = 0  # the same for the flow
-        self.unread = 0  # and for an answer that the client has not read
-        self.unleased = False  # its body has grown large, and waits for a lease
-        self.queued = False  # waits for its turn
-        self.behind = False  # what is here was sent behind a request that has been taken up
-        self.stamp = b""  # a header line for the answer, which says by which policy it was decided
-        self.head_at = 0.0  # when the head of what is being read was here
-        self.upload: Stream | None = None  # the rest of the flow's request, which is still coming
-        self.held = False  # its target takes no more of it now
-        self.pouring: Stream | None = None  # the rest of the flow's answer
-        self.chunked = self.closes = False  # in chunks; and the connection ends with it
-        self.busy = False  # at work in this very call
-        self.counts: Counts | None = None  # of the class of what is to be refused unseen
+        self.keep_alive = True
+        self.error: HttpError | None = None
+        self.discarding = False
+        self.ending = False
+        self.request_started = False
+        self.unparsed, self.offset = b"", 0
+        self.write_blocked = False
+        self.charged_input = 0
+        self.charged_flow = 0
+        self.charged_output = 0
+        self.awaiting_lease = False
+        self.queued = False
+        self.pipelined = False
+        self.policy_field = b""
+        self.head_received_at = 0.0
+        self.upload: Stream | None = None
+        self.upload_paused = False
+        self.response_stream: Stream | None = None
+        self.chunked = self.closes_after = False
+        self.working = False
+        self.counts: Counts | None = None
 
     def go_on(self, given: bool = False) -> None:
-        """Do what there is to do next on the connection."""
+        """Process input as far as the turn allows; `given` where it has waited for this turn."""
         raise NotImplementedError
 
     def begins(self, answer: Message) -> None:
-        """A long answer: its head now, the rest as it comes and as the client takes it."""
+        """Write the head of a long response; its body follows as it arrives and as the client reads it."""
         flow, stream = self.flow, answer.stream
         if flow is None or stream is None:
             return
-        front, length = self.front, answer.content_length()
+        context, length = self.context, answer.content_length()
         self.chunked = length is None and flow.request.version == b"1.1"
         bare = length is None and not self.chunked
-        self.closes = self._is_last() or bare
+        self.closes_after = self._closes_connection() or bare
         if bare:
             reset_on_close(self.transport)
-        self.charged += WINDOW
-        front.account.charge(Held.FLOWS, WINDOW)
-        head = format_response_head(answer, self.chunked, self.closes)
-        if self.stamp:
-            head.insert(1, self.stamp)
-            self.stamp = b""
+        self.charged_flow += WINDOW
+        context.account.charge(Held.FLOWS, WINDOW)
+        head = format_response_head(answer, self.chunked, self.closes_after)
+        if self.policy_field:
+            head.insert(1, self.policy_field)
+            self.policy_field = b""
         self.transport.writelines(head)
-        self.pouring = stream
-        self.expires = front.loop.time() + STALLED
+        self.response_stream = stream
+        self.expires_at = context.loop.time() + CLIENT_STALL_TIMEOUT_S
         stream.connect(self)
 
     def write_body(self, buffers: list[BytesLike]) -> None:
-        if self.pouring and not self.transport.is_closing():
+        """Write more of a long response."""
+        if self.response_stream and not self.transport.is_closing():
             self.transport.writelines(frame_chunk(buffers, self.chunked))
-            self.expires = self.front.loop.time() + STALLED
-            if self.choked:
-                self.pouring.set_paused(True)
+            self.expires_at = self.context.loop.time() + CLIENT_STALL_TIMEOUT_S
+            if self.write_blocked:
+                self.response_stream.set_paused(True)
 
     def end_body(self) -> None:
-        if self.chunked and self.pouring and not self.transport.is_closing():
+        """Write the end of a long response."""
+        if self.chunked and self.response_stream and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
     def ends(self) -> None:
-        self.pouring = None
-        self._over(self.closes, STALLED, True)
+        """A long response is complete."""
+        self.response_stream = None
+        self._response_written(self.closes_after, CLIENT_STALL_TIMEOUT_S, True)
 
     def cut(self) -> None:
-        """It ends short of what its head has said, without the last chunk, or by a reset where the end of the
-        connection would be its own: so its client can tell."""
-        self.pouring = None
+        """Abort a long response.
+
+        Its client can tell that it is truncated: by its length, the missing last chunk, or the reset.
+        """
+        self.response_stream = None
         self.transport.abort()
 
     def served(self, answer: Message) -> None:
-        self._finish(200, answer.body, answer.size, list(answer.end_to_end_fields()))
+        """Write the response of a target."""
+        self._respond(200, answer.body, answer.size, list(answer.end_to_end_fields()))
 
     def refused(self, retry_after: float) -> None:
+        """Reject the request; `retry_after` in s, or 0 for none."""
         extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
-        self._finish(503, [b"refused\n"], 8, extra)
+        self._respond(503, [b"refused\n"], 8, extra)
 
     def failed(self) -> None:
-        self._finish(502, [b"failed\n"], 7, [])
+        """Respond that no target has served the request."""
+        self._respond(502, [b"failed\n"], 7, [])
 
     def at_fault(self) -> None:
-        self._turn_down(HttpError(400))
-
-    def _reply(self, status: int) -> None:
-        """An answer of the proxy's own, with its status as a short body."""
-        headers = [b"Content-Type: text/plain\r\n"] + ([b"Allow: GET\r\n"] if status == 405 else [])
-        self._finish(status, [b"%d\n" % status], 4, headers)
-
-    def _finish(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
-        close = self._is_last()
-        if self.stamp:
-            headers, self.stamp = [self.stamp, *headers], b""
+        """Respond that the request is invalid, as a target found."""
+        self._reject_malformed(HttpError(400))
+
+    def _respond_status(self, status: int) -> None:
+        """Write a response of the proxy's own, whose body is its status."""
+        headers = [b"Content-Type: text/plain\r\n"] + (
+            [b"Allow: GET\r\n"] if status == METHOD_NOT_ALLOWED else []
+        )
+        self._respond(status, [b"%d\n" % status], 4, headers)
+
+    def _respond(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
+        close = self._closes_connection()
+        if self.policy_field:
+            headers, self.policy_field = [self.policy_field, *headers], b""
         self.transport.writelines(format_response(status, body, size, close, headers))
-        self._over(close, LINGER, size > AT_ONCE)
-
-    def _is_last(self) -> bool:
-        """Whether the connection ends with this answer."""
-        # Of a request that is still coming the rest is read and dropped: it must not pass for another.
-        return not self.keep or self.front.closing or self.front.crowded or self.upload is not None
-
-    def _over(self, close: bool, patience: float, long: bool) -> None:
-        """The answer is written, at the most it has yet to be read; a long one may still be in the kernel."""
-        front = self.front
+        self._response_written(close, LINGER_TIMEOUT_S, size > INITIAL_WINDOW_BYTES)
+
+    def _closes_connection(self) -> bool:
+        """Whether the connection ends with this response."""
+        # The rest of a request that is still arriving is dropped: it must not pass for another request.
+        return (
+            not self.keep_alive
+            or self.context.closing
+            or self.context.over_capacity
+            or self.upload is not None
+        )
+
+    def _response_written(self, close: bool, patience: float, long: bool) -> None:
+        """Finish the response, which is written but may still be unread.
+
+        Args:
+            close: The connection ends with it.
+            patience: Seconds that the client has to read it.
+            long: Part of it may still be in the kernel.
+        """
+        context = self.context
         if self.upload:
-            self.lost = True
-        self.upload, self.held = None, False
-        flow = self._taken_off()
-        front.guard.leases.give_back(self)
-        self.since = front.loop.time()
-        # A request that has begun to come behind this one has its own time.
-        self.expires = self.since + (SLOW if self.started else 2 * IDLE)
-        self._count_unread(max(self.since, flow.deadline if flow else 0.0) + patience)
+            self.discarding = True
+        self.upload, self.upload_paused = None, False
+        flow = self._detach_flow()
+        context.monitor.leases.give_back(self)
+        self.idle_since = context.loop.time()
+        # A request that has begun to arrive behind this one has its own timeout.
+        self.expires_at = self.idle_since + (
+            REQUEST_TIMEOUT_S if self.request_started else 2 * IDLE_TIMEOUT_S
+        )
+        self._count_unread(max(self.idle_since, flow.deadline if flow else 0.0) + patience)
         if close:
             self.ending = True
             self.reader.completed.clear()
-            self.rest, self.at = b"", 0
-            # Guards the answer against a reset, which destroys what of it is on its way: a close brings one
-            # where bytes are unread (what cannot be used, what stood behind a request, what has come since
-            # the loop last looked), and where more come before the last of the answer has left.
-            self.expires = front.loop.time() + patience
-            if self.lost or self.paused or long or not self.has_no_input():
+            self.unparsed, self.offset = b"", 0
+            # A close would reset the connection and destroy the response in transit where input is unread
+            # (malformed, pipelined, or not seen by the loop yet), or where more arrives before the last of
+            # the response has left.
+            self.expires_at = context.loop.time() + patience
+            if self.discarding or self.reading_paused or long or not self.has_no_input():
                 self.transport.write_eof()
             else:
                 self.transport.close()
         self.go_on()
 
     def _count_unread(self, expires: float) -> None:
-        """Charge what the client has yet to read; who does not by then what it waited for has gone."""
-        if self.choked and not self.unread:
-            self.expires = expires
-            self.unread = self.transport.get_write_buffer_size()
-            self.front.account.charge(Held.WRITING, self.unread)
-
-    def _taken_off(self) -> Flow[Message, Message] | None:
-        """The flow, if one is open, which is from now on no longer this connection's."""
+        """Charge what the client has yet to read, and abort at loop time `expires` in s if it has not."""
+        if self.write_blocked and not self.charged_output:
+            self.expires_at = expires
+            self.charged_output = self.transport.get_write_buffer_size()
+            self.context.account.charge(Held.WRITING, self.charged_output)
+
+    def _detach_flow(self) -> Flow[Message, Message] | None:
+        """Detach and return the request in flight, if any."""
         flow, self.flow = self.flow, None
         if flow:
-            self.front.ids.discard(flow.request.fields[b"x-call-id"])
-            self.front.account.charge(Held.FLOWS, -self.charged)
+            self.context.open_ids.discard(flow.request.fields[b"x-call-id"])
+            self.context.account.charge(Held.FLOWS, -self.charged_flow)
         return flow
 
-    def _turn_down(self, fault: HttpError) -> None:
-        """Answer what is at fault and hang up: what follows it may not be what its client meant, or worse."""
-        self.keep, self.lost = False, True
-        self.front.engine.endings[f"turned down {fault.status}"] += 1
-        self._reply(fault.status)
-
-    def _read_out(self) -> None:
-        """What was left of an answer is with the kernel, or lost."""
-        if self.unread:
-            self.front.account.charge(Held.WRITING, -self.unread)
-            self.unread = 0
+    def _reject_malformed(self, fault: HttpError) -> None:
+        """Respond to malformed input and close: what follows it cannot be trusted."""
+        self.keep_alive, self.discarding = False, True
+        self.context.engine.endings[f"turned down {fault.status}"] += 1
+        self._respond_status(fault.status)
+
+    def _release_output(self) -> None:
+        """Return the charge for an unread response, which is with the kernel now, or lost."""
+        if self.charged_output:
+            self.context.account.charge(Held.WRITING, -self.charged_output)
+            self.charged_output = 0
--- a/firvane/proxy/net/connection_limiter.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -1,4 +1,4 @@
-"""Who of the clients may be here, and who must go."""
+"""Limits the number of client connections, and closes them in order."""
 
 from __future__ import annotations
 
@@ -7,84 +7,89 @@
 from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.overload import Measure
-from firvane.proxy.net.client_connection import BUSY, IDLE
-from firvane.proxy.net.client_context import ClientSide
-from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.client_context import ClientContext
+from firvane.proxy.net.managed_connection import BUSY, IDLE_TIMEOUT_S
 
-# The same as `IDLE` where places run short, by the requests that a connection has brought: those
-# that ask once and stay would in the end keep out the clients that use theirs.
-SHORT_IDLE = (0.5, 0.1, 2.0)
-SHORTEST_IDLE = (0.2, 0.1, 1.0)  # and where only those that just stand there can give way
-# Of the places, the part that is made free at once where all are taken; s from one time to the next.
-ROOM, ROOM_EVERY = 1 / 32, 0.02
+# The idle timeout where connections run short, after no, one and more requests: connections that send one
+# request and stay would keep out clients that use theirs.
+SHORT_IDLE_TIMEOUTS_S = (0.5, 0.1, 2.0)
+SHORTEST_IDLE_TIMEOUTS_S = (0.2, 0.1, 1.0)  # where nothing but idle connections can be given up
+EVICTION_PART = 1 / 32  # of all connections, closed at once where none is free
+EVICTION_INTERVAL_S = 0.02
 
 
-class Front(ClientSide):
-    """The places of client connections: given, taken back where they are short, and ended in order."""
+class ConnectionLimiter(ClientContext):
+    """Accepts client connections within the descriptors for them, evicts idle ones, and closes the rest."""
 
     def accept(
         self, has_no_input: NoInputCheck = always_true, is_peer_open: PeerOpenCheck = always_true
-    ) -> Listener:
-        return Listener(self, has_no_input, is_peer_open)
+    ) -> ClientConnection:
+        """Make the protocol of an accepted connection."""
+        return ClientConnection(self, has_no_input, is_peer_open)
 
     def sweep(self) -> None:
-        """End what has stood unused, or has kept a request half sent, for too long."""
+        """End connections that have been idle, or have left a request incomplete, for too long."""
         now = self.loop.time()
-        self.guard.see_descriptors()
-        self.crowded = self.guard.descriptors.free(Use.CLIENTS) < 0
-        kept = SHORT_IDLE if self.guard.gives_up(Measure.SHORT_IDLE) else (IDLE, IDLE, IDLE)
-        if self.guard.gives_up(Measure.CLOSE_SILENT):
-            kept = SHORTEST_IDLE
+        self.monitor.see_descriptors()
+        self.over_capacity = self.monitor.descriptors.free(Use.CLIENTS) < 0
+        timeouts = (IDLE_TIMEOUT_S, IDLE_TIMEOUT_S, IDLE_TIMEOUT_S)
+        if self.monitor.gives_up(Measure.SHORT_IDLE):
+            timeouts = SHORT_IDLE_TIMEOUTS_S
+        if self.monitor.gives_up(Measure.CLOSE_SILENT):
+            timeouts = SHORTEST_IDLE_TIMEOUTS_S
         for connection in list(self.connections):
-            idle = kept[min(2, connection.asked)]
-            if connection.paused and not connection.is_peer_open():
-                connection.has_gone()
-            elif connection.expires <= now or (connection.since <= now - idle and connection.is_idle()):
+            idle_timeout = timeouts[min(2, connection.request_count)]
+            if connection.reading_paused and not connection.is_peer_open():
+                connection.on_client_gone()
+            elif connection.expires_at <= now or (
+                connection.idle_since <= now - idle_timeout and connection.is_idle()
+            ):
                 connection.expire()
 
-    def no_place(self) -> None:
-        """All places are taken: nobody is let in until some have been made, or have become free.
+    def pause_accepting(self) -> None:
+        """Accept no connections until some have been evicted or closed.
 
-        Room is made for several at once and only so often. Looking for the least claim anew for each newcomer
-        would let those that come by the thousand take the loop from everyone.
+        Several are evicted at once and only every `EVICTION_INTERVAL_S`: to search for the least priority at
+        each new connection would let a flood of them use up the event loop.
         """
-        if not self.shut_out:
-            self.shut_out = True
-            self.door(False)
-            self.loop.call_at(self.loop.time() + ROOM_EVERY, self._make_room)
+        if not self.accepting_paused:
+            self.accepting_paused = True
+            self.set_accepting(False)
+            self.loop.call_at(self.loop.time() + EVICTION_INTERVAL_S, self._evict)
 
-    def _make_room(self) -> None:
-        """Close what has the least claim to its place, and among equals the longest there; let in as many."""
-        descriptors = self.guard.descriptors
+    def _evict(self) -> None:
+        """Close the connections with the least retention priority, the oldest first among equals."""
+        descriptors = self.monitor.descriptors
         free = descriptors.free(Use.CLIENTS)
-        wanted = 1 + int((descriptors.held[Use.CLIENTS] + free) * ROOM)
+        wanted = 1 + int((descriptors.held[Use.CLIENTS] + free) * EVICTION_PART)
         if free < wanted:
             others = (c for c in self.connections if not c.transport.get_write_buffer_size())
-            spare = [(c.claim(), n, c) for n, c in enumerate(others)]
-            for (claim, _), _, least in heapq.nsmallest(wanted - free, spare):
-                if claim < BUSY and least.has_no_input():
+            spare = [(c.retention_priority(), n, c) for n, c in enumerate(others)]
+            for (priority, _), _, least in heapq.nsmallest(wanted - free, spare):
+                if priority < BUSY and least.has_no_input():
                     least.transport.abort()  # nothing of an answer is left on it
-        self.loop.call_at(self.loop.time() + ROOM_EVERY, self._reopen)
+        self.loop.call_at(self.loop.time() + EVICTION_INTERVAL_S, self._reopen)
 
     def _reopen(self) -> None:
-        """Let newcomers in again, if there is a place now."""
-        if self.guard.descriptors.free(Use.CLIENTS) > 0:
-            self.shut_out = False
-            self.door(True)
+        """Accept connections again if descriptors are free now."""
+        if self.monitor.descriptors.free(Use.CLIENTS) > 0:
+            self.accepting_paused = False
+            self.set_accepting(True)
         else:
-            self._make_room()
+            self._evict()
 
     def close_idle(self) -> None:
-        """Close what nobody uses any more; who has yet to ask its first is left to do so in its own time.
+        """Close idle connections on which a request was served.
 
-        A close between requests may cross the next one, which its client then sends once more. Guards the
-        first on a connection: nobody sends that again where its connection is closed with no answer.
+        A close may cross the next request, which its client then retries. Clients do not retry the first
+        request of a connection, so that connections without one are left open.
         """
         for connection in list(self.connections):
-            if connection.asked and connection.is_idle() and connection.has_no_input():
+            if connection.request_count and connection.is_idle() and connection.has_no_input():
                 connection.transport.close()
 
-    def turn_out(self) -> None:
-        """The proxy is about to end: whoever is still here has to go."""
+    def close_or_reject(self) -> None:
+        """End all connections, since the process is about to exit."""
         for connection in list(self.connections):
-            connection.turn_out()
+            connection.close_or_reject()
--- a/firvane/proxy/net/listening_socket.py
+++ b/firvane/proxy/net/listening_socket.py
@@ -1,4 +1,4 @@
-"""The way in for clients: open, shut for a while with newcomers waiting in the kernel, or closed for good."""
+"""Listening sockets for clients: accepting, paused while connections queue in the kernel, or closed."""
 
 from __future__ import annotations
 
@@ -14,52 +14,59 @@
 from firvane.core.net.dialer import has_no_input, is_peer_open
 from firvane.core.net.transport_pool import TransportPool
 
-BACKLOG = 1024  # connections that the kernel holds until they are accepted
-ACCEPTS = 32  # accepted in one turn of the loop at the most
-PAUSE = 0.1  # s without accepting where no descriptor is to be had: the kernel would say so again at once
-SPENT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
+MAX_ACCEPTS_PER_TURN = 32  # of the event loop
+ACCEPT_BACKOFF_S = 0.1  # after descriptors have run out: accept would fail at once again
+EXHAUSTED_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-# Makes a connection's protocol, which may ask what the kernel holds.
-Accept = Callable[[NoInputCheck, PeerOpenCheck], asyncio.BaseProtocol]
+# Makes the protocol of an accepted connection.
+ConnectionFactory = Callable[[NoInputCheck, PeerOpenCheck], asyncio.BaseProtocol]
 
 
-class Door(Protocol):
-    """Where clients come in."""
+class Acceptor(Protocol):
+    """Accepts the connections of clients."""
 
-    async def open(self, address: tuple[str, int], accept: Accept) -> None:
-        """Listen; `accept` makes the protocol of a connection."""
+    async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
+        """Listen on a numeric host and port; `accept` makes the protocol of each connection."""
 
     def address(self) -> tuple[str, int]:
-        """Where it is. Port 0 takes any that is free: only the socket knows which."""
+        """The host and port that it listens on; the actual port where 0 was asked for."""
 
-    def let(self, come: bool) -> None:
-        """Accept connections or, for the time being, do not: they wait in the kernel then."""
+    def set_accepting(self, accepting: bool) -> None:
+        """Accept connections, or pause: they queue in the kernel then."""
 
     def close(self) -> bool:
-        """Let nobody in any more; who waits in the kernel is turned down by it. False where some of those
-        have to be let in first, over turns of the loop to come: it is still open then."""
+        """Stop listening.
 
+        Returns:
+            False where queued connections have to be accepted first, over further turns of the loop: it still
+            listens then, and the call is to be repeated.
+        """
 
-class Newcomer:
-    """A connection that is accepted and has no transport yet."""
 
-    def __init__(self, sock: socket.socket, accept: Accept) -> None:
+class AcceptedSocket:
+    """An accepted connection that waits for its transport."""
+
+    def __init__(self, sock: socket.socket, accept: ConnectionFactory) -> None:
         self.sock, self.accept = sock, accept
 
-    def wanted(self) -> asyncio.BaseProtocol:
+    def make_protocol(self) -> asyncio.BaseProtocol:
+        """The protocol of the connection."""
         return self.accept(partial(has_no_input, self.sock), partial(is_peer_open, self.sock))
 
-    def made(self, protocol: asyncio.BaseProtocol) -> None: ...
+    def made(self, protocol: asyncio.BaseProtocol) -> None:
+        """The connection has its transport."""
 
-    def unmade(self) -> None: ...
+    def failed(self) -> None:
+        """The client has gone; its socket is closed."""
 
 
-class SocketDoor:
-    """A listening socket of its own.
+class SocketAcceptor:
+    """Accepts from a listening socket, many connections in a turn of the event loop.
 
-    The loop's servers accept one connection in a turn. At the limit turns are long, and most clients would
-    leave before anybody had looked at them.
+    The loop's own servers accept one connection in a turn. Under overload turns are long, and most clients
+    would time out in the kernel's queue.
     """
 
     def __init__(
@@ -69,40 +76,51 @@
         log: Log = QUIET,
         inherited: socket.socket | None = None,
     ) -> None:
-        """`inherited` listens already, and others may accept from it, too: it is never bound or shut down."""
+        """Create an acceptor.
+
+        Args:
+            loop: The event loop.
+            transports: Makes the transports of accepted sockets.
+            log: For failures to accept.
+            inherited: A socket that listens already; other processes may accept from it, too, so it is never
+                bound or shut down.
+        """
         self.loop, self.transports, self.log = loop, transports, log
         self.inherited = inherited is not None
         self.sock = inherited or socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        self.wanted = self.reading = False
+        self.accepting = self.reading = False
 
-    async def open(self, address: tuple[str, int], accept: Accept) -> None:
+    async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
+        """Listen; `OSError` where the address cannot be bound."""
         self.accept = accept
         if not self.inherited:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.sock.bind(address)
-            self.sock.listen(BACKLOG)
-        self.let(True)
+            self.sock.listen(LISTEN_BACKLOG)
+        self.set_accepting(True)
 
     def address(self) -> tuple[str, int]:
+        """The host and port that it listens on."""
         host, port = self.sock.getsockname()[:2]
         return host, port
 
-    def let(self, come: bool) -> None:
-        self.wanted = come
-        self._read(come)
+    def set_accepting(self, accepting: bool) -> None:
+        """Accept connections, or pause."""
+        self.accepting = accepting
+        self._update_reader(accepting)
 
-    def _read(self, come: bool) -> None:
-        if come is not self.reading and self.sock.fileno() >= 0:
-            self.reading = come
-            if come:
+    def _update_reader(self, reading: bool) -> None:
+        if reading is not self.reading and self.sock.fileno() >= 0:
+            self.reading = reading
+            if reading:
                 self.loop.add_reader(self.sock.fileno(), self._accept)
             else:
                 self.loop.remove_reader(self.sock.fileno())
 
     def _accept(self) -> bool:
-        """Let newcomers in, as far as this turn has room for them; whether more may be waiting."""
-        for _ in range(ACCEPTS):
-            if self.transports.line.qsize() >= ACCEPTS:
+        """Accept what is queued, within the bounds of a turn; whether more may be queued."""
+        for _ in range(MAX_ACCEPTS_PER_TURN):
+            if self.transports.queue.qsize() >= MAX_ACCEPTS_PER_TURN:
                 return True
             try:
                 sock, _ = self.sock.accept()
@@ -111,35 +129,35 @@
             except (ConnectionAbortedError, InterruptedError):
                 return True
             except OSError as error:
-                if error.errno not in SPENT:
+                if error.errno not in EXHAUSTED_ERRNOS:
                     raise
                 self.log.warning("accept_paused", why=error.strerror)
-                self._read(False)
-                self.loop.call_at(self.loop.time() + PAUSE, self._again)
+                self._update_reader(False)
+                self.loop.call_at(self.loop.time() + ACCEPT_BACKOFF_S, self._resume)
                 return False
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self.transports.give(Newcomer(sock, self.accept))
+            self.transports.submit(AcceptedSocket(sock, self.accept))
         return True
 
-    def _again(self) -> None:
-        self._read(self.wanted)
+    def _resume(self) -> None:
+        self._update_reader(self.accepting)
 
     def close(self) -> bool:
-        # Who stands in the queue of a socket of its own has been accepted by this machine and may have asked
-        # already: the close would reset it, also whoever is beyond what one turn lets in. What stands in one
-        # that others hold is theirs. Where the door is shut there is no place for anybody.
+        """Stop listening once the queue is empty; False until then."""
+        # A close resets the queued connections, whose clients may have sent requests already. What is queued
+        # on an inherited socket is for the processes that share it. Paused, there is no capacity for more.
         if self.reading and not self.inherited and self._accept():
             return False
-        self.let(False)
+        self.set_accepting(False)
         self.sock.close()
         return True
 
 
-def adopt(number: int) -> socket.socket:
-    """The listening socket inherited as this descriptor; `OSError` with a plain message where there is none.
+def adopt_listening_socket(number: int) -> socket.socket:
+    """The listening socket inherited as a descriptor; raises `OSError` where it is none.
 
-    It is one open file for all processes that hold it: not to block is the mode that suits them all.
+    Processes that share the socket share its mode, too: non-blocking suits all of them.
     """
     try:
         sock = socket.socket(fileno=number)
@@ -152,26 +170,29 @@
     return sock
 
 
-class LoopDoor:
-    """The loop's own server, for a loop that has no sockets."""
+class LoopAcceptor:
+    """Accepts by the event loop's own server, for loops in virtual time that have no sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.server: asyncio.Server | None = None
 
-    async def open(self, address: tuple[str, int], accept: Accept) -> None:
+    async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
+        """Listen."""
         self.server = await self.loop.create_server(lambda: accept(always_true, always_true), *address)
 
     def address(self) -> tuple[str, int]:
+        """The host and port that it listens on; `OSError` where it does not."""
         if self.server is None:
             raise OSError("not open")
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
-    def let(self, come: bool) -> None:
-        """In virtual time nothing runs out that this would save."""
+    def set_accepting(self, accepting: bool) -> None:
+        """Do nothing: in virtual time there are no descriptors to run out of."""
 
     def close(self) -> bool:
+        """Stop listening."""
         if self.server:
             self.server.close()
         return True
--- a/firvane/proxy/net/peer_datagrams.py
+++ b/firvane/proxy/net/peer_datagrams.py
@@ -8,12 +8,13 @@
 
 from firvane.proxy.limits.token_buckets import Rates
 
-MAX_DATAGRAM = 256
-RATE, BURST = 20.0, 20.0  # datagrams a second that a peer may send, ten times what it needs; at once
+MAX_DATAGRAM_BYTES = 256
+DATAGRAM_RATE_PER_S = 20.0  # that a peer may send: ten times what it needs
+DATAGRAM_BURST = 20.0
 
 
-class Peers(asyncio.DatagramProtocol):
-    """Sends to the peers and passes on what comes from them; anything else on the port is dropped."""
+class PeerDatagrams(asyncio.DatagramProtocol):
+    """Sends datagrams to the peers and passes on theirs; anything else on the port is dropped."""
 
     def __init__(
         self,
@@ -23,34 +24,46 @@
         on_message: Callable[[int, bytes], None],
         time: Callable[[], float],
     ) -> None:
-        """`time` tells seconds on any clock; a peer's messages beyond its rate are dropped unread."""
-        self.time, self.rates = time, Rates(RATE, BURST)
+        """Create the protocol.
+
+        Args:
+            me: This proxy's number among the peers.
+            peers: The addresses of all proxies, in the order of their numbers.
+            everyone: An address that reaches all peers, where there is one.
+            on_message: Called with the number of the sender and the payload. A peer's messages beyond its
+                rate are dropped.
+            time: Seconds on a monotonic clock.
+        """
+        self.time, self.rates = time, Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.me, self.peers, self.everyone, self.on_message = me, peers, everyone, on_message
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The socket is open (asyncio)."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Pass on a datagram of a peer (asyncio)."""
         sender = self.numbers.get((addr[0], addr[1]))
-        if sender is None or sender == self.me or len(data) > MAX_DATAGRAM:
+        if sender is None or sender == self.me or len(data) > MAX_DATAGRAM_BYTES:
             return
         if self.rates.allow(sender, self.time()):
             self.on_message(sender, data)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is down answers with an error; a lost message is nothing new to the sender."""
+        """Ignore the ICMP errors of peers that are down (asyncio): datagrams may be lost in any case."""
 
     def close(self) -> None:
-        """Nothing more is told or heard here."""
+        """Close the socket."""
         if self.transport:
             self.transport.close()
             self.transport = None
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        if self.transport is None or len(payload) > MAX_DATAGRAM:
-            return  # a longer one is against the rules of the tier
+        """Send a datagram to a peer, or to all of them for None."""
+        if self.transport is None or len(payload) > MAX_DATAGRAM_BYTES:
+            return  # the protocol allows no longer one
         if peer is not None:
             if 0 <= peer < len(self.peers):
                 self.transport.sendto(payload, self.peers[peer])
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -1,4 +1,4 @@
-"""The limits at work: reads what the process uses, keeps the account, and passes pressure on."""
+"""Monitors what the process uses against its limits, and passes pressure on to the decisions."""
 
 from __future__ import annotations
 
@@ -20,40 +20,47 @@
 from firvane.proxy.limits.memory_costs import MB, Bounds, derive
 from firvane.proxy.limits.overload import Level, Measure, Overload, Resource
 
-PERIOD = 0.25  # s from one look at what is used to the next
-LATE = 0.25  # of the shortest aim: a loop that is this late costs requests their worth
-LEAST_LATE = 0.01  # s, whatever the aim: the loop counts whole ms, and a turn with requests takes some 3
-WAIT = 0.1  # of the shortest aim: the longest that a request may wait for its turn
-CORE = 1500.0  # requests a second that a core carries at the least, until that is seen
-STATM, PAGE = "/proc/self/statm", resource.getpagesize()
+SAMPLE_INTERVAL_S = 0.25
+LAG_PART = 0.25  # of the shortest latency target: a loop that lags more is under pressure
+MIN_LAG_S = 0.01  # the loop counts whole ms, and a turn with requests takes some 3
+TURN_WAIT_PART = 0.1  # of the shortest latency target: the longest that a request may wait for its turn
+INITIAL_RATE_PER_CORE = 1500.0  # requests a second, until the rate is measured
+STATM = "/proc/self/statm"
+PAGE_BYTES = resource.getpagesize()
 
 
 class Usage(NamedTuple):
-    """What this process has used: CPU seconds since its start, and bytes that are its own now."""
+    """What the process uses.
+
+    Attributes:
+        cpu: CPU seconds since its start.
+        memory: Bytes of memory that are its own, without shared pages.
+    """
 
     cpu: float
     memory: int
 
 
-class OwnUsage:
-    """Reads it from the kernel, as the platform counts it."""
+class ProcessUsage:
+    """Reads the usage of this process from the kernel, as the platform counts it."""
 
     def __init__(self) -> None:
-        self.file: io.FileIO | None = None  # kept for as long as the proxy lives
-        with contextlib.suppress(OSError):  # a system that has no such file: the account alone must do
+        self.file: io.FileIO | None = None  # stays open for the life of the process
+        with contextlib.suppress(OSError):  # without this file only the memory account counts
             self.file = io.FileIO(STATM)
 
     def __call__(self) -> Usage:
+        """Sample the usage."""
         memory = 0
         if self.file:
             self.file.seek(0)
             resident, shared = self.file.read(128).split()[1:3]
-            memory = (int(resident) - int(shared)) * PAGE
+            memory = (int(resident) - int(shared)) * PAGE_BYTES
         return Usage(time.process_time(), memory)
 
 
-class Guard:
-    """All limits of one proxy."""
+class ResourceMonitor:
+    """All resource limits of one proxy, and how far each is used."""
 
     def __init__(
         self,
@@ -66,7 +73,17 @@
         usage: Callable[[], Usage],
         log: Log = QUIET,
     ) -> None:
-        """`ValueError` where the limits cannot hold a proxy."""
+        """Create a monitor; raises `ValueError` where the limits are too small for a proxy.
+
+        Args:
+            loop: The event loop.
+            settings: The settings of the decisions.
+            cores: CPU cores that the process may use.
+            memory_mb: Megabytes of memory that it may use.
+            sockets: File descriptors that it may open.
+            usage: Samples what the process uses.
+            log: For changes of pressure.
+        """
         self.log = log
         self.loop, self.usage, self.cores = loop, usage, cores
         self.bounds: Bounds = derive(memory_mb, sockets, cores)
@@ -75,84 +92,89 @@
         self.leases = Leases(self.bounds.bodies, MAX_BODY_BYTES + MAX_HEAD_BYTES)
         self.descriptors = Descriptors(self.bounds.sockets)
         self.turns = Turns(loop.call_soon, 0.0)
-        self.retune(settings)
-        self.turns.rate = CORE * cores
+        self.apply_settings(settings)
+        self.turns.rate = INITIAL_RATE_PER_CORE * cores
         self.overload = Overload()
         self.admission = Admission()
-        self.tell: Callable[[api.Pressure], None] = lambda pressure: None
+        self.report_pressure: Callable[[api.Pressure], None] = lambda pressure: None
         self.counts: Callable[[], tuple[int, int, tuple[int, ...]]] = lambda: (0, 0, ())
-        self.lag = 0.0  # s, the worst since the last look
-        self._worst = 0.0  # and since it was last reported
-        self._looked = loop.time()
+        self.lag = 0.0  # s, the worst since the last sample
+        self._worst_lag = 0.0  # s, since `worst_lag` was last called
+        self._sampled_at = loop.time()
         self._cpu = usage().cpu
-        self._last = (0, 0, 0)  # taken, wished, overflowed, as of the last look
-        self._told = api.Pressure(0.0, False, True)
+        self._last_counts = (0, 0, 0)  # requests taken, wished, overflowed at the last sample
+        self._reported = api.Pressure(0.0, False, True)
 
-    def retune(self, settings: api.Settings) -> None:
-        """How late a turn, and how long a wait, is too long: by the shortest aim."""
-        aim = min(cls.aim for cls in settings.classes)
-        # Aims shorter than any turn must not make each turn a sign of overload, for that would never end.
-        self.late, self.turns.most_wait = max(LEAST_LATE, LATE * aim), WAIT * aim
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Set the bounds on lag and waiting by the shortest latency target of the settings."""
+        target = min(cls.aim for cls in settings.classes)
+        # Targets shorter than a turn of the loop must not make each turn a sign of overload.
+        self.max_lag, self.turns.most_wait = max(MIN_LAG_S, LAG_PART * target), TURN_WAIT_PART * target
 
     def start(self) -> None:
-        self.loop.call_at(self.loop.time() + PERIOD, self._look, self.loop.time() + PERIOD)
+        """Sample regularly from now on."""
+        self.loop.call_at(
+            self.loop.time() + SAMPLE_INTERVAL_S, self._sample, self.loop.time() + SAMPLE_INTERVAL_S
+        )
 
     def see(self, what: Resource, figure: float) -> None:
-        """A figure as it is now; a step that follows is logged once."""
+        """Take in the usage of a resource, as a part of its limit; log a change of level."""
         step = self.overload.see(what, figure, self.loop.time())
         if step:
-            given = sorted(measure.value for measure in self.overload.given_up)
+            measures = sorted(measure.value for measure in self.overload.given_up)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
                 "pressure",
                 on=what.value,
                 now=step.after.name.lower(),
                 was=step.before.name.lower(),
                 part=figure,
-                given_up=",".join(given) or "nothing",
+                given_up=",".join(measures) or "nothing",
             )
 
     def gives_up(self, measure: Measure) -> bool:
+        """Whether a measure against overload is in force."""
         return measure in self.overload.given_up
 
     def see_descriptors(self) -> None:
+        """Take in how many of the clients' descriptors are used."""
         self.see(Resource.DESCRIPTORS, self.descriptors.part(Use.CLIENTS))
 
     def late_by(self, lag: float) -> None:
-        """The loop was late by so many seconds."""
+        """The event loop ran a timer `lag` seconds late."""
         self.lag = max(self.lag, lag)
-        self._worst = max(self._worst, lag)
+        self._worst_lag = max(self._worst_lag, lag)
 
     def worst_lag(self) -> float:
-        """The worst lateness in seconds since the last call."""
-        worst, self._worst = self._worst, 0.0
+        """The worst lag in seconds since the last call."""
+        worst, self._worst_lag = self._worst_lag, 0.0
         return worst
 
-    def _look(self, due: float) -> None:
+    def _sample(self, due: float) -> None:
         now = self.loop.time()
-        span, self._looked = now - self._looked, now
+        span, self._sampled_at = now - self._sampled_at, now
         self.late_by(now - due)
         used = self.usage()
         cpu, self._cpu = used.cpu - self._cpu, used.cpu
         self.see(Resource.MEMORY, max(self.account.part(), used.memory / self.limit))
-        self.see(Resource.LAG, self.lag / self.late)
+        self.see(Resource.LAG, self.lag / self.max_lag)
         self.see(Resource.CPU, cpu / span / self.cores if span > 0 else 0.0)
         self.see_descriptors()
         self.lag = 0.0
         self._admit(span)
-        self.loop.call_at(now + PERIOD, self._look, now + PERIOD)
+        self.loop.call_at(now + SAMPLE_INTERVAL_S, self._sample, now + SAMPLE_INTERVAL_S)
 
     def _admit(self, span: float) -> None:
-        """What of the requests that come can be carried, and the news of it to the decisions."""
+        """Estimate what part of the arriving requests can be served, and report it to the decisions."""
         wished, overflowed, unseen = self.counts()
-        before, self._last = self._last, (self.turns.taken, wished, overflowed)
-        taken, wished, overflowed = (new - old for new, old in zip(self._last, before, strict=True))
+        before, self._last_counts = self._last_counts, (self.turns.taken, wished, overflowed)
+        taken, wished, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
         part = self.admission.period(span, taken, wished, overflowed, bool(self.turns.line))
-        self.turns.rate = self.admission.carried or CORE * self.cores
+        self.turns.rate = self.admission.carried or INITIAL_RATE_PER_CORE * self.cores
         pressure = api.Pressure(
             part, self.gives_up(Measure.TURN_AWAY), not self.gives_up(Measure.NO_COPIES), unseen
         )
-        known = self._told
+        known = self._reported
         same = (pressure.over_share, pressure.copies) == (known.over_share, known.copies)
         if not same or part or known.part or pressure.over_share:
-            self._told = pressure
-            self.tell(pressure)
+            self._reported = pressure
+            self.report_pressure(pressure)
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -1,23 +1,23 @@
-"""The way to the targets: a pool of connections for each, dials, and one exchange at a time on each.
+"""Connections to the targets: a pool for each target, with one exchange at a time on a connection.
 
 Rules of a run (an exchange on its way) and its connection:
 
-1. A run ends once. Who cancels it hears nothing more of it, and nothing more of it is written: its dial is
-   given up, or its connection is closed with whatever of the request the kernel has not taken.
-2. Each way to a run's first byte, over an idle connection or a new one, passes `Forwards._barred`: neither
-   its target's grace nor its own time may be over, nor that in which it may begin, and whoever asked must
-   still be there, as the kernel has it: the loop may not have heard. What it bars never ran.
-3. A request is written once its last byte is with the kernel. A break before that never ran, one after it may
-   have; where it cannot be told which, it may have.
-4. A connection whose answer has come rests for `SETTLE` before the next run: a second answer comes late by
-   milliseconds, and no answer says whose it is. Until then a run dials.
+1. A run ends once. A cancelled run reports no end, and nothing more of it is written: its dial is cancelled,
+   or its connection is closed with whatever of the request the kernel has not taken.
+2. Each way to the first byte of a run, over an idle connection or a new one, passes `UpstreamPools._barred`:
+   neither the grace of its target nor its own time may be over, nor that in which it may begin, and its
+   client must still be there as far as the kernel knows. A run that is barred has not run.
+3. A request is written once its last byte is with the kernel. Where the connection breaks before that it has
+   not run; where it breaks later, or it is not known when, it may have run.
+4. A connection is not used again for `REUSE_DELAY_S` after a response: a second response would come within
+   milliseconds, and no response names its request. Until then a run dials.
 """
 
 from __future__ import annotations
 
 import asyncio
 from functools import partial
-from typing import TypeAlias, cast
+from typing import Final, TypeAlias, cast
 
 import httptools
 
@@ -33,270 +33,310 @@
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_account import SMALL, Held
 from firvane.proxy.limits.memory_costs import IDLE_TARGET, WINDOW
-from firvane.proxy.net.resource_monitor import Guard
+from firvane.proxy.net.resource_monitor import ResourceMonitor
 
-IDLE_PART = 0.5  # of the idle time in the settings: a target may close sooner than that, never later
-STALL = 10.0  # s without a byte of a long answer from a target that is not held
-UNSURE = 0.2  # s after its head for which an answer of unknown length is held whole
-MAX_INTERIM = 8  # 1xx answers in front of the real one
-SETTLE = 0.02  # s after an answer in which more of it, or the connection's end, may still be on its way
+IDLE_PART = 0.5  # of the idle timeout in the settings, after which targets may close connections
+STREAM_TIMEOUT_S = 10.0  # without a byte of a streamed response whose reading is not paused
+BUFFERING_S = 0.2  # after its head for which a response of unknown length is buffered
+MAX_INTERIM_RESPONSES: Final = 8  # 1xx
+REUSE_DELAY_S = 0.02  # after a response, in which more of it or the connection's end may still arrive
+GRACE_PART = 0.9  # of a target's grace: a first byte sent at the very end could arrive after it
+HTTP_SWITCHING_PROTOCOLS: Final = 101
+HTTP_OK: Final = 200  # and the first status of a final response
+REJECTED_STATUSES = (503, 504)
+CLIENT_ERROR_STATUSES = (400, 404)
 
 
 class Pool:
-    """One target: where it is, whether it may be sent to, and its idle connections, newest last."""
+    """One target: its address, whether it takes requests, and its idle connections, newest last.
+
+    Attributes:
+        draining_since: Loop time in s at which the target was listed as draining or removed, or None.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.address: tuple[str, int] | None = None
-        self.down_since: float | None = None  # when the list said that it drains or is gone
+        self.draining_since: float | None = None
         self.idle: list[Connection] = []
 
     def take(self, settled: float) -> Connection | None:
-        """The newest one that has been idle since then, or none: on one that came back later, more of its
-        last answer may still be on its way, and would be taken for the next one's (rule 4)."""
-        for place in range(len(self.idle) - 1, -1, -1):
-            if self.idle[place].idle_since <= settled:
-                return self.idle.pop(place)
+        """Remove and return the newest connection that has been idle since loop time `settled` (rule 4)."""
+        for position in range(len(self.idle) - 1, -1, -1):
+            if self.idle[position].idle_since <= settled:
+                return self.idle.pop(position)
         return None
 
     def close_idle(self, before: float = float("inf")) -> None:
-        """Close the connections that have been idle since before a loop time."""
+        """Close the connections that fell idle before a loop time in s."""
         close_idle(self.idle, before)
 
 
-# An exchange on its way to a target: a name for the type, `UpstreamRun` itself is made.
+# An alias for annotations; instances are made of `UpstreamRun` itself.
 Run: TypeAlias = UpstreamRun[Message, "Connection", Pool]
 
 
 class Connection(BoundedReadProtocol):
-    """One connection to a target; it is in its pool whenever it is idle."""
-
-    def __init__(self, forwards: Forwards, pool: Pool, has_no_input: NoInputCheck) -> None:
-        self.forwards, self.pool, self.has_no_input = forwards, pool, has_no_input
+    """One connection to a target; it is in its pool whenever it is idle.
+
+    Attributes:
+        malformed: The last input was no valid response.
+        interim_count: 1xx responses to the current request.
+        run: The run that uses the connection.
+        written: The last byte of the request is with the kernel.
+        charged: Bytes charged for a response that is incomplete.
+        awaiting_lease: Reading is paused until a lease on memory for a large response is given.
+        head_received_at: When the head of the response arrived.
+        response_stream: A long response that is being passed on to its client.
+        paused: The client takes no more of it now.
+        progress_at: When some of it last arrived.
+        upload: A long request that is being passed on from its client.
+        chunked: That request is written in chunks.
+    """
+
+    def __init__(self, owner: UpstreamPools, pool: Pool, has_no_input: NoInputCheck) -> None:
+        self.owner, self.pool, self.has_no_input = owner, pool, has_no_input
         self.reader = MessageReader(httptools.HttpResponseParser)
-        self.spoilt = False  # what came last made no sense
-        self.interim = 0  # 1xx answers to the request that is out
+        self.malformed = False
+        self.interim_count = 0
         self.run: Run | None = None
         self.idle_since = 0.0
-        self.written = True  # the last byte of the request has gone to the kernel
-        self.kept = 0  # bytes charged for an answer that is half here
-        self.paused = False  # it has grown large, and waits for a lease
-        self.headed = 0.0  # when the answer's head was here
-        self.stream: Stream | None = None  # a long answer, on its way to its client
-        self.held = False  # which takes no more of it now
-        self.moved = 0.0  # when some of it last came
-        self.pouring: Stream | None = None  # a long request, on its way from its client
-        self.chunked = False  # in chunks
+        self.written = True
+        self.charged = 0
+        self.awaiting_lease = False
+        self.head_received_at = 0.0
+        self.response_stream: Stream | None = None
+        self.paused = False
+        self.progress_at = 0.0
+        self.upload: Stream | None = None
+        self.chunked = False
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection has its transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        self.forwards.guard.account.charge(Held.TARGETS, IDLE_TARGET)
-        # With no buffer allowed, a write goes out at once, and `resume_writing` tells when a rest has gone:
-        # only so is it known whether a break came before or after the last byte.
+        self.owner.monitor.account.charge(Held.TARGETS, IDLE_TARGET)
+        # Without a buffer, writes go to the kernel at once, and `resume_writing` reports when the rest has
+        # gone: only so is it known whether the connection broke before or after the last byte.
         self.transport.set_write_buffer_limits(0)
 
     def send(self, run: Run) -> None:
-        now = self.forwards.loop.time()
+        """Write the request of a run."""
+        now = self.owner.loop.time()
         left = max(1, int((run.exchange.deadline - now) * 1000))
         if run.request.stream:  # its time is counted from its last byte
             left = min(left, int(run.request.fields.get(b"x-budget-ms", b"1")))
-        self.run, run.connection, self.written, self.interim = run, self, False, 0
+        self.run, run.connection, self.written, self.interim_count = run, self, False, 0
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
         self.transport.writelines([*format_request_head(run.request, left, host), *run.request.body])
         if run.request.stream:
             run.exchange.spent()
-            self.pouring, self.chunked = run.request.stream, run.request.content_length() is None
-            self.pouring.connect(self)
+            self.upload, self.chunked = run.request.stream, run.request.content_length() is None
+            self.upload.connect(self)
             return
-        self._is_written(run)
+        self._check_written(run)
 
-    def _is_written(self, run: Run) -> None:
+    def _check_written(self, run: Run) -> None:
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
             run.exchange.written()
 
     def usable(self) -> bool:
-        """Whether nothing has come on it while idle.
+        """Whether nothing has arrived on it while it was idle.
 
-        An end would turn the next forward into a reset, and more of the last answer into its answer.
+        The end of the connection would reset the next request, and more of the last response would pass for
+        the response to it.
         """
         return not self.transport.is_closing() and self.has_no_input()
 
     def write_body(self, buffers: list[BytesLike]) -> None:
-        """More of a long request; once the answer is here nobody wants it any more."""
-        if self.pouring and not self.transport.is_closing():
+        """Write more of a long request, unless the response has arrived already."""
+        if self.upload and not self.transport.is_closing():
             self.transport.writelines(frame_chunk(buffers, self.chunked))
             if self.transport.get_write_buffer_size():
-                self.pouring.set_paused(True)
+                self.upload.set_paused(True)
 
     def end_body(self) -> None:
-        if self.pouring and self.run and not self.transport.is_closing():
-            self.pouring = None
+        """Write the end of a long request."""
+        if self.upload and self.run and not self.transport.is_closing():
+            self.upload = None
             if self.chunked:
                 self.transport.write(LAST_CHUNK)
-            self._is_written(self.run)
+            self._check_written(self.run)
 
     def set_paused(self, paused: bool) -> None:
-        """The client takes no more of a long answer, or more again."""
-        if paused is not self.held and not self.transport.is_closing():
-            self.held, self.moved = paused, self.forwards.loop.time()
+        """Pause reading a long response while its client takes no more, or resume."""
+        if paused is not self.paused and not self.transport.is_closing():
+            self.paused, self.progress_at = paused, self.owner.loop.time()
             (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def resume_writing(self) -> None:
-        if self.pouring:
-            self.pouring.set_paused(False)
+        """All that was written is with the kernel (asyncio)."""
+        if self.upload:
+            self.upload.set_paused(False)
         elif self.run and not self.written:
-            self._is_written(self.run)
+            self._check_written(self.run)
 
     def data_received(self, data: bytes) -> None:
+        """Parse the response (asyncio)."""
         run = self.run
         if run is None:
-            self.close()  # nothing was asked: whatever this is, the next answer could not be told from it
+            self.close()  # unsolicited data could not be told from the next response
             return
         at = 0
-        while at < len(data) and not self.spoilt:
+        while at < len(data) and not self.malformed:
             try:
                 at = self.reader.step(data, at)
             except HttpError:
-                self.spoilt = True  # an answer that was whole before it is still one
-            if self._begin() and not self.run:
-                return  # nobody wants it
+                self.malformed = True  # a response that was complete before still counts
+            if self._begin_stream() and not self.run:
+                return  # the run has ended
             if self.reader.completed:
                 message = self.reader.completed.pop(0)
-                if message.status >= 200:  # an interim answer is followed by the real one
-                    self._answered(message, at < len(data))
+                if message.status >= HTTP_OK:  # an interim response is followed by the final one
+                    self._complete(message, at < len(data))
                     return
-                # Nobody asked for another protocol, nor for interim answers without an end.
-                self.interim += 1
-                self.spoilt = message.status == 101 or self.interim > MAX_INTERIM
-        if self.spoilt:
+                # No request asks for another protocol, and interim responses must come to an end.
+                self.interim_count += 1
+                too_many = self.interim_count > MAX_INTERIM_RESPONSES
+                self.malformed = too_many or message.status == HTTP_SWITCHING_PROTOCOLS
+        if self.malformed:
             self._end(Ending.BAD_ANSWER)
-        elif self.stream is None:
-            self._settle()
+        elif self.response_stream is None:
+            self._update_account()
 
-    def _begin(self) -> bool:
-        """Pass on what is here of an answer that is too long to be held, or may be; whether it is one."""
+    def _begin_stream(self) -> bool:
+        """Pass on what has arrived of a response that is too long to be buffered, or may be.
+
+        Returns:
+            Whether the response is such a one, or has ended the run.
+        """
         message = self.reader.message
-        if self.stream is None and (message is None or self.reader.in_head or message.status < 200):
-            return False  # most answers are whole at once
-        now = self.forwards.loop.time()
-        if self.stream is None and message:
-            self.headed = self.headed or now
-            unsure = message.size > SMALL and message.content_length() is None and now > self.headed + UNSURE
-            if not message.exceeds_buffer and not unsure:
+        if self.response_stream is None and (
+            message is None or self.reader.in_head or message.status < HTTP_OK
+        ):
+            return False  # most responses are complete at once
+        now = self.owner.loop.time()
+        if self.response_stream is None and message:
+            self.head_received_at = self.head_received_at or now
+            unsized = message.size > SMALL and message.content_length() is None
+            may_be_long = unsized and now > self.head_received_at + BUFFERING_S
+            if not message.exceeds_buffer and not may_be_long:
                 return False
-            if message.status != 200 or self.run is None:
-                self._end(self._meaning(message))
+            if message.status != HTTP_OK or self.run is None:
+                self._end(self._classify(message))
                 return True
             message.exceeds_buffer = True
-            message.stream = self.stream = Stream(self)
+            message.stream = self.response_stream = Stream(self)
             self._release()
-            self.forwards.streams[self] = None
-            self.forwards.guard.account.charge(Held.ANSWERS, WINDOW)
+            self.owner.streams[self] = None
+            self.owner.monitor.account.charge(Held.ANSWERS, WINDOW)
             self.run.exchange.begun(message)
-        self.moved = now
-        if message and self.stream:
-            self.stream.feed(message.take_body())
+        self.progress_at = now
+        if message and self.response_stream:
+            self.response_stream.feed(message.take_body())
         return True
 
-    def _cease(self) -> None:
-        """No long answer is on its way any more."""
-        self.headed, self.held = 0.0, False
-        if self.stream:
-            self.stream = None
-            del self.forwards.streams[self]
-            self.forwards.guard.account.charge(Held.ANSWERS, -WINDOW)
-
-    def stalled(self, now: float) -> None:
-        if not self.held and now > self.moved + STALL:
+    def _end_stream(self) -> None:
+        """No long response is being passed on any more."""
+        self.head_received_at, self.paused = 0.0, False
+        if self.response_stream:
+            self.response_stream = None
+            del self.owner.streams[self]
+            self.owner.monitor.account.charge(Held.ANSWERS, -WINDOW)
+
+    def check_progress(self, now: float) -> None:
+        """End the run of a long response that has made no progress for too long by loop time `now` in s."""
+        if not self.paused and now > self.progress_at + STREAM_TIMEOUT_S:
             self._end(Ending.OVERDUE)
 
-    def _settle(self) -> None:
-        """Charge what is half here; an answer that grows large is read on only with a lease."""
-        guard, message = self.forwards.guard, self.reader.message
-        kept = self.reader.raw_size if message else 0
-        if kept != self.kept:
-            guard.account.charge(Held.ANSWERS, kept - self.kept)
-            self.kept = kept
+    def _update_account(self) -> None:
+        """Charge the incomplete response; a large one is read on only with a lease on memory."""
+        monitor, message = self.owner.monitor, self.reader.message
+        size = self.reader.raw_size if message else 0
+        if size != self.charged:
+            monitor.account.charge(Held.ANSWERS, size - self.charged)
+            self.charged = size
         large = message is not None and message.size > SMALL
-        if large and not self.paused and not guard.leases.ask(self, self._leased):
-            self.paused = True
+        if large and not self.awaiting_lease and not monitor.leases.ask(self, self._leased):
+            self.awaiting_lease = True
             self.transport.pause_reading()
 
     def _leased(self) -> None:
-        self.paused = False
+        self.awaiting_lease = False
         if not self.transport.is_closing():
             self.transport.resume_reading()
 
     def _release(self) -> None:
-        """Nothing of an answer is held here any more."""
-        guard = self.forwards.guard
-        guard.leases.give_back(self)
-        if self.kept:
-            guard.account.charge(Held.ANSWERS, -self.kept)
-            self.kept = 0
-
-    def _answered(self, message: Message, followed: bool) -> None:
+        """Return what was charged for the response, which is no longer kept here."""
+        monitor = self.owner.monitor
+        monitor.leases.give_back(self)
+        if self.charged:
+            monitor.account.charge(Held.ANSWERS, -self.charged)
+            self.charged = 0
+
+    def _complete(self, message: Message, followed: bool) -> None:
         self._release()
-        ending = self._meaning(message)
-        if self.stream:
-            self.stream.feed(message.take_body())
-            self.stream.end()
-        more = followed or self.spoilt or self.reader.completed or self.reader.message or not self.written
-        self.pouring = None
+        ending = self._classify(message)
+        if self.response_stream:
+            self.response_stream.feed(message.take_body())
+            self.response_stream.end()
+        more = followed or self.malformed or self.reader.completed or self.reader.message or not self.written
+        self.upload = None
         if message.keep_alive and message.is_framed and not more and not self.transport.is_closing():
             self.set_paused(False)
-            self._cease()
+            self._end_stream()
             run, self.run = self.run, None
-            self.forwards.park(self)
+            self.owner.park(self)
             if run:
                 run.end(ending, message)
         else:
             self._end(ending, message)
 
-    def _meaning(self, message: Message) -> Ending:
-        """What an answer means by its head."""
-        if message.status == 200:
+    def _classify(self, message: Message) -> Ending:
+        """What a response means by its head."""
+        if message.status == HTTP_OK:
             return Ending.SERVED
-        if message.status in (400, 404):
+        if message.status in CLIENT_ERROR_STATUSES:
             return Ending.AT_FAULT
-        if message.status in (503, 504) and message.fields.get(b"x-rejected") == b"1":
-            # What is said on a connection that was never used, and ends it, is said of the connection.
+        if message.status in REJECTED_STATUSES and message.fields.get(b"x-rejected") == b"1":
+            # A rejection that ends a connection which was never used before rejects the connection.
             new = not message.keep_alive and not self.idle_since
             return Ending.NO_PLACE if new else Ending.TURNED_AWAY
         return Ending.SERVER_ERROR
 
     def _end(self, ending: Ending, message: Message | None = None) -> None:
         run, self.run = self.run, None
-        self.pouring = None
+        self.upload = None
         self.close()
         if run:
             run.end(ending, message)
 
     def eof_received(self) -> None:
+        """The target has ended the connection (asyncio)."""
         message = self.reader.message
         if (
             self.run
             and message
-            and message.status == 200
+            and message.status == HTTP_OK
             and not self.reader.in_head
             and not message.is_framed
         ):
-            # A body that lasts until the connection ends; unless the head says so, it may be cut short.
-            told = message.fields.get(b"connection", b"").lower() == b"close"
-            if told and self.stream:
-                self.stream.end()
-            self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)
+            # A body that ends with the connection: unless the head announces that, it may be truncated.
+            announced = message.fields.get(b"connection", b"").lower() == b"close"
+            if announced and self.response_stream:
+                self.response_stream.end()
+            self._end(Ending.SERVED if announced else Ending.BROKE_SENT, message)
 
     def connection_lost(self, error: Exception | None) -> None:
-        guard = self.forwards.guard
-        guard.descriptors.give_back(Use.TARGETS)
-        guard.account.charge(Held.TARGETS, -IDLE_TARGET)
+        """The connection is closed (asyncio)."""
+        monitor = self.owner.monitor
+        monitor.descriptors.give_back(Use.TARGETS)
+        monitor.account.charge(Held.TARGETS, -IDLE_TARGET)
         self.reader.reset()
         self._release()
-        self._cease()
-        self.pouring = None
+        self._end_stream()
+        self.upload = None
         if self in self.pool.idle:
             self.pool.idle.remove(self)
         run, self.run = self.run, None
@@ -304,39 +344,47 @@
             run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
 
     def close(self) -> None:
+        """Close the connection at once."""
         self.transport.abort()
 
 
-class Forwards:
-    """All targets' pools, within one bound on sockets."""
+class UpstreamPools:
+    """The pools of all targets, within one bound on sockets.
+
+    Attributes:
+        streams: The connections with a long response that is being passed on.
+        dials: Connection attempts since the start.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         limits: Limits,
         rules: Rules,
-        guard: Guard,
+        monitor: ResourceMonitor,
         dialer: Dialer,
     ) -> None:
-        self.loop, self.limits, self.rules, self.guard = loop, limits, rules, guard
+        self.loop, self.limits, self.rules, self.monitor = loop, limits, rules, monitor
         self.dialer = dialer
         self.pools: dict[str, Pool] = {}
-        self.streams: dict[Connection, None] = {}  # those with a long answer on its way
-        self.dials = 0  # ever made, for the log
+        self.streams: dict[Connection, None] = {}
+        self.dials = 0
 
-    def retune(self, limits: Limits, rules: Rules) -> None:
+    def apply_settings(self, limits: Limits, rules: Rules) -> None:
+        """Use other settings from now on."""
         self.limits, self.rules = limits, rules
 
-    # The engine's side
+    # Called by the engine
 
     def forward(self, request: Message, target: str, exchange: Exchange[Message]) -> Run:
+        """Send a request to a target, over an idle connection or a new one."""
         pool = self.pools.get(target) or Pool(target)
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
         if barred := self._barred(run, now):
             run.end(barred)
             return run
-        while pool.idle and (connection := pool.take(now - SETTLE)):
+        while pool.idle and (connection := pool.take(now - REUSE_DELAY_S)):
             if connection.usable():
                 connection.send(run)
                 return run
@@ -345,46 +393,45 @@
         return run
 
     def probe(self, target: str, exchange: Exchange[Message]) -> Run:
+        """Send a health check to a target."""
         request = Message()
         request.method, request.url = b"GET", b"/alive"
         return self.forward(request, target, exchange)
 
     def close_idle(self, target: str) -> None:
+        """Close the idle connections to a target."""
         if pool := self.pools.get(target):
             pool.close_idle()
 
-    # The list's side
+    # Called by the target group
 
     def listed(self, name: str, address: tuple[str, int] | None, up: bool) -> None:
-        """What the list says of a target takes effect at once; without an address it is gone."""
+        """Take in how a target is listed; without an address it is removed."""
         pool = self.pools.get(name) or Pool(name)
         if address and pool.address and address != pool.address:
-            # Guards the new address against what is out to the old one: parked in one pool, its connections
-            # would be taken for the new one's, and a dial on its way there would bring requests beyond the
-            # grace. The old pool is left as one that is gone.
+            # The connections to the old address must not get into the pool of the new one, nor may a dial
+            # that is under way send requests beyond the grace: the old pool ends as one that was removed.
             self.listed(name, None, False)
             pool = Pool(name)
         if address:
             self.pools[name], pool.address = pool, address
         else:
-            self.pools.pop(name, None)  # what is still out on it keeps it until its end
+            self.pools.pop(name, None)  # its runs keep it until they end
         if up:
-            pool.down_since = None
-        elif pool.down_since is None:
-            pool.down_since = self.loop.time()
+            pool.draining_since = None
+        elif pool.draining_since is None:
+            pool.draining_since = self.loop.time()
             pool.close_idle()
 
     # Connections
 
     def _barred(self, run: Run, now: float) -> Ending | None:
-        """What forbids a run's first byte now, if anything (rule 2): a dial may end later than it began."""
-        down_since = run.pool.down_since
-        # A first byte sent at the very end of the grace could still be seen after it.
-        if down_since is not None and now >= down_since + 0.9 * self.rules.drain_grace:
+        """Why the first byte of a run may not be sent at loop time `now`, or None (rule 2)."""
+        draining_since = run.pool.draining_since
+        if draining_since is not None and now >= draining_since + GRACE_PART * self.rules.drain_grace:
             return Ending.TOO_LATE
-        # Guards a target against a request whose time ran out in the same turn that its dial came up in, and
-        # against a next attempt or a copy for a client whose end stands behind bytes that were not read.
-        # And against one that would run again what it has run: it drops repeats up to a time.
+        # The time of a request may run out in the very turn in which its dial succeeds; its client may have
+        # left behind bytes that were not read; and targets recognize repeated requests only up to a time.
         over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()
         return Ending.WITHDRAWN if over else None
 
@@ -393,21 +440,23 @@
         if pool.address is None:
             run.end(Ending.REFUSED)
             return
-        if not self.guard.descriptors.lease(Use.TARGETS):
-            if not self._shed():
+        if not self.monitor.descriptors.lease(Use.TARGETS):
+            if not self._close_oldest_idle():
                 run.end(Ending.NO_SOCKET)
                 return
-            self.guard.descriptors.count(Use.TARGETS)  # the one that gives way is as good as closed
+            self.monitor.descriptors.count(
+                Use.TARGETS
+            )  # the one that was closed has yet to give its own back
         self.dials += 1
         run.dial = self.dialer.dial(
             pool.address,
             self.loop.time() + self.limits.connect_timeout,
             partial(Connection, self, pool),
-            partial(self._up, run),
-            partial(self._not_up, run),
+            partial(self._dial_succeeded, run),
+            partial(self._dial_failed, run),
         )
 
-    def _up(self, run: Run, connection: Connection) -> None:
+    def _dial_succeeded(self, run: Run, connection: Connection) -> None:
         if run.over or connection.transport.is_closing():
             connection.close()
             run.end(Ending.BROKE_UNSENT)
@@ -417,20 +466,21 @@
         else:
             connection.send(run)
 
-    def _not_up(self, run: Run, ending: Ending) -> None:
-        self.guard.descriptors.give_back(Use.TARGETS)
+    def _dial_failed(self, run: Run, ending: Ending) -> None:
+        self.monitor.descriptors.give_back(Use.TARGETS)
         run.end(ending)
 
     def park(self, connection: Connection) -> None:
+        """Keep a connection for later runs, unless its target drains."""
         pool = connection.pool
-        if pool.down_since is not None:
+        if pool.draining_since is not None:
             connection.close()
         else:
             connection.idle_since = self.loop.time()
             pool.idle.append(connection)
 
-    def _shed(self) -> bool:
-        """Close the connection that has been idle longest; whether there was one."""
+    def _close_oldest_idle(self) -> bool:
+        """Close the connection that has been idle longest, and return whether there was one."""
         idle = (pool for pool in self.pools.values() if pool.idle)
         oldest = min(idle, key=lambda pool: pool.idle[0].idle_since, default=None)
         if oldest:
@@ -438,9 +488,9 @@
         return oldest is not None
 
     def sweep(self) -> None:
-        """Close what has been idle for long, well before the target would."""
+        """Close connections that have been idle for long, and end streams that make no progress."""
         before = self.loop.time() - IDLE_PART * self.limits.connection_idle
         for pool in self.pools.values():
             pool.close_idle(before)
         for connection in list(self.streams):
-            connection.stalled(self.loop.time())
+            connection.check_progress(self.loop.time())
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -32,18 +32,21 @@
 from firvane.proxy.limits.memory_account import Held
 from firvane.proxy.limits.memory_costs import BOX, FLOW, MB
 from firvane.proxy.metrics import Errors, Measures, Used
-from firvane.proxy.net.connection_limiter import Front
-from firvane.proxy.net.listening_socket import Door, LoopDoor, SocketDoor, adopt
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.resource_monitor import Guard, OwnUsage, Usage
-from firvane.proxy.net.target_group import ListReader, TargetGroup
-from firvane.proxy.net.upstream_pool import Forwards
+from firvane.proxy.net.connection_limiter import ConnectionLimiter
+from firvane.proxy.net.endpoint_list import EndpointListReader
+from firvane.proxy.net.listening_socket import Acceptor, LoopAcceptor, SocketAcceptor, adopt_listening_socket
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.resource_monitor import ProcessUsage, ResourceMonitor, Usage
+from firvane.proxy.net.target_group import TargetGroup
+from firvane.proxy.net.upstream_pool import UpstreamPools
 from firvane.proxy.settings_reload import merged, retired
 
 LAME = 0.7  # s after SIGTERM for which clients may still come; SIGKILL is the longest deadline away from then
 COUNTED, MARGIN = 3.0, 0.2  # s: the longest that a deadline counts there; kept for the last answers
 MOST_MARGIN = 0.25  # of the longest deadline: where that is short, what is kept must not eat up its time
-LOOK = 0.02  # s at the most from one look at the clients' connections to the next, while the proxy ends
+DRAIN_CHECK_S = (
+    0.02  # s at the most from one look at the clients' connections to the next, while the proxy ends
+)
 PATIENCE = 0.5  # s at the start for which discovery's own word is preferred to the list as last known
 SWEEP = 0.1  # s from one look for what has stood for too long to the next
 GRACE = 5.0  # s after SIGHUP in which requests may still come by the settings of before
@@ -79,54 +82,60 @@
         self.transports = TransportPool(loop)
         self.dialer = dialer or SocketDialer(loop, self.transports)
         settings = config.settings
-        self.guard = Guard(
+        self.monitor = ResourceMonitor(
             loop,
             settings,
             cores=config.cores,
             memory_mb=config.memory_mb,
             sockets=config.sockets - (DESCRIPTORS if config.ops else 0) - (AGREEING if agreement else 0),
-            usage=usage or OwnUsage(),
+            usage=usage or ProcessUsage(),
             log=self.log,
         )
-        self.forwards = Forwards(loop, settings.limits, settings.rules, self.guard, self.dialer)
-        reader = ListReader(config.zones, config.kinds, self.guard.bounds.boxes, self.guard.bounds.line)
+        self.upstream_pools = UpstreamPools(loop, settings.limits, settings.rules, self.monitor, self.dialer)
+        reader = EndpointListReader(
+            config.zones, config.kinds, self.monitor.bounds.boxes, self.monitor.bounds.line
+        )
         pauses = Pauses(settings.proxies if settings.ask else 0, random.Random(config.seed))
         self.group = TargetGroup(
-            loop, config.discovery, reader, self.forwards.listed, self._listed, self.log, pauses
+            loop, config.discovery, reader, self.upstream_pools.listed, self._listed, self.log, pauses
         )
         self.retuned_at = 0.0
         self.classes = tuple(range(len(settings.classes)))  # the numbers of those that clients may name
         self.drained_at = 0.0  # when operators last asked for it
         self.unseen = 0, 0  # turned away unseen, and for want of a turn, up to the last line of figures
         self.tables = 0  # bytes charged for the list and what is kept of each target
-        self.peers = Peers(settings.me, config.peers, config.peers_all, self._heard, loop.time)
+        self.peers = PeerDatagrams(settings.me, config.peers, config.peers_all, self._heard, loop.time)
         self.balancer = Balancer(settings, config.seed, wall())
         self.engine: Engine[Message, Message] = Engine(
-            settings, self.balancer, loop, self.forwards, self.peers, self.group, wall, self.log
+            settings, self.balancer, loop, self.upstream_pools, self.peers, self.group, wall, self.log
+        )
+        self.monitor.report_pressure = self.engine.give
+        self.limiter = ConnectionLimiter(loop, self.engine, settings, self.monitor)
+        inherited = None if config.inherited is None else adopt_listening_socket(config.inherited)
+        self.acceptor: Acceptor = (
+            LoopAcceptor(loop) if dialer else SocketAcceptor(loop, self.transports, self.log, inherited)
         )
-        self.guard.tell = self.engine.give
-        self.front = Front(loop, self.engine, settings, self.guard)
-        inherited = None if config.inherited is None else adopt(config.inherited)
-        self.door: Door = LoopDoor(loop) if dialer else SocketDoor(loop, self.transports, self.log, inherited)
-        self.front.door = self.door.let
+        self.limiter.set_accepting = self.acceptor.set_accepting
         self.in_memory = dialer is not None  # among others in one process
         if errors:
             version = config.version or __version__
             # The loop's own clock stands still within a turn, and on uvloop it counts whole milliseconds.
             clock = loop.time if self.in_memory else time.monotonic
-            self.front.measures = Measures(clock, self.used, errors.count, version, os.getpid())
+            self.limiter.metrics = Measures(clock, self.used, errors.count, version, os.getpid())
         self.wall, self.keeper = wall, keeper(self.log) if keeper else None
         if self.keeper:
             self.group.addresses = {}
         self.life, self.loads = Life(), Loads()
         self.desk, self.desk_transports = Desk(loop, self._answer), TransportPool(loop)
-        self.ops: Door = LoopDoor(loop) if dialer else SocketDoor(loop, self.desk_transports, self.log)
-        self.agreement = self.front.agreement = agreement(self) if agreement else None
+        self.ops: Acceptor = (
+            LoopAcceptor(loop) if dialer else SocketAcceptor(loop, self.desk_transports, self.log)
+        )
+        self.agreement = self.limiter.policy_lease = agreement(self) if agreement else None
         self.starting: asyncio.Task[Any] | None = None  # at work on the start
 
     def _listed(self, news: api.ServerList) -> None:
         tables = BOX * len(self.group.servers)
-        self.guard.account.charge(Held.TABLES, tables - self.tables)
+        self.monitor.account.charge(Held.TABLES, tables - self.tables)
         self.tables = tables
         self.engine.listed(news)
 
@@ -157,7 +166,7 @@
             )
         self.transports.start()
         if config.inherited is None:
-            await self.door.open(config.listen, self.front.accept)
+            await self.acceptor.open(config.listen, self.limiter.accept)
         if self.agreement:  # what is learnt, recovered and served from here on is by the policy in force
             await self.agreement.start()
         self.engine.start()
@@ -173,20 +182,20 @@
         # Where the list has to be asked for, its turn may come late: the fleet is served meanwhile.
         patience = 0.0 if config.settings.ask else PATIENCE
         if not self.group.servers:
-            await self.group.heard.wait()
-        elif not await self.group.told(patience):
+            await self.group.list_received.wait()
+        elif not await self.group.is_told(patience):
             self.log.warning("discovery_silent", targets=len(self.group.servers))
-        self.front.ready = True
+        self.limiter.ready = True
         if config.inherited is not None:  # until now whoever waits there is another process's client
-            await self.door.open(config.listen, self.front.accept)
+            await self.acceptor.open(config.listen, self.limiter.accept)
         self._hear(Event.STARTED)
-        self.guard.start()
+        self.monitor.start()
         self._sweep(self.loop.time() + SWEEP)
         due = self.loop.time() + REPORT
         self.loop.call_at(due, self._report, due)
         # Port 0 takes any that is free: only the socket knows which.
-        host, port = self.door.address()
-        bounds = self.guard.bounds
+        host, port = self.acceptor.address()
+        bounds = self.monitor.bounds
         self.log.info(
             "limits",
             memory_mb=config.memory_mb,
@@ -232,7 +241,7 @@
 
     def figures(self) -> Figures:
         """As of now: the door and the log tell the same."""
-        engine, turns = self.engine, self.guard.turns
+        engine, turns = self.engine, self.monitor.turns
         waiting = len(turns.line) + len(turns.behind) + len(turns.refused)
         return Figures(
             self.life.state.value,
@@ -245,7 +254,7 @@
 
     def used(self) -> Used:
         """What this process has used, as the kernel has it."""
-        usage, held = self.guard.usage(), sum(self.guard.descriptors.held.values())
+        usage, held = self.monitor.usage(), sum(self.monitor.descriptors.held.values())
         opened = held if self.in_memory else len(os.listdir("/proc/self/fd"))
         return Used(usage.cpu, usage.memory / MB, opened)
 
@@ -258,9 +267,9 @@
         if call is Call.SHOW_STAT:
             return calls.lines(self.figures().text())
         if call is Call.MEASURES:
-            if not isinstance(self.front.measures, Measures):
+            if not isinstance(self.limiter.metrics, Measures):
                 return calls.no("nothing is measured here: measures is not set")
-            return calls.lines(self.front.measures.text())
+            return calls.lines(self.limiter.metrics.text())
         if call is Call.READY:
             state = self.life.state.value
             if self.agreement and self.life.meaning().takes and not self.agreement.may():
@@ -286,9 +295,9 @@
         if state is not before:
             if event is not Event.STARTED:  # which has a line of its own
                 self.log.info("state", now=state.value, was=before.value)
-            front = self.front
-            front.draining = not self.life.meaning().up
-            front.closing = False
+            limiter = self.limiter
+            limiter.draining = not self.life.meaning().up
+            limiter.closing = False
             if state is State.DRAINING:
                 self.drained_at = self.loop.time()
                 self.loop.call_at(self.drained_at + LAME, self._send_away, self.drained_at)
@@ -297,7 +306,7 @@
     def _send_away(self, since: float) -> None:
         """Nobody sends new clients here any more since that drain: the others go as they fall idle."""
         if self.life.state is State.DRAINING and self.drained_at == since:
-            self.front.closing = True
+            self.limiter.closing = True
 
     def reload(self, read: Callable[[], Config]) -> None:
         """Read the configuration anew and follow discovery to where it is now; one of no use changes nothing.
@@ -337,23 +346,23 @@
 
     def fits(self, settings: api.Settings) -> str:
         """Why a policy with these settings has no place here; "" where it has."""
-        most = max(self.config.settings.limits.max_open, self.guard.bounds.memory // FLOW)
+        most = max(self.config.settings.limits.max_open, self.monitor.bounds.memory // FLOW)
         return check_open_flows(settings, most)
 
     def adopt(self, settings: api.Settings) -> None:
         """A policy is in force: all requests that come from now on are decided by it, and none any more by
         names of before."""
         self._retune(settings)
-        self.front.forget()
+        self.limiter.forget_previous_settings()
 
     def _retune(self, settings: api.Settings) -> None:
         """Other settings, checked already, for all that comes from now on."""
         engine = self.engine
         engine_settings, self.classes = merged(engine.settings, self.classes, settings)
         engine.retune(engine_settings)
-        self.front.retune(engine_settings, self.classes)
-        self.forwards.retune(settings.limits, settings.rules)
-        self.guard.retune(settings)
+        self.limiter.apply_settings(engine_settings, self.classes)
+        self.upstream_pools.apply_settings(settings.limits, settings.rules)
+        self.monitor.apply_settings(settings)
         self.retuned_at = self.loop.time()
         self.loop.call_at(self.retuned_at + GRACE, self._settle, self.retuned_at)
         self.log.info("retuned", classes=",".join(cls.name for cls in settings.classes))
@@ -361,29 +370,29 @@
     def _settle(self, since: float) -> None:
         """Clients know of the settings of then: what there was before is over."""
         if self.retuned_at == since:
-            self.front.forget()
+            self.limiter.forget_previous_settings()
             self.engine.retune(retired(self.engine.settings, self.classes))
 
     def _sweep(self, due: float) -> None:
-        self.guard.late_by(self.loop.time() - due)
-        self.forwards.sweep()
-        self.front.sweep()
+        self.monitor.late_by(self.loop.time() - due)
+        self.upstream_pools.sweep()
+        self.limiter.sweep()
         self.desk.sweep()
-        if self.front.closing:
-            self.front.close_idle()
+        if self.limiter.closing:
+            self.limiter.close_idle()
         self.loop.call_at(due + SWEEP, self._sweep, due + SWEEP)
 
     def _report(self, due: float) -> None:
-        guard, endings, gate = self.guard, self.engine.endings, self.front.gate
+        guard, endings, gate = self.monitor, self.engine.endings, self.limiter.gate
         wished, overflowed = self.unseen
         endings["turned away unseen"] = gate.wished - wished
         endings["found no turn"] = gate.overflowed - overflowed
         self.unseen = gate.wished, gate.overflowed
         self.log.info(
             "figures",
-            clients=len(self.front.connections),
+            clients=len(self.limiter.connections),
             to_targets=guard.descriptors.held[Use.TARGETS],
-            dials=self.forwards.dials,
+            dials=self.upstream_pools.dials,
             open=self.engine.owed,
             held_mb=round(guard.account.held / MB, 1),
             lag_ms=round(1000 * guard.worst_lag()),
@@ -401,7 +410,7 @@
         one before this has not come back. They are served on the connections that they have for as long as
         leaves time to finish before the platform kills.
         """
-        front, told = self.front, self.loop.time()
+        limiter, told = self.limiter, self.loop.time()
         if self.starting:  # what is not ready has no clients yet, and must not open its door behind this
             self.starting.cancel()
         # By the settings in force: a class that a SIGHUP has dropped makes nobody wait longer with SIGKILL.
@@ -411,27 +420,27 @@
         killed = told + LAME + longest  # no sooner than that
         successor = self.config.inherited is not None
         self._hear(Event.SUCCEEDED if successor else Event.TERMINATE)
-        front.last = killed - margin
-        self.engine.hasten(front.last)  # those that are open may have far longer than that
-        look = min(LOOK, margin / 10)
+        limiter.drain_deadline = killed - margin
+        self.engine.hasten(limiter.drain_deadline)  # those that are open may have far longer than that
+        look = min(DRAIN_CHECK_S, margin / 10)
         if successor:  # the clients' queue, and what peers tell, are its from now on
-            self.door.close()
+            self.acceptor.close()
             self.peers.close()
         else:
             await asyncio.sleep(LAME)
-            while not self.door.close() and self.loop.time() < told + LAME + longest / 2:
+            while not self.acceptor.close() and self.loop.time() < told + LAME + longest / 2:
                 await asyncio.sleep(0)  # who stands in its queue, beyond what a turn lets in, comes first
-            self.door.let(False)  # also where they come without an end
+            self.acceptor.set_accepting(False)  # also where they come without an end
             while self._has_clients() and self.loop.time() < told + LAME + longest / 2:
                 await asyncio.sleep(look)
-        front.closing = True
+        limiter.closing = True
         while self._has_clients() and self.loop.time() < killed - margin / 2:
-            front.close_idle()
+            limiter.close_idle()
             await asyncio.sleep(look)
         # All that was taken has its answer by now. The rest is turned out in order: a process that ends with
         # bytes unread resets the connection, and with it whatever answer is still on its way there.
         while self._has_clients():  # once in any case: a loop that is late must not leave them to the exit
-            front.turn_out()
+            limiter.close_or_reject()
             await asyncio.sleep(look)
             if self.loop.time() >= killed - margin / 4:
                 break
@@ -439,7 +448,7 @@
 
     def _has_clients(self) -> bool:
         """Whether anybody is connected, or is about to be."""
-        return bool(self.front.connections) or self.transports.has_work()
+        return bool(self.limiter.connections) or self.transports.has_work()
 
     def _stop(self) -> None:
         if self.keeper and self.group.known:
--- a/firvane/simulation/runner/rolling.py
+++ b/firvane/simulation/runner/rolling.py
@@ -264,7 +264,7 @@
         """All that proxies say is read at one moment."""
         blocks = []
         for name, machine in zip(self.names, self.machines, strict=True):
-            said = machine.proxy and machine.proxy.front.measures
+            said = machine.proxy and machine.proxy.limiter.metrics
             if not said:
                 continue
             one = measurements.sample(said.text())  # type: ignore[attr-defined]
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -91,9 +91,9 @@
             self.tell, proxy.peers.tell = proxy.peers.tell, self._tell
         if name == "no-drains":
             self.read, proxy.group.reader.read = proxy.group.reader.read, self._read
-        if proxy.front.measures is not None:
-            proxy.front.measures.used = self.used
-            proxy.front.measures.pid = seed
+        if proxy.limiter.metrics is not None:
+            proxy.limiter.metrics.used = self.used
+            proxy.limiter.metrics.pid = seed
 
     def used(self) -> Used:
         """What such a process would say: it grows to its size, its memory jitters, each request costs."""
@@ -101,9 +101,9 @@
         held = 30.0 + 2.0 * (1 - exp(-up / 5)) + self.draw.uniform(-0.02, 0.02)
         if self.name == "leaks":
             held += self.size * up / 60
-        counts = self.proxy.front.measures.classes.values()
+        counts = self.proxy.limiter.metrics.classes.values()
         cpu = sum(0.0005 * one.taken + 0.0002 * one.attempts for one in counts)
-        return Used(cpu, held, sum(self.proxy.guard.descriptors.held.values()))
+        return Used(cpu, held, sum(self.proxy.monitor.descriptors.held.values()))
 
     def _take(self, flow: Any, request: Any) -> None:
         self.taken += 1
@@ -134,7 +134,7 @@
         boxes = sorted(self.engine.known)
         if boxes:
             box = boxes[int(self.draw.random() * len(boxes))]
-            self.proxy.forwards.forward(flow.request, box, Unheard(flow.deadline))
+            self.proxy.upstream_pools.forward(flow.request, box, Unheard(flow.deadline))
             for counts in getattr(flow.client, "by", ()):
                 counts.attempts += 1
 
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -16,7 +16,7 @@
 from firvane.core.net.dialer import Dialing
 from firvane.core.terminations import Ending
 from firvane.proxy.config.node import Config
-from firvane.proxy.net.listening_socket import Accept, LoopDoor
+from firvane.proxy.net.listening_socket import ConnectionFactory, LoopAcceptor
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy import Proxy
 from firvane.simulation.runner.process import Process
@@ -94,10 +94,10 @@
     def close(self) -> None: ...
 
 
-class MemoryDoor(LoopDoor):
+class MemoryAcceptor(LoopAcceptor):
     """A proxy's way in, in memory: whoever is accepted can be asked whether it has left, as a kernel can."""
 
-    async def open(self, address: tuple[str, int], accept: Accept) -> None:
+    async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
         def made() -> asyncio.BaseProtocol:
             assert server.newcomer
             return accept(always_true, server.newcomer.stands)
@@ -162,9 +162,9 @@
             keeper=keeper, agreement=agreement,
         )  # fmt: skip
         self.proxy = process.call(make)
-        self.proxy.door = MemoryDoor(self.loop)
+        self.proxy.acceptor = MemoryAcceptor(self.loop)
         if epoch:
-            self.proxy.front.agreement = Marked(epoch)
+            self.proxy.limiter.policy_lease = Marked(epoch)
         if self.shim:
             process.call(self.shim, self.proxy)
         self.on_state("started", 0)
@@ -209,7 +209,7 @@
             self.signal = partial(self.reload, read, epoch)
         elif self.process and self.proxy:
             self.process.call(self.proxy.reload, read)
-            self.proxy.front.agreement = Marked(epoch)
+            self.proxy.limiter.policy_lease = Marked(epoch)
 
     def kill(self, silently: bool = False) -> None:
         """End it at once; `silently` where its machine is gone. What it knew and held is lost."""
--- a/tests/core/net/test_http.py
+++ b/tests/core/net/test_http.py
@@ -16,10 +16,21 @@
 from firvane.core.net import http_message, http_reader, http_writer
 from firvane.core.request_counters import Tally
 from firvane.proxy.limits.loop_budget import BEHIND, DECIDE, READ_ONE, TURN
-from firvane.proxy.net.client_requests import Listener
-from firvane.proxy.net.connection_limiter import Front
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.connection_limiter import ConnectionLimiter
 from tests.helpers import settings
-from tests.proxy.net.helpers import PAY, READ, Clock, Wire, cut, garbage, guard, make_places, places, seeded
+from tests.proxy.net.helpers import (
+    PAY,
+    READ,
+    Clock,
+    Wire,
+    cut,
+    garbage,
+    make_monitor,
+    make_places,
+    places,
+    seeded,
+)
 
 HEAD = "GET /read/x?a=1 HTTP/1.1\r\nHost: app\r\nX-Call-Id: 9b1f\r\nX-Caller: acme\r\nX-Budget-Ms: 480\r\n"
 GET = (HEAD + "X-Route-Hash: 7f\r\nX-Call-Cost: 12000\r\nX-Again: 1\r\n\r\n").encode()
@@ -47,13 +58,13 @@
         self.left.append(flow)
 
 
-def listener() -> tuple[Listener, Wire, Taken]:
+def listener() -> tuple[ClientConnection, Wire, Taken]:
     taken = Taken()
     config = settings(classes=(READ, PAY), tenants=(api.Tenant("acme"),))
     clock = Clock()
-    front = Front(clock, taken, config, guard(clock))  # type: ignore[arg-type]
-    front.ready = True
-    made = front.accept()
+    limiter = ConnectionLimiter(clock, taken, config, make_monitor(clock))  # type: ignore[arg-type]
+    limiter.ready = True
+    made = limiter.accept()
     return made, Wire(made), taken
 
 
@@ -78,7 +89,7 @@
     assert flow.request.url == b"/read/x?a=1" and flow.deadline == pytest.approx(1000.48)
     assert (request.key, request.work, request.is_retry, request.tenant) == ("7f", 0.012, True, 0)
     made.served(answer())
-    made.front.loop.advance(0.0)  # type: ignore[attr-defined]
+    made.context.loop.advance(0.0)  # type: ignore[attr-defined]
     assert wire.written.endswith(b"Content-Type: text/html\r\nContent-Length: 5\r\n\r\nhello")
     assert b"".join(taken.flows[1][0].request.body) == b"body"
 
@@ -171,48 +182,48 @@
     # Two flows under one id: a target's answer, or its refusal, could be for either.
     first, wire, taken = listener()
     first.data_received(GET)
-    second = Listener(first.front)
+    second = ClientConnection(first.context)
     other = Wire(second)
     second.data_received(GET)
     assert statuses(other) == [409] and other.eof and len(taken.flows) == 1
     first.served(answer())
     assert statuses(wire) == [200]
-    third = Listener(first.front)
+    third = ClientConnection(first.context)
     Wire(third).protocol.data_received(GET)
     assert len(taken.flows) == 2
 
 
-def later(front: Front, span: float) -> None:
-    front.loop.advance(span)  # type: ignore[attr-defined]
-    front.sweep()
+def later(limiter: ConnectionLimiter, span: float) -> None:
+    limiter.loop.advance(span)  # type: ignore[attr-defined]
+    limiter.sweep()
 
 
 @pytest.mark.parametrize(("sent", "answers"), [(b"", []), (b"GET /read", [408]), (GET[:-2], [408])])
 def test_who_does_not_ask_within_three_seconds_is_hung_up_on(sent: bytes, answers: list[int]) -> None:
     made, wire, _ = listener()
     made.data_received(sent[:3])
-    later(made.front, 2.0)
+    later(made.context, 2.0)
     assert not wire.closed and not wire.eof
     made.data_received(sent[3:])  # more of the same half does not win more time
-    later(made.front, 0.8)
+    later(made.context, 0.8)
     assert statuses(wire) == answers and (wire.closed or wire.eof)
-    later(made.front, 2.5)
+    later(made.context, 2.5)
     assert wire.closed
 
 
 def test_the_silent_make_room_first_and_the_usual_clients_last() -> None:
     made, wire, taken = listener()
-    front = made.front
-    make_places(front.guard, 4)
+    limiter = made.context
+    make_places(limiter.monitor, 4)
     made.data_received(GET)
     made.served(answer())  # has asked and is idle
-    busy, silent = Listener(front), Listener(front)
+    busy, silent = ClientConnection(limiter), ClientConnection(limiter)
     wires = [Wire(busy), Wire(silent)]
     busy.data_received(GET)
-    front.loop.advance(1.0)  # type: ignore[attr-defined]
-    wires += [Wire(Listener(front)) for _ in range(3)]  # two more than there are places
+    limiter.loop.advance(1.0)  # type: ignore[attr-defined]
+    wires += [Wire(ClientConnection(limiter)) for _ in range(3)]  # two more than there are places
     assert not any(w.closed for w in wires)
-    front.loop.advance(0.03)  # type: ignore[attr-defined]
+    limiter.loop.advance(0.03)  # type: ignore[attr-defined]
     assert [w.closed for w in (wire, *wires)] == [True, False, True, True, False, False]
     assert not taken.left
 
@@ -220,12 +231,12 @@
 def test_an_answer_on_its_way_is_not_thrown_away_to_make_room() -> None:
     # It would be a request taken and never answered.
     made, wire, _ = listener()
-    make_places(made.front.guard, 1)
+    make_places(made.context.monitor, 1)
     made.data_received(GET)
     wire.buffered = 9
     made.served(answer())
-    Wire(Listener(made.front))
-    assert not wire.closed and made.front.shut_out
+    Wire(ClientConnection(made.context))
+    assert not wire.closed and made.context.accepting_paused
 
 
 @pytest.mark.parametrize(("asked", "kept"), [(0, 0.3), (1, 0.05), (2, 1.9)])
@@ -235,13 +246,13 @@
     for _ in range(asked):
         made.data_received(GET)
         made.served(answer())
-    later(made.front, 50.0 if asked else 2.0)
+    later(made.context, 50.0 if asked else 2.0)
     assert not wire.closed
-    make_places(made.front.guard, 2)
-    made.since = made.front.loop.time()
-    later(made.front, kept)
+    make_places(made.context.monitor, 2)
+    made.idle_since = made.context.loop.time()
+    later(made.context, kept)
     assert not wire.closed
-    later(made.front, 0.3)
+    later(made.context, 0.3)
     assert wire.closed
 
 
@@ -249,7 +260,7 @@
     # The parser gathers a field of any length; only the count of raw bytes ends it.
     made, wire, _ = listener()
     for _ in range(20):
-        made.data_received(b"GET /read HTTP/1.1\r\nX-A: " if not made.started else b"a" * 1000)
+        made.data_received(b"GET /read HTTP/1.1\r\nX-A: " if not made.request_started else b"a" * 1000)
     assert statuses(wire) == [431] and wire.eof
 
 
@@ -277,8 +288,8 @@
     assert reader.message and reader.message.size == 30000 and len(reader.message.body) < 40
 
 
-def turn(made: Listener) -> None:
-    made.front.loop.turn()  # type: ignore[attr-defined]
+def turn(made: ClientConnection) -> None:
+    made.context.loop.turn()  # type: ignore[attr-defined]
 
 
 def test_what_is_pipelined_waits_unread_and_reading_stops() -> None:
@@ -287,7 +298,7 @@
     made.data_received(GET.replace(b"9b1f", b"0") + GET * 9)
     assert len(taken.flows) == 1 and not made.reader.completed and wire.paused
     for n in range(1, 10):
-        made.rest = made.rest.replace(b"9b1f", b"%d" % n, 1)
+        made.unparsed = made.unparsed.replace(b"9b1f", b"%d" % n, 1)
         made.served(answer())
         turn(made)
         assert len(taken.flows) == n + 1 and wire.paused is (n < 9)
@@ -304,13 +315,13 @@
 def test_a_turn_of_the_loop_has_an_end_and_each_connection_its_part() -> None:
     # 10,000 requests in one segment were refused in one go, which stopped everything else for a second.
     made, wire, _ = listener()
-    made.front.engine = refusing = Refusing()  # type: ignore[assignment]
+    made.context.engine = refusing = Refusing()  # type: ignore[assignment]
     made.data_received(GET * 2000)
     share = BEHIND // (READ_ONE + DECIDE)  # of a turn, for what is sent behind another request
     assert len(refusing.flows) == 1 and wire.paused
-    make_places(made.front.guard, 1000)
+    make_places(made.context.monitor, 1000)
     turns = TURN // (READ_ONE + DECIDE)
-    others = [Wire(Listener(made.front)) for _ in range(3 * turns)]
+    others = [Wire(ClientConnection(made.context)) for _ in range(3 * turns)]
     for other in others:
         other.protocol.data_received(GET)
     assert len(refusing.flows) == turns
@@ -319,7 +330,7 @@
         turn(made)
     assert all(statuses(other) == [503] for other in others)
     assert len(statuses(wire)) <= before + 5 * share
-    while made.rest:
+    while made.unparsed:
         turn(made)
     assert len(statuses(wire)) == 2000 and not wire.paused
 
@@ -337,9 +348,9 @@
     assert len(taken.flows) == 2
     wire.stuck = True
     made.served(answer())
-    later(made.front, 2.4)  # the flow's own time is up, and it has a while more to read
+    later(made.context, 2.4)  # the flow's own time is up, and it has a while more to read
     assert not wire.closed
-    later(made.front, 0.2)
+    later(made.context, 0.2)
     assert wire.closed and len(taken.flows) == 2
 
 
@@ -348,14 +359,14 @@
     made.data_received(GET + b"rubbish\r\n\r\n")
     assert len(taken.flows) == 1 and not wire.written and not wire.closed
     made.refused(0.25)
-    made.front.loop.advance(0.0)  # type: ignore[attr-defined]
+    made.context.loop.advance(0.0)  # type: ignore[attr-defined]
     assert statuses(wire) == [503, 400] and b"Retry-After: 0.250\r\n" in wire.written
 
 
 def test_an_ending_proxy_serves_who_is_here_but_owes_nothing_past_its_end() -> None:
     # Closed at once, its clients had nobody to go to where the proxy before it was not back yet.
     made, wire, taken = listener()
-    made.front.draining, made.front.last = True, 1000.2
+    made.context.draining, made.context.drain_deadline = True, 1000.2
     for _ in range(2):
         made.data_received(GET)
         assert taken.flows[-1][0].deadline == 1000.2
@@ -366,8 +377,8 @@
 def test_while_closing_an_answer_ends_the_connection_and_not_before() -> None:
     made, wire, taken = listener()
     made.data_received(GET)
-    made.front.closing = True
-    made.front.close_idle()
+    made.context.closing = True
+    made.context.close_idle()
     assert not wire.closed
     made.served(answer())
     assert b"Connection: close" in wire.written and wire.closed and not taken.left
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -28,8 +28,8 @@
 from firvane.core.terminations import Ending
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.net.resource_monitor import OwnUsage, Usage
-from firvane.proxy.net.upstream_pool import SETTLE
+from firvane.proxy.net.resource_monitor import ProcessUsage, Usage
+from firvane.proxy.net.upstream_pool import REUSE_DELAY_S
 from firvane.proxy.proxy import Proxy
 from tests.proxy.net.helpers import endpoint
 
@@ -348,7 +348,7 @@
     """
 
     def __init__(self) -> None:
-        self.read = OwnUsage()
+        self.read = ProcessUsage()
         self.held = self.read().memory
 
     def __call__(self) -> Usage:
@@ -375,9 +375,9 @@
         self.env = configured(folder, self.agent, settings, **changes) | (env or {})
         log = logs.make("info", "logfmt", self._logged)
         self.proxy = Proxy(self.loop, read_config(self.env), log=log)
-        self.proxy.guard.usage = UsageFromHere()
+        self.proxy.monitor.usage = UsageFromHere()
         self.dialer = Held(self.proxy.dialer)
-        self.proxy.forwards.dialer = self.dialer  # type: ignore[assignment]
+        self.proxy.upstream_pools.dialer = self.dialer  # type: ignore[assignment]
         self.clients: list[Link] = []
         self.tasks: list[asyncio.Task[Any]] = []
         self.changed = asyncio.Event()
@@ -420,7 +420,9 @@
 
     async def client(self) -> Link:
         """A connection to the proxy; `ConnectionRefusedError` where its door is closed."""
-        self.port = self.port or self.proxy.door.address()[1]  # which a closed door does not tell any more
+        self.port = (
+            self.port or self.proxy.acceptor.address()[1]
+        )  # which a closed door does not tell any more
         link = await connect(self.port)
         self.clients.append(link)
         return link
@@ -430,7 +432,7 @@
         name = link.sock.getsockname()
 
         def found() -> Any:
-            all_of_them = self.proxy.front.connections
+            all_of_them = self.proxy.limiter.connections
             return next((c for c in all_of_them if c.transport.get_extra_info("peername") == name), None)
 
         return await self.see(found)
@@ -443,25 +445,25 @@
 
     async def rested(self) -> None:
         """Connections to targets that were given back may be used again; a request before that dials."""
-        pools = self.proxy.forwards.pools.values()
+        pools = self.proxy.upstream_pools.pools.values()
         idle = [connection for pool in pools for connection in pool.idle]
-        await self.see(lambda: all(one.idle_since + SETTLE < self.loop.time() for one in idle))
+        await self.see(lambda: all(one.idle_since + REUSE_DELAY_S < self.loop.time() for one in idle))
 
     def at_rest(self) -> tuple[int, int, int]:
         """What has to be back where it was: flows open, flows known, clients' descriptors held."""
-        held = self.proxy.guard.descriptors.held
+        held = self.proxy.monitor.descriptors.held
         return self.proxy.engine.owed, len(self.proxy.engine.flows), held[Use.CLIENTS]
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
         self.proxy._stop()
-        self.proxy.door.close()
+        self.proxy.acceptor.close()
         for party in (self.agent, *self.targets):
             party.close()
         for client in self.clients:
             client.sock.close()
-        for connection in list(self.proxy.front.connections):
+        for connection in list(self.proxy.limiter.connections):
             connection.transport.abort()
 
 
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -66,7 +66,7 @@
     ),
     Mutant(
         "a body arrives as it was sent, whatever connection it goes on",
-        "firvane/proxy/net/client_requests.py",
+        "firvane/proxy/net/client_connection.py",
         "        self.upload.feed(message.take_body())\n",
         "",
         f"{FILE} -k arrives_as_it_was_sent",
@@ -95,8 +95,8 @@
     Mutant(
         "a connection that has just been given back is not used yet",
         FORWARD,
-        "            if self.idle[place].idle_since <= settled:\n",
-        "            if self.idle[place].idle_since <= settled or not place:\n",
+        "            if self.idle[position].idle_since <= settled:\n",
+        "            if self.idle[position].idle_since <= settled or not position:\n",
         f"{FILE} -k second_answer",
     ),
     Mutant(
@@ -144,7 +144,7 @@
     Mutant(
         "an answer cut short is no answer",
         FORWARD,
-        "self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)",
+        "self._end(Ending.SERVED if announced else Ending.BROKE_SENT, message)",
         "self._end(Ending.SERVED, message)",
         f"{FILE} -k fin-without-a-length",
     ),
--- a/tests/crossings/mutants/client_gone.py
+++ b/tests/crossings/mutants/client_gone.py
@@ -8,7 +8,7 @@
 MUTANTS = [
     Mutant(
         "a request is not taken up whose client has gone",
-        "firvane/proxy/net/client_requests.py",
+        "firvane/proxy/net/client_connection.py",
         "        if not self.is_peer_open():\n",
         "        if False:\n",
         f"{HERE} -k asked_and_left or sweep",
@@ -16,14 +16,14 @@
     Mutant(
         "bytes behind a request do not hide that its client left",
         "firvane/proxy/net/connection_limiter.py",
-        "if connection.paused and not connection.is_peer_open():",
+        "if connection.reading_paused and not connection.is_peer_open():",
         "if False:",
         f"{HERE} -k behind_another",
     ),
     Mutant(
         "the end of a connection is seen behind unread bytes",
         "firvane/core/net/dialer.py",
-        "        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == ESTABLISHED\n",
+        "        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_ESTABLISHED\n",
         "        return sock.recv(1, socket.MSG_PEEK) != b''\n",
         f"{HERE} -k turn_is_used_up",
     ),
@@ -43,8 +43,8 @@
     ),
     Mutant(
         "what is open for who has gone ends in that very call",
-        "firvane/proxy/net/client_requests.py",
-        "            self.transport.abort()\n            self._give_up()",
+        "firvane/proxy/net/client_connection.py",
+        "            self.transport.abort()\n            self._abort_upload()",
         "            self.transport.abort()",
         f"{HERE} -k between_two_sweeps",
     ),
--- a/tests/crossings/mutants/closes.py
+++ b/tests/crossings/mutants/closes.py
@@ -17,22 +17,22 @@
     Mutant(
         "bytes unread behind a last answer do not destroy it",
         ANSWERS,
-        "if self.lost or self.paused or long or not self.has_no_input():",
-        "if self.lost or self.paused or long:",
+        "if self.discarding or self.reading_paused or long or not self.has_no_input():",
+        "if self.discarding or self.reading_paused or long:",
         f"{HERE}test_bytes_behind_a_last_answer_do_not_destroy_it",
     ),
     Mutant(
         "nor do bytes that come while it is still here",
         ANSWERS,
-        "if self.lost or self.paused or long or not self.has_no_input():",
-        "if self.lost or self.paused or not self.has_no_input():",
+        "if self.discarding or self.reading_paused or long or not self.has_no_input():",
+        "if self.discarding or self.reading_paused or not self.has_no_input():",
         f"{HERE}test_bytes_behind_a_last_answer_do_not_destroy_it",
     ),
     Mutant(
         "who stays behind its last answer is closed on",
         ANSWERS,
-        "            self.expires = front.loop.time() + patience\n            if",
-        "            self.expires = front.loop.time() + 2 * IDLE\n            if",
+        "            self.expires_at = context.loop.time() + patience\n            if",
+        "            self.expires_at = context.loop.time() + 2 * IDLE_TIMEOUT_S\n            if",
         f"{HERE}test_a_client_that_stays_behind_its_last_answer_is_closed_on",
     ),
 ]
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -4,21 +4,21 @@
 
 from tests.crossings.mutants import Mutant
 
-TARGETS, PAUSES, FORWARD = (
-    "firvane/proxy/net/target_group.py",
-    "firvane/proxy/limits/discovery_timing.py",
-    "firvane/proxy/net/upstream_pool.py",
-)
+TARGETS = "firvane/proxy/net/target_group.py"
+WATCH = "firvane/proxy/net/discovery_watch.py"
+LIST = "firvane/proxy/net/endpoint_list.py"
+PAUSES = "firvane/proxy/limits/discovery_timing.py"
+FORWARD = "firvane/proxy/net/upstream_pool.py"
 TESTS = "tests/crossings/test_lists.py"
 
 MUTANTS = [
     Mutant(
         "a call that could go out only after the loop stood still has its time at the start", TARGETS,
-        "        while not self.heard.is_set():\n", "        while False:\n",
+        "        while not self.list_received.is_set():\n", "        while False:\n",
         f"{TESTS}::test_a_start_over_which_the_loop_stood_still_reads_what_the_agent_said",
     ),
     Mutant(
-        "a name with half a character is a bad list", TARGETS,
+        "a name with half a character is a bad list", LIST,
         "            name.encode()\n", "            pass\n",
         f"{TESTS}::test_a_name_with_half_a_character_is_a_bad_list",
     ),
@@ -33,29 +33,29 @@
         f"{TESTS}::test_no_weight_of_a_list_stops_a_proxy",
     ),
     Mutant(
-        "a list may come indented", TARGETS,
-        "                if self.open > 0:\n", "                if False:\n",
+        "a list may come indented", WATCH,
+        "                if self.open_brackets > 0:\n", "                if False:\n",
         f"{TESTS}::test_a_list_comes_whole_however_it_is_indented_and_cut",
     ),
     Mutant(
-        "what a string holds is no bracket", TARGETS,
+        "what a string holds is no bracket", WATCH,
         'b"".join(parts[::2]).translate', 'b"".join(parts).translate',
         f"{TESTS}::test_a_list_comes_whole_however_it_is_indented_and_cut",
     ),
     Mutant(
-        "a list is looked at once", TARGETS,
-        "        self.begun += rest\n",
-        "        brackets([bytes(self.begun + rest)])\n        self.begun += rest\n",
+        "a list is looked at once", WATCH,
+        "        self.partial_line += rest\n",
+        "        scan_brackets([bytes(self.partial_line + rest)])\n        self.partial_line += rest\n",
         f"{TESTS}::test_a_list_that_comes_byte_by_byte_is_looked_at_once",
     ),
     Mutant(
-        "garbage ends the watch at once", TARGETS,
+        "garbage ends the watch at once", WATCH,
         "    return [None] if len(lines) == 1 else", '    return [b"{"] if len(lines) == 1 else',
         f"{TESTS}::test_what_cannot_become_a_list_is_told_at_once",
     ),
     Mutant(
-        "a list of many lines is bounded", TARGETS,
-        "if len(self.lines) + size > self.longest", "if size > self.longest",
+        "a list of many lines is bounded", WATCH,
+        "if len(self.partial_object) + size > self.max_bytes", "if size > self.max_bytes",
         f"{TESTS}::test_a_list_of_many_lines_is_bounded_as_one_of_one_line_is",
     ),
     Mutant(
@@ -80,17 +80,17 @@
     ),
     Mutant(
         "a loop that stood still reads before it judges", TARGETS,
-        "            await asyncio.sleep(LOOK)\n", "            pass\n",
+        "            await asyncio.sleep(SETTLE_DELAY_S)\n", "            pass\n",
         f"{TESTS}::test_a_loop_that_stood_still_reads_before_it_judges",
     ),
     Mutant(
-        "an answer that ends in order is no watch any more", TARGETS,
-        "            if self.whole:\n", "            if False:\n",
+        "an answer that ends in order is no watch any more", WATCH,
+        "            if self.response_complete:\n", "            if False:\n",
         f"{TESTS}::test_a_watch_that_ends_is_opened_from_where_it_was",
     ),
     Mutant(
-        "an answer other than 200 ends the watch at once", TARGETS,
-        "if self.headed and self.parser", "if False and self.parser",
+        "an answer other than 200 ends the watch at once", WATCH,
+        "if self.head_complete and self.parser", "if False and self.parser",
         f"{TESTS}::test_an_answer_of_no_use_ends_the_watch_at_once",
     ),
     Mutant(
@@ -99,13 +99,13 @@
         "tests/proxy/limits/test_discovery_timing.py::test_a_free_call_is_made_at_once_and_soon_again",
     ),
     Mutant(
-        "a watch that was given up while dialled asks nothing", TARGETS,
-        "        if self.over:  # it was given up while it was dialled\n", "        if False:\n",
+        "a watch that was given up while dialled asks nothing", WATCH,
+        "        if self.over:  # it was ended while it was dialled\n", "        if False:\n",
         f"{TESTS}::test_who_was_given_up_while_dialled_asks_nothing",
     ),
     Mutant(
-        "nothing that has come is learnt after the end", TARGETS,
-        "if self.over:  # by what the line had for a consequence\n", "if False:\n",
+        "nothing that has come is learnt after the end", WATCH,
+        "if self.over:  # `on_line` has ended it\n", "if False:\n",
         f"{TESTS}::test_nothing_that_has_come_is_learnt_after_the_end",
     ),
     Mutant(
@@ -115,13 +115,13 @@
     ),
     Mutant(
         "the old discovery is not heard after a move", TARGETS,
-        "        if self.watch:  # at once: it may be read before the task hears of its end\n",
+        "        if self.watch:  # at once: it could be read before the task is cancelled\n",
         "        if False and self.watch:\n",
         f"{TESTS}::test_what_the_old_discovery_said_last_is_not_heard_after_a_move",
     ),
     Mutant(
         "changes up to an older version are not taken", TARGETS,
-        "if isinstance(at, int) and at < index:", "if False:",
+        "if isinstance(index, int) and index < current:", "if False:",
         f"{TESTS}::test_a_whole_list_is_taken_whatever_its_version_and_changes_only_onwards",
     ),
     Mutant(
@@ -142,18 +142,19 @@
     ),
     Mutant(
         "nothing is begun after the grace, whoever asks for it", FORWARD,
-        "if down_since is not None and now >= down_since", "if down_since is not None and now < down_since",
+        "if draining_since is not None and now >= draining_since",
+        "if draining_since is not None and now < draining_since",
         f"{TESTS}::test_whoever_asks_for_it_nothing_is_begun_after_the_grace",
     ),
     Mutant(
         "an idle connection to what drains is closed", FORWARD,
-        "            pool.down_since = self.loop.time()\n            pool.close_idle()\n",
-        "            pool.down_since = self.loop.time()\n",
+        "            pool.draining_since = self.loop.time()\n            pool.close_idle()\n",
+        "            pool.draining_since = self.loop.time()\n",
         f"{TESTS}::test_an_idle_connection_to_what_drains_is_closed_and_not_used",
     ),
     Mutant(
         "a connection that was busy when its target began to drain is not used again", FORWARD,
-        "        if pool.down_since is not None:\n            connection.close()\n",
+        "        if pool.draining_since is not None:\n            connection.close()\n",
         "        if False:\n            connection.close()\n",
         f"{TESTS}::test_a_connection_that_was_busy_when_its_target_began_to_drain_is_not_used_again",
     ),
