--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -17,7 +17,7 @@
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards
+from firvane.proxy.net.upstream_pool import REUSE_DELAY_S, Connection, UpstreamPools
 from tests.crossings.harness import (
     CHUNKED,
     ERROR,
@@ -36,7 +36,7 @@
     rig,
 )
 from tests.helpers import RULES
-from tests.proxy.net.helpers import Ended, guard
+from tests.proxy.net.helpers import Ended, make_monitor
 from tests.proxy.net.test_upstream_pool import request as message
 
 LEAVES = pytest.mark.parametrize("how", ["fin", "reset"])
@@ -108,7 +108,7 @@
     link, _ = await first(made)
     await link.send(OK)
     await client.until(b"hi")
-    pool = next(pool for pool in made.proxy.forwards.pools.values() if pool.idle)
+    pool = next(pool for pool in made.proxy.upstream_pools.pools.values() if pool.idle)
     await made.rested()
     return link, pool.idle[0]
 
@@ -175,17 +175,17 @@
         async with rig(tmp_path, settings=params(limits={"cancel": cancel})) as made:
             await made.start()
             making = Making(made.dialer.real)
-            made.proxy.forwards.dialer = making  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = making  # type: ignore[assignment]
             client = await made.client()
             await client.send(request("c1"))
             await making.came.wait()
             await left(made, client, how)
-            made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             making.ups[0]()
             link = await made.targets[0].link()
             assert await link.gone() == "reset" or link.ended == "fin"
             assert link.buffer == b"" and await after(made) == ["last"]
-            assert made.proxy.guard.descriptors.held[Use.TARGETS] == 1
+            assert made.proxy.monitor.descriptors.held[Use.TARGETS] == 1
 
     play(work())
 
@@ -195,11 +195,11 @@
         async with rig(tmp_path) as made:
             await made.start()
             making = Making(made.dialer.real)
-            made.proxy.forwards.dialer = making  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = making  # type: ignore[assignment]
             client = await made.client()
             await client.send(request("c1"))
             await making.came.wait()
-            made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             [flow] = made.proxy.engine.flows.values()
             assert flow.forwards[0]
             flow.forwards[0].stop(Ending.CANCELLED)
@@ -515,19 +515,19 @@
         transports.start()
         making = Making(SocketDialer(loop, transports))
         limits = api.Limits(max_attempts=3, connect_timeout=5.0, connection_idle=30.0)
-        forwards = Forwards(loop, limits, RULES, guard(loop, 10), making)
-        forwards.listed("s", ("127.0.0.1", target.port), True)
-        forwards.forward(message(), "s", over := Ended(loop.time()))
+        pools = UpstreamPools(loop, limits, RULES, make_monitor(loop, 10), making)
+        pools.listed("s", ("127.0.0.1", target.port), True)
+        pools.forward(message(), "s", over := Ended(loop.time()))
         assert over.endings == [Ending.WITHDRAWN] and not making.ups  # not even a dial
-        forwards.forward(message(), "s", late := Ended(loop.time() + 0.03))
+        pools.forward(message(), "s", late := Ended(loop.time() + 0.03))
         await making.came.wait()
         while loop.time() < late.deadline:
             await asyncio.sleep(0)
         making.ups.pop()()
-        assert late.endings == [Ending.WITHDRAWN] and len(forwards.pools["s"].idle) == 1
-        while loop.time() <= forwards.pools["s"].idle[0].idle_since + SETTLE:
+        assert late.endings == [Ending.WITHDRAWN] and len(pools.pools["s"].idle) == 1
+        while loop.time() <= pools.pools["s"].idle[0].idle_since + REUSE_DELAY_S:
             await asyncio.sleep(0)
-        forwards.forward(message(), "s", in_time := Ended(loop.time() + 5.0))
+        pools.forward(message(), "s", in_time := Ended(loop.time() + 5.0))
         await (await target.taken()).send(OK)
         await in_time.over.wait()
         assert in_time.endings == [Ending.SERVED] and target.calls == ["1"]
@@ -962,19 +962,19 @@
                 link, _ = await idle(made)
             making = Making(made.dialer.real)
             if at != "idle":
-                made.proxy.forwards.dialer = making if at != "out" else made.dialer  # type: ignore[assignment]
+                made.proxy.upstream_pools.dialer = making if at != "out" else made.dialer  # type: ignore[assignment]
                 await client.send(request("c1", budget=1900))
             if at == "out":
                 link = await old.taken()
             elif at != "idle":
                 await making.came.wait()
-                made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+                made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             group, entries = made.proxy.group, [entry("s1", new)]
-            pool = made.proxy.forwards.pools["s1"]
+            pool = made.proxy.upstream_pools.pools["s1"]
             group.learn({"index": group.index + 1, "snapshot": True, "endpoints": entries})
             if at == "in-a-late-dial":  # the grace is over
-                assert pool.down_since is not None
-                pool.down_since -= made.proxy.forwards.rules.drain_grace
+                assert pool.draining_since is not None
+                pool.draining_since -= made.proxy.upstream_pools.rules.drain_grace
             if at in ("in-a-dial", "in-a-late-dial"):
                 making.ups[0]()
             if at == "in-a-dial":
@@ -1000,7 +1000,7 @@
     async def work() -> None:
         async with rig(tmp_path, targets=2, settings=brisk(probing=True)) as made:
             await started(made, s2="up" if way == "copy" else "draining")
-            forwards = made.proxy.forwards
+            pools = made.proxy.upstream_pools
             client = await made.client()
             first_at = None
             if way == "idle":
@@ -1013,16 +1013,16 @@
                 await client.send(request("c1"))
             if way in ("dial", "copy"):
                 await made.dialer.came.wait()
-            kept = {name: pool.address for name, pool in forwards.pools.items()}
+            kept = {name: pool.address for name, pool in pools.pools.items()}
             drains = [n for n, t in zip(("s1", "s2"), made.targets, strict=True) if first_at not in t.links]
             for name in drains:
-                forwards.listed(name, kept[name], False)
-                pool = forwards.pools[name]
-                assert pool.down_since is not None and not pool.idle
-                pool.down_since -= forwards.rules.drain_grace
+                pools.listed(name, kept[name], False)
+                pool = pools.pools[name]
+                assert pool.draining_since is not None and not pool.idle
+                pool.draining_since -= pools.rules.drain_grace
             if way in ("idle", "probe"):
                 over = Ended(made.loop.time() + 5.0)
-                (forwards.probe if way == "probe" else partial(forwards.forward, message()))("s1", over)
+                (pools.probe if way == "probe" else partial(pools.forward, message()))("s1", over)
                 assert over.endings == [Ending.TOO_LATE]
             made.dialer.let_go()
             if way == "copy" and first_at:
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -45,7 +45,7 @@
     await client.send(ask("warm"))
     await client.until(b"hi")
     client.fin()
-    await made.see(lambda: not made.proxy.front.connections)
+    await made.see(lambda: not made.proxy.limiter.connections)
 
 
 async def gone(made: Rig, client: Link, how: str) -> None:
@@ -60,18 +60,18 @@
     client = await made.client()
     await client.send(ask("c1", "/pay/x", body=bytes(4 * SMALL)))
     listener = await made.listener(client)
-    await made.see(lambda: listener.unleased)
+    await made.see(lambda: listener.awaiting_lease)
     return client, listener
 
 
 @contextlib.asynccontextmanager
 async def nothing_left(made: Rig) -> AsyncIterator[None]:
     """Whoever comes within has gone in the end, and the account is what it was."""
-    account, held = made.proxy.guard.account, made.proxy.guard.descriptors.held
+    account, held = made.proxy.monitor.account, made.proxy.monitor.descriptors.held
     before = [account.by[what] for what in CLEAN], dict(held), made.at_rest()
     yield
     await made.see(lambda: ([account.by[what] for what in CLEAN], dict(held), made.at_rest()) == before)
-    assert not made.proxy.front.ids and not made.proxy.front.connections
+    assert not made.proxy.limiter.open_ids and not made.proxy.limiter.connections
 
 
 async def only(made: Rig, *calls: str) -> None:
@@ -79,7 +79,7 @@
     serving = any(target.calls[:1] == ["warm"] for target in made.targets)
     for target in made.targets if not serving else ():
         made.later(target.serve())
-    tries = sum(counts.upstream_tries for counts in made.proxy.front.counts.values())
+    tries = sum(counts.upstream_tries for counts in made.proxy.limiter.counts.values())
     client, answered = await made.client(), b""
     while not answered.startswith(b"HTTP/1.1 200 "):  # a target of which little is known may be left alone
         await client.send(ask(f"last{tries}"))
@@ -97,7 +97,7 @@
         async with rig(tmp_path, **limits()) as made:
             await made.start()
             await warm(made)
-            turns = made.proxy.guard.turns
+            turns = made.proxy.monitor.turns
             spend = turns.spend
             turns.spend = lambda units: False  # type: ignore[method-assign]
             client = await made.client()
@@ -106,7 +106,7 @@
             await made.see(lambda: listener.queued)
             await gone(made, client, how)
             turns.spend = spend  # type: ignore[method-assign]
-            await made.see(lambda: not made.proxy.front.connections)
+            await made.see(lambda: not made.proxy.limiter.connections)
             await only(made)
 
     play(work())
@@ -142,13 +142,13 @@
         async with rig(tmp_path, **limits()) as made:
             await made.start()
             await warm(made)
-            leases = made.proxy.guard.leases
+            leases = made.proxy.monitor.leases
             free, leases.free = leases.free, 0
             async with nothing_left(made):
                 client, _ = await unleased(made)
                 await gone(made, client, how)
                 leases.free = free
-                await made.see(lambda: not made.proxy.front.connections)
+                await made.see(lambda: not made.proxy.limiter.connections)
             assert not leases.line
             await only(made)
 
@@ -161,14 +161,14 @@
         async with rig(tmp_path, **limits()) as made:
             await made.start()
             await warm(made)
-            leases = made.proxy.guard.leases
+            leases = made.proxy.monitor.leases
             free, leases.free = leases.free, 0
             client, listener = await unleased(made)
             await gone(made, client, how)
             leases.free = free
             leases.line.pop(listener)
             listener._leased()  # in the same turn: no sweep has come in between
-            await made.see(lambda: not made.proxy.front.connections)
+            await made.see(lambda: not made.proxy.limiter.connections)
             await only(made)
 
     play(work())
@@ -267,7 +267,7 @@
         )
         async with rig(tmp_path, targets=2, settings=settings) as made:
             await made.start()
-            made.proxy.front.sweep = lambda: None  # type: ignore[method-assign]
+            made.proxy.limiter.sweep = lambda: None  # type: ignore[method-assign]
             made.dialer.holding = way == "a dial that comes up"
             client = await made.client()
             await client.send(request("c1") + request("c2"))
@@ -285,11 +285,11 @@
                 if way == "the next attempt":
                     await link.send(ERROR)
             written = 0 if way == "a dial that comes up" else 1
-            engine, counts = made.proxy.engine, made.proxy.front.counts[b"read"]
+            engine, counts = made.proxy.engine, made.proxy.limiter.counts[b"read"]
             await made.see(lambda: not engine.owed or counts.upstream_tries > written)
             assert counts.upstream_tries == written and engine.endings["client left unread"] == 1
             assert len(flow.forwards) == 1 + written  # and it was tried no more than once
-            assert not made.proxy.front.ids
+            assert not made.proxy.limiter.open_ids
 
     play(work())
 
@@ -300,12 +300,12 @@
         async with rig(tmp_path, **limits()) as made:
             await made.start()
             await warm(made)
-            made.proxy.door.let(False)
+            made.proxy.acceptor.set_accepting(False)
             client = await made.client()  # waits in the kernel
             await client.send(ask("c1"))
             client.leave(how)
             before, taken = made.proxy.engine.endings["client left unread"], made.proxy.engine._next_id
-            made.proxy.door.let(True)
+            made.proxy.acceptor.set_accepting(True)
             await made.see(lambda: made.proxy.engine.endings["client left unread"] > before)
             assert made.proxy.engine._next_id == taken  # the decisions never heard of it
             await only(made)
@@ -320,7 +320,7 @@
             client = await made.client()
             await client.send(b"".join(ask(f"c{n}") for n in range(400)))
             link = await made.targets[0].taken()
-            assert len((await made.listener(client)).rest) <= 16 * 1024
+            assert len((await made.listener(client)).unparsed) <= 16 * 1024
             await link.send(OK)
             assert (await client.until(b"hi")).startswith(b"HTTP/1.1 200 ")
 
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from firvane.proxy.net.client_responses import AT_ONCE
+from firvane.proxy.net.client_responses import INITIAL_WINDOW_BYTES
 from tests.crossings.harness import CHUNKED, Link, Rig, play, request, rig
 
 MORE = request("c2")  # what its client sends behind the request whose answer is the last
@@ -25,7 +25,7 @@
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2048)
     sock.setblocking(False)
-    await made.loop.sock_connect(sock, made.proxy.door.address())
+    await made.loop.sock_connect(sock, made.proxy.acceptor.address())
     made.clients.append(Link(sock))
     return made.clients[-1]
 
@@ -52,16 +52,16 @@
             client = await narrow(made)
             await client.send(request("c1", more="" if closing else "Connection: close\r\n"))
             link = await made.targets[0].taken()
-            made.proxy.front.closing = closing
+            made.proxy.limiter.closing = closing
             listener = await made.listener(client)
             if when == "in the turn of the answer":
-                finish = listener._finish
+                finish = listener._respond
 
                 def crossed(*answer: Any) -> None:
                     client.sock.send(MORE)  # with the kernel, and the loop has yet to hear of it
                     finish(*answer)
 
-                listener._finish = crossed
+                listener._respond = crossed
             await link.send(body(size))
             await made.see(lambda: listener.ending)
             if when == "after the close":
@@ -77,7 +77,7 @@
     play(work())
 
 
-@pytest.mark.parametrize("size", [2, AT_ONCE, 60_000])
+@pytest.mark.parametrize("size", [2, INITIAL_WINDOW_BYTES, 60_000])
 def test_a_client_that_stays_behind_its_last_answer_is_closed_on(tmp_path: Path, size: int) -> None:
     # What waits for a client's end must not wait for ever.
     async def work() -> None:
@@ -109,7 +109,7 @@
             if ends == "whole":
                 await link.send(b"0\r\n\r\n")
             elif ends == "exit":
-                [listener] = made.proxy.front.connections
+                [listener] = made.proxy.limiter.connections
                 listener.transport.abort()  # as the system closes what an exit leaves open
             else:
                 link.leave(ends)
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -14,7 +14,7 @@
 
 from firvane.core.net.transport_pool import TRANSPORT_WORKERS
 from firvane.core.process_signals import SIGNALS
-from firvane.proxy.net.listening_socket import ACCEPTS
+from firvane.proxy.net.listening_socket import MAX_ACCEPTS_PER_TURN
 from firvane.proxy.proxy import LAME
 from tests.crossings.harness import (
     ERROR,
@@ -87,14 +87,14 @@
             clients = [made.later(keeps_asking(made, f"c{n}")) for n in range(3)]
             quiet, new = await made.client(), await made.client()
             assert b" 200 " in await asked(quiet, "q1")
-            told, front = made.loop.time(), made.proxy.front
+            told, limiter = made.loop.time(), made.proxy.limiter
             ending = made.later(made.proxy.drain())
-            await made.see(lambda: front.last < float("inf"))
+            await made.see(lambda: limiter.drain_deadline < float("inf"))
             longest = min(span / 1000, 3.0)
             # What comes up to 0.7 s after the order has most of its time, whatever the longest deadline is;
             # and all has its answer before SIGKILL may come.
-            assert LAME + longest / 2 < front.last - told < LAME + longest
-            assert not made.proxy.door.sock.fileno() < 0
+            assert LAME + longest / 2 < limiter.drain_deadline - told < LAME + longest
+            assert not made.proxy.acceptor.sock.fileno() < 0
             assert b" 200 " in await asked(new, "n1")
             for client in clients:
                 assert await client
@@ -117,12 +117,12 @@
             await half.send(request("h1")[:30])
             assert b" 200 " in await asked(client, "c1")
             made.later(made.proxy.drain())
-            await made.see(lambda: made.proxy.door.sock.fileno() < 0)
+            await made.see(lambda: made.proxy.acceptor.sock.fileno() < 0)
             closed = made.loop.time()
             await made.see(lambda: made.loop.time() > closed + 0.1)
             head = await asked(client, "c2")
             assert b" 200 " in head and b"Connection: close" not in head
-            await made.see(lambda: made.proxy.front.closing)
+            await made.see(lambda: made.proxy.limiter.closing)
             closing = made.loop.time()
             await made.see(lambda: made.loop.time() > closing + 0.1)
             assert await client.gone() == "fin"
@@ -248,7 +248,7 @@
                     task.cancel()
             await made.dialer.came.wait()
             made.later(made.proxy.drain())
-            await made.see(lambda: made.proxy.front.draining)
+            await made.see(lambda: made.proxy.limiter.draining)
             made.dialer.let_go()
             for target in made.targets:
                 made.later(target.serve())
@@ -286,8 +286,8 @@
             client, other = await made.client(), await made.client()
             assert await asked(client, "c1") and await asked(other, "o1")
             client.sock.send(request("c2"))  # with the kernel, and the loop has yet to hear of it
-            made.proxy.front.closing = True
-            made.proxy.front.close_idle()
+            made.proxy.limiter.closing = True
+            made.proxy.limiter.close_idle()
             head = await client.until(b"\r\n\r\n")
             assert b" 200 " in head and b"Connection: close" in head
             assert await other.gone() == "fin"
@@ -305,7 +305,7 @@
             used = await made.client()
             assert await asked(used, "u1")
             # Under pressure who has asked nothing for 0.5 s makes room, and a busy machine makes loops late.
-            made.proxy.guard.gives_up = lambda measure: False  # type: ignore[method-assign]
+            made.proxy.monitor.gives_up = lambda measure: False  # type: ignore[method-assign]
             if why == "end":
                 made.later(made.proxy.drain())
             client = await made.client()
@@ -314,9 +314,9 @@
                 ops = await connect(made.proxy.ops.address()[1])
                 await ops.send(b"drain\n")
                 await ops.gone()
-            await made.see(lambda: made.proxy.front.closing)
-            await made.see(lambda: made.loop.time() > listener.since + 0.6)
-            made.proxy.front.close_idle()
+            await made.see(lambda: made.proxy.limiter.closing)
+            await made.see(lambda: made.loop.time() > listener.idle_since + 0.6)
+            made.proxy.limiter.close_idle()
             client.sock.send(request("c1"))  # in the same turn: whatever was closed then does not hear of it
             head = await client.until(b"\r\n\r\n")
             assert b" 200 " in head and b"Connection: close" in head
@@ -330,11 +330,11 @@
         async with rig(tmp_path) as made:
             await made.start()
             made.later(made.targets[0].serve())
-            address = made.proxy.door.address()
+            address = made.proxy.acceptor.address()
             # The kernel has accepted it, and the loop, whose turn this is, has not.
             waiting = socket.create_connection(address)
             waiting.send(request("c1"))
-            made.proxy.door.close()
+            made.proxy.acceptor.close()
             client = Link(waiting)
             made.clients.append(client)
             assert b" 200 " in await client.until(b"\r\n\r\nhi")
@@ -344,14 +344,14 @@
     play(work())
 
 
-@pytest.mark.parametrize("many", [ACCEPTS, 3 * ACCEPTS])
+@pytest.mark.parametrize("many", [MAX_ACCEPTS_PER_TURN, 3 * MAX_ACCEPTS_PER_TURN])
 def test_so_are_all_that_stand_there_however_many(tmp_path: Path, many: int) -> None:
     # Of those that come in the turn of the close only as many as a turn lets in were, and the rest reset.
     async def work() -> None:
         async with rig(tmp_path, settings=lasting(2000)) as made:
             await made.start()
             made.later(made.targets[0].serve())
-            address, close = made.proxy.door.address(), made.proxy.door.close
+            address, close = made.proxy.acceptor.address(), made.proxy.acceptor.close
 
             def crossed() -> bool:
                 while len(made.clients) < many:
@@ -359,9 +359,9 @@
                     made.clients[-1].sock.send(request(f"c{len(made.clients)}"))
                 return close()
 
-            made.proxy.door.close = crossed  # type: ignore[method-assign]
+            made.proxy.acceptor.close = crossed  # type: ignore[method-assign]
             made.later(made.proxy.drain())
-            await made.see(lambda: made.proxy.door.sock.fileno() < 0)
+            await made.see(lambda: made.proxy.acceptor.sock.fileno() < 0)
             for client in made.clients:
                 assert (await client.until(b"\r\n\r\n")).startswith(b"HTTP/1.1 ")
             with pytest.raises(ConnectionRefusedError):
@@ -378,9 +378,12 @@
             client = await made.client()
             await client.send(request("c1")[:-1])
             listener = await made.listener(client)
-            await made.see(lambda: listener.started)
-            made.proxy.front.closing, made.proxy.front.last = True, made.loop.time()
-            made.proxy.engine.hasten(made.proxy.front.last)
+            await made.see(lambda: listener.request_started)
+            made.proxy.limiter.closing, made.proxy.limiter.drain_deadline = (
+                True,
+                made.loop.time(),
+            )
+            made.proxy.engine.hasten(made.proxy.limiter.drain_deadline)
             await client.send(request("c1")[-1:])
             head = await client.until(b"\r\n\r\n")
             assert b" 503 " in head and b"Connection: close" in head
@@ -396,15 +399,15 @@
             await made.start()
             made.later(made.targets[0].serve())
             made.loop.set_exception_handler(lambda loop, context: None)
-            accept = made.proxy.front.accept
+            accept = made.proxy.limiter.accept
 
             def fails(quiet: object) -> None:
                 raise RuntimeError("a fault")
 
-            made.proxy.door.accept = fails
+            made.proxy.acceptor.accept = fails
             for _ in range(TRANSPORT_WORKERS):
                 assert await (await made.client()).gone() == "fin"
-            made.proxy.door.accept = accept
+            made.proxy.acceptor.accept = accept
             assert b" 200 " in await asked(await made.client(), "c1")
 
     play(work())
@@ -565,7 +568,7 @@
                 watch = await made.agent.watch()
                 ops = await connect(made.proxy.ops.address()[1])
                 ending = made.later(made.proxy.drain())
-                await made.see(lambda: made.proxy.front.last < float("inf"))
+                await made.see(lambda: made.proxy.limiter.drain_deadline < float("inf"))
                 await watch.tell(1, *made.entries())
                 if not inherited:  # who comes all the same is refused; in the other case it has gone at once
                     await ops.send(b"ready\n")
@@ -574,8 +577,8 @@
                     assert b" 503 " in await asked(await made.client(), "c1")
                 await ending
                 await made.see(starting.done)
-                assert starting.cancelled() and not made.proxy.front.ready
-                assert made.proxy.door.sock.fileno() < 0 and not made.targets[0].waiting()
+                assert starting.cancelled() and not made.proxy.limiter.ready
+                assert made.proxy.acceptor.sock.fileno() < 0 and not made.targets[0].waiting()
                 assert not any("event=ready" in line for line in made.lines)
 
     play(work())
@@ -609,7 +612,7 @@
             made.proxy.reload(made.read_again)
             told = made.loop.time()
             made.later(made.proxy.drain())
-            await made.see(lambda: made.proxy.front.last < float("inf"))
-            assert made.proxy.front.last < told + LAME + SHORT / 1000
+            await made.see(lambda: made.proxy.limiter.drain_deadline < float("inf"))
+            assert made.proxy.limiter.drain_deadline < told + LAME + SHORT / 1000
 
     play(work())
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -161,11 +161,11 @@
                 await made.start()
                 made.later(made.targets[0].serve())
                 waiting = [socket.create_connection(held.getsockname()) for _ in range(2)]
-                made.proxy.door._accept()  # both; neither has a transport yet
+                made.proxy.acceptor._accept()  # both; neither has a transport yet
                 ending = made.later(made.proxy.drain())
                 await asyncio.sleep(0)  # the order is heard; whoever comes from here on is the successor's
                 left = socket.create_connection(held.getsockname())
-                await made.see(lambda: made.proxy.front.closing)
+                await made.see(lambda: made.proxy.limiter.closing)
                 clients = [Link(sock) for sock in waiting]
                 for n, client in enumerate(clients):
                     await client.send(request(f"c{n}"))
@@ -210,11 +210,11 @@
             await busy.send(request("b1"))
             link = await made.targets[0].next()
             made.later(made.targets[0].serve())
-            await made.see(lambda: len(made.proxy.front.connections) == 4)
+            await made.see(lambda: len(made.proxy.limiter.connections) == 4)
             assert await says(made, b"drain\n") == b"+OK draining\n"
             await new.send(b"GET /up HTTP/1.1\r\n\r\n")
             assert b" 503 " in await new.until(b"\r\n\r\n503\n")
-            await made.see(lambda: made.proxy.front.closing)
+            await made.see(lambda: made.proxy.limiter.closing)
             assert await idle.gone() == "fin" and not idle.buffer
             if resumed:
                 assert await says(made, b"resume\n") == b"+OK ready\n"
@@ -247,8 +247,8 @@
             await says(made, b"drain\n")
             second = made.proxy.drained_at
             gone: list[float] = []
-            made.loop.call_at(first + 0.21, lambda: gone.append(made.proxy.front.closing))
-            await made.see(lambda: made.proxy.front.closing)
+            made.loop.call_at(first + 0.21, lambda: gone.append(made.proxy.limiter.closing))
+            await made.see(lambda: made.proxy.limiter.closing)
             # The timer of the drain that was taken back has gone by, and it is the second one that counts.
             assert gone == [False] and made.loop.time() > second + 0.15
             # Once told to end nobody resumes, and a drain before it does not cut the end short.
@@ -278,7 +278,7 @@
             text = request("c2", "/pay/x", body=b"money")
             await half.send(text[:-3])
             reading = await made.listener(half)
-            await made.see(lambda: reading.started)
+            await made.see(lambda: reading.request_started)
             configured(tmp_path, made.agent, without_pay())
             made.proxy.reload(made.read_again)
             await half.send(text[-3:])
@@ -340,7 +340,7 @@
             configured(tmp_path, made.agent, without_pay())
             proxy.reload(lambda: replace(made.read_again(), discovery=None, known=more))
             assert any("config_useless" in line and "2 endpoints" in line for line in made.lines)
-            assert list(proxy.group.servers) == ["s1"] and b"pay" in proxy.front.classes
+            assert list(proxy.group.servers) == ["s1"] and b"pay" in proxy.limiter.classes
             assert (proxy.loads.taken, proxy.loads.errors) == (0, 1)
 
     play(work())
@@ -362,10 +362,10 @@
             made.proxy.reload(made.read_again)
             await (await made.agent.watch()).tell(1, *made.entries())
             await starting
-            assert sorted(made.proxy.front.classes) == [b"other", b"read"]
+            assert sorted(made.proxy.limiter.classes) == [b"other", b"read"]
             # And back: it would be taken for what is there already, had the start put the old ones back.
             configured(tmp_path, made.agent, first)
             made.proxy.reload(made.read_again)
-            assert sorted(made.proxy.front.classes) == [b"pay", b"read"]
+            assert sorted(made.proxy.limiter.classes) == [b"pay", b"read"]
 
     play(work())
--- a/tests/crossings/test_harness.py
+++ b/tests/crossings/test_harness.py
@@ -39,9 +39,9 @@
         async with rig(tmp_path) as made:
             await made.start()
             started = made.loop.time()
-            await made.see(lambda: made.proxy.guard._looked > started)
+            await made.see(lambda: made.proxy.monitor._sampled_at > started)
             assert held and not any("on=memory" in line for line in made.lines)
-            assert made.proxy.guard.usage().memory < 64 * 1024 * 1024
+            assert made.proxy.monitor.usage().memory < 64 * 1024 * 1024
 
     play(work())
 
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -17,8 +17,9 @@
 from firvane.core.net.http_message import Message
 from firvane.core.terminations import Ending
 from firvane.proxy.limits import discovery_timing
-from firvane.proxy.net import target_group
-from firvane.proxy.net.target_group import BadList, Gatherer, Lines
+from firvane.proxy.net import discovery_watch, endpoint_list
+from firvane.proxy.net.discovery_watch import DiscoveryWatch, JsonObjectSplitter
+from firvane.proxy.net.endpoint_list import EndpointListError
 from tests.crossings.harness import (
     CHUNKED,
     ERROR,
@@ -64,23 +65,23 @@
 ) -> None:
     between = end if beats else ""
     text = between.join(json.dumps(told, indent=indent).replace("\n", end) + end for told in ODD)
-    gatherer = Gatherer(1 << 20)
-    came = [line for piece in cut(text.encode(), where) for line in gatherer.cut(piece)]
+    splitter = JsonObjectSplitter(1 << 20)
+    came = [line for piece in cut(text.encode(), where) for line in splitter.feed(piece)]
     assert [json.loads(line) for line in came if line.strip()] == ODD
     assert sum(not line.strip() for line in came) == (2 if beats else 0)
 
 
 def test_a_list_that_comes_byte_by_byte_is_looked_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    looked, real = [0], target_group.brackets
+    looked, real = [0], discovery_watch.scan_brackets
 
     def counted(lines: list[bytes]) -> list[bytes | None]:
         looked[0] += sum(map(len, lines))
         return real(lines)
 
-    monkeypatch.setattr(target_group, "brackets", counted)
+    monkeypatch.setattr(discovery_watch, "scan_brackets", counted)
     text = json.dumps(whole(1, *(endpoint(f"s{n}", n) for n in range(1, 100))), indent=2).encode() + b"\n"
-    gatherer = Gatherer(1 << 20)
-    came = [line for at in range(len(text)) for line in gatherer.cut(text[at : at + 1])]
+    splitter = JsonObjectSplitter(1 << 20)
+    came = [line for at in range(len(text)) for line in splitter.feed(text[at : at + 1])]
     assert len(came) == 1 and looked[0] <= len(text)
 
 
@@ -98,16 +99,16 @@
 )
 def test_what_cannot_become_a_list_is_told_at_once(text: bytes) -> None:
     with pytest.raises(ValueError):  # by whichever of the two reads it
-        [json.loads(line) for line in Gatherer(100).cut(text)]
+        [json.loads(line) for line in JsonObjectSplitter(100).feed(text)]
 
 
 def test_a_list_of_many_lines_is_bounded_as_one_of_one_line_is() -> None:
-    gatherer = Gatherer(100)
+    splitter = JsonObjectSplitter(100)
     fits = b"{" + b"\n " * 49 + b"}"
-    assert list(gatherer.cut(fits + b"\n")) == [fits]
-    with pytest.raises(BadList, match="bytes that fit"):
+    assert list(splitter.feed(fits + b"\n")) == [fits]
+    with pytest.raises(EndpointListError, match="bytes that fit"):
         for _ in range(100):
-            list(gatherer.cut(b"{\n \n \n"))
+            list(splitter.feed(b"{\n \n \n"))
 
 
 @pytest.mark.parametrize("indent", [None, 2])
@@ -122,7 +123,7 @@
             await watch.beat()
             text = json.dumps(whole(2, *made.entries(s1="draining"), snapshot=False), indent=indent).encode()
             await watch.raw(text[:100])
-            await made.see(lambda: made.proxy.group.watch and made.proxy.group.watch.gatherer.begun)
+            await made.see(lambda: made.proxy.group.watch and made.proxy.group.watch.splitter.partial_line)
             await watch.raw(text[100:] + b"\n")
             await made.see(lambda: made.proxy.group.index == 2)
             assert not made.agent.waiting()
@@ -376,7 +377,7 @@
 def test_who_was_given_up_while_dialled_asks_nothing() -> None:
     # A dial that comes up after its watch has ended would be a second watch, that nobody listens to.
     ends: list[str] = []
-    watch = Lines(b"GET", 100, lambda line: None, ends.append)
+    watch = DiscoveryWatch(b"GET", 100, lambda line: None, ends.append)
     watch.end("moved")
     wire = Wire(watch)
     assert wire.closed and not wire.written and ends == ["moved"]
@@ -384,7 +385,9 @@
 
 def test_nothing_that_has_come_is_learnt_after_the_end() -> None:
     lines: list[bytes] = []
-    watch = Lines(b"GET", 100, lambda line: (lines.append(line), watch.end("moved")), lambda why: None)  # type: ignore[func-returns-value]
+    watch = DiscoveryWatch(
+        b"GET", 100, lambda line: (lines.append(line), watch.end("moved")), lambda why: None
+    )  # type: ignore[func-returns-value]
     Wire(watch)
     watch.data_received(CHUNKED + b"4\r\n\n\n\n\n\r\n")
     watch.data_received(b"2\r\n\n\n\r\n")
@@ -461,7 +464,7 @@
             line = json.dumps(whole(99, *made.entries(s1="removed"), snapshot=False)).encode() + b"\n"
             if cut_at:
                 await watch.raw(line[:cut_at])
-                await made.see(lambda: group.watch and group.watch.gatherer.begun)
+                await made.see(lambda: group.watch and group.watch.splitter.partial_line)
             rest = line[cut_at or 0 :]
             ours, theirs = socket.socketpair()
             ours.setblocking(False)
@@ -525,7 +528,7 @@
             await watch.tell(20, *made.entries()[:1], snapshot=False)
             again = await made.agent.watch()
             assert again.query == "watch=1&from=0"
-            assert group.servers["s1"].state is target_group.STATES["draining"]
+            assert group.servers["s1"].state is endpoint_list.STATES_BY_STATUS["draining"]
             await again.tell(20, *made.entries(s2="draining"))
             await made.see(lambda: group.index == 20)
 
@@ -716,16 +719,16 @@
     async def work() -> None:
         async with rig(tmp_path, settings=params(limits={"probing": True})) as made:
             watch = await made.start()
-            forwards, target = made.proxy.forwards, made.targets[0]
-            pool = forwards.pools["s1"]
+            pools, target = made.proxy.upstream_pools, made.targets[0]
+            pool = pools.pools["s1"]
             await tells(made, watch, "s1", word)
-            assert pool.down_since is not None
+            assert pool.draining_since is not None
             ends = Ended(made.loop.time() + 1.0)
-            pool.down_since -= forwards.rules.drain_grace  # it is over
+            pool.draining_since -= pools.rules.drain_grace  # it is over
             if probe:
-                forwards.probe("s1", ends)
+                pools.probe("s1", ends)
             else:
-                forwards.forward(simple(), "s1", ends)
+                pools.forward(simple(), "s1", ends)
             # Who is not listed at all has no address either.
             assert ends.endings == [Ending.TOO_LATE if word == "draining" else Ending.REFUSED]
             assert not target.waiting()
@@ -805,7 +808,7 @@
                 await made.agent.watch(headed=False)
             watch = await made.agent.watch()
             assert watch.query == "watch=1&from=1"
-            assert not made.proxy.front.ready
+            assert not made.proxy.limiter.ready
             await watch.tell(2, entry("s1", spare, status="draining"), entry("s2", made.targets[1]))
             await starting
             client = await made.client()
@@ -848,7 +851,7 @@
                 came = made.loop.time()
                 await made.see(lambda: made.loop.time() > came + 0.05)
             if at in ("begun", "dialled", "asked"):
-                assert not made.proxy.front.ready
+                assert not made.proxy.limiter.ready
                 await watch.send(chunk)
             await starting
             assert group.index == 2 and not any("event=discovery_silent" in line for line in made.lines)
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -263,7 +263,7 @@
 
 @pytest.mark.parametrize("allowed", [True, False])
 def test_retry_after_only_where_it_is_allowed(allowed: bool, tmp_path: Path) -> None:
-    """A refusal by the decisions, and one unseen by the front: neither says when to come again."""
+    """A refusal by the decisions, and one unseen before it is parsed: neither says when to come again."""
 
     async def work() -> None:
         async with rig(tmp_path, 1, params(limits={"retry-after": allowed})) as made:
@@ -272,8 +272,8 @@
             client = await made.client()
             answer = await asked(client, "c1")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"Retry-After: " in answer) is allowed
-            made.proxy.front.turn_away([1.0], 0.5)
-            made.proxy.front.gate.shut = True
+            made.proxy.limiter.turn_away([1.0], 0.5)
+            made.proxy.limiter.gate.shut = True
             answer = await asked(client, "c2")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"retry-after: " in answer.lower()) is allowed
             assert "c2" not in made.targets[0].calls
@@ -502,11 +502,11 @@
 
     async def work() -> None:
         async with rig(tmp_path, 1, params(classes=[cls])) as made:
-            guard = made.proxy.guard
-            guard.see(Resource.LAG, 0.003 / guard.late)
-            assert guard.gives_up(Measure.TURN_AWAY) is False
-            guard.see(Resource.LAG, 0.25 * max(aim, 40) / 1000 / guard.late)  # this one is
-            assert guard.gives_up(Measure.TURN_AWAY)
+            monitor = made.proxy.monitor
+            monitor.see(Resource.LAG, 0.003 / monitor.max_lag)
+            assert monitor.gives_up(Measure.TURN_AWAY) is False
+            monitor.see(Resource.LAG, 0.25 * max(aim, 40) / 1000 / monitor.max_lag)  # this one is
+            assert monitor.gives_up(Measure.TURN_AWAY)
 
     play(work())
 
@@ -634,11 +634,21 @@
             caller = "X-Caller: north\r\n"
             await client.send(request("c1", more=caller))
             link = await made.targets[0].taken()
-            before = proxy.config, proxy.engine.settings, proxy.classes, dict(proxy.front.classes)
+            before = (
+                proxy.config,
+                proxy.engine.settings,
+                proxy.classes,
+                dict(proxy.limiter.classes),
+            )
             spoilt(made.env, fault)
             proxy.reload(lambda: read_config(made.env, again=True))
             await made.said("event=config_useless", "config.json")
-            assert (proxy.config, proxy.engine.settings, proxy.classes, proxy.front.classes) == before
+            assert (
+                proxy.config,
+                proxy.engine.settings,
+                proxy.classes,
+                proxy.limiter.classes,
+            ) == before
             assert proxy.loads.errors == 1 and proxy.loads.taken == 0
             await link.send(OK)
             assert (await answered(client)).startswith(b"HTTP/1.1 200 ")
@@ -721,7 +731,7 @@
     message.fields = {b"x-call-id": call, b"x-budget-ms": b"1000", b"x-call-cost": b"900"}
     if settings.tenants:
         message.fields[b"x-caller"] = settings.tenants[0].name.encode()
-    asked, left = proxy.front.read(message)
+    asked, left = proxy.limiter.parse_request(message)
     flow: Any = Flow(message, Silent(), proxy.loop.time() + left, call)
     proxy.engine.take(flow, asked)
     for forward in filter(None, list(flow.forwards)):
@@ -742,7 +752,7 @@
     async def work() -> None:
         loop = asyncio.get_running_loop()
         proxy = Proxy(loop, config, log=logs.make("error", "logfmt", lines.append))
-        proxy.forwards.dialer = held = Held(proxy.dialer)  # type: ignore[assignment]
+        proxy.upstream_pools.dialer = held = Held(proxy.dialer)  # type: ignore[assignment]
         held.holding = True
         proxy.engine.start()
         with contextlib.suppress(ValueError):  # as `start` takes it
@@ -751,8 +761,8 @@
             for ending in (Ending.TURNED_AWAY, Ending.SERVED, Ending.SERVER_ERROR):
                 asks(proxy, cls, ending.value.encode(), ending)
         proxy.engine.give(api.Pressure(0.5, True, True, (3,)))
-        proxy.guard.lag = 0.1
-        proxy.guard._look(loop.time())
+        proxy.monitor.lag = 0.1
+        proxy.monitor._sample(loop.time())
         proxy.engine.give(api.TimerFired(0))
         proxy.reload(lambda: read_config({"NODE_CONFIG": str(path)}, again=True))
         proxy.engine.give(api.TimerFired(0))
--- a/tests/proxy/admin_api/test_server.py
+++ b/tests/proxy/admin_api/test_server.py
@@ -52,9 +52,9 @@
         assert (end, rest) == (b".", b"")
         assert json.loads(figures)["known_backends"] == 1
         assert (await ask(at, b"drain\n")).startswith(b"+OK")
-        assert proxy.front.draining
+        assert proxy.limiter.draining
         assert (await ask(at, b"resume\n")).startswith(b"+OK")
-        assert not proxy.front.draining and not proxy.front.closing
+        assert not proxy.limiter.draining and not proxy.limiter.closing
         proxy._stop()
 
     run(work())
@@ -74,7 +74,7 @@
             writer.write(b"dra")
         assert (await ask(at, b"ready\n")).startswith(b"+OK")
         assert len(proxy.desk.callers) <= CALLERS
-        assert not proxy.front.draining
+        assert not proxy.limiter.draining
         for _, writer in stalled:
             writer.close()
         proxy._stop()
@@ -89,7 +89,7 @@
             given = replace(told(tmp_path), inherited=socket.fromfd(held.fileno(), 2, 1).detach())
             proxy = Proxy(asyncio.get_running_loop(), given, log=QUIET)
             await proxy.start()
-            assert proxy.door.address() == held.getsockname()
+            assert proxy.acceptor.address() == held.getsockname()
             reader, writer = await asyncio.open_connection(*held.getsockname())
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await reader.readline()).split()[1] == b"200"
@@ -128,7 +128,7 @@
                 await asyncio.sleep(0)
             reader, writer = await asyncio.open_connection(*held.getsockname())
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
-            assert not proxy.front.connections and not proxy.front.ready
+            assert not proxy.limiter.connections and not proxy.limiter.ready
             assert (await ask(proxy.ops.address(), b"ready\n")).startswith(b"-ERR")
             speaks.set()
             await start
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -18,37 +18,49 @@
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_account import SMALL, Held, Leases
-from firvane.proxy.net import listening_socket as doors
-from firvane.proxy.net.client_connection import BUSY
-from firvane.proxy.net.client_requests import Listener
-from firvane.proxy.net.connection_limiter import Front
-from firvane.proxy.net.listening_socket import SocketDoor
-from firvane.proxy.net.peer_datagrams import BURST, Peers
-from firvane.proxy.net.target_group import BadList, Lines, ListReader
+from firvane.proxy.net import listening_socket
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.connection_limiter import ConnectionLimiter
+from firvane.proxy.net.discovery_watch import DiscoveryWatch
+from firvane.proxy.net.endpoint_list import EndpointListError, EndpointListReader
+from firvane.proxy.net.listening_socket import SocketAcceptor
+from firvane.proxy.net.managed_connection import BUSY
+from firvane.proxy.net.peer_datagrams import DATAGRAM_BURST, PeerDatagrams
 from firvane.proxy.net.upstream_pool import Pool, Run
 from tests.core.net.test_http import GET, POST, Taken, answer, listener, statuses, turn
 from tests.helpers import settings
-from tests.proxy.net.helpers import PAY, READ, Clock, Ended, Wire, endpoint, guard, make_places, run, seeded
+from tests.proxy.net.helpers import (
+    PAY,
+    READ,
+    Clock,
+    Ended,
+    Wire,
+    endpoint,
+    make_monitor,
+    make_places,
+    run,
+    seeded,
+)
 from tests.proxy.net.test_upstream_pool import connected, unwired
 from tests.proxy.net.test_upstream_pool import request as a_request
 
 LARGE = POST.replace(b"Length: 4", b"Length: 20000").replace(b"body", b"")
 
 
-def front(places: int = 100) -> tuple[Front, Taken, Clock]:
+def make_limiter(places: int = 100) -> tuple[ConnectionLimiter, Taken, Clock]:
     clock, taken = Clock(), Taken()
-    made = Front(clock, taken, settings(classes=(READ, PAY)), guard(clock, places))  # type: ignore[arg-type]
+    made = ConnectionLimiter(clock, taken, settings(classes=(READ, PAY)), make_monitor(clock, places))  # type: ignore[arg-type]
     made.ready = True
     return made, taken, clock
 
 
 class Crowd:
-    """Some clients on one front, moved by a test's steps; every request has an id of its own."""
+    """Some clients on one limiter, moved by a test's steps; every request has an id of its own."""
 
     def __init__(self) -> None:
-        self.front, self.taken, self.clock = front()
-        self.front.guard.leases = Leases(2 * (MAX_BODY_BYTES + 1), MAX_BODY_BYTES + 1)
-        self.wires = [Wire(self.front.accept()) for _ in range(4)]
+        self.limiter, self.taken, self.clock = make_limiter()
+        self.limiter.monitor.leases = Leases(2 * (MAX_BODY_BYTES + 1), MAX_BODY_BYTES + 1)
+        self.wires = [Wire(self.limiter.accept()) for _ in range(4)]
         self.number = 0
 
     def ask(self, wire: Wire, form: bytes, times: int, cut: int) -> None:
@@ -80,11 +92,11 @@
         elif kind == "close":
             wire.close()
         elif kind == "shut":
-            self.front.turn_away((1.0,) if size % 2 else (0.0,), 0.1)
+            self.limiter.turn_away((1.0,) if size % 2 else (0.0,), 0.1)
         elif kind == "turn":
             self.clock.turn()
-        assert all(held >= 0 for held in self.front.account.by)
-        assert sum(self.front.account.by) == self.front.account.held
+        assert all(held >= 0 for held in self.limiter.account.by)
+        assert sum(self.limiter.account.by) == self.limiter.account.held
 
 
 KINDS = ["get", "get", "post", "answer", "answer", "stick", "unstick", "close", "shut", "turn"]
@@ -105,22 +117,22 @@
         for flow in crowd.open_flows():
             flow.client.served(answer())
     for wire in crowd.wires:
-        assert wire.closed or not (wire.protocol.rest or wire.paused or wire.protocol.queued)
+        assert wire.closed or not (wire.protocol.unparsed or wire.paused or wire.protocol.queued)
     taken = len(crowd.taken.flows)
     left = len(crowd.taken.left)
     assert sum(status in (200, 503) for wire in crowd.wires for status in statuses(wire)) >= taken - left
-    account = crowd.front.account
+    account = crowd.limiter.account
     assert account.held == account.by[Held.CLIENTS] + account.by[Held.READING]
     for wire in crowd.wires:
         wire.close()
     assert account.held == 0 and not any(account.by)
-    assert not crowd.front.guard.leases.holders and not crowd.front.guard.leases.line
-    assert crowd.front.guard.descriptors.held[Use.CLIENTS] == 0 and not crowd.front.ids
+    assert not crowd.limiter.monitor.leases.holders and not crowd.limiter.monitor.leases.line
+    assert crowd.limiter.monitor.descriptors.held[Use.CLIENTS] == 0 and not crowd.limiter.open_ids
 
 
 def test_large_bodies_wait_for_a_lease_and_go_on_in_order() -> None:
-    made, taken, _ = front()
-    made.guard.leases = Leases(1, 1)
+    made, taken, _ = make_limiter()
+    made.monitor.leases = Leases(1, 1)
     wires = [Wire(made.accept()) for _ in range(3)]
     for n, wire in enumerate(wires):
         wire.protocol.data_received(LARGE.replace(b"9b1f", b"%d" % n) + b"x" * (SMALL + 1))
@@ -134,33 +146,33 @@
 
 
 def test_a_large_answer_waits_for_a_lease_too() -> None:
-    forwards = unwired(Clock())
-    forwards.guard.leases = Leases(1, 1)
+    pools = unwired(Clock())
+    pools.monitor.leases = Leases(1, 1)
     pool, wires, ended = Pool("s"), [], []
     for _ in range(2):
-        connection = connected(forwards, pool)
+        connection = connected(pools, pool)
         wires.append(Wire(connection))
         ended.append(Ended(1001.0))
         connection.send(Run(a_request(), pool, ended[-1]))
         connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + b"x" * (SMALL + 1))
-    account = forwards.guard.account
+    account = pools.monitor.account
     assert [wire.paused for wire in wires] == [False, True] and account.by[Held.ANSWERS] > 2 * SMALL
     wires[0].protocol.data_received(b"x" * (20000 - SMALL - 1))
     assert ended[0].endings == [Ending.SERVED] and not wires[1].paused
     for wire in wires:
         wire.close()
-    assert account.held == 0 and not forwards.guard.leases.holders
+    assert account.held == 0 and not pools.monitor.leases.holders
 
 
 def test_nothing_is_taken_on_while_the_account_is_pressed() -> None:
     made, wire, taken = listener()
-    made.front.account.pressed = True
+    made.context.account.pressed = True
     made.data_received(GET)
     made.data_received(POST)  # one with a body is read first
     for _ in range(3):
         turn(made)
     assert statuses(wire) == [503, 503] and not taken.flows and not wire.closed
-    made.front.account.pressed = False
+    made.context.account.pressed = False
     made.data_received(GET)
     assert len(taken.flows) == 1
 
@@ -189,7 +201,7 @@
 
 def test_marked_retries_are_refused_where_they_come_too_late_in_any_case() -> None:
     made, wire, taken = listener()
-    made.front.turn_away((0.0001,), 1.2, again=True)
+    made.context.turn_away((0.0001,), 1.2, again=True)
     for n, form in enumerate((GET, GET.replace(b"X-Again: 1", b"X-Again: 0"))):
         made.data_received(form.replace(b"9b1f", b"%d" % n))
         turn(made)
@@ -199,40 +211,40 @@
 def test_who_waits_for_a_refusal_is_neither_idle_nor_in_the_way() -> None:
     # Nothing of its request is kept, so it looked idle, and was closed before its answer: a request lost.
     made, wire, _ = listener()
-    made.front.turn_away((1.0,), 0.2)
+    made.context.turn_away((1.0,), 0.2)
     made.data_received(GET)
-    make_places(made.front.guard, 1)
-    made.since -= 100.0
-    made.expires = 0.0
-    made.front.sweep()
-    made.front.close_idle()
-    made.front._make_room()
-    assert not wire.closed and made.claim()[0] == BUSY
+    make_places(made.context.monitor, 1)
+    made.idle_since -= 100.0
+    made.expires_at = 0.0
+    made.context.sweep()
+    made.context.close_idle()
+    made.context._evict()
+    assert not wire.closed and made.retention_priority()[0] == BUSY
     turn(made)
     assert statuses(wire) == [503] and made.is_idle()
 
 
 def test_what_the_decisions_turn_away_never_reaches_them() -> None:
     made, wire, taken = listener()
-    made.front.settings = settings(limits=api.Limits(3, retry_after=True, max_retry_after=1.2))
-    made.front.turn_away((0.5,), 0.2)
+    made.context.settings = settings(limits=api.Limits(3, retry_after=True, max_retry_after=1.2))
+    made.context.turn_away((0.5,), 0.2)
     for n in range(6):
         made.data_received(GET.replace(b"9b1f", b"%d" % n))
         turn(made)
         if made.flow:
             made.served(answer())
     assert statuses(wire) == [200, 503] * 3 and len(taken.flows) == 3
-    assert wire.written.count(b"Retry-After: ") == 3 and made.front.gate.wished == 3
+    assert wire.written.count(b"Retry-After: ") == 3 and made.context.gate.wished == 3
 
 
 def test_a_list_or_a_line_that_does_not_fit_is_turned_down_whole() -> None:
-    reader = ListReader(("a",), ("big",), most=3)
+    reader = EndpointListReader(("a",), ("big",), max_endpoints=3)
     entries = [endpoint(f"s{n}", 1000 + n) for n in range(4)]
     reader.read({"index": 1, "snapshot": True, "endpoints": entries[:3]})
-    with pytest.raises(BadList, match="4 endpoints"):
+    with pytest.raises(EndpointListError, match="4 endpoints"):
         reader.read({"index": 1, "snapshot": True, "endpoints": entries})
     lines, ends = list[bytes](), list[str]()
-    watch = Lines(b"GET", 1000, lines.append, ends.append)
+    watch = DiscoveryWatch(b"GET", 1000, lines.append, ends.append)
     Wire(watch)
     watch.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     for _ in range(20):
@@ -242,19 +254,19 @@
 
 def test_a_peer_that_floods_is_heard_no_more_than_its_rate() -> None:
     clock, heard = Clock(), list[bytes]()
-    peers = Peers(0, [("h", 1), ("h", 2)], None, lambda n, data: heard.append(data), clock.time)
+    peers = PeerDatagrams(0, [("h", 1), ("h", 2)], None, lambda n, data: heard.append(data), clock.time)
     for _ in range(1000):
         peers.datagram_received(b"row", ("h", 2))
-    assert len(heard) == BURST
+    assert len(heard) == DATAGRAM_BURST
     clock.advance(1.0)
     peers.datagram_received(b"row", ("h", 2))
-    assert len(heard) == BURST + 1
+    assert len(heard) == DATAGRAM_BURST + 1
 
 
 def test_where_nobody_can_give_way_the_door_shuts_until_somebody_goes() -> None:
-    made, _, clock = front(places=6)
+    made, _, clock = make_limiter(places=6)
     words = list[bool]()
-    made.door = words.append
+    made.set_accepting = words.append
     wires = [Wire(made.accept()) for _ in range(6)]
     for n, wire in enumerate(wires):
         wire.protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
@@ -273,9 +285,9 @@
 
 def test_newcomers_by_the_thousand_are_let_in_at_a_bounded_rate_and_usual_clients_stay() -> None:
     # Each newcomer had the least claim looked for among all: a storm of connects took the loop from everyone.
-    made, _, clock = front(places=100)
+    made, _, clock = make_limiter(places=100)
     opened = [True]
-    made.door = lambda come: opened.append(come)
+    made.set_accepting = lambda come: opened.append(come)
     usual = [Wire(made.accept()) for _ in range(20)]
     for n, wire in enumerate(usual):
         for ask in range(2):
@@ -299,17 +311,17 @@
         loop = asyncio.get_running_loop()
         transports, came = TransportPool(loop), asyncio.Event()
 
-        class Client(Listener):
+        class Client(ClientConnection):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 came.set()
 
             def connection_lost(self, error: Exception | None) -> None: ...
 
-        door, shared = SocketDoor(loop, transports), front()[0]
+        acceptor, shared = SocketAcceptor(loop, transports), make_limiter()[0]
         transports.start()
-        await door.open(("127.0.0.1", 0), lambda *kernel: Client(shared, *kernel))
-        door.let(False)
-        newcomer = socket.create_connection(door.address())
+        await acceptor.open(("127.0.0.1", 0), lambda *kernel: Client(shared, *kernel))
+        acceptor.set_accepting(False)
+        newcomer = socket.create_connection(acceptor.address())
         await asyncio.sleep(0)
         assert not came.is_set()
 
@@ -328,14 +340,14 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(self.sock, name)
 
-        spent = Spent(door.sock)
-        monkeypatch.setattr(door, "sock", spent)
-        monkeypatch.setattr(doors, "PAUSE", 0.0)
-        door.let(True)
+        spent = Spent(acceptor.sock)
+        monkeypatch.setattr(acceptor, "sock", spent)
+        monkeypatch.setattr(listening_socket, "ACCEPT_BACKOFF_S", 0.0)
+        acceptor.set_accepting(True)
         await came.wait()
         assert spent.tries >= 2
         newcomer.close()
-        door.close()
+        acceptor.close()
         transports.close()
 
     run(work())
@@ -343,15 +355,15 @@
 
 def test_who_has_asked_meanwhile_is_not_closed_as_idle() -> None:
     # At its limit the loop was late to read: a request that had come was lost with its idle connection.
-    made, _, clock = front()
+    made, _, clock = make_limiter()
     came = [True, False]
     listeners = [made.accept(lambda n=n: not came[n]) for n in range(2)]
     wires = [Wire(listener) for listener in listeners]
     clock.advance(100.0)
     made.sweep()
     assert [wire.closed for wire in wires] == [False, True]
-    make_places(made.guard, 1)
-    made._make_room()
+    make_places(made.monitor, 1)
+    made._evict()
     assert not wires[0].closed
     came[0] = False
     made.sweep()
@@ -362,11 +374,11 @@
     # The loop's own server takes one a turn: at the limit most clients had left before their turn came.
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        transports, shared = TransportPool(loop), front(places=200)[0]
+        transports, shared = TransportPool(loop), make_limiter(places=200)[0]
         transports.start()
-        door = SocketDoor(loop, transports)
-        await door.open(("127.0.0.1", 0), shared.accept)
-        clients = [socket.create_connection(door.address()) for _ in range(64)]
+        acceptor = SocketAcceptor(loop, transports)
+        await acceptor.open(("127.0.0.1", 0), shared.accept)
+        clients = [socket.create_connection(acceptor.address()) for _ in range(64)]
         turns = 0
         while len(shared.connections) < 64:
             await asyncio.sleep(0)
@@ -374,18 +386,18 @@
         assert turns < 32
         for client in clients:
             client.close()
-        door.close()
+        acceptor.close()
         transports.close()
 
     run(work())
 
 
 def test_pressure_reaches_the_decisions_with_what_was_turned_away() -> None:
-    made, _, clock = front()
+    made, _, clock = make_limiter()
     told = list[api.Pressure]()
-    made.guard.tell = told.append
-    made.guard.start()
-    made.guard.turns.most_wait = 0.0
+    made.monitor.report_pressure = told.append
+    made.monitor.start()
+    made.monitor.turns.most_wait = 0.0
     for n in range(200):  # more than a line and the turns of a period hold
         Wire(made.accept()).protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
     clock.advance(0.25)
--- a/tests/proxy/limits/test_discovery_timing.py
+++ b/tests/proxy/limits/test_discovery_timing.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from firvane.proxy.limits.discovery_timing import FIRST, LONGEST, MOST, SILENCE, Heard, Pauses
-from firvane.proxy.net.target_group import LOOK
+from firvane.proxy.net.target_group import SETTLE_DELAY_S
 
 RATE, WAIT = 8.0, 2.0  # calls a second that one service answers; s after which one that waits there fails
 
@@ -72,12 +72,12 @@
     # The worst: silent right after a line; then calls that bring a head and nothing more, or not even that.
     for begun in (False, True):
         free, now = Pauses(0, random.Random(1)), 0.0
-        now = free.silent_at(Heard(0.0, 0.0, 0.0, now)) + LOOK
+        now = free.silent_at(Heard(0.0, 0.0, 0.0, now)) + SETTLE_DELAY_S
         calls = 0
         while now < BINDS:
             calls += 1
             heard = Heard(now, now, now if begun else None, None)
-            now = free.silent_at(heard) + LOOK
+            now = free.silent_at(heard) + SETTLE_DELAY_S
             free.gave_up(heard)
             now += free.before_next(silent=True)
         assert calls >= (3 if begun else 6)
@@ -125,7 +125,7 @@
     while now <= back:
         way, n = ways[n % len(ways)], n + 1
         heard = Heard(now, now, None, None)
-        now = {"refused": now, "queued": now + WAIT, "silent": pauses.silent_at(heard) + LOOK}[way]
+        now = {"refused": now, "queued": now + WAIT, "silent": pauses.silent_at(heard) + SETTLE_DELAY_S}[way]
         now += pauses.before_next(silent=way == "silent")
     assert now < back + BINDS, n
 
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -16,7 +16,7 @@
 from firvane.core import interface as api
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Descriptors, Use
-from firvane.proxy.net.resource_monitor import Guard, Usage
+from firvane.proxy.net.resource_monitor import ResourceMonitor, Usage
 from tests.helpers import settings
 
 seeded = hypothesis_settings(derandomize=True, max_examples=60, deadline=None)
@@ -203,16 +203,16 @@
         self.answers.append(("at fault", None))
 
 
-def guard(clock: Any, places: int = 100) -> Guard:
+def make_monitor(clock: Any, places: int = 100) -> ResourceMonitor:
     """Limits that bind nowhere but in the places for clients, and for targets; nothing is measured."""
-    made = Guard(
+    made = ResourceMonitor(
         clock, settings(), cores=1.0, memory_mb=192, sockets=1024, usage=lambda: Usage(clock.time() / 10, 0)
     )
     make_places(made, places)
     return made
 
 
-def make_places(made: Guard, places: int) -> None:
+def make_places(made: ResourceMonitor, places: int) -> None:
     both = {Use.TARGETS: places, Use.CLIENTS: places}
     held = made.descriptors.held
     made.descriptors = Descriptors(2 * places, {use: both.get(use, 0) for use in Use})
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -63,7 +63,7 @@
     async def client(
         self, head: bytes, body: bytes = b""
     ) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-        reader, writer = await asyncio.open_connection(*self.proxy.door.address(), limit=1 << 16)
+        reader, writer = await asyncio.open_connection(*self.proxy.acceptor.address(), limit=1 << 16)
         self.writers.append(writer)
         more = b"\r\nX-Call-Id: 1\r\nX-Budget-Ms: %d\r\n" % BUDGET
         writer.write(head.replace(b"\r\n", more, 1) + b"\r\n" + body)
@@ -248,12 +248,12 @@
             same, seen = (same + 1 if sent == seen else 0), sent
             await asyncio.sleep(0.02)
         assert sent < 32
-        [connection] = stage.proxy.front.connections
+        [connection] = stage.proxy.limiter.connections
         assert connection.transport.get_write_buffer_size() <= 64 * 1024
-        assert sum(stage.proxy.guard.account.by) < 1 << 20
+        assert sum(stage.proxy.monitor.account.by) < 1 << 20
         _, body = b"", await reader.readexactly(32 * len(BODY))
         assert body == 32 * BODY
-        by = stage.proxy.guard.account.by
+        by = stage.proxy.monitor.account.by
         await until(lambda: not by[Held.FLOWS] and not by[Held.ANSWERS])
         stage.close()
 
--- a/tests/proxy/net/test_target_group.py
+++ b/tests/proxy/net/test_target_group.py
@@ -13,11 +13,13 @@
 
 from firvane.core import interface as api
 from firvane.core.address import parse_address
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.target_group import BadList, Lines, ListReader, TargetGroup
+from firvane.proxy.net.discovery_watch import DiscoveryWatch
+from firvane.proxy.net.endpoint_list import EndpointListError, EndpointListReader
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.target_group import TargetGroup
 from tests.proxy.net.helpers import Clock, Wire, cut, endpoint, garbage, places, run, seeded
 
-READER = ListReader(("a", "b"), ("big", "small"))
+READER = EndpointListReader(("a", "b"), ("big", "small"))
 
 
 def news(index: int, *endpoints: dict[str, Any], snapshot: bool = False) -> bytes:
@@ -43,7 +45,7 @@
 def test_lines_come_out_whole_however_they_are_cut(where: list[int]) -> None:
     body = news(4, endpoint("s1", 1), snapshot=True) + b"\n" + news(5, endpoint("s1", 1, status="draining"))
     lines: list[bytes] = []
-    watch = Lines(b"GET", 1 << 20, lines.append, lambda why: None)
+    watch = DiscoveryWatch(b"GET", 1 << 20, lines.append, lambda why: None)
     Wire(watch)
     for piece in cut(chunked(body), where):
         watch.data_received(piece)
@@ -56,7 +58,7 @@
     made, lists, _ = group()
     ends: list[str] = []
 
-    watch = Lines(b"GET", 1 << 20, made._line, ends.append)
+    watch = DiscoveryWatch(b"GET", 1 << 20, made._take_in_line, ends.append)
     wire = Wire(watch)
     for piece in cut(chunked(data + b"\n") if framed else data, where):
         if not wire.closed:
@@ -79,7 +81,7 @@
 )
 def test_a_bad_entry_leaves_the_list_as_it_was(change: dict[str, Any]) -> None:
     made, lists, told = group()
-    with pytest.raises(BadList):
+    with pytest.raises(EndpointListError):
         made.learn({"index": 1, "endpoints": [endpoint("s0", 1), {**endpoint("s1", 1), **change}]})
     assert not lists and not told and not made.index
 
@@ -200,7 +202,10 @@
     async def work() -> None:
         loop = asyncio.get_running_loop()
         heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        seats = [Peers(i, [], None, lambda n, data: heard.put_nowait((n, data)), loop.time) for i in range(2)]
+        seats = [
+            PeerDatagrams(i, [], None, lambda n, data: heard.put_nowait((n, data)), loop.time)
+            for i in range(2)
+        ]
         stranger = asyncio.DatagramProtocol()
         here = ("127.0.0.1", 0)
         made = [await loop.create_datagram_endpoint(partial(_given, p), here) for p in (*seats, stranger)]
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""Forwards over real sockets on this machine: how each ends, and what becomes of its connection."""
+"""UpstreamPools over real sockets on this machine: how each ends, and what becomes of its connection."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Ending
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards, Pool, Run
+from firvane.proxy.net.upstream_pool import REUSE_DELAY_S, Connection, Pool, Run, UpstreamPools
 from tests.helpers import RULES
-from tests.proxy.net.helpers import Clock, Ended, Wire, guard, run
+from tests.proxy.net.helpers import Clock, Ended, Wire, make_monitor, run
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 TOO_MANY = b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
@@ -30,14 +30,14 @@
     return True
 
 
-def unwired(clock: Clock) -> Forwards:
-    """Forwards whose connections are made by hand."""
-    return Forwards(clock, api.Limits(3, connection_idle=30.0), RULES, guard(clock), NOBODY)  # type: ignore
+def unwired(clock: Clock) -> UpstreamPools:
+    """UpstreamPools whose connections are made by hand."""
+    return UpstreamPools(clock, api.Limits(3, connection_idle=30.0), RULES, make_monitor(clock), NOBODY)  # type: ignore
 
 
-def connected(forwards: Forwards, pool: Pool) -> Connection:
-    forwards.guard.descriptors.count(Use.TARGETS)
-    return Connection(forwards, pool, has_no_input)
+def connected(pools: UpstreamPools, pool: Pool) -> Connection:
+    pools.monitor.descriptors.count(Use.TARGETS)
+    return Connection(pools, pool, has_no_input)
 
 
 def request() -> Message:
@@ -50,14 +50,16 @@
 
 
 class Bench:
-    """Forwards with one target `s` that behaves as the test says."""
+    """UpstreamPools with one target `s` that behaves as the test says."""
 
     def __init__(self, max_sockets: int = 10, connect_timeout: float = LEFT) -> None:
         self.loop = asyncio.get_running_loop()
         limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle=30.0)
         self.transports = TransportPool(self.loop)
         self.dialer = SocketDialer(self.loop, self.transports)
-        self.forwards = Forwards(self.loop, limits, RULES, guard(self.loop, max_sockets), self.dialer)
+        self.pools = UpstreamPools(
+            self.loop, limits, RULES, make_monitor(self.loop, max_sockets), self.dialer
+        )
         self.transports.start()
         self.heads: list[bytes] = []
         self.connections = 0
@@ -78,18 +80,18 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        self.forwards.listed("s", server.sockets[0].getsockname()[:2], True)
+        self.pools.listed("s", server.sockets[0].getsockname()[:2], True)
 
     async def rested(self) -> None:
         """What is idle may be used again."""
-        for connection in self.forwards.pools["s"].idle:
-            while self.loop.time() <= connection.idle_since + SETTLE:
+        for connection in self.pools.pools["s"].idle:
+            while self.loop.time() <= connection.idle_since + REUSE_DELAY_S:
                 await asyncio.sleep(0)
 
     async def send(self) -> Ended:
         await self.rested()
         ended = Ended(self.loop.time() + LEFT)
-        self.forwards.forward(request(), "s", ended)
+        self.pools.forward(request(), "s", ended)
         await ended.over.wait()
         return ended
 
@@ -148,10 +150,10 @@
         await bench.target(OK)
         await bench.send()
         await bench.send()
-        assert bench.connections == 1 and bench.forwards.guard.descriptors.held[Use.TARGETS] == 1
+        assert bench.connections == 1 and bench.pools.monitor.descriptors.held[Use.TARGETS] == 1
         await bench.rested()
-        bench.forwards.forward(request(), "s", ended := Ended(bench.loop.time() + LEFT)).cancel()
-        assert not bench.forwards.pools["s"].idle
+        bench.pools.forward(request(), "s", ended := Ended(bench.loop.time() + LEFT)).cancel()
+        assert not bench.pools.pools["s"].idle
         await bench.send()
         assert bench.connections == 2 and not ended.endings
         bench.transports.close()
@@ -164,9 +166,9 @@
         bench = Bench()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            bench.forwards.listed("s", free.getsockname(), True)
+            bench.pools.listed("s", free.getsockname(), True)
             assert (await bench.send()).endings == [Ending.REFUSED]
-        assert bench.forwards.guard.descriptors.held[Use.TARGETS] == 0
+        assert bench.pools.monitor.descriptors.held[Use.TARGETS] == 0
         bench.transports.close()
 
     run(work())
@@ -178,7 +180,7 @@
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)  # nobody accepts, and two wait at the most
-            bench.forwards.listed("s", full.getsockname(), True)
+            bench.pools.listed("s", full.getsockname(), True)
             waiting = [socket.socket() for _ in range(4)]
             for one in waiting:
                 one.setblocking(False)
@@ -197,9 +199,9 @@
         bench = Bench()
         await bench.target(OK)
         ended = Ended(bench.loop.time() + LEFT)
-        bench.forwards.forward(request(), "s", ended)
-        bench.forwards.listed("s", bench.forwards.pools["s"].address, False)
-        bench.forwards.pools["s"].down_since = bench.loop.time() - RULES.drain_grace
+        bench.pools.forward(request(), "s", ended)
+        bench.pools.listed("s", bench.pools.pools["s"].address, False)
+        bench.pools.pools["s"].draining_since = bench.loop.time() - RULES.drain_grace
         await ended.over.wait()
         assert ended.endings == [Ending.TOO_LATE] and not bench.heads
         assert (await bench.send()).endings == [Ending.TOO_LATE]
@@ -212,13 +214,13 @@
     async def work() -> None:
         bench = Bench(max_sockets=1)
         await bench.target(OK)
-        address = bench.forwards.pools["s"].address
+        address = bench.pools.pools["s"].address
         assert (await bench.send()).endings == [Ending.SERVED]
-        bench.forwards.listed("t", address, True)
+        bench.pools.listed("t", address, True)
         held = Ended(bench.loop.time() + LEFT)
-        bench.forwards.forward(request(), "t", held)
+        bench.pools.forward(request(), "t", held)
         await held.over.wait()
-        assert held.endings == [Ending.SERVED] and not bench.forwards.pools["s"].idle
+        assert held.endings == [Ending.SERVED] and not bench.pools.pools["s"].idle
         bench.transports.close()
 
     run(work())
@@ -226,8 +228,8 @@
 
 @pytest.mark.parametrize(("buffered", "ending"), [(0, Ending.BROKE_SENT), (9, Ending.BROKE_UNSENT)])
 def test_a_break_before_the_last_byte_could_not_connect(buffered: int, ending: Ending) -> None:
-    forwards = unwired(Clock())
-    connection = connected(forwards, Pool("s"))
+    pools = unwired(Clock())
+    connection = connected(pools, Pool("s"))
     wire = Wire(connection)
     wire.buffered = buffered
     ended = Ended(1001.0)
@@ -238,18 +240,18 @@
 
 def test_idle_connections_are_closed_well_before_the_target_would() -> None:
     clock = Clock()
-    forwards = unwired(clock)
-    forwards.listed("s", ("127.0.0.1", 1), True)
+    pools = unwired(clock)
+    pools.listed("s", ("127.0.0.1", 1), True)
     wires = []
     for _ in range(2):
-        connection = connected(forwards, forwards.pools["s"])
+        connection = connected(pools, pools.pools["s"])
         wires.append(Wire(connection))
-        forwards.park(connection)
+        pools.park(connection)
         clock.advance(10.0)
-    forwards.sweep()
+    pools.sweep()
     assert [wire.closed for wire in wires] == [True, False]
     wires[1].protocol.data_received(b"unasked")
-    assert wires[1].closed and not forwards.pools["s"].idle
+    assert wires[1].closed and not pools.pools["s"].idle
 
 
 @pytest.mark.parametrize("left", [b"", OK])
@@ -261,10 +263,10 @@
         with socket.socket() as target:
             target.bind(("127.0.0.1", 0))
             target.listen()
-            bench.forwards.listed("s", target.getsockname(), True)
+            bench.pools.listed("s", target.getsockname(), True)
             for _ in range(2):
                 ended = Ended(bench.loop.time() + LEFT)
-                bench.forwards.forward(request(), "s", ended)
+                bench.pools.forward(request(), "s", ended)
                 peer, _ = target.accept()  # also the second is a new one
                 peer.setblocking(False)
                 assert b"X-Call-Id: 1" in await bench.loop.sock_recv(peer, 4096)
@@ -283,26 +285,26 @@
 def test_a_connection_rests_before_it_is_used_again() -> None:
     # More than belongs to an answer may come right behind it; the next flow's must not be taken from there.
     clock = Clock()
-    forwards = unwired(clock)
+    pools = unwired(clock)
     pool = Pool("s")
-    made = [connected(forwards, pool) for _ in range(4)]
+    made = [connected(pools, pool) for _ in range(4)]
     for connection in made:
         Wire(connection)
-        forwards.park(connection)
-        clock.advance(0.4 * SETTLE)
-    order = [pool.take(clock.time() - SETTLE) for _ in made]
+        pools.park(connection)
+        clock.advance(0.4 * REUSE_DELAY_S)
+    order = [pool.take(clock.time() - REUSE_DELAY_S) for _ in made]
     assert order == [made[1], made[0], None, None] and pool.idle == made[2:]
 
 
 def test_a_target_that_is_gone_is_forgotten_and_its_successor_inherits_nothing() -> None:
-    forwards = unwired(Clock())
-    forwards.listed("s", ("127.0.0.1", 1), True)
-    idle = connected(forwards, forwards.pools["s"])
-    out = connected(forwards, forwards.pools["s"])
+    pools = unwired(Clock())
+    pools.listed("s", ("127.0.0.1", 1), True)
+    idle = connected(pools, pools.pools["s"])
+    out = connected(pools, pools.pools["s"])
     wires = [Wire(idle), Wire(out)]
-    forwards.park(idle)
-    forwards.listed("s", None, False)
-    forwards.listed("t", ("127.0.0.1", 1), True)
-    forwards.park(out)  # what was out ends later
+    pools.park(idle)
+    pools.listed("s", None, False)
+    pools.listed("t", ("127.0.0.1", 1), True)
+    pools.park(out)  # what was out ends later
     assert [wire.closed for wire in wires] == [True, True]
-    assert list(forwards.pools) == ["t"] and not forwards.pools["t"].idle
+    assert list(pools.pools) == ["t"] and not pools.pools["t"].idle
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -36,7 +36,7 @@
 
 def shut(proxy: Proxy) -> None:
     """Part of what comes is turned away unseen from now on: virtual time itself is never short of turns."""
-    proxy.front.turn_away([0.2] * 9, 0.1)
+    proxy.limiter.turn_away([0.2] * 9, 0.1)
     proxy.engine.gate = None  # the decisions, which see no need for it, say nothing else
 
 
--- a/tests/proxy/test_native.py
+++ b/tests/proxy/test_native.py
@@ -76,7 +76,7 @@
 ALONE = """
 from firvane.proxy import native
 on = native.activate().on
-from tests import test_native
+from tests.proxy import test_native
 print(on, test_native.{}())
 """
 
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -74,18 +74,18 @@
     # Guards the swap: new requests by the new classes, and for a while those of before as they were.
     async def work() -> None:
         files = Files(tmp_path)
-        front, old = files.proxy.front, files.data["settings"]["classes"]
+        limiter, old = files.proxy.limiter, files.data["settings"]["classes"]
         first = old[0]["name"].encode()
         safe = b"GET" if files.start.classes[0].repeat is api.Repeat.SAFE else b"POST"
         files.write(files.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
         assert files.proxy.loads.taken == 1
         assert files.proxy.config.discovery is None  # where the list comes from waits for the next start
-        number = front.read(request(b"/fresh/1", safe))[0].cls
+        number = limiter.parse_request(request(b"/fresh/1", safe))[0].cls
         assert files.proxy.engine.settings.classes[number].name == "fresh"
-        assert front.read(request(b"/" + first, safe))[0].cls == 0
+        assert limiter.parse_request(request(b"/" + first, safe))[0].cls == 0
         files.proxy._settle(files.proxy.retuned_at)
         with pytest.raises(HttpError):
-            front.read(request(b"/" + first, safe))
+            limiter.parse_request(request(b"/" + first, safe))
 
     run(work())
 
@@ -113,7 +113,7 @@
         for text in useless:
             files.write(text)
         assert (proxy.loads.taken, proxy.loads.errors) == (0, len(useless))
-        assert proxy.engine.settings is files.start and proxy.front.settings is files.start
+        assert proxy.engine.settings is files.start and proxy.limiter.settings is files.start
         files.write(whole)
         assert proxy.loads.taken == 1
 
--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -20,10 +20,10 @@
 from firvane.proxy.capacity.backend_estimates import Evidence
 from firvane.proxy.config import platform
 from firvane.proxy.net import peer_datagrams, upstream_pool
-from firvane.proxy.net.client_requests import Listener
-from firvane.proxy.net.connection_limiter import Front
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.upstream_pool import Forwards
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.connection_limiter import ConnectionLimiter
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.upstream_pool import UpstreamPools
 from firvane.proxy.proxy import Proxy
 from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
 from firvane.simulation.emulation.verdict import Grade, Rule
@@ -82,13 +82,13 @@
     return next(state.setdefault("calls", count(1))) % every == 0
 
 
-def lose(self: Listener, served: Any, answer: Any) -> None:
+def lose(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then an answer is thrown away."""
     if not once_in(60):
         served(self, answer)
 
 
-def swap(self: Listener, served: Any, answer: Any) -> None:
+def swap(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then a client gets the body of the answer before."""
     mine = list(answer.body), answer.size
     if once_in(60):
@@ -97,7 +97,7 @@
     served(self, answer)
 
 
-def write_twice(self: Listener, served: Any, answer: Any) -> None:
+def write_twice(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then an answer is written twice."""
     write, times = self.transport.writelines, 2 if once_in(60) else 1
     with patch.object(self, "transport", wraps=self.transport) as transport:
@@ -147,7 +147,7 @@
         self.clock.call_at(flow.deadline - 0.1, refuse, self, action)
 
 
-def believe(self: Front, accept: Any, quiet: Any, stands: Any) -> Listener:
+def believe(self: ConnectionLimiter, accept: Any, quiet: Any, stands: Any) -> ClientConnection:
     """Who has left is noticed only where the loop reads, as before the kernel was asked."""
     return accept(self, quiet)  # type: ignore[no-any-return]
 
@@ -197,19 +197,19 @@
     """Told to end, a proxy ends, whatever it has taken."""
 
 
-def pad(self: Peers, tell: Any, peer: int | None, payload: bytes) -> None:
+def pad(self: PeerDatagrams, tell: Any, peer: int | None, payload: bytes) -> None:
     """Rows for the peers grow beyond what a datagram may hold."""
-    with patch.object(peer_datagrams, "MAX_DATAGRAM", 1000):
+    with patch.object(peer_datagrams, "MAX_DATAGRAM_BYTES", 1000):
         tell(self, peer, payload.ljust(257, b"\0"))
 
 
 MUTANTS = (
-    Mutant("a lost answer", Rule.LOST, CALM, [(Listener, "served", lose)]),
-    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(Listener, "served", swap)]),
-    Mutant("an answer written twice", Rule.ANSWERED_TWICE, CALM, [(Listener, "served", write_twice)]),
+    Mutant("a lost answer", Rule.LOST, CALM, [(ClientConnection, "served", lose)]),
+    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(ClientConnection, "served", swap)]),
+    Mutant("an answer written twice", Rule.ANSWERED_TWICE, CALM, [(ClientConnection, "served", write_twice)]),
     Mutant("a send after the drain", Rule.DRAINED, DRAINS, [
         (Engine, "listed", deafen),
-        (Forwards, "listed", lambda self, listed, name, address, up: listed(self, name, address, True)),
+        (UpstreamPools, "listed", lambda self, listed, name, address, up: listed(self, name, address, True)),
     ]),
     Mutant("a cold box flooded", Rule.PUSHED_OVER, CRASH, [
         (Evidence, "is_cold", lambda self, is_cold, server, now: False),
@@ -220,10 +220,10 @@
     Mutant("a cap that does not bind", Rule.ATTEMPTS, CLOSING, [(platform, "parse_settings", unbind)]),
     Mutant("an answer held back", Rule.HELD_BACK, FULL, [(Engine, "_refuse", hold_back)], Grade.COSTS),
     Mutant("a send after the answer", Rule.AFTER_END, FULL, [(Engine, "_refuse", go_on)]),
-    Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(Front, "accept", believe)]),
+    Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(ConnectionLimiter, "accept", believe)]),
     Mutant("a leak of flows", Rule.LEAK, CALM, [(Engine, "_forget", keep(5))]),
-    Mutant("a leak of sockets", Rule.LEAK, LONG, [(Forwards, "park", keep(2))]),
+    Mutant("a leak of sockets", Rule.LEAK, LONG, [(UpstreamPools, "park", keep(2))]),
     Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(upstream_pool, "request_head", forge)]),
     Mutant("an end that waits for nobody", Rule.LOST, RESTART, [(Proxy, "drain", end_at_once)]),
-    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(Peers, "tell", pad)]),
+    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(PeerDatagrams, "tell", pad)]),
 )  # fmt: skip
--- a/tests/simulation/runner/test_policies.py
+++ b/tests/simulation/runner/test_policies.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from firvane.proxy.net.client_requests import Listener
+from firvane.proxy.net.client_connection import ClientConnection
 from firvane.proxy.quorum.driver import Policies
 from firvane.proxy.quorum.leases import Lease
 from firvane.proxy.quorum.member import Member, Saved
@@ -110,14 +110,14 @@
 
 def heads_that_tell_of_now(monkeypatch: pytest.MonkeyPatch) -> None:
     """By which policy is told as of when the answer goes out."""
-    whole = Listener._finish
+    whole = ClientConnection._respond
 
-    def finish(self: Any, *args: Any) -> None:
-        if self.stamp and self.front.agreement:
-            self.stamp = self.front.agreement.stamp
+    def respond(self: Any, *args: Any) -> None:
+        if self.policy_field and self.context.policy_lease:
+            self.policy_field = self.context.policy_lease.stamp
         whole(self, *args)
 
-    monkeypatch.setattr(Listener, "_finish", finish)
+    monkeypatch.setattr(ClientConnection, "_respond", respond)
 
 
 STOOD = Trouble(kind="stall", at_s=3.1, for_s=8.0, proxy=1)
--- a/tests/simulation/runner/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -93,7 +93,7 @@
         loop=SimpleNamespace(time=lambda: 0.0),
         engine=SimpleNamespace(take=None),
         peers=SimpleNamespace(tell=lambda peer, payload: told.append(payload)),
-        front=SimpleNamespace(measures=None),
+        limiter=SimpleNamespace(metrics=None),
     )
     versions.Fault(proxy, "misread", 1.0, 1, lambda: None)
     proxy.peers.tell(None, row)
