--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -383,7 +383,7 @@
             return
         # No request is taken up before the endpoint list is known, nor while memory is short.
         if not self.context.ready or self.context.account.pressed:
-            cls = self.context.settings.classes[request.cls]
+            cls = self.context.settings.classes[request.class_id]
             self.context.engine.tally.of(cls.name).dropped += 1
             if self.context.metrics is not None:
                 self.context.count_unparsed(cls.name.encode(), message.fields.get(b"x-caller", b""))
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -54,7 +54,7 @@
 
 def request_method(cls: api.RequestClass) -> bytes:
     """The HTTP method of the requests of a class."""
-    return b"GET" if cls.repeat is api.Repeat.SAFE else b"POST"
+    return b"GET" if cls.idempotency is api.Idempotency.SAFE else b"POST"
 
 
 class ClientContext:
@@ -154,13 +154,13 @@
         cost, key = fields.get(b"x-call-cost", b""), fields.get(b"x-route-hash")
         request = api.Request(
             id=-1,
-            cls=number,
-            left=0.0,
+            class_id=number,
+            time_left=0.0,
             key=key.decode("latin-1") if key else None,
             tenant=tenant,
             work=int(cost) / 1e6 if cost.isdigit() and len(cost) <= MAX_COST_DIGITS else None,
             is_retry=fields.get(b"x-again") == b"1",
-            is_write=cls.repeat is not api.Repeat.SAFE,
+            is_write=cls.idempotency is not api.Idempotency.SAFE,
         )
         return request, min(int(budget) / 1000, cls.deadline)
 
--- a/firvane/proxy/net/endpoint_list.py
+++ b/firvane/proxy/net/endpoint_list.py
@@ -56,7 +56,7 @@
             raise EndpointListError(
                 f"{len(data['endpoints'])} endpoints, and {self.max_endpoints} fit in limits.memory_mb"
             )
-        kind = api.ListKind.COMPLETE if data.get("snapshot") is True else api.ListKind.CHANGES
+        kind = api.ListKind.COMPLETE if data.get("snapshot") is True else api.ListKind.INCREMENTAL
         addresses: dict[str, Address] = {}
         servers = tuple(self._entry(entry, addresses) for entry in data["endpoints"])
         return api.ServerList(kind, index, servers), addresses
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -96,18 +96,18 @@
         self.turns.rate = INITIAL_RATE_PER_CORE * cores
         self.overload = Overload()
         self.admission = Admission()
-        self.report_pressure: Callable[[api.Pressure], None] = lambda pressure: None
+        self.report_pressure: Callable[[api.OverloadSignal], None] = lambda pressure: None
         self.counts: Callable[[], tuple[int, int, tuple[int, ...]]] = lambda: (0, 0, ())
         self.lag = 0.0  # s, the worst since the last sample
         self._worst_lag = 0.0  # s, since `worst_lag` was last called
         self._sampled_at = loop.time()
         self._cpu = usage().cpu
         self._last_counts = (0, 0, 0)  # requests taken, wished, overflowed at the last sample
-        self._reported = api.Pressure(0.0, False, True)
+        self._reported = api.OverloadSignal(0.0, False, True)
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Set the bounds on lag and waiting by the shortest latency target of the settings."""
-        target = min(cls.aim for cls in settings.classes)
+        target = min(cls.latency_target for cls in settings.classes)
         # Targets shorter than a turn of the loop must not make each turn a sign of overload.
         self.max_lag, self.turns.most_wait = max(MIN_LAG_S, LAG_PART * target), TURN_WAIT_PART * target
 
@@ -170,11 +170,12 @@
         taken, wished, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
         part = self.admission.period(span, taken, wished, overflowed, bool(self.turns.line))
         self.turns.rate = self.admission.carried or INITIAL_RATE_PER_CORE * self.cores
-        pressure = api.Pressure(
+        pressure = api.OverloadSignal(
             part, self.gives_up(Measure.TURN_AWAY), not self.gives_up(Measure.NO_COPIES), unseen
         )
         known = self._reported
-        same = (pressure.over_share, pressure.copies) == (known.over_share, known.copies)
-        if not same or part or known.part or pressure.over_share:
+        switches = pressure.shed_over_quota, pressure.hedging_allowed
+        changed = switches != (known.shed_over_quota, known.hedging_allowed)
+        if changed or part or known.excess_fraction or pressure.shed_over_quota:
             self._reported = pressure
             self.report_pressure(pressure)
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -93,7 +93,7 @@
             cached: It was stored by an earlier process.
         """
         update, addresses = self.reader.read(data)
-        if update.kind is api.ListKind.CHANGES:
+        if update.kind is api.ListKind.INCREMENTAL:
             known = sum(1 for server in update.servers if server.id in self.servers)
             if len(self.servers) + len(update.servers) - known > self.reader.max_endpoints:
                 raise EndpointListError(
@@ -102,7 +102,7 @@
         if cached:
             update.kind = api.ListKind.CACHED
         listed, before = {server.id for server in update.servers}, dict(self.servers)
-        if update.kind is not api.ListKind.CHANGES:
+        if update.kind is not api.ListKind.INCREMENTAL:
             for name in sorted(self.servers.keys() - listed):  # sorted: the order of a set is random
                 self.on_target(name, None, False)  # absent from a complete list
             self.servers = {}
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -489,7 +489,7 @@
 
     def sweep(self) -> None:
         """Close connections that have been idle for long, and end streams that make no progress."""
-        before = self.loop.time() - IDLE_PART * self.limits.connection_idle
+        before = self.loop.time() - IDLE_PART * self.limits.connection_idle_timeout
         for pool in self.pools.values():
             pool.close_idle(before)
         for connection in list(self.streams):
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -335,7 +335,7 @@
             proxy.group.address = None
             await proxy.start()
             # Room for one target is what this proxy has, and the file has two.
-            proxy.group.reader.most = 1
+            proxy.group.reader.max_endpoints = 1
             more = {"index": 2, "snapshot": True, "endpoints": [entry("s1", target), entry("s2", target)]}
             configured(tmp_path, made.agent, without_pay())
             proxy.reload(lambda: replace(made.read_again(), discovery=None, known=more))
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -32,7 +32,8 @@
 
 def unwired(clock: Clock) -> UpstreamPools:
     """UpstreamPools whose connections are made by hand."""
-    return UpstreamPools(clock, api.Limits(3, connection_idle=30.0), RULES, make_monitor(clock), NOBODY)  # type: ignore
+    limits = api.Limits(max_attempts=3, connection_idle_timeout=30.0)
+    return UpstreamPools(clock, limits, RULES, make_monitor(clock), NOBODY)  # type: ignore
 
 
 def connected(pools: UpstreamPools, pool: Pool) -> Connection:
@@ -54,7 +55,7 @@
 
     def __init__(self, max_sockets: int = 10, connect_timeout: float = LEFT) -> None:
         self.loop = asyncio.get_running_loop()
-        limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle=30.0)
+        limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle_timeout=30.0)
         self.transports = TransportPool(self.loop)
         self.dialer = SocketDialer(self.loop, self.transports)
         self.pools = UpstreamPools(
