--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -18,19 +18,10 @@
 import httptools
 
 from firvane.core.engine import Flow
-from firvane.core.net.dialer import resets
-from firvane.core.net.http import (
-    LAST_CHUNK,
-    Buffered,
-    Fault,
-    Message,
-    Piece,
-    Reader,
-    Stream,
-    answer,
-    answer_head,
-    framed,
-)
+from firvane.core.net.dialer import reset_on_close
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
 from firvane.fleet.configuration.routes import Route, RouteTable
 from firvane.fleet.router.admission import UNRESTRICTED, Admitted
 from firvane.fleet.router.client_context import ClientContext
@@ -52,7 +43,7 @@
 STATUS_UNAVAILABLE = 503
 
 
-class ClientConnection(Buffered):
+class ClientConnection(BoundedReadProtocol):
     """One client's connection.
 
     Attributes:
@@ -79,7 +70,7 @@
 
     def __init__(self, context: ClientContext) -> None:
         self.context = context
-        self.reader = Reader(httptools.HttpRequestParser, context.max_body, context.max_body)
+        self.reader = MessageReader(httptools.HttpRequestParser, context.max_body, context.max_body)
         self.buffered = b""
         self.position = 0
         self.flow: Flow[ProxiedRequest, Message] | None = None
@@ -114,7 +105,7 @@
         self.context.connections.pop(self, None)
         self.closing = True
         self.buffered = b""
-        self.reader.drop()
+        self.reader.reset()
         self.body_source = self.unrouted = self.admission_request = None
         flow, self.flow = self.flow, None
         if flow:
@@ -162,13 +153,13 @@
         while self._has_unparsed() and not (self._has_open_request() or self.closing or self.writing_paused):
             try:
                 self.position = self.reader.step(self.buffered, self.position)
-            except Fault as fault:
+            except HttpError as fault:
                 self.position = len(self.buffered)
                 self._reject_malformed(fault)
                 break
             self._track_receiving()
-            if self.reader.done:
-                message = self.reader.done.pop(0)
+            if self.reader.completed:
+                message = self.reader.completed.pop(0)
                 self.receiving = False
                 self._receive_request(message)
         self.buffered = b"" if self.closing else self.buffered[self.position :]
@@ -190,20 +181,20 @@
         if not self.receiving:
             self.receiving = True
             self.state_since = self.context.loop.time()
-        if not self.reader.in_head and b"expect" in message.fields and not message.continued:
-            message.continued = True
+        if not self.reader.in_head and b"expect" in message.fields and not message.continue_sent:
+            message.continue_sent = True
             if not message.body:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _receive_request(self, message: Message) -> None:
         """Check a complete request, and route it or wait for the first configuration."""
         context = self.context
-        self.keep_alive = message.keep
+        self.keep_alive = message.keep_alive
         self.head_sent = False
         self.requests_received += 1
         try:
             check_framing(message)
-        except Fault as fault:
+        except HttpError as fault:
             self._reject_malformed(fault)
             return
         request_id = message.fields.get(REQUEST_ID)
@@ -266,7 +257,7 @@
         context.engine.take(flow, context.prompt_request(request))
         request.flow_id = flow.id
 
-    def _reject_malformed(self, fault: Fault) -> None:
+    def _reject_malformed(self, fault: HttpError) -> None:
         self.keep_alive = False
         self._send_status(fault.status)
 
@@ -274,7 +265,7 @@
 
     def served(self, message: Message) -> None:
         """Send a complete response."""
-        headers = list(message.passed_on())
+        headers = list(message.end_to_end_fields())
         self._send_response(message.status, message.body, message.size, headers)
 
     def begins(self, message: Message) -> None:
@@ -285,10 +276,10 @@
         if not self.head_sent:
             self._write_head(message)
         self.body_source = stream
-        stream.pour(self)
+        stream.connect(self)
 
     def _write_head(self, message: Message) -> None:
-        length = message.length()
+        length = message.content_length()
         self.head_sent = True
         self.chunked = (
             length is None and self.flow is not None and self.flow.request.message.version == b"1.1"
@@ -296,15 +287,15 @@
         self.close_delimited = length is None and not self.chunked
         self.keep_alive = self._stays_open() and not self.close_delimited
         if self.close_delimited:
-            resets(self.transport)
-        self.transport.writelines(answer_head(message, self.chunked, not self.keep_alive))
+            reset_on_close(self.transport)
+        self.transport.writelines(format_response_head(message, self.chunked, not self.keep_alive))
 
-    def more(self, pieces: list[Piece]) -> None:
+    def write_body(self, buffers: list[BytesLike]) -> None:
         """Send a part of the body."""
         if self.flow and not self.transport.is_closing():
-            self.transport.writelines(framed(pieces, self.chunked))
+            self.transport.writelines(frame_chunk(buffers, self.chunked))
 
-    def last(self) -> None:
+    def end_body(self) -> None:
         """Send the end of the body."""
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
@@ -368,9 +359,9 @@
         body = b"%d\n" % status
         self._send_response(status, [body], len(body), headers or [])
 
-    def _send_response(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
+    def _send_response(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
         self.keep_alive = self._stays_open()
-        self.transport.writelines(answer(status, body, size, not self.keep_alive, headers))
+        self.transport.writelines(format_response(status, body, size, not self.keep_alive, headers))
         self._end_response()
 
     def _stays_open(self) -> bool:
@@ -398,13 +389,13 @@
         """Pause the body's source, since the client does not keep up (asyncio)."""
         self.writing_paused = True
         if self.body_source:
-            self.body_source.choke(True)
+            self.body_source.set_paused(True)
 
     def resume_writing(self) -> None:
         """Resume the body's source, or parse the next request (asyncio)."""
         self.writing_paused = False
         if self.body_source:
-            self.body_source.choke(False)
+            self.body_source.set_paused(False)
         elif self.buffered and not self._has_open_request():
             self._parse_requests()
 
--- a/firvane/simulation/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -8,7 +8,8 @@
 
 import httptools
 
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
 from firvane.simulation.localfleet.http_client import MAX_ANSWER_BYTES, is_success
 from firvane.simulation.soak.records import AttemptEnd, AttemptRecord
@@ -55,7 +56,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: str) -> None:
         self._loop, self.router = loop, router
-        self._reader = Reader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
+        self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
         self._waiting: deque[Exchange] = deque()
         self._head_passed = False
         self.requests = 0
@@ -99,7 +100,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """End all requests under way; an answer without a length is complete now (RFC 9112, 6.3)."""
         message = self._reader.message
-        if error is None and message and not message.framed and not self._reader.in_head:
+        if error is None and message and not message.is_framed and not self._reader.in_head:
             self._complete(message)
         self.closed = True
         for exchange in self._waiting:
@@ -111,13 +112,13 @@
         try:
             self._reader.feed(data)
             self._pass_on()
-        except (Fault, StreamError) as error:
-            self._wrong(f"bytes that are no answer ({error})" if isinstance(error, Fault) else str(error))
+        except (HttpError, StreamError) as error:
+            self._wrong(f"bytes that are no answer ({error})" if isinstance(error, HttpError) else str(error))
 
     def _pass_on(self) -> None:
-        while self._reader.done:
-            self._tell(self._reader.done[0])
-            self._complete(self._reader.done.pop(0))
+        while self._reader.completed:
+            self._tell(self._reader.completed[0])
+            self._complete(self._reader.completed.pop(0))
         if self._reader.message and not self._reader.in_head:
             self._tell(self._reader.message)
 
@@ -130,9 +131,9 @@
             self._head_passed = True
             if len(self._waiting) > 1:
                 self._waiting[1].record.head_before = self._loop.time()
-            self.asked_to_close = self.asked_to_close or not message.keep
+            self.asked_to_close = self.asked_to_close or not message.keep_alive
             exchange.on_head(message)
-        if pieces := message.taken():
+        if pieces := message.take_body():
             exchange.on_body(b"".join(pieces))
 
     def _complete(self, message: Message) -> None:
