--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -19,7 +19,7 @@
 from firvane.core.net.http_message import Message
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, Route, Tenant
-from firvane.fleet.partitions import part_of
+from firvane.fleet.partitions import partition_of
 from firvane.fleet.router.requests import prompt_tokens
 from firvane.fleet.tenancy.allowance import Allowances, request_cost
 from firvane.fleet.tenancy.freshness import NONCES, Freshness
@@ -240,7 +240,7 @@
         self, pending: _PendingAdmission, tenant: Tenant, now: float, owner: Address | None = None
     ) -> None:
         """Ask for a grant; `owner` is whom to ask, where that is known better than here."""
-        part = part_of(tenant.name)
+        part = partition_of(tenant.name)
         target = owner or self._owners.get(part) or self._any_controller(pending.attempts)
         if target is None or now >= pending.until:
             self._reject_ungranted(pending)
@@ -275,7 +275,7 @@
             return
         if pending.timer:
             pending.timer.cancel()
-        tenant, part = pending.tenant, part_of(pending.tenant.name)
+        tenant, part = pending.tenant, partition_of(pending.tenant.name)
         if grant.status is Status.ELSEWHERE:
             self._on_not_owner(pending, tenant, grant.other, sender, now)
             return
@@ -301,7 +301,7 @@
         now: float,
     ) -> None:
         """Ask the owner that the sender names; wait where it names none but itself."""
-        part = part_of(tenant.name)
+        part = partition_of(tenant.name)
         self._owners.pop(part, None)
         if owner is not None:
             self._owners[part] = owner
