--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -28,8 +28,10 @@
 from envoy.service.load_stats.v3 import lrs_pb2
 
 from firvane.core import interface as api
-from firvane.core.engine import Engine, Exchange, Flow
-from firvane.core.terminations import Ending
+from firvane.core.engine import Engine
+from firvane.core.engine_protocols import Exchange
+from firvane.core.flows import Flow
+from firvane.core.terminations import Termination
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.config.model import Control as Words
 from firvane.proxy.control import stream_codec
@@ -102,7 +104,7 @@
 class Attempt:
     """One attempt at a box, as an exchange of the engine's or a receiver's."""
 
-    def __init__(self, world: World, box: str, done: Callable[[Ending], None], back: float) -> None:
+    def __init__(self, world: World, box: str, done: Callable[[Termination], None], back: float) -> None:
         self.world, self.box, self.done, self.back = world, box, done, back
         self.call = f"{next(world.calls):x}"
         self.over = False
@@ -113,7 +115,7 @@
             self.world.out.pop(self.call, None)
             self.world.clock.call_at(self.world.clock.now + self.back, self.world.drop, self)
 
-    def end(self, ending: Ending) -> None:
+    def end(self, ending: Termination) -> None:
         if not self.over:
             self.over = True
             self.world.out.pop(self.call, None)
@@ -193,12 +195,12 @@
     def finished(self, name: str, done: Done) -> None:
         if (attempt := self.out.get(done.call)) is None:
             return
-        ending = Ending.SERVED if done.wanted else Ending.BROKE_SENT
+        ending = Termination.SERVED if done.wanted else Termination.BROKEN_AFTER_SENT
         if done.end is End.LOST and self.boxes[name].state == "silent":
             return  # nobody says a word
         self.clock.call_at(self.clock.now + attempt.back, attempt.end, ending)
 
-    def send(self, at: Try, box: str, zone: str, done: Callable[[Ending], None]) -> Attempt:
+    def send(self, at: Try, box: str, zone: str, done: Callable[[Termination], None]) -> Attempt:
         """An attempt sets out from a zone; `done` hears of its end."""
         self.sends += 1
         delay = self.links.delay(self.clock.now, zone, self.zone_of(box)) or 0.0
@@ -212,7 +214,7 @@
         if attempt.over:
             return
         if box.state in ("down", "fell"):
-            self.clock.call_at(now + attempt.back, attempt.end, Ending.REFUSED)
+            self.clock.call_at(now + attempt.back, attempt.end, Termination.CONNECTION_REFUSED)
             return
         stood = box.is_up
         offer = box.offer(now, attempt.call, at.key, at.work)
@@ -220,7 +222,7 @@
             self.figures.fell += 1
         if offer.verdict == "turned away":
             self.turned += 1
-            self.clock.call_at(now + attempt.back, attempt.end, Ending.TURNED_AWAY)
+            self.clock.call_at(now + attempt.back, attempt.end, Termination.REJECTED)
         self.step(attempt.box)
 
     def drop(self, attempt: Attempt) -> None:
@@ -374,7 +376,7 @@
                 late = self.world.links.datagram(self.world.clock.now, self.zone, other.zone)
                 if late is not None:
                     message = api.PeerMessage(self.me, payload)
-                    self.world.clock.call_at(self.world.clock.now + late, other.engine.give, message)
+                    self.world.clock.call_at(self.world.clock.now + late, other.engine.dispatch, message)
 
     def refresh(self) -> None: ...
 
@@ -401,20 +403,20 @@
     def __init__(self, world: World, one: Try) -> None:
         self.world, self.one = world, one
 
-    def served(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         self.world.answer(self.one, 200)
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         self.world.answer(self.one, 503, retry_after)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         self.world.answer(self.one, 502)
 
-    at_fault = failed
+    on_bad_request = on_failed
 
-    def begins(self, answer: Any) -> None: ...
+    def on_response_started(self, answer: Any) -> None: ...
 
-    ends = cut = failed
+    on_response_finished = on_response_aborted = on_failed
 
 
 class Proxy(Member):
@@ -432,11 +434,11 @@
         self.heard(self.first_list())
 
     def heard(self, news: api.ServerList) -> None:
-        self.engine.listed(news)
+        self.engine.update_server_list(news)
 
     def ask(self, one: Try) -> None:
         flow: Flow[Try, int] = Flow(one, Asked(self.world, one), one.deadline)
-        self.engine.take(
+        self.engine.accept_request(
             flow,
             api.Request(
                 -1, 0, 0.0, one.key, self.communities.index(one.community), one.hint_us / 1e6, one.marked
@@ -444,10 +446,10 @@
         )
 
     def forward(self, request: Try, target: str, exchange: Exchange[int]) -> Attempt:
-        def done(ending: Ending) -> None:
-            exchange.ended(ending, 200 if ending is Ending.SERVED else None)
+        def done(ending: Termination) -> None:
+            exchange.on_ended(ending, 200 if ending is Termination.SERVED else None)
 
-        exchange.written()
+        exchange.on_request_sent()
         return self.world.send(request, target, self.zone, done)
 
     def probe(self, target: str, exchange: Exchange[int]) -> Any: ...
@@ -557,18 +559,18 @@
             self.ended(box, well)
             self.again(-(number > 1))
 
-        def done(ending: Ending) -> None:
+        def done(ending: Termination) -> None:
             if timer:
                 timer.cancel()
-            over(ending is Ending.SERVED)
-            if ending is Ending.SERVED:
+            over(ending is Termination.SERVED)
+            if ending is Termination.SERVED:
                 world.answer(one, 200)
             elif number < most and self.may_retry():
                 span = self.dice.uniform(0.0, min(BACK[1], BACK[0] * 2 ** (number - 1)))
                 self.again(1)
                 world.clock.call_at(world.clock.now + span, self.attempt, one, number + 1, tried)
             else:
-                world.answer(one, 503 if ending is Ending.TURNED_AWAY else 502)
+                world.answer(one, 503 if ending is Termination.REJECTED else 502)
 
         attempt = world.send(one, box, self.zone, done)
 
--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -66,7 +66,7 @@
         gc.freeze()
         gc.set_threshold(10_000, 20, 20)  # requests leave no cycles behind: what else does can wait
         await told.wait()
-    proxy.log.info("ending", open=proxy.engine.owed)
+    proxy.log.info("ending", open=proxy.engine.unanswered)
     await proxy.drain()
     # The loop closes next, and its handlers go with it: one more order must not end in another exit code.
     process_signals.block()
--- a/firvane/core/interface.py
+++ b/firvane/core/interface.py
@@ -68,6 +68,7 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether the server certainly did not start the request."""
         return self in (Result.OVERLOADED, Result.CONNECTIONS_FULL, Result.CONNECT_FAILED, Result.NOT_SENT)
 
 
--- a/firvane/core/net/dialer.py
+++ b/firvane/core/net/dialer.py
@@ -12,7 +12,7 @@
 
 from firvane.core.net.connection_checks import Quiet
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
 
@@ -33,7 +33,7 @@
         deadline: float,
         factory: Callable[[Quiet], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> Dialing:
         """Connect to an address by a deadline on the loop's clock.
 
@@ -52,13 +52,13 @@
         deadline: float,
         factory: Callable[[Quiet], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> None:
         self.dialer, self.sock = dialer, sock
         self.factory, self.up, self.ended = factory, up, ended
         loop = dialer.loop
         loop.add_writer(sock.fileno(), self._writable)
-        self.timer = loop.call_at(deadline, self._fail, Ending.DIAL_EXPIRED)
+        self.timer = loop.call_at(deadline, self._fail, Termination.CONNECT_TIMEOUT)
         self.waiting, self.closed = True, False
 
     def _stop_waiting(self) -> None:
@@ -68,12 +68,12 @@
 
     def _writable(self) -> None:
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._fail(Ending.REFUSED)
+            self._fail(Termination.CONNECTION_REFUSED)
         else:
             self._stop_waiting()
             self.dialer.transports.give(self)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         if self.waiting:
             self._stop_waiting()
             self.sock.close()
@@ -81,7 +81,7 @@
 
     def close(self) -> None:
         self.closed = True
-        self._fail(Ending.CANCELLED)
+        self._fail(Termination.CANCELLED)
 
     def wanted(self) -> P | None:
         return None if self.closed else self.factory(partial(is_quiet, self.sock))
@@ -90,7 +90,7 @@
         self.up(protocol)
 
     def unmade(self) -> None:
-        self.ended(Ending.BROKE_UNSENT)
+        self.ended(Termination.BROKEN_BEFORE_SENT)
 
 
 class SocketDialer:
@@ -105,17 +105,17 @@
         deadline: float,
         factory: Callable[[Quiet], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> Dialing:
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:
-            ended(Ending.NO_SOCKET)
+            ended(Termination.NO_FREE_SOCKET)
             return NO_DIAL
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if sock.connect_ex(address) not in (0, errno.EINPROGRESS):
             sock.close()
-            ended(Ending.REFUSED)
+            ended(Termination.CONNECTION_REFUSED)
             return NO_DIAL
         return SocketDial(self, sock, deadline, factory, up, ended)
 
--- a/firvane/core/net/upstream_exchange.py
+++ b/firvane/core/net/upstream_exchange.py
@@ -4,10 +4,10 @@
 
 from typing import Any, Generic, Protocol, TypeVar
 
-from firvane.core.engine import Exchange
+from firvane.core.engine_protocols import Exchange
 from firvane.core.net.dialer import Dialing
 from firvane.core.net.http import Message
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 
 
 class RunConnection(Protocol):
@@ -45,11 +45,11 @@
         elif self.dial:
             self.dial.close()
 
-    def end(self, ending: Ending, answer: Message | None = None) -> None:
+    def end(self, ending: Termination, answer: Message | None = None) -> None:
         """Report its end, once."""
         if not self.over:
             self.over = True
-            self.exchange.ended(ending, answer)
+            self.exchange.on_ended(ending, answer)
 
 
 def close_idle(idle: list[ConnectionT], before: float = float("inf")) -> None:
--- a/firvane/core/terminations.py
+++ b/firvane/core/terminations.py
@@ -1,4 +1,4 @@
-"""Every way in which a connection's use can end, and what each means to the decisions."""
+"""Every way in which an attempt or health check can end, and what each means to the decisions."""
 
 from __future__ import annotations
 
@@ -7,44 +7,44 @@
 from firvane.core.interface import Result
 
 
-class Ending(Enum):
-    """How one forward or probe came to its end."""
+class Termination(Enum):
+    """How one attempt or health check ended; the values are names in the log."""
 
     SERVED = "served"
     SERVER_ERROR = "server error"  # the target says that it failed
-    TURNED_AWAY = "turned away"  # the target says that it never began
-    NO_PLACE = "no place for a connection"  # turned away on a new connection that ends with that
-    AT_FAULT = "request at fault"  # the target says that it will not have such a request, and no other will
-    BAD_ANSWER = "bad answer"  # what came back is no HTTP, too large, or of no agreed meaning
-    REFUSED = "connection refused"
-    DIAL_EXPIRED = "dial expired"
-    BROKE_UNSENT = "broke before the request was written"
-    BROKE_SENT = "broke after the request was written"
-    OVERDUE = "overdue"
+    REJECTED = "turned away"  # the target says that it never started the request
+    CONNECTION_REJECTED = "no place for a connection"  # rejected on a new connection, which is closed
+    BAD_REQUEST = "request at fault"  # the target says that the request is invalid, as any other would
+    BAD_RESPONSE = "bad answer"  # what came back is no valid HTTP, too large, or of no agreed meaning
+    CONNECTION_REFUSED = "connection refused"
+    CONNECT_TIMEOUT = "dial expired"
+    BROKEN_BEFORE_SENT = "broke before the request was written"
+    BROKEN_AFTER_SENT = "broke after the request was written"
+    DEADLINE_EXCEEDED = "overdue"
     CANCELLED = "cancelled"
-    NO_SOCKET = "no socket free"
-    TOO_LATE = "target drained before the send"
-    WITHDRAWN = "given up before it was written"  # nobody waits for it any more, or its time is over
+    NO_FREE_SOCKET = "no socket free"
+    TARGET_DRAINED = "target drained before the send"
+    NOT_SENT = "given up before it was written"  # its client is gone, or its deadline is over
     NOT_ALLOWED = "not allowed"  # over a cap, after the answer, or to a target that no list holds
 
 
-# The only place that translates them. What may have run must never pass for what never ran: a wrong answer
-# from the target, or a break after its last byte was written, leaves that open.
-RESULTS: dict[Ending, Result] = {
-    Ending.SERVED: Result.OK,
-    Ending.SERVER_ERROR: Result.ERROR,
-    Ending.TURNED_AWAY: Result.OVERLOADED,
-    Ending.NO_PLACE: Result.CONNECTIONS_FULL,
-    Ending.AT_FAULT: Result.ERROR,
-    Ending.BAD_ANSWER: Result.ERROR,
-    Ending.REFUSED: Result.CONNECT_FAILED,
-    Ending.DIAL_EXPIRED: Result.CONNECT_FAILED,
-    Ending.BROKE_UNSENT: Result.CONNECT_FAILED,
-    Ending.BROKE_SENT: Result.RESET,
-    Ending.OVERDUE: Result.TIMEOUT,
-    Ending.CANCELLED: Result.CANCELLED,
-    Ending.NO_SOCKET: Result.NOT_SENT,
-    Ending.TOO_LATE: Result.NOT_SENT,
-    Ending.WITHDRAWN: Result.NOT_SENT,
-    Ending.NOT_ALLOWED: Result.NOT_SENT,
+# What may have run must never pass for what never ran: an invalid answer of the target, or a connection that
+# broke after the last byte was sent, leaves that open.
+RESULTS: dict[Termination, Result] = {
+    Termination.SERVED: Result.OK,
+    Termination.SERVER_ERROR: Result.ERROR,
+    Termination.REJECTED: Result.OVERLOADED,
+    Termination.CONNECTION_REJECTED: Result.CONNECTIONS_FULL,
+    Termination.BAD_REQUEST: Result.ERROR,
+    Termination.BAD_RESPONSE: Result.ERROR,
+    Termination.CONNECTION_REFUSED: Result.CONNECT_FAILED,
+    Termination.CONNECT_TIMEOUT: Result.CONNECT_FAILED,
+    Termination.BROKEN_BEFORE_SENT: Result.CONNECT_FAILED,
+    Termination.BROKEN_AFTER_SENT: Result.RESET,
+    Termination.DEADLINE_EXCEEDED: Result.TIMEOUT,
+    Termination.CANCELLED: Result.CANCELLED,
+    Termination.NO_FREE_SOCKET: Result.NOT_SENT,
+    Termination.TARGET_DRAINED: Result.NOT_SENT,
+    Termination.NOT_SENT: Result.NOT_SENT,
+    Termination.NOT_ALLOWED: Result.NOT_SENT,
 }
--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -27,7 +27,7 @@
             return
         self.services.add(service)
         self._hand_on()
-        self.engine.give(InstancesChanged(service, self.table.of(service)))
+        self.engine.dispatch(InstancesChanged(service, self.table.of(service)))
 
     def any_ready(self) -> bool:
         return any(
@@ -41,4 +41,4 @@
         ready = {one.id: one.address for one in known if one.state is InstanceState.READY}
         leaving = {one.id: one.address for one in known if one.state is InstanceState.DRAINING}
         self.upstreams.set_backends(ready, leaving)
-        self.engine.know(set(ready))
+        self.engine.set_known_targets(set(ready))
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -16,7 +16,7 @@
 
 import httptools
 
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.dialer import resets
 from firvane.core.net.http import (
     LAST_CHUNK,
@@ -89,7 +89,7 @@
         self.source = self.unrouted = self.applicant = None
         flow, self.flow = self.flow, None
         if flow:
-            self.front.engine.leave(flow)
+            self.front.engine.on_client_disconnected(flow)
 
     def is_idle(self) -> bool:
         return not (self._is_asking() or self.pending or self.reading or self.closing)
@@ -180,7 +180,7 @@
         self.taken_at = front.loop.time()
         front.drain.note_request(self.made_at, self.taken_at)
         if not front.drain.takes_requests(self.taken_at):
-            self.refused(LATE_PAUSE)
+            self.on_rejected(LATE_PAUSE)
             return
         if front.routes is None:
             self.unrouted = message
@@ -191,7 +191,7 @@
     def _refuse_unrouted(self, message: Message) -> None:
         if self.unrouted is message:
             self.unrouted = None
-            self.refused(NO_CONFIGURATION_RETRY)
+            self.on_rejected(NO_CONFIGURATION_RETRY)
 
     def resume(self) -> None:
         """The first configuration has come: go on with the request that waits for it."""
@@ -204,7 +204,7 @@
         front = self.front
         route = routes.find(message.fields.get(b"host", b""), message.url)
         if route is None:
-            front.engine.endings["no route"] += 1
+            front.engine.event_counts["no route"] += 1
             self._finish(404)
             return
         if front.admission is None:
@@ -227,10 +227,10 @@
             request.priority = route.priority if tenant.priority is None else tenant.priority
             request.on_repeat = partial(front.runs_again, admission)
         flow = Flow[ProxiedRequest, Message](request, self, deadline, request_id)
-        flow.bounded = True
-        flow.resumable = route.stream_resume
+        flow.is_bounded = True
+        flow.is_resumable = route.stream_resume
         self.flow = flow
-        front.engine.take(flow, front.prompt_request(request))
+        front.engine.accept_request(flow, front.prompt_request(request))
         request.flow_id = flow.id
 
     def _turn_down(self, fault: Fault) -> None:
@@ -239,11 +239,11 @@
 
     # Answers: the engine's side
 
-    def served(self, message: Message) -> None:
+    def on_response(self, message: Message) -> None:
         headers = list(message.passed_on())
         self._write_whole(message.status, message.body, message.size, headers)
 
-    def begins(self, message: Message) -> None:
+    def on_response_started(self, message: Message) -> None:
         stream = message.stream
         if self.flow is None or stream is None:
             return
@@ -272,10 +272,10 @@
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         self._over()
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """The answer ends short of what its head has said."""
         self._report_cut()
         self.flow = self.source = None
@@ -299,7 +299,7 @@
             requests=self.asked,
         )
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         if self.flow and self.front.admission:
             self.front.admission.give_back(self.admission)
         self._refuse(503, retry_after)
@@ -313,16 +313,16 @@
         extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
         self._finish(status, extra)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         self._finish(502)
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         self._finish(400)
 
     def _finish(self, status: int, headers: list[bytes] | None = None) -> None:
         """An answer of the router's own, with its status as a short body."""
         if self.head_sent:
-            self.cut()
+            self.on_response_aborted()
             return
         body = b"%d\n" % status
         self._write_whole(status, [body], len(body), headers or [])
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -169,7 +169,7 @@
         self.front.configure(RouteTable(configuration), configuration.limits)
         for service in configuration.services.values():
             engine = service.engine
-            self.engine.give(
+            self.engine.dispatch(
                 ServiceInfo(
                     service.name,
                     engine.slots if engine else 0,
@@ -182,16 +182,16 @@
 
     def _on_members(self) -> None:
         routers = self.agent.members(Role.ROUTER)
-        self.engine.give(self.peers.update(routers))
+        self.engine.dispatch(self.peers.update(routers))
 
     def _on_message(self, sender: Address, channel: Channel, payload: bytes) -> None:
         if channel is Channel.ROWS:
-            self.engine.give(api.PeerMessage(peer_number(sender), payload))
+            self.engine.dispatch(api.PeerMessage(peer_number(sender), payload))
         elif channel is Channel.TENANCY:
             self.admission.receive(sender, payload)
 
     def _on_progress(self, backend: str) -> None:
-        self.engine.give(Progress(backend))
+        self.engine.dispatch(Progress(backend))
 
     def _may_continue(self, request: ProxiedRequest) -> bool:
         return self.balancer.may_continue(request.flow_id, self.loop.time())
@@ -212,12 +212,12 @@
         self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def _report(self) -> None:
-        endings = self.engine.endings
+        endings = self.engine.event_counts
         counted = {name.replace(" ", "_").replace(",", ""): count for name, count in sorted(endings.items())}
         self.log.info(
             "router: figures.",
             clients=len(self.front.connections),
-            open=self.engine.owed,
+            open=self.engine.unanswered,
             upstream=self.upstreams.connections,
             dials=self.upstreams.dials,
             **counted,
@@ -253,8 +253,8 @@
         """Take no new work beyond what still comes, finish what is here, and leave the cluster."""
         began, drain = self.loop.time(), self.front.drain
         drain.begin(began, began + self.settings.grace - END_MARGIN)
-        self.engine.hasten(drain.end_by)
-        self.log.info("router: drains.", open=self.engine.owed)
+        self.engine.shorten_deadlines(drain.end_by)
+        self.log.info("router: drains.", open=self.engine.unanswered)
         await asyncio.sleep(drain.take_until - began)
         self.front_server.close()
         self.front.close_idle()
@@ -264,7 +264,7 @@
         for server in self.servers:
             server.close()
         self.agent.close()
-        self.log.info("router: ends.", open=self.engine.owed, **asdict(drain.figures))
+        self.log.info("router: ends.", open=self.engine.unanswered, **asdict(drain.figures))
 
 
 class RouterSettings:
--- a/firvane/fleet/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -11,11 +11,11 @@
 from functools import partial
 
 from firvane.core.address import Address
-from firvane.core.engine import Exchange
+from firvane.core.engine_protocols import Exchange
 from firvane.core.net.dialer import Dialer
 from firvane.core.net.http import Message
 from firvane.core.net.upstream_exchange import UpstreamRun
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream_connection import Pool, Run, UpstreamConnection
 
@@ -71,7 +71,7 @@
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
         if target not in self.pools:
-            run.end(Ending.TOO_LATE)
+            run.end(Termination.TARGET_DRAINED)
         elif barred := self._barred(run, now):
             run.end(barred)
         elif connection := pool.take(request.request_id):
@@ -89,12 +89,12 @@
 
     # Connections
 
-    def _barred(self, run: Run, now: float) -> Ending | None:
+    def _barred(self, run: Run, now: float) -> Termination | None:
         """What forbids a run's first byte now, if anything (rule 2)."""
         if not run.pool.ready:
-            return Ending.TOO_LATE
-        if now >= min(run.exchange.deadline, run.exchange.by):
-            return Ending.WITHDRAWN
+            return Termination.TARGET_DRAINED
+        if now >= min(run.exchange.deadline, run.exchange.start_before):
+            return Termination.NOT_SENT
         return None
 
     def _dial(self, run: Run, now: float) -> None:
@@ -115,14 +115,14 @@
         if run.over:
             self.park(connection)
         elif connection.lost or connection.transport.is_closing():
-            run.end(Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_BEFORE_SENT)
         elif barred := self._barred(run, now):
             self.park(connection)
             run.end(barred)
         else:
             connection.send(run, now)
 
-    def _not_up(self, run: Run, ending: Ending) -> None:
+    def _not_up(self, run: Run, ending: Termination) -> None:
         self.connections -= 1
         run.end(ending)
 
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -26,7 +26,7 @@
 from firvane.core.net.connection_checks import Quiet
 from firvane.core.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.fleet.router.events import EventFramer
 from firvane.fleet.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
 from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
@@ -121,7 +121,7 @@
             self.pool.idle.remove(self)
         run, self.run = self.run, None
         if run:
-            run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def eof_received(self) -> None:
         message = self.reader.message
@@ -173,7 +173,7 @@
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
             if self.run:
-                self.run.exchange.written()
+                self.run.exchange.on_request_sent()
 
     # Receiving
 
@@ -190,7 +190,7 @@
             try:
                 at = self.reader.step(data, at)
             except Fault:
-                self._fail(Ending.BAD_ANSWER)
+                self._fail(Termination.BAD_RESPONSE)
                 return
             if not self._read_on(at < len(data)):
                 return
@@ -204,7 +204,7 @@
         if self._belongs_elsewhere(message):
             return self._skip(message, followed)
         if REQUEST_ID not in message.fields:
-            self._fail(Ending.BAD_ANSWER)
+            self._fail(Termination.BAD_RESPONSE)
             return False
         starts = self.stream is None and 200 <= message.status < 300 and self._is_passed_on(message)
         if starts and not self._begin(message):
@@ -232,7 +232,7 @@
         self.reader.done.pop(0)
         self.skipped += 1
         if self.skipped > MAX_INTERIM or message.status == 101 or not message.keep:
-            self._fail(Ending.BAD_ANSWER)
+            self._fail(Termination.BAD_RESPONSE)
             return False
         return self._read_on(followed)
 
@@ -250,7 +250,7 @@
         if message.fields.get(b"content-type", b"").startswith(STREAM_TYPE):
             self.framer = EventFramer(run.request.last_event_id)
         self.upstreams.streams[self] = None
-        run.exchange.begun(message)
+        run.exchange.on_response_started(message)
         return self.run is run
 
     def _feed(self, message: Message) -> None:
@@ -277,7 +277,7 @@
         run, self.run = self.run, None
         self._stop_streaming()
         ending = answer_ending(message)
-        if run and ending is Ending.TURNED_AWAY:
+        if run and ending is Termination.REJECTED:
             self.refused.add(run.request.request_id)
             run.request.note_turned_away()
         is_clean = message.framed and self.written and not (followed or self.skipped)
@@ -289,7 +289,7 @@
         if run:
             run.end(ending, message)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         run, self.run = self.run, None
         self._stop_streaming()
         self.close()
@@ -318,15 +318,15 @@
             return
         longest = max(MIN_SILENCE, SILENCE_FACTOR * run.request.route.gap_aim_ms / 1000)
         if now > self.moved + longest and self.upstreams.may_continue(run.request):
-            self._fail(Ending.OVERDUE)
+            self._fail(Termination.DEADLINE_EXCEEDED)
 
 
-def answer_ending(message: Message) -> Ending:
+def answer_ending(message: Message) -> Termination:
     """What an answer means by its head."""
     if 200 <= message.status < 300:
-        return Ending.SERVED
+        return Termination.SERVED
     if message.status == 421:
-        return Ending.TURNED_AWAY
+        return Termination.REJECTED
     if b"x-not-executed" in message.fields:
-        return Ending.TURNED_AWAY
-    return Ending.SERVER_ERROR
+        return Termination.REJECTED
+    return Termination.SERVER_ERROR
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from firvane.core.request_counters import ANSWERS, Counts
+from firvane.core.request_counters import ANSWERS, ClassCounters
 
 
 @dataclass
@@ -22,7 +22,7 @@
     """At one moment."""
 
     state: str
-    handled: Mapping[str, Counts]
+    handled: Mapping[str, ClassCounters]
     in_progress: int
     known_backends: int
     skipped_backends: int
@@ -35,7 +35,7 @@
         """As the door tells them, on one line."""
         return json.dumps(
             {
-                "handled": {name: counts.told() for name, counts in self.handled.items()},
+                "handled": {name: counts.answer_counts() for name, counts in self.handled.items()},
                 "in_progress": self.in_progress,
                 "known_backends": self.known_backends,
                 "skipped_backends": self.skipped_backends,
@@ -48,7 +48,7 @@
 
     def fields(self) -> dict[str, int | str]:
         """As the log's event `figures` has them."""
-        told = [counts.told() for counts in self.handled.values()]
+        told = [counts.answer_counts() for counts in self.handled.values()]
         totals = {name: sum(counts[name] for counts in told) for name in ANSWERS}
         return {
             "state": self.state,
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -14,7 +14,8 @@
 
 from firvane.core import interface as api
 from firvane.core.address import Address
-from firvane.core.engine import Clock, Directory, Engine, Exchange, Handle, Post
+from firvane.core.engine import Engine
+from firvane.core.engine_protocols import Clock, Exchange, Handle, PeerChannel, ServerDiscovery
 from firvane.core.logs import QUIET, Log
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.config.model import Control as Words
@@ -61,8 +62,8 @@
         seed: int,
         zones: tuple[str, ...],
         clock: Clock,
-        posts: Sequence[Post],
-        directory: Directory,
+        posts: Sequence[PeerChannel],
+        directory: ServerDiscovery,
         audience: Audience,
         wall: Callable[[], float],
         log: Log = QUIET,
@@ -121,7 +122,7 @@
         named = {server.id for server in news.servers if server.state is not api.ServerState.UP}
         self.number = news.version
         for engine in self.engines:
-            engine.listed(news)
+            engine.update_server_list(news)
         self._up = {server.entry.id for server in self.balancers[0].up}
         left_out = before - {server.id for server in news.servers}
         self.panic.named(named)
@@ -194,13 +195,13 @@
     def look(self) -> None:
         """Reports into the module, and what it believes now; again and again."""
         now = self.clock.time()
-        for name in self.ledger.sweep(self.engine.known, now):
+        for name in self.ledger.sweep(self.engine.known_targets, now):
             self.log.info("receiver_gone", receiver=name, text="its part of the demand is free")
         if sums := self.ledger.take(now):
             self.looks += 1
             parts = split(sums, len(self.engines), self.looks)
             for engine, part in zip(self.engines, parts, strict=True):
-                engine.give(part)  # an event that this service adds
+                engine.dispatch(part)  # an event that this service adds
         if self.catalog.has_list or self._up:
             work = len(self.ledger.receivers) * len(self.addresses)
             self.pace.least = min(MOST_QUIET, work / PLACES)
@@ -213,7 +214,7 @@
     def reported(self, name: str, told: Mapping[str, Report], span: float, dropped: int) -> None:
         """A receiver's report, of so many seconds; requests that it dropped as it was told to."""
         span = span or self.words.report_s
-        self.ledger.report(name, told, self.engine.known, span, self.clock.time(), dropped)
+        self.ledger.report(name, told, self.engine.known_targets, span, self.clock.time(), dropped)
 
     def zone_name(self, number: int) -> str:
         return self.zones[number] if 0 <= number < len(self.zones) else ""
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -84,7 +84,7 @@
         self.core.listed(news)
 
     def _peer(self, place: int, sender: int, payload: bytes) -> None:
-        self.core.engines[place].give(api.PeerMessage(sender, payload))
+        self.core.engines[place].dispatch(api.PeerMessage(sender, payload))
 
     # What the streams need
 
--- a/firvane/proxy/metrics.py
+++ b/firvane/proxy/metrics.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 from firvane.core import interface as api
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.logs import Log
 
 PER_DOUBLING = 8  # buckets, as in rollout/words.py, of which a proxy loads nothing
@@ -79,7 +79,7 @@
         took = self.now() - self.since
         for counts in self.by:
             counts.taken += 1
-            counts.attempts += len(flow.forwards)
+            counts.attempts += len(flow.attempts)
             if outcome == "served":
                 counts.in_time += took <= self.aim
                 number = bucket(took)
@@ -89,32 +89,32 @@
             elif outcome == "failed":
                 counts.failed += 1
 
-    def served(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         self.over("served")
-        self.client.served(answer)
+        self.client.on_response(answer)
 
-    def begins(self, answer: Any) -> None:
-        self.client.begins(answer)
+    def on_response_started(self, answer: Any) -> None:
+        self.client.on_response_started(answer)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         self.over("served")
-        self.client.ends()
+        self.client.on_response_finished()
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         self.over("failed")
-        self.client.cut()
+        self.client.on_response_aborted()
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         self.over("refused")
-        self.client.refused(retry_after)
+        self.client.on_rejected(retry_after)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         self.over("failed")
-        self.client.failed()
+        self.client.on_failed()
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         self.over("failed")
-        self.client.at_fault()
+        self.client.on_bad_request()
 
 
 class Errors:
--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -39,6 +39,8 @@
     "firvane.proxy.limits.admission_gate",
     "firvane.proxy.limits.loop_budget",
     "firvane.proxy.balancer",
+    "firvane.core.engine_protocols",
+    "firvane.core.flows",
     "firvane.core.engine",
     "firvane.core.net.http",
     "firvane.core.net.upstream_exchange",
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -10,9 +10,10 @@
 import httptools
 
 from firvane.core import interface as api
-from firvane.core.engine import Engine, Flow
+from firvane.core.engine import Engine
+from firvane.core.flows import Flow
 from firvane.core.net.http import Fault, Message, refusals, unescaped
-from firvane.core.request_counters import Counts
+from firvane.core.request_counters import ClassCounters
 from firvane.proxy.limits.admission_gate import Gate
 from firvane.proxy.net.client_connection import ClientConnection
 from firvane.proxy.net.resource_monitor import Guard
@@ -33,7 +34,7 @@
 
 
 class Measures(Protocol):
-    """Counts by class and tenant, as the proxy has them where they are asked for."""
+    """ClassCounters by class and tenant, as the proxy has them where they are asked for."""
 
     def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None: ...
 
@@ -58,11 +59,11 @@
         guard: Guard,
     ) -> None:
         self.loop, self.engine, self.settings, self.guard = loop, engine, settings, guard
-        engine.gate = self
+        engine.load_shedder = self
         # Classes by the first part of a path; and, for a while, those that were there before, by their form.
         self.classes: dict[bytes, tuple[int, api.RequestClass]] = {}
         self.former: dict[tuple[bytes, bytes], tuple[int, api.RequestClass]] = {}
-        self.counts: dict[bytes, Counts] = {}
+        self.counts: dict[bytes, ClassCounters] = {}
         self.tenants: dict[bytes, int] = {}
         self.connections: dict[ClientConnection, None] = {}  # in order: a set's would differ from run to run
         self.turns, self.account = guard.turns, guard.account
@@ -89,7 +90,9 @@
         self.former = {(name, method(cls)): (number, cls) for name, (number, cls) in self.classes.items()}
         self.settings = settings
         self.classes = {settings.classes[i].name.encode(): (i, settings.classes[i]) for i in current}
-        self.counts = {name: self.engine.tally.of(cls.name) for name, (_, cls) in self.classes.items()}
+        self.counts = {
+            name: self.engine.request_counters.for_class(cls.name) for name, (_, cls) in self.classes.items()
+        }
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
         self.gate.name(tuple(self.tenants))
 
@@ -160,7 +163,7 @@
         """Whether it has asked far more in this second than others did in the last."""
         return connection.second == self.second and connection.recent > GREEDY * (1.0 + self.usual)
 
-    def turn_away(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
+    def shed(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
         """The decisions' word on what to refuse unseen."""
         self.gate.set(parts, again)
         limits = self.settings.limits
@@ -174,7 +177,7 @@
             counts.dropped += 1
             if self.measures is not None:
                 self.count_unseen(name[0], message.fields.get(b"x-caller", b""))
-        self.engine.endings["no lease on the policy"] += 1
+        self.engine.event_counts["no lease on the policy"] += 1
         limits = self.settings.limits
         return min(limits.max_retry_after, next(self.pauses)) if limits.retry_after else 0.0
 
--- a/firvane/proxy/net/client_requests.py
+++ b/firvane/proxy/net/client_requests.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import cast
 
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.http import Fault, Message, Stream, bare_class, bare_tenant, is_again
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.loop_budget import CHUNKED, DECIDE, READ_ONE
@@ -76,7 +76,7 @@
 
     def has_gone(self) -> None:
         if not self.ending:
-            self.front.engine.endings["client left unread"] += 1
+            self.front.engine.event_counts["client left unread"] += 1
             self.ending = True  # nothing that is here is taken up before the transport says that it is lost
             self.transport.abort()
             self._give_up()
@@ -92,7 +92,7 @@
         """Nothing is owed to the client any more."""
         if self.front.measures is not None:
             self.front.measures.left(flow)
-        self.front.engine.leave(flow)
+        self.front.engine.on_client_disconnected(flow)
 
     def owes(self) -> bool:
         """Whether something that has come whole, or may have, is still to be answered."""
@@ -333,7 +333,7 @@
         agreement = self.front.agreement
         if agreement is not None and self.front.ready:
             if not agreement.may():
-                self.refused(self.front.count_refused(message))
+                self.on_rejected(self.front.count_refused(message))
                 return
             self.stamp = agreement.stamp
         try:
@@ -344,7 +344,7 @@
         # Nothing new is taken on until the list is here, nor, in need, until what is here has gone.
         if not self.front.ready or self.front.account.pressed:
             cls = self.front.settings.classes[request.class_id]
-            self.front.engine.tally.of(cls.name).dropped += 1
+            self.front.engine.request_counters.for_class(cls.name).dropped += 1
             if self.front.measures is not None:
                 self.front.count_unseen(cls.name.encode(), message.fields.get(b"x-caller", b""))
             self._reply(503)
@@ -355,7 +355,7 @@
         more = UPLOAD if self.upload else 0.0
         deadline = min(self.front.loop.time() + left + more, self.front.last)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
-        self.flow.left = left if self.upload else 0.0
+        self.flow.response_time = left if self.upload else 0.0
         message.wanted = self.waits
         self.charged = FLOW + (WINDOW if self.upload else message.size)
         self.front.account.charge(Held.FLOWS, self.charged)
@@ -365,7 +365,7 @@
         self.front.ids.add(message.fields[b"x-call-id"])
         if self.front.measures is not None:
             self.front.measures.take(self.flow, request, self.front.settings)
-        self.front.engine.take(self.flow, request)
+        self.front.engine.accept_request(self.flow, request)
 
     def _ready(self, message: Message) -> None:
         self.asked += 1
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -4,7 +4,7 @@
 
 import httptools
 
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.connection_checks import Quiet, Stands, always
 from firvane.core.net.dialer import resets
 from firvane.core.net.http import (
@@ -18,7 +18,7 @@
     answer_head,
     framed,
 )
-from firvane.core.request_counters import Counts
+from firvane.core.request_counters import ClassCounters
 from firvane.proxy.limits.memory_account import Held
 from firvane.proxy.limits.memory_costs import WINDOW
 from firvane.proxy.net.client_connection import IDLE, ClientConnection
@@ -57,13 +57,13 @@
         self.pouring: Stream | None = None  # the rest of the flow's answer
         self.chunked = self.closes = False  # in chunks; and the connection ends with it
         self.busy = False  # at work in this very call
-        self.counts: Counts | None = None  # of the class of what is to be refused unseen
+        self.counts: ClassCounters | None = None  # of the class of what is to be refused unseen
 
     def go_on(self, given: bool = False) -> None:
         """Do what there is to do next on the connection."""
         raise NotImplementedError
 
-    def begins(self, answer: Message) -> None:
+    def on_response_started(self, answer: Message) -> None:
         """A long answer: its head now, the rest as it comes and as the client takes it."""
         flow, stream = self.flow, answer.stream
         if flow is None or stream is None:
@@ -96,27 +96,27 @@
         if self.chunked and self.pouring and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         self.pouring = None
         self._over(self.closes, STALLED, True)
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """It ends short of what its head has said, without the last chunk, or by a reset where the end of the
         connection would be its own: so its client can tell."""
         self.pouring = None
         self.transport.abort()
 
-    def served(self, answer: Message) -> None:
+    def on_response(self, answer: Message) -> None:
         self._finish(200, answer.body, answer.size, list(answer.passed_on()))
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
         self._finish(503, [b"refused\n"], 8, extra)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         self._finish(502, [b"failed\n"], 7, [])
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         self._turn_down(Fault(400))
 
     def _reply(self, status: int) -> None:
@@ -180,7 +180,7 @@
     def _turn_down(self, fault: Fault) -> None:
         """Answer what is at fault and hang up: what follows it may not be what its client meant, or worse."""
         self.keep, self.lost = False, True
-        self.front.engine.endings[f"turned down {fault.status}"] += 1
+        self.front.engine.event_counts[f"turned down {fault.status}"] += 1
         self._reply(fault.status)
 
     def _read_out(self) -> None:
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from firvane.core.engine import Exchange
+from firvane.core.engine_protocols import Exchange
 from firvane.core.interface import Limits, Rules
 from firvane.core.net.connection_checks import Quiet
 from firvane.core.net.dialer import Dialer
@@ -37,7 +37,7 @@
     request_head,
 )
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_account import SMALL, Held
 from firvane.proxy.limits.memory_costs import IDLE_TARGET, WINDOW
@@ -113,7 +113,7 @@
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
         self.transport.writelines([*request_head(run.request, left, host), *run.request.body])
         if run.request.stream:
-            run.exchange.spent()
+            run.exchange.on_body_consumed()
             self.pouring, self.chunked = run.request.stream, run.request.length() is None
             self.pouring.pour(self)
             return
@@ -122,7 +122,7 @@
     def _is_written(self, run: Run) -> None:
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
-            run.exchange.written()
+            run.exchange.on_request_sent()
 
     def usable(self) -> bool:
         """Whether nothing has come on it while idle.
@@ -179,7 +179,7 @@
                 self.interim += 1
                 self.spoilt = message.status == 101 or self.interim > MAX_INTERIM
         if self.spoilt:
-            self._end(Ending.BAD_ANSWER)
+            self._end(Termination.BAD_RESPONSE)
         elif self.stream is None:
             self._settle()
 
@@ -202,7 +202,7 @@
             self._release()
             self.forwards.streams[self] = None
             self.forwards.guard.account.charge(Held.ANSWERS, WINDOW)
-            self.run.exchange.begun(message)
+            self.run.exchange.on_response_started(message)
         self.moved = now
         if message and self.stream:
             self.stream.feed(message.taken())
@@ -218,7 +218,7 @@
 
     def stalled(self, now: float) -> None:
         if not self.held and now > self.moved + STALL:
-            self._end(Ending.OVERDUE)
+            self._end(Termination.DEADLINE_EXCEEDED)
 
     def _settle(self) -> None:
         """Charge what is half here; an answer that grows large is read on only with a lease."""
@@ -263,19 +263,19 @@
         else:
             self._end(ending, message)
 
-    def _meaning(self, message: Message) -> Ending:
+    def _meaning(self, message: Message) -> Termination:
         """What an answer means by its head."""
         if message.status == 200:
-            return Ending.SERVED
+            return Termination.SERVED
         if message.status in (400, 404):
-            return Ending.AT_FAULT
+            return Termination.BAD_REQUEST
         if message.status in (503, 504) and message.fields.get(b"x-rejected") == b"1":
             # What is said on a connection that was never used, and ends it, is said of the connection.
             new = not message.keep and not self.idle_since
-            return Ending.NO_PLACE if new else Ending.TURNED_AWAY
-        return Ending.SERVER_ERROR
+            return Termination.CONNECTION_REJECTED if new else Termination.REJECTED
+        return Termination.SERVER_ERROR
 
-    def _end(self, ending: Ending, message: Message | None = None) -> None:
+    def _end(self, ending: Termination, message: Message | None = None) -> None:
         run, self.run = self.run, None
         self.pouring = None
         self.close()
@@ -289,7 +289,7 @@
             told = message.fields.get(b"connection", b"").lower() == b"close"
             if told and self.stream:
                 self.stream.end()
-            self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)
+            self._end(Termination.SERVED if told else Termination.BROKEN_AFTER_SENT, message)
 
     def connection_lost(self, error: Exception | None) -> None:
         guard = self.forwards.guard
@@ -303,7 +303,7 @@
             self.pool.idle.remove(self)
         run, self.run = self.run, None
         if run:
-            run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def close(self) -> None:
         self.transport.abort()
@@ -378,26 +378,26 @@
 
     # Connections
 
-    def _barred(self, run: Run, now: float) -> Ending | None:
+    def _barred(self, run: Run, now: float) -> Termination | None:
         """What forbids a run's first byte now, if anything (rule 2): a dial may end later than it began."""
         down_since = run.pool.down_since
         # A first byte sent at the very end of the grace could still be seen after it.
         if down_since is not None and now >= down_since + 0.9 * self.rules.drain_grace:
-            return Ending.TOO_LATE
+            return Termination.TARGET_DRAINED
         # Guards a target against a request whose time ran out in the same turn that its dial came up in, and
         # against a next attempt or a copy for a client whose end stands behind bytes that were not read.
         # And against one that would run again what it has run: it drops repeats up to a time.
-        over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()
-        return Ending.WITHDRAWN if over else None
+        over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.wanted()
+        return Termination.NOT_SENT if over else None
 
     def _dial(self, run: Run) -> None:
         pool = run.pool
         if pool.address is None:
-            run.end(Ending.REFUSED)
+            run.end(Termination.CONNECTION_REFUSED)
             return
         if not self.guard.descriptors.lease(Use.TARGETS):
             if not self._shed():
-                run.end(Ending.NO_SOCKET)
+                run.end(Termination.NO_FREE_SOCKET)
                 return
             self.guard.descriptors.count(Use.TARGETS)  # the one that gives way is as good as closed
         self.dials += 1
@@ -412,14 +412,14 @@
     def _up(self, run: Run, connection: Connection) -> None:
         if run.over or connection.transport.is_closing():
             connection.close()
-            run.end(Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_BEFORE_SENT)
         elif barred := self._barred(run, self.loop.time()):
             self.park(connection)
             run.end(barred)
         else:
             connection.send(run)
 
-    def _not_up(self, run: Run, ending: Ending) -> None:
+    def _not_up(self, run: Run, ending: Termination) -> None:
         self.guard.descriptors.give_back(Use.TARGETS)
         run.end(ending)
 
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -104,7 +104,7 @@
         self.engine: Engine[Message, Message] = Engine(
             settings, self.balancer, loop, self.forwards, self.peers, self.group, wall, self.log
         )
-        self.guard.tell = self.engine.give
+        self.guard.tell = self.engine.dispatch
         self.front = Front(loop, self.engine, settings, self.guard)
         inherited = None if config.inherited is None else adopt(config.inherited)
         self.door: Door = LoopDoor(loop) if dialer else SocketDoor(loop, self.transports, self.log, inherited)
@@ -128,12 +128,12 @@
         tables = BOX * len(self.group.servers)
         self.guard.account.charge(Held.TABLES, tables - self.tables)
         self.tables = tables
-        self.engine.listed(news)
+        self.engine.update_server_list(news)
 
     def _heard(self, sender: int, payload: bytes) -> None:
         if self.agreement and self.agreement.heard(sender, payload):
             return
-        self.engine.give(api.PeerMessage(sender, payload))
+        self.engine.dispatch(api.PeerMessage(sender, payload))
 
     async def start(self) -> None:
         """Everything up to answering that the proxy is ready; cancelled where the end is told before."""
@@ -239,9 +239,9 @@
         waiting = len(turns.line) + len(turns.behind) + len(turns.refused)
         return Figures(
             self.life.state.value,
-            engine.tally.by,
-            engine.owed + waiting,
-            len(engine.known),
+            engine.request_counters.by_class,
+            engine.unanswered + waiting,
+            len(engine.known_targets),
             skipped(self.balancer.servers.values(), engine.now()),
             self.loads,
         )
@@ -377,7 +377,7 @@
         self.loop.call_at(due + SWEEP, self._sweep, due + SWEEP)
 
     def _report(self, due: float) -> None:
-        guard, endings, gate = self.guard, self.engine.endings, self.front.gate
+        guard, endings, gate = self.guard, self.engine.event_counts, self.front.gate
         wished, overflowed = self.unseen
         endings["turned away unseen"] = gate.wished - wished
         endings["found no turn"] = gate.overflowed - overflowed
@@ -387,14 +387,14 @@
             clients=len(self.front.connections),
             to_targets=guard.descriptors.held[Use.TARGETS],
             dials=self.forwards.dials,
-            open=self.engine.owed,
+            open=self.engine.unanswered,
             held_mb=round(guard.account.held / MB, 1),
             lag_ms=round(1000 * guard.worst_lag()),
             **({"epoch": self.agreement.epoch} if self.agreement else {}),
             **self.figures().fields(),
             **{name.replace(" ", "_"): n for name, n in sorted(endings.items()) if n},
         )
-        self.engine.endings.clear()
+        self.engine.event_counts.clear()
         self.loop.call_at(due + REPORT, self._report, due + REPORT)
 
     async def drain(self) -> None:
@@ -415,7 +415,7 @@
         successor = self.config.inherited is not None
         self._hear(Event.SUCCEEDED if successor else Event.TERMINATE)
         front.last = killed - margin
-        self.engine.hasten(front.last)  # those that are open may have far longer than that
+        self.engine.shorten_deadlines(front.last)  # those that are open may have far longer than that
         look = min(LOOK, margin / 10)
         if successor:  # the clients' queue, and what peers tell, are its from now on
             self.door.close()
--- a/firvane/proxy/quorum/fetch.py
+++ b/firvane/proxy/quorum/fetch.py
@@ -18,7 +18,7 @@
 from firvane.core.address import Address
 from firvane.core.net.connection_checks import Quiet
 from firvane.core.net.dialer import Dialer, Dialing
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.admin_api.calls import Call, got
 from firvane.proxy.quorum.uploads import Gathered
 
@@ -121,7 +121,7 @@
     def _made(self, piece: Piece, quiet: Quiet) -> Piece:
         return piece
 
-    def _undialled(self, piece: Piece, ending: Ending) -> None:
+    def _undialled(self, piece: Piece, ending: Termination) -> None:
         self._fails(piece, f"its door cannot be reached: {ending.value}")
 
     def _late(self, piece: Piece) -> None:
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -53,29 +53,29 @@
     def __getattr__(self, name: str) -> Any:
         return getattr(self.client, name)
 
-    def served(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         now = self.loop.time()
         self.loop.call_at(now + self.part * (now - self.since), self._served, answer)
 
     def _served(self, answer: Any) -> None:
         whoever = getattr(self.client, "client", self.client)
         if whoever.flow is self.flow:  # else it has gone away
-            self.client.served(answer)
+            self.client.on_response(answer)
 
 
 class Unheard:
     """An attempt on which nobody waits."""
 
     def __init__(self, deadline: float) -> None:
-        self.deadline = self.by = deadline
+        self.deadline = self.start_before = deadline
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, answer: Any) -> None: ...
+    def on_response_started(self, answer: Any) -> None: ...
 
-    def ended(self, ending: Any, answer: Any = None) -> None: ...
+    def on_ended(self, ending: Any, answer: Any = None) -> None: ...
 
 
 class Fault:
@@ -86,7 +86,7 @@
         self.loop, self.engine = proxy.loop, proxy.engine
         self.draw = Random(f"version/{seed}")
         self.since, self.taken = self.loop.time(), 0
-        self.take, self.engine.take = self.engine.take, self._take
+        self.take, self.engine.accept_request = self.engine.accept_request, self._take
         if name == "misread":
             self.tell, proxy.peers.tell = proxy.peers.tell, self._tell
         if name == "no-drains":
@@ -128,10 +128,10 @@
 
     def _refuse(self, flow: Any) -> None:
         flow.open = False
-        flow.client.refused(0.1)
+        flow.client.on_rejected(0.1)
 
     def _repeat(self, flow: Any) -> None:
-        boxes = sorted(self.engine.known)
+        boxes = sorted(self.engine.known_targets)
         if boxes:
             box = boxes[int(self.draw.random() * len(boxes))]
             self.proxy.forwards.forward(flow.request, box, Unheard(flow.deadline))
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -14,7 +14,7 @@
 from firvane.core.logs import Log
 from firvane.core.net.connection_checks import Quiet, always
 from firvane.core.net.dialer import Dialing
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.config.node import Config
 from firvane.proxy.net.listening_socket import Accept, LoopDoor
 from firvane.proxy.net.resource_monitor import Usage
@@ -41,12 +41,12 @@
         deadline: float,
         factory: Callable[[Quiet], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> None:
         self.factory, self.up, self.ended = factory, up, ended
         self.waiting = True
         memory = dialer.memory
-        self.timer = memory.loop.call_at(deadline, self._fail, Ending.DIAL_EXPIRED)
+        self.timer = memory.loop.call_at(deadline, self._fail, Termination.CONNECT_TIMEOUT)
         self.connecting = memory.connect(dialer.host, address, self._make, self._stands, self._refused)
 
     def _make(self) -> P:
@@ -60,9 +60,9 @@
         self.up(protocol)
 
     def _refused(self, error: OSError) -> None:
-        self._fail(Ending.REFUSED)
+        self._fail(Termination.CONNECTION_REFUSED)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         if self.waiting:
             self.waiting = False
             self.timer.cancel()
@@ -70,7 +70,7 @@
             self.ended(ending)
 
     def close(self) -> None:
-        self._fail(Ending.CANCELLED)
+        self._fail(Termination.CANCELLED)
 
 
 class MemoryDialer:
@@ -87,7 +87,7 @@
         deadline: float,
         factory: Callable[[Quiet], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> Dialing:
         return MemoryDial(self, address, deadline, factory, up, ended)
 
--- a/tests/core/net/test_http.py
+++ b/tests/core/net/test_http.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from firvane.core import interface as api
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net import http
-from firvane.core.request_counters import Tally
+from firvane.core.request_counters import RequestCounters
 from firvane.proxy.limits.loop_budget import BEHIND, DECIDE, READ_ONE, TURN
 from firvane.proxy.net.client_requests import Listener
 from firvane.proxy.net.connection_limiter import Front
@@ -37,13 +37,13 @@
     def __init__(self) -> None:
         self.flows: list[tuple[Flow[Any, Any], api.Request]] = []
         self.left: list[Flow[Any, Any]] = []
-        self.tally = Tally()
-        self.endings = Counter[str]()
+        self.request_counters = RequestCounters()
+        self.event_counts = Counter[str]()
 
-    def take(self, flow: Flow[Any, Any], request: api.Request) -> None:
+    def accept_request(self, flow: Flow[Any, Any], request: api.Request) -> None:
         self.flows.append((flow, request))
 
-    def leave(self, flow: Flow[Any, Any]) -> None:
+    def on_client_disconnected(self, flow: Flow[Any, Any]) -> None:
         self.left.append(flow)
 
 
@@ -77,7 +77,7 @@
     ((flow, request),) = taken.flows  # the second waits for the first
     assert flow.request.url == b"/read/x?a=1" and flow.deadline == pytest.approx(1000.48)
     assert (request.key, request.work, request.is_retry, request.tenant) == ("7f", 0.012, True, 0)
-    made.served(answer())
+    made.on_response(answer())
     made.front.loop.advance(0.0)  # type: ignore[attr-defined]
     assert wire.written.endswith(b"Content-Type: text/html\r\nContent-Length: 5\r\n\r\nhello")
     assert b"".join(taken.flows[1][0].request.body) == b"body"
@@ -170,7 +170,7 @@
     other = Wire(second)
     second.data_received(GET)
     assert statuses(other) == [409] and other.eof and len(taken.flows) == 1
-    first.served(answer())
+    first.on_response(answer())
     assert statuses(wire) == [200]
     third = Listener(first.front)
     Wire(third).protocol.data_received(GET)
@@ -200,7 +200,7 @@
     front = made.front
     make_places(front.guard, 4)
     made.data_received(GET)
-    made.served(answer())  # has asked and is idle
+    made.on_response(answer())  # has asked and is idle
     busy, silent = Listener(front), Listener(front)
     wires = [Wire(busy), Wire(silent)]
     busy.data_received(GET)
@@ -218,7 +218,7 @@
     make_places(made.front.guard, 1)
     made.data_received(GET)
     wire.buffered = 9
-    made.served(answer())
+    made.on_response(answer())
     Wire(Listener(made.front))
     assert not wire.closed and made.front.shut_out
 
@@ -229,7 +229,7 @@
     made, wire, _ = listener()
     for _ in range(asked):
         made.data_received(GET)
-        made.served(answer())
+        made.on_response(answer())
     later(made.front, 50.0 if asked else 2.0)
     assert not wire.closed
     make_places(made.front.guard, 2)
@@ -283,7 +283,7 @@
     assert len(taken.flows) == 1 and not made.reader.done and wire.paused
     for n in range(1, 10):
         made.rest = made.rest.replace(b"9b1f", b"%d" % n, 1)
-        made.served(answer())
+        made.on_response(answer())
         turn(made)
         assert len(taken.flows) == n + 1 and wire.paused is (n < 9)
 
@@ -291,9 +291,9 @@
 class Refusing(Taken):
     """An engine that refuses whatever comes, at once."""
 
-    def take(self, flow: Flow[Any, Any], request: api.Request) -> None:
-        super().take(flow, request)
-        flow.client.refused(0.0)
+    def accept_request(self, flow: Flow[Any, Any], request: api.Request) -> None:
+        super().accept_request(flow, request)
+        flow.client.on_rejected(0.0)
 
 
 def test_a_turn_of_the_loop_has_an_end_and_each_connection_its_part() -> None:
@@ -324,14 +324,14 @@
     made, wire, taken = listener()
     wire.stuck = True
     made.data_received(GET * 3)
-    made.served(answer())
+    made.on_response(answer())
     turn(made)
     assert len(taken.flows) == 1 and wire.paused and not made.is_idle()
     wire.unstick()
     turn(made)
     assert len(taken.flows) == 2
     wire.stuck = True
-    made.served(answer())
+    made.on_response(answer())
     later(made.front, 2.4)  # the flow's own time is up, and it has a while more to read
     assert not wire.closed
     later(made.front, 0.2)
@@ -342,7 +342,7 @@
     made, wire, taken = listener()
     made.data_received(GET + b"rubbish\r\n\r\n")
     assert len(taken.flows) == 1 and not wire.written and not wire.closed
-    made.refused(0.25)
+    made.on_rejected(0.25)
     made.front.loop.advance(0.0)  # type: ignore[attr-defined]
     assert statuses(wire) == [503, 400] and b"Retry-After: 0.250\r\n" in wire.written
 
@@ -354,7 +354,7 @@
     for _ in range(2):
         made.data_received(GET)
         assert taken.flows[-1][0].deadline == 1000.2
-        made.served(answer())
+        made.on_response(answer())
     assert not wire.closed and b"Connection: close" not in wire.written and len(taken.flows) == 2
 
 
@@ -364,7 +364,7 @@
     made.front.closing = True
     made.front.close_idle()
     assert not wire.closed
-    made.served(answer())
+    made.on_response(answer())
     assert b"Connection: close" in wire.written and wire.closed and not taken.left
 
 
--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -6,8 +6,9 @@
 
 from firvane.core import interface as api
 from firvane.core import logs
-from firvane.core.engine import Engine, Flow
-from firvane.core.terminations import RESULTS, Ending
+from firvane.core.engine import Engine
+from firvane.core.flows import Flow
+from firvane.core.terminations import RESULTS, Termination
 from tests.helpers import changes, full_list, server, settings
 from tests.proxy.net.helpers import Clock, Parties
 
@@ -40,13 +41,13 @@
         parties,
         parties,
     )
-    made.listed(full_list(server("a"), server("b")))
+    made.update_server_list(full_list(server("a"), server("b")))
     return made, parties, clock
 
 
 def take(made: Engine[str, str], parties: Parties, span: float = 1.0) -> Flow[str, str]:
     flow: Flow[str, str] = Flow("request", parties, made.clock.time() + span)
-    made.take(flow, api.Request(-1, 0, 0.0))
+    made.accept_request(flow, api.Request(-1, 0, 0.0))
     return flow
 
 
@@ -55,9 +56,16 @@
 
 
 def test_every_ending_has_one_result_and_only_what_never_ran_says_so() -> None:
-    assert set(RESULTS) == set(Ending)
+    assert set(RESULTS) == set(Termination)
     never = {ending for ending, result in RESULTS.items() if result.never_ran}
-    assert never.isdisjoint({Ending.BROKE_SENT, Ending.BAD_ANSWER, Ending.SERVER_ERROR, Ending.OVERDUE})
+    assert never.isdisjoint(
+        {
+            Termination.BROKEN_AFTER_SENT,
+            Termination.BAD_RESPONSE,
+            Termination.SERVER_ERROR,
+            Termination.DEADLINE_EXCEEDED,
+        }
+    )
 
 
 def test_a_served_flow_is_answered_once_and_forgotten() -> None:
@@ -65,10 +73,10 @@
     made, parties, _ = engine(script)
     take(made, parties)
     _, exchange, _ = parties.forwards[0]
-    exchange.ended(Ending.SERVED, "body")
-    exchange.ended(Ending.BROKE_SENT)
+    exchange.on_ended(Termination.SERVED, "body")
+    exchange.on_ended(Termination.BROKEN_AFTER_SENT)
     assert parties.answers == [("served", "body")]
-    assert results(script) == [api.Result.OK] and not made.flows and not made.owed
+    assert results(script) == [api.Result.OK] and not made.flows and not made.unanswered
 
 
 def test_what_the_decisions_are_to_be_woken_for_ends_with_the_request() -> None:
@@ -76,7 +84,7 @@
     wakes: list[api.Action] = [api.SetTimer(0.5, 2, request=1), api.SetTimer(0.5, 0)]
     made, parties, clock = engine(script := Script(Request=[api.Send(1, "a"), *wakes]))
     take(made, parties)
-    parties.forwards[0][1].ended(Ending.SERVED, "body")
+    parties.forwards[0][1].on_ended(Termination.SERVED, "body")
     clock.advance(1.0)
     assert [event.token for event in script.events if isinstance(event, api.TimerFired)] == [0]
 
@@ -86,7 +94,7 @@
     take(made, parties)
     assert len(parties.forwards) == 2 and results(script) == [api.Result.NOT_SENT]
     script.replies["TimerFired"] = [api.Send(1, "b")]
-    made.give(api.TimerFired(0))
+    made.dispatch(api.TimerFired(0))
     assert len(parties.forwards) == 2 and results(script)[-1] is api.Result.NOT_SENT
 
 
@@ -99,17 +107,17 @@
 def test_only_targets_that_the_list_still_names_are_known() -> None:
     # On a long day every backend is replaced many times over.
     made, _, _ = engine(Script())
-    made.listed(changes(server("b", state=api.ServerState.GONE), server("c")))
-    assert made.known == {"a", "c"}
-    made.listed(full_list(server("d")))
-    assert made.known == {"d"}
+    made.update_server_list(changes(server("b", state=api.ServerState.GONE), server("c")))
+    assert made.known_targets == {"a", "c"}
+    made.update_server_list(full_list(server("d")))
+    assert made.known_targets == {"d"}
 
 
 def test_a_request_that_a_target_finds_fault_with_is_tried_nowhere_else() -> None:
     script = Script(Request=[api.Send(1, "a")], Outcome=[api.Send(1, "b")])
     made, parties, _ = engine(script)
     take(made, parties)
-    parties.forwards[0][1].ended(Ending.AT_FAULT)
+    parties.forwards[0][1].on_ended(Termination.BAD_REQUEST)
     assert parties.answers == [("at fault", None)] and len(parties.forwards) == 1
     assert results(script)[0] is api.Result.ERROR and not made.flows
 
@@ -135,14 +143,14 @@
     script = Script(Request=[api.Send(1, "a")])
     made, parties, clock = engine(script)
     late, soon = take(made, parties, 9.0), take(made, parties, 1.0)
-    made.hasten(clock.time() + 2.0)
+    made.shorten_deadlines(clock.time() + 2.0)
     assert [event for event in script.events if isinstance(event, api.DeadlineShortened)] == [
         api.DeadlineShortened(1, 2.0)
     ]
     clock.advance(1.5)
     assert late.open and not soon.open
     clock.advance(0.6)  # decisions that do nothing: the engine answers in their place
-    assert not late.open and made.owed == 0
+    assert not late.open and made.unanswered == 0
 
 
 def test_an_attempts_own_deadline_ends_it_alone() -> None:
@@ -163,9 +171,9 @@
 
 def test_a_client_that_leaves_is_owed_nothing() -> None:
     made, parties, clock = engine(script := Script(Request=[api.Send(1, "a")], ClientGone=[api.Cancel(1, 0)]))
-    made.leave(take(made, parties))
+    made.on_client_disconnected(take(made, parties))
     clock.advance(2.0)
-    assert not parties.answers and not made.owed and not made.flows
+    assert not parties.answers and not made.unanswered and not made.flows
     assert results(script) == [api.Result.CANCELLED]
 
 
@@ -191,9 +199,9 @@
     made, parties, _ = engine(Script(Request=[api.Send(1, "a")]))
     told: list[str] = []
     made.log, made.tracing = logs.make("debug", write=told.append), True
-    made.take(Flow("request", parties, made.clock.time() + 1.0, b"9b1f"), api.Request(-1, 0, 0.0))
-    parties.forwards[0][1].ended(Ending.SERVED, "body")
-    assert "event=flow_taken flow=1 call=9b1f" in told[0]
+    made.accept_request(Flow("request", parties, made.clock.time() + 1.0, b"9b1f"), api.Request(-1, 0, 0.0))
+    parties.forwards[0][1].on_ended(Termination.SERVED, "body")
+    assert "event=flow_accepted flow=1 call=9b1f" in told[0]
     assert "event=attempt_ended flow=1 call=9b1f" in told[1] and "target=a" in told[1]
 
 
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -25,7 +25,7 @@
 
 from firvane.core import logs
 from firvane.core.net.dialer import Dialing
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.net.resource_monitor import OwnUsage, Usage
@@ -326,7 +326,7 @@
             self.real.close()
         elif not self.closed:
             self.closed = True
-            self.ended(Ending.CANCELLED)
+            self.ended(Termination.CANCELLED)
 
 
 def configured(folder: Path, agent: Party | None, settings: dict[str, Any], **changes: Any) -> dict[str, str]:
@@ -450,7 +450,7 @@
     def at_rest(self) -> tuple[int, int, int]:
         """What has to be back where it was: flows open, flows known, clients' descriptors held."""
         held = self.proxy.guard.descriptors.held
-        return self.proxy.engine.owed, len(self.proxy.engine.flows), held[Use.CLIENTS]
+        return self.proxy.engine.unanswered, len(self.proxy.engine.flows), held[Use.CLIENTS]
 
     def close(self) -> None:
         for task in self.tasks:
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -32,36 +32,36 @@
     Mutant(
         "what is not written when its client leaves is not written at all",
         ENGINE,
-        """            self.give(api.ClientGone(flow.id))
+        """            self.dispatch(api.ClientGone(flow.id))
             self._withdraw(flow)
             self._forget(flow)
 
-    def hasten""",
-        """            self.give(api.ClientGone(flow.id))
+    def shorten_deadlines""",
+        """            self.dispatch(api.ClientGone(flow.id))
             self._forget(flow)
 
-    def hasten""",
+    def shorten_deadlines""",
         f"{FILE} -k half_written",
     ),
     Mutant(
         "a copy that comes up after the answer is not written",
         ENGINE,
-        "        if flow.live and not flow.open:\n            self._withdraw(flow)\n",
+        "        if flow.attempts_in_flight and not flow.open:\n            self._withdraw(flow)\n",
         "",
         f"{FILE} -k after_the_answer",
     ),
     Mutant(
         "nor one that comes up after a long answer has begun",
         ENGINE,
-        "forward.took))\n        self._withdraw(flow, forward)\n",
-        "forward.took))\n",
+        "attempt.time_to_response))\n        self._withdraw(flow, attempt)\n",
+        "attempt.time_to_response))\n",
         f"{FILE} -k after_the_answer",
     ),
     Mutant(
         "a long body goes out on one attempt alone",
         ENGINE,
-        "            self.give(api.BodyConsumed(flow.id))\n            self._withdraw(flow, forward)\n",
-        "            self.give(api.BodyConsumed(flow.id))\n",
+        "            self.dispatch(api.BodyConsumed(flow.id))\n            self._withdraw(flow, attempt)\n",
+        "            self.dispatch(api.BodyConsumed(flow.id))\n",
         f"{FILE} -k long_body",
     ),
     Mutant(
@@ -81,7 +81,7 @@
     Mutant(
         "nothing is written once its time is over",
         FORWARD,
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.wanted()",
         "over = not run.request.wanted()",
         f"{FILE} -k time_is_over",
     ),
@@ -102,15 +102,15 @@
     Mutant(
         "what was written whole may have run, whatever broke then",
         FORWARD,
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_UNSENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_BEFORE_SENT)",
         f"{FILE} -k reset-before-the-answer",
     ),
     Mutant(
         "what was not written whole never ran",
         FORWARD,
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_SENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT)",
         f"{FILE} -k broken_before_its_last_byte",
     ),
     Mutant(
@@ -144,8 +144,8 @@
     Mutant(
         "an answer cut short is no answer",
         FORWARD,
-        "self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)",
-        "self._end(Ending.SERVED, message)",
+        "self._end(Termination.SERVED if told else Termination.BROKEN_AFTER_SENT, message)",
+        "self._end(Termination.SERVED, message)",
         f"{FILE} -k fin-without-a-length",
     ),
     Mutant(
@@ -158,7 +158,7 @@
     Mutant(
         "send-cap holds over all of these",
         ENGINE,
-        "forward.number < limits.max_attempts and",
+        "attempt.number < limits.max_attempts and",
         "True and",
         "tests/core/test_engine.py -k over_the_cap",
     ),
@@ -172,15 +172,15 @@
     Mutant(
         "what is given up in its dial never ran",
         ENGINE,
-        "unsent = ending is Ending.CANCELLED and not self.sent",
+        "unsent = termination is Termination.CANCELLED and not self.request_sent",
         "unsent = False",
         f"{FILE} -k given_up",
     ),
     Mutant(
         "and what is given up once it is written may have",
         ENGINE,
-        "unsent = ending is Ending.CANCELLED and not self.sent",
-        "unsent = ending is Ending.CANCELLED",
+        "unsent = termination is Termination.CANCELLED and not self.request_sent",
+        "unsent = termination is Termination.CANCELLED",
         f"{FILE} -k given_up",
     ),
     Mutant(
@@ -193,7 +193,7 @@
     Mutant(
         "nothing is written to a target whose grace is over",
         FORWARD,
-        "            return Ending.TOO_LATE\n",
+        "            return Termination.TARGET_DRAINED\n",
         "            return None\n",
         f"{FILE} -k grace_is_over",
     ),
--- a/tests/crossings/mutants/client_gone.py
+++ b/tests/crossings/mutants/client_gone.py
@@ -30,15 +30,15 @@
     Mutant(
         "an attempt that is out for nobody is given up where the settings allow it",
         "firvane/core/engine.py",
-        "            self.give(api.ClientGone(flow.id))\n            self._withdraw(flow)\n",
+        "            self.dispatch(api.ClientGone(flow.id))\n            self._withdraw(flow)\n",
         "            self._withdraw(flow)\n",
         f"{HERE} -k behind_another",
     ),
     Mutant(
         "nothing more is written for whom the kernel knows to have gone",
         "firvane/proxy/net/upstream_pool.py",
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
-        "over = now >= min(run.exchange.deadline, run.exchange.by)",
+        "over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.start_before)",
         f"{HERE} -k between_two_sweeps",
     ),
     Mutant(
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -130,8 +130,8 @@
     Mutant(
         "a break after the last byte may have run",
         "firvane/fleet/router/upstream_connection.py",
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_UNSENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_BEFORE_SENT)",
         UPSTREAM,
     ),
     Mutant(
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -52,8 +52,8 @@
     Mutant(
         "a target that hangs does not hold the answer beyond SIGKILL",
         PROXY,
-        "        self.engine.hasten(front.last)",
-        "        self.engine.last",
+        "        self.engine.shorten_deadlines(front.last)",
+        "        self.engine.shutdown_deadline",
         f"{ENDS}test_a_target_that_hangs_costs_the_request_and_not_its_answer",
     ),
     Mutant(
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -15,7 +15,7 @@
 from firvane.core import interface as api
 from firvane.core.net.dialer import SocketDialer
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards
 from tests.crossings.harness import (
@@ -73,7 +73,7 @@
 async def left(made: Rig, client: Link, how: str) -> None:
     """The client has left by "fin" or "reset", and the proxy knows it: nothing is open any more."""
     client.leave(how)
-    await made.see(lambda: not made.proxy.engine.owed)
+    await made.see(lambda: not made.proxy.engine.unanswered)
 
 
 async def after(made: Rig, call: str = "last") -> list[str]:
@@ -201,8 +201,8 @@
             await making.came.wait()
             made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
             [flow] = made.proxy.engine.flows.values()
-            assert flow.forwards[0]
-            flow.forwards[0].stop(Ending.CANCELLED)
+            assert flow.attempts[0]
+            flow.attempts[0].stop(Termination.CANCELLED)
             making.ups[0]()
             link = await made.targets[0].link()
             assert await link.gone() and link.buffer == b""
@@ -313,7 +313,7 @@
                 link, _ = await first(made)
             else:
                 await made.dialer.came.wait()
-            made.proxy.engine._act([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
+            made.proxy.engine._perform([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
             if out:
                 assert await link.gone() and (await client.until(b"\r\n"))[9:12] == b"502"
             else:
@@ -518,19 +518,19 @@
         forwards = Forwards(loop, limits, RULES, guard(loop, 10), making)
         forwards.listed("s", ("127.0.0.1", target.port), True)
         forwards.forward(message(), "s", over := Ended(loop.time()))
-        assert over.endings == [Ending.WITHDRAWN] and not making.ups  # not even a dial
+        assert over.endings == [Termination.NOT_SENT] and not making.ups  # not even a dial
         forwards.forward(message(), "s", late := Ended(loop.time() + 0.03))
         await making.came.wait()
         while loop.time() < late.deadline:
             await asyncio.sleep(0)
         making.ups.pop()()
-        assert late.endings == [Ending.WITHDRAWN] and len(forwards.pools["s"].idle) == 1
+        assert late.endings == [Termination.NOT_SENT] and len(forwards.pools["s"].idle) == 1
         while loop.time() <= forwards.pools["s"].idle[0].idle_since + SETTLE:
             await asyncio.sleep(0)
         forwards.forward(message(), "s", in_time := Ended(loop.time() + 5.0))
         await (await target.taken()).send(OK)
         await in_time.over.wait()
-        assert in_time.endings == [Ending.SERVED] and target.calls == ["1"]
+        assert in_time.endings == [Termination.SERVED] and target.calls == ["1"]
         transports.close()
         target.close()
 
@@ -815,7 +815,9 @@
             await client.send(request("c1", "/pay/x", body=bytes(60_000)))
             target = await made.see(lambda: next((one for one in made.targets if one.waiting()), None))
             await target.links[0].exactly(read)
-            assert not made.proxy.engine.tally.of("pay").upstream_tries  # its last byte is still here
+            assert not made.proxy.engine.request_counters.for_class(
+                "pay"
+            ).upstream_tries  # its last byte is still here
             target.links[0].leave(how)
             link, whole = await first(made)
             assert len(whole) > 60_000
@@ -867,7 +869,7 @@
                 link = await made.targets[1].taken()
                 await link.send(OK)
             assert (await client.until(b"\r\n"))[9:12] == (b"200" if again else b"502")
-            written = made.proxy.engine.tally.of("pay").upstream_tries
+            written = made.proxy.engine.request_counters.for_class("pay").upstream_tries
             assert (written, made.targets[1].calls) == (1, ["c1"] if again else [])
 
     play(work())
@@ -905,8 +907,15 @@
                 link, _ = await first(made)
                 await link.send(OK)
                 await client.until(b"hi")
-                endings = made.proxy.engine.endings
-                assert endings[Ending.REFUSED.value if why == "refused" else Ending.DIAL_EXPIRED.value] == 1
+                endings = made.proxy.engine.event_counts
+                assert (
+                    endings[
+                        Termination.CONNECTION_REFUSED.value
+                        if why == "refused"
+                        else Termination.CONNECT_TIMEOUT.value
+                    ]
+                    == 1
+                )
                 assert [call for target in made.targets for call in target.calls] == ["c1"]
 
     play(work())
@@ -929,7 +938,7 @@
             await link.send(OK)
             await client.until(b"hi")
             await client.send(request("c2", f"/{kind}/x", body=b"" if kind == "read" else b"money"))
-            await made.see(lambda: made.proxy.engine.owed)
+            await made.see(lambda: made.proxy.engine.unanswered)
             await link.send(OK.replace(b"hi", b"no"))
             other = await made.targets[0].taken()
             await other.send(OK.replace(b"hi", b"mi"))
@@ -1023,14 +1032,14 @@
             if way in ("idle", "probe"):
                 over = Ended(made.loop.time() + 5.0)
                 (forwards.probe if way == "probe" else partial(forwards.forward, message()))("s1", over)
-                assert over.endings == [Ending.TOO_LATE]
+                assert over.endings == [Termination.TARGET_DRAINED]
             made.dialer.let_go()
             if way == "copy" and first_at:
-                await made.see(lambda: made.proxy.engine.endings[Ending.TOO_LATE.value])
+                await made.see(lambda: made.proxy.engine.event_counts[Termination.TARGET_DRAINED.value])
                 await first_at.send(OK)
                 await client.until(b"hi")
             if way == "dial":
-                await made.see(lambda: made.proxy.engine.endings[Ending.TOO_LATE.value])
+                await made.see(lambda: made.proxy.engine.event_counts[Termination.TARGET_DRAINED.value])
             said = [target.calls for n, target in zip(("s1", "s2"), made.targets, strict=True) if n in drains]
             assert all(calls in ([], ["before"]) for calls in said)
             for target in made.targets:
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -125,7 +125,7 @@
             await client.send(b"".join(ask(f"c{n}") for n in range(much + 1)))
             link = await made.targets[0].taken()
             await gone(made, client, how)
-            await made.see(lambda: not made.proxy.engine.owed)
+            await made.see(lambda: not made.proxy.engine.unanswered)
             if not cancel:
                 await link.send(OK)
             else:
@@ -205,7 +205,7 @@
             await client.send(ask("c1"))
             await made.dialer.came.wait()
             client.leave(how)
-            await made.see(lambda: not made.proxy.engine.owed)
+            await made.see(lambda: not made.proxy.engine.unanswered)
             made.dialer.let_go()
             await made.see(lambda: not made.proxy.engine.flows)
             await only(made)
@@ -225,7 +225,7 @@
             first = next(target for target in made.targets if target.links)
             await first.ask(first.links[0])
             await gone(made, client, how)
-            await made.see(lambda: not made.proxy.engine.owed)
+            await made.see(lambda: not made.proxy.engine.unanswered)
             with contextlib.suppress(OSError):
                 await first.links[0].send(FULL)
             await made.see(lambda: not made.proxy.engine.flows)
@@ -247,9 +247,9 @@
             await first.ask(first.links[0])
             flow = next(iter(made.proxy.engine.flows.values()))
             await gone(made, client, how)
-            await made.see(lambda: not made.proxy.engine.owed)
-            made.proxy.engine.give(api.TimerFired(flow.id + 1))  # the look at which a copy would go
-            assert flow.live == 1 and not any(target.waiting() for target in made.targets)
+            await made.see(lambda: not made.proxy.engine.unanswered)
+            made.proxy.engine.dispatch(api.TimerFired(flow.id + 1))  # the look at which a copy would go
+            assert flow.attempts_in_flight == 1 and not any(target.waiting() for target in made.targets)
             await only(made, "c1")
 
     play(work())
@@ -286,9 +286,9 @@
                     await link.send(ERROR)
             written = 0 if way == "a dial that comes up" else 1
             engine, counts = made.proxy.engine, made.proxy.front.counts[b"read"]
-            await made.see(lambda: not engine.owed or counts.upstream_tries > written)
-            assert counts.upstream_tries == written and engine.endings["client left unread"] == 1
-            assert len(flow.forwards) == 1 + written  # and it was tried no more than once
+            await made.see(lambda: not engine.unanswered or counts.upstream_tries > written)
+            assert counts.upstream_tries == written and engine.event_counts["client left unread"] == 1
+            assert len(flow.attempts) == 1 + written  # and it was tried no more than once
             assert not made.proxy.front.ids
 
     play(work())
@@ -304,9 +304,9 @@
             client = await made.client()  # waits in the kernel
             await client.send(ask("c1"))
             client.leave(how)
-            before, taken = made.proxy.engine.endings["client left unread"], made.proxy.engine._next_id
+            before, taken = made.proxy.engine.event_counts["client left unread"], made.proxy.engine._next_id
             made.proxy.door.let(True)
-            await made.see(lambda: made.proxy.engine.endings["client left unread"] > before)
+            await made.see(lambda: made.proxy.engine.event_counts["client left unread"] > before)
             assert made.proxy.engine._next_id == taken  # the decisions never heard of it
             await only(made)
 
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -380,7 +380,7 @@
             listener = await made.listener(client)
             await made.see(lambda: listener.started)
             made.proxy.front.closing, made.proxy.front.last = True, made.loop.time()
-            made.proxy.engine.hasten(made.proxy.front.last)
+            made.proxy.engine.shorten_deadlines(made.proxy.front.last)
             await client.send(request("c1")[-1:])
             head = await client.until(b"\r\n\r\n")
             assert b" 503 " in head and b"Connection: close" in head
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -284,8 +284,8 @@
             await half.send(text[-3:])
             await (await made.targets[0].taken()).send(OK)
             assert b" 200 " in await answered(half)
-            tally = made.proxy.engine.tally
-            assert (tally.of("pay").passed, tally.of("other").passed) == (1, 0)
+            counters = made.proxy.engine.request_counters
+            assert (counters.for_class("pay").passed, counters.for_class("other").passed) == (1, 0)
             # An error: of a class that may not be repeated, which it stays, so there is no second attempt.
             await link.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
             assert b" 502 " in await opened.until(b"failed\n")
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from firvane.core.net.http import Message
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits import discovery_timing
 from firvane.proxy.net import target_group
 from firvane.proxy.net.target_group import BadList, Gatherer, Lines
@@ -439,7 +439,7 @@
             await client.send(request("last"))
             assert await answer(client) == 200
             assert made.targets[1].calls[-1] == "last"
-            assert not made.proxy.engine.faults and made.proxy.engine.known == {"s1", "s2"}
+            assert not made.proxy.engine.faults and made.proxy.engine.known_targets == {"s1", "s2"}
 
     play(work())
 
@@ -727,7 +727,9 @@
             else:
                 forwards.forward(simple(), "s1", ends)
             # Who is not listed at all has no address either.
-            assert ends.endings == [Ending.TOO_LATE if word == "draining" else Ending.REFUSED]
+            assert ends.endings == [
+                Termination.TARGET_DRAINED if word == "draining" else Termination.CONNECTION_REFUSED
+            ]
             assert not target.waiting()
 
     play(work())
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -26,9 +26,9 @@
 
 from firvane.core import interface as api
 from firvane.core import logs
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.http import Message
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.limits.overload import Measure, Resource
 from firvane.proxy.proxy import Proxy
@@ -272,7 +272,7 @@
             client = await made.client()
             answer = await asked(client, "c1")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"Retry-After: " in answer) is allowed
-            made.proxy.front.turn_away([1.0], 0.5)
+            made.proxy.front.shed([1.0], 0.5)
             made.proxy.front.gate.shut = True
             answer = await asked(client, "c2")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"retry-after: " in answer.lower()) is allowed
@@ -293,7 +293,7 @@
             await client.send(request("c1"))
             link = await made.targets[0].taken()
             client.leave(how)
-            await made.see(lambda: not made.proxy.engine.owed)
+            await made.see(lambda: not made.proxy.engine.unanswered)
             if allowed:
                 assert await link.gone() in ("fin", "reset")
                 return
@@ -344,9 +344,9 @@
 
             async def count() -> None:
                 nonlocal most
-                while made.proxy.engine.owed or not most:
+                while made.proxy.engine.unanswered or not most:
                     flows = made.proxy.engine.flows.values()
-                    most = max([most, *(flow.live for flow in flows)])
+                    most = max([most, *(flow.attempts_in_flight for flow in flows)])
                     for target in made.targets:
                         target.waiting()
                     await asyncio.sleep(0.001)
@@ -713,7 +713,7 @@
         return lambda *given: None
 
 
-def asks(proxy: Proxy, cls: api.RequestClass, call: bytes, ending: Ending) -> None:
+def asks(proxy: Proxy, cls: api.RequestClass, call: bytes, ending: Termination) -> None:
     """A request of a class; its first attempt ends so."""
     settings, message = proxy.config.settings, Message()
     message.method = b"GET" if cls.idempotency is api.Idempotency.SAFE else b"POST"
@@ -723,9 +723,9 @@
         message.fields[b"x-caller"] = settings.tenants[0].name.encode()
     asked, left = proxy.front.read(message)
     flow: Any = Flow(message, Silent(), proxy.loop.time() + left, call)
-    proxy.engine.take(flow, asked)
-    for forward in filter(None, list(flow.forwards)):
-        forward.ended(ending, message)
+    proxy.engine.accept_request(flow, asked)
+    for forward in filter(None, list(flow.attempts)):
+        forward.on_ended(ending, message)
 
 
 def starts_or_says(folder: Path, data: dict[str, Any]) -> None:
@@ -748,14 +748,14 @@
         with contextlib.suppress(ValueError):  # as `start` takes it
             proxy.group.learn(config.known, cached=True)
         for cls in config.settings.classes:
-            for ending in (Ending.TURNED_AWAY, Ending.SERVED, Ending.SERVER_ERROR):
+            for ending in (Termination.REJECTED, Termination.SERVED, Termination.SERVER_ERROR):
                 asks(proxy, cls, ending.value.encode(), ending)
-        proxy.engine.give(api.OverloadSignal(0.5, True, True, (3,)))
+        proxy.engine.dispatch(api.OverloadSignal(0.5, True, True, (3,)))
         proxy.guard.lag = 0.1
         proxy.guard._look(loop.time())
-        proxy.engine.give(api.TimerFired(0))
+        proxy.engine.dispatch(api.TimerFired(0))
         proxy.reload(lambda: read_config({"NODE_CONFIG": str(path)}, again=True))
-        proxy.engine.give(api.TimerFired(0))
+        proxy.engine.dispatch(api.TimerFired(0))
         assert proxy.engine.faults == 0 and proxy.loads.taken == 1
         proxy._stop()
 
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -172,7 +172,7 @@
     engine: Engine[ProxiedRequest, Message] = Engine(
         engine_settings(1), decisions, loop, upstreams, NoPost(), NoDirectory()
     )
-    engine.know(set(addresses))
+    engine.set_known_targets(set(addresses))
     front.engine = engine
     configuration = Configuration(1, routes or (route(),))
     front.configure(RouteTable(configuration), configuration.limits)
--- a/tests/fleet/router/test_backends.py
+++ b/tests/fleet/router/test_backends.py
@@ -27,10 +27,10 @@
     def set_backends(self, ready: dict[str, Address], leaving: dict[str, Address]) -> None:
         self.ready, self.leaving = ready, leaving
 
-    def know(self, targets: set[str]) -> None:
+    def set_known_targets(self, targets: set[str]) -> None:
         self.known = targets
 
-    def give(self, event: Any) -> None:
+    def dispatch(self, event: Any) -> None:
         self.events.append(event)
 
     def now(self) -> float:
--- a/tests/fleet/router/test_drain_figures.py
+++ b/tests/fleet/router/test_drain_figures.py
@@ -40,7 +40,7 @@
             new, new_writer = await made.connect()
             new_writer.write(REQUEST % b"after")
             await new.readuntil(b"data: 1\n\n")
-            made.engine.hasten(made.front.loop.time())
+            made.engine.shorten_deadlines(made.front.loop.time())
             assert not (await new.read()).endswith(b"0\r\n\r\n")
             await kept.read()
             figures = made.front.drain.figures
--- a/tests/fleet/router/test_proxying.py
+++ b/tests/fleet/router/test_proxying.py
@@ -189,7 +189,7 @@
                 await asyncio.sleep(0)
             writer.close()
             await backend.gone.wait()
-            assert made.engine.owed == 0 and not made.engine.flows
+            assert made.engine.unanswered == 0 and not made.engine.flows
 
     run(scene())
 
--- a/tests/fleet/router/test_upstream_model.py
+++ b/tests/fleet/router/test_upstream_model.py
@@ -21,7 +21,14 @@
     counts: Counter[str] = Counter()
     for seed in range(10):
         counts += play(seed).counts
-    endings = ("SERVED", "TURNED_AWAY", "BAD_ANSWER", "BROKE_SENT", "BROKE_UNSENT", "REFUSED")
+    endings = (
+        "SERVED",
+        "REJECTED",
+        "BAD_RESPONSE",
+        "BROKEN_AFTER_SENT",
+        "BROKEN_BEFORE_SENT",
+        "CONNECTION_REFUSED",
+    )
     for name in (*KINDS, *endings, "early"):
         assert counts[name] > 0, name
     assert counts["SERVED"] > 300
--- a/tests/fleet/router/upstream_model.py
+++ b/tests/fleet/router/upstream_model.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from firvane.core.net.http import Message, Piece, Stream
-from firvane.core.terminations import RESULTS, Ending
+from firvane.core.terminations import RESULTS, Termination
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream import Upstreams
 from tests.fleet.router.helpers import route
@@ -177,22 +177,22 @@
     owner: bytes
     backend: str
     deadline: float = 1e9
-    by: float = 1e9
-    endings: list[Ending] = field(default_factory=list)
+    start_before: float = 1e9
+    endings: list[Termination] = field(default_factory=list)
     passed: bytes = b""
     cancelled: bool = False
     handle: Any = None
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, message: Message) -> None:
+    def on_response_started(self, message: Message) -> None:
         self.check_open()
         assert isinstance(message.stream, Stream)
         message.stream.pour(self)
 
-    def ended(self, ending: Ending, answer: Message | None = None) -> None:
+    def on_ended(self, ending: Termination, answer: Message | None = None) -> None:
         self.check_open()
         self.endings.append(ending)
         if answer is not None:
@@ -221,7 +221,7 @@
     link: Link
     factory: Callable[[Callable[[], bool]], Any]
     up: Callable[[Any], None]
-    ended: Callable[[Ending], None]
+    ended: Callable[[Termination], None]
 
     def close(self) -> None: ...
 
@@ -259,7 +259,7 @@
     def finish_dial(self) -> None:
         dial = self.dials.pop(self.chance.randrange(len(self.dials)))
         if self.chance.random() < 0.1:
-            dial.ended(Ending.REFUSED)
+            dial.ended(Termination.CONNECTION_REFUSED)
             return
         link = dial.link
         if self.chance.random() < 0.3:
@@ -289,7 +289,7 @@
         request = ProxiedRequest(message, route(), owner)
         attempt.handle = self.upstreams.forward(request, self.dialled, attempt)
 
-    def settle(self, attempt: Attempt, ending: Ending) -> None:
+    def settle(self, attempt: Attempt, ending: Termination) -> None:
         """What the decisions do with an ending: once more only where it is known not to have run."""
         self.open.remove(attempt)
         self.counts[ending.name] += 1
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -14,7 +14,7 @@
 from firvane.core import interface as api
 from firvane.core.net.http import MAX_BODY, bare_tenant, is_again
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_account import SMALL, Held, Leases
 from firvane.proxy.net import listening_socket as doors
@@ -71,7 +71,7 @@
             self.ask(wire, LARGE, 1, 1000 + size)
         elif kind == "answer" and (flows := self.open_flows()):
             flow = flows[which % len(flows)]
-            (flow.client.served(answer(b"y" * size)) if size % 3 else flow.client.refused(0.1))
+            (flow.client.on_response(answer(b"y" * size)) if size % 3 else flow.client.on_rejected(0.1))
         elif kind == "stick":
             wire.stuck = True
         elif kind == "unstick" and wire.buffered:
@@ -79,7 +79,7 @@
         elif kind == "close":
             wire.close()
         elif kind == "shut":
-            self.front.turn_away((1.0,) if size % 2 else (0.0,), 0.1)
+            self.front.shed((1.0,) if size % 2 else (0.0,), 0.1)
         elif kind == "turn":
             self.clock.turn()
         assert all(held >= 0 for held in self.front.account.by)
@@ -102,7 +102,7 @@
     for _ in range(400):  # whoever is still here is answered, whatever waited goes on: nothing stalls
         crowd.clock.turn()
         for flow in crowd.open_flows():
-            flow.client.served(answer())
+            flow.client.on_response(answer())
     for wire in crowd.wires:
         assert wire.closed or not (wire.protocol.rest or wire.paused or wire.protocol.queued)
     taken = len(crowd.taken.flows)
@@ -126,7 +126,7 @@
     assert [wire.paused for wire in wires] == [False, True, True]
     wires[0].protocol.data_received(b"x" * (20000 - SMALL - 1))
     assert len(taken.flows) == 1
-    wires[0].protocol.served(answer())
+    wires[0].protocol.on_response(answer())
     assert [wire.paused for wire in wires] == [False, False, True]
     wires[1].close()
     assert not wires[2].paused
@@ -145,7 +145,7 @@
     account = forwards.guard.account
     assert [wire.paused for wire in wires] == [False, True] and account.by[Held.ANSWERS] > 2 * SMALL
     wires[0].protocol.data_received(b"x" * (20000 - SMALL - 1))
-    assert ended[0].endings == [Ending.SERVED] and not wires[1].paused
+    assert ended[0].endings == [Termination.SERVED] and not wires[1].paused
     for wire in wires:
         wire.close()
     assert account.held == 0 and not forwards.guard.leases.holders
@@ -188,7 +188,7 @@
 
 def test_marked_retries_are_refused_where_they_come_too_late_in_any_case() -> None:
     made, wire, taken = listener()
-    made.front.turn_away((0.0001,), 1.2, again=True)
+    made.front.shed((0.0001,), 1.2, again=True)
     for n, form in enumerate((GET, GET.replace(b"X-Again: 1", b"X-Again: 0"))):
         made.data_received(form.replace(b"9b1f", b"%d" % n))
         turn(made)
@@ -198,7 +198,7 @@
 def test_who_waits_for_a_refusal_is_neither_idle_nor_in_the_way() -> None:
     # Nothing of its request is kept, so it looked idle, and was closed before its answer: a request lost.
     made, wire, _ = listener()
-    made.front.turn_away((1.0,), 0.2)
+    made.front.shed((1.0,), 0.2)
     made.data_received(GET)
     make_places(made.front.guard, 1)
     made.since -= 100.0
@@ -214,12 +214,12 @@
 def test_what_the_decisions_turn_away_never_reaches_them() -> None:
     made, wire, taken = listener()
     made.front.settings = settings(limits=api.Limits(3, retry_after=True, max_retry_after=1.2))
-    made.front.turn_away((0.5,), 0.2)
+    made.front.shed((0.5,), 0.2)
     for n in range(6):
         made.data_received(GET.replace(b"9b1f", b"%d" % n))
         turn(made)
         if made.flow:
-            made.served(answer())
+            made.on_response(answer())
     assert statuses(wire) == [200, 503] * 3 and len(taken.flows) == 3
     assert wire.written.count(b"Retry-After: ") == 3 and made.front.gate.wished == 3
 
@@ -261,7 +261,7 @@
     late.protocol.data_received(GET.replace(b"9b1f", b"late"))
     clock.advance(1.0)
     assert words == [False] and not any(wire.closed for wire in (*wires, late))
-    late.protocol.served(answer())
+    late.protocol.on_response(answer())
     assert late.closed  # one more than there are places
     clock.advance(0.1)
     assert words == [False]
@@ -279,7 +279,7 @@
     for n, wire in enumerate(usual):
         for ask in range(2):
             wire.protocol.data_received(GET.replace(b"9b1f", b"%d-%d" % (n, ask)))
-            wire.protocol.served(answer())
+            wire.protocol.on_response(answer())
     came = 0
     for _ in range(500):  # 5 s
         while opened[-1]:
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from firvane.core import interface as api
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Descriptors, Use
 from firvane.proxy.net.resource_monitor import Guard, Usage
 from tests.helpers import settings
@@ -140,19 +140,19 @@
 class Ended:
     """An exchange that notes how it ended."""
 
-    def __init__(self, deadline: float, by: float = math.inf) -> None:
-        self.deadline, self.by = deadline, by
-        self.endings: list[Ending] = []
+    def __init__(self, deadline: float, start_before: float = math.inf) -> None:
+        self.deadline, self.start_before = deadline, start_before
+        self.endings: list[Termination] = []
         self.answer: Any = None
         self.over = asyncio.Event()
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, answer: Any) -> None: ...
+    def on_response_started(self, answer: Any) -> None: ...
 
-    def ended(self, ending: Ending, answer: Any = None) -> None:
+    def on_ended(self, ending: Termination, answer: Any = None) -> None:
         self.endings.append(ending)
         self.answer = answer
         self.over.set()
@@ -177,7 +177,7 @@
     def forward(self, request: Any, target: str, exchange: Any) -> Handle:
         handle = Handle()
         self.forwards.append((target, exchange, handle))
-        exchange.written()  # it is out at once: what is not yet would be withdrawn with its flow
+        exchange.on_request_sent()  # it is out at once: what is not yet would be withdrawn with its flow
         return handle
 
     def probe(self, target: str, exchange: Any) -> Handle:
@@ -190,16 +190,16 @@
     def tell(self, peer: int | None, payload: bytes) -> None:
         self.told.append((peer, payload))
 
-    def served(self, answer: Any) -> None:
+    def on_response(self, answer: Any) -> None:
         self.answers.append(("served", answer))
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         self.answers.append(("refused", retry_after))
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         self.answers.append(("failed", None))
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         self.answers.append(("at fault", None))
 
 
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -13,7 +13,7 @@
 from firvane.core.net.dialer import SocketDialer
 from firvane.core.net.http import Message, Reader
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards, Pool, Run
 from tests.helpers import RULES
@@ -97,27 +97,35 @@
 @pytest.mark.parametrize(
     ("reply", "close", "ending"),
     [
-        (OK, False, Ending.SERVED),
-        (b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK, False, Ending.SERVED),
-        (b"HTTP/1.1 101 No\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n" + OK, False, Ending.BAD_ANSWER),
-        (OK + OK, False, Ending.SERVED),
-        (OK + b"\0noise\r\n\r\n", False, Ending.SERVED),
-        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end", True, Ending.SERVED),
-        (b"HTTP/1.1 200 OK\r\n\r\nto the end, or not", True, Ending.BROKE_SENT),
-        (b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", False, Ending.AT_FAULT),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nhi", False, Ending.BAD_ANSWER),
-        (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", False, Ending.SERVER_ERROR),
-        (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", False, Ending.SERVER_ERROR),
-        (b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", False, Ending.TURNED_AWAY),
-        (b"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", False, Ending.TURNED_AWAY),
-        (TOO_MANY, False, Ending.NO_PLACE),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n", False, Ending.BAD_ANSWER),
-        (b"rubbish\r\n\r\n", False, Ending.BAD_ANSWER),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", True, Ending.BROKE_SENT),
-        (b"", True, Ending.BROKE_SENT),
+        (OK, False, Termination.SERVED),
+        (b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK, False, Termination.SERVED),
+        (
+            b"HTTP/1.1 101 No\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n" + OK,
+            False,
+            Termination.BAD_RESPONSE,
+        ),
+        (OK + OK, False, Termination.SERVED),
+        (OK + b"\0noise\r\n\r\n", False, Termination.SERVED),
+        (b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nto the end", True, Termination.SERVED),
+        (b"HTTP/1.1 200 OK\r\n\r\nto the end, or not", True, Termination.BROKEN_AFTER_SENT),
+        (b"HTTP/1.1 400 No\r\nContent-Length: 0\r\n\r\n", False, Termination.BAD_REQUEST),
+        (
+            b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\nhi",
+            False,
+            Termination.BAD_RESPONSE,
+        ),
+        (b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", False, Termination.SERVER_ERROR),
+        (b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", False, Termination.SERVER_ERROR),
+        (b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", False, Termination.REJECTED),
+        (b"HTTP/1.1 504 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", False, Termination.REJECTED),
+        (TOO_MANY, False, Termination.CONNECTION_REJECTED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n", False, Termination.BAD_RESPONSE),
+        (b"rubbish\r\n\r\n", False, Termination.BAD_RESPONSE),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", True, Termination.BROKEN_AFTER_SENT),
+        (b"", True, Termination.BROKEN_AFTER_SENT),
     ],
 )
-def test_what_comes_back_decides_the_ending(reply: bytes, close: bool, ending: Ending) -> None:
+def test_what_comes_back_decides_the_ending(reply: bytes, close: bool, ending: Termination) -> None:
     async def work() -> None:
         bench = Bench()
         await bench.target(reply, close)
@@ -136,7 +144,7 @@
         await bench.target(OK)
         await bench.send()
         bench.reply = TOO_MANY
-        assert (await bench.send()).endings == [Ending.TURNED_AWAY] and bench.connections == 1
+        assert (await bench.send()).endings == [Termination.REJECTED] and bench.connections == 1
         bench.transports.close()
 
     run(work())
@@ -165,7 +173,7 @@
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
             bench.forwards.listed("s", free.getsockname(), True)
-            assert (await bench.send()).endings == [Ending.REFUSED]
+            assert (await bench.send()).endings == [Termination.CONNECTION_REFUSED]
         assert bench.forwards.guard.descriptors.held[Use.TARGETS] == 0
         bench.transports.close()
 
@@ -183,7 +191,7 @@
             for one in waiting:
                 one.setblocking(False)
                 one.connect_ex(full.getsockname())
-            assert (await bench.send()).endings == [Ending.DIAL_EXPIRED]
+            assert (await bench.send()).endings == [Termination.CONNECT_TIMEOUT]
             for one in waiting:
                 one.close()
         bench.transports.close()
@@ -201,8 +209,8 @@
         bench.forwards.listed("s", bench.forwards.pools["s"].address, False)
         bench.forwards.pools["s"].down_since = bench.loop.time() - RULES.drain_grace
         await ended.over.wait()
-        assert ended.endings == [Ending.TOO_LATE] and not bench.heads
-        assert (await bench.send()).endings == [Ending.TOO_LATE]
+        assert ended.endings == [Termination.TARGET_DRAINED] and not bench.heads
+        assert (await bench.send()).endings == [Termination.TARGET_DRAINED]
         bench.transports.close()
 
     run(work())
@@ -213,19 +221,21 @@
         bench = Bench(max_sockets=1)
         await bench.target(OK)
         address = bench.forwards.pools["s"].address
-        assert (await bench.send()).endings == [Ending.SERVED]
+        assert (await bench.send()).endings == [Termination.SERVED]
         bench.forwards.listed("t", address, True)
         held = Ended(bench.loop.time() + LEFT)
         bench.forwards.forward(request(), "t", held)
         await held.over.wait()
-        assert held.endings == [Ending.SERVED] and not bench.forwards.pools["s"].idle
+        assert held.endings == [Termination.SERVED] and not bench.forwards.pools["s"].idle
         bench.transports.close()
 
     run(work())
 
 
-@pytest.mark.parametrize(("buffered", "ending"), [(0, Ending.BROKE_SENT), (9, Ending.BROKE_UNSENT)])
-def test_a_break_before_the_last_byte_could_not_connect(buffered: int, ending: Ending) -> None:
+@pytest.mark.parametrize(
+    ("buffered", "ending"), [(0, Termination.BROKEN_AFTER_SENT), (9, Termination.BROKEN_BEFORE_SENT)]
+)
+def test_a_break_before_the_last_byte_could_not_connect(buffered: int, ending: Termination) -> None:
     forwards = unwired(Clock())
     connection = connected(forwards, Pool("s"))
     wire = Wire(connection)
@@ -270,7 +280,7 @@
                 assert b"X-Call-Id: 1" in await bench.loop.sock_recv(peer, 4096)
                 await bench.loop.sock_sendall(peer, OK)
                 await ended.over.wait()
-                assert ended.endings == [Ending.SERVED]
+                assert ended.endings == [Termination.SERVED]
                 if left:
                     peer.send(left)
                 else:
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -36,8 +36,8 @@
 
 def shut(proxy: Proxy) -> None:
     """Part of what comes is turned away unseen from now on: virtual time itself is never short of turns."""
-    proxy.front.turn_away([0.2] * 9, 0.1)
-    proxy.engine.gate = None  # the decisions, which see no need for it, say nothing else
+    proxy.front.shed([0.2] * 9, 0.1)
+    proxy.engine.load_shedder = None  # the decisions, which see no need for it, say nothing else
 
 
 def played(patch: pytest.MonkeyPatch, on: bool = True, get: bool = True) -> tuple[bytes, list[Record]]:
@@ -84,10 +84,10 @@
     assert said == b"-ERR nothing is measured here: measures is not set\n"
 
 
-@pytest.mark.parametrize(("part", "get"), [("unseen", True), ("failed", False)])
+@pytest.mark.parametrize(("part", "get"), [("unseen", True), ("on_failed", False)])
 def test_a_count_that_is_left_out_is_found(monkeypatch: pytest.MonkeyPatch, part: str, get: bool) -> None:
     where: Any = metrics.Measures if part == "unseen" else metrics.Counted
-    passed_on = (lambda *args: None) if part == "unseen" else (lambda counted: counted.client.failed())
+    passed_on = (lambda *args: None) if part == "unseen" else (lambda counted: counted.client.on_failed())
     monkeypatch.setattr(where, part, passed_on)
     assert not agrees(*played(monkeypatch, get=get))
 
--- a/tests/proxy/test_native.py
+++ b/tests/proxy/test_native.py
@@ -76,7 +76,7 @@
 ALONE = """
 from firvane.proxy import native
 on = native.activate().on
-from tests import test_native
+from tests.proxy import test_native
 print(on, test_native.{}())
 """
 
@@ -113,7 +113,7 @@
     )
     told = python("-c", code)[1]
     assert 'firvane/proxy/balancer.py", line ' in told and "in on_request" in told
-    assert "self.settings.classes[request.cls]" in told
+    assert "self.settings.classes[request.class_id]" in told
 
 
 @pytest.fixture
--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -130,7 +130,7 @@
 
 def send_thrice(self: Engine[Any, Any], send: Any, action: api.Send) -> None:
     """Now and then a request is sent to three boxes at once."""
-    others = sorted(self.known - {action.server})[:2] if once_in(60) else []
+    others = sorted(self.known_targets - {action.server})[:2] if once_in(60) else []
     for server in (action.server, *others):
         send(self, api.Send(action.id, server, action.timeout, action.start_before))
 
@@ -156,20 +156,20 @@
     """Who waits for an exchange that nobody wants."""
 
     def __init__(self, deadline: float) -> None:
-        self.deadline = self.by = deadline
+        self.deadline = self.start_before = deadline
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, answer: Any) -> None: ...
+    def on_response_started(self, answer: Any) -> None: ...
 
-    def ended(self, ending: Any, answer: Any = None) -> None: ...
+    def on_ended(self, ending: Any, answer: Any = None) -> None: ...
 
 
 def go_on(self: Engine[Any, Any], refuse: Any, action: api.Reject) -> None:
     """What has been refused is sent to a box all the same, a little later."""
-    flow, target = self.flows.get(action.id), min(self.known)
+    flow, target = self.flows.get(action.id), min(self.known_targets)
     refuse(self, action)
     if flow:
         at, nobody = self.clock.time() + 0.1, Nobody(flow.deadline)
@@ -204,11 +204,11 @@
 
 
 MUTANTS = (
-    Mutant("a lost answer", Rule.LOST, CALM, [(Listener, "served", lose)]),
-    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(Listener, "served", swap)]),
-    Mutant("an answer written twice", Rule.ANSWERED_TWICE, CALM, [(Listener, "served", write_twice)]),
+    Mutant("a lost answer", Rule.LOST, CALM, [(Listener, "on_response", lose)]),
+    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(Listener, "on_response", swap)]),
+    Mutant("an answer written twice", Rule.ANSWERED_TWICE, CALM, [(Listener, "on_response", write_twice)]),
     Mutant("a send after the drain", Rule.DRAINED, DRAINS, [
-        (Engine, "listed", deafen),
+        (Engine, "update_server_list", deafen),
         (Forwards, "listed", lambda self, listed, name, address, up: listed(self, name, address, True)),
     ]),
     Mutant("a cold box flooded", Rule.PUSHED_OVER, CRASH, [
@@ -218,8 +218,8 @@
     Mutant("a duplicate where none may be", Rule.EFFECTS, ONCE, [(Balancer, "legal", repeat_all)]),
     Mutant("three copies at once", Rule.COPIES, CALM, [(Engine, "_send", send_thrice)]),
     Mutant("a cap that does not bind", Rule.ATTEMPTS, CLOSING, [(platform, "parse_settings", unbind)]),
-    Mutant("an answer held back", Rule.HELD_BACK, FULL, [(Engine, "_refuse", hold_back)], Grade.COSTS),
-    Mutant("a send after the answer", Rule.AFTER_END, FULL, [(Engine, "_refuse", go_on)]),
+    Mutant("an answer held back", Rule.HELD_BACK, FULL, [(Engine, "_reject", hold_back)], Grade.COSTS),
+    Mutant("a send after the answer", Rule.AFTER_END, FULL, [(Engine, "_reject", go_on)]),
     Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(Front, "accept", believe)]),
     Mutant("a leak of flows", Rule.LEAK, CALM, [(Engine, "_forget", keep(5))]),
     Mutant("a leak of sockets", Rule.LEAK, LONG, [(Forwards, "park", keep(2))]),
--- a/tests/simulation/runner/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -91,7 +91,7 @@
     told: list[bytes] = []
     proxy = SimpleNamespace(
         loop=SimpleNamespace(time=lambda: 0.0),
-        engine=SimpleNamespace(take=None),
+        engine=SimpleNamespace(accept_request=None),
         peers=SimpleNamespace(tell=lambda peer, payload: told.append(payload)),
         front=SimpleNamespace(measures=None),
     )
--- a/tests/simulation/runner/test_virtual_proxy.py
+++ b/tests/simulation/runner/test_virtual_proxy.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.config.platform import Config
 from firvane.proxy.settings import parse_settings
 from firvane.simulation.runner.process import Process
@@ -174,14 +174,14 @@
     dial(SERVER)
     dial((SERVER[0], 81))
     await asyncio.sleep(1)
-    assert isinstance(said[0], Noted) and said[1:] == [Ending.REFUSED]
+    assert isinstance(said[0], Noted) and said[1:] == [Termination.CONNECTION_REFUSED]
     server.hangs = True
     dial(SERVER)
     given_up = dial(SERVER)
     given_up.close()
     given_up.close()
     await asyncio.sleep(5)
-    assert said[2:] == [Ending.CANCELLED, Ending.DIAL_EXPIRED]
+    assert said[2:] == [Termination.CANCELLED, Termination.CONNECT_TIMEOUT]
 
 
 @virtual
--- a/tests/together/versions.py
+++ b/tests/together/versions.py
@@ -41,18 +41,18 @@
     """Every second request is refused, as if too many were open."""
     from firvane.core.engine import Engine
 
-    take, numbers = Engine.take, count()
+    take, numbers = Engine.accept_request, count()
 
     def half(self: Any, flow: Any, request: Any) -> None:
-        owed = self.owed
-        self.owed = 1 << 40 if next(numbers) % 2 else owed
+        unanswered = self.unanswered
+        self.unanswered = 1 << 40 if next(numbers) % 2 else unanswered
         try:
             take(self, flow, request)
         finally:
-            if self.owed >= 1 << 40:
-                self.owed = owed
+            if self.unanswered >= 1 << 40:
+                self.unanswered = unanswered
 
-    Engine.take = half  # type: ignore[method-assign]
+    Engine.accept_request = half  # type: ignore[method-assign]
 
 
 def main(fault: str) -> int:
