--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -5,7 +5,8 @@
 from tests.crossings.mutants import Mutant
 
 FILE = "tests/crossings/test_attempts.py"
-ENGINE, FORWARD = "firvane/core/engine.py", "firvane/proxy/net/upstream_pool.py"
+ENGINE, FLOWS = "firvane/core/engine.py", "firvane/core/flows.py"
+FORWARD = "firvane/proxy/net/upstream_pool.py"
 
 MUTANTS = [
     Mutant(
@@ -171,14 +172,14 @@
     ),
     Mutant(
         "what is given up in its dial never ran",
-        ENGINE,
+        FLOWS,
         "unsent = termination is Termination.CANCELLED and not self.request_sent",
         "unsent = False",
         f"{FILE} -k given_up",
     ),
     Mutant(
         "and what is given up once it is written may have",
-        ENGINE,
+        FLOWS,
         "unsent = termination is Termination.CANCELLED and not self.request_sent",
         "unsent = termination is Termination.CANCELLED",
         f"{FILE} -k given_up",
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -26,8 +26,8 @@
     Mutant(
         "an aim of nothing is turned down",
         "firvane/proxy/settings.py",
-        'aim=section.positive("slo-ns"),',
-        'aim=section.span("slo-ns"),',
+        'latency_target=section.positive("slo-ns"),',
+        'latency_target=section.span("slo-ns"),',
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
@@ -75,8 +75,8 @@
     Mutant(
         "Retry-After only where it is allowed",
         "firvane/core/engine.py",
-        "flow.client.refused(action.retry_after if self.settings.limits.retry_after else 0.0)",
-        "flow.client.refused(action.retry_after)",
+        "flow.client.on_rejected(action.retry_after if self.settings.limits.retry_after else 0.0)",
+        "flow.client.on_rejected(action.retry_after)",
         f"{TEST}::test_retry_after_only_where_it_is_allowed",
     ),
     Mutant(
