--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -17,7 +17,7 @@
 
 import httptools
 
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.dialer import reset_on_close
 from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
 from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
@@ -26,12 +26,7 @@
 from firvane.fleet.router.admission import UNRESTRICTED, Admitted
 from firvane.fleet.router.client_context import ClientContext
 from firvane.fleet.router.drain import LATE_RETRY_AFTER_S
-from firvane.fleet.router.requests import (
-    REQUEST_ID,
-    ProxiedRequest,
-    check_framing,
-    client_deadline_ms,
-)
+from firvane.fleet.router.requests import REQUEST_ID, ProxiedRequest, check_framing, client_deadline_ms
 
 READ_AHEAD_BYTES = 256 * 1024  # of what follows a request
 CONFIGURATION_WAIT_S = 0.4  # of a request, for the first configuration of a new router
@@ -109,7 +104,7 @@
         self.body_source = self.unrouted = self.admission_request = None
         flow, self.flow = self.flow, None
         if flow:
-            self.context.engine.leave(flow)
+            self.context.engine.on_client_disconnected(flow)
 
     def is_idle(self) -> bool:
         """Return whether no request is here, complete or partial."""
@@ -204,7 +199,7 @@
         self.received_at = context.loop.time()
         context.drain.record_request(self.connected_at, self.received_at)
         if not context.drain.accepts_requests(self.received_at):
-            self.refused(LATE_RETRY_AFTER_S)
+            self.on_rejected(LATE_RETRY_AFTER_S)
             return
         if context.routes is None:
             self.unrouted = message
@@ -215,7 +210,7 @@
     def _reject_unrouted(self, message: Message) -> None:
         if self.unrouted is message:
             self.unrouted = None
-            self.refused(NO_CONFIGURATION_RETRY_AFTER_S)
+            self.on_rejected(NO_CONFIGURATION_RETRY_AFTER_S)
 
     def resume(self) -> None:
         """Route the request that waits for the first configuration, which has come."""
@@ -228,7 +223,7 @@
         context = self.context
         route = routes.find(message.fields.get(b"host", b""), message.url)
         if route is None:
-            context.engine.endings["no route"] += 1
+            context.engine.event_counts["no route"] += 1
             self._send_status(STATUS_NOT_FOUND)
             return
         if context.admission is None:
@@ -251,10 +246,10 @@
             request.priority = route.priority if tenant.priority is None else tenant.priority
             request.on_retry = partial(context.charge_retry, admission)
         flow = Flow[ProxiedRequest, Message](request, self, deadline, request_id)
-        flow.bounded = True
-        flow.resumable = route.stream_resume
+        flow.is_bounded = True
+        flow.is_resumable = route.stream_resume
         self.flow = flow
-        context.engine.take(flow, context.prompt_request(request))
+        context.engine.accept_request(flow, context.prompt_request(request))
         request.flow_id = flow.id
 
     def _reject_malformed(self, fault: HttpError) -> None:
@@ -263,12 +258,12 @@
 
     # Responses: called by the engine (`firvane.core.engine.Client`)
 
-    def served(self, message: Message) -> None:
+    def on_response(self, message: Message) -> None:
         """Send a complete response."""
         headers = list(message.end_to_end_fields())
         self._send_response(message.status, message.body, message.size, headers)
 
-    def begins(self, message: Message) -> None:
+    def on_response_started(self, message: Message) -> None:
         """Send the head of a response whose body is streamed; a resumed one has sent it already."""
         stream = message.stream
         if self.flow is None or stream is None:
@@ -300,11 +295,11 @@
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         """End a streamed response that is complete."""
         self._end_response()
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """End the connection short of the response's end."""
         self._log_truncated()
         self.flow = self.body_source = None
@@ -328,7 +323,7 @@
             requests=self.requests_received,
         )
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         """Reject a request that never ran; `retry_after` in seconds."""
         if self.flow and self.context.admission:
             self.context.admission.refund(self.admission)
@@ -343,18 +338,18 @@
         headers = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
         self._send_status(status, headers)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Answer a request that may have run, and whose response did not come."""
         self._send_status(STATUS_BAD_GATEWAY)
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         """Answer a request that no backend can use."""
         self._send_status(STATUS_BAD_REQUEST)
 
     def _send_status(self, status: int, headers: list[bytes] | None = None) -> None:
         """Send a response of the router's own, with its status as a short body."""
         if self.head_sent:
-            self.cut()
+            self.on_response_aborted()
             return
         body = b"%d\n" % status
         self._send_response(status, [body], len(body), headers or [])
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -29,7 +29,7 @@
 from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
 from firvane.core.net.http_writer import format_forwarded_head
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.fleet.router.events import EventFramer
 from firvane.fleet.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
 from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
@@ -156,7 +156,7 @@
             self.pool.idle.remove(self)
         run, self.run = self.run, None
         if run:
-            run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def eof_received(self) -> None:
         """Complete a body that lasts until the end of the connection, or close (asyncio)."""
@@ -211,7 +211,7 @@
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
             if self.run:
-                self.run.exchange.written()
+                self.run.exchange.on_request_sent()
 
     # Receiving
 
@@ -229,7 +229,7 @@
             try:
                 position = self.reader.step(data, position)
             except HttpError:
-                self._fail(Ending.BAD_ANSWER)
+                self._fail(Termination.BAD_RESPONSE)
                 return
             if not self._process_response(position < len(data)):
                 return
@@ -246,7 +246,7 @@
         if self._is_other_response(message):
             return self._skip(message, followed)
         if REQUEST_ID not in message.fields:
-            self._fail(Ending.BAD_ANSWER)
+            self._fail(Termination.BAD_RESPONSE)
             return False
         starts = self.stream is None and is_success(message) and self._is_streamed(message)
         if starts and not self._start_stream(message):
@@ -277,7 +277,7 @@
         self.skipped_responses += 1
         too_many = self.skipped_responses > MAX_SKIPPED_RESPONSES
         if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep_alive:
-            self._fail(Ending.BAD_ANSWER)
+            self._fail(Termination.BAD_RESPONSE)
             return False
         return self._process_response(followed)
 
@@ -296,7 +296,7 @@
         if message.fields.get(b"content-type", b"").startswith(STREAM_TYPE):
             self.framer = EventFramer(run.request.last_event_id)
         self.upstreams.streams[self] = None
-        run.exchange.begun(message)
+        run.exchange.on_response_started(message)
         return self.run is run
 
     def _feed(self, message: Message) -> None:
@@ -324,7 +324,7 @@
         run, self.run = self.run, None
         self._end_stream()
         ending = response_ending(message)
-        if run and ending is Ending.TURNED_AWAY:
+        if run and ending is Termination.REJECTED:
             self.rejected_ids.add(run.request.request_id)
             run.request.record_rejected()
         is_clean = message.is_framed and self.written and not (followed or self.skipped_responses)
@@ -336,7 +336,7 @@
         if run:
             run.end(ending, message)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         run, self.run = self.run, None
         self._end_stream()
         self.close()
@@ -365,7 +365,7 @@
             return
         timeout = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * run.request.route.gap_aim_ms / 1000)
         if now > self.last_data_at + timeout and self.upstreams.may_continue(run.request):
-            self._fail(Ending.OVERDUE)
+            self._fail(Termination.DEADLINE_EXCEEDED)
 
 
 def is_success(response: Message) -> bool:
@@ -373,10 +373,10 @@
     return STATUS_OK <= response.status < STATUS_MULTIPLE_CHOICES
 
 
-def response_ending(response: Message) -> Ending:
+def response_ending(response: Message) -> Termination:
     """Return how an attempt ended, by the head of its response."""
     if is_success(response):
-        return Ending.SERVED
+        return Termination.SERVED
     if response.status == STATUS_MISDIRECTED or b"x-not-executed" in response.fields:
-        return Ending.TURNED_AWAY
-    return Ending.SERVER_ERROR
+        return Termination.REJECTED
+    return Termination.SERVER_ERROR
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -21,7 +21,7 @@
 
 import httptools
 
-from firvane.core.engine import Exchange
+from firvane.core.engine_protocols import Exchange
 from firvane.core.interface import Limits, Rules
 from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.dialer import Dialer
@@ -29,7 +29,7 @@
 from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
 from firvane.core.net.http_writer import LAST_CHUNK, format_request_head, frame_chunk
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_account import SMALL, Held
 from firvane.proxy.limits.memory_costs import IDLE_TARGET, WINDOW
@@ -130,7 +130,7 @@
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
         self.transport.writelines([*format_request_head(run.request, left, host), *run.request.body])
         if run.request.stream:
-            run.exchange.spent()
+            run.exchange.on_body_consumed()
             self.upload, self.chunked = run.request.stream, run.request.content_length() is None
             self.upload.connect(self)
             return
@@ -139,7 +139,7 @@
     def _check_written(self, run: Run) -> None:
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
-            run.exchange.written()
+            run.exchange.on_request_sent()
 
     def usable(self) -> bool:
         """Whether nothing has arrived on it while it was idle.
@@ -201,7 +201,7 @@
                 too_many = self.interim_count > MAX_INTERIM_RESPONSES
                 self.malformed = too_many or message.status == HTTP_SWITCHING_PROTOCOLS
         if self.malformed:
-            self._end(Ending.BAD_ANSWER)
+            self._end(Termination.BAD_RESPONSE)
         elif self.response_stream is None:
             self._update_account()
 
@@ -231,7 +231,7 @@
             self._release()
             self.owner.streams[self] = None
             self.owner.monitor.account.charge(Held.ANSWERS, WINDOW)
-            self.run.exchange.begun(message)
+            self.run.exchange.on_response_started(message)
         self.progress_at = now
         if message and self.response_stream:
             self.response_stream.feed(message.take_body())
@@ -248,7 +248,7 @@
     def check_progress(self, now: float) -> None:
         """End the run of a long response that has made no progress for too long by loop time `now` in s."""
         if not self.paused and now > self.progress_at + STREAM_TIMEOUT_S:
-            self._end(Ending.OVERDUE)
+            self._end(Termination.DEADLINE_EXCEEDED)
 
     def _update_account(self) -> None:
         """Charge the incomplete response; a large one is read on only with a lease on memory."""
@@ -293,19 +293,19 @@
         else:
             self._end(ending, message)
 
-    def _classify(self, message: Message) -> Ending:
+    def _classify(self, message: Message) -> Termination:
         """What a response means by its head."""
         if message.status == HTTP_OK:
-            return Ending.SERVED
+            return Termination.SERVED
         if message.status in CLIENT_ERROR_STATUSES:
-            return Ending.AT_FAULT
+            return Termination.BAD_REQUEST
         if message.status in REJECTED_STATUSES and message.fields.get(b"x-rejected") == b"1":
             # A rejection that ends a connection which was never used before rejects the connection.
             new = not message.keep_alive and not self.idle_since
-            return Ending.NO_PLACE if new else Ending.TURNED_AWAY
-        return Ending.SERVER_ERROR
+            return Termination.CONNECTION_REJECTED if new else Termination.REJECTED
+        return Termination.SERVER_ERROR
 
-    def _end(self, ending: Ending, message: Message | None = None) -> None:
+    def _end(self, ending: Termination, message: Message | None = None) -> None:
         run, self.run = self.run, None
         self.upload = None
         self.close()
@@ -326,7 +326,7 @@
             announced = message.fields.get(b"connection", b"").lower() == b"close"
             if announced and self.response_stream:
                 self.response_stream.end()
-            self._end(Ending.SERVED if announced else Ending.BROKE_SENT, message)
+            self._end(Termination.SERVED if announced else Termination.BROKEN_AFTER_SENT, message)
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is closed (asyncio)."""
@@ -341,7 +341,7 @@
             self.pool.idle.remove(self)
         run, self.run = self.run, None
         if run:
-            run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -425,24 +425,24 @@
 
     # Connections
 
-    def _barred(self, run: Run, now: float) -> Ending | None:
+    def _barred(self, run: Run, now: float) -> Termination | None:
         """Why the first byte of a run may not be sent at loop time `now`, or None (rule 2)."""
         draining_since = run.pool.draining_since
         if draining_since is not None and now >= draining_since + GRACE_PART * self.rules.drain_grace:
-            return Ending.TOO_LATE
+            return Termination.TARGET_DRAINED
         # The time of a request may run out in the very turn in which its dial succeeds; its client may have
         # left behind bytes that were not read; and targets recognize repeated requests only up to a time.
-        over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()
-        return Ending.WITHDRAWN if over else None
+        over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.sender_waits()
+        return Termination.NOT_SENT if over else None
 
     def _dial(self, run: Run) -> None:
         pool = run.pool
         if pool.address is None:
-            run.end(Ending.REFUSED)
+            run.end(Termination.CONNECTION_REFUSED)
             return
         if not self.monitor.descriptors.lease(Use.TARGETS):
             if not self._close_oldest_idle():
-                run.end(Ending.NO_SOCKET)
+                run.end(Termination.NO_FREE_SOCKET)
                 return
             self.monitor.descriptors.count(
                 Use.TARGETS
@@ -459,14 +459,14 @@
     def _dial_succeeded(self, run: Run, connection: Connection) -> None:
         if run.over or connection.transport.is_closing():
             connection.close()
-            run.end(Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_BEFORE_SENT)
         elif barred := self._barred(run, self.loop.time()):
             self.park(connection)
             run.end(barred)
         else:
             connection.send(run)
 
-    def _dial_failed(self, run: Run, ending: Ending) -> None:
+    def _dial_failed(self, run: Run, ending: Termination) -> None:
         self.monitor.descriptors.give_back(Use.TARGETS)
         run.end(ending)
 
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -109,7 +109,7 @@
         self.engine: Engine[Message, Message] = Engine(
             settings, self.balancer, loop, self.upstream_pools, self.peers, self.group, wall, self.log
         )
-        self.monitor.report_pressure = self.engine.give
+        self.monitor.report_pressure = self.engine.dispatch
         self.limiter = ConnectionLimiter(loop, self.engine, settings, self.monitor)
         inherited = None if config.inherited is None else adopt_listening_socket(config.inherited)
         self.acceptor: Acceptor = (
@@ -137,12 +137,12 @@
         tables = BOX * len(self.group.servers)
         self.monitor.account.charge(Held.TABLES, tables - self.tables)
         self.tables = tables
-        self.engine.listed(news)
+        self.engine.update_server_list(news)
 
     def _heard(self, sender: int, payload: bytes) -> None:
         if self.agreement and self.agreement.heard(sender, payload):
             return
-        self.engine.give(api.PeerMessage(sender, payload))
+        self.engine.dispatch(api.PeerMessage(sender, payload))
 
     async def start(self) -> None:
         """Everything up to answering that the proxy is ready; cancelled where the end is told before."""
@@ -248,9 +248,9 @@
         waiting = len(turns.line) + len(turns.behind) + len(turns.refused)
         return Figures(
             self.life.state.value,
-            engine.tally.by,
-            engine.owed + waiting,
-            len(engine.known),
+            engine.request_counters.by_class,
+            engine.unanswered + waiting,
+            len(engine.known_targets),
             skipped(self.balancer.servers.values(), engine.now()),
             self.loads,
         )
@@ -386,7 +386,7 @@
         self.loop.call_at(due + SWEEP, self._sweep, due + SWEEP)
 
     def _report(self, due: float) -> None:
-        guard, endings, gate = self.monitor, self.engine.endings, self.limiter.gate
+        guard, endings, gate = self.monitor, self.engine.event_counts, self.limiter.gate
         wished, overflowed = self.unseen
         endings["turned away unseen"] = gate.wished - wished
         endings["found no turn"] = gate.overflowed - overflowed
@@ -396,14 +396,14 @@
             clients=len(self.limiter.connections),
             to_targets=guard.descriptors.held[Use.TARGETS],
             dials=self.upstream_pools.dials,
-            open=self.engine.owed,
+            open=self.engine.unanswered,
             held_mb=round(guard.account.held / MB, 1),
             lag_ms=round(1000 * guard.worst_lag()),
             **({"epoch": self.agreement.epoch} if self.agreement else {}),
             **self.figures().fields(),
             **{name.replace(" ", "_"): n for name, n in sorted(endings.items()) if n},
         )
-        self.engine.endings.clear()
+        self.engine.event_counts.clear()
         self.loop.call_at(due + REPORT, self._report, due + REPORT)
 
     async def drain(self) -> None:
@@ -424,7 +424,8 @@
         successor = self.config.inherited is not None
         self._hear(Event.SUCCEEDED if successor else Event.TERMINATE)
         limiter.drain_deadline = killed - margin
-        self.engine.hasten(limiter.drain_deadline)  # those that are open may have far longer than that
+        # Those that are open may have far longer than that.
+        self.engine.shorten_deadlines(limiter.drain_deadline)
         look = min(DRAIN_CHECK_S, margin / 10)
         if successor:  # the clients' queue, and what peers tell, are its from now on
             self.acceptor.close()
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -379,11 +379,8 @@
             await client.send(request("c1")[:-1])
             listener = await made.listener(client)
             await made.see(lambda: listener.request_started)
-            made.proxy.limiter.closing, made.proxy.limiter.drain_deadline = (
-                True,
-                made.loop.time(),
-            )
-            made.proxy.engine.hasten(made.proxy.limiter.drain_deadline)
+            made.proxy.limiter.closing, made.proxy.limiter.drain_deadline = (True, made.loop.time())
+            made.proxy.engine.shorten_deadlines(made.proxy.limiter.drain_deadline)
             await client.send(request("c1")[-1:])
             head = await client.until(b"\r\n\r\n")
             assert b" 503 " in head and b"Connection: close" in head
