--- a/firvane/fleet/controller/tenant_service.py
+++ b/firvane/fleet/controller/tenant_service.py
@@ -21,8 +21,17 @@
 from firvane.fleet.partitions import CONFIGURATION_PART
 from firvane.fleet.replication.proposals import Proposal
 from firvane.fleet.tenancy.floors import Floors, FloorsRecord
-from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, TenancyError, decode, encode
-from firvane.fleet.tenancy.quota import QuotaLedger, QuotaRules
+from firvane.fleet.tenancy.messages import (
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
+    TenancyError,
+    decode,
+    encode,
+)
+from firvane.fleet.tenancy.quota import QuotaRules, QuotaTable
 
 PROOF_PATIENCE = 1.0  # s without a word of a majority after which this controller proves nothing
 FLOORS_INTERVAL = 0.2  # s between looks for floors that are to be moved
@@ -45,7 +54,7 @@
 
 class _WaitingAsk(Struct, frozen=True):
     router: Address
-    ask: Ask
+    request: QuotaRequest
     until: float
 
 
@@ -67,7 +76,7 @@
         self._loop, self._replication, self._floors = loop, replication, floors
         self._version, self._own = version, own
         self._send, self._log = send, log
-        self._ledger = QuotaLedger(rules)
+        self._quotas = QuotaTable(rules)
         self._owned: set[int] = set()
         self._waiting: list[_WaitingAsk] = []
         self._proposals: dict[int, asyncio.Task[Proposal]] = {}  # by part, one at a time
@@ -87,7 +96,7 @@
 
     def configure(self, tenants: Iterable[Tenant]) -> None:
         """These tenants and limits are in force."""
-        self._ledger.configure(tenants)
+        self._quotas.configure(tenants)
 
     def owner_changed(self, part: int, own: bool) -> None:
         """This controller has become the owner of a part, or is it no more."""
@@ -95,18 +104,18 @@
             return
         if own:
             self._owned.add(part)
-            self._ledger.own(part, self._floors[part], time.monotonic())
+            self._quotas.acquire(part, self._floors[part], time.monotonic())
         else:
             self._owned.discard(part)
-            self._ledger.disown(part)
+            self._quotas.release(part)
 
     def floors_committed(self, part: int, record: FloorsRecord) -> None:
         """A record of floors was applied to a part here."""
-        self._ledger.committed(part, record)
+        self._quotas.on_committed(part, record)
         waiting, self._waiting = self._waiting, []
         now = time.monotonic()
         for each in waiting:
-            if each.ask.part != part:
+            if each.request.part != part:
                 self._waiting.append(each)
             elif now < each.until:
                 self._answer(each, now)
@@ -119,30 +128,30 @@
             self._log.warning("tenancy_record_dropped", reason=str(error))
             return
         match record:
-            case Question(nonce):
+            case FreshnessRequest(nonce):
                 self._send(sender, encode(self._proof(nonce)))
-            case Ask():
+            case QuotaRequest():
                 now = time.monotonic()
                 self._answer(_WaitingAsk(sender, record, now + ASK_LASTS), now)
 
-    def _proof(self, nonce: int) -> Proof:
+    def _proof(self, nonce: int) -> FreshnessProof:
         age = self._replication.state_age(CONFIGURATION_PART)
         if age is None or age > PROOF_PATIENCE:
-            return Proof(nonce, 0, None, self._other_owner(CONFIGURATION_PART))
-        return Proof(nonce, self._version(), age, None)
+            return FreshnessProof(nonce, 0, None, self._other_owner(CONFIGURATION_PART))
+        return FreshnessProof(nonce, self._version(), age, None)
 
     def _answer(self, waiting: _WaitingAsk, now: float) -> None:
-        grant = self._grant(waiting.ask, now)
+        grant = self._grant(waiting.request, now)
         if grant is not None:
             self._send(waiting.router, encode(grant))
         elif len(self._waiting) < MOST_WAITING:
             self._waiting.append(waiting)
-            self._move_floors(waiting.ask.part, now)
+            self._move_floors(waiting.request.part, now)
 
-    def _grant(self, ask: Ask, now: float) -> Grant | None:
-        if not self._replication.is_owner(ask.part):
-            return Grant(ask.nonce, Status.ELSEWHERE, 0, 0.0, self._other_owner(ask.part))
-        return self._ledger.grant(ask, now)
+    def _grant(self, request: QuotaRequest, now: float) -> QuotaGrant | None:
+        if not self._replication.is_owner(request.part):
+            return QuotaGrant(request.nonce, GrantStatus.NOT_OWNER, 0, 0.0, self._other_owner(request.part))
+        return self._quotas.grant(request, now)
 
     def _other_owner(self, part: int) -> Address | None:
         owner = self._replication.owner(part)
@@ -160,12 +169,12 @@
     def _move_floors(self, part: int, now: float) -> None:
         if part in self._proposals or not self._replication.is_owner(part):
             return
-        floors = self._ledger.due_floors(part, now)
+        floors = self._quotas.due_floors(part, now)
         if not floors:
             return
         self._number += 1
         record = FloorsRecord(self._number, floors)
-        self._ledger.proposed(part, record)
+        self._quotas.on_proposed(part, record)
         proposal = self._loop.create_task(
             self._replication.propose(part, record.pack(), PROPOSE_TIMEOUT), name="floors"
         )
--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -25,12 +25,12 @@
 from firvane.fleet.tenancy.freshness import NONCES, Freshness
 from firvane.fleet.tenancy.keys import AUTHORIZATION, KeyRing, bearer_key
 from firvane.fleet.tenancy.messages import (
-    Ask,
-    Grant,
-    Proof,
-    Question,
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
     Record,
-    Status,
     TenancyError,
     decode,
     tenant_id,
@@ -99,7 +99,7 @@
     cost: int = 0
     prefetch: int = 0
     spent: int = 0
-    asked_at: float = 0.0
+    requested_at: float = 0.0
     nonce: int = 0
     attempts: int = 0
     timer: asyncio.TimerHandle | None = None
@@ -150,7 +150,7 @@
         """Apply a configuration."""
         tenants = configuration.tenants
         self._keys = None if tenants is None else KeyRing(tenants)
-        self._freshness.configured(configuration.version)
+        self._freshness.set_version(configuration.version)
         self.tick()
 
     def is_ready(self) -> bool:
@@ -233,7 +233,7 @@
         elif len(self._asking) >= MAX_PENDING:
             self._reject_ungranted(pending)
         else:
-            pending.prefetch = self._allowances.ahead(tenant.name, pending.cost)
+            pending.prefetch = self._allowances.prefetch(tenant.name, pending.cost)
             self._ask(pending, tenant, now)
 
     def _ask(
@@ -246,12 +246,14 @@
             self._reject_ungranted(pending)
             return
         self._nonce = (self._nonce + 1) % NONCES
-        pending.nonce, pending.asked_at = self._nonce, now
+        pending.nonce, pending.requested_at = self._nonce, now
         pending.attempts += 1
         pending.spent = self._allowances.spent(tenant.name)
-        ask = Ask(pending.nonce, tenant_id(tenant.name), part, pending.cost, pending.prefetch, pending.spent)
+        request = QuotaRequest(
+            pending.nonce, tenant_id(tenant.name), part, pending.cost, pending.prefetch, pending.spent
+        )
         self._await_grant(pending, tenant, part, now)
-        self._send(target, encode_record(ask))
+        self._send(target, encode_record(request))
 
     def _await_grant(self, pending: _PendingAdmission, tenant: Tenant, part: int, now: float) -> None:
         self._asking[pending.nonce] = pending
@@ -269,27 +271,27 @@
         self.rejections["no_grant"] += 1
         pending.client.rejected(STATUS_UNAVAILABLE, NO_GRANT_RETRY_AFTER_S)
 
-    def _on_grant(self, sender: Address, grant: Grant, now: float) -> None:
+    def _on_grant(self, sender: Address, grant: QuotaGrant, now: float) -> None:
         pending = self._asking.pop(grant.nonce, None)
         if pending is None or pending.tenant is None:
             return
         if pending.timer:
             pending.timer.cancel()
         tenant, part = pending.tenant, part_of(pending.tenant.name)
-        if grant.status is Status.ELSEWHERE:
-            self._on_not_owner(pending, tenant, grant.other, sender, now)
+        if grant.status is GrantStatus.NOT_OWNER:
+            self._on_not_owner(pending, tenant, grant.redirect, sender, now)
             return
         self._owners[part] = sender
         if now >= pending.until:  # the process was suspended: the tokens are those of another moment
             self._reject_ungranted(pending)
             return
         prefetched = max(0, grant.tokens - pending.cost)
-        self._allowances.granted(tenant.name, prefetched, pending.spent, pending.asked_at)
-        if grant.status is Status.DENIED:
+        self._allowances.record_grant(tenant.name, prefetched, pending.spent, pending.requested_at)
+        if grant.status is GrantStatus.DENIED:
             self.rejections["over_quota"] += 1
-            pending.client.rejected(STATUS_TOO_MANY_REQUESTS, grant.pause)
+            pending.client.rejected(STATUS_TOO_MANY_REQUESTS, grant.retry_after)
         else:
-            cost = pending.cost if grant.status is Status.GRANTED else 0
+            cost = pending.cost if grant.status is GrantStatus.GRANTED else 0
             pending.client.admitted(Admitted(True, tenant, cost))
 
     def _on_not_owner(
@@ -313,12 +315,12 @@
     def refund(self, admission: Admitted) -> None:
         """Give back the cost of an admitted request that never ran."""
         if admission.tenant is not None and admission.cost:
-            self._allowances.give_back(admission.tenant.name, admission.cost, self._loop.time())
+            self._allowances.refund(admission.tenant.name, admission.cost, self._loop.time())
 
     def charge_retry(self, admission: Admitted) -> None:
         """Charge an admitted request once more: it is sent to another backend after it may have run."""
         if admission.tenant is not None and admission.cost:
-            self._allowances.spend(admission.tenant.name, admission.cost)
+            self._allowances.charge(admission.tenant.name, admission.cost)
 
     # Other processes
 
@@ -331,16 +333,16 @@
             return
         now = self._loop.time()
         match record:
-            case Question():
-                self._send(sender, encode_record(self._freshness.answer(record, now)))
-            case Proof():
+            case FreshnessRequest():
+                self._send(sender, encode_record(self._freshness.prove(record, now)))
+            case FreshnessProof():
                 if self._freshness.receive(sender, record, now):
                     self._identify_unproven(now)
                 else:
                     self.tick()
-            case Grant():
+            case QuotaGrant():
                 self._on_grant(sender, record, now)
-            case Ask():
+            case QuotaRequest():
                 pass  # only controllers grant
 
     def tick(self) -> None:
@@ -351,7 +353,7 @@
         self._identify_unproven(now)
         if not self._freshness.is_due(now):
             return
-        due = self._freshness.question(self._controllers(), self._routers(), now)
+        due = self._freshness.next_request(self._controllers(), self._routers(), now)
         if due is not None:
             self._send(due[0], encode_record(due[1]))
 
--- a/firvane/fleet/tenancy/__init__.py
+++ b/firvane/fleet/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: who asks, how recent the proof of that is, and how much each tenant may use."""
+"""Tenants: API keys, revocation by proofs of freshness, and quotas over all routers."""
--- a/firvane/fleet/tenancy/floors.py
+++ b/firvane/fleet/tenancy/floors.py
@@ -1,8 +1,8 @@
-"""Floors of tenants' buckets: what a new owner of a part may reckon with, kept in the part's replicated log.
+"""Floors of tenants' buckets in a part's replicated log: what a new owner may rely on.
 
 An owner never lets a bucket fall below its floor before a lower one is committed, and keeps to a higher one
-from the moment at which it proposes it. So the next owner may begin each bucket at its floor, whatever was
-granted before. A tenant without a floor was granted nothing since its bucket was full.
+from its proposal on. So the next owner may start each bucket at its floor, whatever was granted before. A
+tenant without a floor was granted nothing since its bucket was full.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 FLOORS_VERSION = 2  # the first byte of a record; records of instances have another one
 MAX_FLOORS = 65_536
-REMOVED = -(2**63)  # in place of a floor: the bucket is full, and has none any more
+REMOVED = -(2**63)  # in place of a floor: the bucket is full and has none any more
 
 _HEAD = struct.Struct("!BQI")  # version, number of the proposal, count
 _FLOOR = struct.Struct(f"!{TENANT_ID_BYTES}sq")
@@ -27,13 +27,17 @@
 
 
 class FloorsRecord(Struct, frozen=True):
-    """New floors of some tenants, in tokens or requests; `number` tells an owner's proposals apart."""
+    """New floors of some tenants, in tokens or requests; `number` distinguishes an owner's proposals."""
 
     number: int
     floors: Mapping[bytes, int]
 
     def pack(self) -> bytes:
-        """Encode as a record; `FloorsError` where there are too many."""
+        """Return the record as bytes.
+
+        Raises:
+            FloorsError: There are too many floors.
+        """
         if len(self.floors) > MAX_FLOORS:
             raise FloorsError("too many floors for one record")
         head = _HEAD.pack(FLOORS_VERSION, self.number, len(self.floors))
@@ -41,7 +45,11 @@
 
 
 def unpack_floors(record: bytes) -> FloorsRecord:
-    """Decode a record; `FloorsError` where it is none."""
+    """Return the record that the bytes encode.
+
+    Raises:
+        FloorsError: The bytes are no record of this version.
+    """
     if len(record) < _HEAD.size:
         raise FloorsError("the record is cut off")
     version, number, count = _HEAD.unpack_from(record)
@@ -51,10 +59,10 @@
 
 
 class Floors(dict[bytes, int]):
-    """The floors of one part as they are committed."""
+    """The committed floors of one part, by tenant id."""
 
     def apply(self, record: FloorsRecord) -> None:
-        """Take the floors of a committed record."""
+        """Apply a committed record."""
         for tenant, floor in record.floors.items():
             if floor == REMOVED:
                 self.pop(tenant, None)
--- a/firvane/fleet/tenancy/messages.py
+++ b/firvane/fleet/tenancy/messages.py
@@ -1,6 +1,6 @@
 """The records between routers and controllers about tenants: proofs of freshness, and quota.
 
-Each record is a byte for its kind and a fixed `struct`. Whatever is no record raises `TenancyError`.
+Each record is a byte for its kind and a fixed `struct`. Bytes that are no record raise `TenancyError`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 TENANT_ID_BYTES = 8
 MAX_TOKENS = 0xFFFFFFFF
 _UNKNOWN_AGE = 0xFFFFFFFF
+_MS_PER_S = 1000
 
-_QUESTION = struct.Struct("!BQ")  # kind, nonce
-_PROOF = struct.Struct("!BQQI4sH")  # kind, nonce, version, age in ms, another address to ask
-_ASK = struct.Struct(f"!BQ{TENANT_ID_BYTES}sBIII")  # kind, nonce, tenant, part, cost, ahead, spent
-_GRANT = struct.Struct("!BQBII4sH")  # kind, nonce, status, tokens, pause in ms, another address to ask
+_FRESHNESS_REQUEST = struct.Struct("!BQ")  # kind, nonce
+_FRESHNESS_PROOF = struct.Struct("!BQQI4sH")  # kind, nonce, version, age in ms, redirect
+_QUOTA_REQUEST = struct.Struct(f"!BQ{TENANT_ID_BYTES}sBIII")  # kind, nonce, tenant, part, and three amounts
+_QUOTA_GRANT = struct.Struct("!BQBII4sH")  # kind, nonce, status, tokens, retry-after in ms, redirect
 
 
 class TenancyError(ValueError):
@@ -27,114 +28,121 @@
 
 
 class Kind(enum.IntEnum):
-    """What a record is."""
+    """The kind of a record."""
 
-    QUESTION = 1
-    PROOF = 2
-    ASK = 3
-    GRANT = 4
+    FRESHNESS_REQUEST = 1
+    FRESHNESS_PROOF = 2
+    QUOTA_REQUEST = 3
+    QUOTA_GRANT = 4
 
 
-class Status(enum.IntEnum):
-    """What became of an ask for quota."""
+class GrantStatus(enum.IntEnum):
+    """The result of a quota request."""
 
     GRANTED = 1
-    DENIED = 2
-    """Beyond the tenant's limit at this moment."""
-    ELSEWHERE = 3
-    """Another controller owns the tenant's part, or none does, or the owner does not know the tenant yet."""
-    UNLIMITED = 4
-    """The tenant has no limit: nothing is counted."""
+    DENIED = 2  # beyond the tenant's limit at this moment
+    NOT_OWNER = 3  # another controller owns the tenant's part, or none, or the owner does not know the tenant
+    UNLIMITED = 4  # the tenant has no limit
 
 
-class Question(NamedTuple):
-    """How old is your configuration, and which version is it?"""
+class FreshnessRequest(NamedTuple):
+    """Asks for the version of the configuration, and for how old that knowledge is."""
 
     nonce: int
 
 
-class Proof(NamedTuple):
-    """The answer: `version` was the newest of all that is acknowledged, `age` seconds before it was sent.
+class FreshnessProof(NamedTuple):
+    """Proves that `version` was the newest acknowledged one, `age` seconds before this was sent.
 
-    `age` is None where the sender cannot tell; `other` is whom to ask then, if it knows anybody.
+    `age` is None where the sender cannot tell; `redirect` is then the process to ask, if it knows one.
     """
 
     nonce: int
     version: int
     age: float | None
-    other: Address | None
+    redirect: Address | None
 
 
-class Ask(NamedTuple):
-    """A router asks for what one request costs, and for more in advance.
+class QuotaRequest(NamedTuple):
+    """Asks for the cost of one request, and for more in advance.
 
-    `spent` is what it has used beyond all grants since it last asked.
+    `spent` reports what the router has used beyond all grants since its last request.
     """
 
     nonce: int
     tenant: bytes
     part: int
     cost: int
-    ahead: int
+    prefetch: int
     spent: int
 
 
-class Grant(NamedTuple):
-    """The answer: tokens that may be used, or the seconds after which there are enough."""
+class QuotaGrant(NamedTuple):
+    """The result: tokens that may be used, or the seconds after which there are enough."""
 
     nonce: int
-    status: Status
+    status: GrantStatus
     tokens: int
-    pause: float
-    other: Address | None
+    retry_after: float
+    redirect: Address | None
 
 
-Record = Question | Proof | Ask | Grant
+Record = FreshnessRequest | FreshnessProof | QuotaRequest | QuotaGrant
 
 
 def tenant_id(name: str) -> bytes:
-    """How a tenant is named in records."""
+    """Return the id of a tenant in records."""
     return digest(name.encode(), TENANT_ID_BYTES)
 
 
 def encode(record: Record) -> bytes:
-    """A record as bytes."""
+    """Return a record as bytes."""
     match record:
-        case Question(nonce):
-            return _QUESTION.pack(Kind.QUESTION, nonce)
-        case Proof(nonce, version, age, other):
-            return _PROOF.pack(Kind.PROOF, nonce, version, _encode_age(age), *_encode_address(other))
-        case Ask(nonce, tenant, part, cost, ahead, spent):
-            amounts = [min(max(0, amount), MAX_TOKENS) for amount in (cost, ahead, spent)]
-            return _ASK.pack(Kind.ASK, nonce, tenant, part, *amounts)
-        case Grant(nonce, status, tokens, pause, other):
-            head = Kind.GRANT, nonce, status, min(tokens, MAX_TOKENS)
-            return _GRANT.pack(*head, min(_UNKNOWN_AGE, round(pause * 1000)), *_encode_address(other))
+        case FreshnessRequest(nonce):
+            return _FRESHNESS_REQUEST.pack(Kind.FRESHNESS_REQUEST, nonce)
+        case FreshnessProof(nonce, version, age, redirect):
+            return _FRESHNESS_PROOF.pack(
+                Kind.FRESHNESS_PROOF, nonce, version, _encode_age(age), *_encode_address(redirect)
+            )
+        case QuotaRequest(nonce, tenant, part, cost, prefetch, spent):
+            amounts = [min(max(0, amount), MAX_TOKENS) for amount in (cost, prefetch, spent)]
+            return _QUOTA_REQUEST.pack(Kind.QUOTA_REQUEST, nonce, tenant, part, *amounts)
+        case QuotaGrant(nonce, status, tokens, retry_after, redirect):
+            retry_after_ms = min(_UNKNOWN_AGE, round(retry_after * _MS_PER_S))
+            capped = min(tokens, MAX_TOKENS)
+            return _QUOTA_GRANT.pack(
+                Kind.QUOTA_GRANT, nonce, status, capped, retry_after_ms, *_encode_address(redirect)
+            )
 
 
 def decode(data: bytes) -> Record:
-    """A record from bytes; `TenancyError` where they are none."""
+    """Return the record that the bytes encode.
+
+    Raises:
+        TenancyError: The bytes are no record.
+    """
     try:
         match data[:1]:
             case b"\x01":
-                return Question(*_QUESTION.unpack(data)[1:])
+                return FreshnessRequest(*_FRESHNESS_REQUEST.unpack(data)[1:])
             case b"\x02":
-                _, nonce, version, age_ms, *other = _PROOF.unpack(data)
-                age = None if age_ms == _UNKNOWN_AGE else age_ms / 1000
-                return Proof(nonce, version, age, _decode_address(*other))
+                _, nonce, version, age_ms, *redirect = _FRESHNESS_PROOF.unpack(data)
+                age = None if age_ms == _UNKNOWN_AGE else age_ms / _MS_PER_S
+                return FreshnessProof(nonce, version, age, _decode_address(*redirect))
             case b"\x03":
-                return Ask(*_ASK.unpack(data)[1:])
+                return QuotaRequest(*_QUOTA_REQUEST.unpack(data)[1:])
             case b"\x04":
-                _, nonce, status, tokens, pause_ms, *other = _GRANT.unpack(data)
-                return Grant(nonce, Status(status), tokens, pause_ms / 1000, _decode_address(*other))
+                _, nonce, status, tokens, retry_after_ms, *redirect = _QUOTA_GRANT.unpack(data)
+                address = _decode_address(*redirect)
+                return QuotaGrant(nonce, GrantStatus(status), tokens, retry_after_ms / _MS_PER_S, address)
     except (struct.error, ValueError) as error:
         raise TenancyError(f"a record cannot be read: {error}") from None
     raise TenancyError("the kind of a record is not known")
 
 
 def _encode_age(age: float | None) -> int:
-    """Rounded up, so that nothing seems more recent than it is."""
-    return _UNKNOWN_AGE if age is None else min(_UNKNOWN_AGE - 1, int(max(0.0, age) * 1000) + 1)
+    """Return an age in ms, rounded up, so that nothing seems more recent than it is."""
+    return _UNKNOWN_AGE if age is None else min(_UNKNOWN_AGE - 1, int(max(0.0, age) * _MS_PER_S) + 1)
 
 
 def _encode_address(address: Address | None) -> tuple[bytes, int]:
--- a/firvane/fleet/tenancy/quota.py
+++ b/firvane/fleet/tenancy/quota.py
@@ -1,22 +1,22 @@
-"""What each tenant may still use, kept by the controller that owns the tenant's part.
+"""The quotas of tenants, kept by the controller that owns the tenant's part, as token buckets.
 
-A bucket for each tenant fills at the tenant's rate, up to its burst and a part of what the deployment allows
-beyond. Rules that keep the sum over all routers within the limit, whatever is lost or cut off:
+A tenant's bucket fills at the tenant's rate, up to its burst and a ratio of what the deployment allows
+beyond. Rules that keep the sum over all routers within the limit, whatever is lost or partitioned:
 
-1. Ownership is under a lease, so that two owners never grant at the same time. A new owner begins each bucket
+1. Ownership is under a lease, so that two owners never grant at the same time. A new owner starts each bucket
    at its floor (`floors`), from which it fills from then on.
-2. Tokens are taken from the bucket before the grant is sent. A grant that is lost is lost.
-3. A request is granted once half of its cost is in the bucket, which may leave a debt. Were all of it asked
-   for, small requests would take nearly everything where a tenant asks for more than its limit; were none,
-   large ones would. Both were worth less (docs/decision-quality.md).
-4. A bucket may hold more than its usual size, for bursts of a tenant that uses little. It fills the slower
-   for it: by the excess of its highest level within the last window, spread over a window. So no window sees
-   more than rate x window + the usual size.
-5. What is granted in advance and may not be used yet is bounded; what routers used without a grant is taken
-   off afterwards.
-
-The parts below are those of what a deployment allows beyond rate x window + burst; what they leave is for
-requests on their way and for those that run twice.
+2. Tokens are taken from the bucket before the grant is sent. A lost grant is lost.
+3. A request is granted once half of its cost is in the bucket, which may leave a debt. If all of the cost
+   were required, small requests would take nearly everything where a tenant asks for more than its limit;
+   if none were, large ones would (docs/decision-quality.md).
+4. A bucket may hold more than its usual size, for bursts of a tenant that uses little. It then fills more
+   slowly: by the excess of its highest level within the last window, spread over a window. So no window
+   sees more than rate x window + the usual size.
+5. What is granted in advance and may still be used is bounded. What routers used without a grant is deducted
+   afterwards.
+
+The ratios below are of what a deployment allows beyond rate x window + burst; the rest is for requests in
+flight and for retries.
 """
 
 from __future__ import annotations
@@ -30,69 +30,88 @@
 from firvane.fleet.configuration.routes import Tenant
 from firvane.fleet.partitions import part_of
 from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
-from firvane.fleet.tenancy.messages import Ask, Grant, Status, tenant_id
-
-SIZE_PART = 0.5  # of a bucket, beyond the burst
-DEBT_PART = 0.25  # the most that one request may leave a bucket below nothing
-PRESENT_PART = 0.5  # of a request's cost, that must be in the bucket
-AHEAD_PART = 0.1  # granted in advance and not used yet
-AHEAD_LASTS = 1.0  # s that tokens granted in advance may be used
-FULL_ENOUGH = 0.5  # of a bucket, above which tokens are granted in advance
-LEAST_PAUSE, LONGEST_PAUSE = 0.05, 5.0  # s after which a denied request may come again
-BURST_PART = 0.2  # of rate x window, that a bucket may hold beyond its usual size
-PEAK_SLOTS = 4  # of a window, by which highest levels are kept
-FLOOR_MARGIN = 0.75  # s of a tenant's rate that its floor lies below its bucket
-REST_TIME = 30.0  # s after which a full bucket that nobody uses is forgotten
+from firvane.fleet.tenancy.messages import GrantStatus, QuotaGrant, QuotaRequest, tenant_id
+
+USUAL_SIZE_RATIO = 0.5  # of a bucket's usual size, beyond the burst
+MAX_DEBT_RATIO = 0.25  # below zero, after one request
+MIN_COVERED_RATIO = 0.5  # of a request's cost, that must be in the bucket
+PREFETCH_RATIO = 0.1  # granted in advance and not used yet
+PREFETCH_LIFETIME_S = 1.0  # for which tokens granted in advance may be used
+PREFETCH_FILL_RATIO = 0.5  # of a bucket, above which tokens are granted in advance
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 5.0
+EXTRA_BURST_RATIO = 0.2  # of rate x window, that a bucket may hold beyond its usual size
+PEAK_SLOTS_PER_WINDOW = 4  # by which the highest levels are kept
+FLOOR_MARGIN_S = 0.75  # of a tenant's rate, that its floor lies below its bucket
+IDLE_TIME_S = 30.0  # after which a full bucket that is not used is dropped
 
 
 class QuotaRules(Struct, frozen=True):
-    """What the deployment allows in any window, beyond rate x window + burst."""
+    """What the deployment allows in any window, beyond rate x window + burst.
+
+    Attributes:
+        window: Seconds.
+        overage: Ratio of rate x window + burst.
+        slack: Tokens or requests.
+    """
 
-    window: float = 8.0  # s
-    overage: float = 0.0  # share
-    slack: float = 0.0  # tokens or requests
+    window: float = 8.0
+    overage: float = 0.0
+    slack: float = 0.0
 
-    def beyond(self, tenant: Tenant) -> float:
-        """How far a tenant's use may lie above its limit."""
+    def allowance(self, tenant: Tenant) -> float:
+        """Return by how much a tenant's use may exceed its limit."""
         return self.overage * (tenant.rate * self.window + tenant.burst) + self.slack
 
 
 class _Bounds:
-    """What follows from a tenant's limit and the rules."""
+    """What follows from a tenant's limit and the rules, in tokens or requests; `window` in seconds."""
 
-    __slots__ = ("ahead", "capacity", "debt", "margin", "rate", "usual", "window")
+    __slots__ = ("capacity", "debt", "margin", "prefetch", "rate", "usual", "window")
 
     def __init__(self, tenant: Tenant, rules: QuotaRules) -> None:
-        beyond = rules.beyond(tenant)
+        allowance = rules.allowance(tenant)
         self.rate, self.window = tenant.rate, rules.window
-        self.usual = tenant.burst + SIZE_PART * beyond
-        self.capacity = self.usual + BURST_PART * tenant.rate * rules.window
-        self.debt = DEBT_PART * beyond
-        self.ahead = AHEAD_PART * beyond
-        self.margin = FLOOR_MARGIN * tenant.rate
+        self.usual = tenant.burst + USUAL_SIZE_RATIO * allowance
+        self.capacity = self.usual + EXTRA_BURST_RATIO * tenant.rate * rules.window
+        self.debt = MAX_DEBT_RATIO * allowance
+        self.prefetch = PREFETCH_RATIO * allowance
+        self.margin = FLOOR_MARGIN_S * tenant.rate
 
 
 class _Bucket(Struct):
+    """The token bucket of one tenant.
+
+    Attributes:
+        tokens: Its level; below zero a debt.
+        filled_at: Up to when it has been filled.
+        used_at: When it was last asked for.
+        prefetched: Tokens granted in advance, as (when, how many).
+        peaks: Its highest levels by slot, of a window and a slot more.
+        slot_ends: When the last slot ends.
+    """
+
     tokens: float
     filled_at: float
     used_at: float
-    ahead: deque[tuple[float, float]] = field(default_factory=deque)  # granted in advance: when, how much
-
-    peaks: deque[float] = field(default_factory=deque)  # highest levels, by slot, of a window and a slot more
+    prefetched: deque[tuple[float, float]] = field(default_factory=deque)
+    peaks: deque[float] = field(default_factory=deque)
     slot_ends: float = 0.0
 
     def fill(self, bounds: _Bounds, now: float) -> None:
         """Let it fill up to now, slot by slot."""
-        slot = bounds.window / PEAK_SLOTS
-        if now - self.filled_at > 2 * bounds.window + bounds.capacity / (bounds.rate * (1 - BURST_PART)):
-            self.tokens, self.filled_at = bounds.capacity, now  # it is full for longer than a window
+        slot = bounds.window / PEAK_SLOTS_PER_WINDOW
+        if now - self.filled_at > 2 * bounds.window + bounds.capacity / (
+            bounds.rate * (1 - EXTRA_BURST_RATIO)
+        ):
+            self.tokens, self.filled_at = bounds.capacity, now  # it has been full for longer than a window
         self.tokens = min(self.tokens, bounds.capacity)
-        if not self.peaks:  # whoever owned it before may have seen it full
-            self.peaks.extend([bounds.capacity] * (PEAK_SLOTS + 1))
+        if not self.peaks:  # the previous owner may have seen it full
+            self.peaks.extend([bounds.capacity] * (PEAK_SLOTS_PER_WINDOW + 1))
             self.slot_ends = self.filled_at + slot
         while self.filled_at < now:
             until = min(now, self.slot_ends)
-            gained = self.refill(bounds) * (until - self.filled_at)
+            gained = self.fill_rate(bounds) * (until - self.filled_at)
             self.tokens = min(bounds.capacity, self.tokens + gained)
             self.filled_at = until
             self.peaks[-1] = max(self.peaks[-1], self.tokens)
@@ -101,35 +120,37 @@
                 self.peaks.popleft()
                 self.slot_ends = until + slot
 
-    def refill(self, bounds: _Bounds) -> float:
-        """Tokens that it gains in a second at present."""
+    def fill_rate(self, bounds: _Bounds) -> float:
+        """Return the tokens that it gains per second at present."""
         excess = min(max(self.peaks), bounds.capacity) - bounds.usual
         return bounds.rate - max(0.0, excess) / bounds.window
 
-    def unused_ahead(self, now: float) -> float:
-        while self.ahead and self.ahead[0][0] < now - AHEAD_LASTS:
-            self.ahead.popleft()
-        return sum(amount for _, amount in self.ahead)
+    def unused_prefetch(self, now: float) -> float:
+        """Return the tokens granted in advance that may still be used."""
+        while self.prefetched and self.prefetched[0][0] < now - PREFETCH_LIFETIME_S:
+            self.prefetched.popleft()
+        return sum(amount for _, amount in self.prefetched)
 
 
 class _OwnedPart:
-    """The buckets of one part, its committed floors, and those that were proposed since the last commit."""
+    """The buckets of one part, its committed floors, and those proposed since the last commit."""
 
     def __init__(self, floors: Floors, now: float) -> None:
-        self.floors, self.began = floors, now
+        self.floors, self.acquired_at = floors, now
         self.buckets: dict[bytes, _Bucket] = {}
         self.proposed: list[FloorsRecord] = []
 
     def bucket(self, tenant: bytes, bounds: _Bounds, now: float) -> _Bucket:
+        """Return the bucket of a tenant, a new one at its floor."""
         found = self.buckets.get(tenant)
         if found is None:
             floor = self.floors.get(tenant)
             start = bounds.capacity if floor is None else floor
-            found = self.buckets[tenant] = _Bucket(start, self.began, now)
+            found = self.buckets[tenant] = _Bucket(start, self.acquired_at, now)
         return found
 
     def floor(self, tenant: bytes) -> float:
-        """Below which a bucket must not fall now; infinite where none is committed."""
+        """Return the level below which a bucket must not fall now; infinite where none is committed."""
         committed: float = self.floors.get(tenant, float("inf"))
         for record in self.proposed:
             proposed = record.floors.get(tenant)
@@ -138,8 +159,8 @@
         return committed
 
 
-class QuotaLedger:
-    """The buckets of all tenants whose parts this controller owns."""
+class QuotaTable:
+    """The buckets of all tenants whose parts this controller owns. Times are monotonic seconds."""
 
     def __init__(self, rules: QuotaRules) -> None:
         self._rules = rules
@@ -149,43 +170,47 @@
         self._parts: dict[int, _OwnedPart] = {}
 
     def configure(self, tenants: Iterable[Tenant]) -> None:
-        """These tenants and limits are in force."""
+        """Apply the tenants and limits of a configuration."""
         self._tenants = {tenant_id(tenant.name): tenant for tenant in tenants}
         self._part_of = {name: part_of(tenant.name) for name, tenant in self._tenants.items()}
         self._bounds.clear()
 
-    def own(self, part: int, floors: Floors, now: float) -> None:
-        """This controller has become the owner of a part, whose floors are committed and applied."""
+    def acquire(self, part: int, floors: Floors, now: float) -> None:
+        """Start as the owner of a part, whose floors are committed and applied."""
         self._parts[part] = _OwnedPart(floors, now)
 
-    def disown(self, part: int) -> None:
-        """It is the owner no more."""
+    def release(self, part: int) -> None:
+        """Stop as the owner of a part."""
         self._parts.pop(part, None)
 
-    def grant(self, ask: Ask, now: float) -> Grant | None:
-        """Answer a router's ask; None while that waits for a lower floor. The caller owns the part now."""
-        owned, tenant = self._parts.get(ask.part), self._tenants.get(ask.tenant)
-        if owned is None or tenant is None or self._part_of[ask.tenant] != ask.part:
-            # not known here yet, or asked for at a part that is not its own
-            return Grant(ask.nonce, Status.ELSEWHERE, 0, 0.0, None)
+    def grant(self, request: QuotaRequest, now: float) -> QuotaGrant | None:
+        """Return the answer to a quota request; None while it waits for a lower floor.
+
+        The caller has checked that it owns the part now.
+        """
+        owned, tenant = self._parts.get(request.part), self._tenants.get(request.tenant)
+        if owned is None or tenant is None or self._part_of[request.tenant] != request.part:
+            # not known here yet, or not the tenant's part
+            return QuotaGrant(request.nonce, GrantStatus.NOT_OWNER, 0, 0.0, None)
         if tenant.rate <= 0:
-            return Grant(ask.nonce, Status.UNLIMITED, 0, 0.0, None)
-        bounds = self._bounds_of(ask.tenant, tenant)
-        bucket = owned.bucket(ask.tenant, bounds, now)
+            return QuotaGrant(request.nonce, GrantStatus.UNLIMITED, 0, 0.0, None)
+        bounds = self._bounds_of(request.tenant, tenant)
+        bucket = owned.bucket(request.tenant, bounds, now)
         bucket.fill(bounds, now)
         bucket.used_at = now
-        needed = max(PRESENT_PART * ask.cost, ask.cost - bounds.debt)
-        missing = needed - bucket.tokens
+        required = max(MIN_COVERED_RATIO * request.cost, request.cost - bounds.debt)
+        missing = required - bucket.tokens
         if missing > 0:
-            pause = min(missing, bounds.capacity) / bucket.refill(bounds)
-            self._take_spent(bucket, ask, bounds)
-            return Grant(ask.nonce, Status.DENIED, 0, min(LONGEST_PAUSE, max(LEAST_PAUSE, pause)), None)
-        if bucket.tokens - ask.cost < owned.floor(ask.tenant):
+            wait = min(missing, bounds.capacity) / bucket.fill_rate(bounds)
+            self._deduct_spent(bucket, request, bounds)
+            retry_after = min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait))
+            return QuotaGrant(request.nonce, GrantStatus.DENIED, 0, retry_after, None)
+        if bucket.tokens - request.cost < owned.floor(request.tenant):
             return None
-        bucket.tokens -= ask.cost
-        self._take_spent(bucket, ask, bounds)
-        ahead = self._ahead(bucket, ask, bounds, owned.floor(ask.tenant), now)
-        return Grant(ask.nonce, Status.GRANTED, ask.cost + ahead, 0.0, None)
+        bucket.tokens -= request.cost
+        self._deduct_spent(bucket, request, bounds)
+        prefetched = self._take_prefetch(bucket, request, bounds, owned.floor(request.tenant), now)
+        return QuotaGrant(request.nonce, GrantStatus.GRANTED, request.cost + prefetched, 0.0, None)
 
     def _bounds_of(self, name: bytes, tenant: Tenant) -> _Bounds:
         found = self._bounds.get(name)
@@ -194,24 +219,26 @@
         return found
 
     @staticmethod
-    def _take_spent(bucket: _Bucket, ask: Ask, bounds: _Bounds) -> None:
-        bucket.tokens = max(-bounds.capacity, bucket.tokens - ask.spent)
+    def _deduct_spent(bucket: _Bucket, request: QuotaRequest, bounds: _Bounds) -> None:
+        bucket.tokens = max(-bounds.capacity, bucket.tokens - request.spent)
 
     @staticmethod
-    def _ahead(bucket: _Bucket, ask: Ask, bounds: _Bounds, floor: float, now: float) -> int:
-        """What is granted beyond the cost: only while the bucket is well filled, and within the bounds."""
-        spare = bucket.tokens - max(floor, FULL_ENOUGH * bounds.capacity)
-        amount = int(min(ask.ahead, bounds.ahead - bucket.unused_ahead(now), spare))
+    def _take_prefetch(
+        bucket: _Bucket, request: QuotaRequest, bounds: _Bounds, floor: float, now: float
+    ) -> int:
+        """Take what is granted beyond the cost: only from a well filled bucket, and within the bounds."""
+        spare = bucket.tokens - max(floor, PREFETCH_FILL_RATIO * bounds.capacity)
+        amount = int(min(request.prefetch, bounds.prefetch - bucket.unused_prefetch(now), spare))
         if amount <= 0:
             return 0
         bucket.tokens -= amount
-        bucket.ahead.append((now, amount))
+        bucket.prefetched.append((now, amount))
         return amount
 
     # Floors
 
     def due_floors(self, part: int, now: float) -> Mapping[bytes, int]:
-        """New floors that are to be proposed for a part now."""
+        """Return the new floors that are to be proposed for a part now, by tenant id."""
         owned = self._parts.get(part)
         due = dict[bytes, int]()
         if owned is None:
@@ -231,9 +258,10 @@
     def _due_floor(
         owned: _OwnedPart, name: bytes, bucket: _Bucket, bounds: _Bounds, now: float
     ) -> int | None:
+        """Return the new floor of a bucket, None where it needs none; drop an idle one without a floor."""
         wanted = math.floor(max(-bounds.debt, bucket.tokens - bounds.margin))
         floor = owned.floor(name)
-        if bucket.tokens >= bounds.capacity and now - bucket.used_at > REST_TIME:
+        if bucket.tokens >= bounds.capacity and now - bucket.used_at > IDLE_TIME_S:
             if name in owned.floors:
                 return REMOVED
             del owned.buckets[name]
@@ -242,13 +270,13 @@
             return wanted
         return wanted if bucket.tokens - floor > 2 * bounds.margin else None
 
-    def proposed(self, part: int, record: FloorsRecord) -> None:
-        """These floors are proposed: what is higher among them binds from now on."""
+    def on_proposed(self, part: int, record: FloorsRecord) -> None:
+        """Keep to the higher ones among proposed floors from now on."""
         if part in self._parts:
             self._parts[part].proposed.append(record)
 
-    def committed(self, part: int, record: FloorsRecord) -> None:
-        """A record of floors was applied; so is, or never will be, what was proposed before it."""
+    def on_committed(self, part: int, record: FloorsRecord) -> None:
+        """Drop the proposals up to a committed record: each of them is applied by now, or never will be."""
         owned = self._parts.get(part)
         if owned is None:
             return
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -30,15 +30,15 @@
     Mutant(
         "a proof counts from the question on, not from the answer",
         "firvane/fleet/tenancy/freshness.py",
-        "        self._note(proof.version, asked_at - proof.age)\n",
-        "        self._note(proof.version, now - proof.age)\n",
+        "        self._record_proof(proof.version, requested_at - proof.age)\n",
+        "        self._record_proof(proof.version, now - proof.age)\n",
         FRESHNESS,
     ),
     Mutant(
         "the age that an answer tells is taken off",
         "firvane/fleet/tenancy/freshness.py",
-        "        self._note(proof.version, asked_at - proof.age)\n",
-        "        self._note(proof.version, asked_at)\n",
+        "        self._record_proof(proof.version, requested_at - proof.age)\n",
+        "        self._record_proof(proof.version, requested_at)\n",
         FRESHNESS,
     ),
     Mutant(
@@ -51,8 +51,8 @@
     Mutant(
         "a proof lasts less than the bound, for clocks at other rates",
         "firvane/fleet/tenancy/freshness.py",
-        "SAFE_SHARE = 0.85",
-        "SAFE_SHARE = 1.1",
+        "MAX_AGE_RATIO = 0.85",
+        "MAX_AGE_RATIO = 1.1",
         FRESHNESS,
     ),
     Mutant(
@@ -65,14 +65,14 @@
     Mutant(
         "only the owner under its lease grants",
         "firvane/fleet/controller/tenant_service.py",
-        "        if not self._replication.is_owner(ask.part):\n",
+        "        if not self._replication.is_owner(request.part):\n",
         "        if False:\n",
         SERVICE,
     ),
     Mutant(
         "a bucket does not fall below its floor",
         "firvane/fleet/tenancy/quota.py",
-        "        if bucket.tokens - ask.cost < owned.floor(ask.tenant):\n",
+        "        if bucket.tokens - request.cost < owned.floor(request.tenant):\n",
         "        if False:\n",
         QUOTA,
     ),
@@ -100,7 +100,7 @@
     Mutant(
         "what was used without a grant is taken off",
         "firvane/fleet/tenancy/quota.py",
-        "max(-bounds.capacity, bucket.tokens - ask.spent)",
+        "max(-bounds.capacity, bucket.tokens - request.spent)",
         "max(-bounds.capacity, bucket.tokens)",
         QUOTA,
     ),
--- a/tests/fleet/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -14,12 +14,12 @@
 from firvane.fleet.replication.proposals import Proposal, ProposalStatus
 from firvane.fleet.tenancy.floors import Floors, FloorsRecord, unpack_floors
 from firvane.fleet.tenancy.messages import (
-    Ask,
-    Grant,
-    Proof,
-    Question,
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
     Record,
-    Status,
     decode,
     encode,
     tenant_id,
@@ -78,8 +78,8 @@
         return answer
 
 
-def ask() -> Ask:
-    return Ask(5, tenant_id(TENANT), PART, 10, 0, 0)
+def ask() -> QuotaRequest:
+    return QuotaRequest(5, tenant_id(TENANT), PART, 10, 0, 0)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -91,8 +91,8 @@
 
 def test_the_age_of_the_state_is_told_with_its_version() -> None:
     async def test() -> None:
-        proof = Service(Replication()).ask(Question(3))
-        assert isinstance(proof, Proof)
+        proof = Service(Replication()).ask(FreshnessRequest(3))
+        assert isinstance(proof, FreshnessProof)
         assert proof.nonce == 3 and proof.version == 7
         assert proof.age is not None and 0.2 <= proof.age <= 0.202
 
@@ -102,7 +102,7 @@
 def test_who_has_not_heard_of_a_majority_lately_names_another() -> None:
     async def test() -> None:
         for age in (None, PROOF_PATIENCE + 0.01):
-            assert Service(Replication(age=age)).ask(Question(3)) == Proof(3, 0, None, OTHER)
+            assert Service(Replication(age=age)).ask(FreshnessRequest(3)) == FreshnessProof(3, 0, None, OTHER)
 
     run(test)
 
@@ -110,7 +110,9 @@
 def test_who_knows_nobody_else_names_nobody() -> None:
     async def test() -> None:
         for leader in (None, OWN):
-            assert Service(Replication(None, leader=leader)).ask(Question(3)) == Proof(3, 0, None, None)
+            assert Service(Replication(None, leader=leader)).ask(FreshnessRequest(3)) == FreshnessProof(
+                3, 0, None, None
+            )
 
     run(test)
 
@@ -121,14 +123,14 @@
         service = Service(replication)
         service.floors[PART][tenant_id(TENANT)] = 1_000
         service.service.configure([Tenant(TENANT, rate=1e12, burst=1e12)])
-        assert service.ask(ask()) == Grant(5, Status.ELSEWHERE, 0, 0.0, OTHER)
+        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
         replication.owned.add(PART)
-        assert service.ask(ask()) == Grant(5, Status.ELSEWHERE, 0, 0.0, None)  # not told of it yet
+        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, None)  # not told of it yet
         service.service.owner_changed(PART, True)
         granted = service.ask(ask())
-        assert isinstance(granted, Grant) and granted.status is Status.GRANTED
+        assert isinstance(granted, QuotaGrant) and granted.status is GrantStatus.GRANTED
         replication.owned.clear()  # its lease is over, before it was told so
-        assert service.ask(ask()) == Grant(5, Status.ELSEWHERE, 0, 0.0, OTHER)
+        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
 
     run(test)
 
@@ -147,7 +149,7 @@
         service.floors[PART].apply(record)
         service.service.floors_committed(PART, record)
         to, grant = service.sent.pop()
-        assert to == ROUTER and isinstance(grant, Grant) and grant.status is Status.GRANTED
+        assert to == ROUTER and isinstance(grant, QuotaGrant) and grant.status is GrantStatus.GRANTED
 
     run(test)
 
@@ -173,7 +175,7 @@
     async def test() -> None:
         service = Service(Replication())
         service.service.receive(ROUTER, b"\x09 no record")
-        service.service.receive(ROUTER, encode(Grant(1, Status.GRANTED, 1, 0.0, None)))
+        service.service.receive(ROUTER, encode(QuotaGrant(1, GrantStatus.GRANTED, 1, 0.0, None)))
         assert not service.sent
 
     run(test)
--- a/tests/fleet/router/test_admission.py
+++ b/tests/fleet/router/test_admission.py
@@ -14,7 +14,15 @@
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, RouteTable, Tenant, key_digest
 from firvane.fleet.router.admission import MAX_WAIT_S, Admission
-from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, decode, encode
+from firvane.fleet.tenancy.messages import (
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
+    decode,
+    encode,
+)
 from tests.fleet.router.helpers import Backend, Rig, request_id, rig, route
 
 OWN: Address = ("10.1.0.1", 1)
@@ -45,25 +53,25 @@
     admission: Admission = field(init=False)
     version: int = 1
     age: float | None = 0.0
-    status: Status = Status.GRANTED
+    status: GrantStatus = GrantStatus.GRANTED
     owner: Address | None = None
-    pause: float = 0.7
+    retry_after: float = 0.7
     silent: set[Address] = field(default_factory=set)
-    asks: list[tuple[Address, Ask]] = field(default_factory=list)
+    asks: list[tuple[Address, QuotaRequest]] = field(default_factory=list)
     questions: int = 0
 
     def send(self, to: Address, payload: bytes) -> None:
         record = decode(payload)
-        if isinstance(record, Question):
+        if isinstance(record, FreshnessRequest):
             self.questions += 1
-            reply: Proof | Grant = Proof(record.nonce, self.version, self.age, None)
+            reply: FreshnessProof | QuotaGrant = FreshnessProof(record.nonce, self.version, self.age, None)
         else:
-            assert isinstance(record, Ask)
+            assert isinstance(record, QuotaRequest)
             self.asks.append((to, record))
-            status = self.status if self.owner in (None, to) else Status.ELSEWHERE
-            tokens = record.cost if status is Status.GRANTED else 0
-            other = self.owner if status is Status.ELSEWHERE else None
-            reply = Grant(record.nonce, status, tokens, self.pause, other)
+            status = self.status if self.owner in (None, to) else GrantStatus.NOT_OWNER
+            tokens = record.cost if status is GrantStatus.GRANTED else 0
+            other = self.owner if status is GrantStatus.NOT_OWNER else None
+            reply = QuotaGrant(record.nonce, status, tokens, self.retry_after, other)
         if to not in self.silent:
             asyncio.get_running_loop().call_soon(self.admission.receive, to, encode(reply))
 
@@ -230,7 +238,7 @@
         assert answer.startswith(b"HTTP/1.1 429") and b"Retry-After: 0.700" in answer
         assert not backend.requests
 
-    asyncio.run(play(ask, [backend], controllers=Controllers(status=Status.DENIED)))
+    asyncio.run(play(ask, [backend], controllers=Controllers(status=GrantStatus.DENIED)))
 
 
 def test_another_controller_is_asked_where_one_does_not_respond() -> None:
@@ -325,9 +333,11 @@
             await asyncio.sleep(0)
         to, payload = held[0]
         record = decode(payload)
-        assert isinstance(record, Ask)
+        assert isinstance(record, QuotaRequest)
         controllers.admission._loop = LaterLoop()
-        controllers.admission.receive(to, encode(Grant(record.nonce, Status.GRANTED, record.cost, 0.0, None)))
+        controllers.admission.receive(
+            to, encode(QuotaGrant(record.nonce, GrantStatus.GRANTED, record.cost, 0.0, None))
+        )
         assert (await asking).startswith(b"HTTP/1.1 503")
         assert not backend.requests
 
--- a/tests/fleet/tenancy/test_floors.py
+++ b/tests/fleet/tenancy/test_floors.py
@@ -19,12 +19,12 @@
 ONE, TWO = tenant_id("one"), tenant_id("two")
 
 
-def test_a_record_comes_back() -> None:
+def test_a_record_is_decoded_as_it_was_encoded() -> None:
     record = FloorsRecord(2**63, {ONE: -5, TWO: REMOVED})
     assert unpack_floors(record.pack()) == record
 
 
-def test_whatever_is_no_record_is_refused() -> None:
+def test_bytes_that_are_no_record_are_rejected() -> None:
     whole, drawn = FloorsRecord(7, {ONE: 5, TWO: 6}).pack(), random.Random(1)
     for _ in range(300):
         data = bytearray(whole)
@@ -39,13 +39,13 @@
 
 
 def test_a_part_keeps_floors_beside_instances_and_over_a_snapshot() -> None:
-    told: list[FloorsRecord] = []
-    part = ServicePart(on_floors=told.append)
+    reported: list[FloorsRecord] = []
+    part = ServicePart(on_floors=reported.append)
     part.apply(1, ServiceRecord("s", 3, b"x").pack())
     record = FloorsRecord(1, {ONE: 5, TWO: 6})
     assert part.apply(2, record.pack()) == KEPT
     assert part.apply(3, FloorsRecord(2, {TWO: REMOVED, ONE: 4}).pack()) == KEPT
-    assert part.floors == {ONE: 4} and len(told) == 2
+    assert part.floors == {ONE: 4} and len(reported) == 2
     again = ServicePart()
     kept = again.floors
     again.floors[TWO] = 9
@@ -66,7 +66,7 @@
         again.load(without + b"\0")
 
 
-def test_a_record_that_is_cut_changes_nothing() -> None:
+def test_a_truncated_record_changes_nothing() -> None:
     part = ServicePart()
     assert part.apply(1, FloorsRecord(1, {ONE: 5}).pack()[:-1]) == SUPERSEDED
     assert not part.floors
--- a/tests/fleet/tenancy/test_freshness.py
+++ b/tests/fleet/tenancy/test_freshness.py
@@ -17,8 +17,8 @@
 import pytest
 
 from firvane.core.address import Address
-from firvane.fleet.tenancy.freshness import PATIENCE, QUESTIONS_IN_TIME, Freshness
-from firvane.fleet.tenancy.messages import Proof, Question
+from firvane.fleet.tenancy.freshness import REQUESTS_PER_MAX_AGE, RESPONSE_TIMEOUT_S, Freshness
+from firvane.fleet.tenancy.messages import FreshnessProof, FreshnessRequest
 
 REVOKE = 5.0
 CONTROLLERS: list[Address] = [("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1)]
@@ -28,98 +28,100 @@
 def proven(age: float = 0.0, version: int = 1, now: float = 10.0) -> Freshness:
     """A router with this version in force, which asked at `now` and was answered with this age."""
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(version)
-    asked = router.question(CONTROLLERS, ROUTERS, now)
+    router.set_version(version)
+    asked = router.next_request(CONTROLLERS, ROUTERS, now)
     assert asked is not None
-    assert router.receive(asked[0], Proof(asked[1].nonce, version, age, None), now + 0.01)
+    assert router.receive(asked[0], FreshnessProof(asked[1].nonce, version, age, None), now + 0.01)
     return router
 
 
-def test_a_proof_lasts_from_the_question_on_less_its_age() -> None:
+def test_a_proof_lasts_from_its_request_less_its_age() -> None:
     router = proven(age=0.25, now=10.0)
-    last = 10.0 - 0.25 + router.longest
+    last = 10.0 - 0.25 + router.max_age
     assert router.is_fresh(last - 0.001)
     assert not router.is_fresh(last)
-    assert router.longest < REVOKE
+    assert router.max_age < REVOKE
 
 
 def test_nothing_is_fresh_before_the_first_proof() -> None:
     assert not Freshness(random.Random(1), REVOKE).is_fresh(0.0)
 
 
-def test_without_a_bound_nothing_is_asked_and_all_is_fresh() -> None:
+def test_without_a_bound_nothing_is_requested_and_all_is_fresh() -> None:
     router = Freshness(random.Random(1), 0.0)
     assert router.is_fresh(1e9)
-    assert router.question(CONTROLLERS, ROUTERS, 1e9) is None
+    assert router.next_request(CONTROLLERS, ROUTERS, 1e9) is None
 
 
 def test_a_proof_of_a_newer_version_counts_once_it_is_in_force() -> None:
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(1)
-    asked = router.question(CONTROLLERS, ROUTERS, 10.0)
+    router.set_version(1)
+    asked = router.next_request(CONTROLLERS, ROUTERS, 10.0)
     assert asked is not None
-    router.receive(asked[0], Proof(asked[1].nonce, 4, 0.0, None), 10.01)
+    router.receive(asked[0], FreshnessProof(asked[1].nonce, 4, 0.0, None), 10.01)
     assert not router.is_fresh(10.02)
-    router.configured(3)
+    router.set_version(3)
     assert not router.is_fresh(10.02)
-    router.configured(4)
+    router.set_version(4)
     assert router.is_fresh(10.02)
 
 
 def test_a_proof_of_an_older_version_counts_for_a_newer_one() -> None:
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(9)
-    asked = router.question(CONTROLLERS, ROUTERS, 10.0)
+    router.set_version(9)
+    asked = router.next_request(CONTROLLERS, ROUTERS, 10.0)
     assert asked is not None
-    router.receive(asked[0], Proof(asked[1].nonce, 8, 0.0, None), 10.01)
+    router.receive(asked[0], FreshnessProof(asked[1].nonce, 8, 0.0, None), 10.01)
     assert router.is_fresh(10.02)
 
 
-def test_only_the_last_question_can_be_answered() -> None:
+def test_only_the_last_request_can_be_answered() -> None:
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(1)
-    first = router.question(CONTROLLERS, ROUTERS, 10.0)
-    second = router.question(CONTROLLERS, ROUTERS, 10.0 + PATIENCE)
+    router.set_version(1)
+    first = router.next_request(CONTROLLERS, ROUTERS, 10.0)
+    second = router.next_request(CONTROLLERS, ROUTERS, 10.0 + RESPONSE_TIMEOUT_S)
     assert first is not None and second is not None and second[0] != first[0]
-    assert not router.receive(first[0], Proof(first[1].nonce, 1, 0.0, None), 10.3)
-    assert router.receive(second[0], Proof(second[1].nonce, 1, 0.0, None), 10.3)
-    assert not router.receive(second[0], Proof(second[1].nonce, 1, 0.0, None), 10.3)
+    assert not router.receive(first[0], FreshnessProof(first[1].nonce, 1, 0.0, None), 10.3)
+    assert router.receive(second[0], FreshnessProof(second[1].nonce, 1, 0.0, None), 10.3)
+    assert not router.receive(second[0], FreshnessProof(second[1].nonce, 1, 0.0, None), 10.3)
 
 
-def test_who_cannot_tell_names_whom_to_ask_at_once() -> None:
+def test_a_redirect_is_followed_at_once() -> None:
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(1)
-    asked = router.question(CONTROLLERS, ROUTERS, 10.0)
+    router.set_version(1)
+    asked = router.next_request(CONTROLLERS, ROUTERS, 10.0)
     assert asked is not None and asked[0] == CONTROLLERS[0]
-    assert not router.receive(asked[0], Proof(asked[1].nonce, 0, None, CONTROLLERS[2]), 10.01)
-    again = router.question(CONTROLLERS, ROUTERS, 10.01)
+    assert not router.receive(asked[0], FreshnessProof(asked[1].nonce, 0, None, CONTROLLERS[2]), 10.01)
+    again = router.next_request(CONTROLLERS, ROUTERS, 10.01)
     assert again is not None and again[0] == CONTROLLERS[2]
 
 
-def test_who_answered_is_asked_again_a_few_times_in_the_time_that_a_proof_lasts() -> None:
+def test_the_process_that_answered_is_asked_again_a_few_times_per_proof() -> None:
     router = proven(now=10.0)
-    assert router.question(CONTROLLERS, ROUTERS, 10.0 + 0.9 * router.longest / QUESTIONS_IN_TIME) is None
-    again = router.question(CONTROLLERS, ROUTERS, 10.0 + 1.01 * router.longest / QUESTIONS_IN_TIME)
+    assert (
+        router.next_request(CONTROLLERS, ROUTERS, 10.0 + 0.9 * router.max_age / REQUESTS_PER_MAX_AGE) is None
+    )
+    again = router.next_request(CONTROLLERS, ROUTERS, 10.0 + 1.01 * router.max_age / REQUESTS_PER_MAX_AGE)
     assert again is not None and again[0] == CONTROLLERS[0]
 
 
-def test_where_no_controller_answers_other_routers_are_asked() -> None:
+def test_other_routers_are_asked_where_no_controller_answers() -> None:
     router = Freshness(random.Random(1), REVOKE)
-    router.configured(1)
+    router.set_version(1)
     asked = set[Address]()
     for turn in range(12):
-        question = router.question(CONTROLLERS, ROUTERS, 10.0 + turn * PATIENCE * 1.01)
-        assert question is not None
-        asked.add(question[0])
+        request = router.next_request(CONTROLLERS, ROUTERS, 10.0 + turn * RESPONSE_TIMEOUT_S * 1.01)
+        assert request is not None
+        asked.add(request[0])
     assert asked >= set(CONTROLLERS)
     assert asked & set(ROUTERS)
 
 
-def test_a_router_passes_its_proof_on_only_while_it_is_recent() -> None:
+def test_a_router_forwards_its_proof_only_while_it_is_recent() -> None:
     router = proven(age=0.0, now=10.0)
-    early = router.answer(Question(5), 10.5)
+    early = router.prove(FreshnessRequest(5), 10.5)
     assert early.age is not None and early.age == pytest.approx(0.5)
-    assert router.answer(Question(5), 10.0 + 0.6 * router.longest).age is None
+    assert router.prove(FreshnessRequest(5), 10.0 + 0.6 * router.max_age).age is None
 
 
 @dataclass
@@ -196,7 +198,7 @@
             self.at(router.frozen_until, lambda: self.install(router, version))
         elif version > router.version:
             router.version = version
-            router.machine.configured(version)
+            router.machine.set_version(version)
 
     def contact(self, address: Address) -> None:
         """A controller that is not cut off reads from a majority what was acknowledged by then."""
@@ -213,10 +215,10 @@
             router.frozen_until = self.now + self.random.uniform(0.5, 8.0)
         if self.now >= router.frozen_until:
             others = [each for each in ROUTERS if each != address]
-            question = router.machine.question(CONTROLLERS, others, router.clock(self.now))
-            if question is not None:
-                target, asked = question
-                self.send(lambda: self.answer(address, target, asked))
+            request = router.machine.next_request(CONTROLLERS, others, router.clock(self.now))
+            if request is not None:
+                target, asked = request
+                self.send(lambda: self.prove(address, target, asked))
             self.look(router)
         self.at(self.now + 0.05, lambda: self.turn(address))
 
@@ -230,19 +232,19 @@
             )
             self.at(self.now + delay, call)
 
-    def answer(self, asker: Address, target: Address, question: Question) -> None:
+    def prove(self, asker: Address, target: Address, request: FreshnessRequest) -> None:
         if target in self.controllers:
             controller = self.controllers[target]
-            proof = Proof(question.nonce, controller.version, self.now - controller.proven_at, None)
+            proof = FreshnessProof(request.nonce, controller.version, self.now - controller.proven_at, None)
         else:
-            other = self.routers[target]
-            if self.now < other.frozen_until:
-                self.at(other.frozen_until, lambda: self.answer(asker, target, question))
+            redirect = self.routers[target]
+            if self.now < redirect.frozen_until:
+                self.at(redirect.frozen_until, lambda: self.prove(asker, target, request))
                 return
-            proof = other.machine.answer(question, other.clock(self.now))
+            proof = redirect.machine.prove(request, redirect.clock(self.now))
         self.send(lambda: self.receive(asker, target, proof))
 
-    def receive(self, asker: Address, target: Address, proof: Proof) -> None:
+    def receive(self, asker: Address, target: Address, proof: FreshnessProof) -> None:
         router = self.routers[asker]
         if self.now < router.frozen_until:
             self.at(router.frozen_until, lambda: self.receive(asker, target, proof))
@@ -259,7 +261,7 @@
         assert router.version >= newest, (self.seed, self.now, router.version, newest)
 
 
-def test_what_is_fresh_knows_every_removal_older_than_the_bound() -> None:
+def test_a_fresh_configuration_has_every_removal_older_than_the_bound() -> None:
     fresh = stale = 0
     for seed in range(60):
         world = World(seed)
--- a/tests/fleet/tenancy/test_messages.py
+++ b/tests/fleet/tenancy/test_messages.py
@@ -8,12 +8,12 @@
 
 from firvane.fleet.tenancy.messages import (
     MAX_TOKENS,
-    Ask,
-    Grant,
-    Proof,
-    Question,
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
     Record,
-    Status,
     TenancyError,
     decode,
     encode,
@@ -21,36 +21,36 @@
 )
 
 RECORDS: list[Record] = [
-    Question(7),
-    Proof(8, 3, None, ("10.0.0.4", 7300)),
-    Proof(8, 3, None, None),
-    Ask(9, tenant_id("huka270"), 2, 9190, 0, 17),
-    Grant(9, Status.GRANTED, 9190, 0.0, None),
-    Grant(9, Status.DENIED, 0, 1.25, None),
-    Grant(9, Status.ELSEWHERE, 0, 0.0, ("10.2.0.41", 65535)),
+    FreshnessRequest(7),
+    FreshnessProof(8, 3, None, ("10.0.0.4", 7300)),
+    FreshnessProof(8, 3, None, None),
+    QuotaRequest(9, tenant_id("huka270"), 2, 9190, 0, 17),
+    QuotaGrant(9, GrantStatus.GRANTED, 9190, 0.0, None),
+    QuotaGrant(9, GrantStatus.DENIED, 0, 1.25, None),
+    QuotaGrant(9, GrantStatus.NOT_OWNER, 0, 0.0, ("10.2.0.41", 65535)),
 ]
 
 
 @pytest.mark.parametrize("record", RECORDS)
-def test_a_record_comes_back(record: Record) -> None:
+def test_a_record_is_decoded_as_it_was_encoded(record: Record) -> None:
     assert decode(encode(record)) == record
 
 
-def test_an_age_never_comes_back_smaller() -> None:
+def test_an_age_is_never_decoded_smaller() -> None:
     drawn = random.Random(1)
     for _ in range(500):
         age = drawn.uniform(0.0, 5.0)
-        came = decode(encode(Proof(1, 1, age, None)))
-        assert isinstance(came, Proof) and came.age is not None
+        came = decode(encode(FreshnessProof(1, 1, age, None)))
+        assert isinstance(came, FreshnessProof) and came.age is not None
         assert age < came.age <= age + 0.0011
 
 
-def test_amounts_beyond_the_field_are_cut() -> None:
-    came = decode(encode(Ask(1, tenant_id("t"), 1, 10**12, -4, 3)))
-    assert came == Ask(1, tenant_id("t"), 1, MAX_TOKENS, 0, 3)
+def test_amounts_beyond_the_field_are_capped() -> None:
+    came = decode(encode(QuotaRequest(1, tenant_id("t"), 1, 10**12, -4, 3)))
+    assert came == QuotaRequest(1, tenant_id("t"), 1, MAX_TOKENS, 0, 3)
 
 
-def test_whatever_is_no_record_is_refused() -> None:
+def test_bytes_that_are_no_record_are_rejected() -> None:
     drawn = random.Random(2)
     whole = [encode(record) for record in RECORDS]
     for _ in range(2_000):
@@ -67,4 +67,4 @@
     with pytest.raises(TenancyError):
         decode(b"")
     with pytest.raises(TenancyError):
-        decode(encode(Grant(1, Status.DENIED, 0, 0.0, None)).replace(b"\x02", b"\x09", 1))
+        decode(encode(QuotaGrant(1, GrantStatus.DENIED, 0, 0.0, None)).replace(b"\x02", b"\x09", 1))
--- a/tests/fleet/tenancy/test_quota.py
+++ b/tests/fleet/tenancy/test_quota.py
@@ -19,40 +19,49 @@
 from firvane.fleet.partitions import part_of
 from firvane.fleet.tenancy.allowance import Allowances
 from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
-from firvane.fleet.tenancy.messages import Ask, Grant, Status, tenant_id
-from firvane.fleet.tenancy.quota import AHEAD_PART, BURST_PART, DEBT_PART, SIZE_PART, QuotaLedger, QuotaRules
+from firvane.fleet.tenancy.messages import GrantStatus, QuotaGrant, QuotaRequest, tenant_id
+from firvane.fleet.tenancy.quota import (
+    EXTRA_BURST_RATIO,
+    MAX_DEBT_RATIO,
+    PREFETCH_RATIO,
+    USUAL_SIZE_RATIO,
+    QuotaRules,
+    QuotaTable,
+)
 
 RULES = QuotaRules(8.0, 0.1, 110_000.0)
 TENANT = Tenant("huka270", rate=40_000.0, burst=40_000.0, counts_tokens=True)
 PART = 1
 
 
-BEYOND = RULES.beyond(TENANT)
+BEYOND = RULES.allowance(TENANT)
 LIMIT = (TENANT.rate * RULES.window + TENANT.burst) * (1 + RULES.overage) + RULES.slack
-SIZE = int(TENANT.burst + SIZE_PART * BEYOND + BURST_PART * TENANT.rate * RULES.window)
-DEBT = int(DEBT_PART * BEYOND)
+SIZE = int(TENANT.burst + USUAL_SIZE_RATIO * BEYOND + EXTRA_BURST_RATIO * TENANT.rate * RULES.window)
+DEBT = int(MAX_DEBT_RATIO * BEYOND)
 NAME = tenant_id(TENANT.name)
 LOW = -(10**12)
 
 
-def ledger(tenant: Tenant = TENANT, floor: int | None = LOW, start: int | None = None) -> QuotaLedger:
+def ledger(tenant: Tenant = TENANT, floor: int | None = LOW, start: int | None = None) -> QuotaTable:
     """A ledger whose bucket begins with `start` tokens (0 if None) and may fall to `floor`."""
-    found, floors = QuotaLedger(RULES), Floors()
+    found, floors = QuotaTable(RULES), Floors()
     found.configure([tenant])
     if floor is not None:
         floors[tenant_id(tenant.name)] = start or 0
-    found.own(PART, floors, 0.0)
+    found.acquire(PART, floors, 0.0)
     if floor is not None:
-        found.grant(ask(0, tenant=tenant), 0.0)
+        found.grant(request(0, tenant=tenant), 0.0)
         floors[tenant_id(tenant.name)] = floor
     return found
 
 
-def ask(cost: int, ahead: int = 0, spent: int = 0, tenant: Tenant = TENANT, nonce: int = 1) -> Ask:
-    return Ask(nonce, tenant_id(tenant.name), PART, cost, ahead, spent)
+def request(
+    cost: int, prefetch: int = 0, spent: int = 0, tenant: Tenant = TENANT, nonce: int = 1
+) -> QuotaRequest:
+    return QuotaRequest(nonce, tenant_id(tenant.name), PART, cost, prefetch, spent)
 
 
-def status(grant: Grant | None) -> Status | None:
+def status(grant: QuotaGrant | None) -> GrantStatus | None:
     return grant and grant.status
 
 
@@ -60,104 +69,104 @@
     assert part_of(TENANT.name) == PART
 
 
-def test_a_bucket_begins_at_its_floor_and_fills_at_the_rate() -> None:
+def test_a_bucket_starts_at_its_floor_and_fills_at_the_rate() -> None:
     found = ledger(start=-4_000)
-    needed = 4_000 / ((1 - BURST_PART) * TENANT.rate)  # its owner before may have seen it full
-    assert status(found.grant(ask(1), needed - 0.01)) is Status.DENIED
-    assert status(found.grant(ask(1), needed + 0.01)) is Status.GRANTED
+    needed = 4_000 / ((1 - EXTRA_BURST_RATIO) * TENANT.rate)  # its owner before may have seen it full
+    assert status(found.grant(request(1), needed - 0.01)) is GrantStatus.DENIED
+    assert status(found.grant(request(1), needed + 0.01)) is GrantStatus.GRANTED
 
 
 def test_a_tenant_without_a_floor_has_a_full_bucket_and_is_granted_nothing_before_it_has_one() -> None:
-    found, floors = QuotaLedger(RULES), Floors()
+    found, floors = QuotaTable(RULES), Floors()
     found.configure([TENANT])
-    found.own(PART, floors, 0.0)
-    assert found.grant(ask(SIZE), 0.0) is None
+    found.acquire(PART, floors, 0.0)
+    assert found.grant(request(SIZE), 0.0) is None
     due = found.due_floors(PART, 0.0)
     record = FloorsRecord(1, due)
-    found.proposed(PART, record)
-    assert found.grant(ask(1), 0.0) is None
+    found.on_proposed(PART, record)
+    assert found.grant(request(1), 0.0) is None
     floors.apply(record)
-    found.committed(PART, record)
-    assert status(found.grant(ask(SIZE - due[NAME] - 1), 0.0)) is Status.GRANTED
-    assert found.grant(ask(1_000), 0.0) is None  # below the floor: a lower one is needed first
+    found.on_committed(PART, record)
+    assert status(found.grant(request(SIZE - due[NAME] - 1), 0.0)) is GrantStatus.GRANTED
+    assert found.grant(request(1_000), 0.0) is None  # below the floor: a lower one is needed first
     assert found.due_floors(PART, 0.0)[NAME] < due[NAME]
 
 
 def test_a_higher_floor_binds_from_its_proposal_on_and_a_lower_one_from_its_commit() -> None:
-    found, floors = QuotaLedger(RULES), Floors({NAME: 0})
+    found, floors = QuotaTable(RULES), Floors({NAME: 0})
     found.configure([TENANT])
-    found.own(PART, floors, 0.0)
-    found.grant(ask(0), 10.0)
+    found.acquire(PART, floors, 0.0)
+    found.grant(request(0), 10.0)
     higher = FloorsRecord(1, found.due_floors(PART, 10.0))
     assert higher.floors[NAME] > 0
-    found.proposed(PART, higher)
-    assert found.grant(ask(SIZE - higher.floors[NAME] + 1), 10.0) is None
+    found.on_proposed(PART, higher)
+    assert found.grant(request(SIZE - higher.floors[NAME] + 1), 10.0) is None
     lower = FloorsRecord(2, {NAME: 0})
-    found.proposed(PART, lower)
-    assert found.grant(ask(SIZE - higher.floors[NAME] + 1), 10.0) is None
+    found.on_proposed(PART, lower)
+    assert found.grant(request(SIZE - higher.floors[NAME] + 1), 10.0) is None
     floors.apply(lower)  # the first one was lost: what was applied after it tells so
-    found.committed(PART, lower)
-    assert status(found.grant(ask(SIZE - higher.floors[NAME] + 1), 10.0)) is Status.GRANTED
+    found.on_committed(PART, lower)
+    assert status(found.grant(request(SIZE - higher.floors[NAME] + 1), 10.0)) is GrantStatus.GRANTED
 
 
 def test_floors_lie_a_margin_below_and_are_moved_seldom() -> None:
-    found, floors = QuotaLedger(RULES), Floors()
+    found, floors = QuotaTable(RULES), Floors()
     found.configure([TENANT])
-    found.own(PART, floors, 0.0)
+    found.acquire(PART, floors, 0.0)
     moves, now = 0, 0.0
     while now < 60.0:
-        found.grant(ask(3_000), now)
+        found.grant(request(3_000), now)
         due = found.due_floors(PART, now)
         if due:
             moves += 1
             record = FloorsRecord(moves, due)
-            found.proposed(PART, record)
+            found.on_proposed(PART, record)
             floors.apply(record)
-            found.committed(PART, record)
+            found.on_committed(PART, record)
         now += 0.1
     assert moves <= 60
 
 
-def test_a_bucket_at_rest_is_forgotten_with_its_floor() -> None:
-    found, floors = QuotaLedger(RULES), Floors({NAME: 0})
+def test_an_idle_bucket_is_dropped_with_its_floor() -> None:
+    found, floors = QuotaTable(RULES), Floors({NAME: 0})
     found.configure([TENANT])
-    found.own(PART, floors, 0.0)
-    found.grant(ask(10), 1.0)
+    found.acquire(PART, floors, 0.0)
+    found.grant(request(10), 1.0)
     assert found.due_floors(PART, 100.0) == {NAME: REMOVED}
     record = FloorsRecord(1, {NAME: REMOVED})
-    found.proposed(PART, record)
-    assert found.grant(ask(1), 100.0) is None
+    found.on_proposed(PART, record)
+    assert found.grant(request(1), 100.0) is None
     floors.apply(record)
-    found.committed(PART, record)
+    found.on_committed(PART, record)
     assert not floors and found.due_floors(PART, 100.0) == {}
 
 
 def test_the_bucket_is_bounded_and_overdrawn_by_one_request() -> None:
-    assert status(ledger().grant(ask(SIZE + DEBT + 2), 1e6)) is Status.DENIED
+    assert status(ledger().grant(request(SIZE + DEBT + 2), 1e6)) is GrantStatus.DENIED
     found = ledger()
-    assert status(found.grant(ask(SIZE + DEBT - 2), 1e6)) is Status.GRANTED
-    assert status(found.grant(ask(1), 1e6)) is Status.DENIED
+    assert status(found.grant(request(SIZE + DEBT - 2), 1e6)) is GrantStatus.GRANTED
+    assert status(found.grant(request(1), 1e6)) is GrantStatus.DENIED
 
 
 def test_after_a_burst_from_a_full_bucket_no_window_holds_more_than_the_limit() -> None:
-    for pause in (0.0, 0.5, 2.0, 7.9, 8.1, 20.0):
+    for retry_after in (0.0, 0.5, 2.0, 7.9, 8.1, 20.0):
         found, used = ledger(), list[tuple[float, int]]()
-        for start in (100.0, 100.0 + pause):
+        for start in (100.0, 100.0 + retry_after):
             for turn in range(1_000):
-                now = start + turn * 0.008 if pause >= 8.0 else start + turn * 0.02
-                if status(found.grant(ask(2_000), now)) is Status.GRANTED:
+                now = start + turn * 0.008 if retry_after >= 8.0 else start + turn * 0.02
+                if status(found.grant(request(2_000), now)) is GrantStatus.GRANTED:
                     used.append((now, 2_000))
         for at, _ in used:
             inside = sum(cost for when, cost in used if at <= when <= at + RULES.window)
-            assert inside <= LIMIT - 0.2 * BEYOND, pause
+            assert inside <= LIMIT - 0.2 * BEYOND, retry_after
 
 
 def test_a_tenant_within_its_limit_may_use_a_burst_of_some_seconds_more() -> None:
     found = ledger()
     for turn in range(400):  # three quarters of its rate for twenty seconds
-        assert status(found.grant(ask(1_500), 100.0 + turn * 0.05)) is Status.GRANTED
+        assert status(found.grant(request(1_500), 100.0 + turn * 0.05)) is GrantStatus.GRANTED
     for turn in range(120):  # then twice its rate for three
-        assert status(found.grant(ask(2_000), 120.0 + turn * 0.025)) is Status.GRANTED
+        assert status(found.grant(request(2_000), 120.0 + turn * 0.025)) is GrantStatus.GRANTED
 
 
 def test_small_requests_do_not_starve_large_ones() -> None:
@@ -165,68 +174,70 @@
     counts = {1_000: [0, 0], 9_000: [0, 0]}
     for turn in range(4_000):
         cost = drawn.choice((1_000, 9_000))
-        counts[cost][status(found.grant(ask(cost), 10.0 + turn * 0.03)) is Status.GRANTED] += 1
+        counts[cost][status(found.grant(request(cost), 10.0 + turn * 0.03)) is GrantStatus.GRANTED] += 1
     small, large = (granted / (granted + denied) for denied, granted in counts.values())
     assert large < small < 0.9
     assert large > 0.03
 
 
-def test_a_denied_request_is_told_when_to_come_again() -> None:
+def test_a_denied_request_gets_a_retry_after() -> None:
     found = ledger(start=-20_000)
-    denied = found.grant(ask(1_000), 0.0)
-    assert denied is not None and denied.pause == pytest.approx(20_500 / ((1 - BURST_PART) * TENANT.rate))
-    assert status(found.grant(ask(1_000), denied.pause + 0.001)) is Status.GRANTED
+    denied = found.grant(request(1_000), 0.0)
+    assert denied is not None and denied.retry_after == pytest.approx(
+        20_500 / ((1 - EXTRA_BURST_RATIO) * TENANT.rate)
+    )
+    assert status(found.grant(request(1_000), denied.retry_after + 0.001)) is GrantStatus.GRANTED
 
 
-def test_what_can_never_be_granted_is_not_put_off_for_ever() -> None:
-    denied = ledger().grant(ask(10**9), 100.0)
-    assert denied is not None and denied.status is Status.DENIED and denied.pause <= 5.0
+def test_the_retry_after_of_an_impossible_request_is_bounded() -> None:
+    denied = ledger().grant(request(10**9), 100.0)
+    assert denied is not None and denied.status is GrantStatus.DENIED and denied.retry_after <= 5.0
 
 
-def test_who_does_not_own_the_part_grants_nothing() -> None:
+def test_a_controller_that_does_not_own_the_part_grants_nothing() -> None:
     found = ledger()
-    found.disown(PART)
-    assert status(found.grant(ask(1), 100.0)) is Status.ELSEWHERE
+    found.release(PART)
+    assert status(found.grant(request(1), 100.0)) is GrantStatus.NOT_OWNER
     assert not found.due_floors(PART, 100.0)
 
 
 def test_a_tenant_is_granted_nothing_at_another_part_than_its_own() -> None:
     found = ledger()
-    found.own(PART + 1, Floors(), 0.0)
-    assert status(found.grant(ask(1)._replace(part=PART + 1), 100.0)) is Status.ELSEWHERE
+    found.acquire(PART + 1, Floors(), 0.0)
+    assert status(found.grant(request(1)._replace(part=PART + 1), 100.0)) is GrantStatus.NOT_OWNER
 
 
 def test_a_tenant_that_is_not_known_yet_is_granted_nothing() -> None:
-    assert status(ledger().grant(ask(1, tenant=Tenant("other")), 100.0)) is Status.ELSEWHERE
+    assert status(ledger().grant(request(1, tenant=Tenant("other")), 100.0)) is GrantStatus.NOT_OWNER
 
 
 def test_a_tenant_without_a_limit_is_not_counted() -> None:
-    assert status(ledger(Tenant(TENANT.name)).grant(ask(10**9), 0.0)) is Status.UNLIMITED
+    assert status(ledger(Tenant(TENANT.name)).grant(request(10**9), 0.0)) is GrantStatus.UNLIMITED
 
 
 def test_a_lower_limit_binds_at_once_and_a_higher_one_does_not_fill_the_bucket() -> None:
     found = ledger()
-    found.grant(ask(1), 100.0)
+    found.grant(request(1), 100.0)
     found.configure([Tenant(TENANT.name, rate=10.0, burst=10.0)])
-    assert status(found.grant(ask(100_000), 100.0)) is Status.DENIED
+    assert status(found.grant(request(100_000), 100.0)) is GrantStatus.DENIED
     found.configure([Tenant(TENANT.name, rate=10_000.0, burst=10**7)])
-    assert status(found.grant(ask(10**6), 100.1)) is Status.DENIED
+    assert status(found.grant(request(10**6), 100.1)) is GrantStatus.DENIED
 
 
-def test_what_was_used_without_a_grant_is_taken_off() -> None:
+def test_use_without_a_grant_is_deducted() -> None:
     found = ledger()
-    found.grant(ask(1, spent=SIZE), 100.0)
-    assert status(found.grant(ask(1), 100.0)) is Status.DENIED
-    assert status(found.grant(ask(1), 100.1)) is Status.GRANTED
+    found.grant(request(1, spent=SIZE), 100.0)
+    assert status(found.grant(request(1), 100.0)) is GrantStatus.DENIED
+    assert status(found.grant(request(1), 100.1)) is GrantStatus.GRANTED
 
 
-def test_tokens_in_advance_are_bounded_and_only_from_a_well_filled_bucket() -> None:
+def test_prefetched_tokens_are_bounded_and_only_from_a_well_filled_bucket() -> None:
     found = ledger()
-    bound = int(AHEAD_PART * BEYOND)
+    bound = int(PREFETCH_RATIO * BEYOND)
 
-    def granted(at: QuotaLedger, now: float) -> int:
-        grant = at.grant(ask(100, ahead=10**6), now)
-        assert grant is not None and grant.status is Status.GRANTED
+    def granted(at: QuotaTable, now: float) -> int:
+        grant = at.grant(request(100, prefetch=10**6), now)
+        assert grant is not None and grant.status is GrantStatus.GRANTED
         return grant.tokens
 
     assert granted(found, 100.0) == 100 + bound
@@ -257,7 +268,7 @@
         self.order = itertools.count()
         self.routers = [Router() for _ in range(self.random.choice((1, 3, 12)))]
         self.size = self.random.choice((1_500, 5_000, 12_000))
-        self.ledgers = [QuotaLedger(RULES), QuotaLedger(RULES)]
+        self.ledgers = [QuotaTable(RULES), QuotaTable(RULES)]
         self.floors = Floors()  # as they are committed
         self.proposals = 0
         self.under_way: list[FloorsRecord] = []  # in the order of the log
@@ -282,7 +293,7 @@
         """The part passes on, or is nobody's for a while; its owner before may not know it yet."""
         before, self.owner = self.owner, None
         if before is not None and self.random.random() < 0.5:
-            self.ledgers[before].disown(PART)
+            self.ledgers[before].release(PART)
         self.at(self.now + self.random.choice((0.0, 0.5, 2.0)), self.take_over)
 
     def take_over(self) -> None:
@@ -290,7 +301,7 @@
         for record in self.under_way[: self.random.randrange(len(self.under_way) + 1)]:
             self.floors.apply(record)  # the new owner found it in its log; what comes behind is lost
         self.under_way.clear()
-        self.ledgers[self.owner].own(PART, self.floors, self.now)
+        self.ledgers[self.owner].acquire(PART, self.floors, self.now)
         self.at(self.now + self.random.choice((1.0, 7.0, 12.0)), self.elect)
 
     def look(self) -> None:
@@ -306,7 +317,7 @@
             return
         self.proposals += 1
         record = FloorsRecord(self.proposals, floors)
-        self.ledgers[owner].proposed(PART, record)
+        self.ledgers[owner].on_proposed(PART, record)
         if self.random.random() < 0.1:
             return  # it was never appended
         self.under_way.append(record)
@@ -318,7 +329,7 @@
         while True:
             first = self.under_way.pop(0)
             self.floors.apply(first)
-            self.ledgers[self.owner].committed(PART, first)
+            self.ledgers[self.owner].on_committed(PART, first)
             if first is record:
                 return
 
@@ -337,18 +348,22 @@
         if router.allowances.take(name, cost, self.now):
             self.run(router, cost)
             return
-        asked_at, ahead, spent = self.now, router.allowances.ahead(name, cost), router.allowances.spent(name)
-        asked = ask(cost, ahead, spent)
+        requested_at, prefetch, spent = (
+            self.now,
+            router.allowances.prefetch(name, cost),
+            router.allowances.spent(name),
+        )
+        asked = request(cost, prefetch, spent)
         is_waiting = [True]
 
-        def answered(grant: Grant) -> None:
-            if not is_waiting or grant.status in (Status.ELSEWHERE, Status.UNLIMITED):
+        def answered(grant: QuotaGrant) -> None:
+            if not is_waiting or grant.status in (GrantStatus.NOT_OWNER, GrantStatus.UNLIMITED):
                 return
             is_waiting.clear()
-            if self.now > asked_at + 0.25:  # the request is not held any longer
+            if self.now > requested_at + 0.25:  # the request is not held any longer
                 return
-            router.allowances.granted(name, max(0, grant.tokens - cost), spent, asked_at)
-            if grant.status is Status.GRANTED:
+            router.allowances.record_grant(name, max(0, grant.tokens - cost), spent, requested_at)
+            if grant.status is GrantStatus.GRANTED:
                 self.run(router, cost)
 
         def arrives() -> None:
@@ -358,7 +373,7 @@
                     self.send(lambda: answered(grant))
                     return
                 self.propose()
-                if self.now < asked_at + 0.2:
+                if self.now < requested_at + 0.2:
                     self.at(self.now + 0.02, arrives)
 
         self.send(arrives)
@@ -372,11 +387,11 @@
         """Most requests run at once; some are refused, and some run twice."""
         fate = self.random.random()
         if fate < 0.05:
-            router.allowances.give_back(TENANT.name, cost, self.now)
+            router.allowances.refund(TENANT.name, cost, self.now)
             return
         self.ran.append((self.now, cost))
         if fate > 0.98:
-            router.allowances.spend(TENANT.name, cost)
+            router.allowances.charge(TENANT.name, cost)
             self.ran.append((self.now, cost))
 
     def most_in_a_window(self) -> float:
@@ -407,7 +422,7 @@
         super().__post_init__()
         self.is_lossy = False
         self.owner = 0
-        self.ledgers[0].own(PART, self.floors, 0.0)
+        self.ledgers[0].acquire(PART, self.floors, 0.0)
 
     def elect(self) -> None:
         pass
@@ -423,7 +438,7 @@
         self.at(self.now + cost / (TENANT.rate * self.load), self.arrive)
 
 
-def test_what_is_asked_below_the_limit_is_granted_while_there_is_an_owner() -> None:
+def test_requests_below_the_limit_are_granted_while_there_is_an_owner() -> None:
     for seed in range(6):
         world = SteadyWorld(seed, 0.6)
         world.play()
--- a/tests/wire_formats/test_datagrams.py
+++ b/tests/wire_formats/test_datagrams.py
@@ -44,9 +44,10 @@
 
 def encode_tenancy(record: Any) -> bytes:
     """A decoded record as it was sent; the encoder rounds the age of a proof up by a millisecond."""
-    if isinstance(record, tenancy.Proof):
-        nonce, version, age, other = record
-        return tenancy.encode(tenancy.Proof(nonce, version, None if age is None else age - 0.001, other))
+    if isinstance(record, tenancy.FreshnessProof):
+        nonce, version, age, redirect = record
+        sent_age = None if age is None else age - 0.001
+        return tenancy.encode(tenancy.FreshnessProof(nonce, version, sent_age, redirect))
     return tenancy.encode(record)
 
 
