--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -16,10 +16,10 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import Log
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, Route, Tenant
-from firvane.fleet.partitions import part_of
+from firvane.fleet.partitions import partition_of
 from firvane.fleet.router.requests import prompt_tokens
 from firvane.fleet.tenancy.allowance import Allowances, request_cost
 from firvane.fleet.tenancy.freshness import NONCES, Freshness
@@ -142,7 +142,7 @@
         self._keys: KeyRing | None = None
         self._unproven: dict[_PendingAdmission, None] = {}
         self._asking: dict[int, _PendingAdmission] = {}  # by nonce
-        self._owners: dict[int, Address] = {}  # last known, by part
+        self._owners: dict[int, Address] = {}  # last known, by partition
         self._nonce = rng.randrange(NONCES)
         self.rejections = {"unknown_key": 0, "unproven": 0, "over_quota": 0, "no_grant": 0}
 
@@ -169,7 +169,7 @@
         if self._keys is None:
             client.admitted(UNRESTRICTED)
             return
-        if AUTHORIZATION in message.repeated:
+        if AUTHORIZATION in message.repeated_fields:
             client.rejected(STATUS_BAD_REQUEST, 0.0)
             return
         now = self._loop.time()
@@ -240,8 +240,8 @@
         self, pending: _PendingAdmission, tenant: Tenant, now: float, owner: Address | None = None
     ) -> None:
         """Ask for a grant; `owner` is whom to ask, where that is known better than here."""
-        part = part_of(tenant.name)
-        target = owner or self._owners.get(part) or self._any_controller(pending.attempts)
+        partition = partition_of(tenant.name)
+        target = owner or self._owners.get(partition) or self._any_controller(pending.attempts)
         if target is None or now >= pending.until:
             self._reject_ungranted(pending)
             return
@@ -250,21 +250,21 @@
         pending.attempts += 1
         pending.spent = self._allowances.spent(tenant.name)
         request = QuotaRequest(
-            pending.nonce, tenant_id(tenant.name), part, pending.cost, pending.prefetch, pending.spent
+            pending.nonce, tenant_id(tenant.name), partition, pending.cost, pending.prefetch, pending.spent
         )
-        self._await_grant(pending, tenant, part, now)
+        self._await_grant(pending, tenant, partition, now)
         self._send(target, encode_record(request))
 
-    def _await_grant(self, pending: _PendingAdmission, tenant: Tenant, part: int, now: float) -> None:
+    def _await_grant(self, pending: _PendingAdmission, tenant: Tenant, partition: int, now: float) -> None:
         self._asking[pending.nonce] = pending
         due = min(pending.until, now + GRANT_TIMEOUT_S)
-        pending.timer = self._loop.call_at(due, self._ask_again, pending, tenant, part)
+        pending.timer = self._loop.call_at(due, self._ask_again, pending, tenant, partition)
 
-    def _ask_again(self, pending: _PendingAdmission, tenant: Tenant, part: int) -> None:
+    def _ask_again(self, pending: _PendingAdmission, tenant: Tenant, partition: int) -> None:
         """Ask anybody after a time-out, since the owner may be another one by now."""
         if self._asking.pop(pending.nonce, None) is not pending:
             return
-        self._owners.pop(part, None)
+        self._owners.pop(partition, None)
         self._ask(pending, tenant, self._loop.time())
 
     def _reject_ungranted(self, pending: _PendingAdmission) -> None:
@@ -277,11 +277,11 @@
             return
         if pending.timer:
             pending.timer.cancel()
-        tenant, part = pending.tenant, part_of(pending.tenant.name)
+        tenant, partition = pending.tenant, partition_of(pending.tenant.name)
         if grant.status is GrantStatus.NOT_OWNER:
             self._on_not_owner(pending, tenant, grant.redirect, sender, now)
             return
-        self._owners[part] = sender
+        self._owners[partition] = sender
         if now >= pending.until:  # the process was suspended: the tokens are those of another moment
             self._reject_ungranted(pending)
             return
@@ -303,14 +303,14 @@
         now: float,
     ) -> None:
         """Ask the owner that the sender names; wait where it names none but itself."""
-        part = part_of(tenant.name)
-        self._owners.pop(part, None)
+        partition = partition_of(tenant.name)
+        self._owners.pop(partition, None)
         if owner is not None:
-            self._owners[part] = owner
+            self._owners[partition] = owner
         if owner is not None and owner != sender:
             self._ask(pending, tenant, now, owner)
-        else:  # nobody owns the part at this moment
-            self._await_grant(pending, tenant, part, now)
+        else:  # nobody owns the partition at this moment
+            self._await_grant(pending, tenant, partition, now)
 
     def refund(self, admission: Admitted) -> None:
         """Give back the cost of an admitted request that never ran."""
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -24,8 +24,10 @@
 import httptools
 
 from firvane.core.address import Address
-from firvane.core.net.connection_checks import Quiet
-from firvane.core.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
+from firvane.core.net.connection_checks import NoInputCheck
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import format_forwarded_head
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
 from firvane.core.terminations import Ending
 from firvane.fleet.router.events import EventFramer
@@ -103,7 +105,7 @@
 Run: TypeAlias = UpstreamRun[ProxiedRequest, "UpstreamConnection", Pool]
 
 
-class UpstreamConnection(Buffered):
+class UpstreamConnection(BoundedReadProtocol):
     """One connection to a backend; it is in its pool whenever it is idle.
 
     Attributes:
@@ -119,10 +121,12 @@
         closed: Whether the connection is lost.
     """
 
-    def __init__(self, upstreams: Connections, pool: Pool, quiet: Quiet) -> None:
+    def __init__(self, upstreams: Connections, pool: Pool, quiet: NoInputCheck) -> None:
         """`quiet` returns whether nothing has come on the idle socket."""
         self.upstreams, self.pool, self.quiet = upstreams, pool, quiet
-        self.reader = Reader(httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES)
+        self.reader = MessageReader(
+            httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES
+        )
         self.run: Run | None = None
         self.written = True
         self.skipped_responses = 0
@@ -146,7 +150,7 @@
         """End the exchange in flight, and leave the pool (asyncio)."""
         self.closed = True
         self.upstreams.connections -= 1
-        self.reader.drop()
+        self.reader.reset()
         self._end_stream()
         if self in self.pool.idle:
             self.pool.idle.remove(self)
@@ -157,7 +161,7 @@
     def eof_received(self) -> None:
         """Complete a body that lasts until the end of the connection, or close (asyncio)."""
         message = self.reader.message
-        if self.run and message and not self.reader.in_head and not message.framed and self.stream:
+        if self.run and message and not self.reader.in_head and not message.is_framed and self.stream:
             self._complete(message)
         else:
             self.close()
@@ -194,7 +198,7 @@
         self.run, run.connection = run, self
         request.record_sent()
         self.written, self.skipped_responses, self.last_data_at = False, 0, now
-        head = forward_head(request.message, host, without, fields)
+        head = format_forwarded_head(request.message, host, without, fields)
         self.transport.writelines([*head, *request.message.body])
         self._check_written()
 
@@ -224,7 +228,7 @@
         while position < len(data) and self.run:
             try:
                 position = self.reader.step(data, position)
-            except Fault:
+            except HttpError:
                 self._fail(Ending.BAD_ANSWER)
                 return
             if not self._process_response(position < len(data)):
@@ -235,7 +239,7 @@
 
         `followed`: more bytes have come behind it.
         """
-        done = self.reader.done
+        done = self.reader.completed
         message = done[0] if done else self.reader.message
         if message is None or (not done and self.reader.in_head):
             return True
@@ -266,13 +270,13 @@
 
     def _skip(self, message: Message, followed: bool) -> bool:
         """Drop a response, and return whether the exchange goes on."""
-        message.taken()
+        message.take_body()
         if not message.complete:
             return True
-        self.reader.done.pop(0)
+        self.reader.completed.pop(0)
         self.skipped_responses += 1
         too_many = self.skipped_responses > MAX_SKIPPED_RESPONSES
-        if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep:
+        if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep_alive:
             self._fail(Ending.BAD_ANSWER)
             return False
         return self._process_response(followed)
@@ -280,7 +284,7 @@
     def _is_streamed(self, message: Message) -> bool:
         """Return whether a response goes to the client as it comes, and not only once it is complete."""
         kind = message.fields.get(b"content-type", b"")
-        length = message.length()
+        length = message.content_length()
         return kind.startswith(STREAM_TYPE) or length is None or length > MAX_BUFFERED_RESPONSE_BYTES
 
     def _start_stream(self, message: Message) -> bool:
@@ -297,7 +301,7 @@
 
     def _feed(self, message: Message) -> None:
         """Pass on the body that has come, by complete events in a stream of events."""
-        pieces = message.taken()
+        pieces = message.take_body()
         if self.framer:
             events = self.framer.feed(b"".join(pieces))
             pieces = [events] if events else []
@@ -313,7 +317,7 @@
         """End the exchange with a complete response, and reuse or close the connection."""
         if self.stream:
             self._feed(message)
-            rest: Piece = self.framer.finish() if self.framer else b""
+            rest: BytesLike = self.framer.finish() if self.framer else b""
             if rest:
                 self.stream.feed([rest])
             self.stream.end()
@@ -323,8 +327,8 @@
         if run and ending is Ending.TURNED_AWAY:
             self.rejected_ids.add(run.request.request_id)
             run.request.record_rejected()
-        is_clean = message.framed and self.written and not (followed or self.skipped_responses)
-        reusable = message.keep and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
+        is_clean = message.is_framed and self.written and not (followed or self.skipped_responses)
+        reusable = message.keep_alive and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
         if reusable and not self.closed and not self.transport.is_closing():
             self.upstreams.park(self, message)
         else:
@@ -345,11 +349,11 @@
             self.upstreams.streams.pop(self, None)
         self.paused = False
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Pause or resume reading, as the client keeps up with the stream or not."""
-        if held is not self.paused and not self.closed and not self.transport.is_closing():
-            self.paused, self.last_data_at = held, self.upstreams.loop.time()
-            (self.transport.pause_reading if held else self.transport.resume_reading)()
+        if paused is not self.paused and not self.closed and not self.transport.is_closing():
+            self.paused, self.last_data_at = paused, self.upstreams.loop.time()
+            (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def check_stall(self, now: float) -> None:
         """Give up a resumable stream that has stalled for far longer than its events should be apart.
--- a/firvane/fleet/tenancy/floors.py
+++ b/firvane/fleet/tenancy/floors.py
@@ -1,4 +1,4 @@
-"""Floors of tenants' buckets in a part's replicated log: what a new owner may rely on.
+"""Floors of tenants' buckets in a partition's replicated log: what a new owner may rely on.
 
 An owner never lets a bucket fall below its floor before a lower one is committed, and keeps to a higher one
 from its proposal on. So the next owner may start each bucket at its floor, whatever was granted before. A
@@ -59,7 +59,7 @@
 
 
 class Floors(dict[bytes, int]):
-    """The committed floors of one part, by tenant id."""
+    """The committed floors of one partition, by tenant id."""
 
     def apply(self, record: FloorsRecord) -> None:
         """Apply a committed record."""
--- a/firvane/fleet/tenancy/messages.py
+++ b/firvane/fleet/tenancy/messages.py
@@ -19,7 +19,8 @@
 
 _FRESHNESS_REQUEST = struct.Struct("!BQ")  # kind, nonce
 _FRESHNESS_PROOF = struct.Struct("!BQQI4sH")  # kind, nonce, version, age in ms, redirect
-_QUOTA_REQUEST = struct.Struct(f"!BQ{TENANT_ID_BYTES}sBIII")  # kind, nonce, tenant, part, and three amounts
+# kind, nonce, tenant, partition, cost, prefetch, spent
+_QUOTA_REQUEST = struct.Struct(f"!BQ{TENANT_ID_BYTES}sBIII")
 _QUOTA_GRANT = struct.Struct("!BQBII4sH")  # kind, nonce, status, tokens, retry-after in ms, redirect
 
 
@@ -41,7 +42,7 @@
 
     GRANTED = 1
     DENIED = 2  # beyond the tenant's limit at this moment
-    NOT_OWNER = 3  # another controller owns the tenant's part, or none, or the owner does not know the tenant
+    NOT_OWNER = 3  # the sender does not own the tenant's partition, or does not know the tenant
     UNLIMITED = 4  # the tenant has no limit
 
 
@@ -71,7 +72,7 @@
 
     nonce: int
     tenant: bytes
-    part: int
+    partition: int
     cost: int
     prefetch: int
     spent: int
@@ -104,9 +105,9 @@
             return _FRESHNESS_PROOF.pack(
                 Kind.FRESHNESS_PROOF, nonce, version, _encode_age(age), *_encode_address(redirect)
             )
-        case QuotaRequest(nonce, tenant, part, cost, prefetch, spent):
+        case QuotaRequest(nonce, tenant, partition, cost, prefetch, spent):
             amounts = [min(max(0, amount), MAX_TOKENS) for amount in (cost, prefetch, spent)]
-            return _QUOTA_REQUEST.pack(Kind.QUOTA_REQUEST, nonce, tenant, part, *amounts)
+            return _QUOTA_REQUEST.pack(Kind.QUOTA_REQUEST, nonce, tenant, partition, *amounts)
         case QuotaGrant(nonce, status, tokens, retry_after, redirect):
             retry_after_ms = min(_UNKNOWN_AGE, round(retry_after * _MS_PER_S))
             capped = min(tokens, MAX_TOKENS)
--- a/firvane/fleet/tenancy/quota.py
+++ b/firvane/fleet/tenancy/quota.py
@@ -1,4 +1,4 @@
-"""The quotas of tenants, kept by the controller that owns the tenant's part, as token buckets.
+"""The quotas of tenants, kept by the controller that owns the tenant's partition, as token buckets.
 
 A tenant's bucket fills at the tenant's rate, up to its burst and a ratio of what the deployment allows
 beyond. Rules that keep the sum over all routers within the limit, whatever is lost or partitioned:
@@ -28,7 +28,7 @@
 from msgspec import Struct, field
 
 from firvane.fleet.configuration.routes import Tenant
-from firvane.fleet.partitions import part_of
+from firvane.fleet.partitions import partition_of
 from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
 from firvane.fleet.tenancy.messages import GrantStatus, QuotaGrant, QuotaRequest, tenant_id
 
@@ -132,8 +132,8 @@
         return sum(amount for _, amount in self.prefetched)
 
 
-class _OwnedPart:
-    """The buckets of one part, its committed floors, and those proposed since the last commit."""
+class _OwnedPartition:
+    """The buckets of one partition, its committed floors, and those proposed since the last commit."""
 
     def __init__(self, floors: Floors, now: float) -> None:
         self.floors, self.acquired_at = floors, now
@@ -160,37 +160,37 @@
 
 
 class QuotaTable:
-    """The buckets of all tenants whose parts this controller owns. Times are monotonic seconds."""
+    """The buckets of all tenants whose partitions this controller owns. Times are monotonic seconds."""
 
     def __init__(self, rules: QuotaRules) -> None:
         self._rules = rules
         self._tenants: dict[bytes, Tenant] = {}
-        self._part_of: dict[bytes, int] = {}
+        self._partition_of: dict[bytes, int] = {}
         self._bounds: dict[bytes, _Bounds] = {}
-        self._parts: dict[int, _OwnedPart] = {}
+        self._partitions: dict[int, _OwnedPartition] = {}
 
     def configure(self, tenants: Iterable[Tenant]) -> None:
         """Apply the tenants and limits of a configuration."""
         self._tenants = {tenant_id(tenant.name): tenant for tenant in tenants}
-        self._part_of = {name: part_of(tenant.name) for name, tenant in self._tenants.items()}
+        self._partition_of = {name: partition_of(tenant.name) for name, tenant in self._tenants.items()}
         self._bounds.clear()
 
-    def acquire(self, part: int, floors: Floors, now: float) -> None:
-        """Start as the owner of a part, whose floors are committed and applied."""
-        self._parts[part] = _OwnedPart(floors, now)
+    def acquire(self, partition: int, floors: Floors, now: float) -> None:
+        """Start as the owner of a partition, whose floors are committed and applied."""
+        self._partitions[partition] = _OwnedPartition(floors, now)
 
-    def release(self, part: int) -> None:
-        """Stop as the owner of a part."""
-        self._parts.pop(part, None)
+    def release(self, partition: int) -> None:
+        """Stop as the owner of a partition."""
+        self._partitions.pop(partition, None)
 
     def grant(self, request: QuotaRequest, now: float) -> QuotaGrant | None:
         """Return the answer to a quota request; None while it waits for a lower floor.
 
-        The caller has checked that it owns the part now.
+        The caller has checked that it owns the partition now.
         """
-        owned, tenant = self._parts.get(request.part), self._tenants.get(request.tenant)
-        if owned is None or tenant is None or self._part_of[request.tenant] != request.part:
-            # not known here yet, or not the tenant's part
+        owned, tenant = self._partitions.get(request.partition), self._tenants.get(request.tenant)
+        if owned is None or tenant is None or self._partition_of[request.tenant] != request.partition:
+            # not known here yet, or not the tenant's partition
             return QuotaGrant(request.nonce, GrantStatus.NOT_OWNER, 0, 0.0, None)
         if tenant.rate <= 0:
             return QuotaGrant(request.nonce, GrantStatus.UNLIMITED, 0, 0.0, None)
@@ -237,9 +237,9 @@
 
     # Floors
 
-    def due_floors(self, part: int, now: float) -> Mapping[bytes, int]:
-        """Return the new floors that are to be proposed for a part now, by tenant id."""
-        owned = self._parts.get(part)
+    def due_floors(self, partition: int, now: float) -> Mapping[bytes, int]:
+        """Return the new floors that are to be proposed for a partition now, by tenant id."""
+        owned = self._partitions.get(partition)
         due = dict[bytes, int]()
         if owned is None:
             return due
@@ -256,7 +256,7 @@
 
     @staticmethod
     def _due_floor(
-        owned: _OwnedPart, name: bytes, bucket: _Bucket, bounds: _Bounds, now: float
+        owned: _OwnedPartition, name: bytes, bucket: _Bucket, bounds: _Bounds, now: float
     ) -> int | None:
         """Return the new floor of a bucket, None where it needs none; drop an idle one without a floor."""
         wanted = math.floor(max(-bounds.debt, bucket.tokens - bounds.margin))
@@ -270,14 +270,14 @@
             return wanted
         return wanted if bucket.tokens - floor > 2 * bounds.margin else None
 
-    def on_proposed(self, part: int, record: FloorsRecord) -> None:
+    def on_proposed(self, partition: int, record: FloorsRecord) -> None:
         """Keep to the higher ones among proposed floors from now on."""
-        if part in self._parts:
-            self._parts[part].proposed.append(record)
+        if partition in self._partitions:
+            self._partitions[partition].proposed.append(record)
 
-    def on_committed(self, part: int, record: FloorsRecord) -> None:
+    def on_committed(self, partition: int, record: FloorsRecord) -> None:
         """Drop the proposals up to a committed record: each of them is applied by now, or never will be."""
-        owned = self._parts.get(part)
+        owned = self._partitions.get(partition)
         if owned is None:
             return
         numbers = [each.number for each in owned.proposed]
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -66,23 +66,23 @@
     ),
     Mutant(
         "a body arrives as it was sent, whatever connection it goes on",
-        "firvane/proxy/net/client_requests.py",
-        "        self.upload.feed(message.taken())\n",
+        "firvane/proxy/net/client_connection.py",
+        "        self.upload.feed(message.take_body())\n",
         "",
         f"{FILE} -k arrives_as_it_was_sent",
     ),
     Mutant(
         "what is sent behind a body in chunks is none of it",
-        "firvane/core/net/http.py",
-        "            if not (message and message.status):",
-        "            if not self.in_chunks():",
+        "firvane/core/net/http_reader.py",
+        "        if not (message and message.status):",
+        "        if not self.in_unsized_body():",
         f"{FILE} -k none_of_it",
     ),
     Mutant(
         "nothing is written once its time is over",
         FORWARD,
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
-        "over = not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.sender_waits()",
+        "over = not run.request.sender_waits()",
         f"{FILE} -k time_is_over",
     ),
     Mutant(
@@ -95,8 +95,8 @@
     Mutant(
         "a connection that has just been given back is not used yet",
         FORWARD,
-        "            if self.idle[place].idle_since <= settled:\n",
-        "            if self.idle[place].idle_since <= settled or not place:\n",
+        "            if self.idle[position].idle_since <= settled:\n",
+        "            if self.idle[position].idle_since <= settled or not position:\n",
         f"{FILE} -k second_answer",
     ),
     Mutant(
@@ -130,7 +130,7 @@
     Mutant(
         "an idle connection is looked at before it is used",
         FORWARD,
-        "return not self.transport.is_closing() and self.quiet()",
+        "return not self.transport.is_closing() and self.has_no_input()",
         "return not self.transport.is_closing()",
         f"{FILE} -k turns_out_closed",
     ),
@@ -144,7 +144,7 @@
     Mutant(
         "an answer cut short is no answer",
         FORWARD,
-        "self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)",
+        "self._end(Ending.SERVED if announced else Ending.BROKE_SENT, message)",
         "self._end(Ending.SERVED, message)",
         f"{FILE} -k fin-without-a-length",
     ),
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -39,7 +39,7 @@
     Mutant(
         "records of services are withheld like the configuration",
         "firvane/fleet/controller/controller.py",
-        "            return not self.host.has_quorum_contact(part_of(service))\n",
+        "            return not self.host.has_quorum_contact(partition_of(service))\n",
         "            return False\n",
         f"{HAND_OUT}test_a_controller_without_a_majority_hands_out_nothing",
     ),
@@ -137,8 +137,8 @@
     Mutant(
         "a connection on which a request is not written whole is not used again",
         "firvane/fleet/router/upstream_connection.py",
-        "is_clean = message.framed and self.written and not",
-        "is_clean = message.framed and not",
+        "is_clean = message.is_framed and self.written and not",
+        "is_clean = message.is_framed and not",
         UPSTREAM,
     ),
 ]
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -58,14 +58,14 @@
     Mutant(
         "who heard of no majority lately proves nothing",
         "firvane/fleet/controller/tenant_service.py",
-        "        if age is None or age > PROOF_PATIENCE:\n",
+        "        if age is None or age > MAX_PROOF_AGE_S:\n",
         "        if age is None:\n",
         SERVICE,
     ),
     Mutant(
         "only the owner under its lease grants",
         "firvane/fleet/controller/tenant_service.py",
-        "        if not self._replication.is_owner(request.part):\n",
+        "        if not self._replication.is_owner(request.partition):\n",
         "        if False:\n",
         SERVICE,
     ),
--- a/tests/fleet/tenancy/test_quota.py
+++ b/tests/fleet/tenancy/test_quota.py
@@ -16,7 +16,7 @@
 import pytest
 
 from firvane.fleet.configuration.routes import Tenant
-from firvane.fleet.partitions import part_of
+from firvane.fleet.partitions import partition_of
 from firvane.fleet.tenancy.allowance import Allowances
 from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
 from firvane.fleet.tenancy.messages import GrantStatus, QuotaGrant, QuotaRequest, tenant_id
@@ -66,7 +66,7 @@
 
 
 def test_the_part_of_the_tenant_is_the_one_that_the_tests_ask() -> None:
-    assert part_of(TENANT.name) == PART
+    assert partition_of(TENANT.name) == PART
 
 
 def test_a_bucket_starts_at_its_floor_and_fills_at_the_rate() -> None:
@@ -204,7 +204,7 @@
 def test_a_tenant_is_granted_nothing_at_another_part_than_its_own() -> None:
     found = ledger()
     found.acquire(PART + 1, Floors(), 0.0)
-    assert status(found.grant(request(1)._replace(part=PART + 1), 100.0)) is GrantStatus.NOT_OWNER
+    assert status(found.grant(request(1)._replace(partition=PART + 1), 100.0)) is GrantStatus.NOT_OWNER
 
 
 def test_a_tenant_that_is_not_known_yet_is_granted_nothing() -> None:
