--- a/firvane/fleet/router/requests.py
+++ b/firvane/fleet/router/requests.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from firvane.core.net.http import Fault, Message
+from firvane.core.net.http_message import HttpError, Message
 from firvane.fleet.configuration.routes import Route
 
 REQUEST_ID = b"x-request-id"
@@ -77,11 +77,11 @@
     Raises:
         Fault: Its framing is ambiguous, or a field that must be single is repeated.
     """
-    if not SINGLE_FIELDS.isdisjoint(message.repeated):
-        raise Fault(BAD_REQUEST)
+    if not SINGLE_FIELDS.isdisjoint(message.repeated_fields):
+        raise HttpError(BAD_REQUEST)
     coding = message.fields.get(b"transfer-encoding")
     if coding is not None and (coding.lower() != b"chunked" or b"content-length" in message.fields):
-        raise Fault(BAD_REQUEST)
+        raise HttpError(BAD_REQUEST)
 
 
 def client_deadline_ms(message: Message) -> int | None:
--- a/firvane/proxy/quorum/text_fetch.py
+++ b/firvane/proxy/quorum/text_fetch.py
@@ -17,9 +17,9 @@
 from typing import cast
 
 from firvane.core.address import Address
-from firvane.core.net.connection_checks import Quiet
+from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.dialer import Dialer, Dialing
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.admin_api.calls import Call, got
 from firvane.proxy.quorum.uploads import TextAssembly
 
@@ -143,10 +143,10 @@
             lambda ending: self._on_dial_failed(request, ending),
         )
 
-    def _protocol(self, request: ChunkRequest, quiet: Quiet) -> ChunkRequest:
+    def _protocol(self, request: ChunkRequest, quiet: NoInputCheck) -> ChunkRequest:
         return request
 
-    def _on_dial_failed(self, request: ChunkRequest, ending: Ending) -> None:
+    def _on_dial_failed(self, request: ChunkRequest, ending: Termination) -> None:
         self._fail(request, f"its door cannot be reached: {ending.value}")
 
     def _on_timeout(self, request: ChunkRequest) -> None:
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -5,7 +5,8 @@
 from tests.crossings.mutants import Mutant
 
 FILE = "tests/crossings/test_attempts.py"
-ENGINE, FORWARD = "firvane/core/engine.py", "firvane/proxy/net/upstream_pool.py"
+ENGINE, FLOWS = "firvane/core/engine.py", "firvane/core/flows.py"
+FORWARD = "firvane/proxy/net/upstream_pool.py"
 
 MUTANTS = [
     Mutant(
@@ -32,57 +33,58 @@
     Mutant(
         "what is not written when its client leaves is not written at all",
         ENGINE,
-        """            self.give(api.ClientGone(flow.id))
+        """            self.dispatch(api.ClientGone(flow.id))
             self._withdraw(flow)
             self._forget(flow)
 
-    def hasten""",
-        """            self.give(api.ClientGone(flow.id))
+    def shorten_deadlines""",
+        """            self.dispatch(api.ClientGone(flow.id))
             self._forget(flow)
 
-    def hasten""",
+    def shorten_deadlines""",
         f"{FILE} -k half_written",
     ),
     Mutant(
         "a copy that comes up after the answer is not written",
         ENGINE,
-        "        if flow.live and not flow.open:\n            self._withdraw(flow)\n",
+        "        if flow.attempts_in_flight and not flow.open:\n            self._withdraw(flow)\n",
         "",
         f"{FILE} -k after_the_answer",
     ),
     Mutant(
         "nor one that comes up after a long answer has begun",
         ENGINE,
-        "forward.took))\n        self._withdraw(flow, forward)\n",
-        "forward.took))\n",
+        "attempt.time_to_response))\n        self._withdraw(flow, attempt)\n",
+        "attempt.time_to_response))\n",
         f"{FILE} -k after_the_answer",
     ),
     Mutant(
         "a long body goes out on one attempt alone",
         ENGINE,
-        "            self.give(api.BodyConsumed(flow.id))\n            self._withdraw(flow, forward)\n",
-        "            self.give(api.BodyConsumed(flow.id))\n",
+        "            self.dispatch(api.BodyConsumed(flow.id))\n            self._withdraw(flow, attempt)\n",
+        "            self.dispatch(api.BodyConsumed(flow.id))\n",
         f"{FILE} -k long_body",
     ),
     Mutant(
         "a body arrives as it was sent, whatever connection it goes on",
-        "firvane/proxy/net/client_requests.py",
-        "        self.upload.feed(message.taken())\n",
+        "firvane/proxy/net/client_connection.py",
+        "        self.upload.feed(message.take_body())\n",
         "",
         f"{FILE} -k arrives_as_it_was_sent",
     ),
     Mutant(
         "what is sent behind a body in chunks is none of it",
-        "firvane/core/net/http.py",
-        "            if not (message and message.status):",
-        "            if not self.in_chunks():",
+        "firvane/core/net/http_reader.py",
+        "        if not (message and message.status):",
+        "        if not self.in_unsized_body():",
         f"{FILE} -k none_of_it",
     ),
     Mutant(
         "nothing is written once its time is over",
         FORWARD,
-        "over = now >= min(run.exchange.deadline, run.exchange.by) or not run.request.wanted()",
-        "over = not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.start_before) "
+        "or not run.request.sender_waits()",
+        "over = not run.request.sender_waits()",
         f"{FILE} -k time_is_over",
     ),
     Mutant(
@@ -95,22 +97,22 @@
     Mutant(
         "a connection that has just been given back is not used yet",
         FORWARD,
-        "            if self.idle[place].idle_since <= settled:\n",
-        "            if self.idle[place].idle_since <= settled or not place:\n",
+        "            if self.idle[position].idle_since <= settled:\n",
+        "            if self.idle[position].idle_since <= settled or not position:\n",
         f"{FILE} -k second_answer",
     ),
     Mutant(
         "what was written whole may have run, whatever broke then",
         FORWARD,
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_UNSENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_BEFORE_SENT)",
         f"{FILE} -k reset-before-the-answer",
     ),
     Mutant(
         "what was not written whole never ran",
         FORWARD,
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_SENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT)",
         f"{FILE} -k broken_before_its_last_byte",
     ),
     Mutant(
@@ -130,7 +132,7 @@
     Mutant(
         "an idle connection is looked at before it is used",
         FORWARD,
-        "return not self.transport.is_closing() and self.quiet()",
+        "return not self.transport.is_closing() and self.has_no_input()",
         "return not self.transport.is_closing()",
         f"{FILE} -k turns_out_closed",
     ),
@@ -144,8 +146,8 @@
     Mutant(
         "an answer cut short is no answer",
         FORWARD,
-        "self._end(Ending.SERVED if told else Ending.BROKE_SENT, message)",
-        "self._end(Ending.SERVED, message)",
+        "self._end(Termination.SERVED if announced else Termination.BROKEN_AFTER_SENT, message)",
+        "self._end(Termination.SERVED, message)",
         f"{FILE} -k fin-without-a-length",
     ),
     Mutant(
@@ -158,7 +160,7 @@
     Mutant(
         "send-cap holds over all of these",
         ENGINE,
-        "forward.number < limits.max_attempts and",
+        "attempt.number < limits.max_attempts and",
         "True and",
         "tests/core/test_engine.py -k over_the_cap",
     ),
@@ -171,16 +173,16 @@
     ),
     Mutant(
         "what is given up in its dial never ran",
-        ENGINE,
-        "unsent = ending is Ending.CANCELLED and not self.sent",
+        FLOWS,
+        "unsent = termination is Termination.CANCELLED and not self.request_sent",
         "unsent = False",
         f"{FILE} -k given_up",
     ),
     Mutant(
         "and what is given up once it is written may have",
-        ENGINE,
-        "unsent = ending is Ending.CANCELLED and not self.sent",
-        "unsent = ending is Ending.CANCELLED",
+        FLOWS,
+        "unsent = termination is Termination.CANCELLED and not self.request_sent",
+        "unsent = termination is Termination.CANCELLED",
         f"{FILE} -k given_up",
     ),
     Mutant(
@@ -193,7 +195,7 @@
     Mutant(
         "nothing is written to a target whose grace is over",
         FORWARD,
-        "            return Ending.TOO_LATE\n",
+        "            return Termination.TARGET_DRAINED\n",
         "            return None\n",
         f"{FILE} -k grace_is_over",
     ),
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -75,8 +75,8 @@
     Mutant(
         "Retry-After only where it is allowed",
         "firvane/core/engine.py",
-        "flow.client.refused(action.retry_after if self.settings.limits.retry_after else 0.0)",
-        "flow.client.refused(action.retry_after)",
+        "flow.client.on_rejected(action.retry_after if self.settings.limits.retry_after else 0.0)",
+        "flow.client.on_rejected(action.retry_after)",
         f"{TEST}::test_retry_after_only_where_it_is_allowed",
     ),
     Mutant(
@@ -103,15 +103,15 @@
     Mutant(
         "a class that comes percent-encoded is served",
         "firvane/proxy/net/client_context.py",
-        "            name = unescaped(name)\n",
+        "            name = percent_decode(name)\n",
         "",
         f"{TEST}::test_so_is_one_that_comes_percent_encoded",
     ),
     Mutant(
         "a short aim is no overload",
         "firvane/proxy/net/resource_monitor.py",
-        "max(LEAST_LATE, LATE * aim)",
-        "LATE * aim",
+        "max(MIN_LAG_S, LAG_PART * target)",
+        "LAG_PART * target",
         f"{TEST}::test_what_any_turn_takes_is_no_pressure_however_short_the_aim",
     ),
     Mutant(
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -15,9 +15,9 @@
 from firvane.core import interface as api
 from firvane.core.net.dialer import SocketDialer
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.net.upstream_pool import SETTLE, Connection, Forwards
+from firvane.proxy.net.upstream_pool import REUSE_DELAY_S, Connection, UpstreamPools
 from tests.crossings.harness import (
     CHUNKED,
     ERROR,
@@ -36,7 +36,7 @@
     rig,
 )
 from tests.helpers import RULES
-from tests.proxy.net.helpers import Ended, guard
+from tests.proxy.net.helpers import Ended, make_monitor
 from tests.proxy.net.test_upstream_pool import request as message
 
 LEAVES = pytest.mark.parametrize("how", ["fin", "reset"])
@@ -73,7 +73,7 @@
 async def left(made: Rig, client: Link, how: str) -> None:
     """The client has left by "fin" or "reset", and the proxy knows it: nothing is open any more."""
     client.leave(how)
-    await made.see(lambda: not made.proxy.engine.owed)
+    await made.see(lambda: not made.proxy.engine.unanswered)
 
 
 async def after(made: Rig, call: str = "last") -> list[str]:
@@ -108,7 +108,7 @@
     link, _ = await first(made)
     await link.send(OK)
     await client.until(b"hi")
-    pool = next(pool for pool in made.proxy.forwards.pools.values() if pool.idle)
+    pool = next(pool for pool in made.proxy.upstream_pools.pools.values() if pool.idle)
     await made.rested()
     return link, pool.idle[0]
 
@@ -118,7 +118,7 @@
 ) -> None:
     """The target ends an idle connection as a request is about to be written to it: just before the last
     look at it, or between that and the write."""
-    quiet = connection.quiet
+    quiet = connection.has_no_input
 
     def look() -> bool:
         before = quiet()
@@ -126,7 +126,7 @@
         then()
         return quiet() if seen else before
 
-    connection.quiet = look
+    connection.has_no_input = look
 
 
 class Making:
@@ -175,17 +175,17 @@
         async with rig(tmp_path, settings=params(limits={"cancel": cancel})) as made:
             await made.start()
             making = Making(made.dialer.real)
-            made.proxy.forwards.dialer = making  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = making  # type: ignore[assignment]
             client = await made.client()
             await client.send(request("c1"))
             await making.came.wait()
             await left(made, client, how)
-            made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             making.ups[0]()
             link = await made.targets[0].link()
             assert await link.gone() == "reset" or link.ended == "fin"
             assert link.buffer == b"" and await after(made) == ["last"]
-            assert made.proxy.guard.descriptors.held[Use.TARGETS] == 1
+            assert made.proxy.monitor.descriptors.held[Use.TARGETS] == 1
 
     play(work())
 
@@ -195,14 +195,14 @@
         async with rig(tmp_path) as made:
             await made.start()
             making = Making(made.dialer.real)
-            made.proxy.forwards.dialer = making  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = making  # type: ignore[assignment]
             client = await made.client()
             await client.send(request("c1"))
             await making.came.wait()
-            made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+            made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             [flow] = made.proxy.engine.flows.values()
-            assert flow.forwards[0]
-            flow.forwards[0].stop(Ending.CANCELLED)
+            assert flow.attempts[0]
+            flow.attempts[0].stop(Termination.CANCELLED)
             making.ups[0]()
             link = await made.targets[0].link()
             assert await link.gone() and link.buffer == b""
@@ -313,7 +313,7 @@
                 link, _ = await first(made)
             else:
                 await made.dialer.came.wait()
-            made.proxy.engine._act([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
+            made.proxy.engine._perform([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
             if out:
                 assert await link.gone() and (await client.until(b"\r\n"))[9:12] == b"502"
             else:
@@ -515,22 +515,22 @@
         transports.start()
         making = Making(SocketDialer(loop, transports))
         limits = api.Limits(max_attempts=3, connect_timeout=5.0, connection_idle_timeout=30.0)
-        forwards = Forwards(loop, limits, RULES, guard(loop, 10), making)
-        forwards.listed("s", ("127.0.0.1", target.port), True)
-        forwards.forward(message(), "s", over := Ended(loop.time()))
-        assert over.endings == [Ending.WITHDRAWN] and not making.ups  # not even a dial
-        forwards.forward(message(), "s", late := Ended(loop.time() + 0.03))
+        pools = UpstreamPools(loop, limits, RULES, make_monitor(loop, 10), making)
+        pools.listed("s", ("127.0.0.1", target.port), True)
+        pools.forward(message(), "s", over := Ended(loop.time()))
+        assert over.endings == [Termination.NOT_SENT] and not making.ups  # not even a dial
+        pools.forward(message(), "s", late := Ended(loop.time() + 0.03))
         await making.came.wait()
         while loop.time() < late.deadline:
             await asyncio.sleep(0)
         making.ups.pop()()
-        assert late.endings == [Ending.WITHDRAWN] and len(forwards.pools["s"].idle) == 1
-        while loop.time() <= forwards.pools["s"].idle[0].idle_since + SETTLE:
+        assert late.endings == [Termination.NOT_SENT] and len(pools.pools["s"].idle) == 1
+        while loop.time() <= pools.pools["s"].idle[0].idle_since + REUSE_DELAY_S:
             await asyncio.sleep(0)
-        forwards.forward(message(), "s", in_time := Ended(loop.time() + 5.0))
+        pools.forward(message(), "s", in_time := Ended(loop.time() + 5.0))
         await (await target.taken()).send(OK)
         await in_time.over.wait()
-        assert in_time.endings == [Ending.SERVED] and target.calls == ["1"]
+        assert in_time.endings == [Termination.SERVED] and target.calls == ["1"]
         transports.close()
         target.close()
 
@@ -815,7 +815,9 @@
             await client.send(request("c1", "/pay/x", body=bytes(60_000)))
             target = await made.see(lambda: next((one for one in made.targets if one.waiting()), None))
             await target.links[0].exactly(read)
-            assert not made.proxy.engine.tally.of("pay").upstream_tries  # its last byte is still here
+            assert not made.proxy.engine.request_counters.for_class(
+                "pay"
+            ).upstream_tries  # its last byte is still here
             target.links[0].leave(how)
             link, whole = await first(made)
             assert len(whole) > 60_000
@@ -867,7 +869,7 @@
                 link = await made.targets[1].taken()
                 await link.send(OK)
             assert (await client.until(b"\r\n"))[9:12] == (b"200" if again else b"502")
-            written = made.proxy.engine.tally.of("pay").upstream_tries
+            written = made.proxy.engine.request_counters.for_class("pay").upstream_tries
             assert (written, made.targets[1].calls) == (1, ["c1"] if again else [])
 
     play(work())
@@ -905,8 +907,15 @@
                 link, _ = await first(made)
                 await link.send(OK)
                 await client.until(b"hi")
-                endings = made.proxy.engine.endings
-                assert endings[Ending.REFUSED.value if why == "refused" else Ending.DIAL_EXPIRED.value] == 1
+                endings = made.proxy.engine.event_counts
+                assert (
+                    endings[
+                        Termination.CONNECTION_REFUSED.value
+                        if why == "refused"
+                        else Termination.CONNECT_TIMEOUT.value
+                    ]
+                    == 1
+                )
                 assert [call for target in made.targets for call in target.calls] == ["c1"]
 
     play(work())
@@ -929,7 +938,7 @@
             await link.send(OK)
             await client.until(b"hi")
             await client.send(request("c2", f"/{kind}/x", body=b"" if kind == "read" else b"money"))
-            await made.see(lambda: made.proxy.engine.owed)
+            await made.see(lambda: made.proxy.engine.unanswered)
             await link.send(OK.replace(b"hi", b"no"))
             other = await made.targets[0].taken()
             await other.send(OK.replace(b"hi", b"mi"))
@@ -962,19 +971,19 @@
                 link, _ = await idle(made)
             making = Making(made.dialer.real)
             if at != "idle":
-                made.proxy.forwards.dialer = making if at != "out" else made.dialer  # type: ignore[assignment]
+                made.proxy.upstream_pools.dialer = making if at != "out" else made.dialer  # type: ignore[assignment]
                 await client.send(request("c1", budget=1900))
             if at == "out":
                 link = await old.taken()
             elif at != "idle":
                 await making.came.wait()
-                made.proxy.forwards.dialer = made.dialer  # type: ignore[assignment]
+                made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             group, entries = made.proxy.group, [entry("s1", new)]
-            pool = made.proxy.forwards.pools["s1"]
+            pool = made.proxy.upstream_pools.pools["s1"]
             group.learn({"index": group.index + 1, "snapshot": True, "endpoints": entries})
             if at == "in-a-late-dial":  # the grace is over
-                assert pool.down_since is not None
-                pool.down_since -= made.proxy.forwards.rules.drain_grace
+                assert pool.draining_since is not None
+                pool.draining_since -= made.proxy.upstream_pools.rules.drain_grace
             if at in ("in-a-dial", "in-a-late-dial"):
                 making.ups[0]()
             if at == "in-a-dial":
@@ -1000,7 +1009,7 @@
     async def work() -> None:
         async with rig(tmp_path, targets=2, settings=brisk(probing=True)) as made:
             await started(made, s2="up" if way == "copy" else "draining")
-            forwards = made.proxy.forwards
+            pools = made.proxy.upstream_pools
             client = await made.client()
             first_at = None
             if way == "idle":
@@ -1013,24 +1022,24 @@
                 await client.send(request("c1"))
             if way in ("dial", "copy"):
                 await made.dialer.came.wait()
-            kept = {name: pool.address for name, pool in forwards.pools.items()}
+            kept = {name: pool.address for name, pool in pools.pools.items()}
             drains = [n for n, t in zip(("s1", "s2"), made.targets, strict=True) if first_at not in t.links]
             for name in drains:
-                forwards.listed(name, kept[name], False)
-                pool = forwards.pools[name]
-                assert pool.down_since is not None and not pool.idle
-                pool.down_since -= forwards.rules.drain_grace
+                pools.listed(name, kept[name], False)
+                pool = pools.pools[name]
+                assert pool.draining_since is not None and not pool.idle
+                pool.draining_since -= pools.rules.drain_grace
             if way in ("idle", "probe"):
                 over = Ended(made.loop.time() + 5.0)
-                (forwards.probe if way == "probe" else partial(forwards.forward, message()))("s1", over)
-                assert over.endings == [Ending.TOO_LATE]
+                (pools.probe if way == "probe" else partial(pools.forward, message()))("s1", over)
+                assert over.endings == [Termination.TARGET_DRAINED]
             made.dialer.let_go()
             if way == "copy" and first_at:
-                await made.see(lambda: made.proxy.engine.endings[Ending.TOO_LATE.value])
+                await made.see(lambda: made.proxy.engine.event_counts[Termination.TARGET_DRAINED.value])
                 await first_at.send(OK)
                 await client.until(b"hi")
             if way == "dial":
-                await made.see(lambda: made.proxy.engine.endings[Ending.TOO_LATE.value])
+                await made.see(lambda: made.proxy.engine.event_counts[Termination.TARGET_DRAINED.value])
             said = [target.calls for n, target in zip(("s1", "s2"), made.targets, strict=True) if n in drains]
             assert all(calls in ([], ["before"]) for calls in said)
             for target in made.targets:
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -10,7 +10,7 @@
 from firvane.core import interface as api
 from firvane.core.engine import Engine
 from firvane.core.net.dialer import SocketDialer
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.core.net.transport_pool import TransportPool
 from firvane.fleet.configuration.routes import Configuration, Route, RouteKind, RouteTable, Target
 from firvane.fleet.router.client_listener import ClientListener
@@ -172,7 +172,7 @@
     engine: Engine[ProxiedRequest, Message] = Engine(
         engine_settings(1), decisions, loop, upstreams, NoPost(), NoDirectory()
     )
-    engine.know(set(addresses))
+    engine.set_known_targets(set(addresses))
     listener.engine = engine
     configuration = Configuration(1, routes or (route(),))
     listener.configure(RouteTable(configuration), configuration.limits)
--- a/tests/fleet/router/upstream_model.py
+++ b/tests/fleet/router/upstream_model.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from firvane.core.net.http import Message, Piece, Stream
-from firvane.core.terminations import RESULTS, Ending
+from firvane.core.net.http_message import BytesLike, Message, Stream
+from firvane.core.terminations import RESULTS, Termination
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream import Upstreams
 from tests.fleet.router.helpers import route
@@ -117,7 +117,7 @@
 
     # The model
 
-    def is_quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         return not self.arrived and not self.end_arrived
 
     def drain(self) -> None:
@@ -177,22 +177,22 @@
     owner: bytes
     backend: str
     deadline: float = 1e9
-    by: float = 1e9
-    endings: list[Ending] = field(default_factory=list)
+    start_before: float = 1e9
+    endings: list[Termination] = field(default_factory=list)
     passed: bytes = b""
     cancelled: bool = False
     handle: Any = None
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, message: Message) -> None:
+    def on_response_started(self, message: Message) -> None:
         self.check_open()
         assert isinstance(message.stream, Stream)
-        message.stream.pour(self)
+        message.stream.connect(self)
 
-    def ended(self, ending: Ending, answer: Message | None = None) -> None:
+    def on_ended(self, ending: Termination, answer: Message | None = None) -> None:
         self.check_open()
         self.endings.append(ending)
         if answer is not None:
@@ -201,13 +201,13 @@
                 raise WrongOwnerError(f"{self.owner!r} was answered with {body!r}")
         self.world.settle(self, ending)
 
-    def more(self, pieces: list[Piece]) -> None:
-        self.passed += b"".join(bytes(piece) for piece in pieces)
+    def write_body(self, buffers: list[BytesLike]) -> None:
+        self.passed += b"".join(bytes(piece) for piece in buffers)
         for line in self.passed.split(b"\n")[:-1]:
             if line.startswith(b"data: ") and line != b"data: " + self.owner:
                 raise WrongOwnerError(f"{self.owner!r} was given {line!r}")
 
-    def last(self) -> None: ...
+    def end_body(self) -> None: ...
 
     def check_open(self) -> None:
         if self.cancelled or self.endings:
@@ -221,7 +221,7 @@
     link: Link
     factory: Callable[[Callable[[], bool]], Any]
     up: Callable[[Any], None]
-    ended: Callable[[Ending], None]
+    ended: Callable[[Termination], None]
 
     def close(self) -> None: ...
 
@@ -259,12 +259,12 @@
     def finish_dial(self) -> None:
         dial = self.dials.pop(self.chance.randrange(len(self.dials)))
         if self.chance.random() < 0.1:
-            dial.ended(Ending.REFUSED)
+            dial.ended(Termination.CONNECTION_REFUSED)
             return
         link = dial.link
         if self.chance.random() < 0.3:
             link.room = self.chance.randrange(0, 200)
-        link.protocol = dial.factory(link.is_quiet)
+        link.protocol = dial.factory(link.has_no_input)
         link.protocol.connection_made(link)
         self.links.append(link)
         dial.up(link.protocol)
@@ -281,7 +281,7 @@
         message.method, message.url = b"POST", b"/p/a"
         message.headers = [(b"X-Request-Id", owner)]
         message.fields = {b"x-request-id": owner}
-        message.body, message.size, message.framed, message.complete = [BODY], len(BODY), True, True
+        message.body, message.size, message.is_framed, message.complete = [BODY], len(BODY), True, True
         self.sends[owner] += 1
         self.dialled = self.chance.choice(self.backends)
         attempt = Attempt(self, owner, self.dialled)
@@ -289,7 +289,7 @@
         request = ProxiedRequest(message, route(), owner)
         attempt.handle = self.upstreams.forward(request, self.dialled, attempt)
 
-    def settle(self, attempt: Attempt, ending: Ending) -> None:
+    def settle(self, attempt: Attempt, ending: Termination) -> None:
         """What the decisions do with an ending: once more only where it is known not to have run."""
         self.open.remove(attempt)
         self.counts[ending.name] += 1
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -13,7 +13,7 @@
 
 from firvane.core import interface as api
 from firvane.core.logs import QUIET
-from firvane.core.net.http import Fault, Message
+from firvane.core.net.http_message import HttpError, Message
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.proxy import Proxy
 from firvane.proxy.settings_reload import merged, retired
@@ -74,18 +74,18 @@
     # Guards the swap: new requests by the new classes, and for a while those of before as they were.
     async def work() -> None:
         files = Files(tmp_path)
-        front, old = files.proxy.front, files.data["settings"]["classes"]
+        limiter, old = files.proxy.limiter, files.data["settings"]["classes"]
         first = old[0]["name"].encode()
         safe = b"GET" if files.start.classes[0].idempotency is api.Idempotency.SAFE else b"POST"
         files.write(files.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
         assert files.proxy.loads.taken == 1
         assert files.proxy.config.discovery is None  # where the list comes from waits for the next start
-        number = front.read(request(b"/fresh/1", safe))[0].class_id
+        number = limiter.parse_request(request(b"/fresh/1", safe))[0].class_id
         assert files.proxy.engine.settings.classes[number].name == "fresh"
-        assert front.read(request(b"/" + first, safe))[0].class_id == 0
+        assert limiter.parse_request(request(b"/" + first, safe))[0].class_id == 0
         files.proxy._settle(files.proxy.retuned_at)
-        with pytest.raises(Fault):
-            front.read(request(b"/" + first, safe))
+        with pytest.raises(HttpError):
+            limiter.parse_request(request(b"/" + first, safe))
 
     run(work())
 
@@ -113,7 +113,7 @@
         for text in useless:
             files.write(text)
         assert (proxy.loads.taken, proxy.loads.errors) == (0, len(useless))
-        assert proxy.engine.settings is files.start and proxy.front.settings is files.start
+        assert proxy.engine.settings is files.start and proxy.limiter.settings is files.start
         files.write(whole)
         assert proxy.loads.taken == 1
 
