--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -15,6 +15,7 @@
 if __name__ == "__main__":
     sys.path[0] = str(Path(__file__).resolve().parent.parent)  # in place of this folder
 
+from firvane.core import checksum
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 from firvane.core.logs import QUIET
@@ -23,8 +24,8 @@
 from firvane.proxy.net.target_group import TargetGroup
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.snapshots import format
-from firvane.proxy.snapshots.file import Keeper, read
-from firvane.proxy.snapshots.types import made
+from firvane.proxy.snapshots.file import SnapshotStore, read
+from firvane.proxy.snapshots.types import make_snapshot
 
 RULES = api.Rules(0.02, 1.0, 0.13, 22.0, 2.5, 3.0)
 SETTINGS = api.Settings(
@@ -61,10 +62,10 @@
         for number in range(count):
             child = os.fork()
             if not child:
-                keeper, n = Keeper(path, "p", QUIET, aside=lambda work: work()), number * 1000.0
+                store, n = SnapshotStore(path, "p", QUIET, run_off_loop=lambda work: work()), number * 1000.0
                 while True:
                     n += 1.0
-                    keeper.keep(n, lambda: None, held(n, boxes))
+                    store.save(n, lambda: None, held(n, boxes))
             time.sleep(draw.uniform(0.0, 0.012))
             os.kill(child, signal.SIGKILL)
             os.waitpid(child, 0)
@@ -75,7 +76,7 @@
                 snapshot = read(path)
                 torn += {box.room for box in snapshot.boxes.values()} != {snapshot.saved_at}
                 seen.add(snapshot.saved_at)
-            except (OSError, format.Damaged):
+            except (OSError, checksum.DamagedDataError):
                 torn += 1
         asides = len(os.listdir(folder)) - path.exists()
     told = f"{len(seen)} different snapshots, {asides} left aside, {first} before any"
@@ -108,7 +109,7 @@
         listed, kept = group.listed(), recovery.recall(servers, ("k",))
         turns.append(time.perf_counter() - begun)
         begun = time.perf_counter()
-        data = format.pack(made("p", 1e9, listed(), kept))
+        data = format.encode(make_snapshot("p", 1e9, listed(), kept))
         packs.append(time.perf_counter() - begun)
     click.echo(
         f"{boxes} boxes: {len(data) / 1024:.0f} kB; the loop's turn {1e3 * sorted(turns)[times // 2]:.1f} ms,"
--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -97,8 +97,8 @@
         return 2
     keeper = None
     if config.snapshot:  # by name: the platform sets no such key, and its processes load no tool
-        kept = importlib.import_module("firvane.proxy.snapshots.file")
-        keeper = partial(kept.Keeper, config.snapshot, config.name)
+        snapshots = importlib.import_module("firvane.proxy.snapshots.file")
+        keeper = partial(snapshots.SnapshotStore, config.snapshot, config.name)
     agreement = None
     if config.policy:
         agreement = importlib.import_module("firvane.proxy.quorum.driver").PolicyConsensus
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -67,7 +67,7 @@
 @click.pass_context
 def run(ctx: click.Context, plan: str, course: str | None, take_over: bool, no_wait: bool) -> None:
     """Carry out PLAN, or go on with it, until it is done, has gone back, or is given up."""
-    from firvane.core.checksum import Damaged
+    from firvane.core.checksum import DamagedDataError
     from firvane.proxy.rollout.errors import ControllerStoppedError, OwnershipLostError
 
     parsed, digest = _read_plan(plan)
@@ -81,7 +81,7 @@
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
     except ControllerStoppedError as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {again}")
-    except (Damaged, OSError) as error:
+    except (DamagedDataError, OSError) as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
     except ValueError as error:
         raise Bad(f"{plan}: {error}") from None
@@ -233,11 +233,11 @@
 
 
 def _read_stored(ctx: click.Context, plan: str, files: RolloutFiles) -> StoredRollout | None:
-    from firvane.core.checksum import Damaged
+    from firvane.core.checksum import DamagedDataError
 
     try:
         return files.read_state()
-    except (Damaged, OSError) as error:
+    except (DamagedDataError, OSError) as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
 
 
--- a/firvane/cli/serve.py
+++ b/firvane/cli/serve.py
@@ -36,9 +36,9 @@
     make_room(file, config.sockets)
     keeper = None
     if config.snapshot:
-        from firvane.proxy.snapshots.file import Keeper
+        from firvane.proxy.snapshots.file import SnapshotStore
 
-        keeper = partial(Keeper, config.snapshot, config.name)
+        keeper = partial(SnapshotStore, config.snapshot, config.name)
     agreement = None
     if config.policy:
         from firvane.proxy.quorum.driver import PolicyConsensus
--- a/firvane/cli/snapshot.py
+++ b/firvane/cli/snapshot.py
@@ -30,18 +30,18 @@
     import time
 
     from firvane.proxy.snapshots.file import describe
-    from firvane.proxy.snapshots.types import TRUST, age
+    from firvane.proxy.snapshots.types import RESTORE_RULES, age_s
 
     snapshot = _read(file)
-    told = describe(snapshot, age(snapshot, time.time()))
+    figures = describe(snapshot, age_s(snapshot, time.time()))
     if as_json:
-        click.echo(json.dumps(told))
+        click.echo(json.dumps(figures))
         return
-    for name, value in told.items():
+    for name, value in figures.items():
         click.echo(f"{name:13} {value}")
     click.echo("\nfield   read back                              until, and confirmed by")
-    for row in TRUST:
-        click.echo(f"{row.field:7} {row.how.value:38} {row.until}; {row.confirmed}")
+    for row in RESTORE_RULES:
+        click.echo(f"{row.field:7} {row.mode.value:38} {row.until}; {row.confirmed_by}")
 
 
 @command.command("check")
@@ -51,31 +51,31 @@
     """Say of each of FILES whether a proxy would read it. Exit code 2 for any that it would not."""
     from firvane.cli import Bad
 
-    faults: list[str] = []
+    errors: list[str] = []
     for file in files:
         try:
             snapshot = _read(file)
-        except Bad as bad:
-            faults.append(bad.message)
+        except Bad as error:
+            errors.append(error.message)
         else:
             listed = len((snapshot.listed or {}).get("endpoints", []))
             click.echo(f"{file}: a snapshot of {snapshot.proxy}, {listed} boxes listed")
-    for line in faults:
+    for line in errors:
         click.echo(line, err=True)
-    ctx.exit(2 if faults else 0)
+    ctx.exit(2 if errors else 0)
 
 
 def _read(file: str) -> Snapshot:
     from firvane.cli import Bad
 
     try:
+        from firvane.core.checksum import DamagedDataError
         from firvane.proxy.snapshots import file as files
-        from firvane.proxy.snapshots.format import Damaged
     except ModuleNotFoundError:
         raise Bad("snapshots need more than a proxy does: pip install 'firvane[snapshots]'") from None
     try:
         return files.read(file)
     except OSError as error:
         raise Bad(f"{file}: cannot be read: {error.strerror or error}") from None
-    except Damaged as error:
+    except DamagedDataError as error:
         raise Bad(f"{file}: {error}") from None
--- a/firvane/core/atomic_write.py
+++ b/firvane/core/atomic_write.py
@@ -1,4 +1,4 @@
-"""Files that are whole or not there: written aside, synced, renamed, and the folder synced."""
+"""Atomic writes: a temporary file is written and synced, then renamed, and the folder is synced."""
 
 from __future__ import annotations
 
@@ -7,23 +7,34 @@
 import tempfile
 from pathlib import Path
 
+FILE_MODE = 0o644
+
 
 def write_atomically(path: str | os.PathLike[str], data: bytes) -> None:
-    """All of it, or what was there before, whatever stops this; `OSError` where it cannot be done."""
-    place = Path(path)
-    handle, aside = tempfile.mkstemp(prefix=f".{place.name}.", dir=place.parent)
+    """Write a file so that it has either all of the data or what was there before, whatever stops this.
+
+    Args:
+        path: The file; its folder exists.
+        data: The whole content.
+
+    Raises:
+        OSError: It cannot be written; the file is as it was before.
+    """
+    target = Path(path)
+    descriptor, name = tempfile.mkstemp(prefix=f".{target.name}.", dir=target.parent)
+    temporary = Path(name)
     try:
-        with open(handle, "wb") as file:
+        with os.fdopen(descriptor, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
-        os.chmod(aside, 0o644)
-        os.replace(aside, place)
+        temporary.chmod(FILE_MODE)
+        temporary.replace(target)
     except BaseException:
         with contextlib.suppress(OSError):
-            os.unlink(aside)
+            temporary.unlink()
         raise
-    folder = os.open(place.parent, os.O_RDONLY)
+    folder = os.open(target.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
     finally:
--- a/firvane/core/checksum.py
+++ b/firvane/core/checksum.py
@@ -1,10 +1,10 @@
-"""Bytes with a checksum, as files on disk are kept: a head with magic, version, length and CRC-32C.
+"""The header of files on disk: magic, format version, length and CRC-32C of the body.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A version that is newer than the program's is refused; what older ones mean is their reader's to say.
-2. What is cut, longer than it says, or of another checksum is refused whole: nothing of it is read.
-3. Every refusal is one `Damaged` with a reason in plain words.
+1. A version above the program's is rejected; what older ones mean is up to the reader of the body.
+2. Data that is cut, longer than its header says, or of another checksum is rejected: nothing of it is read.
+3. Every rejection is one `DamagedDataError` with a reason of one line.
 """
 
 from __future__ import annotations
@@ -13,28 +13,48 @@
 
 import google_crc32c
 
-HEAD = struct.Struct("<4sHIxxI")  # magic, version, bytes that follow, their CRC-32C
+HEADER = struct.Struct("<4sHIxxI")  # magic, version, length of the body in bytes, its CRC-32C
+MAGIC_BYTES = 4
 
 
-class Damaged(ValueError):  # noqa: N818 - says what it is
-    """Nothing can be read from it; the reason is one line."""
+class DamagedDataError(ValueError):
+    """The data cannot be read; the text is one line."""
 
 
-def with_header(magic: bytes, version: int, body: bytes) -> bytes:
-    """The body with its head before it."""
-    return HEAD.pack(magic, version, len(body), google_crc32c.value(body)) + body
+def add_header(magic: bytes, version: int, body: bytes) -> bytes:
+    """Return the body with its header before it.
+
+    Args:
+        magic: Four bytes that identify the kind of file.
+        version: The version of the body's format.
+        body: The content.
+    """
+    return HEADER.pack(magic, version, len(body), google_crc32c.value(body)) + body
 
 
 def verify(data: bytes, magic: bytes, newest: int, name: str) -> tuple[int, bytes]:
-    """The version and the body; `Damaged` where the head does not fit. `name` says what it should be."""
-    if len(data) < HEAD.size or data[:4] != magic:
-        raise Damaged(f"it is no {name}")
-    _, version, length, checksum = HEAD.unpack_from(data)
-    body = data[HEAD.size :]
+    """Check the header of a file.
+
+    Args:
+        data: The whole content.
+        magic: The expected kind of file.
+        newest: The newest version that the program reads.
+        name: What the file should be, for the reason of a rejection.
+
+    Returns:
+        The version and the body.
+
+    Raises:
+        DamagedDataError: The header is missing, or does not fit.
+    """
+    if len(data) < HEADER.size or data[:MAGIC_BYTES] != magic:
+        raise DamagedDataError(f"it is no {name}")
+    _, version, length, checksum = HEADER.unpack_from(data)
+    body = data[HEADER.size :]
     if not 1 <= version <= newest:
-        raise Damaged(f"it is of format {version}, and this program reads up to {newest}")
+        raise DamagedDataError(f"it is of format {version}, and this program reads up to {newest}")
     if len(body) != length:
-        raise Damaged(f"it has {len(body)} bytes of {length}")
+        raise DamagedDataError(f"it has {len(body)} bytes of {length}")
     if google_crc32c.value(body) != checksum:
-        raise Damaged("its checksum does not match")
+        raise DamagedDataError("its checksum does not match")
     return version, body
--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -14,10 +14,10 @@
 class Keeper(Protocol):
     """Whatever keeps what was learnt over this process's end (`snapshots.file`)."""
 
-    def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
+    def load(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
         """What was kept, and the list in discovery's form; `now` in Unix time."""
 
-    def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
+    def save(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
         """`listed` makes the list, wherever that is written."""
 
     def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -216,7 +216,7 @@
     def _recall(self, config: Config) -> Config:
         """Take in what was kept; the configuration, with the list from there where it has none."""
         recovery = self.balancer.recovery
-        kept = self.keeper.recall(self.wall()) if self.keeper and recovery else None
+        kept = self.keeper.load(self.wall()) if self.keeper and recovery else None
         if not (kept and recovery):
             return config
         memory, listed = kept
@@ -236,7 +236,7 @@
 
     def _keep(self, due: float) -> None:
         if self.keeper and self.life.meaning().takes:
-            self.keeper.keep(*self._held())
+            self.keeper.save(*self._held())
             due += self.config.snapshot_every
             self.loop.call_at(due, self._keep, due)
 
--- a/firvane/proxy/quorum/store.py
+++ b/firvane/proxy/quorum/store.py
@@ -30,7 +30,7 @@
 import msgspec
 
 from firvane.core.atomic_write import write_atomically
-from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.checksum import DamagedDataError, add_header, verify
 from firvane.core.logs import Log
 from firvane.core.worker_threads import make_worker
 from firvane.proxy.policy_text import DIGEST_BYTES, MAX_TEXT_BYTES, digest_of
@@ -236,7 +236,7 @@
             return msgspec.msgpack.decode(body, type=kind)
         except FileNotFoundError:
             return None
-        except (OSError, Damaged) as error:
+        except (OSError, DamagedDataError) as error:
             self._log_rejected(name, _reason(error))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             self._log_rejected(name, f"its words do not fit: {error}")
@@ -246,7 +246,7 @@
         for file in sorted(self.folder.glob(f"{TEXT_PREFIX}*")):
             try:
                 text = _read_file(file, MAX_TEXT_BYTES)
-            except (OSError, Damaged) as error:
+            except (OSError, DamagedDataError) as error:
                 self._log_rejected(file.name, _reason(error))
                 continue
             digest = digest_of(text)
@@ -295,20 +295,20 @@
 
 
 def _encode(magic: bytes, record: Any) -> bytes:
-    return with_header(magic, FORMAT_VERSION, msgspec.msgpack.encode(record))
+    return add_header(magic, FORMAT_VERSION, msgspec.msgpack.encode(record))
 
 
 def _read_file(path: Path, max_bytes: int) -> bytes:
     with path.open("rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
-            raise Damaged("it is no file")
+            raise DamagedDataError("it is no file")
         data = file.read(max_bytes + 1)
     if len(data) > max_bytes:
-        raise Damaged(f"it is longer than {max_bytes >> 10} kB")
+        raise DamagedDataError(f"it is longer than {max_bytes >> 10} kB")
     return data
 
 
-def _reason(error: OSError | Damaged) -> str:
+def _reason(error: OSError | DamagedDataError) -> str:
     return getattr(error, "strerror", None) or str(error)
 
 
--- a/firvane/proxy/rollout/controller.py
+++ b/firvane/proxy/rollout/controller.py
@@ -81,7 +81,7 @@
             waits: Whether a pause is waited out, for as long as the plan says; else `run` returns at one.
 
         Raises:
-            Damaged: The stored state cannot be read.
+            DamagedDataError: The stored state cannot be read.
             OSError: The same.
             ValueError: The stored state is of another plan.
         """
--- a/firvane/proxy/rollout/rollout_files.py
+++ b/firvane/proxy/rollout/rollout_files.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from firvane.core.atomic_write import write_atomically
-from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.checksum import DamagedDataError, add_header, verify
 from firvane.proxy.rollout.errors import ControllerStoppedError, OwnershipLostError
 from firvane.proxy.rollout.rollout_state import OperatorCommand, StoredRollout
 
@@ -112,7 +112,7 @@
         """Return the state, None where there is none.
 
         Raises:
-            Damaged: The file holds no state.
+            DamagedDataError: The file holds no state.
             OSError: It cannot be read.
         """
         try:
@@ -124,7 +124,7 @@
         try:
             return msgspec.msgpack.decode(body, type=StoredRollout)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise Damaged(f"its words do not fit: {error}") from None
+            raise DamagedDataError(f"its words do not fit: {error}") from None
 
     def write_state(self, state: StoredRollout) -> None:
         """Write the state; it is on disk when this returns.
@@ -136,7 +136,7 @@
         self.check_ownership()
         body = msgspec.msgpack.encode(state)
         try:
-            write_atomically(self.path, with_header(STATE_MAGIC, FORMAT_VERSION, body))
+            write_atomically(self.path, add_header(STATE_MAGIC, FORMAT_VERSION, body))
         except OSError as error:
             reason = error.strerror or error
             raise ControllerStoppedError(f"{self.path} cannot be written: {reason}") from None
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -31,7 +31,7 @@
 from firvane.core import validation
 from firvane.core.address import parse_address
 from firvane.core.atomic_write import write_atomically
-from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.checksum import DamagedDataError, add_header, verify
 from firvane.core.logs import Log
 from firvane.proxy.admin_api.calls import Useless, lines, no, yes
 from firvane.proxy.rollout import readiness_probe, supervisor_config
@@ -69,18 +69,18 @@
 
     Raises:
         OSError: The file cannot be read.
-        Damaged: It holds no state.
+        DamagedDataError: It holds no state.
     """
     _, body = verify(Path(path).read_bytes(), SLOT_MAGIC, FORMAT_VERSION, "place")
     try:
         return msgspec.msgpack.decode(body, type=StoredSlot)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise Damaged(f"its words do not fit: {error}") from None
+        raise DamagedDataError(f"its words do not fit: {error}") from None
 
 
 def encode_slot(stored: StoredSlot) -> bytes:
     """Return the file of a slot's durable state."""
-    return with_header(SLOT_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(stored))
+    return add_header(SLOT_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(stored))
 
 
 class Supervisor:
@@ -138,7 +138,7 @@
             return read_slot(self.config.state)
         except FileNotFoundError:
             pass
-        except (OSError, Damaged) as error:
+        except (OSError, DamagedDataError) as error:
             self.log.warning("slot_state_rejected", file=self.config.state, reason=str(error))
         return StoredSlot(self.config.version)
 
--- a/firvane/proxy/snapshots/file.py
+++ b/firvane/proxy/snapshots/file.py
@@ -1,13 +1,13 @@
-"""The snapshot's file: read at the start, written off the loop's turns, and once more at the end.
+"""The file of a proxy's snapshots: read at the start, written beside the loop, and once more at the end.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. What is on disk is one whole snapshot or the one before it. Two processes on one file each write whole
-   ones; the later one stands.
-2. A file that cannot be read or used is one line in the log, and the start goes on without it. It stays as
-   it is until the first snapshot of this life takes its place.
-3. A write that fails (a full disk, a folder that is read-only) is one line, and not said again until one has
-   gone well; the next is tried at its time. Nothing waits for a write but the next one.
+1. The file is one complete snapshot or the one before it. Two processes on one file each write complete ones;
+   the later one stands.
+2. A file that cannot be read or used is logged once, and the start goes on without it. It stays as it is
+   until the first snapshot of this process replaces it.
+3. A write that fails (a full disk, a read-only folder) is logged once, and again only after one has
+   succeeded; the next is tried at its time. Nothing waits for a write but the next one.
 """
 
 from __future__ import annotations
@@ -18,81 +18,119 @@
 import time
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 from firvane.core import interface as api
 from firvane.core.atomic_write import write_atomically
+from firvane.core.checksum import DamagedDataError
 from firvane.core.logs import Log
 from firvane.core.worker_threads import make_worker
 from firvane.proxy.snapshots import format
-from firvane.proxy.snapshots.types import Snapshot, made, remembered
+from firvane.proxy.snapshots.types import Snapshot, make_snapshot, restore_estimates
 
-LEFT = 60.0  # s after which what stands aside is nobody's any more: a writing takes a moment
-Aside = Callable[[Callable[[], None]], None]  # runs it, off the loop's turns where there is a way
+LEFTOVER_AGE_S = 60.0  # after which a temporary file is no process's any more: a write takes a moment
+RunOffLoop = Callable[[Callable[[], None]], None]  # runs the work, off the loop where there is a way
+
+
+class RestoredSnapshot(NamedTuple):
+    """What a proxy restores."""
+
+    estimates: api.RestoredEstimates
+    listed: Any  # the endpoint list in discovery's form; None: none was known
 
 
 def read(path: str | os.PathLike[str]) -> Snapshot:
-    """The snapshot in a file; `OSError` or `Damaged`."""
-    with open(path, "rb") as file:
+    """Return the snapshot in a file.
+
+    Raises:
+        OSError: The file cannot be read.
+        DamagedDataError: It holds no valid snapshot.
+    """
+    with Path(path).open("rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
-            raise format.Damaged("it is no file")
-        data = file.read(format.MOST + 1)
-    if len(data) > format.MOST:
-        raise format.Damaged(f"it is longer than {format.MOST >> 20} MB")
-    return format.unpack(data)
+            raise DamagedDataError("it is no file")
+        data = file.read(format.MAX_SNAPSHOT_BYTES + 1)
+    if len(data) > format.MAX_SNAPSHOT_BYTES:
+        raise DamagedDataError(f"it is longer than {format.MAX_SNAPSHOT_BYTES >> 20} MB")
+    return format.decode(data)
 
 
-class Keeper:
-    """Keeps one file. `aside` is where writes run; without one they have a thread of their own."""
+class SnapshotStore:
+    """The snapshots of one proxy in one file."""
 
     def __init__(
-        self, path: str | os.PathLike[str], proxy: str, log: Log, aside: Aside | None = None
+        self,
+        path: str | os.PathLike[str],
+        proxy: str,
+        log: Log,
+        run_off_loop: RunOffLoop | None = None,
     ) -> None:
-        self.path, self.proxy, self.log = Path(path), proxy, log
-        self.thread = None if aside else make_worker("snapshot")
-        self.aside: Aside = aside or self._in_thread
-        self.writing = self.failed = False
+        """Touch no file yet.
+
+        Args:
+            path: The file.
+            proxy: The name of the proxy.
+            log: Takes a line for a file that is rejected or cannot be written.
+            run_off_loop: Runs the writes; None gives them a thread of their own.
+        """
+        self.path = Path(path)
+        self.proxy = proxy
+        self.log = log
+        self.thread = None if run_off_loop else make_worker("snapshot")
+        self.run_off_loop: RunOffLoop = run_off_loop or self._run_in_thread
+        self.writing = False
+        self.failed = False  # the last write
         self.written = 0
 
-    def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
-        """What was kept, and the list, `now` in Unix time; None, and a line in the log, where that is of no
-        use. What kills have left beside the file is removed."""
-        for aside in self.path.parent.glob(f".{self.path.name}.*"):
+    def load(self, now: float) -> RestoredSnapshot | None:
+        """Return what the file holds, `now` in Unix time; None where that is of no use, which is logged.
+
+        Temporary files that killed processes have left are removed.
+        """
+        for temporary in self.path.parent.glob(f".{self.path.name}.*"):
             with contextlib.suppress(OSError):
-                if time.time() - aside.stat().st_mtime > LEFT:
-                    aside.unlink()
+                if time.time() - temporary.stat().st_mtime > LEFTOVER_AGE_S:
+                    temporary.unlink()
         try:
             snapshot = read(self.path)
-            return remembered(snapshot, now), snapshot.listed
+            return RestoredSnapshot(restore_estimates(snapshot, now), snapshot.listed)
         except FileNotFoundError:
             self.log.info("snapshot_none", file=str(self.path))
-        except (OSError, format.Damaged) as error:
-            why = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
-            self.log.warning("snapshot_useless", file=str(self.path), why=why)
+        except (OSError, DamagedDataError) as error:
+            reason = error.strerror if isinstance(error, OSError) and error.strerror else str(error)
+            self.log.warning("snapshot_rejected", file=str(self.path), reason=reason)
         return None
 
-    def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
-        """Write it, unless the one before is still being written."""
+    def save(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
+        """Write a snapshot, unless the one before is still being written.
+
+        Args:
+            now: Unix time.
+            make_list: Returns the endpoint list in discovery's form; called where the file is written.
+            estimates: What is restored by the next process.
+        """
         if not self.writing:
             self.writing = True
-            self.aside(lambda: self._write(now, listed, held))
+            self.run_off_loop(lambda: self._write(now, make_list, estimates))
 
-    def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
-        """The last one: it is on disk, or has failed, when this returns."""
+    def close(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
+        """Write the last snapshot: it is on disk, or has failed, when this returns."""
         if self.thread:
             self.thread.shutdown(wait=True)
-        self._write(now, listed, held)
+        self._write(now, make_list, estimates)
 
-    def _in_thread(self, work: Callable[[], None]) -> None:
+    def _run_in_thread(self, work: Callable[[], None]) -> None:
         assert self.thread
         self.thread.submit(work)
 
-    def _write(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
+    def _write(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
         try:
-            write_atomically(self.path, format.pack(made(self.proxy, now, listed(), held)))
+            snapshot = make_snapshot(self.proxy, now, make_list(), estimates)
+            write_atomically(self.path, format.encode(snapshot))
         except OSError as error:
             if not self.failed:
-                self.log.warning("snapshot_unwritten", file=str(self.path), why=error.strerror or str(error))
+                reason = error.strerror or str(error)
+                self.log.warning("snapshot_save_failed", file=str(self.path), reason=reason)
             self.failed = True
         else:
             self.failed = False
@@ -102,7 +140,7 @@
 
 
 def describe(snapshot: Snapshot, age_s: float) -> dict[str, Any]:
-    """Its figures for who looks at one."""
+    """Return the figures of a snapshot for operators, by the names that the command shows."""
     listed = snapshot.listed or {}
     return {
         "proxy": snapshot.proxy,
--- a/firvane/proxy/snapshots/format.py
+++ b/firvane/proxy/snapshots/format.py
@@ -1,9 +1,9 @@
-"""A snapshot as bytes: behind a head with a checksum (`checksum`), its fields as MessagePack.
+"""The encoding of snapshots: a header with a checksum (`core.checksum`), then the fields as MessagePack.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A version that is newer than `types.FORMAT` is refused; older ones are read, each by its own step.
-2. Every refusal is one `Damaged` with a reason in plain words.
+1. A version above `types.FORMAT_VERSION` is rejected; older ones are read, each by a conversion of its own.
+2. Every rejection is one `DamagedDataError` with a reason of one line.
 """
 
 from __future__ import annotations
@@ -13,43 +13,48 @@
 
 import msgspec
 
-from firvane.core.checksum import HEAD as HEAD
-from firvane.core.checksum import Damaged as Damaged
-from firvane.core.checksum import verify, with_header
-from firvane.proxy.snapshots.types import FORMAT, Snapshot
+from firvane.core.checksum import DamagedDataError, add_header, verify
+from firvane.proxy.snapshots.types import FORMAT_VERSION, Snapshot
 
 MAGIC = b"FVSN"
-MOST = 16 << 20  # bytes that are read
+MAX_SNAPSHOT_BYTES = 16 << 20
 
 
-def pack(snapshot: Snapshot) -> bytes:
-    return with_header(MAGIC, FORMAT, msgspec.msgpack.encode(snapshot))
+def encode(snapshot: Snapshot) -> bytes:
+    """Return the content of a snapshot's file."""
+    return add_header(MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(snapshot))
 
 
-def unpack(data: bytes) -> Snapshot:
-    """The snapshot; `Damaged` where there is none."""
-    version, body = verify(data, MAGIC, FORMAT, "snapshot")
+def decode(data: bytes) -> Snapshot:
+    """Return the snapshot in a file's content.
+
+    Raises:
+        DamagedDataError: It holds no valid snapshot.
+    """
+    version, body = verify(data, MAGIC, FORMAT_VERSION, "snapshot")
     try:
         raw: Any = msgspec.msgpack.decode(body)
         if version == 1:
-            raw = from_1(raw)
+            raw = convert_format_1(raw)
         snapshot = msgspec.convert(raw, Snapshot)
     except (msgspec.MsgspecError, TypeError, KeyError, ValueError, RecursionError) as error:
-        raise Damaged(f"its words do not fit: {error}") from None
+        raise DamagedDataError(f"its words do not fit: {error}") from None
     numbers = [snapshot.saved_at, snapshot.scale, *snapshot.kinds.values()]
     numbers += [number for box in snapshot.boxes.values() for number in (box.room, box.start or 0.0)]
     if not all(isfinite(number) and number >= 0.0 for number in numbers):
-        raise Damaged("it holds a number that is below 0 or none")
+        raise DamagedDataError("it holds a number that is below 0 or none")
     return snapshot
 
 
-def from_1(raw: dict[str, Any]) -> dict[str, Any]:
-    """Format 1 kept rooms and starts in two tables, and no kinds."""
-    rooms, starts = raw.pop("rooms"), raw.pop("starts")
-    return {**raw, "boxes": {name: {"room": room, "start": starts.get(name)} for name, room in rooms.items()}}
+def convert_format_1(raw: dict[str, Any]) -> dict[str, Any]:
+    """Return the fields of format 1, which has capacities and starts in two tables, in the current format."""
+    capacities, starts = raw.pop("rooms"), raw.pop("starts")
+    boxes = {name: {"room": capacity, "start": starts.get(name)} for name, capacity in capacities.items()}
+    return {**raw, "boxes": boxes}
 
 
-def aged(data: bytes, seconds: float) -> bytes:
-    """The same snapshot as if it were that much older: for rehearsals."""
-    snapshot = unpack(data)
-    return pack(msgspec.structs.replace(snapshot, saved_at=max(0.0, snapshot.saved_at - seconds)))
+def make_older(data: bytes, seconds: float) -> bytes:
+    """Return the same snapshot as if it were that much older: for simulations."""
+    snapshot = decode(data)
+    saved_at = max(0.0, snapshot.saved_at - seconds)
+    return encode(msgspec.structs.replace(snapshot, saved_at=saved_at))
--- a/firvane/proxy/snapshots/types.py
+++ b/firvane/proxy/snapshots/types.py
@@ -1,14 +1,14 @@
-"""What is kept of a proxy, and how each field is read back.
+"""The content of a snapshot, and how each field is restored.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. `TRUST` says of each field how it is read back, until when, and what confirms it. What is not in it is
-   neither kept nor read.
-2. Never a verdict about who is up: doubts, silences, failures and full tables are not kept.
-3. What is read back is a prior: it says where to begin, and the first evidence of this life goes before it.
-   Nothing of it opens a box's budget; the steps of a recovery start a little higher, `MOST_ROOM` at most.
-4. An age below 0 (the clock has stepped back) counts as unknown, which is `OLDEST`: priors are gone by then,
-   the list stands until discovery speaks.
+1. `RESTORE_RULES` says of each field how it is restored, until when, and what confirms it. What is not in it
+   is neither stored nor read.
+2. No health verdict is stored: no suspicion, time-out, failure or full table.
+3. What is restored is a prior: it says where to begin, and the first observation of this process overrules
+   it. It opens no backend's budget; the steps of a recovery start a little higher.
+4. An age below 0 (the clock has stepped back) counts as unknown, which is `MAX_AGE_S`: priors are gone by
+   then, the endpoint list stands until discovery updates it.
 """
 
 from __future__ import annotations
@@ -21,80 +21,108 @@
 
 from firvane.core import interface as api
 
-FORMAT = 2
-OLDEST = 7 * 86_400.0  # s from which on only the list is read
-HALF_SCALE, HALF_ROOM = 6 * 3600.0, 600.0  # s in which a prior loses half of what it says
-FIRST_ROOM, MOST_ROOM = 4.0, 8.0  # a room that nobody knows; the largest that a recovery begins with
+FORMAT_VERSION = 2
+SECONDS_PER_DAY = 86_400
+SECONDS_PER_HOUR = 3600
+SECONDS_PER_MINUTE = 60
+MAX_AGE_S = 7.0 * SECONDS_PER_DAY  # from which on only the endpoint list is restored
+SCALE_HALF_LIFE_S = 6.0 * SECONDS_PER_HOUR
+CAPACITY_HALF_LIFE_S = 600.0
+DEFAULT_CAPACITY = 4.0  # attempts, of a backend that nothing is known of
 
 
-class How(Enum):
-    """How a field is read back."""
+class RestoreMode(Enum):
+    """How a field is restored; the values are shown to operators."""
 
     AS_IS = "as it is"
     PRIOR = "as a prior that evidence overrules"
     AGED = "aged by a half-life"
 
 
-class Trust(NamedTuple):
-    """One row of the table."""
+class RestoreRule(NamedTuple):
+    """One row of the table, as it is shown to operators."""
 
     field: str
-    how: How
+    mode: RestoreMode
     until: str
-    confirmed: str
-
-
-TRUST = (
-    Trust("listed", How.AS_IS, "discovery's own word", "discovery; what drained stays out till then"),
-    Trust("scale", How.PRIOR, f"{OLDEST / 86_400:.0f} days, halved every {HALF_SCALE / 3600:.0f} h",
-          "answers of warm boxes; the median of peers, within 4 times"),
-    Trust("kinds", How.PRIOR, f"{OLDEST / 86_400:.0f} days", "answers of warm boxes of the kind"),
-    Trust("rooms", How.AGED, f"halved every {HALF_ROOM / 60:.0f} min towards {FIRST_ROOM:g}",
-          "answers, one by one; a restart of the box voids it"),
-    Trust("starts", How.AS_IS, "the list names a later start", "the list, and most peers"),
-)  # fmt: skip
-
-
-class Box(Struct, frozen=True, kw_only=True):
-    """One box: its room for this proxy, and its last start in Unix time, where that is known."""
-
-    room: float
-    start: float | None = None
+    confirmed_by: str
+
+
+_MAX_AGE_DAYS = f"{MAX_AGE_S / SECONDS_PER_DAY:.0f} days"
+RESTORE_RULES = (
+    RestoreRule(
+        "listed", RestoreMode.AS_IS, "discovery's own word", "discovery; what drained stays out till then"
+    ),
+    RestoreRule(
+        "scale",
+        RestoreMode.PRIOR,
+        f"{_MAX_AGE_DAYS}, halved every {SCALE_HALF_LIFE_S / SECONDS_PER_HOUR:.0f} h",
+        "answers of warm boxes; the median of peers, within 4 times",
+    ),
+    RestoreRule("kinds", RestoreMode.PRIOR, _MAX_AGE_DAYS, "answers of warm boxes of the kind"),
+    RestoreRule(
+        "rooms",
+        RestoreMode.AGED,
+        f"halved every {CAPACITY_HALF_LIFE_S / SECONDS_PER_MINUTE:.0f} min towards {DEFAULT_CAPACITY:g}",
+        "answers, one by one; a restart of the box voids it",
+    ),
+    RestoreRule("starts", RestoreMode.AS_IS, "the list names a later start", "the list, and most peers"),
+)
+
+
+class StoredBackend(Struct, frozen=True, kw_only=True):
+    """One backend; the names of the fields are the file's format."""
+
+    room: float  # the capacity for this proxy, in attempts
+    start: float | None = None  # the last start in Unix time, where that is known
 
 
 class Snapshot(Struct, frozen=True, kw_only=True):
-    """All that is kept."""
+    """What is stored of a proxy; the names of the fields are the file's format."""
 
     saved_at: float  # Unix time
     proxy: str
-    listed: dict[str, Any] | None = None  # the list in discovery's form; None: none was known
-    scale: float = 0.0  # answers a second and weight of a warm box; 0: not known
+    listed: dict[str, Any] | None = None  # the endpoint list in discovery's form; None: none was known
+    scale: float = 0.0  # answers a second and weight of a warm backend; 0: not known
     kinds: dict[str, float] = {}  # the same by kind
-    boxes: dict[str, Box] = {}
-
-
-def made(proxy: str, now: float, listed: dict[str, Any] | None, held: api.RestoredEstimates) -> Snapshot:
-    """What is kept at `now`, in Unix time."""
-    starts = held.start_times
-    boxes = {name: Box(room=room, start=starts.get(name)) for name, room in held.capacities.items()}
+    boxes: dict[str, StoredBackend] = {}  # backends by name
+
+
+def make_snapshot(
+    proxy: str, now: float, listed: dict[str, Any] | None, estimates: api.RestoredEstimates
+) -> Snapshot:
+    """Return the snapshot of a proxy at `now`, in Unix time."""
+    starts = estimates.start_times
+    boxes = {
+        name: StoredBackend(room=capacity, start=starts.get(name))
+        for name, capacity in estimates.capacities.items()
+    }
     return Snapshot(
-        saved_at=now, proxy=proxy, listed=listed, scale=held.scale, kinds=dict(held.kinds), boxes=boxes
+        saved_at=now,
+        proxy=proxy,
+        listed=listed,
+        scale=estimates.scale,
+        kinds=dict(estimates.kinds),
+        boxes=boxes,
     )
 
 
-def age(snapshot: Snapshot, now: float) -> float:
-    """Seconds since it was saved; `OLDEST` where clocks make no sense of it."""
-    since = now - snapshot.saved_at
-    return since if isfinite(since) and 0.0 <= since < OLDEST else OLDEST
-
-
-def remembered(snapshot: Snapshot, now: float) -> api.RestoredEstimates:
-    """What the decisions are told of it, `now` in Unix time."""
-    old = age(snapshot, now)
-    if old >= OLDEST:
-        return api.RestoredEstimates(old)
-    fades = 2.0 ** (-old / HALF_ROOM)
-    rooms = {name: FIRST_ROOM + (box.room - FIRST_ROOM) * fades for name, box in snapshot.boxes.items()}
-    starts = {name: box.start for name, box in snapshot.boxes.items() if box.start is not None}
-    scale = snapshot.scale * 2.0 ** (-old / HALF_SCALE)
-    return api.RestoredEstimates(old, scale, dict(snapshot.kinds), rooms, starts)
+def age_s(snapshot: Snapshot, now: float) -> float:
+    """Return the seconds since it was saved; `MAX_AGE_S` where the clocks do not fit."""
+    age = now - snapshot.saved_at
+    return age if isfinite(age) and 0.0 <= age < MAX_AGE_S else MAX_AGE_S
+
+
+def restore_estimates(snapshot: Snapshot, now: float) -> api.RestoredEstimates:
+    """Return what the decisions get of a snapshot at `now`, in Unix time."""
+    age = age_s(snapshot, now)
+    if age >= MAX_AGE_S:
+        return api.RestoredEstimates(age)
+    decay = 2.0 ** (-age / CAPACITY_HALF_LIFE_S)
+    capacities = {
+        name: DEFAULT_CAPACITY + (backend.room - DEFAULT_CAPACITY) * decay
+        for name, backend in snapshot.boxes.items()
+    }
+    starts = {name: backend.start for name, backend in snapshot.boxes.items() if backend.start is not None}
+    scale = snapshot.scale * 2.0 ** (-age / SCALE_HALF_LIFE_S)
+    return api.RestoredEstimates(age, scale, dict(snapshot.kinds), capacities, starts)
--- a/firvane/simulation/runner/machines.py
+++ b/firvane/simulation/runner/machines.py
@@ -66,10 +66,12 @@
     if memory == "lost":
         path.unlink(missing_ok=True)
     elif memory in ("torn", "old") and path.exists():
-        from firvane.proxy.snapshots.format import aged  # what `snapshots` installs, of which few have need
+        from firvane.proxy.snapshots.format import (
+            make_older,  # what `snapshots` installs, of which few have need
+        )
 
         whole = path.read_bytes()
-        path.write_bytes(whole[: len(whole) // 2] if memory == "torn" else aged(whole, OLD_S))
+        path.write_bytes(whole[: len(whole) // 2] if memory == "torn" else make_older(whole, OLD_S))
 
 
 class Machines:
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -148,10 +148,10 @@
         keeper = None
         if config.snapshot:
             from firvane.proxy.snapshots.file import (
-                Keeper,  # what `snapshots` installs, of which few have need
+                SnapshotStore,  # what `snapshots` installs, of which few have need
             )
 
-            keeper = partial(Keeper, config.snapshot, config.name, aside=lambda work: work())
+            keeper = partial(SnapshotStore, config.snapshot, config.name, run_off_loop=lambda work: work())
         agreement = None
         if config.policy:
             from firvane.proxy.quorum.driver import PolicyConsensus
--- a/tests/core/test_process_signals.py
+++ b/tests/core/test_process_signals.py
@@ -17,7 +17,7 @@
 from firvane.fleet.controller.journal_opener import JournalOpener, OpenedJournal
 from firvane.fleet.storage.writer import JournalWriter
 from firvane.proxy.quorum.store import Store
-from firvane.proxy.snapshots.file import Keeper
+from firvane.proxy.snapshots.file import SnapshotStore
 from tests.signal_masks import blocked_signals
 
 TIME_LIMIT = 20.0  # s, only for a thread that hangs
@@ -49,8 +49,8 @@
 
 
 def test_the_thread_that_writes_snapshots_blocks_signals(tmp_path: Path) -> None:
-    keeper = Keeper(tmp_path / "snapshot", "edge", logs.QUIET)
-    assert through_worker(keeper.aside) >= set(SIGNALS)
+    keeper = SnapshotStore(tmp_path / "snapshot", "edge", logs.QUIET)
+    assert through_worker(keeper.run_off_loop) >= set(SIGNALS)
     assert not mask_here() & set(SIGNALS)
 
 
--- a/tests/proxy/quorum/test_store.py
+++ b/tests/proxy/quorum/test_store.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.core.checksum import Damaged, verify, with_header
+from firvane.core.checksum import DamagedDataError, add_header, verify
 from firvane.proxy.policy_text import MAX_TEXT_BYTES, digest_of
 from firvane.proxy.quorum import store as module
 from firvane.proxy.quorum.store import (
@@ -120,7 +120,7 @@
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.data())
 def test_whatever_is_cut_flipped_or_added_is_refused_in_one_line(data: st.DataObject) -> None:
-    whole = bytearray(with_header(STATE_MAGIC, FORMAT_VERSION, BODY))
+    whole = bytearray(add_header(STATE_MAGIC, FORMAT_VERSION, BODY))
     place = data.draw(st.integers(0, len(whole) - 1))
     match data.draw(st.sampled_from(["cut", "flip", "more", "noise"])):
         case "cut":
@@ -133,7 +133,7 @@
             whole += data.draw(st.binary(min_size=1, max_size=50))
         case _:
             whole = bytearray(data.draw(st.binary(max_size=300)))
-    with pytest.raises(Damaged) as refused:
+    with pytest.raises(DamagedDataError) as refused:
         verify(bytes(whole), STATE_MAGIC, FORMAT_VERSION, "votes")
     assert "\n" not in str(refused.value)
 
@@ -141,11 +141,11 @@
 @pytest.mark.parametrize(
     "data",
     [
-        with_header(STATE_MAGIC, FORMAT_VERSION, BODY)[:-1],
-        with_header(STATE_MAGIC, FORMAT_VERSION + 1, BODY),
-        with_header(b"FVSN", FORMAT_VERSION, BODY),
-        with_header(STATE_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode([1, 2])),
-        with_header(
+        add_header(STATE_MAGIC, FORMAT_VERSION, BODY)[:-1],
+        add_header(STATE_MAGIC, FORMAT_VERSION + 1, BODY),
+        add_header(b"FVSN", FORMAT_VERSION, BODY),
+        add_header(STATE_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode([1, 2])),
+        add_header(
             STATE_MAGIC,
             FORMAT_VERSION,
             msgspec.msgpack.encode(VOTED._replace(decided=NEXT._replace(voters=()))),
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -86,7 +86,7 @@
     Mutant("a checksum that says nothing", checksum.google_crc32c, "value", lambda data: 0,
            test_snapshots.test_whatever_is_cut_flipped_or_added_is_refused_in_one_line),
     Mutant("written in place", file, "write_atomically", writes, failing_write),
-    Mutant("nothing ages", types, "HALF_ROOM", 1e18,
+    Mutant("nothing ages", types, "CAPACITY_HALF_LIFE_S", 1e18,
            lambda: test_snapshots.test_each_field_is_read_back_as_the_table_says(600.0, None, 8.0)),
 )  # fmt: skip
 
--- a/tests/proxy/rollout/helpers.py
+++ b/tests/proxy/rollout/helpers.py
@@ -1,4 +1,4 @@
-"""A plan, keepers that do what they are told or not, and blocks of drawn traffic."""
+"""A plan, supervisors that do what they are told or not, and blocks of drawn traffic."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Keeper:
+class FakeSupervisor:
     """One place as it is, whatever the state machine believes."""
 
     name: str
@@ -75,20 +75,20 @@
     make: type[RolloutStateMachine] = RolloutStateMachine
     now: float = 0.0
     disk: StoredRollout | None = None
-    keepers: dict[str, Keeper] = field(default_factory=dict)
+    supervisors: dict[str, FakeSupervisor] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
     compared: StartComparison | None = None
     spent: float = 0.0  # of alpha
     taking_over: int = 0
 
     def __post_init__(self) -> None:
-        self.keepers = {place.name: Keeper(place.name, place.zone) for place in self.plan.place}
+        self.supervisors = {place.name: FakeSupervisor(place.name, place.zone) for place in self.plan.place}
         self.start()
 
     def start(self) -> None:
         """A controller begins with what is on disk."""
-        for keeper in self.keepers.values():
-            keeper.told_out = True
+        for supervisor in self.supervisors.values():
+            supervisor.told_out = True
         self.taking_over = 0 if self.disk is None or self.disk.state in FINAL_STATES else 1
         self.machine = self.make(self.plan, "d", self.now, self.disk)
         self.do(self.machine.begin(self.now))
@@ -109,55 +109,61 @@
                 case StartComparison():
                     self.compared, self.spent = action, self.spent + action.alpha
                 case ReplaceSlot(name, version, roll) | RevertSlot(name, version, roll):
-                    self.ordered(self.keepers[name], version, roll)
+                    self.ordered(self.supervisors[name], version, roll)
 
-    def ordered(self, keeper: Keeper, version: str, roll: int) -> None:
-        busy = [one for one in self.keepers.values() if one.order]
-        if keeper.order:
+    def ordered(self, supervisor: FakeSupervisor, version: str, roll: int) -> None:
+        busy = [one for one in self.supervisors.values() if one.order]
+        if supervisor.order:
             self.broken.append("two orders to one place")
         if len(busy) >= self.plan.roll.at_once:
             self.broken.append("more than at_once")
-        out = {one.name for one in self.keepers.values() if one.zone == keeper.zone and one.told_out}
-        out |= {one.name for one in busy if one.zone == keeper.zone}
-        if keeper.name not in out and len(out) >= self.plan.max_unavailable(keeper.zone):
+        out = {one.name for one in self.supervisors.values() if one.zone == supervisor.zone and one.told_out}
+        out |= {one.name for one in busy if one.zone == supervisor.zone}
+        if supervisor.name not in out and len(out) >= self.plan.max_unavailable(supervisor.zone):
             self.broken.append("more of a zone out than the plan says")
-        if self.disk is None or self.disk.ordered.get(keeper.name) != version or self.disk.roll != roll:
+        if self.disk is None or self.disk.ordered.get(supervisor.name) != version or self.disk.roll != roll:
             self.broken.append("an order that is not on disk")
-        if not keeper.reached:
+        if not supervisor.reached:
             return
-        if roll < keeper.highest:
+        if roll < supervisor.highest:
             self.broken.append("an order of a roll that is over")
         roll_ = self.plan.roll
-        keeper.highest = roll
-        keeper.order = version, self.now + roll_.ready_s + roll_.prove_s + roll_.end_s
+        supervisor.highest = roll
+        supervisor.order = version, self.now + roll_.ready_s + roll_.prove_s + roll_.end_s
 
-    def end(self, keeper: Keeper, well: bool, heard: bool = True) -> None:
-        """An order ends in the keeper; its answer may be lost."""
-        if keeper.order is None:
+    def end(self, supervisor: FakeSupervisor, well: bool, heard: bool = True) -> None:
+        """An order ends in the supervisor; its answer may be lost."""
+        if supervisor.order is None:
             return
-        version, keeper.order = keeper.order[0], None
+        version, supervisor.order = supervisor.order[0], None
         if well:
-            keeper.version, keeper.serves = version, True
-        if heard and keeper.reached:
-            keeper.told_out = not keeper.serves
-            event = SlotReplaced(keeper.name, version) if well else ReplacementFailed(keeper.name, "it died")
+            supervisor.version, supervisor.serves = version, True
+        if heard and supervisor.reached:
+            supervisor.told_out = not supervisor.serves
+            event = (
+                SlotReplaced(supervisor.name, version)
+                if well
+                else ReplacementFailed(supervisor.name, "it died")
+            )
             self.hear(event)
 
-    def ask(self, keeper: Keeper) -> None:
-        if not keeper.reached:
-            keeper.told_out = True
-            self.hear(SlotUnreachable(keeper.name))
+    def ask(self, supervisor: FakeSupervisor) -> None:
+        if not supervisor.reached:
+            supervisor.told_out = True
+            self.hear(SlotUnreachable(supervisor.name))
             return
-        keeper.told_out = not keeper.serves or keeper.order is not None
+        supervisor.told_out = not supervisor.serves or supervisor.order is not None
         self.hear(
-            SlotReported(keeper.name, keeper.version if keeper.serves else "", keeper.order is not None)
+            SlotReported(
+                supervisor.name, supervisor.version if supervisor.serves else "", supervisor.order is not None
+            )
         )
 
     def wait(self, span: float) -> None:
         self.now += span
-        for keeper in self.keepers.values():
-            if keeper.order and self.now >= keeper.order[1]:
-                self.end(keeper, False, heard=False)
+        for supervisor in self.supervisors.values():
+            if supervisor.order and self.now >= supervisor.order[1]:
+                self.end(supervisor, False, heard=False)
         self.hear(Tick())
 
     def judge(self, verdict: Verdict) -> None:
@@ -165,10 +171,10 @@
             self.hear(ComparisonUpdated(judged(verdict), self.compared.number))
 
     def calm_step(self, verdict: Verdict, heal: bool = True, well: bool = True) -> None:
-        for keeper in self.keepers.values():
-            keeper.reached = keeper.reached or heal
-            self.end(keeper, well)
-            self.ask(keeper)
+        for supervisor in self.supervisors.values():
+            supervisor.reached = supervisor.reached or heal
+            self.end(supervisor, well)
+            self.ask(supervisor)
         self.judge(verdict)
         self.wait(20.0)
 
@@ -184,8 +190,8 @@
     def new(self) -> int:
         """Places that have the new version, or are changing to it."""
         return sum(
-            keeper.version == NEW or (keeper.order is not None and keeper.order[0] == NEW)
-            for keeper in self.keepers.values()
+            supervisor.version == NEW or (supervisor.order is not None and supervisor.order[0] == NEW)
+            for supervisor in self.supervisors.values()
         )
 
 
--- a/tests/proxy/rollout/test_state_machine.py
+++ b/tests/proxy/rollout/test_state_machine.py
@@ -52,24 +52,24 @@
 
     @rule()
     def all_answer(self) -> None:
-        for keeper in self.world.keepers.values():
-            self.world.ask(keeper)
+        for supervisor in self.world.supervisors.values():
+            self.world.ask(supervisor)
 
     @rule(name=NAMES, well=st.booleans(), heard=st.booleans())
     def order_ends(self, name: str, well: bool, heard: bool) -> None:
-        self.world.end(self.world.keepers[name], well, heard)
+        self.world.end(self.world.supervisors[name], well, heard)
 
     @rule(name=NAMES)
     def place_is_cut_off_or_back(self, name: str) -> None:
-        keeper = self.world.keepers[name]
-        keeper.reached = not keeper.reached
-        self.world.ask(keeper)
+        supervisor = self.world.supervisors[name]
+        supervisor.reached = not supervisor.reached
+        self.world.ask(supervisor)
 
     @rule(name=NAMES, version=st.sampled_from((OLD, NEW)))
     def program_dies_or_starts(self, name: str, version: str) -> None:
-        keeper = self.world.keepers[name]
-        keeper.serves = not keeper.serves
-        self.world.ask(keeper)
+        supervisor = self.world.supervisors[name]
+        supervisor.serves = not supervisor.serves
+        self.world.ask(supervisor)
 
     @rule(verdict=st.sampled_from(tuple(Verdict)))
     def judge(self, verdict: Verdict) -> None:
@@ -153,7 +153,7 @@
 
 def test_a_place_that_is_down_at_its_turn_is_passed_over_and_changed_when_it_is_back() -> None:
     world = begun(a_plan(9, 3))
-    first = world.keepers[world.plan.replacement_order()[0]]
+    first = world.supervisors[world.plan.replacement_order()[0]]
     first.reached = False
     while world.machine.stage == 0:
         world.calm_step(Verdict.FINE, heal=False)
@@ -191,9 +191,9 @@
     world = begun(a_plan(), make)
     while not world.new:
         world.calm_step(Verdict.CANNOT_TELL, well=True)
-    for keeper in world.keepers.values():
-        world.end(keeper, True)
-        keeper.reached = keeper.version == OLD
+    for supervisor in world.supervisors.values():
+        world.end(supervisor, True)
+        supervisor.reached = supervisor.version == OLD
     world.start()
     for _ in range(4):
         world.calm_step(Verdict.CANNOT_TELL, heal=False)
--- a/tests/proxy/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -17,22 +17,23 @@
 from hypothesis import strategies as st
 
 from firvane.cli import main
+from firvane.core import checksum
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 from firvane.proxy.capacity.backend_estimates import Evidence
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.recovery.steps import MOST_FIRST
 from firvane.proxy.snapshots import format
-from firvane.proxy.snapshots.file import Keeper, read
+from firvane.proxy.snapshots.file import SnapshotStore, read
 from firvane.proxy.snapshots.types import (
-    FORMAT,
-    HALF_ROOM,
-    HALF_SCALE,
-    OLDEST,
-    TRUST,
-    Box,
+    CAPACITY_HALF_LIFE_S,
+    FORMAT_VERSION,
+    MAX_AGE_S,
+    RESTORE_RULES,
+    SCALE_HALF_LIFE_S,
     Snapshot,
-    remembered,
+    StoredBackend,
+    restore_estimates,
 )
 from tests.helpers import settings as made
 
@@ -40,31 +41,31 @@
 LISTED = {"index": 7, "snapshot": True, "endpoints": [{"name": "a", "status": "draining"}]}
 SNAPSHOT = Snapshot(
     saved_at=NOW, proxy="edge", listed=LISTED, scale=20.0, kinds={"big": 30.0},
-    boxes={"a": Box(room=12.0, start=NOW - 90.0), "b": Box(room=1.0)},
+    boxes={"a": StoredBackend(room=12.0, start=NOW - 90.0), "b": StoredBackend(room=1.0)},
 )  # fmt: skip
 WRITER = """
 import sys
 from firvane.core.logs import QUIET
-from firvane.proxy.snapshots.file import Keeper
+from firvane.proxy.snapshots.file import SnapshotStore
 from firvane.core import interface as api
-keeper = Keeper(sys.argv[1], "p", QUIET, aside=lambda work: work())
+store = SnapshotStore(sys.argv[1], "p", QUIET, run_off_loop=lambda work: work())
 print("up", flush=True)
 n = 0
 while True:
     n += 1
     rooms = {f"box-{i}": float(n) for i in range(300)}
-    keeper.keep(float(n), lambda: None, api.RestoredEstimates(0.0, 1.0, {}, rooms))
+    store.save(float(n), lambda: None, api.RestoredEstimates(0.0, 1.0, {}, rooms))
 """
 
 
 def test_a_snapshot_comes_back_as_it_went() -> None:
-    assert format.unpack(format.pack(SNAPSHOT)) == SNAPSHOT
+    assert format.decode(format.encode(SNAPSHOT)) == SNAPSHOT
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.data())
 def test_whatever_is_cut_flipped_or_added_is_refused_in_one_line(data: st.DataObject) -> None:
-    whole = bytearray(format.pack(SNAPSHOT))
+    whole = bytearray(format.encode(SNAPSHOT))
     place = data.draw(st.integers(0, len(whole) - 1))
     match data.draw(st.sampled_from(["cut", "flip", "more", "noise"])):
         case "cut":
@@ -77,20 +78,20 @@
             whole += data.draw(st.binary(min_size=1, max_size=50))
         case _:
             whole = bytearray(data.draw(st.binary(max_size=300)))
-    with pytest.raises(format.Damaged) as refused:
-        format.unpack(bytes(whole))
+    with pytest.raises(checksum.DamagedDataError) as refused:
+        format.decode(bytes(whole))
     assert "\n" not in str(refused.value)
 
 
 @pytest.mark.parametrize(
     ("version", "change", "why"),
     [
-        (FORMAT + 1, {}, "reads up to"),
+        (FORMAT_VERSION + 1, {}, "reads up to"),
         (0, {}, "of format 0"),
-        (FORMAT, {"scale": float("nan")}, "below 0 or none"),
-        (FORMAT, {"kinds": {"big": -1.0}}, "below 0 or none"),
-        (FORMAT, {"boxes": 3}, "words do not fit"),
-        (FORMAT, {"saved_at": None}, "words do not fit"),
+        (FORMAT_VERSION, {"scale": float("nan")}, "below 0 or none"),
+        (FORMAT_VERSION, {"kinds": {"big": -1.0}}, "below 0 or none"),
+        (FORMAT_VERSION, {"boxes": 3}, "words do not fit"),
+        (FORMAT_VERSION, {"saved_at": None}, "words do not fit"),
         (1, {"rooms": {"a": "x"}, "starts": {}}, "words do not fit"),
         (1, {}, "words do not fit"),
     ],
@@ -100,29 +101,29 @@
     import msgspec
 
     body = msgspec.msgpack.encode({**msgspec.to_builtins(SNAPSHOT), **change})
-    head = format.HEAD.pack(format.MAGIC, version, len(body), google_crc32c.value(body))
-    with pytest.raises(format.Damaged, match=why):
-        format.unpack(head + body)
+    head = checksum.HEADER.pack(format.MAGIC, version, len(body), google_crc32c.value(body))
+    with pytest.raises(checksum.DamagedDataError, match=why):
+        format.decode(head + body)
 
 
 @pytest.mark.parametrize(
     ("age", "scale", "room"),
     [
         (0.0, 20.0, 12.0),
-        (HALF_ROOM, None, 8.0),
-        (HALF_SCALE, 10.0, 4.0),
-        (OLDEST, 0.0, None),
+        (CAPACITY_HALF_LIFE_S, None, 8.0),
+        (SCALE_HALF_LIFE_S, 10.0, 4.0),
+        (MAX_AGE_S, 0.0, None),
         (-3600.0, 0.0, None),
     ],
 )
 def test_each_field_is_read_back_as_the_table_says(
     age: float, scale: float | None, room: float | None
 ) -> None:
-    memory = remembered(SNAPSHOT, NOW + age)
+    memory = restore_estimates(SNAPSHOT, NOW + age)
     assert scale is None or memory.scale == pytest.approx(scale)
     assert memory.capacities.get("a") == (None if room is None else pytest.approx(room, abs=0.01))
     assert dict(memory.start_times) == ({} if room is None else {"a": NOW - 90.0})
-    kept = {row.field for row in TRUST}
+    kept = {row.field for row in RESTORE_RULES}
     assert kept == {"listed", "scale", "kinds", "rooms", "starts"}
     assert not {"fails", "doubts", "up", "slow"} & set(Snapshot.__struct_fields__)
 
@@ -146,14 +147,14 @@
         assert box.room <= max(1.0, told.rules.start_capacity * room)
 
 
-def keeper(path: Path, events: list[str]) -> Keeper:
+def keeper(path: Path, events: list[str]) -> SnapshotStore:
     class Log:
         def info(self, event: str, **fields: Any) -> None:
             events.append(event)
 
         warning = info
 
-    return Keeper(path, "edge", Log(), aside=lambda work: work())  # type: ignore[arg-type]
+    return SnapshotStore(path, "edge", Log(), run_off_loop=lambda work: work())  # type: ignore[arg-type]
 
 
 HELD = api.RestoredEstimates(0.0, 20.0, {"big": 30.0}, {"a": 12.0}, {"a": NOW - 90.0})
@@ -162,16 +163,16 @@
 def test_a_keeper_keeps_and_recalls(tmp_path: Path) -> None:
     events: list[str] = []
     one = keeper(tmp_path / "s", events)
-    assert one.recall(NOW) is None and events == ["snapshot_none"]
-    one.keep(NOW, lambda: LISTED, HELD)
-    memory, listed = one.recall(NOW + 1.0) or (None, None)
+    assert one.load(NOW) is None and events == ["snapshot_none"]
+    one.save(NOW, lambda: LISTED, HELD)
+    memory, listed = one.load(NOW + 1.0) or (None, None)
     assert listed == LISTED and memory and memory.scale == pytest.approx(20.0, rel=1e-3)
     assert os.listdir(tmp_path) == ["s"] and events == ["snapshot_none"]
     left, mine = tmp_path / ".s.killed", tmp_path / ".s.other"  # of a kill long ago, and of one at work
     for file, age in ((left, 3600.0), (mine, 0.0)):
         file.touch()
         os.utime(file, (time.time() - age, time.time() - age))
-    one.recall(NOW)
+    one.load(NOW)
     assert not left.exists() and mine.exists()
 
 
@@ -183,7 +184,7 @@
     place = tmp_path / "d" / "s"
     place.parent.mkdir()
     one = keeper(place, events)
-    one.keep(NOW, lambda: LISTED, HELD)
+    one.save(NOW, lambda: LISTED, HELD)
     before = place.read_bytes()
     calls = {"full": ("fsync", 28), "read-only": ("replace", 30)}
     if fault in calls:
@@ -200,12 +201,12 @@
         place.unlink()
         place.mkdir()
     for _ in range(3):
-        one.keep(NOW, lambda: LISTED, HELD)
-    assert events == ["snapshot_unwritten"]
+        one.save(NOW, lambda: LISTED, HELD)
+    assert events == ["snapshot_save_failed"]
     if fault in calls:
         assert place.read_bytes() == before and os.listdir(place.parent) == ["s"]
         monkeypatch.undo()
-        one.keep(NOW, lambda: LISTED, HELD)
+        one.save(NOW, lambda: LISTED, HELD)
         assert one.written == 2 and not one.failed
 
 
@@ -246,18 +247,18 @@
 
 def test_the_command_shows_and_checks(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     good, bad = tmp_path / "good", tmp_path / "bad"
-    good.write_bytes(format.pack(SNAPSHOT))
-    bad.write_bytes(format.pack(SNAPSHOT)[:-1])
+    good.write_bytes(format.encode(SNAPSHOT))
+    bad.write_bytes(format.encode(SNAPSHOT)[:-1])
     assert main(["snapshot", "show", str(good)]) == 0
     out = capsys.readouterr().out
-    assert "scale         20.0" in out and all(row.field in out for row in TRUST)
+    assert "scale         20.0" in out and all(row.field in out for row in RESTORE_RULES)
     assert main(["snapshot", "show", "--json", str(good)]) == 0
     assert '"list_version": 7' in capsys.readouterr().out
     assert main(["snapshot", "check", str(good), str(bad), str(tmp_path / "none")]) == 2
     told = capsys.readouterr()
     assert "a snapshot of edge, 1 boxes listed" in told.out
     assert [line.partition(": ")[2] for line in told.err.splitlines()] == [
-        f"it has {len(good.read_bytes()) - format.HEAD.size - 1} bytes of "
-        f"{len(good.read_bytes()) - format.HEAD.size}",
+        f"it has {len(good.read_bytes()) - checksum.HEADER.size - 1} bytes of "
+        f"{len(good.read_bytes()) - checksum.HEADER.size}",
         "cannot be read: No such file or directory",
     ]
--- a/tests/proxy/snapshots/test_stored_formats.py
+++ b/tests/proxy/snapshots/test_stored_formats.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from firvane.proxy.snapshots import format
-from firvane.proxy.snapshots.types import Box, Snapshot
+from firvane.proxy.snapshots.types import Snapshot, StoredBackend
 
 SNAPSHOT = Snapshot(
     saved_at=1.8e9,
@@ -11,7 +11,7 @@
     listed={"index": 7, "snapshot": True, "endpoints": [{"name": "a", "status": "up"}]},
     scale=20.5,
     kinds={"big": 30.0},
-    boxes={"a": Box(room=12.0, start=1.7e9), "b": Box(room=1.0)},
+    boxes={"a": StoredBackend(room=12.0, start=1.7e9), "b": StoredBackend(room=1.0)},
 )
 FORMAT_2 = (
     "4656534e0200b600000000005c622be186a873617665645f6174cb41dad27480000000a570726f7879a465646765a66c69"
@@ -28,11 +28,11 @@
 
 
 def test_a_snapshot_keeps_its_bytes() -> None:
-    assert format.pack(SNAPSHOT).hex() == FORMAT_2
-    assert format.unpack(bytes.fromhex(FORMAT_2)) == SNAPSHOT
+    assert format.encode(SNAPSHOT).hex() == FORMAT_2
+    assert format.decode(bytes.fromhex(FORMAT_2)) == SNAPSHOT
 
 
 def test_a_snapshot_of_the_first_format_is_read() -> None:
     boxes = SNAPSHOT.boxes
     older = Snapshot(saved_at=1.8e9, proxy="edge", listed=None, scale=20.5, kinds={}, boxes=boxes)
-    assert format.unpack(bytes.fromhex(FORMAT_1)) == older
+    assert format.decode(bytes.fromhex(FORMAT_1)) == older
--- a/tests/simulation/runner/test_faults.py
+++ b/tests/simulation/runner/test_faults.py
@@ -10,6 +10,7 @@
 import msgspec
 import pytest
 
+from firvane.core import checksum
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.types import Snapshot
 from firvane.simulation.emulation.records import ProxyState, Record, Sent, Told
@@ -104,17 +105,17 @@
     file = tmp_path / "one.snapshot"
     spoil(file, memory)
     assert not file.exists()
-    whole = format.pack(Snapshot(saved_at=1.8e9, proxy="p"))
+    whole = format.encode(Snapshot(saved_at=1.8e9, proxy="p"))
     file.write_bytes(whole)
     spoil(file, memory)
     assert file.exists() is (memory != "lost")
     if memory == "kept":
         assert file.read_bytes() == whole
     elif memory == "old":
-        assert format.unpack(file.read_bytes()).saved_at < 1.8e9 - 20 * 86_400
+        assert format.decode(file.read_bytes()).saved_at < 1.8e9 - 20 * 86_400
     elif memory == "torn":
-        with pytest.raises(format.Damaged):
-            format.unpack(file.read_bytes())
+        with pytest.raises(checksum.DamagedDataError):
+            format.decode(file.read_bytes())
 
 
 def test_a_clock_that_steps_is_for_virtual_time() -> None:
--- a/tests/together/rolling.py
+++ b/tests/together/rolling.py
@@ -121,7 +121,7 @@
         os.close(handle)
 
 
-class Keepers:
+class Supervisors:
     """What stands for the proxies' machines: a place with its keeper each."""
 
     def __init__(self, whole: Rolling) -> None:
@@ -166,7 +166,7 @@
 
     def __init__(self, *given: Any) -> None:
         super().__init__(*given)
-        self.keepers = self.machines = Keepers(self)  # type: ignore[assignment]
+        self.keepers = self.machines = Supervisors(self)  # type: ignore[assignment]
         # Requests that a place did not take, or left without an answer. Members whom the front brings nowhere
         # are not among them: it takes a proxy that is slow to say that it is up for dead.
         self.lost = 0
--- a/tests/together/test_power.py
+++ b/tests/together/test_power.py
@@ -8,10 +8,11 @@
 
 import pytest
 
+from firvane.core import checksum
 from firvane.proxy.recovery.state_machine import State
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.file import read
-from firvane.proxy.snapshots.types import FORMAT
+from firvane.proxy.snapshots.types import FORMAT_VERSION
 from tests.together.harness import Together, run, small, together
 
 ALL = (0, 1, 2)
@@ -184,7 +185,7 @@
             fleet.off(*ALL, boxes=True)
             for name in fleet.names:  # as if that address had been another box's when power went
                 path = tmp_path / f"{name}.snapshot"
-                path.write_bytes(changed(path.read_bytes(), FORMAT, renamed))
+                path.write_bytes(changed(path.read_bytes(), FORMAT_VERSION, renamed))
             fleet.back(*ALL)
             fleet.boxes_back()
             for number in ALL:
@@ -206,7 +207,7 @@
             await warmed(fleet)
             fleet.off(*ALL, memory=memory if memory in ("lost", "torn", "old") else "kept")
             for name in fleet.names if memory in ("newer", "older") else ():
-                version = FORMAT + 1 if memory == "newer" else 1
+                version = FORMAT_VERSION + 1 if memory == "newer" else 1
                 path = tmp_path / f"{name}.snapshot"
                 path.write_bytes(
                     changed(path.read_bytes(), version, rooms_and_starts if version == 1 else None)
@@ -214,8 +215,8 @@
             fleet.back(*ALL)
             lines = {
                 "lost": "event=snapshot_none",
-                "torn": "event=snapshot_useless",
-                "newer": f"reads up to {FORMAT}",
+                "torn": "event=snapshot_rejected",
+                "newer": f"reads up to {FORMAT_VERSION}",
                 "old": "scale=0 rooms=0",
                 "older": "event=snapshot_read",
             }
@@ -233,11 +234,11 @@
     import google_crc32c
     import msgspec
 
-    raw = msgspec.msgpack.decode(data[format.HEAD.size :])
+    raw = msgspec.msgpack.decode(data[checksum.HEADER.size :])
     if change:
         change(raw)
     body = msgspec.msgpack.encode(raw)
-    return format.HEAD.pack(format.MAGIC, version, len(body), google_crc32c.value(body)) + body
+    return checksum.HEADER.pack(format.MAGIC, version, len(body), google_crc32c.value(body)) + body
 
 
 def rooms_and_starts(raw: dict[str, Any]) -> None:
--- a/tests/together/test_rollout.py
+++ b/tests/together/test_rollout.py
@@ -18,7 +18,7 @@
 
 from firvane.proxy.rollout.rollout_state import RolloutState, StoredRollout
 from firvane.proxy.rollout.supervisor import TAG_VARIABLE
-from tests.together.rolling import STAGES, Fleets, Keepers, Rolling
+from tests.together.rolling import STAGES, Fleets, Rolling, Supervisors
 
 STEPS = 12  # more steps than a roll of these has: it would not end
 
@@ -51,7 +51,7 @@
                 busy.setattr(os, "kill", lambda pid, number: late.append(made.pid))
                 busy.setattr(signal, "pidfd_send_signal", lambda pid, number: late.append(made.pid))
                 busy.setattr(select, "select", waited)
-                Keepers(cast(Rolling, SimpleNamespace(folder=tmp_path))).close()
+                Supervisors(cast(Rolling, SimpleNamespace(folder=tmp_path))).close()
             assert late == [made.pid] and wait([handle], [], [], 0)[0]
         finally:
             os.close(handle)
