--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -28,61 +28,69 @@
 from firvane.core.worker_threads import start_loop_threads
 from firvane.proxy.config.node import Config
 from firvane.proxy.config.platform import read_config
-from firvane.proxy.extensions import Agreement, Keeper
+from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.proxy import Proxy
 
-MakeKeeper = Callable[[Log], Keeper]
-MakeAgreement = Callable[[Proxy], Agreement]
+MakeSnapshotStore = Callable[[Log], SnapshotStore]
+MakePolicyAgreement = Callable[[Proxy], PolicyAgreement]
 
 
 async def run(
     config: Config,
     read_again: Callable[[], Config],
-    keeper: MakeKeeper | None,
-    agreement: MakeAgreement | None,
+    snapshot_store: MakeSnapshotStore | None,
+    policy_agreement: MakePolicyAgreement | None,
 ) -> None:
-    """One proxy from its start to its end, by signals."""
+    """Run a proxy from its start to its shutdown, by signals."""
     loop = asyncio.get_running_loop()
-    # `OSError` where what it is to inherit is not there.
-    proxy = Proxy(loop, config, keeper=keeper, agreement=agreement)
+    proxy = Proxy(loop, config, snapshot_store=snapshot_store, policy_agreement=policy_agreement)
     logging.getLogger().addHandler(Bridge(proxy.log))
     proxy.log.info("native", **native.state()._asdict())
-    told = asyncio.Event()
+    shutdown = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, told.set)
+        loop.add_signal_handler(number, shutdown.set)
     loop.add_signal_handler(signal.SIGHUP, proxy.reload, read_again)
     if config.peer_listen:
         await start_loop_threads(loop)
-    # Whatever came since the first line comes now: a SIGHUP reads the file anew, which may be newer than what
-    # was read; an order to end is obeyed in order.
+    # Signals that were pending since the first line are delivered now: a SIGHUP reads the file anew, which
+    # may have changed since; SIGTERM shuts down in order.
     process_signals.unblock()
-    # An order to end is obeyed also while discovery has yet to give the first list.
-    waits = loop.create_task(proxy.start()), loop.create_task(told.wait())
+    # SIGTERM ends the proxy also while it waits for the first endpoint list.
+    waits = loop.create_task(proxy.start()), loop.create_task(shutdown.wait())
     await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     if waits[0].done():
         waits[0].result()
-        # What lives as long as the proxy need not be looked at again in each collection.
+        # What lives as long as the proxy need not be examined in each collection.
         gc.collect()
         gc.freeze()
         gc.set_threshold(10_000, 20, 20)  # requests leave no cycles behind: what else does can wait
-        await told.wait()
+        await shutdown.wait()
     proxy.log.info("ending", open=proxy.engine.owed)
     await proxy.drain()
-    # The loop closes next, and its handlers go with it: one more order must not end in another exit code.
+    # The loop closes next, and its handlers with it: a further signal must not change the exit code.
     process_signals.block()
 
 
 def serve(
     config: Config,
     read_again: Callable[[], Config],
-    keeper: MakeKeeper | None = None,
-    agreement: MakeAgreement | None = None,
+    snapshot_store: MakeSnapshotStore | None = None,
+    policy_agreement: MakePolicyAgreement | None = None,
 ) -> int:
-    """One proxy until a signal ends it; the exit code. `read_again` is called for each SIGHUP, `keeper` makes
-    what keeps its snapshots, `agreement` its part in the agreement on one policy."""
+    """Run a proxy until a signal ends it.
+
+    Args:
+        config: The configuration.
+        read_again: Reads it again, at each SIGHUP.
+        snapshot_store: Makes the store of its snapshots, where they are kept.
+        policy_agreement: Makes its part in the agreement on one policy, where there is one.
+
+    Returns:
+        The exit code: 0, or 2 where it cannot start.
+    """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(config, read_again, keeper, agreement))
+            runner.run(run(config, read_again, snapshot_store, policy_agreement))
     except OSError as error:
         print(f"firvane: cannot start: {error}", file=sys.stderr)
         return 2
@@ -90,17 +98,20 @@
 
 
 def main() -> int:
+    """Run the proxy that the environment configures, and return the exit code."""
     try:
         config = read_config(os.environ)
     except (ValueError, OSError) as error:
         print(f"firvane: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
-    keeper = None
-    if config.snapshot:  # by name: the platform sets no such key, and its processes load no tool
+    snapshot_store = None
+    if config.snapshot:  # imported by name: without the key no process loads the module
         kept = importlib.import_module("firvane.proxy.snapshots.file")
-        keeper = partial(kept.Keeper, config.snapshot, config.name)
-    agreement = importlib.import_module("firvane.proxy.quorum.driver").Policies if config.policy else None
-    return serve(config, partial(read_config, os.environ, again=True), keeper, agreement)
+        snapshot_store = partial(kept.Keeper, config.snapshot, config.name)
+    policy_agreement = (
+        importlib.import_module("firvane.proxy.quorum.driver").Policies if config.policy else None
+    )
+    return serve(config, partial(read_config, os.environ, again=True), snapshot_store, policy_agreement)
 
 
 if __name__ == "__main__":
--- a/firvane/proxy/admin_api/lifecycle.py
+++ b/firvane/proxy/admin_api/lifecycle.py
@@ -1,10 +1,10 @@
-"""The states of a proxy, as one table: what is heard in each, and what each means to those outside.
+"""The states of a proxy, as one table: which events each allows, and what it means to the outside.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. What stands in the table happens; what does not is turned down with a reason and changes nothing.
-2. Handing over and ending are final: who drains may resume, who has been told to end may not.
-3. Who is told to end before the start is over never takes a client: it does not become ready any more.
+1. Events that are not in the table are refused and change nothing.
+2. Handing over and ending are final: a proxy that drains may resume, one that shuts down may not.
+3. A proxy that is shut down before its start is over never becomes ready.
 """
 
 from __future__ import annotations
@@ -14,27 +14,36 @@
 
 
 class State(Enum):
-    STARTING = "starting"  # the list is not here yet
+    """The state of a proxy, by the name that operators see."""
+
+    STARTING = "starting"  # waits for the endpoint list
     READY = "ready"
-    DRAINING = "draining"  # told to send clients away, and to stay
-    HANDING_OVER = "handing over"  # told to end, and another process has its listening socket
+    DRAINING = "draining"  # sends clients away, but does not end
+    HANDING_OVER = "handing over"  # shuts down; another process has its listening socket
     ENDING = "ending"
     UNSTARTED = "ending before the start was over"
 
 
 class Event(Enum):
+    """What may change the state."""
+
     STARTED = "started"
     DRAIN = "drain"
     RESUME = "resume"
     TERMINATE = "terminate"
-    SUCCEEDED = "succeeded"  # told to end, and another process takes the clients
+    SUCCEEDED = "succeeded"  # shut down, with a successor for the clients
 
 
 class Meaning(NamedTuple):
-    """What a state means."""
+    """What a state means to the outside.
+
+    Attributes:
+        up: The health check `GET /up` succeeds.
+        takes: Requests are served, as the operators' call `ready` reports.
+    """
 
-    up: bool  # GET /up says yes
-    takes: bool  # requests are taken, which is what the operators' `ready` asks
+    up: bool
+    takes: bool
 
 
 MEANING = {
@@ -60,19 +69,20 @@
 }
 
 
-class Life:
+class Lifecycle:
     """The state that a proxy is in."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
 
     def meaning(self) -> Meaning:
+        """What the current state means."""
         return MEANING[self.state]
 
-    def hear(self, event: Event) -> bool:
-        """Whether it is for this state; the next one holds then."""
-        following = TABLE[self.state].get(event)
-        if following is None:
+    def apply(self, event: Event) -> bool:
+        """Change the state by an event; return False where the table does not allow it."""
+        next_state = TABLE[self.state].get(event)
+        if next_state is None:
             return False
-        self.state = following
+        self.state = next_state
         return True
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -1,4 +1,4 @@
-"""What the proxy reports: one source for the door and for the log."""
+"""The metrics of a proxy, for the admin API and for the log."""
 
 from __future__ import annotations
 
@@ -10,29 +10,30 @@
 
 
 @dataclass
-class Loads:
-    """Files read at SIGHUP."""
+class ReloadCounts:
+    """Configuration files that were read at SIGHUP: applied, and refused."""
 
     taken: int = 0
-    errors: int = 0  # turned down
+    errors: int = 0
 
 
 @dataclass
 class Figures:
-    """At one moment."""
+    """The metrics at one moment."""
 
     state: str
     handled: Mapping[str, Counts]
     in_progress: int
     known_backends: int
     skipped_backends: int
-    loads: Loads = field(default_factory=Loads)
+    loads: ReloadCounts = field(default_factory=ReloadCounts)
 
     def tries(self) -> int:
+        """Attempts that were written to targets."""
         return sum(counts.upstream_tries for counts in self.handled.values())
 
     def text(self) -> str:
-        """As the door tells them, on one line."""
+        """The metrics as JSON on one line, for `show-stat`."""
         return json.dumps(
             {
                 "handled": {name: counts.told() for name, counts in self.handled.items()},
@@ -47,7 +48,7 @@
         )
 
     def fields(self) -> dict[str, int | str]:
-        """As the log's event `figures` has them."""
+        """The metrics as fields of the log event `figures`."""
         told = [counts.told() for counts in self.handled.values()]
         totals = {name: sum(counts[name] for counts in told) for name in ANSWERS}
         return {
--- a/firvane/proxy/admin_api/server.py
+++ b/firvane/proxy/admin_api/server.py
@@ -1,4 +1,4 @@
-"""The operators' connections: one call each, answered at once and closed."""
+"""The admin server: operators' connections, with one call each that is answered at once."""
 
 from __future__ import annotations
 
@@ -8,71 +8,83 @@
 
 from firvane.proxy.admin_api.calls import Asked, Line, Useless, no
 
-CALLERS = 16  # that may stand at once; one more, and the one that has stood longest without a call goes
-STAY = 5.0  # s that a caller may take for its line, or to read its answer
-DESCRIPTORS = CALLERS + 4  # kept for the door and for those that are accepted before the oldest has gone
+MAX_CONNECTIONS = 16  # one more closes the oldest
+CONNECTION_TIMEOUT_S = 5.0  # to send a call, or to read the response
+ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 4  # beside them: the listening socket, and connections just accepted
 
 Answer = Callable[[Asked], bytes]
 
 
-class Desk:
-    """All that call."""
+class AdminServer:
+    """The connections of operators.
+
+    Attributes:
+        connections: Loop time in s by which each must be done, in the order of their arrival.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, answer: Answer) -> None:
         self.loop, self.answer = loop, answer
-        self.callers: dict[Caller, float] = {}  # by when each must be done, in order of arrival
+        self.connections: dict[AdminConnection, float] = {}
 
-    def caller(self) -> Caller:
-        return Caller(self)
+    def make_connection(self) -> AdminConnection:
+        """Make the protocol of a connection."""
+        return AdminConnection(self)
 
-    def came(self, caller: Caller) -> None:
-        self.callers[caller] = self.loop.time() + STAY
-        if len(self.callers) > CALLERS:
-            next(iter(self.callers)).transport.abort()
+    def add(self, connection: AdminConnection) -> None:
+        """Keep a new connection, and close the oldest where there are too many."""
+        self.connections[connection] = self.loop.time() + CONNECTION_TIMEOUT_S
+        if len(self.connections) > MAX_CONNECTIONS:
+            next(iter(self.connections)).transport.abort()
 
     def sweep(self) -> None:
+        """Close connections that have timed out."""
         now = self.loop.time()
-        for caller in [caller for caller, until in self.callers.items() if until <= now]:
-            caller.transport.abort()
+        for connection in [connection for connection, until in self.connections.items() if until <= now]:
+            connection.transport.abort()
 
     def close(self) -> None:
-        for caller in list(self.callers):
-            caller.transport.close()
+        """Close all connections, once their responses are written."""
+        for connection in list(self.connections):
+            connection.transport.close()
 
 
-class Caller(asyncio.Protocol):
-    """One that calls."""
+class AdminConnection(asyncio.Protocol):
+    """One operator's connection."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk, self.line = desk, Line()
+    def __init__(self, server: AdminServer) -> None:
+        self.server, self.line = server, Line()
         self.done = False
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection has its transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        self.desk.came(self)
+        self.server.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.desk.callers.pop(self, None)
+        """The connection is closed (asyncio)."""
+        self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
+        """Answer the call once its line is complete (asyncio)."""
         if self.done:
-            return  # one line to a connection
+            return  # one call to a connection
         try:
             asked = self.line.feed(data)
         except Useless as useless:
-            self._say(no(str(useless)))
+            self._respond(no(str(useless)))
             return
         if asked:
-            self._say(self.desk.answer(asked))
+            self._respond(self.server.answer(asked))
 
     def eof_received(self) -> None:
+        """Answer a call that was cut off (asyncio)."""
         if not self.done:
-            self._say(no("the call has no end: a line feed is missing"))
+            self._respond(no("the call has no end: a line feed is missing"))
 
-    def _say(self, answer: bytes) -> None:
+    def _respond(self, answer: bytes) -> None:
         self.done = True
         self.transport.write(answer)
-        # A close with bytes unread would reset the connection and may destroy the answer on its way.
+        # A close with unread bytes would reset the connection and could destroy the response in transit.
         if not self.transport.is_closing():
             self.transport.write_eof()
--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -1,4 +1,4 @@
-"""Parts that a proxy may be given: what keeps its memory, its part in the agreement on a policy."""
+"""Optional parts of a proxy: the store of its snapshots, and its part in the agreement on a policy."""
 
 from __future__ import annotations
 
@@ -8,39 +8,44 @@
 from firvane.core import interface as api
 from firvane.proxy.admin_api.calls import Asked
 
-AGREEING = 4  # descriptors kept for texts of policies, where there is an agreement on one
+POLICY_DESCRIPTORS = 4  # for texts of policies that are fetched and served
 
 
-class Keeper(Protocol):
-    """Whatever keeps what was learnt over this process's end (`snapshots.file`)."""
+class SnapshotStore(Protocol):
+    """Keeps learned estimates beyond the end of the process (`snapshots.file`)."""
 
     def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
-        """What was kept, and the list in discovery's form; `now` in Unix time."""
+        """The stored estimates and endpoint list, or None; `now` is Unix time in s."""
 
     def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
-        """`listed` makes the list, wherever that is written."""
+        """Store estimates and the endpoint list that `listed` makes, possibly in another thread."""
 
     def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
-        """Keep it for the last time."""
+        """Store them for the last time, before this returns."""
 
 
-class Agreement(Protocol):
-    """This proxy's part in the agreement on one policy for all proxies (`quorum.driver`)."""
+class PolicyAgreement(Protocol):
+    """This proxy's part in the agreement on one policy for all proxies (`quorum.driver`).
 
-    epoch: int  # of the policy in use; 0: none has been
-    stamp: bytes  # the header line that answers carry, or none
+    Attributes:
+        epoch: The epoch of the policy in use, or 0 for none.
+        stamp: The header line of responses that names the policy, or b"".
+    """
+
+    epoch: int
+    stamp: bytes
 
     async def start(self) -> None:
-        """Returns when the policy in force is in use here."""
+        """Start; returns once the policy in force is in use here."""
 
     def heard(self, sender: int, payload: bytes) -> bool:
-        """Whether a peer's datagram was for it."""
+        """Take in a peer's datagram; return whether it was for the agreement."""
 
     def may(self) -> bool:
-        """Whether a new request may be decided now; asked at each of them."""
+        """Whether a new request may be decided now."""
 
     def call(self, asked: Asked) -> bytes:
-        """The answer to an operators' call."""
+        """The response to an operators' call."""
 
     def close(self) -> None:
-        """Take no part any more."""
+        """Leave the agreement."""
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -90,7 +90,7 @@
         if name == "misread":
             self.tell, proxy.peers.tell = proxy.peers.tell, self._tell
         if name == "no-drains":
-            self.read, proxy.group.reader.read = proxy.group.reader.read, self._read
+            self.read, proxy.target_group.reader.read = proxy.target_group.reader.read, self._read
         if proxy.limiter.metrics is not None:
             proxy.limiter.metrics.used = self.used
             proxy.limiter.metrics.pid = seed
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -159,7 +159,7 @@
             agreement = partial(Policies, aside=lambda work: work(), clock=self.loop.time)
         make = partial(
             Proxy, self.loop, config, wall=self.wall, dialer=dialer, usage=lambda: UNKNOWN, log=self.log,
-            keeper=keeper, agreement=agreement,
+            snapshot_store=keeper, policy_agreement=agreement,
         )  # fmt: skip
         self.proxy = process.call(make)
         self.proxy.acceptor = MemoryAcceptor(self.loop)
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -3,7 +3,10 @@
 from tests.crossings.mutants import Mutant
 
 ENDS, HANDS = "tests/crossings/test_ends.py::", "tests/crossings/test_handovers.py::"
-PROXY, MAIN, DOOR = "firvane/proxy/proxy.py", "firvane/__main__.py", "firvane/proxy/net/listening_socket.py"
+PROXY = "firvane/proxy/proxy.py"
+TIMING = "firvane/proxy/shutdown_timing.py"
+MAIN = "firvane/__main__.py"
+DOOR = "firvane/proxy/net/listening_socket.py"
 STATES = "firvane/proxy/admin_api/lifecycle.py"
 
 MUTANTS = [
@@ -37,16 +40,16 @@
     ),
     Mutant(
         "what comes up to 0.7 s after the order has most of its time",
-        PROXY,
-        "margin = min(MARGIN, MOST_MARGIN * longest)",
-        "margin = MARGIN",
+        TIMING,
+        "margin = min(RESPONSE_MARGIN_S, MAX_MARGIN_PART * longest)",
+        "margin = RESPONSE_MARGIN_S",
         f"{ENDS}test_who_goes_on_asking_gets_an_answer_to_each[100]",
     ),
     Mutant(
         "clients that are here are served on after 0.7 s",
         PROXY,
-        "            while self._has_clients() and self.loop.time() < told + LAME",
-        "            while False and self._has_clients() and self.loop.time() < told + LAME",
+        "        while self._has_clients() and self.loop.time() < timing.serve_until",
+        "        while False and self._has_clients() and self.loop.time() < timing.serve_until",
         f"{ENDS}test_who_is_here_is_served_on_after_the_door_is_closed",
     ),
     Mutant(
@@ -66,7 +69,7 @@
     Mutant(
         "half a request may become whole until the very last",
         PROXY,
-        "        while self._has_clients() and self.loop.time() < killed - margin / 2:",
+        "        while self._has_clients() and self.loop.time() < timing.close_idle_until:",
         "        while False:",
         f"{ENDS}test_who_is_here_is_served_on_after_the_door_is_closed",
     ),
@@ -80,7 +83,7 @@
     Mutant(
         "an end in the start ends the start",
         PROXY,
-        "            self.starting.cancel()",
+        "            self.start_task.cancel()",
         "            pass",
         f"{ENDS}test_an_end_before_the_list_is_here_stays_one",
     ),
@@ -136,8 +139,8 @@
     Mutant(
         "who comes after the order is the successor's",
         PROXY,
-        "        if successor:  # the clients' queue",
-        "        if False:  # the clients' queue",
+        "        if successor:  # new connections",
+        "        if False:  # new connections",
         f"{HANDS}test_a_connection_accepted_in_the_turn_of_the_order_is_served",
     ),
     Mutant(
@@ -164,8 +167,8 @@
     Mutant(
         "a drain that was taken back sends nobody away",
         PROXY,
-        "self.life.state is State.DRAINING and self.drained_at == since",
-        "self.life.state is State.DRAINING",
+        "self.lifecycle.state is State.DRAINING and self.drain_started_at == since",
+        "self.lifecycle.state is State.DRAINING",
         f"{HANDS}test_a_drain_that_was_taken_back_sends_nobody_away",
     ),
     Mutant(
@@ -199,8 +202,8 @@
     Mutant(
         "settings that come in the start stay in force",
         PROXY,
-        "        config = self._recall(self.config)",
-        "        config = self._recall(config)",
+        "        config = self._restore_snapshot(self.config)",
+        "        config = self._restore_snapshot(config)",
         f"{HANDS}test_settings_that_come_in_the_start_are_those_in_force",
     ),
 ]
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -66,7 +66,7 @@
 
 def listed(made: Rig, **statuses: str) -> None:
     """The list's next word, at this very moment."""
-    group = made.proxy.group
+    group = made.proxy.target_group
     group.learn({"index": group.index + 1, "snapshot": True, "endpoints": made.entries(**statuses)})
 
 
@@ -969,7 +969,7 @@
             elif at != "idle":
                 await making.came.wait()
                 made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
-            group, entries = made.proxy.group, [entry("s1", new)]
+            group, entries = made.proxy.target_group, [entry("s1", new)]
             pool = made.proxy.upstream_pools.pools["s1"]
             group.learn({"index": group.index + 1, "snapshot": True, "endpoints": entries})
             if at == "in-a-late-dial":  # the grace is over
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -180,7 +180,7 @@
         async with rig(tmp_path, **limits()) as made:
             watch = await made.start()
             await watch.tell(2)  # no target at all
-            await made.see(lambda: not made.proxy.group.servers)
+            await made.see(lambda: not made.proxy.target_group.servers)
             async with nothing_left(made):
                 client = await made.client()
                 await client.send(ask("c1"))
@@ -188,7 +188,7 @@
                 client.leave(how)
                 await made.see(lambda: not made.proxy.engine.flows)
             await watch.tell(3, *made.entries())
-            await made.see(lambda: made.proxy.group.servers)
+            await made.see(lambda: made.proxy.target_group.servers)
             await only(made)
 
     play(work())
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -15,7 +15,7 @@
 from firvane.core.net.transport_pool import TRANSPORT_WORKERS
 from firvane.core.process_signals import SIGNALS
 from firvane.proxy.net.listening_socket import MAX_ACCEPTS_PER_TURN
-from firvane.proxy.proxy import LAME
+from firvane.proxy.shutdown_timing import LAME_DUCK_S
 from tests.crossings.harness import (
     ERROR,
     FULL,
@@ -93,14 +93,14 @@
             longest = min(span / 1000, 3.0)
             # What comes up to 0.7 s after the order has most of its time, whatever the longest deadline is;
             # and all has its answer before SIGKILL may come.
-            assert LAME + longest / 2 < limiter.drain_deadline - told < LAME + longest
+            assert LAME_DUCK_S + longest / 2 < limiter.drain_deadline - told < LAME_DUCK_S + longest
             assert not made.proxy.acceptor.sock.fileno() < 0
             assert b" 200 " in await asked(new, "n1")
             for client in clients:
                 assert await client
             await ending
             if span >= 2000:  # else a machine at its limit is not quick enough for a figure in real time
-                assert made.loop.time() - told < LAME + longest
+                assert made.loop.time() - told < LAME_DUCK_S + longest
             assert await quiet.gone() == "fin" and not quiet.buffer  # in order: it had no request
             assert made.at_rest() == (0, 0, 0)
 
@@ -311,7 +311,7 @@
             client = await made.client()
             listener = await made.listener(client)
             if why == "drain":
-                ops = await connect(made.proxy.ops.address()[1])
+                ops = await connect(made.proxy.admin_acceptor.address()[1])
                 await ops.send(b"drain\n")
                 await ops.gone()
             await made.see(lambda: made.proxy.limiter.closing)
@@ -566,7 +566,7 @@
             async with rig(tmp_path, settings=lasting(100), env=more, ops="127.0.0.1:0") as made:
                 starting = made.later(made.proxy.start())
                 watch = await made.agent.watch()
-                ops = await connect(made.proxy.ops.address()[1])
+                ops = await connect(made.proxy.admin_acceptor.address()[1])
                 ending = made.later(made.proxy.drain())
                 await made.see(lambda: made.proxy.limiter.drain_deadline < float("inf"))
                 await watch.tell(1, *made.entries())
@@ -613,6 +613,6 @@
             told = made.loop.time()
             made.later(made.proxy.drain())
             await made.see(lambda: made.proxy.limiter.drain_deadline < float("inf"))
-            assert made.proxy.limiter.drain_deadline < told + LAME + SHORT / 1000
+            assert made.proxy.limiter.drain_deadline < told + LAME_DUCK_S + SHORT / 1000
 
     play(work())
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from firvane.proxy import proxy as wired
+from firvane.proxy import shutdown_timing
 from tests.crossings.harness import (
     MS,
     OK,
@@ -186,7 +186,7 @@
 
 
 async def says(made: Rig, call: bytes) -> bytes:
-    caller = await connect(made.proxy.ops.address()[1])
+    caller = await connect(made.proxy.admin_acceptor.address()[1])
     await caller.send(call)
     await caller.gone()
     caller.fin()
@@ -198,7 +198,7 @@
     tmp_path: Path, resumed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr(wired, "LAME", 0.05)
+        monkeypatch.setattr(shutdown_timing, "LAME_DUCK_S", 0.05)
         async with rig(tmp_path, settings=SETTINGS, ops="127.0.0.1:0") as made:
             await made.start()
             idle, half, new, busy = [await made.client() for _ in range(4)]
@@ -228,7 +228,7 @@
             if resumed:  # and they are served on
                 await half.send(request("h2"))
                 assert b" 200 " in await answered(half)
-            assert made.proxy.life.state.value == ("ready" if resumed else "draining")
+            assert made.proxy.lifecycle.state.value == ("ready" if resumed else "draining")
 
     play(work())
 
@@ -237,15 +237,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr(wired, "LAME", 0.2)
+        monkeypatch.setattr(shutdown_timing, "LAME_DUCK_S", 0.2)
         async with rig(tmp_path, settings=SETTINGS, ops="127.0.0.1:0") as made:
             await made.start()
             for call in (b"drain\n", b"resume\n"):
                 await says(made, call)
-            first = made.proxy.drained_at
+            first = made.proxy.drain_started_at
             await made.see(lambda: made.loop.time() >= first + 0.1)
             await says(made, b"drain\n")
-            second = made.proxy.drained_at
+            second = made.proxy.drain_started_at
             gone: list[float] = []
             made.loop.call_at(first + 0.21, lambda: gone.append(made.proxy.limiter.closing))
             await made.see(lambda: made.proxy.limiter.closing)
@@ -253,7 +253,7 @@
             assert gone == [False] and made.loop.time() > second + 0.15
             # Once told to end nobody resumes, and a drain before it does not cut the end short.
             ending = made.later(made.proxy.drain())
-            await made.see(lambda: made.proxy.life.state.value == "ending")
+            await made.see(lambda: made.proxy.lifecycle.state.value == "ending")
             for call in (b"drain\n", b"resume\n"):
                 assert (await says(made, call)).startswith(b"-ERR ending: ")
             await ending
@@ -290,7 +290,7 @@
             await link.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
             assert b" 502 " in await opened.until(b"failed\n")
             # Once the time for names of before is over, this one is unknown, and no other has its number.
-            made.proxy._settle(made.proxy.retuned_at)
+            made.proxy._retire_settings(made.proxy.settings_changed_at)
             for call, path, status in (("c3", "/pay/x", b" 404 "), ("c4", "/other/x", b" 200 ")):
                 client = await made.client()
                 await client.send(request(call, path, method="POST" if path == "/pay/x" else "GET"))
@@ -316,9 +316,9 @@
                 path.unlink()
             else:
                 path.write_text(text)
-            before = made.proxy.config, made.proxy.engine.settings, made.proxy.group.address
+            before = made.proxy.config, made.proxy.engine.settings, made.proxy.target_group.address
             made.proxy.reload(made.read_again)
-            assert (made.proxy.config, made.proxy.engine.settings, made.proxy.group.address) == before
+            assert (made.proxy.config, made.proxy.engine.settings, made.proxy.target_group.address) == before
             assert any("config_useless" in line for line in made.lines)
             await client.send(request("c1")[30:])
             assert b" 200 " in await answered(client)
@@ -332,16 +332,16 @@
             proxy, target = made.proxy, made.targets[0]
             known = {"index": 1, "snapshot": True, "endpoints": [entry("s1", target)]}
             proxy.config = replace(proxy.config, discovery=None, known=known)
-            proxy.group.address = None
+            proxy.target_group.address = None
             await proxy.start()
             # Room for one target is what this proxy has, and the file has two.
-            proxy.group.reader.max_endpoints = 1
+            proxy.target_group.reader.max_endpoints = 1
             more = {"index": 2, "snapshot": True, "endpoints": [entry("s1", target), entry("s2", target)]}
             configured(tmp_path, made.agent, without_pay())
             proxy.reload(lambda: replace(made.read_again(), discovery=None, known=more))
             assert any("config_useless" in line and "2 endpoints" in line for line in made.lines)
-            assert list(proxy.group.servers) == ["s1"] and b"pay" in proxy.limiter.classes
-            assert (proxy.loads.taken, proxy.loads.errors) == (0, 1)
+            assert list(proxy.target_group.servers) == ["s1"] and b"pay" in proxy.limiter.classes
+            assert (proxy.reload_counts.taken, proxy.reload_counts.errors) == (0, 1)
 
     play(work())
 
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -123,9 +123,11 @@
             await watch.beat()
             text = json.dumps(whole(2, *made.entries(s1="draining"), snapshot=False), indent=indent).encode()
             await watch.raw(text[:100])
-            await made.see(lambda: made.proxy.group.watch and made.proxy.group.watch.splitter.partial_line)
+            await made.see(
+                lambda: made.proxy.target_group.watch and made.proxy.target_group.watch.splitter.partial_line
+            )
             await watch.raw(text[100:] + b"\n")
-            await made.see(lambda: made.proxy.group.index == 2)
+            await made.see(lambda: made.proxy.target_group.index == 2)
             assert not made.agent.waiting()
 
     play(work())
@@ -141,7 +143,7 @@
                 made.later(target.serve())
             told = [{**one, "weight": weight} for one, weight in zip(made.entries(), weights, strict=True)]
             await watch.tell(2, *told)
-            await made.see(lambda: made.proxy.group.index == 2)
+            await made.see(lambda: made.proxy.target_group.index == 2)
             client, windows = await made.client(), made.proxy.balancer.windows
             for n in range(10):
                 key = f"X-Route-Hash: k{n}\r\nX-Call-Cost: 300000\r\n" if n % 2 else ""
@@ -150,7 +152,7 @@
                 await client.exactly(2)
             await made.see(lambda: made.proxy.balancer.windows >= windows + 4)  # one of which is told
             await watch.tell(3, *made.entries(s1="draining"))
-            await made.see(lambda: made.proxy.group.index == 3)
+            await made.see(lambda: made.proxy.target_group.index == 3)
             await client.send(request("last"))
             assert await answer(client) == 200
             assert made.targets[1].calls[-1] == "last"
@@ -193,10 +195,10 @@
             watch = await made.agent.watch()
             await fall(watch)
             again = await made.agent.watch()
-            assert again.query == f"watch=1&from={made.proxy.group.index}"
+            assert again.query == f"watch=1&from={made.proxy.target_group.index}"
             assert await watch.gone()
             await again.tell(3, endpoint("s1", 1, status="draining"), snapshot=False)
-            await made.see(lambda: made.proxy.group.index == 3)
+            await made.see(lambda: made.proxy.target_group.index == 3)
 
     play(work())
 
@@ -225,7 +227,7 @@
             made.later(made.proxy.start())
             waiting = await made.agent.watch(headed=False)
             asked = made.loop.time()
-            group = made.proxy.group
+            group = made.proxy.target_group
             assert (
                 group.watch
                 and group.pauses.silent_at(group.watch.heard) > asked + discovery_timing.SILENCE - 1.0
@@ -271,7 +273,7 @@
                 else:
                     stand_still()
                 await watch.tell(index, *made.entries())
-                await made.see(lambda index=index: made.proxy.group.index == index)
+                await made.see(lambda index=index: made.proxy.target_group.index == index)
             assert not made.agent.waiting() and not any("silent" in line for line in made.lines)
             for sock in (ours, theirs):
                 sock.close()
@@ -317,8 +319,8 @@
                 assert made.loop.time() < began + 2.0  # however many have ended before it
                 assert watch.query == f"watch=1&from={index - 1}"
                 await watch.tell(index, snapshot=False)
-                await made.see(lambda index=index: made.proxy.group.index == index)
-            assert made.proxy.group.servers.keys() == {"s1"}
+                await made.see(lambda index=index: made.proxy.target_group.index == index)
+            assert made.proxy.target_group.servers.keys() == {"s1"}
 
     play(work())
 
@@ -349,7 +351,7 @@
             again = await made.agent.watch()
             assert made.loop.time() < began + 2.0
             assert again.query == f"watch=1&from={index}"
-            assert made.proxy.group.servers.keys() == {"s1"}
+            assert made.proxy.target_group.servers.keys() == {"s1"}
 
     play(work())
 
@@ -360,7 +362,7 @@
             await made.start()
             port = made.agent.port
             made.agent.close()  # the watch ends, and dials are refused from here on
-            group = made.proxy.group
+            group = made.proxy.target_group
             await made.see(lambda: group.pauses.pause == discovery_timing.LONGEST)
             back = Agent.__new__(Agent)
             back.loop, back.links = made.loop, []
@@ -399,7 +401,7 @@
     async def work() -> None:
         async with rig(tmp_path) as made:
             watch = await made.start()
-            group, faults = made.proxy.group, list[Any]()
+            group, faults = made.proxy.target_group, list[Any]()
             real = group.on_list
             made.loop.set_exception_handler(lambda loop, context: faults.append(context))
 
@@ -438,7 +440,7 @@
                 await client.exactly(2)
             assert all(target.calls for target in made.targets)
             await again.tell(2, *made.entries(s1="draining"))
-            await made.see(lambda: made.proxy.group.index == 2)
+            await made.see(lambda: made.proxy.target_group.index == 2)
             await client.send(request("last"))
             assert await answer(client) == 200
             assert made.targets[1].calls[-1] == "last"
@@ -460,7 +462,7 @@
         async with rig(tmp_path, 2) as made:
             watch = await made.start()
             new = Agent()
-            group = made.proxy.group
+            group = made.proxy.target_group
             line = json.dumps(whole(99, *made.entries(s1="removed"), snapshot=False)).encode() + b"\n"
             if cut_at:
                 await watch.raw(line[:cut_at])
@@ -494,7 +496,7 @@
     async def work() -> None:
         async with rig(tmp_path) as made:
             old = await made.start()
-            other, group = Agent(), made.proxy.group
+            other, group = Agent(), made.proxy.target_group
             here, there = ("127.0.0.1", made.agent.port), ("127.0.0.1", other.port)
             for address in (there, here):
                 group.move(address)
@@ -516,7 +518,7 @@
     # was up again here would have been sent to.
     async def work() -> None:
         async with rig(tmp_path, 2) as made:
-            group = made.proxy.group
+            group = made.proxy.target_group
             watch = await made.start()
             await watch.tell(41, *made.entries(s2="draining"))
             await made.see(lambda: group.index == 41)
@@ -538,7 +540,7 @@
 def test_changes_of_what_was_never_listed_are_taken_as_they_are(tmp_path: Path) -> None:
     async def work() -> None:
         async with rig(tmp_path, 2) as made:
-            group = made.proxy.group
+            group = made.proxy.target_group
             watch = await made.start()
             gone, new = entry("s7", made.targets[0], status="removed"), entry("s8", made.targets[1])
             await watch.tell(2, gone, new, snapshot=False)
@@ -555,11 +557,11 @@
             watch = await made.start()
             target, client = made.targets[0], await made.client()
             await watch.tell(2, entry("s1", target, since_ms=since[0]))
-            await made.see(lambda: made.proxy.group.index == 2)
+            await made.see(lambda: made.proxy.target_group.index == 2)
             await client.send(request("c1"))
             link = await target.taken()
             await watch.tell(3, entry("s1", target, since_ms=since[1]))
-            await made.see(lambda: made.proxy.group.index == 3)
+            await made.see(lambda: made.proxy.target_group.index == 3)
             await link.send(OK)  # what it had, it finishes
             await client.until(b"hi")
             assert await link.gone()
@@ -584,7 +586,7 @@
     else:
         changed = [e for e in made.entries(**{name: word}) if e["name"] == name]
         await watch.tell(index, *changed, snapshot=False)
-    await made.see(lambda: made.proxy.group.index == index)
+    await made.see(lambda: made.proxy.target_group.index == index)
 
 
 async def answer(client: Link) -> int:
@@ -780,7 +782,7 @@
             assert made.loop.time() < returned + 2.0
             assert back.query == "watch=1&from=1"
             await back.tell(9, *made.entries(s1="draining")[:1], snapshot=False)
-            await made.see(lambda: made.proxy.group.index == 9)
+            await made.see(lambda: made.proxy.target_group.index == 9)
             made.later(made.targets[1].serve())
             client = await made.client()
             for n in range(20):
@@ -834,7 +836,7 @@
             line = json.dumps(whole(2, entry("s1", spare, status="draining"), *made.entries()[1:])).encode()
             chunk = b"%x\r\n%s\n\r\n" % (len(line) + 1, line)
             starting = made.later(made.proxy.start())
-            group = made.proxy.group
+            group = made.proxy.target_group
             if at == "begun":
                 await made.see(lambda: group.task)
             elif at == "dialled":
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -649,11 +649,11 @@
                 proxy.classes,
                 proxy.limiter.classes,
             ) == before
-            assert proxy.loads.errors == 1 and proxy.loads.taken == 0
+            assert proxy.reload_counts.errors == 1 and proxy.reload_counts.taken == 0
             await link.send(OK)
             assert (await answered(client)).startswith(b"HTTP/1.1 200 ")
             await watch.tell(2, entry("s1", made.targets[0], status="draining"))
-            await made.see(lambda: proxy.group.index == 2)
+            await made.see(lambda: proxy.target_group.index == 2)
 
     play(work())
 
@@ -756,7 +756,7 @@
         held.holding = True
         proxy.engine.start()
         with contextlib.suppress(ValueError):  # as `start` takes it
-            proxy.group.learn(config.known, cached=True)
+            proxy.target_group.learn(config.known, cached=True)
         for cls in config.settings.classes:
             for ending in (Ending.TURNED_AWAY, Ending.SERVED, Ending.SERVER_ERROR):
                 asks(proxy, cls, ending.value.encode(), ending)
@@ -766,7 +766,7 @@
         proxy.engine.give(api.TimerFired(0))
         proxy.reload(lambda: read_config({"NODE_CONFIG": str(path)}, again=True))
         proxy.engine.give(api.TimerFired(0))
-        assert proxy.engine.faults == 0 and proxy.loads.taken == 1
+        assert proxy.engine.faults == 0 and proxy.reload_counts.taken == 1
         proxy._stop()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/tests/proxy/admin_api/test_lifecycle.py
+++ b/tests/proxy/admin_api/test_lifecycle.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from firvane.proxy.admin_api.lifecycle import MEANING, TABLE, Event, Life, State
+from firvane.proxy.admin_api.lifecycle import MEANING, TABLE, Event, Lifecycle, State
 
 
-def after(*events: Event) -> Life:
-    life = Life()
+def after(*events: Event) -> Lifecycle:
+    life = Lifecycle()
     for event in events:
-        life.hear(event)
+        life.apply(event)
     return life
 
 
--- a/tests/proxy/admin_api/test_server.py
+++ b/tests/proxy/admin_api/test_server.py
@@ -14,7 +14,7 @@
 from firvane.core.logs import QUIET
 from firvane.proxy import proxy as proxies
 from firvane.proxy.admin_api import server
-from firvane.proxy.admin_api.server import CALLERS
+from firvane.proxy.admin_api.server import MAX_CONNECTIONS
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.proxy import Proxy
 from tests.proxy.net.helpers import endpoint, run
@@ -42,7 +42,7 @@
     async def work() -> None:
         proxy = Proxy(asyncio.get_running_loop(), told(tmp_path), log=QUIET)
         await proxy.start()
-        at = proxy.ops.address()
+        at = proxy.admin_acceptor.address()
         assert (await ask(at, b"rea", b"dy\r", b"\n")).startswith(b"+OK")
         assert (await ask(at, b"nonsense\n")).startswith(b"-ERR")
         assert (await ask(at, b"x" * 5000)).startswith(b"-ERR")
@@ -63,17 +63,17 @@
 def test_silent_callers_keep_nobody_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Guards against hundreds that call and say nothing, or half a call, while one asks. None of them goes by
     # itself: who asks is answered because the oldest make room, however long that takes on a busy machine.
-    monkeypatch.setattr(server, "STAY", 3600.0)
+    monkeypatch.setattr(server, "CONNECTION_TIMEOUT_S", 3600.0)
 
     async def work() -> None:
         proxy = Proxy(asyncio.get_running_loop(), told(tmp_path), log=QUIET)
         await proxy.start()
-        at = proxy.ops.address()
-        stalled = [await asyncio.open_connection(*at) for _ in range(5 * CALLERS)]
+        at = proxy.admin_acceptor.address()
+        stalled = [await asyncio.open_connection(*at) for _ in range(5 * MAX_CONNECTIONS)]
         for _, writer in stalled[::2]:
             writer.write(b"dra")
         assert (await ask(at, b"ready\n")).startswith(b"+OK")
-        assert len(proxy.desk.callers) <= CALLERS
+        assert len(proxy.admin_server.connections) <= MAX_CONNECTIONS
         assert not proxy.limiter.draining
         for _, writer in stalled:
             writer.close()
@@ -107,7 +107,7 @@
 ) -> None:
     # Guards against a successor that takes clients from the queue that it has nothing to offer. It starts
     # when discovery speaks, and not because its patience ends while the test looks.
-    monkeypatch.setattr(proxies, "PATIENCE", 3600.0)
+    monkeypatch.setattr(proxies, "SNAPSHOT_LIST_TIMEOUT_S", 3600.0)
 
     async def work() -> None:
         speaks = asyncio.Event()
@@ -124,12 +124,12 @@
             given = replace(told(tmp_path), inherited=inherited, discovery=silent.sockets[0].getsockname())
             proxy = Proxy(asyncio.get_running_loop(), given, log=QUIET)
             start = asyncio.get_running_loop().create_task(proxy.start())
-            while not proxy.group.servers:
+            while not proxy.target_group.servers:
                 await asyncio.sleep(0)
             reader, writer = await asyncio.open_connection(*held.getsockname())
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert not proxy.limiter.connections and not proxy.limiter.ready
-            assert (await ask(proxy.ops.address(), b"ready\n")).startswith(b"-ERR")
+            assert (await ask(proxy.admin_acceptor.address(), b"ready\n")).startswith(b"-ERR")
             speaks.set()
             await start
             assert (await reader.readline()).split()[1] == b"200"
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -296,8 +296,8 @@
         reader = await stage.client(GET)
         head = await reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 ")
-        assert stage.proxy._hear(Event.DRAIN)
-        stage.proxy._send_away(stage.proxy.drained_at)
+        assert stage.proxy._apply_event(Event.DRAIN)
+        stage.proxy._close_drained(stage.proxy.drain_started_at)
         go_on.set()
         assert await reader.readexactly(len(BODY)) == BODY
         assert await reader.read() == b""  # the sweep ends what is idle
--- a/tests/proxy/quorum/small_fleet.py
+++ b/tests/proxy/quorum/small_fleet.py
@@ -143,4 +143,4 @@
         return said
 
     def epochs(self) -> list[int]:
-        return [proxy.proxy.agreement.epoch if proxy.proxy else -1 for proxy in self.proxies]  # type: ignore
+        return [proxy.proxy.policy_agreement.epoch if proxy.proxy else -1 for proxy in self.proxies]  # type: ignore
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize(
     ("whose", "name", "broken"),
     [
-        (Proxy, "adopt", Proxy._retune),  # names of before may still be asked for
+        (Proxy, "adopt", Proxy._apply_settings),  # names of before may still be asked for
         (Policies, "_swap", late),  # what decides is not what it says
         (Policies, "heard", lambda self, sender, payload: True),  # nobody is listened to
         (Policies, "_fetch", lambda self, action: None),  # nor asked for the text
@@ -291,9 +291,9 @@
         tier = Tier(tmp_path, proxies=1, voters=(0,), lease=0.5, trip=0.05)
         here = ("127.0.0.1", 0)
         made = replace(tier.config(0), listen=here, ops=here, peer_listen=here)
-        proxy = Proxy(loop, made, log=Lines(loop.time), agreement=Policies)  # type: ignore[arg-type]
+        proxy = Proxy(loop, made, log=Lines(loop.time), policy_agreement=Policies)  # type: ignore[arg-type]
         await proxy.start()
-        at, agreement = proxy.ops.address(), proxy.agreement
+        at, agreement = proxy.admin_acceptor.address(), proxy.policy_agreement
         assert agreement
         lines = [*calls.puts(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
         assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -78,12 +78,12 @@
         first = old[0]["name"].encode()
         safe = b"GET" if files.start.classes[0].idempotency is api.Idempotency.SAFE else b"POST"
         files.write(files.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
-        assert files.proxy.loads.taken == 1
+        assert files.proxy.reload_counts.taken == 1
         assert files.proxy.config.discovery is None  # where the list comes from waits for the next start
         number = limiter.parse_request(request(b"/fresh/1", safe))[0].class_id
         assert files.proxy.engine.settings.classes[number].name == "fresh"
         assert limiter.parse_request(request(b"/" + first, safe))[0].class_id == 0
-        files.proxy._settle(files.proxy.retuned_at)
+        files.proxy._retire_settings(files.proxy.settings_changed_at)
         with pytest.raises(HttpError):
             limiter.parse_request(request(b"/" + first, safe))
 
@@ -112,9 +112,9 @@
             useless.append(files.settings(classes=[{**given["classes"][0], "give-up-ns": bad}]))
         for text in useless:
             files.write(text)
-        assert (proxy.loads.taken, proxy.loads.errors) == (0, len(useless))
+        assert (proxy.reload_counts.taken, proxy.reload_counts.errors) == (0, len(useless))
         assert proxy.engine.settings is files.start and proxy.limiter.settings is files.start
         files.write(whole)
-        assert proxy.loads.taken == 1
+        assert proxy.reload_counts.taken == 1
 
     run(work())
