--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -65,7 +65,7 @@
         gc.freeze()
         gc.set_threshold(10_000, 20, 20)  # requests leave no cycles behind: what else does can wait
         await shutdown.wait()
-    proxy.log.info("ending", open=proxy.engine.owed)
+    proxy.log.info("ending", open=proxy.engine.unanswered)
     await proxy.drain()
     # The loop closes next, and its handlers with it: a further signal must not change the exit code.
     process_signals.block()
@@ -109,7 +109,7 @@
         kept = importlib.import_module("firvane.proxy.snapshots.file")
         snapshot_store = partial(kept.Keeper, config.snapshot, config.name)
     policy_agreement = (
-        importlib.import_module("firvane.proxy.quorum.driver").Policies if config.policy else None
+        importlib.import_module("firvane.proxy.quorum.driver").PolicyConsensus if config.policy else None
     )
     return serve(config, partial(read_config, os.environ, again=True), snapshot_store, policy_agreement)
 
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -243,7 +243,7 @@
         self.listener.configure(RouteTable(configuration), configuration.limits)
         for service in configuration.services.values():
             engine = service.engine
-            self.engine.give(
+            self.engine.dispatch(
                 ServiceInfo(
                     service.name,
                     engine.slots if engine else 0,
@@ -258,16 +258,16 @@
 
     def _on_members(self) -> None:
         routers = self.agent.members(Role.ROUTER)
-        self.engine.give(self.peers.update(routers))
+        self.engine.dispatch(self.peers.update(routers))
 
     def _on_message(self, sender: Address, channel: Channel, payload: bytes) -> None:
         if channel is Channel.ROWS:
-            self.engine.give(api.PeerMessage(peer_number(sender), payload))
+            self.engine.dispatch(api.PeerMessage(peer_number(sender), payload))
         elif channel is Channel.TENANCY:
             self.admission.receive(sender, payload)
 
     def _on_progress(self, backend: str) -> None:
-        self.engine.give(StreamProgress(backend))
+        self.engine.dispatch(StreamProgress(backend))
 
     def _may_continue(self, request: ProxiedRequest) -> bool:
         return self.balancer.may_continue(request.flow_id, self.loop.time())
@@ -288,12 +288,12 @@
         self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _report(self) -> None:
-        endings = self.engine.endings
+        endings = self.engine.event_counts
         counted = {name.replace(" ", "_").replace(",", ""): count for name, count in sorted(endings.items())}
         self.log.info(
             "router_metrics",
             client_connections=len(self.listener.connections),
-            open_requests=self.engine.owed,
+            open_requests=self.engine.unanswered,
             upstream_connections=self.upstreams.connections,
             upstream_dials=self.upstreams.dials,
             **counted,
@@ -329,8 +329,8 @@
         """Finish the requests that are here and those that still come, and leave the cluster."""
         started_at, drain = self.loop.time(), self.listener.drain
         drain.start(started_at, started_at + self.settings.grace - DRAIN_MARGIN_S)
-        self.engine.hasten(drain.deadline)
-        self.log.info("router_draining", open_requests=self.engine.owed)
+        self.engine.shorten_deadlines(drain.deadline)
+        self.log.info("router_draining", open_requests=self.engine.unanswered)
         await asyncio.sleep(drain.accept_until - started_at)
         self.client_server.close()
         self.listener.close_idle()
@@ -340,4 +340,4 @@
         for server in self.servers:
             server.close()
         self.agent.close()
-        self.log.info("router_stopped", open_requests=self.engine.owed, **asdict(drain.metrics))
+        self.log.info("router_stopped", open_requests=self.engine.unanswered, **asdict(drain.metrics))
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from firvane.core.request_counters import ANSWERS, Counts
+from firvane.core.request_counters import ANSWERS, ClassCounters
 
 
 @dataclass
@@ -22,7 +22,7 @@
     """The metrics at one moment."""
 
     state: str
-    handled: Mapping[str, Counts]
+    handled: Mapping[str, ClassCounters]
     in_progress: int
     known_backends: int
     skipped_backends: int
@@ -36,7 +36,7 @@
         """The metrics as JSON on one line, for `show-stat`."""
         return json.dumps(
             {
-                "handled": {name: counts.told() for name, counts in self.handled.items()},
+                "handled": {name: counts.answer_counts() for name, counts in self.handled.items()},
                 "in_progress": self.in_progress,
                 "known_backends": self.known_backends,
                 "skipped_backends": self.skipped_backends,
@@ -49,7 +49,7 @@
 
     def fields(self) -> dict[str, int | str]:
         """The metrics as fields of the log event `figures`."""
-        told = [counts.told() for counts in self.handled.values()]
+        told = [counts.answer_counts() for counts in self.handled.values()]
         totals = {name: sum(counts[name] for counts in told) for name in ANSWERS}
         return {
             "state": self.state,
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -6,7 +6,7 @@
 from typing import Final, cast
 
 from firvane.core import interface as api
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.http_message import HttpError, Message, Stream
 from firvane.core.net.request_scan import scan_is_retry, scan_request_class, scan_tenant
 from firvane.proxy.limits.descriptors import Use
@@ -95,7 +95,7 @@
     def on_client_gone(self) -> None:
         """The client has closed the connection: abort it, and end its request."""
         if not self.ending:
-            self.context.engine.endings["client left unread"] += 1
+            self.context.engine.event_counts["client left unread"] += 1
             self.ending = True  # no input is taken up until `connection_lost`
             self.transport.abort()
             self._abort_upload()
@@ -111,7 +111,7 @@
         """End a request whose client has gone."""
         if self.context.metrics is not None:
             self.context.metrics.left(flow)
-        self.context.engine.leave(flow)
+        self.context.engine.on_client_disconnected(flow)
 
     def has_pending_work(self) -> bool:
         """Whether a request that has arrived, or may have, is still to be answered."""
@@ -373,7 +373,7 @@
         policy_lease = self.context.policy_lease
         if policy_lease is not None and self.context.ready:
             if not policy_lease.may():
-                self.refused(self.context.count_rejected(message))
+                self.on_rejected(self.context.count_rejected(message))
                 return
             self.policy_field = policy_lease.stamp
         try:
@@ -384,7 +384,7 @@
         # No request is taken up before the endpoint list is known, nor while memory is short.
         if not self.context.ready or self.context.account.pressed:
             cls = self.context.settings.classes[request.class_id]
-            self.context.engine.tally.of(cls.name).dropped += 1
+            self.context.engine.request_counters.for_class(cls.name).dropped += 1
             if self.context.metrics is not None:
                 self.context.count_unparsed(cls.name.encode(), message.fields.get(b"x-caller", b""))
             self._respond_status(503)
@@ -399,7 +399,7 @@
         upload_time = UPLOAD_TIME_S if self.upload else 0.0
         deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
-        self.flow.left = left if self.upload else 0.0
+        self.flow.response_time = left if self.upload else 0.0
         message.sender_waits = self.client_waits
         self.charged_flow = FLOW + (WINDOW if self.upload else message.size)
         context.account.charge(Held.FLOWS, self.charged_flow)
@@ -409,7 +409,7 @@
         context.open_ids.add(message.fields[b"x-call-id"])
         if context.metrics is not None:
             context.metrics.take(self.flow, request, context.settings)
-        context.engine.take(self.flow, request)
+        context.engine.accept_request(self.flow, request)
 
     def _handle_ready(self, message: Message) -> None:
         self.request_count += 1
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -327,7 +327,7 @@
 
     def _report(self, due: float) -> None:
         """Log the metrics, every `REPORT_INTERVAL_S`."""
-        monitor, endings, gate = self.monitor, self.engine.endings, self.limiter.gate
+        monitor, endings, gate = self.monitor, self.engine.event_counts, self.limiter.gate
         wished, overflowed = self.reported_rejections
         endings["turned away unseen"] = gate.wished - wished
         endings["found no turn"] = gate.overflowed - overflowed
@@ -337,14 +337,14 @@
             clients=len(self.limiter.connections),
             to_targets=monitor.descriptors.held[Use.TARGETS],
             dials=self.upstream_pools.dials,
-            open=self.engine.owed,
+            open=self.engine.unanswered,
             held_mb=round(monitor.account.held / MB, 1),
             lag_ms=round(1000 * monitor.worst_lag()),
             **({"epoch": self.policy_agreement.epoch} if self.policy_agreement else {}),
             **self.figures().fields(),
             **{name.replace(" ", "_"): n for name, n in sorted(endings.items()) if n},
         )
-        self.engine.endings.clear()
+        self.engine.event_counts.clear()
         self.loop.call_at(due + REPORT_INTERVAL_S, self._report, due + REPORT_INTERVAL_S)
 
     # Shutdown
@@ -366,7 +366,8 @@
         self._apply_event(Event.SUCCEEDED if successor else Event.TERMINATE)
         limiter = self.limiter
         limiter.drain_deadline = timing.request_deadline
-        self.engine.hasten(limiter.drain_deadline)  # requests in flight may have far later deadlines
+        # Requests in flight may have far later deadlines.
+        self.engine.shorten_deadlines(limiter.drain_deadline)
         if successor:  # new connections, and the datagrams of peers, are for the successor from now on
             self.acceptor.close()
             self.peers.close()
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -144,7 +144,7 @@
             self.wall,
             self.log,
         )
-        self.monitor.report_pressure = self.engine.give
+        self.monitor.report_pressure = self.engine.dispatch
 
     def _make_client_side(self, config: Config, errors: Errors | None) -> None:
         """Make the client connections and their listening socket (`OSError` where none is inherited)."""
@@ -167,12 +167,12 @@
         tables = BOX * len(self.target_group.servers)
         self.monitor.account.charge(Held.TABLES, tables - self.table_bytes)
         self.table_bytes = tables
-        self.engine.listed(update)
+        self.engine.update_server_list(update)
 
     def _receive_datagram(self, sender: int, payload: bytes) -> None:
         if self.policy_agreement and self.policy_agreement.heard(sender, payload):
             return
-        self.engine.give(api.PeerMessage(sender, payload))
+        self.engine.dispatch(api.PeerMessage(sender, payload))
 
     def figures(self) -> Figures:
         """The metrics of the admin API and of the log, as of now."""
@@ -180,9 +180,9 @@
         waiting = len(turns.line) + len(turns.behind) + len(turns.refused)
         return Figures(
             self.lifecycle.state.value,
-            engine.tally.by,
-            engine.owed + waiting,
-            len(engine.known),
+            engine.request_counters.by_class,
+            engine.unanswered + waiting,
+            len(engine.known_targets),
             skipped(self.balancer.servers.values(), engine.now()),
             self.reload_counts,
         )
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -18,8 +18,8 @@
     Mutant(
         "what is withheld is not sent when it is asked for",
         "firvane/fleet/dissemination/machine.py",
-        "if item is not None and is_here and not self._is_withheld(item.key):",
-        "if item is not None and is_here:",
+        "if item is not None and is_stored and not self._is_withheld(item.key):",
+        "if item is not None and is_stored:",
         "tests/fleet/dissemination/test_machine.py -k withheld",
     ),
     Mutant(
@@ -39,7 +39,7 @@
     Mutant(
         "records of services are withheld like the configuration",
         "firvane/fleet/controller/controller.py",
-        "            return not self.host.has_quorum_contact(part_of(service))\n",
+        "            return not self.host.has_quorum_contact(partition_of(service))\n",
         "            return False\n",
         f"{HAND_OUT}test_a_controller_without_a_majority_hands_out_nothing",
     ),
@@ -130,8 +130,8 @@
     Mutant(
         "a break after the last byte may have run",
         "firvane/fleet/router/upstream_connection.py",
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_UNSENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_BEFORE_SENT)",
         UPSTREAM,
     ),
     Mutant(
--- a/tests/fleet/router/test_drain_metrics.py
+++ b/tests/fleet/router/test_drain_metrics.py
@@ -40,7 +40,7 @@
             new, new_writer = await made.connect()
             new_writer.write(REQUEST % b"after")
             await new.readuntil(b"data: 1\n\n")
-            made.engine.hasten(made.listener.loop.time())
+            made.engine.shorten_deadlines(made.listener.loop.time())
             assert not (await new.read()).endswith(b"0\r\n\r\n")
             await kept.read()
             metrics = made.listener.drain.metrics
--- a/tests/wire_formats/test_datagrams.py
+++ b/tests/wire_formats/test_datagrams.py
@@ -44,9 +44,10 @@
 
 def encode_tenancy(record: Any) -> bytes:
     """A decoded record as it was sent; the encoder rounds the age of a proof up by a millisecond."""
-    if isinstance(record, tenancy.Proof):
-        nonce, version, age, other = record
-        return tenancy.encode(tenancy.Proof(nonce, version, None if age is None else age - 0.001, other))
+    if isinstance(record, tenancy.FreshnessProof):
+        nonce, version, age, redirect = record
+        sent_age = None if age is None else age - 0.001
+        return tenancy.encode(tenancy.FreshnessProof(nonce, version, sent_age, redirect))
     return tenancy.encode(record)
 
 
@@ -55,7 +56,7 @@
     "proxy row 2": (lambda data: row_codec.unpack(data, RECEIVED_AT), encode_proxy_row),
     "class counts": (class_counts.unpack, lambda read: class_counts.pack(read[1], read[0] / 1000)),
     "recovery": (recovery.unpack, lambda read: recovery.pack(read[1], read[0] / 1000)),
-    "policy consensus": (quorum.unpack, quorum.pack),
+    "policy consensus": (quorum.decode, quorum.encode),
     "membership": (membership.decode_message, membership.encode_message),
     "dissemination": (dissemination.decode_message, dissemination.encode_message),
     "cluster envelope": (decode_envelope, encode_envelope),
