--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -503,15 +503,15 @@
             self.core.target(one.id, ("127.0.0.1", self.world.ports[one.id]) if up else None, up)
             if one.state is not api.ServerState.UP:
                 self.drained.setdefault(one.id, self.world.clock.now)
-        self.core.listed(news)
+        self.core.on_server_list(news)
 
-    def published(self, zones: list[int]) -> None:
+    def on_published(self, zones: list[int]) -> None:
         for follower in self.followers:
             if follower.group in zones:
                 self.write(follower)
 
     def write(self, follower: Told) -> None:
-        while (state := self.core.state(follower.group)) and (push := follower.stream.next(state)):
+        while (state := self.core.state(follower.group)) and (push := follower.stream.next_response(state)):
             data = self.writer.write(push, follower.stream.delta)
             self.world.clock.call_at(self.world.clock.now + NEAR, follower.hear, data)
 
@@ -524,7 +524,9 @@
 
     def report(self, follower: Told, data: bytes) -> None:
         request = lrs_pb2.LoadStatsRequest.FromString(data)
-        self.core.reported(follower.name, *stream_codec.read_reports(request, SERVICE, self.core.names, dict))
+        self.core.on_report(
+            follower.name, *stream_codec.read_reports(request, SERVICE, self.core.names, dict)
+        )
 
 
 class Follower:
@@ -621,7 +623,7 @@
         self.receiver, self.stream = Receiver(name, zone, delta=delta, seed=world.seed), Stream(delta)
         self.group = self.service.core.catalog.zone_of(zone)
         self.service.followers.append(self)
-        self.service.core.ledger.come(name, self.group, 0.0)
+        self.service.core.registry.connect(name, self.group, 0.0)
         world.clock.call_at(0.1, self.speak)
         world.clock.call_at(REPORT_S * (1.0 + self.dice.random()), self.report, 0.0)
 
--- a/firvane/cli/control.py
+++ b/firvane/cli/control.py
@@ -9,22 +9,23 @@
 
 from firvane.cli import Bad
 
-LACKS = "firvane control needs more than the proxy: pip install 'firvane[control]'"
-WAIT = 5.0  # s for an answer
+MISSING_EXTRA = "firvane control needs more than the proxy: pip install 'firvane[control]'"
+CALL_TIMEOUT_S = 5.0
 
 
-class Mixed(click.Group):
-    """What is no subcommand is the file of a service that is to run."""
+class RunByDefaultGroup(click.Group):
+    """A group whose first argument is the file of a service to run, if it is not a subcommand."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
+        """Insert `run` before a file."""
         if args and args[0] not in self.commands and not args[0].startswith("-"):
             args = ["run", *args]
         return super().resolve_command(ctx, args)
 
 
-@click.group("control", cls=Mixed)
+@click.group("control", cls=RunByDefaultGroup)
 def command() -> None:
     """Hand decisions out to other proxies through xDS, from the configuration in a FILE with [control].
 
@@ -52,14 +53,14 @@
         import envoy  # noqa: F401
         import grpc  # noqa: F401
     except ImportError:
-        raise Bad(LACKS) from None
+        raise Bad(MISSING_EXTRA) from None
 
     from firvane.proxy.control.main import read, serve
 
     ctx.exit(serve(file, read(file)))
 
 
-TLS = (
+CONNECTION_OPTIONS = (
     click.option("--authority", type=click.Path(exists=True), help="who signs the service's certificate"),
     click.option("--certificate", type=click.Path(exists=True), help="one's own, where the service asks"),
     click.option("--key", type=click.Path(exists=True), help="and its key"),
@@ -68,15 +69,16 @@
 )
 
 
-def reaching(function: Any) -> Any:
-    for option in reversed(TLS):
+def connection_options(function: Any) -> Any:
+    """Add the options of a connection to a command."""
+    for option in reversed(CONNECTION_OPTIONS):
         function = option(function)
     return function
 
 
 @command.command("status")
 @click.argument("address")
-@reaching
+@connection_options
 def status(address: str, as_json: bool, **tls: str) -> None:
     """What the service at ADDRESS tells, and who follows it."""
     found = ask(address, {"what": "status"}, **tls)
@@ -108,7 +110,7 @@
 @click.argument("before")
 @click.argument("after")
 @click.option("--node", default="", help="the receiver whose group is meant; else those of no zone")
-@reaching
+@connection_options
 def diff(address: str, before: str, after: str, node: str, as_json: bool, **tls: str) -> None:
     """What differs between the states BEFORE and AFTER (serials or versions) and the decisions behind it."""
     found = ask(address, {"what": "diff", "node": node, "before": before, "after": after}, **tls)
@@ -123,15 +125,15 @@
 
 
 def ask(address: str, question: dict[str, str], **tls: str) -> dict[str, Any]:
-    """The service's answer; raises `Bad` where there is none, or it is an error."""
+    """Call the service; raises `Bad` if it does not answer, or answers with an error."""
     try:
         import grpc
     except ImportError:
-        raise Bad(LACKS) from None
+        raise Bad(MISSING_EXTRA) from None
     import json
     from pathlib import Path
 
-    from firvane.proxy.control.ads import SHOW
+    from firvane.proxy.control.ads import SHOW_METHOD
 
     options = [("grpc.ssl_target_name_override", tls["host"])] if tls.get("host") else []
     given = [name for name in ("authority", "key", "certificate") if tls.get(name)]
@@ -144,9 +146,9 @@
     else:
         channel = grpc.insecure_channel(address)
     with channel:
-        call = channel.unary_unary(SHOW)
+        call = channel.unary_unary(SHOW_METHOD)
         try:
-            found: dict[str, Any] = json.loads(call(json.dumps(question).encode(), timeout=WAIT))
+            found: dict[str, Any] = json.loads(call(json.dumps(question).encode(), timeout=CALL_TIMEOUT_S))
         except grpc.RpcError as error:
             raise Bad(f"firvane control: {address}: {error.code().name.lower()}: {error.details()}") from None
     if "error" in found:
@@ -173,7 +175,7 @@
     try:
         from firvane.proxy.control.certificates import make_authority, make_certificate
     except ImportError:
-        raise Bad(LACKS) from None
+        raise Bad(MISSING_EXTRA) from None
     from pathlib import Path
 
     place = Path(folder)
--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -67,16 +67,7 @@
         self.replicator = RecordReplicator(
             loop, self.host, self.agent, self.partitions, self._on_restored, log
         )
-        self.tenants = TenantService(
-            options.quota,
-            loop,
-            self.host,
-            {number: partition.floors for number, partition in self.partitions.items()},
-            lambda: self.state.version,
-            options.internal,
-            lambda to, payload: self.agent.send(to, Channel.TENANCY, payload),
-            log,
-        )
+        self.tenants = self._make_tenant_service()
         self.tenants_version = 0  # of the configuration whose tenants are in force
         self.platform = PlatformClient(loop, options.platform) if options.platform else None
         self.poller = self._make_poller()
@@ -84,6 +75,18 @@
         api = OperatorApi(self.service, self._make_fleet_service(), self.control_address)
         self.server = HttpServer(loop, api.handle, log)
 
+    def _make_tenant_service(self) -> TenantService:
+        return TenantService(
+            self.options.quota,
+            self.loop,
+            self.host,
+            {number: partition.floors for number, partition in self.partitions.items()},
+            lambda: self.state.version,
+            self.options.internal,
+            lambda to, payload: self.agent.send(to, Channel.TENANCY, payload),
+            self.log,
+        )
+
     def _make_fleet_service(self) -> FleetService:
         applied: dict[int, Callable[[], int]] = {CONFIGURATION_PARTITION: lambda: self.state.version}
         applied |= {number: partition.newest_version for number, partition in self.partitions.items()}
--- a/firvane/fleet/replication/replica.py
+++ b/firvane/fleet/replication/replica.py
@@ -93,7 +93,10 @@
         self._follower: Follower | None = None
         self._succession = Succession(self.core, now)
         self._election_deadline = now + uniform(timing.election_timeout_min_s, timing.election_timeout_max_s)
-        self._handlers: dict[type, Callable[..., None]] = {
+        self._handlers = self._make_handlers()
+
+    def _make_handlers(self) -> dict[type, Callable[..., None]]:
+        return {
             Append: self._on_append,
             AppendReply: self._on_append_reply,
             Beacon: self._on_beacon,
--- a/firvane/proxy/control/__init__.py
+++ b/firvane/proxy/control/__init__.py
@@ -1,1 +1,7 @@
-"""The control service: the module's decisions handed out to other proxies through xDS (docs/control.md)."""
+"""The xDS control service: distributes the decision module's assignments to other proxies and clients."""
+
+from __future__ import annotations
+
+
+class ControlError(Exception):
+    """Base of the errors of this package."""
--- a/firvane/proxy/control/ads.py
+++ b/firvane/proxy/control/ads.py
@@ -1,7 +1,7 @@
-"""The gRPC side of the control service: streams of xDS, load reports, and what operators ask.
+"""The gRPC side of the control service: xDS streams (ADS), load reports (LRS), and operators' calls.
 
-Here are sockets and no decisions: `Stream` says what a receiver is told, `Catalog` what there is to tell. Who
-is written to first is the one thing that is settled here: those from whom something is to be taken away.
+`Stream` decides what a receiver gets, `Catalog` holds the snapshots. Only the order of writes is decided
+here: receivers from which a backend is removed come first.
 """
 
 from __future__ import annotations
@@ -19,87 +19,103 @@
 
 from firvane.core.logs import QUIET, Log
 from firvane.proxy.control import stream_codec
-from firvane.proxy.control.stream import Stream, TooMuch
-from firvane.proxy.control.types import Kind, State
-
-WRITING = 64  # answers that are being written at once; one that takes longer than SLOW is not counted
-SLOW = 0.02  # s
-STUCK = 10.0  # s that one answer may take to be written, before its receiver is given up
-LAST = 1.0  # s that an answer may take to be written before its stream is ended in spite of it
-PATIENCE = 5.0  # s for which a receiver that has heard of a newer list waits for it here
-AGES = 10_000  # times to an ACK that are kept
-LONGEST = 4 << 20  # bytes of a request
-SHOW = "/firvane.control.v1.Control/Show"
+from firvane.proxy.control.stream import ReceiverLimitError, Stream
+from firvane.proxy.control.types import ResourceType, Snapshot
+
+MAX_CONCURRENT_WRITES = 64  # without those that take longer than SLOW_WRITE_S
+SLOW_WRITE_S = 0.02
+WRITE_TIMEOUT_S = 10.0  # then the receiver is disconnected
+FINAL_WRITE_TIMEOUT_S = 1.0  # of a write that delays the end of its stream
+STALE_WAIT_S = 5.0  # of a receiver that knows a newer server list than this service
+STALE_RETRY_S = 0.25
+ACK_AGE_SAMPLES = 10_000
+NANOSECONDS_PER_S = 1e9
+RANK_URGENT = 0
+RANK_USUAL = 1
+RANK_NONE = 9  # not scheduled
+MAX_REQUEST_BYTES = 4 << 20
+SHOW_METHOD = "/firvane.control.v1.Control/Show"
 
 
 class Service(Protocol):
-    """What the streams need of the rest of the service."""
+    """The parts of the service that the streams use."""
 
     name: str
 
-    def zone_of(self, name: str) -> int: ...
+    def zone_of(self, name: str) -> int:
+        """The number of a zone by name."""
 
-    def state(self, zone: int) -> State | None:
-        """What those in a zone are told now; None while there is no list."""
+    def state(self, zone: int) -> Snapshot | None:
+        """The current snapshot for a zone; None until there is a server list."""
 
-    def settled_at(self, zone: int) -> float:
-        """When that was settled on, on the loop's clock."""
+    def decided_at(self, zone: int) -> float:
+        """When that snapshot was decided, on the loop's clock."""
 
-    def come(self, name: str, zone: int) -> bool: ...
+    def connect(self, name: str, zone: int) -> bool:
+        """Register a stream of a receiver; returns False if there are too many receivers."""
 
-    def go(self, name: str) -> None: ...
+    def disconnect(self, name: str) -> None:
+        """Record the end of a receiver's stream."""
 
-    def reported(self, node: stream_codec.Node, request: Any) -> None: ...
+    def on_report(self, node: stream_codec.Node, request: Any) -> None:
+        """Take a load report of a receiver."""
 
-    def may(self, names: frozenset[str]) -> bool:
-        """Whether the owner of a certificate with these names may see the service."""
+    def is_allowed(self, names: frozenset[str]) -> bool:
+        """Whether the owner of a certificate with these names may use the service."""
 
     def show(self, asked: bytes) -> bytes:
-        """What operators ask."""
+        """Answer an operator's call."""
 
 
 class Session:
-    """One stream of one receiver."""
+    """One xDS stream of one receiver."""
 
     def __init__(self, context: Any, delta: bool, peer: str, now: float) -> None:
-        self.context, self.peer, self.began = context, peer, now
+        self.context = context
+        self.peer = peer
+        self.began = now
         self.stream = Stream(delta)
         self.node: stream_codec.Node | None = None
         self.zone = -1
         self.counted = False
-        self.rank = 9  # with which it waits to be written to; 9: it does not
-        self.writing = 0.0  # since when an answer is being written; 0: none is
-        self.counts = False  # and that it is among the `WRITING`
-        self.over, self.idle = asyncio.Event(), asyncio.Event()  # it has ended; nothing is being written
+        self.rank = RANK_NONE  # with which it is scheduled for a write
+        self.writing = 0.0  # when the current write began; 0: none
+        self.counts = False  # whether that write counts as concurrent
+        self.over = asyncio.Event()  # the stream has ended
+        self.idle = asyncio.Event()  # nothing is being written
         self.idle.set()
         self.why = ""
-        self.sent_at: dict[str, float] = {}  # when what an answer tells was settled on, by nonce
+        self.sent_at: dict[str, float] = {}  # when the snapshot of a response was decided, by nonce
         self.acked_at = 0.0
-        self.age = 0.0  # s that the last ACK of endpoints took
+        self.age = 0.0  # seconds from the decision to the last ACK of endpoints
 
     def end(self, why: str) -> None:
+        """End the stream; the first reason stands."""
         if not self.over.is_set():
             self.why = why
             self.over.set()
 
 
-class Pump:
-    """Writes to whoever is due, the urgent first, a bounded number at once."""
+class ResponseScheduler:
+    """Writes the due responses, urgent ones first, with bounded concurrency."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, next_answer: Callable[[Session], bytes | None]
+        self, loop: asyncio.AbstractEventLoop, next_response: Callable[[Session], bytes | None]
     ) -> None:
-        """`next_answer` makes what a session is to be told now, if there is anything."""
-        self.loop, self.next = loop, next_answer
+        """Create the scheduler; `next_response` returns the encoded response that is due, or None."""
+        self.loop = loop
+        self.next_response = next_response
         self.heap: list[tuple[int, int, Session]] = []
         self.busy = 0
-        self.written, self.bytes = 0, 0
+        self.written = 0
+        self.bytes = 0
         self._count = 0
-        self._due, self._free = asyncio.Event(), asyncio.Event()
+        self._due = asyncio.Event()
+        self._free = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def wake(self, session: Session, rank: int) -> None:
-        """There may be something to tell it; rank 0 before 1."""
+        """Schedule a session; a lower rank comes first."""
         if rank < session.rank and not session.over.is_set():
             session.rank = rank
             self._count += 1
@@ -107,32 +123,32 @@
             self._due.set()
 
     async def run(self) -> None:
-        """For as long as the service lives."""
+        """Write responses until cancelled."""
         while True:
             if not self.heap:
                 self._due.clear()
                 await self._due.wait()
-            while self.busy >= WRITING:
+            while self.busy >= MAX_CONCURRENT_WRITES:
                 self._free.clear()
                 await self._free.wait()
             rank, _, session = heapq.heappop(self.heap)
             if rank != session.rank or session.over.is_set():
-                continue  # it was woken again with a better rank, and has had its turn
-            session.rank = 9
+                continue  # it was scheduled again with a lower rank, and has been served
+            session.rank = RANK_NONE
             if session.writing:
-                continue  # it comes again when that is done
-            data = self.next(session)
+                continue  # it is scheduled again after that write
+            data = self.next_response(session)
             if data is None:
                 continue
             session.writing = self.loop.time()
             session.idle.clear()
             self.busy += 1
-            task = self.loop.create_task(self._write(session, data))  # gRPC writes by coroutines alone
+            task = self.loop.create_task(self._write(session, data))  # gRPC writes only from coroutines
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def _write(self, session: Session, data: bytes) -> None:
-        slow = self.loop.call_later(SLOW, self._release, session)
+        slow = self.loop.call_later(SLOW_WRITE_S, self._release, session)
         session.counts = True
         try:
             await session.context.write(data)
@@ -145,105 +161,112 @@
             self._release(session)
             session.writing = 0.0
             session.idle.set()
-            self.wake(session, 1)
+            self.wake(session, RANK_USUAL)
 
     def _release(self, session: Session) -> None:
-        """It counts no more among those that are being written to: it is done, or slow."""
+        """Stop counting a write as concurrent: it is done, or slow."""
         if session.counts:
             session.counts = False
             self.busy -= 1
             self._free.set()
 
 
-class Ads:
-    """The servicer; `server` is started by whoever wires it."""
+class DiscoveryServer:
+    """The gRPC servicer of ADS, LRS and operators' calls; the owner starts the server."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, service: Service, report: float, log: Log = QUIET
+        self, loop: asyncio.AbstractEventLoop, service: Service, report_interval_s: float, log: Log = QUIET
     ) -> None:
-        """`report` is the seconds between load reports."""
-        self.loop, self.service, self.report, self.log = loop, service, report, log
+        """Create the servicer; `report_interval_s` is that of load reports."""
+        self.loop = loop
+        self.service = service
+        self.report_interval_s = report_interval_s
+        self.log = log
         self.writer = stream_codec.Writer(service.name)
-        self.pump = Pump(loop, self._next)
+        self.scheduler = ResponseScheduler(loop, self._next)
         self.sessions: set[Session] = set()
-        self.ages: deque[float] = deque(maxlen=AGES)
-        self.refusals = self.acks = 0
+        self.ages: deque[float] = deque(maxlen=ACK_AGE_SAMPLES)
+        self.nacks = 0
+        self.acks = 0
         self._pumping: asyncio.Task[None] | None = None
 
     def handlers(self) -> Any:
-        """For `grpc.aio.Server.add_generic_rpc_handlers`."""
+        """The handlers for `grpc.aio.Server.add_generic_rpc_handlers`."""
         ads = "envoy.service.discovery.v3.AggregatedDiscoveryService"
         kinds = {
             f"/{ads}/StreamAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                self._whole, stream_codec.Request.FromString, None
+                self._stream_full, stream_codec.Request.FromString, None
             ),
             f"/{ads}/DeltaAggregatedResources": grpc.stream_stream_rpc_method_handler(
-                self._delta, stream_codec.DeltaRequest.FromString, None
+                self._stream_delta, stream_codec.DeltaRequest.FromString, None
             ),
             "/envoy.service.load_stats.v3.LoadReportingService/StreamLoadStats": (
                 grpc.stream_stream_rpc_method_handler(
-                    self._loads,
+                    self._stream_loads,
                     lrs_pb2.LoadStatsRequest.FromString,
                     lrs_pb2.LoadStatsResponse.SerializeToString,
                 )
             ),
-            SHOW: grpc.unary_unary_rpc_method_handler(self._show, None, None),
+            SHOW_METHOD: grpc.unary_unary_rpc_method_handler(self._show, None, None),
         }
         return _Handlers(kinds)
 
     def start(self) -> None:
-        self._pumping = self.loop.create_task(self.pump.run())
+        """Start to write responses."""
+        self._pumping = self.loop.create_task(self.scheduler.run())
 
     def stop(self) -> None:
+        """Stop writing, and end all streams."""
         if self._pumping:
             self._pumping.cancel()
         for session in self.sessions:
             session.end("this service ends")
 
-    def published(self, zones: list[int]) -> None:
-        """There are new states for these groups."""
+    def on_published(self, zones: list[int]) -> None:
+        """Schedule the sessions of these zones, which have new snapshots."""
         for session in self.sessions:
             if session.zone in zones and (state := self.service.state(session.zone)):
-                self.pump.wake(session, 0 if session.stream.is_urgent(state) else 1)
+                rank = RANK_URGENT if session.stream.is_urgent(state) else RANK_USUAL
+                self.scheduler.wake(session, rank)
 
     def sweep(self) -> None:
-        """Give up receivers that do not read."""
+        """Disconnect receivers that do not read."""
         now = self.loop.time()
         for session in list(self.sessions):
-            if session.writing and now > session.writing + STUCK:
-                session.end(f"has not read for {STUCK:g} s")
+            if session.writing and now > session.writing + WRITE_TIMEOUT_S:
+                session.end(f"has not read for {WRITE_TIMEOUT_S:g} s")
 
     def _next(self, session: Session) -> bytes | None:
         state = self.service.state(session.zone)
         if state is None or session.node is None:
             return None
-        wait = session.began + PATIENCE - self.loop.time()
-        if session.stream.floor > state.number and wait > 0:
-            self.loop.call_later(min(0.25, wait), self.pump.wake, session, 1)
-            return None  # another service has told it of a newer list
+        wait = session.began + STALE_WAIT_S - self.loop.time()
+        if session.stream.known_list_version > state.number and wait > 0:
+            self.loop.call_later(min(STALE_RETRY_S, wait), self.scheduler.wake, session, RANK_USUAL)
+            return None  # another control service has sent it a newer server list
         try:
-            push = session.stream.next(state)
-        except TooMuch as error:
+            push = session.stream.next_response(state)
+        except ReceiverLimitError as error:
             session.end(str(error))
             return None
-        except Exception:  # a fault with one receiver must not keep the others from hearing
-            self.log.exception("answer_failed", receiver=session.node.id)
+        except Exception:  # an error with one receiver must not affect the others
+            self.log.exception("response_failed", receiver=session.node.id)
             session.end("a fault of the service")
             return None
         if push is None:
             return None
-        if push.kind is Kind.ENDPOINTS:
-            session.sent_at[push.nonce] = self.service.settled_at(session.zone)
+        if push.kind is ResourceType.ENDPOINTS:
+            session.sent_at[push.nonce] = self.service.decided_at(session.zone)
         return self.writer.write(push, session.stream.delta)
 
-    async def _whole(self, _: Any, context: Any) -> None:
+    async def _stream_full(self, _: Any, context: Any) -> None:
         await self._serve(Session(context, False, context.peer(), self.loop.time()))
 
-    async def _delta(self, _: Any, context: Any) -> None:
+    async def _stream_delta(self, _: Any, context: Any) -> None:
         await self._serve(Session(context, True, context.peer(), self.loop.time()))
 
     async def _serve(self, session: Session) -> None:
-        if not self._may(session.context, session.peer):
+        if not self._is_allowed(session.context, session.peer):
             await session.context.abort(grpc.StatusCode.PERMISSION_DENIED, "this certificate may not see it")
         self.sessions.add(session)
         reading = self.loop.create_task(self._read(session))
@@ -254,17 +277,17 @@
             reading.cancel()
             self.sessions.discard(session)
             if session.node and session.counted:
-                self.service.go(session.node.id)
+                self.service.disconnect(session.node.id)
             name = session.node.id if session.node else session.peer
-            self.log.info("receiver_left", receiver=name, why=session.why or "it hung up")
+            self.log.info("receiver_disconnected", receiver=name, why=session.why or "it hung up")
         if session.why:
-            await self._written(session)  # a status cannot be sent beside an answer
+            await self._wait_until_idle(session)  # a status cannot be sent during a write
             await session.context.abort(grpc.StatusCode.UNAVAILABLE, session.why)
 
-    async def _written(self, session: Session) -> None:
-        """Until nothing is being written to it, for `LAST` at the most."""
+    async def _wait_until_idle(self, session: Session) -> None:
+        """Wait until nothing is being written, at most `FINAL_WRITE_TIMEOUT_S`."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout_at(self.loop.time() + LAST):
+            async with asyncio.timeout_at(self.loop.time() + FINAL_WRITE_TIMEOUT_S):
                 await session.idle.wait()
 
     async def _read(self, session: Session) -> None:
@@ -274,47 +297,54 @@
                 if request is grpc.aio.EOF:
                     break
                 if session.node is None:
-                    self._meet(session, request)
-                self._heard(session, request)
-        except TooMuch as error:
+                    self._register(session, request)
+                self._on_request(session, request)
+        except ReceiverLimitError as error:
             session.end(str(error))
         except DecodeError:
             session.end("a request cannot be read")
         except (grpc.RpcError, asyncio.InvalidStateError, RuntimeError):
-            pass  # the receiver is gone
-        except Exception:
+            pass  # the receiver has disconnected
+        except Exception:  # an error with one receiver must not affect the others
             self.log.exception("request_failed", peer=session.peer)
             session.end("a fault of the service")
         finally:
             session.end(session.why)
 
-    def _meet(self, session: Session, request: Any) -> None:
+    def _register(self, session: Session, request: Any) -> None:
         node = stream_codec.read_node(request.node)
         if not node.id:
-            raise TooMuch("the first request names no node.id")
+            raise ReceiverLimitError("the first request names no node.id")
         zone = self.service.zone_of(node.zone)
-        if not self.service.come(node.id, zone):
-            raise TooMuch("there are too many receivers")
+        if not self.service.connect(node.id, zone):
+            raise ReceiverLimitError("there are too many receivers")
         session.node, session.zone, session.counted = node, zone, True
-        self.log.info("receiver", receiver=node.id, zone=node.zone, agent=node.agent, peer=session.peer)
+        self.log.info(
+            "receiver_connected", receiver=node.id, zone=node.zone, agent=node.agent, peer=session.peer
+        )
 
-    def _heard(self, session: Session, request: Any) -> None:
+    def _on_request(self, session: Session, request: Any) -> None:
         stream = session.stream
-        refusals = stream.refusals
+        nacks = stream.nacks
         kind = stream_codec.read(stream, request)
         if (at := session.sent_at.pop(request.response_nonce, None)) is not None:
             session.acked_at = self.loop.time()
             session.age = session.acked_at - at
             self.ages.append(session.age)
             self.acks += 1
-        if stream.refusals > refusals and kind and session.node:
-            self.refusals += 1
-            self.log.error("refused", receiver=session.node.id, kind=kind.value, why=stream.watches[kind].why)
+        if stream.nacks > nacks and kind and session.node:
+            self.nacks += 1
+            self.log.error(
+                "response_rejected",
+                receiver=session.node.id,
+                kind=kind.value,
+                why=stream.subscriptions[kind].nack_reason,
+            )
         if kind is not None:
-            self.pump.wake(session, 1)
+            self.scheduler.wake(session, RANK_USUAL)
 
-    async def _loads(self, _: Any, context: Any) -> None:
-        if not self._may(context, context.peer()):
+    async def _stream_loads(self, _: Any, context: Any) -> None:
+        if not self._is_allowed(context, context.peer()):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "this certificate may not see it")
         node: stream_codec.Node | None = None
         while (request := await context.read()) is not grpc.aio.EOF:
@@ -323,34 +353,37 @@
                 answer = lrs_pb2.LoadStatsResponse(
                     clusters=[self.service.name], report_endpoint_granularity=True
                 )
-                answer.load_reporting_interval.FromNanoseconds(round(self.report * 1e9))
+                answer.load_reporting_interval.FromNanoseconds(
+                    round(self.report_interval_s * NANOSECONDS_PER_S)
+                )
                 await context.write(answer)
             if request.cluster_stats:
-                self.service.reported(node, request)
+                self.service.on_report(node, request)
 
     async def _show(self, asked: bytes, context: Any) -> bytes:
-        if not self._may(context, context.peer()):
+        if not self._is_allowed(context, context.peer()):
             await context.abort(grpc.StatusCode.PERMISSION_DENIED, "this certificate may not see it")
         return self.service.show(asked)
 
-    def _may(self, context: Any, peer: str) -> bool:
+    def _is_allowed(self, context: Any, peer: str) -> bool:
         found = context.auth_context()
         names = frozenset(
             name.decode("utf-8", "replace")
             for key in ("x509_common_name", "x509_subject_alternative_name")
             for name in found.get(key, ())
         )
-        if self.service.may(names):
+        if self.service.is_allowed(names):
             return True
-        self.log.warning("not_allowed", peer=peer, names=",".join(sorted(names)))
+        self.log.warning("certificate_not_allowed", peer=peer, names=",".join(sorted(names)))
         return False
 
 
 class _Handlers(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """By the name of the call."""
+    """Handlers by the name of the call."""
 
     def __init__(self, kinds: dict[str, Any]) -> None:
         self.kinds = kinds
 
     def service(self, handler_call_details: Any) -> Any:
+        """The handler of a call; None if there is none."""
         return self.kinds.get(handler_call_details.method)
--- a/firvane/proxy/control/certificates.py
+++ b/firvane/proxy/control/certificates.py
@@ -1,7 +1,7 @@
-"""Keys and certificates: read from files, read anew when they change, and made for rehearsals.
+"""TLS credentials: loaded from files, reloaded when they change, and generated for tests.
 
-gRPC asks for them at each handshake. What has become of no use is said once, and the last that was of use
-stays in force: streams that stand are not touched by either.
+gRPC asks for them at each handshake. An invalid change is logged once, and the last valid files stay in
+force; existing streams are not affected by either.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from datetime import UTC, datetime, timedelta
 from ipaddress import ip_address
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import grpc
 from cryptography import x509
@@ -20,96 +20,114 @@
 
 from firvane.core.logs import QUIET, Log
 from firvane.proxy.config.model import Tls
+from firvane.proxy.control import ControlError
 
 TEST_DAYS = 30
-SOON = timedelta(days=14)  # to its end, from when a certificate is warned of
+KEY_FILE_MODE = 0o600
+EXPIRY_WARNING = timedelta(days=14)  # before the end of a certificate
 
 
-class Useless(ValueError):  # noqa: N818 - the files', not the program's
-    """Why the files cannot be used, in one line."""
+class TlsFileError(ControlError, ValueError):
+    """The TLS files are invalid; the text is one line."""
 
 
-def load(tls: Tls, now: datetime) -> tuple[bytes, bytes, bytes, datetime]:
-    """Key, certificate and authority in the files, and when the certificate ends; raises `Useless`."""
+class TlsFiles(NamedTuple):
+    """The content of valid TLS files in PEM, and the end of the certificate."""
+
+    key: bytes
+    certificate: bytes
+    authority: bytes
+    expires_at: datetime
+
+
+def load(tls: Tls, now: datetime) -> TlsFiles:
+    """Read and validate the TLS files; raises `TlsFileError` if one is unreadable, invalid or expired."""
     read = {}
     for name in ("key", "certificate", "authority"):
         path = getattr(tls, name)
         try:
             read[name] = Path(path).read_bytes()
         except OSError as error:
-            raise Useless(f"control.tls.{name}: {path}: {error.strerror}") from None
+            raise TlsFileError(f"control.tls.{name}: {path}: {error.strerror}") from None
     try:
         key = serialization.load_pem_private_key(read["key"], None)
     except (ValueError, TypeError) as error:
-        raise Useless(f"control.tls.key: {tls.key}: no private key in PEM ({error})") from None
+        raise TlsFileError(f"control.tls.key: {tls.key}: no private key in PEM ({error})") from None
     try:
         chain = x509.load_pem_x509_certificates(read["certificate"])
         authorities = x509.load_pem_x509_certificates(read["authority"])
     except ValueError as error:
-        raise Useless(f"control.tls: no certificate in PEM in certificate or authority ({error})") from None
+        raise TlsFileError(
+            f"control.tls: no certificate in PEM in certificate or authority ({error})"
+        ) from None
     form = serialization.PublicFormat.SubjectPublicKeyInfo
     der = serialization.Encoding.DER
     if chain[0].public_key().public_bytes(der, form) != key.public_key().public_bytes(der, form):
-        raise Useless(f"control.tls.key: {tls.key} is not the key of {tls.certificate}")
+        raise TlsFileError(f"control.tls.key: {tls.key} is not the key of {tls.certificate}")
     if chain[0].not_valid_after_utc <= now:
         ended = f"{chain[0].not_valid_after_utc:%Y-%m-%d}"
-        raise Useless(f"control.tls.certificate: {tls.certificate} ended {ended}")
+        raise TlsFileError(f"control.tls.certificate: {tls.certificate} ended {ended}")
     if all(one.not_valid_after_utc <= now for one in authorities):
-        raise Useless(f"control.tls.authority: every certificate in {tls.authority} has ended")
-    return read["key"], read["certificate"], read["authority"], chain[0].not_valid_after_utc
+        raise TlsFileError(f"control.tls.authority: every certificate in {tls.authority} has ended")
+    return TlsFiles(read["key"], read["certificate"], read["authority"], chain[0].not_valid_after_utc)
 
 
-class Keys:
-    """The files of one service, as gRPC wants them."""
+class TlsCredentials:
+    """The TLS files of one service, as gRPC server credentials."""
 
     def __init__(self, tls: Tls, log: Log = QUIET) -> None:
-        self.tls, self.log = tls, log
+        self.tls = tls
+        self.log = log
         self._stamp = self._stamps()
-        *parts, ends = load(tls, datetime.now(UTC))  # `Useless` at the start is the end of it
-        self._config = self._configuration(*parts)
-        self._warn(ends)
+        files = load(tls, datetime.now(UTC))  # a `TlsFileError` here ends the start
+        self._config = self._configuration(files)
+        self._warn(files.expires_at)
 
     def credentials(self) -> Any:
+        """Credentials that are reloaded at handshakes."""
         return grpc.dynamic_ssl_server_credentials(
             self._config, self._fetch, require_client_authentication=True
         )
 
     def _fetch(self) -> Any:
-        """Called by gRPC at a handshake, on a thread of its own: what is new, or None."""
+        """Called by gRPC at a handshake, on a thread of its own; returns the new configuration or None."""
         stamp = self._stamps()
         if stamp == self._stamp:
             return None
         self._stamp = stamp
         try:
-            *parts, ends = load(self.tls, datetime.now(UTC))
-        except Useless as error:
-            self.log.error("keys_useless", why=str(error), text="those of before stay in force")
+            files = load(self.tls, datetime.now(UTC))
+        except TlsFileError as error:
+            self._log_invalid(error)
             return None
-        self._config = self._configuration(*parts)
-        self.log.info("keys_reread", ends=f"{ends:%Y-%m-%d}")
-        self._warn(ends)
+        self._config = self._configuration(files)
+        self.log.info("tls_files_reloaded", ends=f"{files.expires_at:%Y-%m-%d}")
+        self._warn(files.expires_at)
         return self._config
 
+    def _log_invalid(self, error: TlsFileError) -> None:
+        self.log.error("tls_files_invalid", why=str(error), text="those of before stay in force")
+
     def _stamps(self) -> tuple[tuple[int, int] | None, ...]:
         found: list[tuple[int, int] | None] = []
         for path in (self.tls.key, self.tls.certificate, self.tls.authority):
             try:
-                info = os.stat(path)
+                info = Path(path).stat()
                 found.append((info.st_mtime_ns, info.st_size))
             except OSError:
                 found.append(None)
         return tuple(found)
 
     @staticmethod
-    def _configuration(key: bytes, certificate: bytes, authority: bytes) -> Any:
-        return grpc.ssl_server_certificate_configuration([(key, certificate)], authority)
+    def _configuration(files: TlsFiles) -> Any:
+        return grpc.ssl_server_certificate_configuration([(files.key, files.certificate)], files.authority)
 
-    def _warn(self, ends: datetime) -> None:
-        if ends - datetime.now(UTC) < SOON:
-            self.log.warning("certificate_ends", at=f"{ends:%Y-%m-%d %H:%M}")
+    def _warn(self, expires_at: datetime) -> None:
+        if expires_at - datetime.now(UTC) < EXPIRY_WARNING:
+            self.log.warning("certificate_expires_soon", at=f"{expires_at:%Y-%m-%d %H:%M}")
 
 
-# For rehearsals and tests: no authority of anybody's own
+# For tests and rehearsals: a self-made authority
 
 
 def _name(name: str) -> x509.Name:
@@ -120,13 +138,14 @@
     private = key.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
     )
-    with open(os.open(folder / f"{name}.key", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+    descriptor = os.open(folder / f"{name}.key", os.O_WRONLY | os.O_CREAT | os.O_TRUNC, KEY_FILE_MODE)
+    with os.fdopen(descriptor, "wb") as file:
         file.write(private)
     (folder / f"{name}.pem").write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
 
 
 def make_authority(folder: Path, name: str = "test authority", days: int = TEST_DAYS) -> None:
-    """`authority.key` and `authority.pem` in a folder."""
+    """Write `authority.key` and `authority.pem` of a test authority to a folder."""
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.now(UTC)
     certificate = (
         x509.CertificateBuilder()
@@ -145,7 +164,7 @@
 def make_certificate(
     folder: Path, name: str, hosts: Sequence[str] = (), days: float = TEST_DAYS, file: str = ""
 ) -> None:
-    """A certificate signed by the authority in the same folder; `file`: its files' name, else its own."""
+    """Write a certificate signed by the authority in the folder; `file` is its files' name, if not `name`."""
     root = x509.load_pem_x509_certificate((folder / "authority.pem").read_bytes())
     signer: Any = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.now(UTC)
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -1,10 +1,8 @@
-"""What a control service knows and tells, without a socket: on any clock, with any streams.
+"""The control service without sockets: server lists and load reports in, snapshots out.
 
-Rules that hold here and nowhere else:
-
-1. Discovery's word goes to the module first; what receivers are told is read out of the module.
-2. What takes a box away is settled on in the very call that tells of it.
-3. Without a list nothing is told; without a box the last state stands.
+1. Server lists go to the decision module first; assignments are made from the module's estimates.
+2. A change that removes a backend is published in the call that reports it.
+3. Nothing is published before there is a server list; without a backend the last snapshot stands.
 """
 
 from __future__ import annotations
@@ -17,170 +15,199 @@
 from firvane.core.engine import Clock, Directory, Engine, Exchange, Handle, Post
 from firvane.core.logs import QUIET, Log
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.control import estimates
 from firvane.proxy.control.catalog import Catalog
-from firvane.proxy.control.debounce import Pace
-from firvane.proxy.control.load_feedback import Feedback, split
-from firvane.proxy.control.panic_threshold import Panic
-from firvane.proxy.control.receivers import Ledger
-from firvane.proxy.control.types import Box, Health, Report, State
-from firvane.proxy.control.weights import SUM
+from firvane.proxy.control.debounce import Debouncer
+from firvane.proxy.control.load_feedback import LoadFeedback, split
+from firvane.proxy.control.panic_threshold import PanicGuard
+from firvane.proxy.control.receivers import ReceiverRegistry
+from firvane.proxy.control.types import BackendEstimate, Health, Report, Snapshot
+from firvane.proxy.control.weights import ENDPOINT_WEIGHT_SUM
 
-# Places of boxes told to receivers a second, where nothing is urgent; s between such times at the most.
-PLACES, MOST_QUIET = 400_000.0, 5.0
-LOOK, PER_BOX = 0.25, 0.0005  # s from one look at the beliefs to the next: at the least, and for each box
+MAX_ENDPOINTS_PER_S = 400_000.0  # sent to all receivers, without urgent changes
+MAX_PUSH_INTERVAL_S = 5.0
+MILLISECONDS_PER_S = 1e3
+MIN_UPDATE_INTERVAL_S = 0.25
+UPDATE_INTERVAL_PER_BACKEND_S = 0.0005
 
 
 class NoTargets:
-    """The service forwards nothing itself."""
+    """A target group without targets: the service forwards no requests itself."""
 
     def forward(self, request: Any, target: str, exchange: Exchange[Any]) -> Handle:
+        """Must not be called."""
         raise AssertionError("the control service has no flows")
 
     def probe(self, target: str, exchange: Exchange[Any]) -> Handle:
+        """Must not be called."""
         raise AssertionError("the control service does not probe")
 
-    def close_idle(self, target: str) -> None: ...
+    def close_idle(self, target: str) -> None:
+        """Do nothing."""
+
+
+class SnapshotObserver(Protocol):
+    """Gets notified of new snapshots."""
 
+    def on_published(self, zones: list[int]) -> None:
+        """There are new snapshots for the receivers in these zones."""
 
-class Audience(Protocol):
-    """Who is told."""
 
-    def published(self, zones: list[int]) -> None:
-        """There are new states for the receivers in these zones."""
+def _make_registry(control_settings: ControlSettings) -> ReceiverRegistry:
+    return ReceiverRegistry(
+        control_settings.report_s,
+        control_settings.keep_s,
+        control_settings.assumed_rps,
+        control_settings.most_rps,
+    )
+
+
+def _make_debouncer(control_settings: ControlSettings) -> Debouncer:
+    return Debouncer(
+        control_settings.settle_ms / MILLISECONDS_PER_S, control_settings.most_ms / MILLISECONDS_PER_S
+    )
 
 
 class Core:
-    """It is a proxy of its tier without flows, or several: what receivers do counts as its own."""
+    """One or several proxies of the tier, for which the receivers' requests count as their own."""
 
     def __init__(
         self,
         settings: Sequence[api.Settings],
-        words: Words,
+        control_settings: ControlSettings,
         seed: int,
         zones: tuple[str, ...],
         clock: Clock,
         posts: Sequence[Post],
         directory: Directory,
-        audience: Audience,
+        observer: SnapshotObserver,
         wall: Callable[[], float],
         log: Log = QUIET,
     ) -> None:
-        """One of `settings` and `posts` for each place in the tier. `wall` tells Unix time in seconds."""
-        self.words, self.zones, self.clock, self.audience = words, zones, clock, audience
-        self.wall, self.log = wall, log
-        self.number = 0  # of the list
+        """Create the core; `settings` and `posts` are by place in the tier, `wall` returns Unix time."""
+        self.control_settings = control_settings
+        self.zones = zones
+        self.clock = clock
+        self.observer = observer
+        self.wall = wall
+        self.log = log
+        self.number = 0  # version of the server list
         self.addresses: dict[str, Address] = {}
-        self.names: dict[Address, str] = {}  # the other way round: reports name boxes by address
+        self.names: dict[Address, str] = {}  # by address, as reports name backends
         self.balancers = [Balancer(own, seed + place, wall()) for place, own in enumerate(settings)]
         self.engines: list[Engine[Any, Any]] = [
             Engine(own, balancer, clock, NoTargets(), post, directory, wall, log)
             for own, balancer, post in zip(settings, self.balancers, posts, strict=True)
         ]
         self.engine = self.engines[0]
-        self.feedbacks = [Feedback(balancer) for balancer in self.balancers]
-        self.looks = 0
-        self.ledger = Ledger(words.report_s, words.keep_s, words.assumed_rps, words.most_rps)
-        self.pace = Pace(words.settle_ms / 1e3, words.most_ms / 1e3)
-        self.panic = Panic(words.panic, words.confirm_s)
-        self.catalog = Catalog(words.service, zones, settings[0])
+        self.feedbacks = [LoadFeedback(balancer) for balancer in self.balancers]
+        self.updates = 0
+        self.registry = _make_registry(control_settings)
+        self.debouncer = _make_debouncer(control_settings)
+        self.panic = PanicGuard(control_settings.panic, control_settings.confirm_s)
+        self.catalog = Catalog(control_settings.service, zones, settings[0])
         self.published_at: dict[int, float] = {}  # on the clock, by group
-        self._kept: dict[str, Box] = {}  # as last told, for those that a doubtful list leaves out
+        self._last_estimates: dict[str, BackendEstimate] = {}
         self._up: set[str] = set()
         self._timer: Any = None
 
     def start(self) -> None:
+        """Start the engines and the periodic updates."""
         for engine in self.engines:
             engine.start()
-        self.look()
+        self.update()
 
-    def retune(self, settings: Sequence[api.Settings], words: Words) -> None:
-        """Other settings from now on; the service's name, its keys and its intervals are those of before."""
-        self.words = words
+    def retune(self, settings: Sequence[api.Settings], control_settings: ControlSettings) -> None:
+        """Apply other settings; the service's name, TLS files and intervals stay unchanged."""
+        self.control_settings = control_settings
         for engine, own in zip(self.engines, settings, strict=True):
             engine.retune(own)
         self.catalog.retune(settings[0])
-        self.pace = Pace(words.settle_ms / 1e3, words.most_ms / 1e3)
-        self.panic.part, self.panic.confirm = words.panic, words.confirm_s
-        self.pace.changed(self.clock.time(), urgent=True)
+        self.debouncer = _make_debouncer(control_settings)
+        self.panic.threshold = control_settings.panic
+        self.panic.confirm_s = control_settings.confirm_s
+        self.debouncer.on_changed(self.clock.time(), urgent=True)
         self.publish()
 
-    # The list
+    # Server list
 
     def target(self, name: str, address: Address | None, up: bool) -> None:
-        """Where a box is; None: it is gone."""
+        """Set the address of a backend; None: it is removed."""
         old = self.addresses.pop(name, None)
         if old is not None and self.names.get(old) == name:
             del self.names[old]
         if address is not None:
             self.addresses[name], self.names[address] = address, name
 
-    def listed(self, news: api.ServerList) -> None:
-        now, before = self.clock.time(), set(self._up)
-        named = {server.id for server in news.servers if server.state is not api.ServerState.UP}
-        self.number = news.version
+    def on_server_list(self, update: api.ServerList) -> None:
+        """Apply a server list or a change of it."""
+        now = self.clock.time()
+        before = set(self._up)
+        named = {server.id for server in update.servers if server.state is not api.ServerState.UP}
+        self.number = update.version
         for engine in self.engines:
-            engine.listed(news)
+            engine.listed(update)
         self._up = {server.entry.id for server in self.balancers[0].up}
-        left_out = before - {server.id for server in news.servers}
-        self.panic.named(named)
-        if news.kind is api.ListKind.COMPLETE and self.panic.listed(before, self._up, left_out, now):
+        left_out = before - {server.id for server in update.servers}
+        self.panic.on_named(named)
+        if update.kind is api.ListKind.COMPLETE and self.panic.on_list(before, self._up, left_out, now):
             self.log.error(
-                "list_doubted",
+                "list_held_back",
                 text="a whole list leaves out most boxes: receivers keep what they have until it stands",
-                was=len(before), now=len(self._up), for_s=self.words.confirm_s,
+                was=len(before), now=len(self._up), for_s=self.control_settings.confirm_s,
             )  # fmt: skip
-            self._look_at(self.panic.until)
-        self.pace.changed(now, urgent=bool(before - self._up) or not self.catalog.has_list)
+            self._schedule(self.panic.until)
+        self.debouncer.on_changed(now, urgent=bool(before - self._up) or not self.catalog.has_assignments)
         self.publish()
 
-    # What is told
+    # Snapshots
 
-    def state(self, zone: int) -> State | None:
-        """What those in a zone are told now; None while there is no list."""
+    def state(self, zone: int) -> Snapshot | None:
+        """The current snapshot for a zone; None until there is a server list."""
         return self.catalog.state(zone)
 
-    def settled_at(self, zone: int) -> float:
-        """When that was settled on, on the clock."""
+    def decided_at(self, zone: int) -> float:
+        """When that snapshot was decided, on the clock."""
         return self.published_at.get(zone, 0.0)
 
-    def _boxes(self) -> list[Box]:
-        """As the module has them, and those that a doubtful list leaves out as they were."""
+    def _backends(self) -> list[BackendEstimate]:
+        """The module's estimates, and the last ones of backends that a suspicious list omits."""
         places = [
             estimates.read(feedback.balancer, self.addresses, feedback.took, engine.now())
             for engine, feedback in zip(self.engines, self.feedbacks, strict=True)
         ]
-        boxes = {box.name: box for box in estimates.joined(places)}
-        for name in self.panic.held(self.clock.time()):
-            if name not in boxes and name in self._kept:
-                boxes[name] = self._kept[name]
-        self._kept = boxes
-        return [boxes[name] for name in sorted(boxes)]
+        backends = {backend.name: backend for backend in estimates.combine_places(places)}
+        for name in self.panic.retained_backends(self.clock.time()):
+            if name not in backends and name in self._last_estimates:
+                backends[name] = self._last_estimates[name]
+        self._last_estimates = backends
+        return [backends[name] for name in sorted(backends)]
 
     def publish(self) -> None:
-        """Tell what is due; look again when the rest is."""
+        """Publish changes that are due, and schedule the others."""
         now = self.clock.time()
-        if not self.pace.take(now):
-            self._look_at(self.pace.due)
+        if not self.debouncer.take(now):
+            self._schedule(self.debouncer.due)
             return
-        boxes = self._boxes()
-        if not boxes and self.catalog.has_list:
+        backends = self._backends()
+        if not backends and self.catalog.has_assignments:
             self.log.error("list_empty", text="no box may be sent to: receivers keep what they have")
-        demand, largest = self.ledger.demand(), self.ledger.largest()
-        zones = self.catalog.make(boxes, demand, largest, self.number, self.wall())
+        demand, largest = self.registry.demand(), self.registry.largest()
+        zones = self.catalog.make(backends, demand, largest, self.number, self.wall())
         if not zones:
             return
         self.published_at.update(dict.fromkeys(zones, now))
-        self.audience.published(zones)
+        self.observer.on_published(zones)
         causes = self.catalog.causes
         self.log.info(
-            "told", serial=self.catalog.serial, list=self.number, groups=len(zones), boxes=len(boxes),
-            receivers=len(self.ledger.receivers), urgent=self.catalog.urgent, causes=len(causes),
+            "assignments_published", serial=self.catalog.serial, list=self.number,
+            groups=len(zones), backends=len(backends),
+            receivers=len(self.registry.receivers), urgent=self.catalog.urgent, causes=len(causes),
             why="; ".join(causes[:5]),
         )  # fmt: skip
 
-    def _look_at(self, due: float) -> None:
+    def _schedule(self, due: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -191,38 +218,41 @@
         self._timer = None
         self.publish()
 
-    def look(self) -> None:
-        """Reports into the module, and what it believes now; again and again."""
+    def update(self) -> None:
+        """Feed reports into the module and publish its estimates; reschedules itself."""
         now = self.clock.time()
-        for name in self.ledger.sweep(self.engine.known, now):
-            self.log.info("receiver_gone", receiver=name, text="its part of the demand is free")
-        if sums := self.ledger.take(now):
-            self.looks += 1
-            parts = split(sums, len(self.engines), self.looks)
+        for name in self.registry.sweep(self.engine.known, now):
+            self.log.info("receiver_expired", receiver=name, text="its part of the demand is free")
+        if sums := self.registry.take(now):
+            self.updates += 1
+            parts = split(sums, len(self.engines), self.updates)
             for engine, part in zip(self.engines, parts, strict=True):
-                engine.give(part)  # an event that this service adds
-        if self.catalog.has_list or self._up:
-            work = len(self.ledger.receivers) * len(self.addresses)
-            self.pace.least = min(MOST_QUIET, work / PLACES)
-            self.pace.changed(now)
+                engine.give(part)  # an event type of the control service
+        if self.catalog.has_assignments or self._up:
+            work = len(self.registry.receivers) * len(self.addresses)
+            self.debouncer.min_interval_s = min(MAX_PUSH_INTERVAL_S, work / MAX_ENDPOINTS_PER_S)
+            self.debouncer.on_changed(now)
             self.publish()
-        self.clock.call_at(now + max(LOOK, PER_BOX * len(self.addresses)), self.look)
+        self.clock.call_at(
+            now + max(MIN_UPDATE_INTERVAL_S, UPDATE_INTERVAL_PER_BACKEND_S * len(self.addresses)), self.update
+        )
 
-    # What receivers say
+    # Load reports
 
-    def reported(self, name: str, told: Mapping[str, Report], span: float, dropped: int) -> None:
-        """A receiver's report, of so many seconds; requests that it dropped as it was told to."""
-        span = span or self.words.report_s
-        self.ledger.report(name, told, self.engine.known, span, self.clock.time(), dropped)
+    def on_report(self, name: str, reports: Mapping[str, Report], span: float, dropped: int) -> None:
+        """Take a receiver's report over `span` seconds; `dropped`: requests dropped by assignment."""
+        span = span or self.control_settings.report_s
+        self.registry.report(name, reports, self.engine.known, span, self.clock.time(), dropped)
 
     def zone_name(self, number: int) -> str:
+        """The name of a zone; empty if it is unknown."""
         return self.zones[number] if 0 <= number < len(self.zones) else ""
 
-    def parts(self, zone: int) -> dict[tuple[str, str], float]:
-        """The part of each place in its zone's requests, by zone and box, as a group was told last."""
+    def shares(self, zone: int) -> dict[tuple[str, str], float]:
+        """The share of each endpoint in its zone's requests, by zone and backend, as last assigned."""
         return {
-            (self.zone_name(locality.zone), place.box): place.weight / SUM
-            for locality in self.catalog.told(zone)
-            for place in locality.places
+            (self.zone_name(locality.zone), place.backend): place.weight / ENDPOINT_WEIGHT_SUM
+            for locality in self.catalog.localities(zone)
+            for place in locality.endpoints
             if place.health is Health.HEALTHY
         }
--- a/firvane/proxy/control/debounce.py
+++ b/firvane/proxy/control/debounce.py
@@ -1,11 +1,8 @@
-"""When a change is told: at once, or together with what else is coming.
+"""Debouncing of changes before they are pushed to receivers.
 
-Rules that hold here and nowhere else:
-
-1. What takes something away (a drain, a removal, a box that is doubted) is due at once, and takes all that
-   waits along with it.
-2. Anything else waits until nothing has changed for `settle`, and never longer than `most`; and until `least`
-   has passed since the last time: telling all of everything to all costs what it costs.
+1. A change that removes a backend (draining, removed, ejected) is due at once, with all pending changes.
+2. Other changes wait until none has come for `quiet_s`, at most `max_delay_s` after the first, and until
+   `min_interval_s` has passed since the last push, which bounds the cost of pushes.
 """
 
 from __future__ import annotations
@@ -13,29 +10,31 @@
 import math
 
 
-class Pace:
-    """Times are seconds on one clock."""
+class Debouncer:
+    """Collects changes until they are due; times are seconds of one clock."""
 
-    def __init__(self, settle: float, most: float) -> None:
-        self.settle, self.most = settle, most
-        self.least = 0.0
-        self.due = math.inf  # when what has changed is to be told
-        self._since = math.inf  # when the first of it came
-        self._told = -math.inf  # when something was told last
+    def __init__(self, quiet_s: float, max_delay_s: float) -> None:
+        self.quiet_s = quiet_s
+        self.max_delay_s = max_delay_s
+        self.min_interval_s = 0.0
+        self.due = math.inf  # when the pending changes are to be pushed
+        self._first_change_at = math.inf
+        self._pushed_at = -math.inf
 
-    def changed(self, now: float, urgent: bool = False) -> None:
+    def on_changed(self, now: float, urgent: bool = False) -> None:
+        """Record a change; an urgent one is due at once."""
         if urgent:
             self.due = now
             return
-        self._since = min(self._since, now)
+        self._first_change_at = min(self._first_change_at, now)
         if self.due > now:
-            soon = min(now + self.settle, self._since + self.most)
-            self.due = max(soon, self._told + self.least)
+            settled_at = min(now + self.quiet_s, self._first_change_at + self.max_delay_s)
+            self.due = max(settled_at, self._pushed_at + self.min_interval_s)
 
     def take(self, now: float) -> bool:
-        """Whether it is time; what has changed counts as told."""
+        """Whether the pending changes are due; if so, they count as pushed."""
         if now < self.due:
             return False
-        self.due = self._since = math.inf
-        self._told = now
+        self.due = self._first_change_at = math.inf
+        self._pushed_at = now
         return True
--- a/firvane/proxy/control/estimates.py
+++ b/firvane/proxy/control/estimates.py
@@ -1,14 +1,11 @@
-"""What the decision module believes, read out of it in words that receivers can be told.
+"""The decision module's estimates of the backends, in a form that can be sent to receivers.
 
-Rules that hold here and nowhere else:
-
-1. Nothing is decided here: power, room, coldness, budgets and doubts are the module's own, asked as it asks
-   itself before a send.
-2. A box that the list names as draining or does not name is not among those read, whatever is believed.
-3. Where the module holds back because a box has no room, receivers are held to the rate that fills the room:
-   the room divided by the time that an answer takes there.
-4. The receivers stand for as many proxies of the tier as the service has places in it. Each place believes
-   for itself, of its part of what receivers do; their budgets and rooms add up.
+1. Nothing is decided here: power, capacity, slow start, budgets and ejections are the module's own.
+2. A backend that the server list names as draining, or does not name, is not included.
+3. The module limits concurrent attempts; receivers get the equivalent rate: the capacity divided by the
+   response time of the backend.
+4. The receivers stand for as many proxies of the tier as the service has places in it. Each place has its own
+   estimates from its share of the reports; budgets and capacities add up.
 """
 
 from __future__ import annotations
@@ -19,16 +16,16 @@
 from firvane.core.address import Address
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity import slow_start
-from firvane.proxy.control.types import Box
+from firvane.proxy.control.types import BackendEstimate
 
-LEAST = 1e-3  # power is never less: a box is left alone for a reason, not for a small number
-TRIAL = 2.0  # requests a second to a box that is being tried again
+MIN_POWER = 1e-3
+TRIAL_RPS = 2.0  # to a backend after its ejection
 
 
 def read(
     balancer: Balancer, addresses: Mapping[str, Address], took: Mapping[str, float], now: float
-) -> tuple[Box, ...]:
-    """Each box that may be sent to, in the order of their names; `took` is s that an answer takes, by box."""
+) -> tuple[BackendEstimate, ...]:
+    """Read the backends that may get requests; `took` is the response time in seconds by backend."""
     found = []
     for server in balancer.up:
         name = server.entry.id
@@ -42,13 +39,13 @@
             part = slow_start.rate(balancer.evidence, server, senders, now)[0] if allowed else 0.0
             budget = part if budget is None else min(part, budget)
         elif server.fails > 1:
-            budget = TRIAL
+            budget = TRIAL_RPS
         found.append(
-            Box(
+            BackendEstimate(
                 name,
                 addresses[name],
                 server.entry.zone,
-                max(LEAST, balancer.evidence.power(server, now)),
+                max(MIN_POWER, balancer.evidence.power(server, now)),
                 server.room,
                 budget,
                 is_cold,
@@ -58,27 +55,27 @@
     return tuple(found)
 
 
-def joined(places: Sequence[Sequence[Box]]) -> list[Box]:
-    """What several places of one service believe, as one: each has its own part of a box."""
+def combine_places(places: Sequence[Sequence[BackendEstimate]]) -> list[BackendEstimate]:
+    """Combine the estimates of several places of one service."""
     if len(places) == 1:
         return list(places[0])
-    by_name: dict[str, list[Box]] = {}
-    for boxes in places:
-        for box in boxes:
-            by_name.setdefault(box.name, []).append(box)
+    by_name: dict[str, list[BackendEstimate]] = {}
+    for backends in places:
+        for backend in backends:
+            by_name.setdefault(backend.name, []).append(backend)
     found = []
     for name in sorted(by_name):
         some = by_name[name]
-        budgets = [box.budget for box in some]
+        budgets = [backend.budget_rps for backend in some]
         found.append(
             replace(
                 some[0],
-                power=sum(box.power for box in some),
-                room=sum(box.room for box in some),
-                # Without a bound at one place there is none: it is that one which sends more.
-                budget=None if None in budgets else sum(budget or 0.0 for budget in budgets),
-                cold=any(box.cold for box in some),
-                doubted=2 * sum(box.doubted for box in some) >= len(some),
+                power=sum(backend.power for backend in some),
+                capacity=sum(backend.capacity for backend in some),
+                # Without a limit at one place there is none in total.
+                budget_rps=None if None in budgets else sum(budget or 0.0 for budget in budgets),
+                warming_up=any(backend.warming_up for backend in some),
+                ejected=2 * sum(backend.ejected for backend in some) >= len(some),
             )
         )
     return found
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -1,7 +1,7 @@
-"""What receivers report, on its way into the module's beliefs: as what its own forwards do.
+"""Feeds the receivers' load reports into the decision module, as if the requests were its own.
 
-The service has no forwards of its own, so `own` of each box, and the arrivals and answers of this proxy's
-row, are the receivers'. Peers of the tier read them in its rows like any other proxy's.
+The service forwards no requests itself, so the counts of its own row are the receivers'. Peers of the tier
+read its rows like those of any proxy.
 """
 
 from __future__ import annotations
@@ -12,34 +12,34 @@
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity.load_reports import Sum, take
 
-SLOWLY = 0.2  # how far one sum moves the time that answers take
+LATENCY_SMOOTHING = 0.2  # weight of each report
 
 
 @dataclass(slots=True, frozen=True)
-class Reported:
-    """An event: what all receivers have done since the last one, by box."""
+class LoadReported:
+    """An event: the sums of all receivers' reports since the last one, by backend."""
 
-    boxes: Mapping[str, Sum]
+    backends: Mapping[str, Sum]
 
 
-def split(sums: Mapping[str, Sum], places: int, turn: int) -> list[Reported]:
-    """The same for several places in the tier, an even part each; whole numbers lose nothing.
+def split(sums: Mapping[str, Sum], places: int, turn: int) -> list[LoadReported]:
+    """Split sums evenly over several places in the tier; whole numbers lose nothing.
 
-    `turn` is another number each time: it says who gets what is left over.
+    `turn` must differ between calls: it rotates who gets the remainder.
     """
     if places == 1:
-        return [Reported(sums)]
+        return [LoadReported(sums)]
 
-    def part(count: int, place: int) -> int:
+    def share(count: int, place: int) -> int:
         return count // places + ((place + turn) % places < count % places)
 
     return [
-        Reported(
+        LoadReported(
             {
                 name: one._replace(
-                    served=part(one.served, place),
-                    failed=part(one.failed, place),
-                    issued=part(one.issued, place),
+                    served=share(one.served, place),
+                    failed=share(one.failed, place),
+                    issued=share(one.issued, place),
                     out=one.out / places,
                     rate=one.rate / places,
                 )
@@ -50,24 +50,25 @@
     ]
 
 
-class Feedback:
-    """Adds the event to those that a balancer handles."""
+class LoadFeedback:
+    """Handles `LoadReported` events of a balancer."""
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
-        self.took: dict[str, float] = {}  # s that an answer takes, by box
-        balancer.handlers[Reported] = self.on_reported
+        self.took: dict[str, float] = {}  # response time in seconds, by backend
+        balancer.handlers[LoadReported] = self.on_reported
 
-    def on_reported(self, reported: Reported, now: float) -> None:
+    def on_reported(self, reported: LoadReported, now: float) -> None:
+        """Add the sums to the balancer's counts and estimates."""
         balancer = self.balancer
         aim = min(cls.latency_target for cls in balancer.settings.classes)
-        for name, told in reported.boxes.items():
+        for name, told in reported.backends.items():
             balancer.arrived[-1] += told.issued
             balancer.served[-1] += told.served
             if server := balancer.servers.get(name):
                 if took := take(balancer.evidence, server, told, aim, now):
                     known = self.took.get(name, took)
-                    self.took[name] = known + SLOWLY * (took - known)
+                    self.took[name] = known + LATENCY_SMOOTHING * (took - known)
                 balancer.large.mark(server)
         for name in self.took.keys() - balancer.servers.keys():
             del self.took[name]
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -1,4 +1,4 @@
-"""One control service from its file to its end, by signals."""
+"""The process of a control service: from its file until a signal ends it."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from firvane.proxy import native
 from firvane.proxy.config.checks import CHECKS
 from firvane.proxy.config.file import node
-from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.config.model import File
 from firvane.proxy.config.node import Config
-from firvane.proxy.control.certificates import Useless
+from firvane.proxy.control.certificates import TlsFileError
 from firvane.proxy.control.service import Control
 
-Told = tuple[Config, Words]
+ServiceSettings = tuple[Config, ControlSettings]
 
 
-def read(path: str) -> Told:
-    """What a file tells a control service; raises `validation.ValidationError`."""
+def read(path: str) -> ServiceSettings:
+    """Read the settings of a control service; raises `validation.ValidationError`."""
     file = validation.read(path, File, CHECKS)
     if file.control is None:
         raise validation.ValidationError(
@@ -35,9 +35,10 @@
     return node(file), file.control
 
 
-async def run(told: Told, read_again: Callable[[], Told]) -> None:
+async def run(settings: ServiceSettings, read_again: Callable[[], ServiceSettings]) -> None:
+    """Run a service until SIGTERM or SIGINT; SIGHUP reloads its file."""
     loop = asyncio.get_running_loop()
-    service = Control(loop, *told)
+    service = Control(loop, *settings)
     logging.getLogger().addHandler(Bridge(service.log))
     service.log.info("native", **native.state()._asdict())
     ended = asyncio.Event()
@@ -46,16 +47,16 @@
     loop.add_signal_handler(signal.SIGHUP, service.reload, read_again)
     await service.start()
     await ended.wait()
-    service.log.info("ending", streams=len(service.ads.sessions))
+    service.log.info("stopping", streams=len(service.ads.sessions))
     await service.stop()
 
 
-def serve(file: str, told: Told) -> int:
-    """One service until a signal ends it; the exit code."""
+def serve(file: str, settings: ServiceSettings) -> int:
+    """Run one service until a signal ends it; returns the exit code."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(told, partial(read, file)))
-    except (OSError, Useless) as error:
+            runner.run(run(settings, partial(read, file)))
+    except (OSError, TlsFileError) as error:
         print(f"firvane: cannot start: {error}", file=sys.stderr)
         return 2
     return 0
--- a/firvane/proxy/control/panic_threshold.py
+++ b/firvane/proxy/control/panic_threshold.py
@@ -1,12 +1,10 @@
-"""A list that would leave next to nothing is not believed at once.
+"""A panic threshold against server lists that would remove most backends at once.
 
-Rules that hold here and nowhere else:
-
-1. Only whole lists are doubted: by leaving boxes out, which a service that has lost its memory does as well
-   as one that means it. What a list says of a box by name (draining, removed) is always followed.
-2. A whole list that leaves fewer than `part` of the boxes that were up, or none, is held back until it has
-   been the last word for `confirm` seconds. Then it is followed. Receivers keep the last good state.
-3. A part of 0 doubts only an empty list; a fleet of one box may lose it.
+1. Only complete lists are held back, since omitted backends may mean that discovery lost its state. Backends
+   that a list names as draining or removed are always removed.
+2. A complete list that leaves no more than `threshold` of the backends that were up is held back until it has
+   been the latest for `confirm_s` seconds. Receivers keep the last good snapshot meanwhile.
+3. A threshold of 0 holds back only an empty list; a fleet of one backend may lose it.
 """
 
 from __future__ import annotations
@@ -15,38 +13,37 @@
 from collections.abc import Collection
 
 
-class Panic:
-    """Times are seconds on one clock."""
+class PanicGuard:
+    """Holds backends back that a suspicious list omits; times are seconds of one clock."""
 
-    def __init__(self, part: float, confirm: float) -> None:
-        self.part, self.confirm = part, confirm
-        self.until = -math.inf  # a doubtful list is held back until then
-        self.kept: frozenset[str] = frozenset()  # the boxes that it left out
+    def __init__(self, threshold: float, confirm_s: float) -> None:
+        self.threshold = threshold
+        self.confirm_s = confirm_s
+        self.until = -math.inf  # a suspicious list is held back until then
+        self.retained: frozenset[str] = frozenset()  # the backends that it omits
         self.trips = 0
 
-    def listed(
+    def on_list(
         self, before: Collection[str], after: Collection[str], left_out: Collection[str], now: float
     ) -> bool:
-        """A list has come: boxes that were up, those that are, those that it says nothing of any more.
-
-        Whether it is held back.
-        """
+        """Check a complete list (backends up before, up after, omitted); returns whether it is held back."""
         lost = set(left_out) & set(before)
-        left = len(set(before) - lost)
-        if lost and len(before) > 1 and left <= self.part * len(before):
-            self.kept, self.until = frozenset(lost), now + self.confirm
+        remaining = len(set(before) - lost)
+        if lost and len(before) > 1 and remaining <= self.threshold * len(before):
+            self.retained = frozenset(lost)
+            self.until = now + self.confirm_s
             self.trips += 1
-        elif self.kept:
-            back = self.kept & set(after)
-            self.kept = self.kept - back
-        return bool(self.kept)
+        elif self.retained:
+            returned = self.retained & set(after)
+            self.retained = self.retained - returned
+        return bool(self.retained)
 
-    def named(self, boxes: Collection[str]) -> None:
-        """The list says of these by name that they drain or are gone."""
-        self.kept -= set(boxes)
+    def on_named(self, backends: Collection[str]) -> None:
+        """Release backends that the list names as draining or removed."""
+        self.retained -= set(backends)
 
-    def held(self, now: float) -> frozenset[str]:
-        """The boxes that receivers keep though the list leaves them out."""
+    def retained_backends(self, now: float) -> frozenset[str]:
+        """The backends that receivers keep although the list omits them."""
         if now >= self.until:
-            self.kept = frozenset()
-        return self.kept
+            self.retained = frozenset()
+        return self.retained
--- a/firvane/proxy/control/resource_codec.py
+++ b/firvane/proxy/control/resource_codec.py
@@ -1,8 +1,8 @@
-"""The codec of resources: words into the messages of xDS, as bytes.
+"""Codec of xDS resources.
 
-Pure: nothing is opened. A resource's version is a digest of its bytes, which are made in one way only, so
-that two services which believe the same hand out the same. The messages come from xds-protos; they are not
-needed by anything but the control service.
+The version of a resource is a digest of its bytes, which are encoded deterministically, so that control
+services with the same estimates send the same versions. The messages come from the package xds-protos,
+which only the control service needs.
 """
 
 from __future__ import annotations
@@ -23,22 +23,36 @@
 from google.protobuf import any_pb2, duration_pb2, wrappers_pb2
 
 from firvane.proxy.control.route_settings import Route
-from firvane.proxy.control.types import DROP_CATEGORY, Assignment, Health, Kind, Locality, Place, Resource
+from firvane.proxy.control.types import (
+    DROP_CATEGORY,
+    Assignment,
+    Health,
+    Locality,
+    Resource,
+    ResourceType,
+    WeightedEndpoint,
+)
 
 KEY_HEADER = "x-route-hash"
-RETRIES = 20.0  # in 100 requests that are open at a receiver: further tries beyond that are not made
-RING = 1024, 4096  # of entries on a receiver's ring of keys; gRPC's clients take no more
-# gRPC's clients know only the words without a dash of these, others all of them.
-NEVER_RAN = "connect-failure,refused-stream"
-ANYTHING = f"{NEVER_RAN},reset,gateway-error,unavailable"
-HEALTHS = {
+RETRY_BUDGET_PERCENT = 20.0  # of a receiver's open requests
+MIN_RETRY_CONCURRENCY = 3
+RETRY_BACKOFF_MIN_S = 0.025
+RETRY_BACKOFF_MAX_S = 0.25
+HOST_SELECTION_ATTEMPTS = 3
+MAX_DROP_NUMERATOR = 10_000
+MIN_RING_SIZE = 1024
+MAX_RING_SIZE = 4096  # gRPC's clients accept no more
+# gRPC's clients know only the conditions without a dash.
+RETRY_ON_UNPROCESSED = "connect-failure,refused-stream"
+RETRY_ON_ANY = f"{RETRY_ON_UNPROCESSED},reset,gateway-error,unavailable"
+HEALTH_STATUSES = {
     Health.HEALTHY: health_check_pb2.HealthStatus.HEALTHY,
     Health.UNHEALTHY: health_check_pb2.HealthStatus.UNHEALTHY,
 }
 
 
 def digest(*parts: bytes) -> str:
-    """What names these bytes."""
+    """A digest of the parts, as hexadecimal digits."""
     known = blake2b(digest_size=8)
     for part in parts:
         known.update(b"%d " % len(part))
@@ -47,16 +61,17 @@
 
 
 def pack(message: Any) -> Any:
-    """As google.protobuf.Any, the same bytes each time."""
+    """Wrap a message as google.protobuf.Any, encoded deterministically."""
     return any_pb2.Any(
         type_url=f"type.googleapis.com/{message.DESCRIPTOR.full_name}",
         value=message.SerializeToString(deterministic=True),
     )
 
 
-def resource(name: str, message: Any, named: bool = False, refers: Sequence[str] = ()) -> Resource:
+def resource(name: str, message: Any, on_demand: bool = False, references: Sequence[str] = ()) -> Resource:
+    """Encode a resource."""
     body = pack(message).SerializeToString(deterministic=True)
-    return Resource(name, digest(body), body, named, frozenset(refers))
+    return Resource(name, digest(body), body, on_demand, frozenset(references))
 
 
 def _seconds(span: float) -> Any:
@@ -65,50 +80,51 @@
 
 
 class Endpoints:
-    """Assignments into resources. What has been made of a place is kept for as long as it is listed."""
+    """Encodes assignments; messages of endpoints are cached as long as they are listed."""
 
     def __init__(self, zones: Sequence[str]) -> None:
-        """`zones` by number; boxes of any further number stand in no zone."""
+        """Create the encoder; `zones` are names by number."""
         self.zones = zones
-        self._made: dict[Place, Any] = {}
+        self._cache: dict[WeightedEndpoint, Any] = {}
 
     def make(self, name: str, assignment: Assignment) -> Resource:
-        kept = self._made
-        self._made = {}
+        """Encode the assignment of a group as the endpoints of a cluster."""
+        kept = self._cache
+        self._cache = {}
         message = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
         for locality in assignment.localities:
             self._locality(message, locality, kept)
         if assignment.dropped:
             drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
-            drop.drop_percentage.numerator = min(10_000, assignment.dropped)
+            drop.drop_percentage.numerator = min(MAX_DROP_NUMERATOR, assignment.dropped)
             drop.drop_percentage.denominator = percent_pb2.FractionalPercent.TEN_THOUSAND
         return resource(name, message)
 
-    def _locality(self, message: Any, locality: Locality, kept: dict[Place, Any]) -> None:
-        if not locality.weight:  # xDS has no weight 0: who is sent nothing is not told
+    def _locality(self, message: Any, locality: Locality, kept: dict[WeightedEndpoint, Any]) -> None:
+        if not locality.weight:  # xDS has no weight 0: the locality is omitted
             return
         made = message.endpoints.add()
         if 0 <= locality.zone < len(self.zones):
             made.locality.zone = self.zones[locality.zone]
         made.load_balancing_weight.value = locality.weight
         entries = []
-        for place in locality.places:
-            self._made[place] = entry = kept.get(place) or _endpoint(place)
+        for endpoint in locality.endpoints:
+            self._cache[endpoint] = entry = kept.get(endpoint) or _endpoint(endpoint)
             entries.append(entry)
         made.lb_endpoints.extend(entries)
 
 
-def _endpoint(place: Place) -> Any:
-    host, port = place.address
+def _endpoint(endpoint: WeightedEndpoint) -> Any:
+    host, port = endpoint.address
     return endpoint_components_pb2.LbEndpoint(
         endpoint=endpoint_components_pb2.Endpoint(
             address=address_pb2.Address(
                 socket_address=address_pb2.SocketAddress(address=host, port_value=port)
             ),
-            hostname=place.box,
+            hostname=endpoint.backend,
         ),
-        health_status=HEALTHS[place.health],
-        load_balancing_weight=wrappers_pb2.UInt32Value(value=place.weight),
+        health_status=HEALTH_STATUSES[endpoint.health],
+        load_balancing_weight=wrappers_pb2.UInt32Value(value=endpoint.weight),
     )
 
 
@@ -119,28 +135,28 @@
     )
 
 
-def cluster(name: str, keyed: bool, open_at_once: int, connect: float) -> Resource:
-    """The target group; `keyed`: a request's key leads to the same box. `connect` is seconds."""
+def cluster(name: str, keyed: bool, max_open_requests: int, connect_timeout_s: float) -> Resource:
+    """Encode the cluster; with `keyed` requests of a key go to the same backend."""
     thresholds = circuit_breaker_pb2.CircuitBreakers.Thresholds(
-        max_requests=wrappers_pb2.UInt32Value(value=open_at_once),
-        max_pending_requests=wrappers_pb2.UInt32Value(value=open_at_once),
-        max_connections=wrappers_pb2.UInt32Value(value=open_at_once),
+        max_requests=wrappers_pb2.UInt32Value(value=max_open_requests),
+        max_pending_requests=wrappers_pb2.UInt32Value(value=max_open_requests),
+        max_connections=wrappers_pb2.UInt32Value(value=max_open_requests),
         retry_budget=circuit_breaker_pb2.CircuitBreakers.Thresholds.RetryBudget(
-            budget_percent=percent_pb2.Percent(value=RETRIES),
-            min_retry_concurrency=wrappers_pb2.UInt32Value(value=3),
+            budget_percent=percent_pb2.Percent(value=RETRY_BUDGET_PERCENT),
+            min_retry_concurrency=wrappers_pb2.UInt32Value(value=MIN_RETRY_CONCURRENCY),
         ),
     )
     message = cluster_pb2.Cluster(
         name=name,
         type=cluster_pb2.Cluster.EDS,
         eds_cluster_config=cluster_pb2.Cluster.EdsClusterConfig(eds_config=_ads(), service_name=name),
-        connect_timeout=_seconds(connect),
+        connect_timeout=_seconds(connect_timeout_s),
         circuit_breakers=circuit_breaker_pb2.CircuitBreakers(thresholds=[thresholds]),
         lrs_server=config_source_pb2.ConfigSource(
             self=config_source_pb2.SelfConfigSource(transport_api_version=config_source_pb2.ApiVersion.V3)
         ),
         common_lb_config=cluster_pb2.Cluster.CommonLbConfig(
-            # It is this service that says where to send: nobody is to fall back on all of them.
+            # The assignment decides: receivers must not fall back to all endpoints.
             healthy_panic_threshold=percent_pb2.Percent(value=0.0),
             locality_weighted_lb_config=cluster_pb2.Cluster.CommonLbConfig.LocalityWeightedLbConfig(),
         ),
@@ -148,13 +164,13 @@
     )
     if keyed:
         message.lb_policy = cluster_pb2.Cluster.RING_HASH
-        message.ring_hash_lb_config.minimum_ring_size.value = RING[0]
-        message.ring_hash_lb_config.maximum_ring_size.value = RING[1]
+        message.ring_hash_lb_config.minimum_ring_size.value = MIN_RING_SIZE
+        message.ring_hash_lb_config.maximum_ring_size.value = MAX_RING_SIZE
     return resource(name, message)
 
 
 def route_configuration(name: str, to: str, routes: Sequence[Route], keyed: bool) -> Resource:
-    """Every class as a route to the cluster `to`."""
+    """Encode the classes as routes to the cluster `to`."""
     made = []
     for route in routes:
         for match in ({"path": f"/{route.name}"}, {"prefix": f"/{route.name}/"}):
@@ -164,11 +180,11 @@
                 policy.header.header_name = KEY_HEADER
             if route.retries:
                 again = action.retry_policy
-                again.retry_on = ANYTHING if route.anything else NEVER_RAN
+                again.retry_on = RETRY_ON_ANY if route.retry_any else RETRY_ON_UNPROCESSED
                 again.num_retries.value = route.retries
-                again.retry_back_off.base_interval.CopyFrom(_seconds(0.025))
-                again.retry_back_off.max_interval.CopyFrom(_seconds(0.25))
-                again.host_selection_retry_max_attempts = 3
+                again.retry_back_off.base_interval.CopyFrom(_seconds(RETRY_BACKOFF_MIN_S))
+                again.retry_back_off.max_interval.CopyFrom(_seconds(RETRY_BACKOFF_MAX_S))
+                again.host_selection_retry_max_attempts = HOST_SELECTION_ATTEMPTS
                 again.retry_host_predicate.add(
                     name="envoy.retry_host_predicates.previous_hosts",
                     typed_config=pack(previous_hosts_pb2.PreviousHostsPredicate()),
@@ -182,11 +198,11 @@
         name=name,
         virtual_hosts=[route_components_pb2.VirtualHost(name=name, domains=["*"], routes=made)],
     )
-    return resource(name, message, refers=[to])
+    return resource(name, message, references=[to])
 
 
 def listener(name: str, routes: str) -> Resource:
-    """What a client without a proxy asks for: its target's name. Told only to who names it."""
+    """Encode the API listener of clients without a proxy, which subscribe to it by their target's name."""
     manager = http_connection_manager_pb2.HttpConnectionManager(
         stat_prefix=name,
         rds=http_connection_manager_pb2.Rds(config_source=_ads(), route_config_name=routes),
@@ -199,13 +215,14 @@
     message = listener_pb2.Listener(
         name=name, api_listener=api_listener_pb2.ApiListener(api_listener=pack(manager))
     )
-    return resource(name, message, named=True)
+    return resource(name, message, on_demand=True)
 
 
-def by_kind(resources: Mapping[Kind, Sequence[Resource]]) -> dict[Kind, dict[str, Resource]]:
-    return {kind: {one.name: one for one in resources.get(kind, ())} for kind in Kind}
+def by_kind(resources: Mapping[ResourceType, Sequence[Resource]]) -> dict[ResourceType, dict[str, Resource]]:
+    """Index resources by type and name."""
+    return {kind: {one.name: one for one in resources.get(kind, ())} for kind in ResourceType}
 
 
 def set_version(resources: Mapping[str, Resource]) -> str:
-    """Of a whole set, by content."""
+    """The digest of all resources of a type."""
     return digest(*(f"{name}={one.version}".encode() for name, one in sorted(resources.items())))
--- a/firvane/proxy/control/route_settings.py
+++ b/firvane/proxy/control/route_settings.py
@@ -1,13 +1,11 @@
-"""The settings as routes and bounds that receivers can keep: time-outs, retries, how much at once.
-
-Rules that hold here and nowhere else:
-
-1. A class is the first part of a path, as everywhere. A path of no class has no route.
-2. A request is tried again where the settings allow it: after anything if a repeat is safe, or if all targets
-   drop it together; else only where it never ran. Never more often than the settings' attempts.
-3. The receiver's own deadline is the class's. It knows nothing of what a client will wait.
-4. How much one receiver may have open is its part of the learnt room, with `SPARE`, in powers of two: that
-   changes seldom, and receivers take a changed cluster as a new one.
+"""Routes and concurrency limits for receivers, from the settings: timeouts, retries, circuit breakers.
+
+1. A class is the first segment of a path. A path of no class has no route.
+2. Retries follow the settings: after any failure if the class is idempotent or all targets deduplicate
+   together, else only if the request was not processed; never more than the settings' attempts.
+3. The timeout of a route is the deadline of its class.
+4. A receiver's limit of open requests is its share of the estimated capacity, times `HEADROOM`, as a power of
+   two: it changes rarely, since receivers treat a changed cluster as a new one.
 """
 
 from __future__ import annotations
@@ -17,22 +15,23 @@
 from typing import NamedTuple
 
 from firvane.core import interface as api
-from firvane.proxy.control.types import Box
+from firvane.proxy.control.types import BackendEstimate
 
-SPARE, LEAST = 2.0, 64  # times its part of the room; requests open at one receiver that are always allowed
+HEADROOM = 2.0  # times the receiver's share of the capacity
+MIN_OPEN_REQUESTS = 64  # that a receiver is always allowed
 
 
 class Route(NamedTuple):
-    """What receivers do with requests of one class."""
+    """The route of one class."""
 
-    name: str  # the first part of the path
-    deadline: float  # s
+    name: str  # the first segment of the path
+    deadline: float  # seconds
     retries: int
-    anything: bool  # tried again after anything; else only where it never ran
+    retry_any: bool  # retried after any failure; else only if it was not processed
 
 
 def routes(settings: api.Settings) -> tuple[Route, ...]:
-    """In the order of the settings, without classes that a reload has retired."""
+    """The routes of the classes in force, in the order of the settings."""
     return tuple(
         Route(
             cls.name,
@@ -45,8 +44,8 @@
     )
 
 
-def bound(boxes: Iterable[Box], part: float) -> int:
-    """Requests that a receiver may have open; `part` is its share of what all receivers send."""
-    room = sum(box.room for box in boxes)
-    wanted = max(float(LEAST), SPARE * room * min(1.0, max(0.0, part)))
+def max_open_requests(backends: Iterable[BackendEstimate], share: float) -> int:
+    """The most requests that a receiver may have open; `share` is its share of the total demand."""
+    capacity = sum(backend.capacity for backend in backends)
+    wanted = max(float(MIN_OPEN_REQUESTS), HEADROOM * capacity * min(1.0, max(0.0, share)))
     return int(2 ** math.ceil(math.log2(wanted)))
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -1,4 +1,4 @@
-"""All parts of one control service, wired: the list, the module, what is told, and the streams."""
+"""Assembly and life cycle of a control service: discovery, decision module, streams, operators' calls."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 
 from firvane.core import interface as api
 from firvane.core import logs
-from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.config.node import Config
 from firvane.proxy.control import stream_codec
-from firvane.proxy.control.ads import LONGEST, Ads
+from firvane.proxy.control.ads import MAX_REQUEST_BYTES, DiscoveryServer, Session
 from firvane.proxy.control.catalog import differences
-from firvane.proxy.control.certificates import Keys
+from firvane.proxy.control.certificates import TlsCredentials
 from firvane.proxy.control.core import Core
-from firvane.proxy.control.types import State
+from firvane.proxy.control.types import Snapshot
 from firvane.proxy.limits.discovery_timing import Pauses
 from firvane.proxy.net.peer_datagrams import Peers
 from firvane.proxy.net.target_group import ListReader, TargetGroup
 
-REPORT = 5.0  # s from one line of figures in the log to the next
-GRACE = 1.0  # s for streams to end at a stop
+METRICS_INTERVAL_S = 5.0  # of the `metrics` log event
+STOP_GRACE_S = 1.0  # for streams to end
 
 
-def places(config: Config, words: Words) -> list[api.Settings]:
-    """The settings of each place that the service has in its tier: the zones in turn, from its own on."""
+def places(config: Config, control_settings: ControlSettings) -> list[api.Settings]:
+    """The settings of each place that the service has in its tier, with consecutive zones from its own."""
     own = config.settings
     return [
         replace(own, me=own.me + place, zone=(own.zone + place) % own.zones)
-        for place in range(words.counts_as)
+        for place in range(control_settings.counts_as)
     ]
 
 
-def _itself(peers: Peers) -> Peers:
+def _identity(peers: Peers) -> Peers:
     return peers
 
 
@@ -52,64 +52,72 @@
         self,
         loop: asyncio.AbstractEventLoop,
         config: Config,
-        words: Words,
+        control_settings: ControlSettings,
         *,
         wall: Callable[[], float] = time.time,
         log: logs.Log | None = None,
     ) -> None:
         log = log or logs.make(config.log_level, config.log_format, wall=wall)
-        self.log: logs.Log = log.bind(control=words.service)
+        self.log: logs.Log = log.bind(control=control_settings.service)
         self.loop, self.config = loop, config
-        self.name = words.service
+        self.name = control_settings.service
         reader = ListReader(config.zones, config.kinds)
         pauses = Pauses(0, random.Random(config.seed))
         self.group = TargetGroup(loop, config.discovery, reader, self._target, self._listed, self.log, pauses)
         self.peers = [
             Peers(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
-            for place, own in enumerate(places(config, words))
+            for place, own in enumerate(places(config, control_settings))
         ]
-        self.ads = Ads(loop, self, words.report_s, self.log)
+        self.ads = DiscoveryServer(loop, self, control_settings.report_s, self.log)
         self.core = Core(
-            places(config, words), words, config.seed, config.zones, loop, self.peers, self.group, self.ads,
+            places(config, control_settings), control_settings, config.seed, config.zones, loop,
+            self.peers, self.group, self.ads,
             wall, self.log,
         )  # fmt: skip
-        self.keys = Keys(words.tls, self.log) if words.tls else None
+        self.keys = TlsCredentials(control_settings.tls, self.log) if control_settings.tls else None
         self.server: Any = None
         self.port = 0
 
-    def _target(self, *told: Any) -> None:
-        self.core.target(*told)
+    def _target(self, *target: Any) -> None:
+        self.core.target(*target)
 
-    def _listed(self, news: api.ServerList) -> None:
-        self.core.listed(news)
+    def _listed(self, update: api.ServerList) -> None:
+        self.core.on_server_list(update)
 
     def _peer(self, place: int, sender: int, payload: bytes) -> None:
         self.core.engines[place].give(api.PeerMessage(sender, payload))
 
-    # What the streams need
+    # Calls of the streams (`ads.Service`)
 
     def zone_of(self, name: str) -> int:
+        """The number of a zone by name."""
         return self.core.catalog.zone_of(name)
 
-    def state(self, zone: int) -> State | None:
+    def state(self, zone: int) -> Snapshot | None:
+        """The current snapshot for a zone."""
         return self.core.state(zone)
 
-    def settled_at(self, zone: int) -> float:
-        return self.core.settled_at(zone)
+    def decided_at(self, zone: int) -> float:
+        """When that snapshot was decided."""
+        return self.core.decided_at(zone)
 
-    def come(self, name: str, zone: int) -> bool:
-        return self.core.ledger.come(name, zone, self.loop.time())
+    def connect(self, name: str, zone: int) -> bool:
+        """Register a stream of a receiver."""
+        return self.core.registry.connect(name, zone, self.loop.time())
 
-    def go(self, name: str) -> None:
-        self.core.ledger.go(name, self.loop.time())
+    def disconnect(self, name: str) -> None:
+        """Record the end of a receiver's stream."""
+        self.core.registry.disconnect(name, self.loop.time())
 
-    def may(self, names: frozenset[str]) -> bool:
-        tls = self.core.words.tls
+    def is_allowed(self, names: frozenset[str]) -> bool:
+        """Whether the owner of a certificate with these names may use the service."""
+        tls = self.core.control_settings.tls
         return not (tls and tls.allow) or bool(names & set(tls.allow))
 
-    def reported(self, node: stream_codec.Node, request: Any) -> None:
-        parts = partial(self.core.parts, self.zone_of(node.zone))
-        self.core.reported(node.id, *stream_codec.read_reports(request, self.name, self.core.names, parts))
+    def on_report(self, node: stream_codec.Node, request: Any) -> None:
+        """Take a load report of a receiver."""
+        shares = partial(self.core.shares, self.zone_of(node.zone))
+        self.core.on_report(node.id, *stream_codec.read_reports(request, self.name, self.core.names, shares))
 
     def _sweep(self) -> None:
         self.ads.sweep()
@@ -119,27 +127,28 @@
         ages = sorted(self.ads.ages)
         self.ads.ages.clear()
         cuts = quantiles(ages, n=100, method="inclusive") if len(ages) > 1 else [0.0] * 99
-        pump = self.ads.pump
+        scheduler = self.ads.scheduler
         self.log.info(
-            "figures",
-            receivers=len(self.core.ledger.receivers), streams=len(self.ads.sessions),
-            demand_rps=round(sum(self.core.ledger.demand().values()), 1), boxes=len(self.core.addresses),
-            written=pump.written, written_mb=round(pump.bytes / 1e6, 2), acks=self.ads.acks,
-            refusals=self.ads.refusals,
+            "metrics",
+            receivers=len(self.core.registry.receivers), streams=len(self.ads.sessions),
+            demand_rps=round(sum(self.core.registry.demand().values()), 1), backends=len(self.core.addresses),
+            written=scheduler.written, written_mb=round(scheduler.bytes / 1e6, 2), acks=self.ads.acks,
+            nacks=self.ads.nacks,
             ack_p50_ms=round(1e3 * cuts[49], 1), ack_p99_ms=round(1e3 * cuts[98], 1),
-            cut=self.core.ledger.cut, doubted_lists=self.core.panic.trips, serial=self.core.catalog.serial,
+            clipped=self.core.registry.clipped, held_back_lists=self.core.panic.trips,
+            serial=self.core.catalog.serial,
         )  # fmt: skip
-        self.loop.call_later(REPORT, self._report)
+        self.loop.call_later(METRICS_INTERVAL_S, self._report)
 
-    # Its life
+    # Life cycle
 
     async def start(self) -> None:
-        """Everything up to answering receivers; they are told nothing before there is a list."""
+        """Start all parts and listen; receivers get nothing before there is a server list."""
         config = self.config
         if config.peer_listen:
             for place, peers in enumerate(self.peers):
                 own = config.peer_listen if not place else config.peers[peers.me]
-                await self.loop.create_datagram_endpoint(partial(_itself, peers), local_addr=own)
+                await self.loop.create_datagram_endpoint(partial(_identity, peers), local_addr=own)
         self.core.start()
         if config.known:
             self.group.learn(config.known)
@@ -147,7 +156,7 @@
         self.ads.start()
         self.server = grpc.aio.server(
             options=[
-                ("grpc.max_receive_message_length", LONGEST),
+                ("grpc.max_receive_message_length", MAX_REQUEST_BYTES),
                 ("grpc.so_reuseport", 0),
                 ("grpc.keepalive_time_ms", 10_000),
                 ("grpc.keepalive_timeout_ms", 5_000),
@@ -166,49 +175,57 @@
             raise OSError(f"cannot listen at {at}: {error}") from None
         await self.server.start()
         self._sweep()
-        self.loop.call_later(REPORT, self._report)
+        self.loop.call_later(METRICS_INTERVAL_S, self._report)
         where = f"{config.listen[0]}:{self.port}"
         self.log.info("ready", listen=where, tls=self.keys is not None, targets=len(self.group.servers))
 
-    def reload(self, read: Callable[[], tuple[Config, Words]]) -> None:
-        """Settings, the static list or discovery's address anew; a file of no use changes nothing."""
+    def reload(self, read: Callable[[], tuple[Config, ControlSettings]]) -> None:
+        """Reload settings, the static list or discovery's address; an invalid file changes nothing."""
         try:
-            config, words = read()
+            config, control_settings = read()
         except (ValueError, OSError) as error:
-            for line in str(error).splitlines():
-                self.log.error("config_useless", why=line)
+            self._log_invalid(error)
             return
         fixed = ("listen", "peers", "zones", "kinds")
         waiting = [name for name in fixed if getattr(config, name) != getattr(self.config, name)]
-        old = self.core.words
-        was, now = ((one.service, one.counts_as, one.tls is None) for one in (old, words))
+        old = self.core.control_settings
+        was, now = ((one.service, one.counts_as, one.tls is None) for one in (old, control_settings))
         if was != now:
             waiting.append("control")
         if waiting:
-            self.log.warning("config_waits", text="the next start is needed for " + ", ".join(waiting))
-        words = msgspec.structs.replace(
-            words, service=old.service, tls=words.tls or old.tls, counts_as=old.counts_as
+            self.log.warning(
+                "config_restart_required", text="the next start is needed for " + ", ".join(waiting)
+            )
+        control_settings = msgspec.structs.replace(
+            control_settings,
+            service=old.service,
+            tls=control_settings.tls or old.tls,
+            counts_as=old.counts_as,
         )
         if config.discovery and self.config.discovery:
             self.group.move(config.discovery)
         elif config.known and not self.config.discovery:
             self.group.learn(config.known)
-        self.log.info("config_reread", targets=len(self.group.servers))
-        self.core.retune(places(config, words), words)
+        self.log.info("config_reloaded", targets=len(self.group.servers))
+        self.core.retune(places(config, control_settings), control_settings)
+
+    def _log_invalid(self, error: Exception) -> None:
+        for line in str(error).splitlines():
+            self.log.error("config_invalid", why=line)
 
     async def stop(self) -> None:
-        """Streams end with a word; receivers go on by what they have, and ask elsewhere."""
+        """End all streams with a status; receivers keep their last snapshot and reconnect elsewhere."""
         self.group.stop()
         for peers in self.peers:
             peers.close()
         self.ads.stop()
         if self.server is not None:
-            await self.server.stop(GRACE)
+            await self.server.stop(STOP_GRACE_S)
 
-    # What operators ask
+    # Operators' calls
 
     def show(self, asked: bytes) -> bytes:
-        """`{"what": "status"}`, or `{"what": "diff", "node": ..., "before": ..., "after": ...}`."""
+        """Answer `{"what": "status"}`, or `{"what": "diff", "node": ..., "before": ..., "after": ...}`."""
         try:
             question = msgspec.json.decode(asked, type=dict[str, str])
             found = self._status() if question.get("what") == "status" else self._diff(question)
@@ -217,25 +234,8 @@
         return msgspec.json.encode(found)
 
     def _status(self) -> dict[str, Any]:
-        now = self.loop.time()
-        receivers = []
-        for session in sorted(self.ads.sessions, key=lambda one: one.node.id if one.node else ""):
-            if session.node is None:
-                continue
-            state = self.state(session.zone)
-            stream = session.stream
-            one = self.core.ledger.receivers.get(session.node.id)
-            refused = {name: watch.why for watch in stream.watches.values() for name in watch.refused}
-            receivers.append(
-                {
-                    "id": session.node.id, "zone": session.node.zone, "agent": session.node.agent,
-                    "peer": session.peer, "protocol": "delta" if stream.delta else "state of the world",
-                    "current": state is not None and stream.converged(state),
-                    "told": stream.pushed, "refused": refused, "ack_ms": round(1e3 * session.age, 1),
-                    "heard_s": round(now - session.acked_at, 1) if session.acked_at else None,
-                    "rps": round(one.rate, 1) if one else 0.0, "reports": one.reports if one else 0,
-                }
-            )  # fmt: skip
+        sessions = sorted(self.ads.sessions, key=lambda one: one.node.id if one.node else "")
+        receivers = [self._receiver_status(one, one.node) for one in sessions if one.node is not None]
         groups = []
         for zone, entries in sorted(self.core.catalog.history.items()):
             last = entries[-1]
@@ -243,11 +243,11 @@
                 {
                     "zone": self.core.zone_name(zone), "serial": last.serial,
                     "version": f"{last.number}.{last.version}", "at": last.at,
-                    "boxes": len(last.assignment.boxes()), "dropped": last.assignment.dropped / 1e4,
+                    "boxes": len(last.assignment.backends()), "dropped": last.assignment.dropped / 1e4,
                     "why": list(last.causes[:10]), "serials": [entry.serial for entry in entries],
                 }
             )  # fmt: skip
-        silent = sorted(name for name, one in self.core.ledger.receivers.items() if not one.streams)
+        silent = sorted(name for name, one in self.core.registry.receivers.items() if not one.streams)
         return {
             "service": self.name,
             "list": self.group.index,
@@ -256,11 +256,30 @@
             "left": silent,
         }
 
+    def _receiver_status(self, session: Session, node: stream_codec.Node) -> dict[str, Any]:
+        now = self.loop.time()
+        state = self.state(session.zone)
+        stream = session.stream
+        one = self.core.registry.receivers.get(node.id)
+        refused = {
+            name: subscription.nack_reason
+            for subscription in stream.subscriptions.values()
+            for name in subscription.rejected
+        }
+        return {
+            "id": node.id, "zone": node.zone, "agent": node.agent,
+            "peer": session.peer, "protocol": "delta" if stream.delta else "state of the world",
+            "current": state is not None and stream.converged(state),
+            "told": stream.responses_sent, "refused": refused, "ack_ms": round(1e3 * session.age, 1),
+            "heard_s": round(now - session.acked_at, 1) if session.acked_at else None,
+            "rps": round(one.rate, 1) if one else 0.0, "reports": one.reports if one else 0,
+        }  # fmt: skip
+
     def _diff(self, question: dict[str, str]) -> dict[str, Any]:
         zone = -1
         if node := question.get("node"):
             session = next((one for one in self.ads.sessions if one.node and one.node.id == node), None)
-            receiver = self.core.ledger.receivers.get(node)
+            receiver = self.core.registry.receivers.get(node)
             if session is None and receiver is None:
                 raise LookupError(f"no receiver {node!r} follows")
             zone = session.zone if session else receiver.zone if receiver else -1
--- a/firvane/proxy/control/stream_codec.py
+++ b/firvane/proxy/control/stream_codec.py
@@ -1,7 +1,7 @@
-"""The codec of streams: requests into what `Stream` is told, and its answers into bytes.
+"""Codec of xDS streams: decodes requests and load reports, encodes responses.
 
-An answer is the same for all receivers but for its nonce, which comes last in its bytes: what stands before
-it is made once and shared. (Two encoded parts of a message, one after the other, are the message of both.)
+A response is the same for all receivers except its nonce, which is encoded last: the bytes before it are
+encoded once and shared. (The concatenation of two encoded messages is the encoding of their merge.)
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from google.protobuf import any_pb2
 
 from firvane.core.printable import plain
-from firvane.proxy.control.stream import Push, Stream, write_version
-from firvane.proxy.control.types import DROP_CATEGORY, KINDS, Kind, Report
+from firvane.proxy.control.stream import Response, Stream, write_version
+from firvane.proxy.control.types import DROP_CATEGORY, RESOURCE_TYPES, Report, ResourceType
 
-KEPT = 64  # encodings that are kept: far more than differ at one time
-LONGEST = 200  # characters that are kept of a name or a reason
+MAX_CACHED_RESPONSES = 64
+MAX_TEXT_CHARACTERS = 200  # of a name or a reason
 
 Request = discovery_pb2.DiscoveryRequest
 DeltaRequest = discovery_pb2.DeltaDiscoveryRequest
 
 
 class Node(NamedTuple):
-    """Who a receiver says it is."""
+    """The node that a receiver identifies itself as."""
 
     id: str
     zone: str
@@ -33,19 +33,26 @@
 
 
 def read_node(node: Any) -> Node:
-    return Node(plain(node.id)[:LONGEST], node.locality.zone[:LONGEST], plain(node.user_agent_name)[:LONGEST])
+    """Decode the node of a request."""
+    return Node(
+        plain(node.id)[:MAX_TEXT_CHARACTERS],
+        node.locality.zone[:MAX_TEXT_CHARACTERS],
+        plain(node.user_agent_name)[:MAX_TEXT_CHARACTERS],
+    )
 
 
-def read(stream: Stream, request: Any) -> Kind | None:
-    """Tell a stream of a request in either form; the kind that it is about, None for one that is not kept."""
-    kind = KINDS.get(request.type_url)
+def read(stream: Stream, request: Any) -> ResourceType | None:
+    """Apply a request of either protocol to a stream; returns its type, None if it is not served."""
+    kind = RESOURCE_TYPES.get(request.type_url)
     if kind is None:
         return None
     error = None
     if request.HasField("error_detail"):
-        error = plain(request.error_detail.message)[:LONGEST] or f"code {request.error_detail.code}"
+        error = (
+            plain(request.error_detail.message)[:MAX_TEXT_CHARACTERS] or f"code {request.error_detail.code}"
+        )
     if stream.delta:
-        stream.change(
+        stream.on_delta_request(
             kind,
             request.resource_names_subscribe,
             request.resource_names_unsubscribe,
@@ -54,36 +61,37 @@
             error,
         )
     else:
-        stream.ask(kind, request.resource_names, request.version_info, request.response_nonce, error)
+        stream.on_request(kind, request.resource_names, request.version_info, request.response_nonce, error)
     return kind
 
 
 class Writer:
-    """Answers into bytes, each made once for all who are told the same."""
+    """Encodes responses, with a cache shared by all receivers."""
 
     def __init__(self, name: str) -> None:
-        """`name` of the service, which answers carry."""
+        """Create the writer; `name` of the service identifies the control plane in responses."""
         self.name = name
-        self.made = 0
-        self._kept: OrderedDict[Any, bytes] = OrderedDict()
+        self.encodings = 0
+        self._cache: OrderedDict[Any, bytes] = OrderedDict()
 
-    def write(self, push: Push, delta: bool) -> bytes:
+    def write(self, push: Response, delta: bool) -> bytes:
+        """Encode a response in the delta or the state-of-the-world protocol."""
         key = (
             delta, push.kind, push.number, push.version,
             tuple((one.name, one.version) for one in push.resources), push.removed,
         )  # fmt: skip
-        data = self._kept.get(key)
+        data = self._cache.get(key)
         if data is None:
-            data = self._kept[key] = self._encode(push, delta)
-            self.made += 1
-            if len(self._kept) > KEPT:
-                self._kept.popitem(last=False)
+            data = self._cache[key] = self._encode(push, delta)
+            self.encodings += 1
+            if len(self._cache) > MAX_CACHED_RESPONSES:
+                self._cache.popitem(last=False)
         else:
-            self._kept.move_to_end(key)
+            self._cache.move_to_end(key)
         tail = discovery_pb2.DiscoveryResponse(nonce=push.nonce)  # the field has this number in both forms
         return data + bytes(tail.SerializeToString())
 
-    def _encode(self, push: Push, delta: bool) -> bytes:
+    def _encode(self, push: Response, delta: bool) -> bytes:
         version = write_version(push.number, push.version)
         if not delta:
             made = discovery_pb2.DiscoveryResponse(
@@ -109,16 +117,28 @@
         return bytes(made.SerializeToString(deterministic=True))
 
 
+class LoadReport(NamedTuple):
+    """A decoded load report: counts by backend, its interval in seconds, and the dropped requests."""
+
+    backends: dict[str, Report]
+    span_s: float
+    dropped: int
+
+
 def read_reports(
     request: Any,
     cluster: str,
-    boxes: Mapping[tuple[str, int], str],
+    backends: Mapping[tuple[str, int], str],
     weights: Callable[[], Mapping[tuple[str, str], float]],
-) -> tuple[dict[str, Report], float, int]:
-    """What a load report says by box, of how many seconds, and how many requests were dropped as told.
-
-    `boxes` are names by address. Receivers that count by locality alone are taken to have sent to each box
-    of it as they were told: `weights` tells the parts of a zone's requests, by zone and box.
+) -> LoadReport:
+    """Decode a load report.
+
+    Args:
+        request: The `LoadStatsRequest`.
+        cluster: The name of the cluster whose counts are read.
+        backends: Names of backends by address.
+        weights: Returns the shares of a zone's requests, by zone and backend. Receivers that report by
+            locality alone are assumed to have followed them.
     """
     found: dict[str, Report] = {}
     span, dropped = 0.0, 0
@@ -131,14 +151,14 @@
             if locality.upstream_endpoint_stats:
                 for one in locality.upstream_endpoint_stats:
                     at = one.address.socket_address
-                    if (name := boxes.get((at.address, at.port_value))) is not None:
-                        found[name] = _more(found.get(name), _counts(one), 1.0)
+                    if (name := backends.get((at.address, at.port_value))) is not None:
+                        found[name] = _merge(found.get(name), _counts(one), 1.0)
                 continue
             zone = locality.locality.zone
-            for (where, box), part in weights().items():
+            for (where, backend), part in weights().items():
                 if where == zone:
-                    found[box] = _more(found.get(box), _counts(locality), part)
-    return found, span, dropped
+                    found[backend] = _merge(found.get(backend), _counts(locality), part)
+    return LoadReport(found, span, dropped)
 
 
 def _counts(stats: Any) -> tuple[int, int, int, int]:
@@ -150,6 +170,6 @@
     )
 
 
-def _more(old: Report | None, counts: tuple[int, int, int, int], part: float) -> Report:
+def _merge(old: Report | None, counts: tuple[int, int, int, int], part: float) -> Report:
     more = (n if part == 1.0 else round(n * part) for n in counts)
     return Report(*(before + n for before, n in zip(old or Report(), more, strict=True)))
--- a/firvane/proxy/control/types.py
+++ b/firvane/proxy/control/types.py
@@ -1,7 +1,7 @@
-"""The types of the control service. Times and spans are seconds, rates requests a second.
+"""The types of the control service. Times are in seconds, rates in requests a second.
 
-A *receiver* is a proxy of somebody else's, or a client without one, that is told by xDS where to send. A
-*group* is the receivers of one zone: they are told the same. What is told is a set of named *resources*.
+A *receiver* is another proxy, or a client without one, that gets its endpoints by xDS. A *group* is the
+receivers of one zone, which get the same resources.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 from firvane.core.address import Address
 
-NOWHERE = -1  # the zone of receivers that stand in none of ours
-DROP_CATEGORY = "no-room"  # of what receivers are told to give up at once
+UNKNOWN_ZONE = -1  # of receivers in no configured zone
+DROP_CATEGORY = "no-room"  # of requests that receivers must drop
 
 
-class Kind(Enum):
-    """The types of resource, by what follows `type.googleapis.com/envoy.config.` in their URL.
+class ResourceType(Enum):
+    """The xDS resource types, by what follows `type.googleapis.com/envoy.config.` in their URL.
 
-    In the order in which a change is told: what is referred to comes before what refers to it.
+    They are in the order in which a change is sent (make before break): references come after their targets.
     """
 
-    __hash__ = object.__hash__  # by identity: that of enums is written in Python, and asked for at each step
+    __hash__ = object.__hash__  # by identity: the hash of enums is slow Python code, and used in every step
 
     CLUSTER = "cluster.v3.Cluster"
     ENDPOINTS = "endpoint.v3.ClusterLoadAssignment"
@@ -32,94 +32,95 @@
 
     @property
     def url(self) -> str:
+        """The type URL."""
         return f"type.googleapis.com/envoy.config.{self.value}"
 
     @property
-    def whole(self) -> bool:
-        """Whether a state-of-the-world answer holds all of them: what it leaves out is gone."""
-        return self in (Kind.CLUSTER, Kind.LISTENER)
+    def is_full_state(self) -> bool:
+        """Whether a state-of-the-world response holds all resources of the type: a missing one is removed."""
+        return self in (ResourceType.CLUSTER, ResourceType.LISTENER)
 
 
-KINDS = {kind.url: kind for kind in Kind}
+RESOURCE_TYPES = {kind.url: kind for kind in ResourceType}
 
 
 class Health(Enum):
-    """What receivers are told of a box that they are told of."""
+    """The health status of an endpoint."""
 
     HEALTHY = "healthy"
-    UNHEALTHY = "unhealthy"  # listed, and nothing is sent there
+    UNHEALTHY = "unhealthy"  # listed, but gets no requests
 
 
 @dataclass(frozen=True, slots=True)
-class Box:
-    """What the module believes of one box that may be sent to, in what a receiver can be told."""
+class BackendEstimate:
+    """The decision module's estimate of one backend that may get requests."""
 
     name: str
     address: Address
     zone: int
-    power: float  # what it can do beside the others
-    room: float  # attempts of all receivers together that it takes
-    budget: float | None = None  # requests a second of all receivers together that it may get at the most
-    cold: bool = False
-    doubted: bool = False  # nothing is sent there now
+    power: float  # relative throughput
+    capacity: float  # concurrent attempts of all receivers together
+    budget_rps: float | None = None  # most requests a second of all receivers together; None: no limit
+    warming_up: bool = False  # slow start
+    ejected: bool = False  # outlier: gets no requests now
 
 
-class Place(NamedTuple):
-    """A box in what a group is told: its weight within its zone."""
+class WeightedEndpoint(NamedTuple):
+    """An endpoint of a group's assignment, with its weight within its zone."""
 
-    box: str
+    backend: str
     address: Address
     weight: int
     health: Health = Health.HEALTHY
 
 
 class Locality(NamedTuple):
-    """The boxes of a zone in what a group is told, and the part of the group's requests that goes there."""
+    """The endpoints of a zone in a group's assignment, with the zone's share of the group's requests."""
 
     zone: int
     weight: int
-    places: tuple[Place, ...]
+    endpoints: tuple[WeightedEndpoint, ...]
 
 
 class Assignment(NamedTuple):
-    """Where a group's requests go; `dropped` of them (a part in 10,000) go nowhere."""
+    """Where a group's requests go; `dropped` of 10,000 are dropped by the receivers."""
 
     localities: tuple[Locality, ...] = ()
     dropped: int = 0
 
-    def boxes(self) -> set[str]:
-        """The boxes that get something."""
+    def backends(self) -> set[str]:
+        """The names of the backends that get requests."""
         return {
-            place.box for locality in self.localities for place in locality.places
+            place.backend for locality in self.localities for place in locality.endpoints
             if place.health is Health.HEALTHY
         }  # fmt: skip
 
 
 class Resource(NamedTuple):
-    """A resource as it goes over the wire."""
+    """An encoded resource."""
 
     name: str
-    version: str  # a digest: the same bytes have the same version, whoever made them
+    version: str  # a digest of the body, the same on all control services
     body: bytes  # as google.protobuf.Any
-    named: bool = False  # told only to who asks for it by name
-    refers: frozenset[str] = frozenset()  # to clusters
+    on_demand: bool = False  # sent only if subscribed by name, not by wildcard
+    references: frozenset[str] = frozenset()  # names of clusters
 
 
 @dataclass(frozen=True, slots=True)
-class State:
-    """All that one group is told, at one time."""
+class Snapshot:
+    """All resources of one group, at one time."""
 
-    resources: Mapping[Kind, Mapping[str, Resource]]
-    versions: Mapping[Kind, str]  # digests of the whole sets
-    number: int = 0  # of the list that it is made from
-    urgent: int = 0  # grows with each state that takes something away
-    causes: tuple[str, ...] = field(default=(), compare=False)  # why it differs from the one before
+    resources: Mapping[ResourceType, Mapping[str, Resource]]
+    versions: Mapping[ResourceType, str]  # digests of all resources of a type
+    number: int = 0  # version of the server list that it is made from
+    urgent: int = 0  # grows with each snapshot that removes a backend
+    causes: tuple[str, ...] = field(default=(), compare=False)  # of the difference to the previous one
 
 
 class Report(NamedTuple):
-    """What one receiver has done at one box since its last report."""
+    """One receiver's counts at one backend since its last report."""
 
     served: int = 0
     failed: int = 0
     issued: int = 0
-    out: int = 0  # in progress now
+    out: int = 0  # requests in progress
--- a/tests/proxy/control/helpers.py
+++ b/tests/proxy/control/helpers.py
@@ -9,32 +9,38 @@
 
 from firvane.proxy.control import resource_codec, stream_codec
 from firvane.proxy.control.route_settings import Route
-from firvane.proxy.control.stream import Push, Stream
-from firvane.proxy.control.types import Box, Kind, Resource, State
+from firvane.proxy.control.stream import Response, Stream
+from firvane.proxy.control.types import BackendEstimate, Resource, ResourceType, Snapshot
 from firvane.proxy.control.weights import divide
 from firvane.simulation.runner.receiver import Receiver
 
 ZONES = ("a", "b")
 
 
-def box(number: int, **more: Any) -> Box:
-    given = {"zone": number % 2, "power": 4.0, "room": 4.0, **more}
-    return Box(f"b{number}", ("127.0.0.1", 9000 + number), **given)
+def box(number: int, **more: Any) -> BackendEstimate:
+    given = {"zone": number % 2, "power": 4.0, "capacity": 4.0, **more}
+    return BackendEstimate(f"b{number}", ("127.0.0.1", 9000 + number), **given)
 
 
-def state(clusters: dict[str, Sequence[Box]], number: int = 1, urgent: int = 0, way: str = "") -> State:
+def state(
+    clusters: dict[str, Sequence[BackendEstimate]], number: int = 1, urgent: int = 0, way: str = ""
+) -> Snapshot:
     """One cluster for each name, with routes and a listener of that name; or routes `way` to the first."""
-    made: dict[Kind, list[Resource]] = {kind: [] for kind in Kind}
+    made: dict[ResourceType, list[Resource]] = {kind: [] for kind in ResourceType}
     endpoints = resource_codec.Endpoints(ZONES)
     for name, boxes in clusters.items():
-        made[Kind.CLUSTER].append(resource_codec.cluster(name, True, 64, 0.25))
-        made[Kind.ENDPOINTS].append(endpoints.make(name, divide(boxes, {0: 10.0})[0]))
+        made[ResourceType.CLUSTER].append(resource_codec.cluster(name, True, 64, 0.25))
+        made[ResourceType.ENDPOINTS].append(endpoints.make(name, divide(boxes, {0: 10.0})[0]))
         routes = [Route("read", 2.0, 2, True)]
-        if not way or not made[Kind.ROUTES]:
-            made[Kind.ROUTES].append(resource_codec.route_configuration(way or name, name, routes, True))
-        made[Kind.LISTENER].append(resource_codec.listener(name, name))
+        if not way or not made[ResourceType.ROUTES]:
+            made[ResourceType.ROUTES].append(
+                resource_codec.route_configuration(way or name, name, routes, True)
+            )
+        made[ResourceType.LISTENER].append(resource_codec.listener(name, name))
     found = resource_codec.by_kind(made)
-    return State(found, {kind: resource_codec.set_version(found[kind]) for kind in Kind}, number, urgent)
+    return Snapshot(
+        found, {kind: resource_codec.set_version(found[kind]) for kind in ResourceType}, number, urgent
+    )
 
 
 class Pair:
@@ -44,7 +50,7 @@
         self.receiver, self.writer = receiver, stream_codec.Writer("test")
         self.stream = Stream(receiver.delta)
         self.on_way: list[bytes] = []  # to the receiver
-        self.said: list[Push] = []
+        self.said: list[Response] = []
 
     def reconnect(self) -> None:
         self.receiver.connect()
@@ -58,9 +64,9 @@
         for data in self.receiver.requests():
             stream_codec.read(self.stream, form.FromString(data))
 
-    def push(self, now: State) -> bool:
+    def push(self, now: Snapshot) -> bool:
         """One answer, if one is due."""
-        push = self.stream.next(now)
+        push = self.stream.next_response(now)
         if push is not None:
             self.said.append(push)
             self.on_way.append(self.writer.write(push, self.stream.delta))
@@ -73,7 +79,7 @@
             return True
         return False
 
-    def settle(self, now: State) -> int:
+    def settle(self, now: Snapshot) -> int:
         """Until nothing moves; the number of answers that took."""
         before = len(self.said)
         for _ in range(200):
--- a/tests/proxy/control/test_config.py
+++ b/tests/proxy/control/test_config.py
@@ -42,8 +42,8 @@
 
 
 def test_the_example_is_read_by_the_service_and_not_by_a_proxy(tmp_path: Path) -> None:
-    config, words = read(str(EXAMPLE))
-    assert words.service == "lagos-web" and config.listen == ("127.0.0.1", 18000)
+    config, control_settings = read(str(EXAMPLE))
+    assert control_settings.service == "lagos-web" and config.listen == ("127.0.0.1", 18000)
     with pytest.raises(validation.ValidationError, match="firvane control FILE"):
         read_file(EXAMPLE)
     plain = tmp_path / "firvane.toml"
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -14,19 +14,25 @@
 from firvane.proxy.capacity.load_reports import Sum
 from firvane.proxy.control import estimates, route_settings
 from firvane.proxy.control.catalog import Catalog, differences
-from firvane.proxy.control.debounce import Pace
-from firvane.proxy.control.load_feedback import Feedback, Reported, split
-from firvane.proxy.control.panic_threshold import Panic
-from firvane.proxy.control.receivers import Ledger
-from firvane.proxy.control.types import NOWHERE, Assignment, Box, Health, Report
-from firvane.proxy.control.weights import DROPS, SUM, divide, fill, is_news
+from firvane.proxy.control.debounce import Debouncer
+from firvane.proxy.control.load_feedback import LoadFeedback, LoadReported, split
+from firvane.proxy.control.panic_threshold import PanicGuard
+from firvane.proxy.control.receivers import ReceiverRegistry
+from firvane.proxy.control.types import UNKNOWN_ZONE, Assignment, BackendEstimate, Health, Report
+from firvane.proxy.control.weights import (
+    DROP_DENOMINATOR,
+    ENDPOINT_WEIGHT_SUM,
+    divide,
+    fill,
+    is_significant_change,
+)
 from tests.helpers import changes, full_list, server, started
 from tests.helpers import settings as made_settings
 from tests.proxy.control.helpers import box
 
 
 @composite
-def fleets(draw: Any) -> tuple[list[Box], dict[int, float]]:
+def fleets(draw: Any) -> tuple[list[BackendEstimate], dict[int, float]]:
     """Boxes of which some are budgeted or doubted, and what receivers in three zones and in none send."""
     dice = Random(draw(strategies.integers(0, 1 << 32)))
     boxes = [
@@ -34,51 +40,56 @@
             n,
             zone=dice.randrange(3),
             power=dice.uniform(0.5, 8.0),
-            budget=dice.choice((None, None, 0.0, dice.uniform(0.0, 30.0))),
-            doubted=dice.random() < 0.2,
+            budget_rps=dice.choice((None, None, 0.0, dice.uniform(0.0, 30.0))),
+            ejected=dice.random() < 0.2,
         )
         for n in range(draw(strategies.integers(1, 24)))
     ]
-    return boxes, {zone: dice.choice((0.0, dice.uniform(0.0, 200.0))) for zone in (NOWHERE, 0, 1, 2)}
+    return boxes, {zone: dice.choice((0.0, dice.uniform(0.0, 200.0))) for zone in (UNKNOWN_ZONE, 0, 1, 2)}
 
 
-def sent(boxes: list[Box], demand: dict[int, float], told: dict[int, Assignment]) -> dict[str, float]:
+def sent(
+    boxes: list[BackendEstimate], demand: dict[int, float], told: dict[int, Assignment]
+) -> dict[str, float]:
     """Requests a second at each box, if receivers do as they are told."""
     found = dict.fromkeys((one.name for one in boxes), 0.0)
     for zone, rate in demand.items():
-        assignment = told.get(zone) or told[NOWHERE]
-        kept = rate * (1.0 - assignment.dropped / DROPS)
+        assignment = told.get(zone) or told[UNKNOWN_ZONE]
+        kept = rate * (1.0 - assignment.dropped / DROP_DENOMINATOR)
         ways = [one for one in assignment.localities if one.weight]
         whole = sum(one.weight for one in ways) or 1
         for locality in ways:
-            well = [place for place in locality.places if place.health is Health.HEALTHY]
+            well = [place for place in locality.endpoints if place.health is Health.HEALTHY]
             sum_of = sum(place.weight for place in well) or 1
             for place in well:
-                found[place.box] += kept * locality.weight / whole * place.weight / sum_of
+                found[place.backend] += kept * locality.weight / whole * place.weight / sum_of
     return found
 
 
 @given(fleets())
 @settings(max_examples=300, derandomize=True, deadline=None)
 def test_budgets_hold_over_all_receivers_and_nothing_gets_lost(
-    drawn: tuple[list[Box], dict[int, float]],
+    drawn: tuple[list[BackendEstimate], dict[int, float]],
 ) -> None:
     boxes, demand = drawn
     told = divide(boxes, demand)
     total = sum(demand.values())
     got = sent(boxes, demand, told)
-    able = [one for one in boxes if not one.doubted] or boxes
+    able = [one for one in boxes if not one.ejected] or boxes
     slack = 0.02 * total + 0.1  # weights are whole numbers
     for one in boxes:
-        if one.budget is not None and total:
-            assert got[one.name] <= one.budget + slack
+        if one.budget_rps is not None and total:
+            assert got[one.name] <= one.budget_rps + slack
         if one not in able:
             assert got[one.name] == 0.0
-    if total and any(one.budget is None for one in able):
+    if total and any(one.budget_rps is None for one in able):
         assert sum(got.values()) >= total - slack  # a box without a budget takes what is left
     for assignment in told.values():
         for locality in assignment.localities:
-            assert sum(p.weight for p in locality.places if p.health is Health.HEALTHY) <= SUM * 1.01 + 30
+            assert (
+                sum(p.weight for p in locality.endpoints if p.health is Health.HEALTHY)
+                <= ENDPOINT_WEIGHT_SUM * 1.01 + 30
+            )
 
 
 @pytest.mark.parametrize(
@@ -105,13 +116,13 @@
     uneven = divide(boxes, {0: 90.0, 1: 10.0})
     assert [one.weight for one in uneven[0].localities] == [556, 444]
     assert [one.weight for one in uneven[1].localities] == [0, 1000]
-    assert not is_news(even[0], divide(boxes, {0: 51.0, 1: 50.0})[0])
-    assert is_news(even[0], uneven[0]) and is_news(None, even[0])
+    assert not is_significant_change(even[0], divide(boxes, {0: 51.0, 1: 50.0})[0])
+    assert is_significant_change(even[0], uneven[0]) and is_significant_change(None, even[0])
 
 
 def test_what_no_box_may_take_is_dropped_by_the_receiver() -> None:
-    told = divide([box(n, budget=5.0) for n in range(4)], {0: 40.0})
-    assert told[0].dropped == pytest.approx(DROPS / 2, rel=0.02)
+    told = divide([box(n, budget_rps=5.0) for n in range(4)], {0: 40.0})
+    assert told[0].dropped == pytest.approx(DROP_DENOMINATOR / 2, rel=0.02)
 
 
 def test_the_module_s_beliefs_are_read_and_its_drains_and_doubts_kept() -> None:
@@ -120,32 +131,34 @@
     assert [one.name for one in estimates.read(balancer, addresses, {}, 100.0)] == ["a", "b", "c"]
     balancer.handle(changes(server("a", state=api.ServerState.DRAINING), server("d", up_since=100.0)), 100.1)
     found = {one.name: one for one in estimates.read(balancer, addresses, {}, 101.0)}
-    assert set(found) == {"b", "c", "d"} and found["d"].budget is not None and found["b"].budget is None
+    assert (
+        set(found) == {"b", "c", "d"} and found["d"].budget_rps is not None and found["b"].budget_rps is None
+    )
     balancer.servers["b"].retry_at = 200.0
-    assert {one.name for one in estimates.read(balancer, addresses, {}, 101.0) if one.doubted} == {"b"}
+    assert {one.name for one in estimates.read(balancer, addresses, {}, 101.0) if one.ejected} == {"b"}
     assert not estimates.read(balancer, {}, {}, 101.0)  # without an address nobody can be sent there
 
 
 def test_reports_count_in_the_module_as_its_own_forwards_do() -> None:
     balancer = started("abc")
-    feedback = Feedback(balancer)
+    feedback = LoadFeedback(balancer)
     usual = {"served": 20, "issued": 20, "out": 2.0, "rate": 40.0}
     for n in range(40):
         now = 100.0 + n / 4
         told = {"a": Sum(**usual), "b": Sum(**{**usual, "served": 2, "failed": 18, "bad": 0.9, "worse": 0.9})}
-        balancer.handle(Reported({**told, "c": Sum(**{**usual, "out": 30.0})}), now)  # type: ignore[arg-type]
+        balancer.handle(LoadReported({**told, "c": Sum(**{**usual, "out": 30.0})}), now)  # type: ignore[arg-type]
         balancer.handle(api.TimerFired(0), now)
     a, b, c = (balancer.servers[name] for name in "abc")
     assert a.own == 2 and b.faulty > 0.5 and b.retry_at > now and a.retry_at <= now
     assert balancer.evidence.power(c, now) < 0.7 * balancer.evidence.power(a, now)  # it takes far longer
     row = balancer.rows[0]
     assert row.arrivals >= 20 and dict(row.out)[a.salt & 0xFFFF] == 2  # peers read it as any proxy's
-    balancer.handle(Reported({"a": Sum(issued=5, out=5.0, silent=True)}), now)  # type: ignore[arg-type]
+    balancer.handle(LoadReported({"a": Sum(issued=5, out=5.0, silent=True)}), now)  # type: ignore[arg-type]
     assert a.retry_at > now and feedback.balancer is balancer
     b.retry_at = 0.0
-    balancer.handle(Reported({"b": Sum(**usual)}), now + 9)  # type: ignore[arg-type]
+    balancer.handle(LoadReported({"b": Sum(**usual)}), now + 9)  # type: ignore[arg-type]
     for n in range(4):
-        balancer.handle(Reported({"b": Sum(**usual)}), now + 9 + n)  # type: ignore[arg-type]
+        balancer.handle(LoadReported({"b": Sum(**usual)}), now + 9 + n)  # type: ignore[arg-type]
     assert b.faulty < 0.5 and b.fails == 0
 
 
@@ -155,19 +168,19 @@
     got = [0] * places
     for turn, count in enumerate(counts):
         parts = split({"a": Sum(served=count, issued=count, out=1.0, rate=5.0)}, places, turn)
-        assert sum(part.boxes["a"].served for part in parts) == count
-        assert sum(part.boxes["a"].rate for part in parts) == pytest.approx(5.0)
-        got = [sum_ + part.boxes["a"].served for sum_, part in zip(got, parts, strict=True)]
+        assert sum(part.backends["a"].served for part in parts) == count
+        assert sum(part.backends["a"].rate for part in parts) == pytest.approx(5.0)
+        got = [sum_ + part.backends["a"].served for sum_, part in zip(got, parts, strict=True)]
     assert max(got) - min(got) <= len(counts)
 
 
 def test_what_several_places_believe_adds_up() -> None:
-    one = [box(1, budget=2.0, cold=True), box(2), box(3, budget=4.0, doubted=True)]
-    other = [box(1, budget=0.0, cold=True), box(2, budget=9.0), box(3, budget=1.0)]
-    found = {one.name: one for one in estimates.joined([one, other])}
-    assert (found["b1"].budget, found["b1"].power, found["b1"].room) == (2.0, 8.0, 8.0)
-    assert found["b2"].budget is None and found["b3"].doubted and not found["b1"].doubted
-    assert estimates.joined([one]) == one
+    one = [box(1, budget_rps=2.0, warming_up=True), box(2), box(3, budget_rps=4.0, ejected=True)]
+    other = [box(1, budget_rps=0.0, warming_up=True), box(2, budget_rps=9.0), box(3, budget_rps=1.0)]
+    found = {one.name: one for one in estimates.combine_places([one, other])}
+    assert (found["b1"].budget_rps, found["b1"].power, found["b1"].capacity) == (2.0, 8.0, 8.0)
+    assert found["b2"].budget_rps is None and found["b3"].ejected and not found["b1"].ejected
+    assert estimates.combine_places([one]) == one
 
 
 def listed(*names: str) -> dict[str, Report]:
@@ -175,21 +188,21 @@
 
 
 def test_the_ledger_leaves_the_silent_their_part_until_they_are_gone() -> None:
-    book = Ledger(1.0, keep=5.0, assumed=7.0)
-    assert book.come("r1", 0, 0.0) and book.come("r2", 1, 0.0)
+    book = ReceiverRegistry(1.0, retention_s=5.0, assumed_rps=7.0)
+    assert book.connect("r1", 0, 0.0) and book.connect("r2", 1, 0.0)
     assert book.demand() == {0: 7.0, 1: 7.0}
     for second in range(1, 4):
         book.report("r1", listed("a", "b"), "ab", 1.0, float(second))
     assert book.demand()[0] == pytest.approx(20.0, rel=0.2)
     assert book.largest()[0] > book.largest()[1]
-    book.go("r1", 4.0)
+    book.disconnect("r1", 4.0)
     assert not book.sweep("ab", 8.9) and book.demand()[0] > 15.0
     assert book.sweep("ab", 9.1) == ["r1"] and set(book.demand()) == {1}
 
 
 def test_counts_come_out_whole_and_none_is_lost() -> None:
-    book, out = Ledger(1.0), 0
-    book.come("r1", 0, 0.0)
+    book, out = ReceiverRegistry(1.0), 0
+    book.connect("r1", 0, 0.0)
     book.report("r1", {"a": Report(served=97, issued=97)}, "a", 1.0, 0.0)
     taken = [book.take(n / 4).get("a", Sum()).served for n in range(40)]
     out = sum(taken)
@@ -198,9 +211,9 @@
 
 @pytest.mark.parametrize("honest", [2, 3, 6])
 def test_one_liar_shuts_no_box_out_and_moves_no_more_than_its_own(honest: int) -> None:
-    book = Ledger(1.0, most=1000.0)
+    book = ReceiverRegistry(1.0, max_rps=1000.0)
     for name in ("liar", *(f"r{n}" for n in range(honest))):
-        book.come(name, 0, 0.0)
+        book.connect(name, 0, 0.0)
     for second in range(1, 6):
         for n in range(honest):
             book.report(f"r{n}", listed("a"), "a", 1.0, float(second))
@@ -209,13 +222,13 @@
         book.report("stranger", lies, "a", 1.0, float(second))
     found = book.take(6.0)
     assert set(found) == {"a"} and found["a"].bad < 0.5
-    assert book.cut >= 15 and book.demand()[0] <= 1000.0 + 10.0 * honest + 1
+    assert book.clipped >= 15 and book.demand()[0] <= 1000.0 + 10.0 * honest + 1
 
 
 def test_a_box_that_ends_nothing_is_silent_when_most_say_so() -> None:
-    book = Ledger(1.0)
+    book = ReceiverRegistry(1.0)
     for name in ("r1", "r2", "r3"):
-        book.come(name, 0, 0.0)
+        book.connect(name, 0, 0.0)
     for second in range(1, 8):
         for name in ("r1", "r2", "r3"):
             stuck = Report(issued=1, out=second) if name != "r3" else Report(served=5, issued=5, out=1)
@@ -227,20 +240,20 @@
 
 
 def test_what_takes_away_is_told_at_once_and_the_rest_together() -> None:
-    pace = Pace(0.1, 0.5)
-    pace.changed(1.0)
-    assert not pace.take(1.05) and pace.due == pytest.approx(1.1)
+    debouncer = Debouncer(0.1, 0.5)
+    debouncer.on_changed(1.0)
+    assert not debouncer.take(1.05) and debouncer.due == pytest.approx(1.1)
     for n in range(20):
-        pace.changed(1.0 + n / 20)  # it never settles
-    assert pace.due <= 1.5 and pace.take(1.5) and pace.due == math.inf
-    pace.changed(2.0)
-    pace.changed(2.01, urgent=True)
-    assert pace.take(2.01) and not pace.take(2.2)
-    pace.least = 1.0
-    pace.changed(2.2)
-    assert pace.due == pytest.approx(3.01)
-    pace.changed(2.3, urgent=True)
-    assert pace.take(2.3)
+        debouncer.on_changed(1.0 + n / 20)  # it never settles
+    assert debouncer.due <= 1.5 and debouncer.take(1.5) and debouncer.due == math.inf
+    debouncer.on_changed(2.0)
+    debouncer.on_changed(2.01, urgent=True)
+    assert debouncer.take(2.01) and not debouncer.take(2.2)
+    debouncer.min_interval_s = 1.0
+    debouncer.on_changed(2.2)
+    assert debouncer.due == pytest.approx(3.01)
+    debouncer.on_changed(2.3, urgent=True)
+    assert debouncer.take(2.3)
 
 
 @pytest.mark.parametrize(
@@ -256,23 +269,23 @@
 def test_only_a_whole_list_that_leaves_next_to_nothing_is_doubted(
     before: str, after: str, left_out: str, held: bool
 ) -> None:
-    panic = Panic(0.2, 5.0)
-    assert panic.listed(before, after, left_out, 1.0) is held
-    assert panic.held(2.0) == (set(left_out) if held else set())
+    panic = PanicGuard(0.2, 5.0)
+    assert panic.on_list(before, after, left_out, 1.0) is held
+    assert panic.retained_backends(2.0) == (set(left_out) if held else set())
     if held:
-        panic.named([left_out[0]])  # said by name: followed
-        assert left_out[0] not in panic.held(3.0)
-    assert panic.held(6.1) == set()
+        panic.on_named([left_out[0]])  # said by name: followed
+        assert left_out[0] not in panic.retained_backends(3.0)
+    assert panic.retained_backends(6.1) == set()
 
 
 def test_a_catalog_keeps_reasons_and_tells_states_apart() -> None:
     catalog = Catalog("web", ["a", "b"], made_settings())
     boxes = [box(n) for n in range(4)]
     assert catalog.make([], {}, {}, 1, 0.0) == [] and catalog.state(0) is None  # not without a box
-    assert set(catalog.make(boxes, {0: 10.0}, {}, 1, 1.0)) == {NOWHERE, 0, 1}
+    assert set(catalog.make(boxes, {0: 10.0}, {}, 1, 1.0)) == {UNKNOWN_ZONE, 0, 1}
     assert catalog.state(0) is not None and not catalog.history.get(1)  # made when somebody asks
     assert catalog.make(boxes, {0: 10.2}, {}, 1, 2.0) == []
-    later = [*boxes[1:], box(7, budget=1.0, cold=True)]
+    later = [*boxes[1:], box(7, budget_rps=1.0, warming_up=True)]
     assert catalog.make(later, {0: 10.0}, {}, 2, 3.0) and catalog.urgent == 1
     assert catalog.state(0) is not None
     first, last = catalog.entry(0, "1"), catalog.entry(0, str(catalog.serial))
@@ -286,11 +299,11 @@
 
 def test_classes_become_routes_and_room_a_bound() -> None:
     found = {route.name: route for route in route_settings.routes(made_settings())}
-    assert found["read"].anything and found["export"].anything and not found["pay"].anything
-    assert not found["index"].anything and found["read"].retries == 3
+    assert found["read"].retry_any and found["export"].retry_any and not found["pay"].retry_any
+    assert not found["index"].retry_any and found["read"].retries == 3
     assert (
-        route_settings.bound([box(1, room=4.0)], 1.0) == 64
-        and route_settings.bound([box(1, room=500.0)], 0.5) == 512
+        route_settings.max_open_requests([box(1, capacity=4.0)], 1.0) == 64
+        and route_settings.max_open_requests([box(1, capacity=500.0)], 0.5) == 512
     )
 
 
--- a/tests/proxy/control/test_service.py
+++ b/tests/proxy/control/test_service.py
@@ -15,9 +15,15 @@
 
 from firvane.cli.control import command
 from firvane.proxy.config.model import Tls
-from firvane.proxy.control.certificates import Keys, Useless, load, make_authority, make_certificate
+from firvane.proxy.control.certificates import (
+    TlsCredentials,
+    TlsFileError,
+    load,
+    make_authority,
+    make_certificate,
+)
 from firvane.proxy.control.service import Control
-from firvane.proxy.control.types import Kind
+from firvane.proxy.control.types import ResourceType
 from firvane.simulation.runner.receiver import ENDPOINTS, Way
 from firvane.simulation.runner.receiver_link import ADS
 from tests.proxy.control.live import Stage, ports, stage
@@ -51,7 +57,7 @@
             assert isinstance(client.receiver.way("/read/x", "k"), Way)
             here.discovery.tell(b2="draining")
             await here.until(lambda: ports(link) == ports(client) == {9001, 9003})
-            assert here.logged("told")[-1].count("b2 gone or draining")
+            assert here.logged("assignments_published")[-1].count("b2 gone or draining")
             before = link.streams
             link.hang_up()
             here.discovery.tell(b1="removed", b4=9004)
@@ -61,7 +67,7 @@
             late = here.receiver(delta=delta)
             await here.until(lambda: ports(late) == ports(link) == {9003, 9004})
             await here.until(lambda: at_rest(service))
-            assert service.ads.refusals == 0
+            assert service.ads.nacks == 0
 
     run(work())
 
@@ -74,7 +80,7 @@
             here.discovery.tell(**UP)
             await here.until(lambda: len(ports(link)) == 3)
             here.discovery.whole()
-            await here.until(lambda: here.logged("list_doubted"))
+            await here.until(lambda: here.logged("list_held_back"))
             assert len(ports(link)) == 3
             here.discovery.tell(b9=9009)
             await here.until(lambda: 9009 in ports(link))
@@ -92,10 +98,13 @@
             link = here.receiver()
             picky = here.receiver(taste=lambda url, message: "never" if url == ENDPOINTS else "")
             here.discovery.tell(**UP)
-            await here.until(lambda: len(ports(link)) == 3 and here.logged("refused"))
-            assert "why=never" in here.logged("refused")[0] and "receiver=r1" in here.logged("refused")[0]
+            await here.until(lambda: len(ports(link)) == 3 and here.logged("response_rejected"))
+            assert (
+                "why=never" in here.logged("response_rejected")[0]
+                and "receiver=r1" in here.logged("response_rejected")[0]
+            )
             here.discovery.tell(b1="draining")
-            await here.until(lambda: len(ports(link)) == 2 and service.ads.refusals == 2)
+            await here.until(lambda: len(ports(link)) == 2 and service.ads.nacks == 2)
             assert len(picky.receiver.refused) == 2 and not ports(picky)  # once for each state: no loop
 
     run(work())
@@ -119,8 +128,8 @@
             link.hang_up()
             await here.until(lambda: link.streams > streams and other.ads.sessions)
             session = next(iter(other.ads.sessions))
-            await here.until(lambda: session.stream.floor == 2)
-            assert len(ports(link)) == 2 and not session.stream.watches[Kind.ENDPOINTS].held
+            await here.until(lambda: session.stream.known_list_version == 2)
+            assert len(ports(link)) == 2 and not session.stream.subscriptions[ResourceType.ENDPOINTS].sent
             other.group.start()
             await here.until(lambda: other.state(0).number == 2 and session.stream.converged(other.state(0)))
             assert len(ports(link)) == 2
@@ -135,7 +144,7 @@
             link = here.receiver(loads=True)
             here.discovery.tell(**UP)
             await here.until(lambda: isinstance(link.receiver.way("/read/x"), Way))
-            assert service.core.ledger.demand() == {0: 3.0}
+            assert service.core.registry.demand() == {0: 3.0}
 
             def ask() -> bool:
                 for n in range(20):
@@ -148,15 +157,17 @@
 
             await here.until(ask)
             await here.until(lambda: (ask(), ports(link) == {9001, 9002})[1])  # doubted, by the module
-            assert any("b3 doubted" in line for line in here.logged("told"))
-            rate = service.core.ledger.demand()[0]
+            assert any("b3 doubted" in line for line in here.logged("assignments_published"))
+            rate = service.core.registry.demand()[0]
             assert rate > 10.0
             await link.stop()
             await here.until(lambda: not service.ads.sessions)
-            assert service.core.ledger.demand()[0] > 0.0  # it may come back, and goes on by what it was told
-            service.core.ledger.keep = 0.0  # no longer
-            await here.until(lambda: here.logged("receiver_gone"))
-            assert service.core.ledger.demand() == {}
+            assert (
+                service.core.registry.demand()[0] > 0.0
+            )  # it may come back, and goes on by what it was told
+            service.core.registry.retention_s = 0.0  # no longer
+            await here.until(lambda: here.logged("receiver_expired"))
+            assert service.core.registry.demand() == {}
 
     run(work())
 
@@ -195,8 +206,8 @@
             await here.until(lambda: at_rest(service))
             at = f"127.0.0.1:{service.port}"
 
-            def call(*words: str) -> Any:
-                return CliRunner().invoke(command, words, standalone_mode=False)
+            def call(*control_settings: str) -> Any:
+                return CliRunner().invoke(command, control_settings, standalone_mode=False)
 
             status = await asyncio.to_thread(call, "status", at)
             assert "r0 (stand-in, zone a, state of the world): current" in status.output
@@ -239,7 +250,9 @@
         here.discovery.tell(**UP)
         await here.until(lambda: len(ports(good)) == 3)
         await here.until(lambda: other.errors and forged.errors)
-        assert "PERMISSION_DENIED" in other.errors[0] and "r-other" in here.logged("not_allowed")[0]
+        assert (
+            "PERMISSION_DENIED" in other.errors[0] and "r-other" in here.logged("certificate_not_allowed")[0]
+        )
         assert not ports(other) and not ports(forged)
         # A new certificate under the stream that stands: the next connection is served by it.
         make_certificate(tmp_path, "control-2", ["127.0.0.1", "control"])
@@ -248,11 +261,11 @@
         streams = good.streams
         late = here.receiver(credentials=credentials(tmp_path, "r-good"))
         await here.until(lambda: len(ports(late)) == 3)
-        assert here.logged("keys_reread") and good.streams == streams
+        assert here.logged("tls_files_reloaded") and good.streams == streams
         (tmp_path / "control.key").write_text("half a key")
         last = here.receiver(credentials=credentials(tmp_path, "r-good"))
         await here.until(lambda: len(ports(last)) == 3)  # by the last keys that were of use
-        assert "control.tls.key" in here.logged("keys_useless")[0]
+        assert "control.tls.key" in here.logged("tls_files_invalid")[0]
         assert len(service.ads.sessions) == 3
 
     async def staged() -> None:
@@ -279,9 +292,9 @@
         key=str(tmp_path / "control.key"),
         authority=str(tmp_path / "authority.pem"),
     )
-    assert load(tls, datetime.now(UTC)) and Keys(tls)
+    assert load(tls, datetime.now(UTC)) and TlsCredentials(tls)
     spoil(tmp_path)
-    with pytest.raises(Useless, match=says):
+    with pytest.raises(TlsFileError, match=says):
         load(tls, datetime.now(UTC))
 
 
@@ -304,7 +317,7 @@
             await channel.close()
             plain = here.receiver()
             await here.until(lambda: len(ports(plain)) == 3)
-            left = here.logged("receiver_left")
+            left = here.logged("receiver_disconnected")
             assert any("receiver=r1" in line and "10001 names" in line for line in left)
 
     run(work())
--- a/tests/proxy/control/test_stream.py
+++ b/tests/proxy/control/test_stream.py
@@ -8,8 +8,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from firvane.proxy.control import stream_codec
-from firvane.proxy.control.stream import UNHEARD, Stream, TooMuch
-from firvane.proxy.control.types import Kind, State
+from firvane.proxy.control.stream import MAX_UNACKNOWLEDGED, ReceiverLimitError, Stream
+from firvane.proxy.control.types import ResourceType, Snapshot
 from firvane.simulation.runner.receiver import CLUSTER, ENDPOINTS, Way
 from tests.proxy.control.helpers import Pair, box, receiver, state
 
@@ -28,7 +28,7 @@
     assert isinstance(way, Way) and (way.timeout, way.retries) == (2.0, 2)
     assert way == pair.receiver.way("/read/x", "k")  # a key leads to one box
     assert pair.settle(now) == 0  # nothing is told twice
-    assert [push.kind for push in pair.said][:1] == [Kind.CLUSTER if proxy else Kind.LISTENER]
+    assert [push.kind for push in pair.said][:1] == [ResourceType.CLUSTER if proxy else ResourceType.LISTENER]
 
 
 @FORMS
@@ -36,11 +36,11 @@
     pair, now = Pair(receiver(delta, proxy)), state({"web": TWO})
     pair.settle(now)
     later = state({"web": (box(0), box(3))}, number=2)
-    assert pair.settle(later) == 1 and pair.said[-1].kind is Kind.ENDPOINTS
+    assert pair.settle(later) == 1 and pair.said[-1].kind is ResourceType.ENDPOINTS
     assert pair.boxes("web") == {0, 3}
     pair.reconnect()
     told = pair.settle(later)
-    assert pair.stream.floor == 2  # it has heard of the second list: an older one must wait
+    assert pair.stream.known_list_version == 2  # it has heard of the second list: an older one must wait
     assert (told == 0) if delta and proxy else told <= 4
     assert pair.boxes("web") == {0, 3} and pair.stream.converged(later)
 
@@ -62,10 +62,10 @@
 def test_a_receiver_that_acknowledges_nothing_is_given_up() -> None:
     pair = Pair(receiver())
     pair.settle(state({"web": TWO}))
-    with pytest.raises(TooMuch):
-        for n in range(UNHEARD + 2):
+    with pytest.raises(ReceiverLimitError):
+        for n in range(MAX_UNACKNOWLEDGED + 2):
             pair.push(state({"web": (box(0), box(3 + n))}, 2 + n, urgent=1 + n))
-    assert len(pair.stream.watches[Kind.ENDPOINTS].out) == UNHEARD
+    assert len(pair.stream.subscriptions[ResourceType.ENDPOINTS].unacknowledged) == MAX_UNACKNOWLEDGED
 
 
 @pytest.mark.parametrize("delta", [False, True])
@@ -77,15 +77,15 @@
     now = state({"bad": TWO, "good": TWO, "web": TWO})
     pair = Pair(receiver(delta, taste=taste))
     told = pair.settle(now)
-    watch = pair.stream.watches[Kind.ENDPOINTS]
-    assert set(watch.refused) == {"bad"} and watch.why == "no bad ones"  # told apart, by each alone
+    watch = pair.stream.subscriptions[ResourceType.ENDPOINTS]
+    assert set(watch.rejected) == {"bad"} and watch.nack_reason == "no bad ones"  # told apart, by each alone
     assert told < 12 and pair.settle(now) == 0  # and no loop
     assert pair.boxes("good") == pair.boxes("web") == {0, 1} and not pair.boxes("bad")
     later = state({"bad": TWO, "good": (box(0), box(2)), "web": TWO}, 2)
     assert pair.settle(later) == 1 and pair.boxes("good") == {0, 2}
     pair.receiver.taste = lambda url, message: ""
     pair.settle(state({"bad": (box(0), box(3)), "good": TWO, "web": TWO}, 3))
-    assert pair.boxes("bad") == {0, 3} and not watch.refused
+    assert pair.boxes("bad") == {0, 3} and not watch.rejected
 
 
 @FORMS
@@ -113,8 +113,8 @@
         for _ in range(40):
             pair.up()
             moved = pair.push(now)
-            if moved and pair.said[-1].kind is Kind.ROUTES:
-                assert not pair.stream.watches[Kind.CLUSTER].out
+            if moved and pair.said[-1].kind is ResourceType.ROUTES:
+                assert not pair.stream.subscriptions[ResourceType.CLUSTER].unacknowledged
             moved = moved or pair.down()
             seen.append((pair.receiver.routed(), set(pair.receiver.resources[CLUSTER])))
             if not moved:
@@ -126,40 +126,40 @@
 def test_delta_tells_what_is_not_there_and_state_of_the_world_is_silent() -> None:
     now = state({"web": TWO})
     one = Stream(delta=True)
-    one.change(Kind.ENDPOINTS, ["nowhere"], (), {}, "", None)
-    push = one.next(now)
+    one.on_delta_request(ResourceType.ENDPOINTS, ["nowhere"], (), {}, "", None)
+    push = one.next_response(now)
     assert push and push.removed == ("nowhere",) and not push.resources
-    one.change(Kind.ENDPOINTS, (), (), {}, push.nonce, None)
-    assert one.next(now) is None and one.converged(now)
+    one.on_delta_request(ResourceType.ENDPOINTS, (), (), {}, push.nonce, None)
+    assert one.next_response(now) is None and one.converged(now)
     other = Stream()
-    other.ask(Kind.ENDPOINTS, ["nowhere"], "", "", None)
-    assert other.next(now) is None
+    other.on_request(ResourceType.ENDPOINTS, ["nowhere"], "", "", None)
+    assert other.next_response(now) is None
 
 
 def test_an_old_nonce_and_a_strange_type_say_nothing_and_names_are_bounded() -> None:
     now, one = state({"web": TWO}), Stream()
-    one.ask(Kind.ENDPOINTS, ["web"], "", "", None)
-    push = one.next(now)
-    assert push and not one.ask(Kind.ENDPOINTS, [], "", "77", "refused") and one.refusals == 0
-    assert one.watches[Kind.ENDPOINTS].names == {"web"}
+    one.on_request(ResourceType.ENDPOINTS, ["web"], "", "", None)
+    push = one.next_response(now)
+    assert push and not one.on_request(ResourceType.ENDPOINTS, [], "", "77", "refused") and one.nacks == 0
+    assert one.subscriptions[ResourceType.ENDPOINTS].names == {"web"}
     assert stream_codec.read(one, discovery_pb2.DiscoveryRequest(type_url="of/nobody")) is None
-    with pytest.raises(TooMuch):
-        one.ask(Kind.ENDPOINTS, map(str, range(20_000)), "", push.nonce, None)
+    with pytest.raises(ReceiverLimitError):
+        one.on_request(ResourceType.ENDPOINTS, map(str, range(20_000)), "", push.nonce, None)
 
 
 def test_answers_are_made_once_for_all_receivers() -> None:
     now, writer, nonces = state({"web": TWO}), stream_codec.Writer("test"), set()
     for n in range(5):
         one = Stream()
-        one.ask(Kind.ENDPOINTS, ["other"] * n, "", "", None)  # their nonces differ
+        one.on_request(ResourceType.ENDPOINTS, ["other"] * n, "", "", None)  # their nonces differ
         one._nonce = n
-        one.ask(Kind.CLUSTER, [], "", "", None)
-        push = one.next(now)
+        one.on_request(ResourceType.CLUSTER, [], "", "", None)
+        push = one.next_response(now)
         assert push
         answer = discovery_pb2.DiscoveryResponse.FromString(writer.write(push, False))
         assert answer.type_url == CLUSTER and len(answer.resources) == 1 and answer.version_info[:2] == "1."
         nonces.add(answer.nonce)
-    assert writer.made == 1 and len(nonces) == 5
+    assert writer.encodings == 1 and len(nonces) == 5
 
 
 class Histories(RuleBasedStateMachine):
@@ -182,7 +182,7 @@
         self.picky -= self.picky > 0
         return "not now" if self.picky else ""
 
-    def made(self) -> State:
+    def made(self) -> Snapshot:
         boxes = {name: [box(n) for n in sorted(which)] for name, which in self.clusters.items()}
         return state(boxes, self.number, self.urgent)
 
@@ -214,7 +214,7 @@
         try:
             for step in steps:
                 {"up": self.pair.up, "push": lambda: self.pair.push(self.now), "down": self.pair.down}[step]()
-        except TooMuch:
+        except ReceiverLimitError:
             self.pair.reconnect()
 
     @rule()
@@ -230,9 +230,12 @@
         if not hasattr(self, "pair") or self.pair.on_way:
             return
         # What it was told last is all that it may use, and none of that was drained when it was told.
-        if not any(watch.out for watch in self.pair.stream.watches.values()) and not self.picky:
-            last = self.pair.stream.watches.get(Kind.ENDPOINTS)
-            if last and last.urgent == self.urgent and not last.refused:
+        if (
+            not any(watch.unacknowledged for watch in self.pair.stream.subscriptions.values())
+            and not self.picky
+        ):
+            last = self.pair.stream.subscriptions.get(ResourceType.ENDPOINTS)
+            if last and last.urgent == self.urgent and not last.rejected:
                 for name in self.clusters:
                     assert not self.pair.boxes(name) & self.drained
 
@@ -241,11 +244,11 @@
         self.picky = 0
         try:
             self.pair.settle(self.now)
-        except TooMuch:
+        except ReceiverLimitError:
             self.pair.reconnect()
             self.pair.settle(self.now)
         assert self.pair.stream.converged(self.now)
-        refused = {name for watch in self.pair.stream.watches.values() for name in watch.refused}
+        refused = {name for watch in self.pair.stream.subscriptions.values() for name in watch.rejected}
         held = self.pair.receiver.resources[CLUSTER].keys()
         if self.proxy and not refused:
             assert held == self.clusters.keys()
