--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -66,7 +66,7 @@
         gc.freeze()
         gc.set_threshold(10_000, 20, 20)  # requests leave no cycles behind: what else does can wait
         await told.wait()
-    proxy.log.info("ending", open=proxy.engine.owed)
+    proxy.log.info("ending", open=proxy.engine.unanswered)
     await proxy.drain()
     # The loop closes next, and its handlers go with it: one more order must not end in another exit code.
     process_signals.block()
@@ -99,7 +99,9 @@
     if config.snapshot:  # by name: the platform sets no such key, and its processes load no tool
         kept = importlib.import_module("firvane.proxy.snapshots.file")
         keeper = partial(kept.Keeper, config.snapshot, config.name)
-    agreement = importlib.import_module("firvane.proxy.quorum.driver").Policies if config.policy else None
+    agreement = None
+    if config.policy:
+        agreement = importlib.import_module("firvane.proxy.quorum.driver").PolicyConsensus
     return serve(config, partial(read_config, os.environ, again=True), keeper, agreement)
 
 
--- a/firvane/fleet/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -19,10 +19,10 @@
 from firvane.core.logs import Log
 from firvane.fleet.cluster.agent import Item, KnownMember, Member, Role
 from firvane.fleet.cluster.reports import (
-    FleetAnswer,
-    HandOverAnswer,
+    FleetResponse,
+    HandOverResponse,
     PartReport,
-    PartsAnswer,
+    PartsResponse,
     address_text,
     encode_members,
 )
@@ -129,7 +129,7 @@
         """All partitions as this controller sees them."""
         code = ResultCode.FLEET_STATE
         partitions = [self._partition_report(partition) for partition in ALL_PARTITIONS]
-        return self._answer(code, PartsAnswer(**self._head(code), parts=partitions))
+        return self._answer(code, PartsResponse(**self._head(code), parts=partitions))
 
     async def hand_over(self, body: bytes) -> Outcome:
         """Transfer a partition to the controller that the order names, or to any healthy one."""
@@ -190,11 +190,11 @@
     def _transferred(self, partition: int, owner: Address) -> Outcome:
         code = ResultCode.HANDED_OVER
         return self._answer(
-            code, HandOverAnswer(**self._head(code), part=partition, owner=address_text(owner))
+            code, HandOverResponse(**self._head(code), part=partition, owner=address_text(owner))
         )
 
     @staticmethod
-    def _answer(code: ResultCode, answer: FleetAnswer) -> Outcome:
+    def _answer(code: ResultCode, answer: FleetResponse) -> Outcome:
         return Outcome(code, answer.config_version, document=msgspec.json.encode(answer))
 
     def _reject(self, code: ResultCode, problem: Problem) -> Outcome:
--- a/firvane/fleet/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -24,7 +24,8 @@
 
 from firvane.core.address import Address
 from firvane.core.logs import Log
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.fleet.controller.responses import Response, encode_response
 
 Handler = Callable[[Message], Awaitable[Response]]
@@ -147,9 +148,9 @@
         self._request: Message | None = None
         self._writable = True
 
-    def _new_reader(self) -> Reader:
+    def _new_reader(self) -> MessageReader:
         max_bytes = self.server.bounds.body_bytes
-        return Reader(httptools.HttpRequestParser, held=max_bytes, most=max_bytes)
+        return MessageReader(httptools.HttpRequestParser, buffer_limit=max_bytes, body_limit=max_bytes)
 
     @property
     def body_size(self) -> int:
@@ -213,14 +214,14 @@
         """Parse up to the end of one request, and buffer the bytes after it."""
         offset = 0
         try:
-            while offset < len(data) and not self._reader.done:
+            while offset < len(data) and not self._reader.completed:
                 offset = self._reader.step(data, offset)
-        except Fault as fault:
+        except HttpError as fault:
             self._reject(fault.status)
             return
-        if self._reader.done:
+        if self._reader.completed:
             self._pipelined = data[offset:]
-            self._begin(self._reader.done.pop(0))
+            self._begin(self._reader.completed.pop(0))
         else:
             self._await_more()
 
@@ -271,7 +272,7 @@
             self._answer(request, response, self.transport)
 
     def _answer(self, request: Message, response: Response, transport: asyncio.Transport) -> None:
-        close = not request.keep or (self.server.stopping and not self._pipelined)
+        close = not request.keep_alive or (self.server.stopping and not self._pipelined)
         self._request = None
         self._enter(ConnectionState.WRITING)
         transport.write(encode_response(response, close))
--- a/firvane/fleet/controller/platform_client.py
+++ b/firvane/fleet/controller/platform_client.py
@@ -9,7 +9,8 @@
 from msgspec import Struct
 
 from firvane.core.address import Address
-from firvane.core.net.http import Fault, Message, Reader
+from firvane.core.net.http_message import HttpError, Message
+from firvane.core.net.http_reader import MessageReader
 from firvane.fleet.controller import ControllerError
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
@@ -34,7 +35,9 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.transport: asyncio.Transport | None = None
-        self.reader = Reader(httptools.HttpResponseParser, held=MAX_BODY_BYTES, most=MAX_BODY_BYTES)
+        self.reader = MessageReader(
+            httptools.HttpResponseParser, buffer_limit=MAX_BODY_BYTES, body_limit=MAX_BODY_BYTES
+        )
         self.reply: asyncio.Future[Message] | None = None
         self.has_received = False  # whether any byte of the awaited reply has arrived
 
@@ -59,14 +62,14 @@
             return
         try:
             self.reader.feed(data)
-        except Fault as fault:
+        except HttpError as fault:
             self._fail(f"bytes that are no answer ({fault.status})")
             return
-        if self.reader.done:
-            self._complete(self.reader.done.pop(0))
+        if self.reader.completed:
+            self._complete(self.reader.completed.pop(0))
 
     def _complete(self, message: Message) -> None:
-        if self.reader.done or self.reader.message or not message.keep:
+        if self.reader.completed or self.reader.message or not message.keep_alive:
             self.close()
         if self.reply and not self.reply.done():
             self.reply.set_result(message)
@@ -79,7 +82,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         self.transport = None
         message = self.reader.message
-        if message and not message.framed and not self.reader.in_head and error is None:
+        if message and not message.is_framed and not self.reader.in_head and error is None:
             self._complete(message)  # without a length, a reply ends with its connection
         else:
             self._fail("connection lost")
--- a/firvane/fleet/controller/tenant_service.py
+++ b/firvane/fleet/controller/tenant_service.py
@@ -21,8 +21,17 @@
 from firvane.fleet.partitions import CONFIGURATION_PARTITION
 from firvane.fleet.replication.proposals import Proposal
 from firvane.fleet.tenancy.floors import Floors, FloorsRecord
-from firvane.fleet.tenancy.messages import Ask, Grant, Proof, Question, Status, TenancyError, decode, encode
-from firvane.fleet.tenancy.quota import QuotaLedger, QuotaRules
+from firvane.fleet.tenancy.messages import (
+    FreshnessProof,
+    FreshnessRequest,
+    GrantStatus,
+    QuotaGrant,
+    QuotaRequest,
+    TenancyError,
+    decode,
+    encode,
+)
+from firvane.fleet.tenancy.quota import QuotaRules, QuotaTable
 
 MAX_PROOF_AGE_S = 1.0  # of the state; with an older one this controller proves nothing
 FLOORS_INTERVAL_S = 0.2
@@ -49,7 +58,7 @@
 
 class _PendingRequest(Struct, frozen=True):
     router: Address
-    ask: Ask
+    quota_request: QuotaRequest
     until: float
 
 
@@ -86,7 +95,7 @@
         self._own = own
         self._send = send
         self._log = log
-        self._ledger = QuotaLedger(rules)
+        self._quotas = QuotaTable(rules)
         self._owned: set[int] = set()
         self._pending: list[_PendingRequest] = []
         self._proposals: dict[int, asyncio.Task[Proposal]] = {}  # by partition, one at a time
@@ -106,7 +115,7 @@
 
     def configure(self, tenants: Iterable[Tenant]) -> None:
         """Set the tenants and limits that are in force."""
-        self._ledger.configure(tenants)
+        self._quotas.configure(tenants)
 
     def on_ownership_changed(self, partition: int, owned: bool) -> None:
         """Start or end the grants of a partition, as this controller owns it from now on or no longer."""
@@ -114,18 +123,18 @@
             return
         if owned:
             self._owned.add(partition)
-            self._ledger.own(partition, self._floors[partition], time.monotonic())
+            self._quotas.acquire(partition, self._floors[partition], time.monotonic())
         else:
             self._owned.discard(partition)
-            self._ledger.disown(partition)
+            self._quotas.release(partition)
 
     def on_floors_applied(self, partition: int, record: FloorsRecord) -> None:
         """Answer the requests that wait for these floors, which the partition has applied here."""
-        self._ledger.committed(partition, record)
+        self._quotas.on_committed(partition, record)
         pending, self._pending = self._pending, []
         now = time.monotonic()
         for request in pending:
-            if request.ask.part != partition:
+            if request.quota_request.partition != partition:
                 self._pending.append(request)
             elif now < request.until:
                 self._answer(request, now)
@@ -138,30 +147,32 @@
             self._log.warning("tenancy_record_dropped", reason=str(error))
             return
         match record:
-            case Question(nonce):
+            case FreshnessRequest(nonce):
                 self._send(sender, encode(self._proof(nonce)))
-            case Ask():
+            case QuotaRequest():
                 now = time.monotonic()
                 self._answer(_PendingRequest(sender, record, now + REQUEST_TIMEOUT_S), now)
 
-    def _proof(self, nonce: int) -> Proof:
+    def _proof(self, nonce: int) -> FreshnessProof:
         age = self._replication.state_age(CONFIGURATION_PARTITION)
         if age is None or age > MAX_PROOF_AGE_S:
-            return Proof(nonce, 0, None, self._other_owner(CONFIGURATION_PARTITION))
-        return Proof(nonce, self._version(), age, None)
+            return FreshnessProof(nonce, 0, None, self._other_owner(CONFIGURATION_PARTITION))
+        return FreshnessProof(nonce, self._version(), age, None)
 
     def _answer(self, request: _PendingRequest, now: float) -> None:
-        grant = self._grant(request.ask, now)
+        grant = self._grant(request.quota_request, now)
         if grant is not None:
             self._send(request.router, encode(grant))
         elif len(self._pending) < MAX_PENDING_REQUESTS:
             self._pending.append(request)
-            self._move_floors(request.ask.part, now)
+            self._move_floors(request.quota_request.partition, now)
 
-    def _grant(self, ask: Ask, now: float) -> Grant | None:
-        if not self._replication.is_owner(ask.part):
-            return Grant(ask.nonce, Status.ELSEWHERE, 0, 0.0, self._other_owner(ask.part))
-        return self._ledger.grant(ask, now)
+    def _grant(self, request: QuotaRequest, now: float) -> QuotaGrant | None:
+        if not self._replication.is_owner(request.partition):
+            return QuotaGrant(
+                request.nonce, GrantStatus.NOT_OWNER, 0, 0.0, self._other_owner(request.partition)
+            )
+        return self._quotas.grant(request, now)
 
     def _other_owner(self, partition: int) -> Address | None:
         owner = self._replication.owner(partition)
@@ -179,12 +190,12 @@
     def _move_floors(self, partition: int, now: float) -> None:
         if partition in self._proposals or not self._replication.is_owner(partition):
             return
-        floors = self._ledger.due_floors(partition, now)
+        floors = self._quotas.due_floors(partition, now)
         if not floors:
             return
         self._proposal_number += 1
         record = FloorsRecord(self._proposal_number, floors)
-        self._ledger.proposed(partition, record)
+        self._quotas.on_proposed(partition, record)
         proposal = self._loop.create_task(
             self._replication.propose(partition, record.pack(), PROPOSE_TIMEOUT_S), name="floors"
         )
--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from firvane.core.engine import Engine
-from firvane.core.net.http import Message
+from firvane.core.net.http_message import Message
 from firvane.fleet.discovery.instances import Instance, InstanceState, InstanceTable
 from firvane.fleet.placement.events import InstancesChanged
 from firvane.fleet.router.requests import ProxiedRequest
@@ -27,7 +27,7 @@
             return
         self.services.add(service)
         self._update_upstreams()
-        self.engine.give(InstancesChanged(service, self.table.of(service)))
+        self.engine.dispatch(InstancesChanged(service, self.table.of(service)))
 
     def any_ready(self) -> bool:
         """Return whether any service has a ready backend."""
@@ -42,4 +42,4 @@
         ready = {one.id: one.address for one in known if one.state is InstanceState.READY}
         draining = {one.id: one.address for one in known if one.state is InstanceState.DRAINING}
         self.upstreams.set_backends(ready, draining)
-        self.engine.know(set(ready))
+        self.engine.set_known_targets(set(ready))
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -17,30 +17,16 @@
 
 import httptools
 
-from firvane.core.engine import Flow
-from firvane.core.net.dialer import resets
-from firvane.core.net.http import (
-    LAST_CHUNK,
-    Buffered,
-    Fault,
-    Message,
-    Piece,
-    Reader,
-    Stream,
-    answer,
-    answer_head,
-    framed,
-)
+from firvane.core.flows import Flow
+from firvane.core.net.dialer import reset_on_close
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
 from firvane.fleet.configuration.routes import Route, RouteTable
 from firvane.fleet.router.admission import UNRESTRICTED, Admitted
 from firvane.fleet.router.client_context import ClientContext
 from firvane.fleet.router.drain import LATE_RETRY_AFTER_S
-from firvane.fleet.router.requests import (
-    REQUEST_ID,
-    ProxiedRequest,
-    check_framing,
-    client_deadline_ms,
-)
+from firvane.fleet.router.requests import REQUEST_ID, ProxiedRequest, check_framing, client_deadline_ms
 
 READ_AHEAD_BYTES = 256 * 1024  # of what follows a request
 CONFIGURATION_WAIT_S = 0.4  # of a request, for the first configuration of a new router
@@ -52,7 +38,7 @@
 STATUS_UNAVAILABLE = 503
 
 
-class ClientConnection(Buffered):
+class ClientConnection(BoundedReadProtocol):
     """One client's connection.
 
     Attributes:
@@ -79,7 +65,7 @@
 
     def __init__(self, context: ClientContext) -> None:
         self.context = context
-        self.reader = Reader(httptools.HttpRequestParser, context.max_body, context.max_body)
+        self.reader = MessageReader(httptools.HttpRequestParser, context.max_body, context.max_body)
         self.buffered = b""
         self.position = 0
         self.flow: Flow[ProxiedRequest, Message] | None = None
@@ -114,11 +100,11 @@
         self.context.connections.pop(self, None)
         self.closing = True
         self.buffered = b""
-        self.reader.drop()
+        self.reader.reset()
         self.body_source = self.unrouted = self.admission_request = None
         flow, self.flow = self.flow, None
         if flow:
-            self.context.engine.leave(flow)
+            self.context.engine.on_client_disconnected(flow)
 
     def is_idle(self) -> bool:
         """Return whether no request is here, complete or partial."""
@@ -162,13 +148,13 @@
         while self._has_unparsed() and not (self._has_open_request() or self.closing or self.writing_paused):
             try:
                 self.position = self.reader.step(self.buffered, self.position)
-            except Fault as fault:
+            except HttpError as fault:
                 self.position = len(self.buffered)
                 self._reject_malformed(fault)
                 break
             self._track_receiving()
-            if self.reader.done:
-                message = self.reader.done.pop(0)
+            if self.reader.completed:
+                message = self.reader.completed.pop(0)
                 self.receiving = False
                 self._receive_request(message)
         self.buffered = b"" if self.closing else self.buffered[self.position :]
@@ -190,20 +176,20 @@
         if not self.receiving:
             self.receiving = True
             self.state_since = self.context.loop.time()
-        if not self.reader.in_head and b"expect" in message.fields and not message.continued:
-            message.continued = True
+        if not self.reader.in_head and b"expect" in message.fields and not message.continue_sent:
+            message.continue_sent = True
             if not message.body:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _receive_request(self, message: Message) -> None:
         """Check a complete request, and route it or wait for the first configuration."""
         context = self.context
-        self.keep_alive = message.keep
+        self.keep_alive = message.keep_alive
         self.head_sent = False
         self.requests_received += 1
         try:
             check_framing(message)
-        except Fault as fault:
+        except HttpError as fault:
             self._reject_malformed(fault)
             return
         request_id = message.fields.get(REQUEST_ID)
@@ -213,7 +199,7 @@
         self.received_at = context.loop.time()
         context.drain.record_request(self.connected_at, self.received_at)
         if not context.drain.accepts_requests(self.received_at):
-            self.refused(LATE_RETRY_AFTER_S)
+            self.on_rejected(LATE_RETRY_AFTER_S)
             return
         if context.routes is None:
             self.unrouted = message
@@ -224,7 +210,7 @@
     def _reject_unrouted(self, message: Message) -> None:
         if self.unrouted is message:
             self.unrouted = None
-            self.refused(NO_CONFIGURATION_RETRY_AFTER_S)
+            self.on_rejected(NO_CONFIGURATION_RETRY_AFTER_S)
 
     def resume(self) -> None:
         """Route the request that waits for the first configuration, which has come."""
@@ -237,7 +223,7 @@
         context = self.context
         route = routes.find(message.fields.get(b"host", b""), message.url)
         if route is None:
-            context.engine.endings["no route"] += 1
+            context.engine.event_counts["no route"] += 1
             self._send_status(STATUS_NOT_FOUND)
             return
         if context.admission is None:
@@ -260,24 +246,24 @@
             request.priority = route.priority if tenant.priority is None else tenant.priority
             request.on_retry = partial(context.charge_retry, admission)
         flow = Flow[ProxiedRequest, Message](request, self, deadline, request_id)
-        flow.bounded = True
-        flow.resumable = route.stream_resume
+        flow.is_bounded = True
+        flow.is_resumable = route.stream_resume
         self.flow = flow
-        context.engine.take(flow, context.prompt_request(request))
+        context.engine.accept_request(flow, context.prompt_request(request))
         request.flow_id = flow.id
 
-    def _reject_malformed(self, fault: Fault) -> None:
+    def _reject_malformed(self, fault: HttpError) -> None:
         self.keep_alive = False
         self._send_status(fault.status)
 
     # Responses: called by the engine (`firvane.core.engine.Client`)
 
-    def served(self, message: Message) -> None:
+    def on_response(self, message: Message) -> None:
         """Send a complete response."""
-        headers = list(message.passed_on())
+        headers = list(message.end_to_end_fields())
         self._send_response(message.status, message.body, message.size, headers)
 
-    def begins(self, message: Message) -> None:
+    def on_response_started(self, message: Message) -> None:
         """Send the head of a response whose body is streamed; a resumed one has sent it already."""
         stream = message.stream
         if self.flow is None or stream is None:
@@ -285,10 +271,10 @@
         if not self.head_sent:
             self._write_head(message)
         self.body_source = stream
-        stream.pour(self)
+        stream.connect(self)
 
     def _write_head(self, message: Message) -> None:
-        length = message.length()
+        length = message.content_length()
         self.head_sent = True
         self.chunked = (
             length is None and self.flow is not None and self.flow.request.message.version == b"1.1"
@@ -296,24 +282,24 @@
         self.close_delimited = length is None and not self.chunked
         self.keep_alive = self._stays_open() and not self.close_delimited
         if self.close_delimited:
-            resets(self.transport)
-        self.transport.writelines(answer_head(message, self.chunked, not self.keep_alive))
+            reset_on_close(self.transport)
+        self.transport.writelines(format_response_head(message, self.chunked, not self.keep_alive))
 
-    def more(self, pieces: list[Piece]) -> None:
+    def write_body(self, buffers: list[BytesLike]) -> None:
         """Send a part of the body."""
         if self.flow and not self.transport.is_closing():
-            self.transport.writelines(framed(pieces, self.chunked))
+            self.transport.writelines(frame_chunk(buffers, self.chunked))
 
-    def last(self) -> None:
+    def end_body(self) -> None:
         """Send the end of the body."""
         if self.flow and self.chunked and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         """End a streamed response that is complete."""
         self._end_response()
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """End the connection short of the response's end."""
         self._log_truncated()
         self.flow = self.body_source = None
@@ -337,7 +323,7 @@
             requests=self.requests_received,
         )
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         """Reject a request that never ran; `retry_after` in seconds."""
         if self.flow and self.context.admission:
             self.context.admission.refund(self.admission)
@@ -352,25 +338,25 @@
         headers = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
         self._send_status(status, headers)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Answer a request that may have run, and whose response did not come."""
         self._send_status(STATUS_BAD_GATEWAY)
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         """Answer a request that no backend can use."""
         self._send_status(STATUS_BAD_REQUEST)
 
     def _send_status(self, status: int, headers: list[bytes] | None = None) -> None:
         """Send a response of the router's own, with its status as a short body."""
         if self.head_sent:
-            self.cut()
+            self.on_response_aborted()
             return
         body = b"%d\n" % status
         self._send_response(status, [body], len(body), headers or [])
 
-    def _send_response(self, status: int, body: list[Piece], size: int, headers: list[bytes]) -> None:
+    def _send_response(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
         self.keep_alive = self._stays_open()
-        self.transport.writelines(answer(status, body, size, not self.keep_alive, headers))
+        self.transport.writelines(format_response(status, body, size, not self.keep_alive, headers))
         self._end_response()
 
     def _stays_open(self) -> bool:
@@ -398,13 +384,13 @@
         """Pause the body's source, since the client does not keep up (asyncio)."""
         self.writing_paused = True
         if self.body_source:
-            self.body_source.choke(True)
+            self.body_source.set_paused(True)
 
     def resume_writing(self) -> None:
         """Resume the body's source, or parse the next request (asyncio)."""
         self.writing_paused = False
         if self.body_source:
-            self.body_source.choke(False)
+            self.body_source.set_paused(False)
         elif self.buffered and not self._has_open_request():
             self._parse_requests()
 
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -24,10 +24,12 @@
 import httptools
 
 from firvane.core.address import Address
-from firvane.core.net.connection_checks import Quiet
-from firvane.core.net.http import Buffered, Fault, Message, Piece, Reader, Stream, forward_head
+from firvane.core.net.connection_checks import NoInputCheck
+from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
+from firvane.core.net.http_reader import BoundedReadProtocol, MessageReader
+from firvane.core.net.http_writer import format_forwarded_head
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.fleet.router.events import EventFramer
 from firvane.fleet.router.requests import DEADLINE, REQUEST_ID, ProxiedRequest
 from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
@@ -103,7 +105,7 @@
 Run: TypeAlias = UpstreamRun[ProxiedRequest, "UpstreamConnection", Pool]
 
 
-class UpstreamConnection(Buffered):
+class UpstreamConnection(BoundedReadProtocol):
     """One connection to a backend; it is in its pool whenever it is idle.
 
     Attributes:
@@ -119,10 +121,12 @@
         closed: Whether the connection is lost.
     """
 
-    def __init__(self, upstreams: Connections, pool: Pool, quiet: Quiet) -> None:
+    def __init__(self, upstreams: Connections, pool: Pool, quiet: NoInputCheck) -> None:
         """`quiet` returns whether nothing has come on the idle socket."""
         self.upstreams, self.pool, self.quiet = upstreams, pool, quiet
-        self.reader = Reader(httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES)
+        self.reader = MessageReader(
+            httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES
+        )
         self.run: Run | None = None
         self.written = True
         self.skipped_responses = 0
@@ -146,18 +150,18 @@
         """End the exchange in flight, and leave the pool (asyncio)."""
         self.closed = True
         self.upstreams.connections -= 1
-        self.reader.drop()
+        self.reader.reset()
         self._end_stream()
         if self in self.pool.idle:
             self.pool.idle.remove(self)
         run, self.run = self.run, None
         if run:
-            run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def eof_received(self) -> None:
         """Complete a body that lasts until the end of the connection, or close (asyncio)."""
         message = self.reader.message
-        if self.run and message and not self.reader.in_head and not message.framed and self.stream:
+        if self.run and message and not self.reader.in_head and not message.is_framed and self.stream:
             self._complete(message)
         else:
             self.close()
@@ -194,7 +198,7 @@
         self.run, run.connection = run, self
         request.record_sent()
         self.written, self.skipped_responses, self.last_data_at = False, 0, now
-        head = forward_head(request.message, host, without, fields)
+        head = format_forwarded_head(request.message, host, without, fields)
         self.transport.writelines([*head, *request.message.body])
         self._check_written()
 
@@ -207,7 +211,7 @@
         if not self.transport.is_closing() and not self.transport.get_write_buffer_size():
             self.written = True
             if self.run:
-                self.run.exchange.written()
+                self.run.exchange.on_request_sent()
 
     # Receiving
 
@@ -224,8 +228,8 @@
         while position < len(data) and self.run:
             try:
                 position = self.reader.step(data, position)
-            except Fault:
-                self._fail(Ending.BAD_ANSWER)
+            except HttpError:
+                self._fail(Termination.BAD_RESPONSE)
                 return
             if not self._process_response(position < len(data)):
                 return
@@ -235,14 +239,14 @@
 
         `followed`: more bytes have come behind it.
         """
-        done = self.reader.done
+        done = self.reader.completed
         message = done[0] if done else self.reader.message
         if message is None or (not done and self.reader.in_head):
             return True
         if self._is_other_response(message):
             return self._skip(message, followed)
         if REQUEST_ID not in message.fields:
-            self._fail(Ending.BAD_ANSWER)
+            self._fail(Termination.BAD_RESPONSE)
             return False
         starts = self.stream is None and is_success(message) and self._is_streamed(message)
         if starts and not self._start_stream(message):
@@ -266,21 +270,21 @@
 
     def _skip(self, message: Message, followed: bool) -> bool:
         """Drop a response, and return whether the exchange goes on."""
-        message.taken()
+        message.take_body()
         if not message.complete:
             return True
-        self.reader.done.pop(0)
+        self.reader.completed.pop(0)
         self.skipped_responses += 1
         too_many = self.skipped_responses > MAX_SKIPPED_RESPONSES
-        if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep:
-            self._fail(Ending.BAD_ANSWER)
+        if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep_alive:
+            self._fail(Termination.BAD_RESPONSE)
             return False
         return self._process_response(followed)
 
     def _is_streamed(self, message: Message) -> bool:
         """Return whether a response goes to the client as it comes, and not only once it is complete."""
         kind = message.fields.get(b"content-type", b"")
-        length = message.length()
+        length = message.content_length()
         return kind.startswith(STREAM_TYPE) or length is None or length > MAX_BUFFERED_RESPONSE_BYTES
 
     def _start_stream(self, message: Message) -> bool:
@@ -292,12 +296,12 @@
         if message.fields.get(b"content-type", b"").startswith(STREAM_TYPE):
             self.framer = EventFramer(run.request.last_event_id)
         self.upstreams.streams[self] = None
-        run.exchange.begun(message)
+        run.exchange.on_response_started(message)
         return self.run is run
 
     def _feed(self, message: Message) -> None:
         """Pass on the body that has come, by complete events in a stream of events."""
-        pieces = message.taken()
+        pieces = message.take_body()
         if self.framer:
             events = self.framer.feed(b"".join(pieces))
             pieces = [events] if events else []
@@ -313,18 +317,18 @@
         """End the exchange with a complete response, and reuse or close the connection."""
         if self.stream:
             self._feed(message)
-            rest: Piece = self.framer.finish() if self.framer else b""
+            rest: BytesLike = self.framer.finish() if self.framer else b""
             if rest:
                 self.stream.feed([rest])
             self.stream.end()
         run, self.run = self.run, None
         self._end_stream()
         ending = response_ending(message)
-        if run and ending is Ending.TURNED_AWAY:
+        if run and ending is Termination.REJECTED:
             self.rejected_ids.add(run.request.request_id)
             run.request.record_rejected()
-        is_clean = message.framed and self.written and not (followed or self.skipped_responses)
-        reusable = message.keep and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
+        is_clean = message.is_framed and self.written and not (followed or self.skipped_responses)
+        reusable = message.keep_alive and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
         if reusable and not self.closed and not self.transport.is_closing():
             self.upstreams.park(self, message)
         else:
@@ -332,7 +336,7 @@
         if run:
             run.end(ending, message)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         run, self.run = self.run, None
         self._end_stream()
         self.close()
@@ -345,11 +349,11 @@
             self.upstreams.streams.pop(self, None)
         self.paused = False
 
-    def hold(self, held: bool) -> None:
+    def set_paused(self, paused: bool) -> None:
         """Pause or resume reading, as the client keeps up with the stream or not."""
-        if held is not self.paused and not self.closed and not self.transport.is_closing():
-            self.paused, self.last_data_at = held, self.upstreams.loop.time()
-            (self.transport.pause_reading if held else self.transport.resume_reading)()
+        if paused is not self.paused and not self.closed and not self.transport.is_closing():
+            self.paused, self.last_data_at = paused, self.upstreams.loop.time()
+            (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def check_stall(self, now: float) -> None:
         """Give up a resumable stream that has stalled for far longer than its events should be apart.
@@ -361,7 +365,7 @@
             return
         timeout = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * run.request.route.gap_aim_ms / 1000)
         if now > self.last_data_at + timeout and self.upstreams.may_continue(run.request):
-            self._fail(Ending.OVERDUE)
+            self._fail(Termination.DEADLINE_EXCEEDED)
 
 
 def is_success(response: Message) -> bool:
@@ -369,10 +373,10 @@
     return STATUS_OK <= response.status < STATUS_MULTIPLE_CHOICES
 
 
-def response_ending(response: Message) -> Ending:
+def response_ending(response: Message) -> Termination:
     """Return how an attempt ended, by the head of its response."""
     if is_success(response):
-        return Ending.SERVED
+        return Termination.SERVED
     if response.status == STATUS_MISDIRECTED or b"x-not-executed" in response.fields:
-        return Ending.TURNED_AWAY
-    return Ending.SERVER_ERROR
+        return Termination.REJECTED
+    return Termination.SERVER_ERROR
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -12,7 +12,8 @@
 
 from firvane.core import interface as api
 from firvane.core.address import Address
-from firvane.core.engine import Clock, Directory, Engine, Exchange, Handle, Post
+from firvane.core.engine import Engine
+from firvane.core.engine_protocols import Clock, Exchange, Handle, PeerChannel, ServerDiscovery
 from firvane.core.logs import QUIET, Log
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.config.model import Control as ControlSettings
@@ -79,8 +80,8 @@
         seed: int,
         zones: tuple[str, ...],
         clock: Clock,
-        posts: Sequence[Post],
-        directory: Directory,
+        posts: Sequence[PeerChannel],
+        directory: ServerDiscovery,
         observer: SnapshotObserver,
         wall: Callable[[], float],
         log: Log = QUIET,
@@ -147,7 +148,7 @@
         named = {server.id for server in update.servers if server.state is not api.ServerState.UP}
         self.number = update.version
         for engine in self.engines:
-            engine.listed(update)
+            engine.update_server_list(update)
         self._up = {server.entry.id for server in self.balancers[0].up}
         left_out = before - {server.id for server in update.servers}
         self.panic.on_named(named)
@@ -221,13 +222,13 @@
     def update(self) -> None:
         """Feed reports into the module and publish its estimates; reschedules itself."""
         now = self.clock.time()
-        for name in self.registry.sweep(self.engine.known, now):
+        for name in self.registry.sweep(self.engine.known_targets, now):
             self.log.info("receiver_expired", receiver=name, text="its part of the demand is free")
         if sums := self.registry.take(now):
             self.updates += 1
             parts = split(sums, len(self.engines), self.updates)
             for engine, part in zip(self.engines, parts, strict=True):
-                engine.give(part)  # an event type of the control service
+                engine.dispatch(part)  # an event type of the control service
         if self.catalog.has_assignments or self._up:
             work = len(self.registry.receivers) * len(self.addresses)
             self.debouncer.min_interval_s = min(MAX_PUSH_INTERVAL_S, work / MAX_ENDPOINTS_PER_S)
@@ -242,7 +243,7 @@
     def on_report(self, name: str, reports: Mapping[str, Report], span: float, dropped: int) -> None:
         """Take a receiver's report over `span` seconds; `dropped`: requests dropped by assignment."""
         span = span or self.control_settings.report_s
-        self.registry.report(name, reports, self.engine.known, span, self.clock.time(), dropped)
+        self.registry.report(name, reports, self.engine.known_targets, span, self.clock.time(), dropped)
 
     def zone_name(self, number: int) -> str:
         """The name of a zone; empty if it is unknown."""
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -25,8 +25,9 @@
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.types import Snapshot
 from firvane.proxy.limits.discovery_timing import Pauses
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.target_group import ListReader, TargetGroup
+from firvane.proxy.net.endpoint_list import EndpointListReader
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.target_group import TargetGroup
 
 METRICS_INTERVAL_S = 5.0  # of the `metrics` log event
 STOP_GRACE_S = 1.0  # for streams to end
@@ -41,7 +42,7 @@
     ]
 
 
-def _identity(peers: Peers) -> Peers:
+def _identity(peers: PeerDatagrams) -> PeerDatagrams:
     return peers
 
 
@@ -61,11 +62,11 @@
         self.log: logs.Log = log.bind(control=control_settings.service)
         self.loop, self.config = loop, config
         self.name = control_settings.service
-        reader = ListReader(config.zones, config.kinds)
+        reader = EndpointListReader(config.zones, config.kinds)
         pauses = Pauses(0, random.Random(config.seed))
         self.group = TargetGroup(loop, config.discovery, reader, self._target, self._listed, self.log, pauses)
         self.peers = [
-            Peers(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
+            PeerDatagrams(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
             for place, own in enumerate(places(config, control_settings))
         ]
         self.ads = DiscoveryServer(loop, self, control_settings.report_s, self.log)
@@ -85,7 +86,7 @@
         self.core.on_server_list(update)
 
     def _peer(self, place: int, sender: int, payload: bytes) -> None:
-        self.core.engines[place].give(api.PeerMessage(sender, payload))
+        self.core.engines[place].dispatch(api.PeerMessage(sender, payload))
 
     # Calls of the streams (`ads.Service`)
 
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -89,7 +89,7 @@
 @pytest.fixture
 def files(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> Path:
     monkeypatch.chdir(tmp_path)
-    monkeypatch.setattr(module, "LOOK_S", 0.0)
+    monkeypatch.setattr(module, "POLL_INTERVAL_S", 0.0)
     for name, text in (("base.toml", BASE), ("next.toml", NEXT), ("bad.toml", BAD)):
         Path(name).write_text(text)
     return tmp_path
@@ -221,8 +221,8 @@
 tenants.a.quota_rps: 10 becomes 0
 tenants.b: is new: share 0, quota_rps 0
 limits.attempts: 2 becomes 3
-limits.probes: {module.OWN} becomes true
-voters: 0, 2 becomes {module.OWN}
+limits.probes: {module.UNSET_TEXT} becomes true
+voters: 0, 2 becomes {module.UNSET_TEXT}
 """
 
 
@@ -247,13 +247,13 @@
 ) -> None:
     made: list[tuple[str, bytes, tuple[int, ...]]] = []
 
-    def found(folder: str, text: bytes, voters: tuple[int, ...]) -> None:
+    def bootstrap(folder: str, text: bytes, voters: tuple[int, ...]) -> None:
         if made:
             raise FileExistsError(17, "File exists")
         made.append((folder, text, voters))
 
     store = ModuleType("firvane.proxy.quorum.store")
-    store.found = found  # type: ignore[attr-defined]
+    store.bootstrap = bootstrap  # type: ignore[attr-defined]
     monkeypatch.setitem(sys.modules, "firvane.proxy.quorum.store", store)
     for config, policy, words in (
         (TIER[: TIER.index("[policy]")], NEXT, "policy: is missing"),
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -18,8 +18,8 @@
     Mutant(
         "what is withheld is not sent when it is asked for",
         "firvane/fleet/dissemination/machine.py",
-        "if item is not None and is_here and not self._is_withheld(item.key):",
-        "if item is not None and is_here:",
+        "if item is not None and is_stored and not self._is_withheld(item.key):",
+        "if item is not None and is_stored:",
         "tests/fleet/dissemination/test_machine.py -k withheld",
     ),
     Mutant(
@@ -130,15 +130,15 @@
     Mutant(
         "a break after the last byte may have run",
         "firvane/fleet/router/upstream_connection.py",
-        "run.end(Ending.BROKE_SENT if self.written else Ending.BROKE_UNSENT)",
-        "run.end(Ending.BROKE_UNSENT)",
+        "run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)",
+        "run.end(Termination.BROKEN_BEFORE_SENT)",
         UPSTREAM,
     ),
     Mutant(
         "a connection on which a request is not written whole is not used again",
         "firvane/fleet/router/upstream_connection.py",
-        "is_clean = message.framed and self.written and not",
-        "is_clean = message.framed and not",
+        "is_clean = message.is_framed and self.written and not",
+        "is_clean = message.is_framed and not",
         UPSTREAM,
     ),
 ]
--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -20,10 +20,10 @@
 from firvane.proxy.capacity.backend_estimates import Evidence
 from firvane.proxy.config import platform
 from firvane.proxy.net import peer_datagrams, upstream_pool
-from firvane.proxy.net.client_requests import Listener
-from firvane.proxy.net.connection_limiter import Front
-from firvane.proxy.net.peer_datagrams import Peers
-from firvane.proxy.net.upstream_pool import Forwards
+from firvane.proxy.net.client_connection import ClientConnection
+from firvane.proxy.net.connection_limiter import ConnectionLimiter
+from firvane.proxy.net.peer_datagrams import PeerDatagrams
+from firvane.proxy.net.upstream_pool import UpstreamPools
 from firvane.proxy.proxy import Proxy
 from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
 from firvane.simulation.emulation.verdict import Grade, Rule
@@ -82,13 +82,13 @@
     return next(state.setdefault("calls", count(1))) % every == 0
 
 
-def lose(self: Listener, served: Any, answer: Any) -> None:
+def lose(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then an answer is thrown away."""
     if not once_in(60):
         served(self, answer)
 
 
-def swap(self: Listener, served: Any, answer: Any) -> None:
+def swap(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then a client gets the body of the answer before."""
     mine = list(answer.body), answer.size
     if once_in(60):
@@ -97,7 +97,7 @@
     served(self, answer)
 
 
-def write_twice(self: Listener, served: Any, answer: Any) -> None:
+def write_twice(self: ClientConnection, served: Any, answer: Any) -> None:
     """Now and then an answer is written twice."""
     write, times = self.transport.writelines, 2 if once_in(60) else 1
     with patch.object(self, "transport", wraps=self.transport) as transport:
@@ -130,7 +130,7 @@
 
 def send_thrice(self: Engine[Any, Any], send: Any, action: api.Send) -> None:
     """Now and then a request is sent to three boxes at once."""
-    others = sorted(self.known - {action.server})[:2] if once_in(60) else []
+    others = sorted(self.known_targets - {action.server})[:2] if once_in(60) else []
     for server in (action.server, *others):
         send(self, api.Send(action.id, server, action.timeout, action.start_before))
 
@@ -147,7 +147,7 @@
         self.clock.call_at(flow.deadline - 0.1, refuse, self, action)
 
 
-def believe(self: Front, accept: Any, quiet: Any, stands: Any) -> Listener:
+def believe(self: ConnectionLimiter, accept: Any, quiet: Any, stands: Any) -> ClientConnection:
     """Who has left is noticed only where the loop reads, as before the kernel was asked."""
     return accept(self, quiet)  # type: ignore[no-any-return]
 
@@ -156,20 +156,20 @@
     """Who waits for an exchange that nobody wants."""
 
     def __init__(self, deadline: float) -> None:
-        self.deadline = self.by = deadline
+        self.deadline = self.start_before = deadline
 
-    def written(self) -> None: ...
+    def on_request_sent(self) -> None: ...
 
-    def spent(self) -> None: ...
+    def on_body_consumed(self) -> None: ...
 
-    def begun(self, answer: Any) -> None: ...
+    def on_response_started(self, answer: Any) -> None: ...
 
-    def ended(self, ending: Any, answer: Any = None) -> None: ...
+    def on_ended(self, ending: Any, answer: Any = None) -> None: ...
 
 
 def go_on(self: Engine[Any, Any], refuse: Any, action: api.Reject) -> None:
     """What has been refused is sent to a box all the same, a little later."""
-    flow, target = self.flows.get(action.id), min(self.known)
+    flow, target = self.flows.get(action.id), min(self.known_targets)
     refuse(self, action)
     if flow:
         at, nobody = self.clock.time() + 0.1, Nobody(flow.deadline)
@@ -197,19 +197,21 @@
     """Told to end, a proxy ends, whatever it has taken."""
 
 
-def pad(self: Peers, tell: Any, peer: int | None, payload: bytes) -> None:
+def pad(self: PeerDatagrams, tell: Any, peer: int | None, payload: bytes) -> None:
     """Rows for the peers grow beyond what a datagram may hold."""
-    with patch.object(peer_datagrams, "MAX_DATAGRAM", 1000):
+    with patch.object(peer_datagrams, "MAX_DATAGRAM_BYTES", 1000):
         tell(self, peer, payload.ljust(257, b"\0"))
 
 
 MUTANTS = (
-    Mutant("a lost answer", Rule.LOST, CALM, [(Listener, "served", lose)]),
-    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(Listener, "served", swap)]),
-    Mutant("an answer written twice", Rule.ANSWERED_TWICE, CALM, [(Listener, "served", write_twice)]),
+    Mutant("a lost answer", Rule.LOST, CALM, [(ClientConnection, "on_response", lose)]),
+    Mutant("an answer given to another call", Rule.FOREIGN, CALM, [(ClientConnection, "on_response", swap)]),
+    Mutant(
+        "an answer written twice", Rule.ANSWERED_TWICE, CALM, [(ClientConnection, "on_response", write_twice)]
+    ),
     Mutant("a send after the drain", Rule.DRAINED, DRAINS, [
-        (Engine, "listed", deafen),
-        (Forwards, "listed", lambda self, listed, name, address, up: listed(self, name, address, True)),
+        (Engine, "update_server_list", deafen),
+        (UpstreamPools, "listed", lambda self, listed, name, address, up: listed(self, name, address, True)),
     ]),
     Mutant("a cold box flooded", Rule.PUSHED_OVER, CRASH, [
         (Evidence, "is_cold", lambda self, is_cold, server, now: False),
@@ -218,12 +220,12 @@
     Mutant("a duplicate where none may be", Rule.EFFECTS, ONCE, [(Balancer, "legal", repeat_all)]),
     Mutant("three copies at once", Rule.COPIES, CALM, [(Engine, "_send", send_thrice)]),
     Mutant("a cap that does not bind", Rule.ATTEMPTS, CLOSING, [(platform, "parse_settings", unbind)]),
-    Mutant("an answer held back", Rule.HELD_BACK, FULL, [(Engine, "_refuse", hold_back)], Grade.COSTS),
-    Mutant("a send after the answer", Rule.AFTER_END, FULL, [(Engine, "_refuse", go_on)]),
-    Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(Front, "accept", believe)]),
+    Mutant("an answer held back", Rule.HELD_BACK, FULL, [(Engine, "_reject", hold_back)], Grade.COSTS),
+    Mutant("a send after the answer", Rule.AFTER_END, FULL, [(Engine, "_reject", go_on)]),
+    Mutant("a client that left unseen", Rule.SENT_ON, LEAVING, [(ConnectionLimiter, "accept", believe)]),
     Mutant("a leak of flows", Rule.LEAK, CALM, [(Engine, "_forget", keep(5))]),
-    Mutant("a leak of sockets", Rule.LEAK, LONG, [(Forwards, "park", keep(2))]),
-    Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(upstream_pool, "request_head", forge)]),
+    Mutant("a leak of sockets", Rule.LEAK, LONG, [(UpstreamPools, "park", keep(2))]),
+    Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(upstream_pool, "format_request_head", forge)]),
     Mutant("an end that waits for nobody", Rule.LOST, RESTART, [(Proxy, "drain", end_at_once)]),
-    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(Peers, "tell", pad)]),
+    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(PeerDatagrams, "tell", pad)]),
 )  # fmt: skip
