--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -18,7 +18,7 @@
 if __name__ == "__main__":
     sys.path[0] = str(Path(__file__).resolve().parent.parent)  # in place of this folder
 
-from benchmarks.policy_members import ROUND_S, Drawn, Figures, Members
+from benchmarks.policy_members import ROUND_S, ConsensusSimulation, Figures, HistoryConfig
 from benchmarks.situations import played
 from firvane.simulation.emulation.epochs import Epochs
 from firvane.simulation.emulation.records import Answered, Asked, Decided, Proposed, Record, Said
@@ -150,7 +150,7 @@
 
 def alone(proxies: int, way: str, faults: str, seed: int) -> dict[str, Any]:
     """One history of the agreement without proxies."""
-    figures: Figures = Members(Drawn(proxies=proxies, seed=seed, faults=faults)).run()
+    figures: Figures = ConsensusSimulation(HistoryConfig(proxies=proxies, seed=seed, faults=faults)).run()
     broken = dict(Counter(line.split(": ")[1] for line in figures.broken))
     return msgspec.to_builtins(figures) | {
         "what": "members", "way": way, "broken": broken, "texts": figures.broken[:3], "older": 0, "other": {}
--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -1,6 +1,6 @@
 """The policy consensus alone, in virtual time: members of `quorum/` on a lossy network, with drawn faults.
 
-Rules that hold here and nowhere else:
+Rules of the simulation:
 
 1. Each proxy has a clock of its own, whose rate differs from the true one by up to half of
    `Timing.clock_skew`, and which starts anywhere. Messages take 2 to 39 ms, 2% are lost, some come twice or
@@ -41,15 +41,19 @@
 from firvane.simulation.emulation.records import InUse, Proposed, ProxyState, Said, Shaded
 from firvane.simulation.emulation.verdict import Findings, Grade
 
-DELAY_S = (0.0017, 0.039)
-LOSS, TWICE, LATE, LATE_S = 0.02, 0.005, 0.001, 30.0
-WRITE_S, FETCH_S = (0.001, 0.02), (0.01, 0.06)
-POLL_S, ELSEWHERE_S = 0.1, 3.0  # from one question to the next; until it is proposed at another door
-CHANGE_S = 22.0  # in which a change ends: gathering, the lead, and what is lost on the way
+DELAY_RANGE_S = (0.0017, 0.039)
+LOSS_PROBABILITY = 0.02
+DUPLICATE_PROBABILITY = 0.005
+LATE_PROBABILITY = 0.001
+MAX_EXTRA_DELAY_S = 30.0
+WRITE_RANGE_S = (0.001, 0.02)
+FETCH_RANGE_S = (0.01, 0.06)
+POLL_INTERVAL_S = 0.1  # of operators, for the outcome of a change
+OTHER_PROXY_AFTER_S = 3.0  # without an outcome, until it is proposed at another proxy
+CHANGE_S = 22.0  # in which a change ends: readiness, the activation delay, and what is lost on the way
 ROUND_S = 5.0  # round a change, in which service that is lost is counted
-BACK_S = (0.5, 12.0)
+RESTART_RANGE_S = (0.5, 12.0)
 FIRST = digest_of(b"the first policy")
-HEADERS = 28  # bytes of IP and UDP before a datagram
 
 
 class Span(NamedTuple):
@@ -61,28 +65,28 @@
     proxy: int
 
 
-class Seat:
-    """A proxy's place: its clock, its disk, and the member that runs there."""
+class SimulatedProxy:
+    """A proxy: its clock, its disk, and the member that runs there."""
 
     def __init__(self, number: int, draw: Random, skew: float) -> None:
         self.number = number
         self.rate = 1.0 + draw.uniform(-0.5, 0.5) * skew
         self.offset = draw.uniform(0.0, 1e5)
         self.member: Member | None = None
-        self.life = 0
+        self.run_number = 0
         self.stored: VoterState | None = None
         self.texts: set[bytes] = {FIRST}
-        self.stands = False
-        self.waiting: list[events.Event] = []
-        self.full = False  # its disk
+        self.is_stalled = False
+        self.pending_events: list[events.Event] = []
+        self.disk_full = False  # its disk
         self.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
-        self.open: tuple[float, int] | None = None  # since when it holds, and which epoch
+        self.open_span: tuple[float, int] | None = None  # since when it holds, and which epoch
         self.tick_at = inf
 
     def clock(self, now: float) -> float:
         return self.offset + now * self.rate
 
-    def true(self, local: float) -> float:
+    def true_time(self, local: float) -> float:
         return (local - self.offset) / self.rate if abs(local) < inf else local
 
 
@@ -100,8 +104,8 @@
     epoch: int = 0
 
 
-class Drawn(Struct, frozen=True, kw_only=True):
-    """What befalls a fleet."""
+class HistoryConfig(Struct, frozen=True, kw_only=True):
+    """What happens to a fleet."""
 
     proxies: int
     seed: int
@@ -112,7 +116,7 @@
 
 
 class Figures(Struct, kw_only=True):
-    """What came of it. Times in s."""
+    """The result. Times in s."""
 
     proxies: int
     seed: int
@@ -130,18 +134,20 @@
 Make = Callable[..., Member]
 
 
-class Members:
-    """One history."""
+class ConsensusSimulation:
+    """One history of a fleet."""
 
-    def __init__(self, told: Drawn, make: Make = Member) -> None:
-        self.told, self.make, self.times = told, make, told.times
-        self.draw = Random(f"members/{told.seed}")
-        self.net = Random(f"network/{told.seed}")
+    def __init__(self, config: HistoryConfig, make: Make = Member) -> None:
+        self.config, self.make, self.times = config, make, config.times
+        self.draw = Random(f"members/{config.seed}")
+        self.net = Random(f"network/{config.seed}")
         self.now, self.order = 0.0, itertools.count()
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.voters = tuple(range(min(told.proxies, MAX_VOTERS if told.proxies >= MAX_VOTERS else 3)))
-        self.seats = [Seat(number, self.draw, self.times.clock_skew) for number in range(told.proxies)]
-        self.cut: dict[tuple[int, int], int] = {}  # ways that are shut, and by how many troubles
+        self.voters = tuple(range(min(config.proxies, MAX_VOTERS if config.proxies >= MAX_VOTERS else 3)))
+        self.nodes = [
+            SimulatedProxy(number, self.draw, self.times.clock_skew) for number in range(config.proxies)
+        ]
+        self.cut_counts: dict[tuple[int, int], int] = {}  # ways that are shut, and by how many troubles
         self.unusable: dict[bytes, int] = {}  # policies that one proxy cannot use
         self.spans: list[Span] = []
         self.down: list[tuple[float, float, int]] = []  # while a proxy did not run
@@ -153,9 +159,9 @@
         self.judge = Epochs(self.findings, names, self.times.activation_tolerance_s, CHANGE_S)
         self.seen: dict[int, bytes] = {}
         first = VoterState(1, Value(1, FIRST, self.voters), True, NO_PROPOSAL_NUMBER, None, ())
-        for seat in self.seats:
-            if seat.number in self.voters:
-                seat.stored = first
+        for node in self.nodes:
+            if node.number in self.voters:
+                node.stored = first
 
     def name(self, number: int) -> str:
         return f"p{number}"
@@ -164,204 +170,215 @@
         heapq.heappush(self.due, (when, next(self.order), act, more))
 
     def run(self) -> Figures:
-        for seat in self.seats:
-            self.start(seat)
+        for node in self.nodes:
+            self.start(node)
         self.plan()
-        while self.due and self.due[0][0] <= self.told.seconds:
+        while self.due and self.due[0][0] <= self.config.seconds:
             self.now, _, act, more = heapq.heappop(self.due)
             act(*more)
-        self.now = self.told.seconds
+        self.now = self.config.seconds
         self.judge.end(self.now)
-        for seat in self.seats:
-            self.look(seat)
-            if seat.number in self.away:
-                self.down.append((self.away[seat.number], self.now, seat.number))
+        for node in self.nodes:
+            self.end_span(node)
+            if node.number in self.away:
+                self.down.append((self.away[node.number], self.now, node.number))
         return self.figures()
 
     # Proxies
 
-    def start(self, seat: Seat) -> None:
-        if seat.member:
+    def start(self, node: SimulatedProxy) -> None:
+        if node.member:
             return
-        seat.life += 1
-        if seat.number in self.away:
-            self.down.append((self.away.pop(seat.number), self.now, seat.number))
-        has = seat.texts if seat.number in self.voters or seat.life == 1 else ()
-        has = [text for text in has if self.unusable.get(text) != seat.number]
-        seed = self.told.seed * 1000 + seat.number * 100 + seat.life
-        seat.member = self.make(
-            seat.number, self.told.proxies, self.voters, self.times, seed, seat.clock(self.now),
-            seat.stored, has,
+        node.run_number += 1
+        if node.number in self.away:
+            self.down.append((self.away.pop(node.number), self.now, node.number))
+        has = node.texts if node.number in self.voters or node.run_number == 1 else ()
+        has = [text for text in has if self.unusable.get(text) != node.number]
+        seed = self.config.seed * 1000 + node.number * 100 + node.run_number
+        node.member = self.make(
+            node.number, self.config.proxies, self.voters, self.times, seed, node.clock(self.now),
+            node.stored, has,
         )  # fmt: skip
-        seat.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
-        self.judge.see(ProxyState(self.now, self.name(seat.number), "ready"))
-        self.give(seat, events.Tick())
+        node.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
+        self.judge.see(ProxyState(self.now, self.name(node.number), "ready"))
+        self.give(node, events.Tick())
 
-    def kill(self, seat: Seat, disk: str = "kept") -> None:
-        if not seat.member:
+    def kill(self, node: SimulatedProxy, disk: str = "kept") -> None:
+        if not node.member:
             return
-        self.look(seat)
-        seat.member, seat.waiting, seat.stands = None, [], False
-        seat.life += 1
-        seat.open = None
-        self.away[seat.number] = self.now
-        seat.offset = self.draw.uniform(0.0, 1e5) - self.now  # its machine was off
+        self.end_span(node)
+        node.member, node.pending_events, node.is_stalled = None, [], False
+        node.run_number += 1
+        node.open_span = None
+        self.away[node.number] = self.now
+        node.offset = self.draw.uniform(0.0, 1e5) - self.now  # its machine was off
         if disk == "lost":
-            seat.stored, seat.texts = None, set()
-        self.judge.see(ProxyState(self.now, self.name(seat.number), "killed"))
-
-    def stall(self, seat: Seat, until: float) -> None:
-        if seat.member and not seat.stands:
-            self.look(seat)
-            seat.stands, seat.open = True, None
-            self.judge.see(ProxyState(self.now, self.name(seat.number), "stalled"))
-            self.at(until, self.go_on, seat, seat.life)
-
-    def go_on(self, seat: Seat, life: int) -> None:
-        if seat.life != life or not seat.stands:
+            node.stored, node.texts = None, set()
+        self.judge.see(ProxyState(self.now, self.name(node.number), "killed"))
+
+    def stall(self, node: SimulatedProxy, until: float) -> None:
+        if node.member and not node.is_stalled:
+            self.end_span(node)
+            node.is_stalled, node.open_span = True, None
+            self.judge.see(ProxyState(self.now, self.name(node.number), "stalled"))
+            self.at(until, self.resume, node, node.run_number)
+
+    def resume(self, node: SimulatedProxy, life: int) -> None:
+        if node.run_number != life or not node.is_stalled:
             return
-        seat.stands = False
-        self.judge.see(ProxyState(self.now, self.name(seat.number), "on"))
-        self.hold(seat)  # requests may be taken before anything else is done
-        waiting, seat.waiting = seat.waiting, []
+        node.is_stalled = False
+        self.judge.see(ProxyState(self.now, self.name(node.number), "on"))
+        self.begin_span(node)  # requests may be taken before anything else is done
+        waiting, node.pending_events = node.pending_events, []
         for event in waiting:
-            self.give(seat, event)
-        self.give(seat, events.Tick())
+            self.give(node, event)
+        self.give(node, events.Tick())
 
-    def give(self, seat: Seat, event: events.Event) -> None:
-        """An event of its own, or what another one said to it."""
-        member = seat.member
+    def give(self, node: SimulatedProxy, event: events.Event) -> None:
+        """Hand a member an event."""
+        member = node.member
         if member is None:
             return
-        if seat.stands:
-            seat.waiting.append(event)
+        if node.is_stalled:
+            node.pending_events.append(event)
             return
-        self.look(seat)
-        local = seat.clock(self.now)
+        self.end_span(node)
+        local = node.clock(self.now)
         for action in member.handle(event, local):
-            self.act(seat, action)
-        self.hold(seat)
-        at = max(self.now + 1e-4, seat.true(member.next_tick_at(local)))
-        if at < seat.tick_at or seat.tick_at <= self.now:
-            seat.tick_at = at
-            self.at(at, self.tick, seat, seat.life, at)
-
-    def tick(self, seat: Seat, life: int, at: float) -> None:
-        if seat.life == life and seat.tick_at == at:
-            seat.tick_at = inf
-            self.give(seat, events.Tick())
-
-    def hold(self, seat: Seat) -> None:
-        """It takes requests from now on, where it may."""
-        member = seat.member
-        if member and member.serving and member.may_serve(seat.clock(self.now)):
+            self.act(node, action)
+        self.begin_span(node)
+        at = max(self.now + 1e-4, node.true_time(member.next_tick_at(local)))
+        if at < node.tick_at or node.tick_at <= self.now:
+            node.tick_at = at
+            self.at(at, self.tick, node, node.run_number, at)
+
+    def tick(self, node: SimulatedProxy, life: int, at: float) -> None:
+        if node.run_number == life and node.tick_at == at:
+            node.tick_at = inf
+            self.give(node, events.Tick())
+
+    def begin_span(self, node: SimulatedProxy) -> None:
+        """Begin a span in which it takes requests, where it may."""
+        member = node.member
+        if member and member.serving and member.may_serve(node.clock(self.now)):
             value = member.serving
-            seat.open = self.now, value.epoch
-            if self.seen.get(seat.number * 1_000_000 + value.epoch) != value.digest:
-                self.seen[seat.number * 1_000_000 + value.epoch] = value.digest
-                self.judge.see(InUse(self.now, self.name(seat.number), value.epoch, value.digest.hex()))
-
-    def look(self, seat: Seat) -> None:
-        """Note until when it has taken requests since its last event."""
-        if seat.open and seat.member:
-            since, epoch = seat.open
-            until = min(self.now, seat.true(seat.member.serve_until))
+            node.open_span = self.now, value.epoch
+            if self.seen.get(node.number * 1_000_000 + value.epoch) != value.digest:
+                self.seen[node.number * 1_000_000 + value.epoch] = value.digest
+                self.judge.see(InUse(self.now, self.name(node.number), value.epoch, value.digest.hex()))
+
+    def end_span(self, node: SimulatedProxy) -> None:
+        """Record until when it has taken requests since its last event."""
+        if node.open_span and node.member:
+            since, epoch = node.open_span
+            until = min(self.now, node.true_time(node.member.serve_until))
             if until > since:
-                self.spans.append(Span(since, until, epoch, seat.number))
-            seat.open = None
+                self.spans.append(Span(since, until, epoch, node.number))
+            node.open_span = None
 
-    def act(self, seat: Seat, action: events.Action) -> None:
+    def act(self, node: SimulatedProxy, action: events.Action) -> None:
         match action:
             case events.SendMessage(peer, payload):
-                self.carry(seat.number, peer, payload)
+                self.send(node.number, peer, payload)
             case events.SaveState(token, kept):
-                self.at(self.now + self.draw.uniform(*WRITE_S), self.written, seat, seat.life, token, kept)
+                self.at(
+                    self.now + self.draw.uniform(*WRITE_RANGE_S),
+                    self.written,
+                    node,
+                    node.run_number,
+                    token,
+                    kept,
+                )
             case events.FetchText(digest, holders):
                 for holder in holders:
-                    there = self.seats[holder]
-                    ways = not self.cut.get((seat.number, holder)) and not self.cut.get((holder, seat.number))
-                    if there.member and not there.stands and ways and digest in there.texts:
-                        took = self.draw.uniform(*FETCH_S)
-                        self.at(self.now + took, self.fetched, seat, seat.life, digest)
+                    there = self.nodes[holder]
+                    ways = not self.cut_counts.get((node.number, holder)) and not self.cut_counts.get(
+                        (holder, node.number)
+                    )
+                    if there.member and not there.is_stalled and ways and digest in there.texts:
+                        took = self.draw.uniform(*FETCH_RANGE_S)
+                        self.at(self.now + took, self.fetched, node, node.run_number, digest)
                         break
 
-    def written(self, seat: Seat, life: int, token: int, kept: VoterState) -> None:
-        if seat.life != life:
-            if seat.stored is not None and self.draw.random() < 0.5 and seat.life == life + 1:
-                seat.stored = kept if not seat.member else seat.stored  # it was on its way when power went
+    def written(self, node: SimulatedProxy, life: int, token: int, kept: VoterState) -> None:
+        if node.run_number != life:
+            if node.stored is not None and self.draw.random() < 0.5 and node.run_number == life + 1:
+                node.stored = kept if not node.member else node.stored  # it was on its way when power went
             return
-        if seat.full:
-            self.give(seat, events.StateSaveFailed(token))
+        if node.disk_full:
+            self.give(node, events.StateSaveFailed(token))
         else:
-            seat.stored = kept
-            self.give(seat, events.StateSaved(token))
+            node.stored = kept
+            self.give(node, events.StateSaved(token))
 
-    def fetched(self, seat: Seat, life: int, digest: bytes) -> None:
-        if seat.life == life:
-            self.text(seat, digest)
+    def fetched(self, node: SimulatedProxy, life: int, digest: bytes) -> None:
+        if node.run_number == life:
+            self.text(node, digest)
 
-    def text(self, seat: Seat, digest: bytes) -> None:
+    def text(self, node: SimulatedProxy, digest: bytes) -> None:
         """A policy's text is there, and checked."""
-        seat.texts.add(digest)
-        bad = self.unusable.get(digest) == seat.number
+        node.texts.add(digest)
+        bad = self.unusable.get(digest) == node.number
         self.give(
-            seat, events.TextChecked(digest, "classes[0].aim: above the deadline; lower it" if bad else "")
+            node, events.TextChecked(digest, "classes[0].aim: above the deadline; lower it" if bad else "")
         )
 
     # Network
 
-    def carry(self, sender: int, receiver: int, payload: bytes) -> None:
+    def send(self, sender: int, receiver: int, payload: bytes) -> None:
         self.sent += 1
         self.size += len(payload)
-        if self.cut.get((sender, receiver)) or self.net.random() < LOSS:
+        if self.cut_counts.get((sender, receiver)) or self.net.random() < LOSS_PROBABILITY:
             return
-        delay = self.net.uniform(*DELAY_S)
-        if self.net.random() < LATE:
-            delay += self.net.uniform(0.0, LATE_S)
-        self.at(self.now + delay, self.arrive, sender, receiver, payload)
-        if self.net.random() < TWICE:
-            self.at(self.now + delay + self.net.uniform(*DELAY_S), self.arrive, sender, receiver, payload)
-
-    def arrive(self, sender: int, receiver: int, payload: bytes) -> None:
-        seat = self.seats[receiver]
-        if seat.member and seat.rates.allow(sender, self.now):
-            self.give(seat, events.MessageReceived(sender, payload))
-
-    def shut(self, ways: list[tuple[int, int]], until: float, name: str) -> None:
+        delay = self.net.uniform(*DELAY_RANGE_S)
+        if self.net.random() < LATE_PROBABILITY:
+            delay += self.net.uniform(0.0, MAX_EXTRA_DELAY_S)
+        self.at(self.now + delay, self.deliver, sender, receiver, payload)
+        if self.net.random() < DUPLICATE_PROBABILITY:
+            self.at(
+                self.now + delay + self.net.uniform(*DELAY_RANGE_S), self.deliver, sender, receiver, payload
+            )
+
+    def deliver(self, sender: int, receiver: int, payload: bytes) -> None:
+        node = self.nodes[receiver]
+        if node.member and node.rates.allow(sender, self.now):
+            self.give(node, events.MessageReceived(sender, payload))
+
+    def cut_links(self, ways: list[tuple[int, int]], until: float, name: str) -> None:
         for way in ways:
-            self.cut[way] = self.cut.get(way, 0) + 1
+            self.cut_counts[way] = self.cut_counts.get(way, 0) + 1
         self.judge.see(Shaded(self.now, until, name))
-        self.at(until, self.unshut, ways)
+        self.at(until, self.heal_links, ways)
 
-    def unshut(self, ways: list[tuple[int, int]]) -> None:
+    def heal_links(self, ways: list[tuple[int, int]]) -> None:
         for way in ways:
-            self.cut[way] -= 1
+            self.cut_counts[way] -= 1
 
     # Operators
 
     def propose(self, change: Change) -> None:
-        runs = [seat for seat in self.seats if seat.member and not seat.stands]
+        runs = [node for node in self.nodes if node.member and not node.is_stalled]
         if not runs:
-            self.at(self.now + POLL_S, self.propose, change)
+            self.at(self.now + POLL_INTERVAL_S, self.propose, change)
             return
-        seat = self.draw.choice(runs)
-        change.proxy, change.asked, change.answered = seat.number, self.now, self.now
+        node = self.draw.choice(runs)
+        change.proxy, change.asked, change.answered = node.number, self.now, self.now
         if change not in self.changes:
             change.at = self.now
             self.changes.append(change)
-        self.judge.see(Proposed(self.now, self.name(seat.number), change.digest.hex()))
-        self.text(seat, change.digest)
-        self.give(seat, events.Propose(change.digest, change.voters))
-        self.at(self.now + POLL_S, self.poll, change)
+        self.judge.see(Proposed(self.now, self.name(node.number), change.digest.hex()))
+        self.text(node, change.digest)
+        self.give(node, events.Propose(change.digest, change.voters))
+        self.at(self.now + POLL_INTERVAL_S, self.poll, change)
 
     def poll(self, change: Change) -> None:
-        seat = self.seats[change.proxy]
+        node = self.nodes[change.proxy]
         outcome, why = ProposalOutcome.UNKNOWN, ""
-        if seat.member and not seat.stands:
-            outcome, why = seat.member.outcome(change.digest)
+        if node.member and not node.is_stalled:
+            outcome, why = node.member.outcome(change.digest)
         if outcome is not ProposalOutcome.UNKNOWN:
             change.answered = self.now
-        elif self.now > change.answered + ELSEWHERE_S:
+        elif self.now > change.answered + OTHER_PROXY_AFTER_S:
             self.propose(change)
             return
         if outcome in (ProposalOutcome.IN_FORCE, ProposalOutcome.FAILED):
@@ -373,69 +390,69 @@
             said = Said(self.now, self.name(change.proxy), change.digest.hex(), outcome.value, change.epoch)
             self.judge.see(said)
             return
-        self.at(self.now + POLL_S, self.poll, change)
+        self.at(self.now + POLL_INTERVAL_S, self.poll, change)
 
     def abort(self, change: Change) -> None:
-        self.give(self.seats[change.proxy], events.Abort(change.digest))
+        self.give(self.nodes[change.proxy], events.Abort(change.digest))
 
-    # What befalls them
+    # Faults
 
     def plan(self) -> None:
-        draw, told = self.draw, self.told
-        room = told.seconds - CHANGE_S - 8.0
-        if told.faults == "third":
-            down = draw.sample(range(told.proxies), told.proxies // 3)
+        draw, config = self.draw, self.config
+        room = config.seconds - CHANGE_S - 8.0
+        if config.faults == "third":
+            down = draw.sample(range(config.proxies), config.proxies // 3)
             while sum(number in self.voters for number in down) > (len(self.voters) - 1) // 2:
-                down = draw.sample(range(told.proxies), told.proxies // 3)
+                down = draw.sample(range(config.proxies), config.proxies // 3)
             for number in down:
-                self.at(1.0, self.kill, self.seats[number])
-        for number in range(told.changes):
-            at = 8.0 + room * (number + draw.uniform(0.0, 0.5)) / told.changes
-            change = Change(digest_of(b"%d/%d" % (told.seed, number)), at, 0)
+                self.at(1.0, self.kill, self.nodes[number])
+        for number in range(config.changes):
+            at = 8.0 + room * (number + draw.uniform(0.0, 0.5)) / config.changes
+            change = Change(digest_of(b"%d/%d" % (config.seed, number)), at, 0)
             self.at(at, self.propose, change)
-            if told.faults != "drawn":
+            if config.faults != "drawn":
                 continue
             if draw.random() < 0.15:
-                self.unusable[change.digest] = draw.randrange(told.proxies)
-            if draw.random() < 0.15 and told.proxies > len(self.voters):
+                self.unusable[change.digest] = draw.randrange(config.proxies)
+            if draw.random() < 0.15 and config.proxies > len(self.voters):
                 gone = draw.choice(self.voters)
                 change.voters = tuple(sorted({*self.voters} - {gone}))
             if draw.random() < 0.3:
-                rival = Change(digest_of(b"%d/%d/rival" % (told.seed, number)), at, 0)
+                rival = Change(digest_of(b"%d/%d/rival" % (config.seed, number)), at, 0)
                 self.at(at + draw.uniform(0.0, 5.0), self.propose, rival)
             if draw.random() < 0.15:
                 self.at(at + draw.uniform(0.1, 6.0), self.abort, change)
-        if told.faults == "drawn":
+        if config.faults == "drawn":
             for _ in range(draw.randint(3, 8)):
-                self.at(draw.uniform(3.0, told.seconds - 15.0), self.trouble)
+                self.at(draw.uniform(3.0, config.seconds - 15.0), self.inject_random_fault)
             empty = draw.sample(self.voters, (len(self.voters) - 1) // 2) if draw.random() < 0.4 else []
             for voter in empty:
-                self.at(draw.uniform(3.0, told.seconds - 15.0), self.strike, [voter], "lost")
+                self.at(draw.uniform(3.0, config.seconds - 15.0), self.crash, [voter], "lost")
 
-    def strike(self, numbers: list[int], disk: str = "kept") -> None:
+    def crash(self, numbers: list[int], disk: str = "kept") -> None:
         for number in numbers:
-            self.kill(self.seats[number], disk)
-            self.at(self.now + self.draw.uniform(*BACK_S), self.start, self.seats[number])
+            self.kill(self.nodes[number], disk)
+            self.at(self.now + self.draw.uniform(*RESTART_RANGE_S), self.start, self.nodes[number])
 
-    def trouble(self) -> None:
-        draw, proxies = self.draw, self.told.proxies
+    def inject_random_fault(self) -> None:
+        draw, proxies = self.draw, self.config.proxies
         until = self.now + draw.uniform(0.3, 15.0)
         some = draw.sample(range(proxies), max(1, draw.randint(1, max(1, proxies // 3))))
         one = draw.choice(self.voters) if draw.random() < 0.6 else draw.randrange(proxies)
         match draw.choice(("kill", "some", "power", "stall", "stall", "cut", "cut", "link", "full")):
             case "kill":
-                self.strike([one])
+                self.crash([one])
             case "some":
-                self.strike(some)
+                self.crash(some)
             case "power":
-                self.strike(list(range(proxies)))
+                self.crash(list(range(proxies)))
             case "stall":
                 for number in {one, *(some if draw.random() < 0.3 else ())}:
-                    self.stall(self.seats[number], until)
+                    self.stall(self.nodes[number], until)
             case "cut":
                 side = set(some) | {one}
                 ways = [(a, b) for a in range(proxies) for b in range(proxies) if (a in side) != (b in side)]
-                self.shut(ways, until, "cut")
+                self.cut_links(ways, until, "cut")
             case "link":
                 others = [number for number in range(proxies) if number != one]
                 ways = [(one, other) for other in others]
@@ -443,16 +460,16 @@
                     ways = [(other, one) for other in others]
                 if draw.random() < 0.5:
                     ways = [draw.choice(ways)]
-                self.shut(ways, until, "link")
+                self.cut_links(ways, until, "link")
             case "full":
-                self.seats[one].full = True
+                self.nodes[one].disk_full = True
                 self.judge.see(Shaded(self.now, until, "link, of a disk"))
-                self.at(until, self.emptied, self.seats[one])
+                self.at(until, self.free_disk, self.nodes[one])
 
-    def emptied(self, seat: Seat) -> None:
-        seat.full = False
+    def free_disk(self, node: SimulatedProxy) -> None:
+        node.disk_full = False
 
-    # What came of it
+    # Results
 
     def broken(self) -> list[str]:
         lines = [f"{one.at:.3f} s, {one.proxy}: {one.rule.value}: {one.text}"
@@ -471,16 +488,16 @@
                     f"{span.until:.3f} s, p{span.proxy}: by epoch {span.epoch}, and p{by.proxy}"
                     f" by epoch {by.epoch} since {by.since:.3f} s"
                 )
-            told = min((at for epoch, at in said.items() if epoch > span.epoch), default=inf)
-            if span.until > told + slack:
+            said_at = min((at for epoch, at in said.items() if epoch > span.epoch), default=inf)
+            if span.until > said_at + slack:
                 lines.append(
                     f"{span.until:.3f} s, p{span.proxy}: by epoch {span.epoch}, and a newer one"
-                    f" was said to be in force at {told:.3f} s"
+                    f" was said to be in force at {said_at:.3f} s"
                 )
         return lines
 
     def figures(self) -> Figures:
-        told, changes = self.told, self.changes
+        config, changes = self.config, self.changes
         outcomes: dict[str, int] = {}
         for change in changes:
             outcomes[change.outcome or "none"] = outcomes.get(change.outcome or "none", 0) + 1
@@ -493,12 +510,12 @@
         rounds = [min(at) - ROUND_S / 2 for epoch, at in swaps.items() if epoch > 1]
         apart = [max(at) - min(at) for epoch, at in swaps.items() if epoch > 1]
         return Figures(
-            proxies=told.proxies, seed=told.seed, faults=told.faults, broken=self.broken(),
+            proxies=config.proxies, seed=config.seed, faults=config.faults, broken=self.broken(),
             in_force=[change.ended - change.at for change in changes if change.epoch],
-            outcomes=outcomes, messages=self.sent / told.proxies / told.seconds,
-            bytes=self.size / told.proxies / told.seconds,
+            outcomes=outcomes, messages=self.sent / config.proxies / config.seconds,
+            bytes=self.size / config.proxies / config.seconds,
             lost=[self.unserved(at, at + ROUND_S) for at in rounds],
-            idle=self.unserved(3.0, told.seconds), apart=max(apart, default=0.0),
+            idle=self.unserved(3.0, config.seconds), apart=max(apart, default=0.0),
         )  # fmt: skip
 
     def unserved(self, since: float, until: float) -> float:
@@ -509,5 +526,5 @@
 
         held = sum(within(span.since, span.until) for span in self.spans)
         down = sum(within(a, b) for a, b, _ in self.down)
-        runs = self.told.proxies * (until - since) - down
+        runs = self.config.proxies * (until - since) - down
         return max(0.0, 1.0 - held / runs) if runs > 0 else 0.0
--- a/tests/proxy/quorum/test_edges.py
+++ b/tests/proxy/quorum/test_edges.py
@@ -50,26 +50,26 @@
         super().__init__(1, (), [(3.0, 6, 0.0), (8.0, 6, 0.0)], make)
         self.yes: list[tuple[int, bytes]] = []
 
-    def carry(self, sender: int, receiver: int, payload: bytes) -> None:
+    def send(self, sender: int, receiver: int, payload: bytes) -> None:
         said = decode(payload)
         if isinstance(said, Accept) and said.value[0] == 3:
             for voter, yes in self.yes:
-                self.at(self.now + 0.01, self.arrive, voter, sender, yes)
+                self.at(self.now + 0.01, self.deliver, voter, sender, yes)
             return
         if isinstance(said, Accepted):
             self.yes.append((sender, payload))
-        super().carry(sender, receiver, payload)
+        super().send(sender, receiver, payload)
 
-    def settled(self) -> None:
+    def check_settled(self) -> None:
         """It goes on to its end."""
 
 
 @pytest.mark.parametrize("make", [Member, OneNonce])
 def test_answers_to_an_earlier_change_do_not_count_for_a_later_one(make: type[Member]) -> None:
     world = Again(make)
-    world.told = type(world.told)(proxies=7, seed=1, seconds=12.0, times=world.times)
+    world.config = type(world.config)(proxies=7, seed=1, seconds=12.0, times=world.times)
     world.run()
-    learner = world.seats[6].member
+    learner = world.nodes[6].member
     assert learner and learner.state.history[2].digest == digest_of(b"0") and world.yes
     assert (3 in learner.state.history) == (make is OneNonce)
 
@@ -80,16 +80,16 @@
     told: list[ProposalOutcome] = []
 
     def meddle() -> None:
-        seat = world.seats[6]
-        assert seat.member and seat.member.serving
-        if seat.member.serving.epoch < 2:
+        node = world.nodes[6]
+        assert node.member and node.member.serving
+        if node.member.serving.epoch < 2:
             world.at(world.now + 0.01, meddle)
             return
-        world.text(seat, second)
+        world.text(node, second)
         for event in (Propose(second), Abort(first)):
-            world.give(seat, event)
-        told.extend(seat.member.outcome(digest)[0] for digest in (first, second))
-        told.append(ProposalOutcome.OPEN if seat.member.state.readiness else ProposalOutcome.FAILED)
+            world.give(node, event)
+        told.extend(node.member.outcome(digest)[0] for digest in (first, second))
+        told.append(ProposalOutcome.OPEN if node.member.state.readiness else ProposalOutcome.FAILED)
 
     world.at(3.5, meddle)
     world.run()
@@ -101,10 +101,10 @@
     said: dict[int, set[tuple[ProposalOutcome, int]]] = {proxy: set() for proxy in range(7)}
 
     def ask() -> None:
-        for seat in world.seats:
-            if seat.member and seat.member.serving:
-                outcome = seat.member.outcome(digest_of(b"0"))[0]
-                said[seat.number].add((outcome, seat.member.serving.epoch))
+        for node in world.nodes:
+            if node.member and node.member.serving:
+                outcome = node.member.outcome(digest_of(b"0"))[0]
+                said[node.number].add((outcome, node.member.serving.epoch))
         world.at(world.now + 0.02, ask)
 
     world.at(2.0, ask)
--- a/tests/proxy/quorum/test_member_machine.py
+++ b/tests/proxy/quorum/test_member_machine.py
@@ -12,7 +12,7 @@
 from firvane.proxy.quorum.member import Member
 from firvane.proxy.quorum.proposals import Proposals
 from firvane.proxy.quorum.types import ProposalOutcome, Timing
-from tests.proxy.quorum.world import FAULTS_S, SHORT, Trouble, World
+from tests.proxy.quorum.world import FAULTS_S, SHORT, Fault, World
 
 
 @dataclass(frozen=True)
@@ -43,8 +43,8 @@
 HISTORIES = int(os.environ.get("FIRVANE_POLICY_HISTORIES", "40"))
 KINDS = ("kill", "lose", "power", "stall", "mute", "deaf", "cut", "full")
 WHEN = st.floats(1.0, FAULTS_S, width=32)
-TROUBLES = st.builds(
-    Trouble, st.sampled_from(KINDS), st.integers(0, 6), WHEN, st.one_of(st.floats(0.1, 4.0), st.just(20.0))
+FAULTS = st.builds(
+    Fault, st.sampled_from(KINDS), st.integers(0, 6), WHEN, st.one_of(st.floats(0.1, 4.0), st.just(20.0))
 )
 PROPOSALS = st.tuples(WHEN, st.integers(0, 6), st.one_of(st.just(0.0), st.floats(0.1, 3.0)))
 
@@ -53,16 +53,16 @@
     derandomize=True, max_examples=HISTORIES, deadline=None, phases=(Phase.generate,),
     suppress_health_check=list(HealthCheck),
 )  # fmt: skip
-@given(st.integers(0, 1 << 30), st.lists(TROUBLES, max_size=5), st.lists(PROPOSALS, min_size=1, max_size=3))
+@given(st.integers(0, 1 << 30), st.lists(FAULTS, max_size=5), st.lists(PROPOSALS, min_size=1, max_size=3))
 def test_every_promise_holds(
-    seed: int, troubles: list[Trouble], proposals: list[tuple[float, int, float]]
+    seed: int, injected_faults: list[Fault], proposals: list[tuple[float, int, float]]
 ) -> None:
-    assert World(seed, troubles, proposals).verdict() == []
+    assert World(seed, injected_faults, proposals).verdict() == []
 
 
 def test_a_swap_without_notice_is_seen() -> None:
     hasty = Hasty(SHORT.lease_s, SHORT.clock_skew, SHORT.round_trip_s, SHORT.readiness_timeout_s)
-    cuts = [[Trouble("deaf", 5, 3.0 + at / 20, 4.0)] for at in range(6, 15)]
+    cuts = [[Fault("deaf", 5, 3.0 + at / 20, 4.0)] for at in range(6, 15)]
     worlds = (World(3, cut, [(3.0, 6, 0.0)], times=hasty) for cut in cuts)
     assert any("by epoch 1" in line for world in worlds for line in world.verdict())
 
--- a/tests/proxy/quorum/world.py
+++ b/tests/proxy/quorum/world.py
@@ -1,11 +1,11 @@
-"""Whole members on a small virtual network, and what befalls them, drawn by whoever tests them."""
+"""Whole members on a small virtual network, and faults that are drawn by the test."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from benchmarks.policy_members import Change, Drawn, Make, Members
+from benchmarks.policy_members import Change, ConsensusSimulation, HistoryConfig, Make
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.member import Member
@@ -19,8 +19,8 @@
 ENDS_S = 25.0  # after which everything must be well again
 
 
-class Trouble(NamedTuple):
-    """What befalls one proxy, from then on, for so long."""
+class Fault(NamedTuple):
+    """A fault of one proxy, from then on, for so long."""
 
     kind: str
     proxy: int
@@ -28,54 +28,56 @@
     lasts: float  # s
 
 
-class World(Members):
+class World(ConsensusSimulation):
     """Five voters, two proxies that learn; `proposals` are when, where, after how long aborted (0: not)."""
 
     def __init__(
         self,
         seed: int,
-        troubles: Sequence[Trouble] = (),
+        injected_faults: Sequence[Fault] = (),
         proposals: Sequence[tuple[float, int, float]] = (),
         make: Make = Member,
         proxies: int = 7,
         times: Timing = SHORT,
     ) -> None:
-        last = max([FAULTS_S, *(one.at + one.lasts for one in troubles)])
+        last = max([FAULTS_S, *(one.at + one.lasts for one in injected_faults)])
         seconds = last + ENDS_S
-        drawn = Drawn(proxies=proxies, seed=seed, seconds=seconds, faults="none", changes=0, times=times)
-        super().__init__(drawn, make)
-        self.troubles, self.proposals, self.last = troubles, proposals, last
+        config = HistoryConfig(
+            proxies=proxies, seed=seed, seconds=seconds, faults="none", changes=0, times=times
+        )
+        super().__init__(config, make)
+        self.injected_faults, self.proposals, self.last = injected_faults, proposals, last
         self.fine = False
 
     def plan(self) -> None:
         lost: set[int] = set()
-        for one in self.troubles:
+        for one in self.injected_faults:
             if one.kind == "lose":  # fewer than half of the voters
                 lost.add(one.proxy)
                 kind = "lose" if len(lost) <= 2 or one.proxy not in self.voters else "kill"
                 one = one._replace(kind=kind)
-            self.at(one.at, self.befall, one)
+            self.at(one.at, self.inject, one)
         for number, (at, proxy, abort) in enumerate(self.proposals):
             change = Change(digest_of(b"%d" % number), at, proxy)
             self.at(at, self.propose_at, change)
             if abort:
                 self.at(at + abort, self.abort, change)
-        self.at(self.last, self.settled)
+        self.at(self.last, self.check_settled)
 
     def propose_at(self, change: Change) -> None:
         """At that door, and at no other one later."""
-        seat = self.seats[change.proxy]
-        if seat.member and not seat.stands:
+        node = self.nodes[change.proxy]
+        if node.member and not node.is_stalled:
             self.changes.append(change)
-            self.judge.see(Proposed(self.now, self.name(seat.number), change.digest.hex()))
-            self.text(seat, change.digest)
-            self.give(seat, events.Propose(change.digest))
+            self.judge.see(Proposed(self.now, self.name(node.number), change.digest.hex()))
+            self.text(node, change.digest)
+            self.give(node, events.Propose(change.digest))
             self.poll(change)
 
     def poll(self, change: Change) -> None:
-        seat = self.seats[change.proxy]
-        if seat.member and not seat.stands:
-            outcome, why = seat.member.outcome(change.digest)
+        node = self.nodes[change.proxy]
+        if node.member and not node.is_stalled:
+            outcome, why = node.member.outcome(change.digest)
             if outcome is ProposalOutcome.FAILED:
                 change.outcome = outcome.value
                 return
@@ -83,48 +85,48 @@
                 change.outcome, change.epoch, change.ended = outcome.value, int(why.split()[1]), self.now
                 return
             begun = not why.startswith("not proposed")  # else nothing has come of it, and nothing will
-            change.outcome = outcome.value if seat.life == 1 and begun else ""
+            change.outcome = outcome.value if node.run_number == 1 and begun else ""
         self.at(self.now + 0.1, self.poll, change)
 
-    def befall(self, one: Trouble) -> None:
-        seat, until = self.seats[one.proxy], self.now + one.lasts
-        others = [other for other in range(len(self.seats)) if other != one.proxy]
+    def inject(self, one: Fault) -> None:
+        node, until = self.nodes[one.proxy], self.now + one.lasts
+        others = [other for other in range(len(self.nodes)) if other != one.proxy]
         match one.kind:
             case "kill" | "lose":
-                self.kill(seat, "lost" if one.kind == "lose" else "kept")
-                self.at(until, self.start, seat)
+                self.kill(node, "lost" if one.kind == "lose" else "kept")
+                self.at(until, self.start, node)
             case "power":
-                for other in self.seats:
+                for other in self.nodes:
                     self.kill(other)
                     self.at(until, self.start, other)
             case "stall":
-                self.stall(seat, until)
+                self.stall(node, until)
             case "mute":
-                self.shut([(one.proxy, other) for other in others], until, "link")
+                self.cut_links([(one.proxy, other) for other in others], until, "link")
             case "deaf":
-                self.shut([(other, one.proxy) for other in others], until, "link")
+                self.cut_links([(other, one.proxy) for other in others], until, "link")
             case "cut":
-                side = {one.proxy, (one.proxy + 1) % len(self.seats)}
+                side = {one.proxy, (one.proxy + 1) % len(self.nodes)}
                 ways = [(a, b) for a in range(7) for b in range(7) if (a in side) != (b in side)]
-                self.shut(ways, until, "cut")
+                self.cut_links(ways, until, "cut")
             case "full":
-                seat.full = True
-                self.at(until, self.emptied, seat)
+                node.disk_full = True
+                self.at(until, self.free_disk, node)
 
-    def settled(self) -> None:
+    def check_settled(self) -> None:
         """Look now and then whether all hold a lease under one epoch, and every change has ended."""
         now = self.now
         held = {
-            seat.member.serving.epoch if seat.member.serving and seat.member.may_serve(seat.clock(now)) else 0
-            for seat in self.seats
-            if seat.member
+            node.member.serving.epoch if node.member.serving and node.member.may_serve(node.clock(now)) else 0
+            for node in self.nodes
+            if node.member
         }
         ended = all(change.outcome in ("", "failed", "in force") for change in self.changes)
-        self.fine = ended and len(held) == 1 and 0 not in held and not any(s.stands for s in self.seats)
+        self.fine = ended and len(held) == 1 and 0 not in held and not any(s.is_stalled for s in self.nodes)
         if self.fine:
             self.due.clear()
         else:
-            self.at(now + 0.5, self.settled)
+            self.at(now + 0.5, self.check_settled)
 
     def verdict(self) -> list[str]:
         """What is broken; none where all promises are kept."""
@@ -134,8 +136,8 @@
         if not self.fine:
             lines.append(f"(e) {self.now:.1f} s: not all hold a lease under one epoch, or a change is open")
         values: dict[int, Value] = {}
-        for seat in self.seats:
-            for epoch, value in (seat.member.state.history if seat.member else {}).items():
+        for node in self.nodes:
+            for epoch, value in (node.member.state.history if node.member else {}).items():
                 if values.setdefault(epoch, value) != value:
                     lines.append(f"(d) epoch {epoch} is two policies")
         decided = {value.digest for value in values.values()}
