--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -31,7 +31,13 @@
 from firvane.proxy.recovery.messages import Ask, Held, Loan
 from firvane.proxy.recovery.peers import AGAIN as ASK_AGAIN
 from firvane.proxy.recovery.peers import FEW, SPARE, Loans, Told, neediest
-from firvane.proxy.recovery.state_machine import CALM, PATIENCE, Event, RecoveryStateMachine, State
+from firvane.proxy.recovery.state_machine import (
+    CALM_PERIOD_S,
+    PEER_TIMEOUT_S,
+    RecoveryEvent,
+    RecoveryState,
+    RecoveryStateMachine,
+)
 
 TRIAL = (0.15, 0.25)  # s from one trial of a box that does not answer to the next
 AGAIN, FOREIGN = 0.4, 0.7  # part of a room for who comes again; for keys of boxes of other homes
@@ -72,7 +78,7 @@
 
     @property
     def on(self) -> bool:
-        return self.state_machine.on
+        return self.state_machine.is_active
 
     # What is asked
 
@@ -162,7 +168,7 @@
         if outcome.result is api.Result.OK:
             self.answered_at = now
             self.proven.setdefault(server, now)
-            self.state_machine.hear(Event.ANSWERED, now, server.entry.id)
+            self.state_machine.apply(RecoveryEvent.ANSWERED, now, server.entry.id)
             if now > self.down.pop(server, now) + DOWN:
                 if not self.evidence.is_cold(server, now):
                     server.since, server.timed = now, 0.0
@@ -188,7 +194,9 @@
             self.sources["list"] = f"discovery, version {news.version}"
         else:
             self.sources.setdefault("list", f"as last known, version {news.version}")
-        self.state_machine.hear(Event.LISTED if servers else Event.LOST, now, f"{len(servers)} boxes")
+        self.state_machine.apply(
+            RecoveryEvent.LISTED if servers else RecoveryEvent.ENDPOINTS_LOST, now, f"{len(servers)} boxes"
+        )
         up = set(servers)
         self.proven = {s: since for s, since in self.proven.items() if s in up}
         for server in self.begun.keys() - up:
@@ -203,11 +211,11 @@
 
     def _listen(self, now: float) -> None:
         """Whether peers are warm by what they have told."""
-        if self.state_machine.state in (State.ASKING, State.TRIALS):
+        if self.state_machine.state in (RecoveryState.ASKING_PEERS, RecoveryState.PROBING):
             warm = self.told.warm(now, self.few)
             self.trusting = warm > 0
             if warm and not self.struck:
-                self.state_machine.hear(Event.PEERS_WARM, now, f"{warm} say so")
+                self.state_machine.apply(RecoveryEvent.PEERS_WARM, now, f"{warm} say so")
 
     def _begin(self, mine: Iterable[Backend], now: float) -> None:
         """Find the rooms by steps of those of this proxy's boxes that are not known."""
@@ -266,28 +274,28 @@
         """Once a window: `mine` are this proxy's boxes, `rows` the peers'."""
         machine = self.state_machine
         heard = len(rows) + 1 >= self.settings.proxies
-        self.dealt = self.dealt or heard or now >= self.started + PATIENCE
+        self.dealt = self.dealt or heard or now >= self.started + PEER_TIMEOUT_S
         self.mine = set(mine)
         cold = {s for s in mine if self.evidence.is_cold(s, now)}
-        if not (machine.on or cold or self.begun or machine.changes):
+        if not (machine.is_active or cold or self.begun or machine.transitions):
             return []
         weight = sum(s.weight for s in mine)
         colds = sum(s.weight for s in cold if s not in self.settled or self.settled[s] != s.since)
         self.struck = weight > 0 and colds >= STRUCK * weight
         self._listen(now)
-        if machine.state is State.ASKING and now >= machine.since + PATIENCE:
-            machine.hear(Event.NOBODY_WARM, now)
+        if machine.state is RecoveryState.ASKING_PEERS and now >= machine.since + PEER_TIMEOUT_S:
+            machine.apply(RecoveryEvent.NOBODY_WARM, now)
         if self.struck:
-            machine.hear(Event.STRUCK, now, f"{colds / weight:.0%}")
-        if machine.state is State.GROWING and weight:
+            machine.apply(RecoveryEvent.BACKENDS_COLD, now, f"{colds / weight:.0%}")
+        if machine.state is RecoveryState.GROWING and weight:
             # That a box has answered shows little of its age, and that no steps have begun, nothing: a slice
             # dealt anew, by a drain or a loss, has boxes that begin now.
             if not cold and (not self.parts.steps or all(self._is_old(s, now) for s in mine)):
-                machine.hear(Event.WARM, now)
-            elif now >= max(self.turned_away, machine.since) + CALM:
-                machine.hear(Event.CALM, now)
+                machine.apply(RecoveryEvent.WARM, now)
+            elif now >= max(self.turned_away, machine.since) + CALM_PERIOD_S:
+                machine.apply(RecoveryEvent.CALM, now)
         actions: list[api.Action] = []
-        if machine.on:
+        if machine.is_active:
             if self.dealt:  # what has another home now is its to find
                 self._leave(self.begun.keys() - self.mine)
             self._begin(mine, now)
@@ -298,8 +306,8 @@
             self.settled = {s: s.since for s in cold}
             self._leave(self.begun.keys() - self.mine)
             self.loans.clear()
-        for change in machine.told():
-            fields = {"now": change.now.value, "was": change.was.value, "why": change.why}
+        for change in machine.take_transitions():
+            fields = {"now": change.new.value, "was": change.old.value, "why": change.reason}
             actions.append(api.Log(event="recovery", fields=fields))
         return actions
 
@@ -321,7 +329,7 @@
     def _ask(self, now: float) -> list[api.Action]:
         """Ask a few peers, anew in each round, until a box has answered."""
         peers = [n for n in range(self.settings.proxies) if n != self.settings.me]
-        wanted = self.state_machine.state is not State.GROWING and self.settings.limits.peers
+        wanted = self.state_machine.state is not RecoveryState.GROWING and self.settings.limits.peers
         if not (wanted and peers and self.parts.ask and now >= self.ask_at):
             return []
         self.ask_at = now + ASK_AGAIN * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
@@ -351,7 +359,7 @@
         rooms = ", ".join(f"{s.entry.id} {s.steps:.0f}" for s in sorted(self.begun, key=lambda s: s.entry.id))
         return {
             "state": machine.state.value,
-            "why": machine.why,
+            "why": machine.reason,
             "for_s": f"{now - machine.since:.1f}",
             "trusted": "; ".join(f"{what}: {whose}" for what, whose in sorted(self.sources.items()))
             or "nothing",
--- a/firvane/proxy/recovery/state_machine.py
+++ b/firvane/proxy/recovery/state_machine.py
@@ -1,14 +1,15 @@
-"""The order in which service returns, as one table of states.
-
-Rules that hold here and nowhere else:
-
-1. What stands in the table happens; what does not is no news in that state and changes nothing.
-2. Nothing ends by time alone. A recovery is over when its boxes are shown to be warm, or when for `CALM`
-   seconds all that was asked found room; a wait for peers ends because they have said nothing, which is
-   news: then nobody is known to be warm.
-3. A proxy that starts is not over until it has heard of warm peers or found its boxes itself. One that runs
-   comes back into the table when half of its boxes are cold: power can go from them alone, and again.
-4. Each change has a cause in words, which the log and the door tell.
+"""The states of a recovery, in the order in which service returns, as one table.
+
+Invariants:
+
+1. What is in `TRANSITIONS` happens; an event that is not in it for a state changes nothing.
+2. No state ends by time alone. A recovery is over when its backends are shown to be warm, or when for
+   `CALM_PERIOD_S` all that was asked found capacity; a wait for peers ends because they have reported
+   nothing, which is an event: then nobody is known to be warm.
+3. A proxy that starts is not over until it has reports of warm peers or has found its backends itself. One
+   that runs comes back into the table when half of its backends are cold: power can fail for them alone, and
+   again.
+4. Each transition has a reason in words, for the log and the admin API.
 """
 
 from __future__ import annotations
@@ -16,82 +17,89 @@
 from enum import Enum
 from typing import NamedTuple
 
-CALM = 3.0  # s in which everything found room
-PATIENCE = 0.5  # s that peers have to say that they are warm: ten times what a datagram takes
+CALM_PERIOD_S = 3.0  # in which everything found capacity
+PEER_TIMEOUT_S = 0.5  # for peers to report that they are warm: ten times what a datagram takes
 
 
-class State(Enum):
-    """Where a proxy is on its way back."""
+class RecoveryState(Enum):
+    """The state of a recovery; the values are shown to operators."""
 
-    LISTLESS = "listless"  # no list of boxes yet: all is refused
-    ASKING = "asking"  # boxes are tried meanwhile; peers may say that they are warm
-    TRIALS = "trials"  # each box is tried by its home; none has answered
-    GROWING = "growing"  # rooms are found by steps
-    OVER = "over"  # the ordinary way of things
+    NO_ENDPOINTS = "listless"  # no endpoint list yet: all requests are rejected
+    ASKING_PEERS = "asking"  # backends are tried meanwhile; peers may report that they are warm
+    PROBING = "trials"  # each backend is tried by its owner; none has answered
+    GROWING = "growing"  # capacities are found by steps
+    OVER = "over"  # ordinary operation
 
 
-class Event(Enum):
-    """What is heard."""
+class RecoveryEvent(Enum):
+    """What leads from one state to the next; the values are shown to operators."""
 
     LISTED = "listed"
     PEERS_WARM = "peers are warm"
     NOBODY_WARM = "nobody is known to be warm"
     ANSWERED = "a box has answered"
-    STRUCK = "half of its boxes are cold"
+    BACKENDS_COLD = "half of its boxes are cold"
     CALM = "all finds room"
     WARM = "its boxes are warm"
-    LOST = "no box is left"
+    ENDPOINTS_LOST = "no box is left"
 
 
-TABLE: dict[State, dict[Event, State]] = {
-    State.LISTLESS: {Event.LISTED: State.ASKING},
-    State.ASKING: {
-        Event.PEERS_WARM: State.OVER,
-        Event.NOBODY_WARM: State.TRIALS,
-        Event.STRUCK: State.TRIALS,
-        Event.LOST: State.LISTLESS,
+TRANSITIONS: dict[RecoveryState, dict[RecoveryEvent, RecoveryState]] = {
+    RecoveryState.NO_ENDPOINTS: {RecoveryEvent.LISTED: RecoveryState.ASKING_PEERS},
+    RecoveryState.ASKING_PEERS: {
+        RecoveryEvent.PEERS_WARM: RecoveryState.OVER,
+        RecoveryEvent.NOBODY_WARM: RecoveryState.PROBING,
+        RecoveryEvent.BACKENDS_COLD: RecoveryState.PROBING,
+        RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS,
     },
-    State.TRIALS: {
-        Event.ANSWERED: State.GROWING,
-        Event.PEERS_WARM: State.OVER,
-        Event.LOST: State.LISTLESS,
+    RecoveryState.PROBING: {
+        RecoveryEvent.ANSWERED: RecoveryState.GROWING,
+        RecoveryEvent.PEERS_WARM: RecoveryState.OVER,
+        RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS,
     },
-    State.GROWING: {Event.CALM: State.OVER, Event.WARM: State.OVER, Event.LOST: State.LISTLESS},
-    State.OVER: {Event.STRUCK: State.GROWING},
+    RecoveryState.GROWING: {
+        RecoveryEvent.CALM: RecoveryState.OVER,
+        RecoveryEvent.WARM: RecoveryState.OVER,
+        RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS,
+    },
+    RecoveryState.OVER: {RecoveryEvent.BACKENDS_COLD: RecoveryState.GROWING},
 }
 
 
-class Change(NamedTuple):
+class Transition(NamedTuple):
     """One change of state."""
 
     at: float
-    was: State
-    now: State
-    why: str
+    old: RecoveryState
+    new: RecoveryState
+    reason: str
 
 
 class RecoveryStateMachine:
-    """The state that a proxy is in, since when, and why."""
+    """The state that a proxy is in, since when, and why. Times are seconds on one clock."""
 
     def __init__(self, now: float) -> None:
-        self.state, self.since, self.why = State.LISTLESS, now, "it has just started"
-        self.changes: list[Change] = []  # not told yet
+        self.state = RecoveryState.NO_ENDPOINTS
+        self.since = now
+        self.reason = "it has just started"
+        self.transitions: list[Transition] = []  # that have not been taken
 
     @property
-    def on(self) -> bool:
-        return self.state is not State.OVER
-
-    def hear(self, event: Event, now: float, more: str = "") -> bool:
-        """Whether that was news in this state; the next one holds then."""
-        following = TABLE[self.state].get(event)
-        if following is None:
+    def is_active(self) -> bool:
+        """Whether the recovery is not over."""
+        return self.state is not RecoveryState.OVER
+
+    def apply(self, event: RecoveryEvent, now: float, detail: str = "") -> bool:
+        """Handle an event; return whether it has changed the state."""
+        new = TRANSITIONS[self.state].get(event)
+        if new is None:
             return False
-        why = f"{event.value} ({more})" if more else event.value
-        self.changes.append(Change(now, self.state, following, why))
-        self.state, self.since, self.why = following, now, why
+        reason = f"{event.value} ({detail})" if detail else event.value
+        self.transitions.append(Transition(now, self.state, new, reason))
+        self.state, self.since, self.reason = new, now, reason
         return True
 
-    def told(self) -> list[Change]:
-        """The changes since the last time, for the log."""
-        changes, self.changes = self.changes, []
-        return changes
+    def take_transitions(self) -> list[Transition]:
+        """Return the transitions since the last call, for the log."""
+        transitions, self.transitions = self.transitions, []
+        return transitions
--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -11,7 +11,7 @@
 
 from firvane.core import interface as api
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.recovery.state_machine import State
+from firvane.proxy.recovery.state_machine import RecoveryState
 from firvane.simulation.emulation.backend import Box, End
 from firvane.simulation.emulation.scenario import Boxes, Kind
 from tests.helpers import settings
@@ -103,7 +103,7 @@
         self.now = seconds
         return self
 
-    def states(self) -> set[State]:
+    def states(self) -> set[RecoveryState]:
         return {one.recovery.state_machine.state for one in self.balancers if one and one.recovery}
 
     def _ask(self, number: int) -> None:
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -15,7 +15,7 @@
 from firvane.proxy.recovery import peers, recovery, steps
 from firvane.proxy.recovery.peers import Told
 from firvane.proxy.recovery.recovery import Recovery
-from firvane.proxy.recovery.state_machine import TABLE, Event, State
+from firvane.proxy.recovery.state_machine import TRANSITIONS, RecoveryEvent, RecoveryState
 from firvane.proxy.snapshots import file, types
 from tests.proxy.recovery import test_histories, test_peers, test_small_fleet, test_steps
 from tests.proxy.snapshots import test_snapshots
@@ -82,7 +82,8 @@
     Mutant("a pace that stays", steps, "rest", lambda server: None,
            test_steps.test_work_that_would_take_more_than_its_aim_is_not_sent),
     Mutant("an answer shows that a box is warm", Recovery, "_is_old", known, back),
-    Mutant("a table without an end", TABLE, State.GROWING.value, {Event.LOST: State.LISTLESS}, back),
+    Mutant("a table without an end", TRANSITIONS, RecoveryState.GROWING.value,
+           {RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS}, back),
     Mutant("a checksum that says nothing", checksum.google_crc32c, "value", lambda data: 0,
            test_snapshots.test_whatever_is_cut_flipped_or_added_is_refused_in_one_line),
     Mutant("written in place", file, "write_atomically", writes, failing_write),
@@ -94,7 +95,7 @@
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_a_broken_promise_is_caught(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
     if isinstance(mutant.owner, dict):
-        monkeypatch.setitem(mutant.owner, State(mutant.attribute), mutant.instead)
+        monkeypatch.setitem(mutant.owner, RecoveryState(mutant.attribute), mutant.instead)
     else:
         monkeypatch.setattr(mutant.owner, mutant.attribute, mutant.instead)
     with pytest.raises((AssertionError, Failed)):
--- a/tests/proxy/recovery/test_small_fleet.py
+++ b/tests/proxy/recovery/test_small_fleet.py
@@ -6,13 +6,13 @@
 
 from firvane.proxy.recovery import messages
 from firvane.proxy.recovery.peers import FEW
-from firvane.proxy.recovery.state_machine import State
+from firvane.proxy.recovery.state_machine import RecoveryState
 from tests.proxy.recovery.small_fleet import SmallFleet
 
 
 def test_each_box_is_tried_by_one_proxy_while_none_answers() -> None:
     fleet = SmallFleet(6, [4, 2, 4, 2, 2, 8], rate=300.0, back=100.0).run(5.0)
-    assert fleet.states() == {State.TRIALS}
+    assert fleet.states() == {RecoveryState.PROBING}
     # One sender each, every 0.15 to 0.25 s: a bank of six would send six times as much.
     assert all(18 <= sent <= 40 for sent in fleet.sent.values())
 
--- a/tests/together/test_power.py
+++ b/tests/together/test_power.py
@@ -9,7 +9,7 @@
 import pytest
 
 from firvane.core import checksum
-from firvane.proxy.recovery.state_machine import State
+from firvane.proxy.recovery.state_machine import RecoveryState
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.file import read
 from firvane.proxy.snapshots.types import FORMAT_VERSION
@@ -20,7 +20,7 @@
 
 async def warmed(fleet: Together) -> None:
     """Every proxy serves and has left its first recovery, and what it knows is on its disk."""
-    await fleet.reaches(State.OVER.value, *ALL)
+    await fleet.reaches(RecoveryState.OVER.value, *ALL)
     await fleet.serves(*ALL, more=10)
     for number in ALL:
         await fleet.written(number)
@@ -37,14 +37,16 @@
         async with together(tmp_path) as fleet:
             await warmed(fleet)
             await cut(fleet)
-            await fleet.reaches(State.TRIALS.value, *ALL)  # nobody is known to be warm
+            await fleet.reaches(RecoveryState.PROBING.value, *ALL)  # nobody is known to be warm
             fleet.boxes_back()
-            await fleet.reaches(State.GROWING.value, *ALL)
+            await fleet.reaches(RecoveryState.GROWING.value, *ALL)
             await fleet.serves(*ALL)
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             for number in ALL:
                 order = fleet.states(number)
-                assert order[:1] == [State.ASKING.value] and order[-1] == State.OVER.value, order
+                assert (
+                    order[:1] == [RecoveryState.ASKING_PEERS.value] and order[-1] == RecoveryState.OVER.value
+                ), order
                 assert "memory" in (await fleet.status(number))["trusted"]
             assert "fell" not in fleet.boxes.values()
 
@@ -60,7 +62,7 @@
             if links != "whole":
                 fleet.links(1, lost=True, way="both" if links == "lost" else links)
             fleet.back(1)
-            await fleet.reaches(State.OVER.value, 1)
+            await fleet.reaches(RecoveryState.OVER.value, 1)
             await fleet.serves(1)
             over = await fleet.said(1, "event=recovery", "now=over")
             # What is lost either way leaves no answer; where none is, a busy machine may be too late with it.
@@ -91,17 +93,17 @@
         async with together(tmp_path) as fleet:
             await warmed(fleet)
             await cut(fleet)
-            await fleet.reaches(State.TRIALS.value, *ALL)
+            await fleet.reaches(RecoveryState.PROBING.value, *ALL)
             fleet.boxes_back()
-            await fleet.reaches(State.GROWING.value, 0)
+            await fleet.reaches(RecoveryState.GROWING.value, 0)
             await cut(fleet)
-            await fleet.reaches(State.ASKING.value, *ALL)
+            await fleet.reaches(RecoveryState.ASKING_PEERS.value, *ALL)
             fleet.stall(2)
             fleet.boxes_back()
             await fleet.serves(0, 1)
             fleet.go_on(2)
             await fleet.serves(*ALL)
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             assert "fell" not in fleet.boxes.values()
 
     run(work())
@@ -134,12 +136,12 @@
 def test_without_any_list_it_says_so_and_refuses_until_there_is_one(tmp_path: Path) -> None:
     async def work() -> None:
         async with together(tmp_path, small(snapshots=False), knows=False) as fleet:
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             fleet.off(*ALL)
             fleet.discovery(away=True)
             fleet.back(*ALL)
             for number in ALL:
-                await fleet.in_state(State.LISTLESS.value, number)
+                await fleet.in_state(RecoveryState.NO_ENDPOINTS.value, number)
                 assert "starting" in await fleet.ask(number, "ready")
             fleet.discovery(away=False)
             await fleet.serves(*ALL)
@@ -153,7 +155,7 @@
 ) -> None:
     async def work() -> None:
         async with together(tmp_path, small(snapshots=knows), knows=False) as fleet:
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             for number in ALL if knows else ():
                 await fleet.written(number)
             await fleet.drain("box-2")
@@ -166,12 +168,12 @@
             assert knows or "event=ready" not in fleet.log(2)
             fleet.discovery(away=False)
             fleet.boxes_back()
-            await fleet.reaches(State.GROWING.value, 0, 1)
+            await fleet.reaches(RecoveryState.GROWING.value, 0, 1)
             await fleet.serves(0, 1)
             fleet.go_on(2)
             await fleet.said(2, "event=ready")
             await fleet.serves(*ALL)
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             assert fleet.arrived["box-2"] == before
             assert "fell" not in fleet.boxes.values()
 
@@ -190,7 +192,7 @@
             fleet.boxes_back()
             for number in ALL:
                 await fleet.said(number, "event=snapshot_read")
-            await fleet.reaches(State.OVER.value, *ALL)
+            await fleet.reaches(RecoveryState.OVER.value, *ALL)
             await fleet.serves(*ALL)
             for number in ALL:
                 kept = read(await fleet.written(number))
