--- a/benchmarks/rows.py
+++ b/benchmarks/rows.py
@@ -41,7 +41,7 @@
     began = time.process_time()
     for _ in range(ROUNDS):
         sender.now += WINDOW
-        payload = only(sender.give(api.TimerFired(0)), api.SendToPeer)
+        payload = only(sender.handle(api.TimerFired(0)), api.SendToPeer)
     made = (time.process_time() - began) / ROUNDS
     while not payload:
         payload = only(sender.window(), api.SendToPeer)
@@ -63,7 +63,7 @@
     for number in range(ROUNDS):
         newer = bytearray(row)
         newer[4:12] = (int.from_bytes(row[4:12], "little") + number).to_bytes(8, "little")
-        receiver.give(api.PeerMessage(2 + number % (routers - 1), bytes(newer)), after=WINDOW / ROUNDS)
+        receiver.handle(api.PeerMessage(2 + number % (routers - 1), bytes(newer)), after=WINDOW / ROUNDS)
     return (time.process_time() - began) / ROUNDS
 
 
--- a/firvane/fleet/membership/probes.py
+++ b/firvane/fleet/membership/probes.py
@@ -66,12 +66,6 @@
         probe = self._probes[target] = Probe(target, nonce, now, now + DIRECT_TIMEOUT_S)
         return probe
 
-    def report_dead(self, target: Address) -> None:
-        """Record that another member believes the target of a probe dead."""
-        probe = self._probes.get(target)
-        if probe is not None:
-            probe.is_reported_dead = True
-
     def cancel(self, target: Address) -> None:
         """End the probe of a target."""
         self._probes.pop(target, None)
--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -91,7 +91,10 @@
         self.windows = self.last_sequence = 0
         self.announcement_due = False
         self.actions: list[api.Action] = []
-        self.handlers: dict[type, Callable[..., None]] = {
+        self.handlers = self._make_handlers()
+
+    def _make_handlers(self) -> dict[type, Callable[..., None]]:
+        return {
             PromptRequest: self._on_request,
             api.Outcome: self._on_outcome,
             api.StreamStarted: self._on_started,
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -3,9 +3,10 @@
 1. Consecutive failures, or time-outs of all open attempts, eject a server. After its ejection time it gets a
    single trial request; the ejection time doubles with each failure, and any response ends the ejection.
 2. At least half of the ready servers of a service stay in use.
-3. Rows tell which servers the sender itself found unresponsive, and when each server last responded to it. A
-   response to a peer counts here as well. Two peers' suspicions, or one beside a time-out here, make a server
-   suspect that has not responded to anyone lately; that is not announced in turn, so that no rumour spreads.
+3. Rows tell which servers the sender itself found unresponsive, and when each server last responded to it.
+   A response to a peer counts here as well. Two peers' suspicions, or one beside a time-out here, make a
+   server suspect that has not responded to anyone lately; that is not announced in turn, so that no false
+   suspicion spreads.
 4. The routers whose slice contains a server send its trial first. The others learn the result from them, so
    that no more requests than needed wait at an unresponsive server.
 """
--- a/firvane/fleet/placement/prompt_homes.py
+++ b/firvane/fleet/placement/prompt_homes.py
@@ -29,7 +29,7 @@
     Attributes:
         shared_blocks: (key, tokens) of the blocks that others share, in order, without small ones.
         own_block: (key, tokens) of the last block, which belongs to the request or its session alone.
-        total_tokens: Tokens of the whole prompt.
+        total_tokens: Tokens of the complete prompt.
         shared_tokens: Tokens of all blocks that others share.
         cacheable_tokens: Tokens of `shared_blocks`.
         home_key: The key that decides the home.
--- a/firvane/fleet/router/drain.py
+++ b/firvane/fleet/router/drain.py
@@ -27,7 +27,7 @@
         last_on_new_connection_s: Seconds from SIGTERM to the newest request on such a connection.
         last_on_kept_connection_s: Seconds from SIGTERM to the newest request on an older connection.
         late_requests: Requests that were rejected because they came late.
-        truncated_responses: Responses that were cut off.
+        truncated_responses: Responses that were truncated.
     """
 
     connections_accepted: int = 0
--- a/firvane/fleet/router/readiness.py
+++ b/firvane/fleet/router/readiness.py
@@ -1,4 +1,4 @@
-"""The platform's health check of a router: `GET /v1/readiness` tells whether it takes new connections.
+"""The platform's health check of a router: `GET /v1/readiness` returns whether it takes new connections.
 
 Operators use the same port: `members_endpoint`.
 """
@@ -33,7 +33,7 @@
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release what the connection held (asyncio)."""
+        """Release the response in flight (asyncio)."""
         self.members.connection_lost(self.transport)
 
     def data_received(self, data: bytes) -> None:
--- a/firvane/programs/settings.py
+++ b/firvane/programs/settings.py
@@ -1,7 +1,7 @@
 """The settings file of a daemon: YAML at the path in the environment variable `FIRVANE_BOOT`.
 
-Unknown fields are ignored, since the platform may add some. A known field of the wrong form makes the whole
-file invalid: `SettingsError` names the field, and `load_or_exit` ends the process with it.
+Unknown fields are ignored, since the platform may add some. A known field of the wrong form makes the file
+invalid: `SettingsError` names the field, and `load_or_exit` ends the process with it.
 """
 
 from __future__ import annotations
--- a/tests/fleet/placement/helpers.py
+++ b/tests/fleet/placement/helpers.py
@@ -46,10 +46,10 @@
         self.now = 100.0
         self.balancer = PromptBalancer(settings(me), 7, self.now, retry_slack=slack)
         self.balancer.start(self.now)
-        self.give(PeersChanged(tuple(peers), tuple(0 for _ in peers)))
-        self.give(ServiceInfo(SERVICE, 64, 400_000, 4, 360))
+        self.handle(PeersChanged(tuple(peers), tuple(0 for _ in peers)))
+        self.handle(ServiceInfo(SERVICE, 64, 400_000, 4, 360))
         if servers:
-            self.give(InstancesChanged(SERVICE, instances(servers)))
+            self.handle(InstancesChanged(SERVICE, instances(servers)))
         self.next_id = 0
         if slack:
             self.fill_budget()
@@ -59,29 +59,29 @@
         for _ in range(1000):
             self.balancer.services[SERVICE].retry_budget.record_request(self.now)
 
-    def give(self, event: object, after: float = 0.0) -> list[api.Action]:
+    def handle(self, event: object, after: float = 0.0) -> list[api.Action]:
         self.now += after
         return list(self.balancer.handle(event, self.now))  # type: ignore[arg-type]
 
-    def ask(self, **fields: object) -> list[api.Action]:
+    def submit(self, **fields: object) -> list[api.Action]:
         self.next_id += 1
-        return self.give(request(self.next_id, **fields))
+        return self.handle(request(self.next_id, **fields))
 
     def window(self, after: float = 0.25) -> list[api.Action]:
-        return self.give(api.TimerFired(0), after)
+        return self.handle(api.TimerFired(0), after)
 
-    def ends(self, send: api.Send, result: api.Result, attempt: int = 0, finished: bool = False,
+    def end_attempt(self, send: api.Send, result: api.Result, attempt: int = 0, finished: bool = False,
              after: float = 0.0) -> list[api.Action]:  # fmt: skip
-        return self.give(api.Outcome(send.id, attempt, send.server, result, 0.1, finished), after)
+        return self.handle(api.Outcome(send.id, attempt, send.server, result, 0.1, finished), after)
 
-    def begins(self, send: api.Send, attempt: int = 0, after: float = 0.05) -> list[api.Action]:
-        return self.give(api.StreamStarted(send.id, attempt, send.server, after), after)
+    def start_response(self, send: api.Send, attempt: int = 0, after: float = 0.05) -> list[api.Action]:
+        return self.handle(api.StreamStarted(send.id, attempt, send.server, after), after)
 
     def serve(self, **fields: object) -> str:
         """A request that is answered quickly; the name of its server."""
-        [send] = only(self.ask(**fields), api.Send)
-        self.begins(send)
-        self.ends(send, api.Result.OK, finished=True)
+        [send] = only(self.submit(**fields), api.Send)
+        self.start_response(send)
+        self.end_attempt(send, api.Result.OK, finished=True)
         return send.server
 
 
--- a/tests/fleet/placement/lab_router.py
+++ b/tests/fleet/placement/lab_router.py
@@ -186,10 +186,11 @@
         if flow.ask.kind.resumable:
             passed = flow.ask.passed
             self.later(
-                SILENCE_FACTOR * flow.ask.kind.event_gap_target, lambda: self.silent(flow, number, passed)
+                SILENCE_FACTOR * flow.ask.kind.event_gap_target,
+                lambda: self.check_stall(flow, number, passed),
             )
 
-    def silent(self, flow: Flow, number: int, passed: int) -> None:
+    def check_stall(self, flow: Flow, number: int, passed: int) -> None:
         """A stream that may be resumed has made no progress for long: it is given up here."""
         if flow.open and flow.begun == number and flow.ask.passed == passed:
             self.stop(flow, number, api.Result.TIMEOUT)
--- a/tests/fleet/placement/test_attempt_timeouts.py
+++ b/tests/fleet/placement/test_attempt_timeouts.py
@@ -15,14 +15,14 @@
 def warm_up(one: Harness, count: int = 40) -> None:
     """Teach the speeds: first events after 50 ms."""
     for _ in range(count):
-        [send] = only(one.ask(), api.Send)
-        one.begins(send)
-        one.ends(send, api.Result.OK, finished=True)
+        [send] = only(one.submit(), api.Send)
+        one.start_response(send)
+        one.end_attempt(send, api.Result.OK, finished=True)
         one.now += 0.01
 
 
 def fire_timer(one: Harness, send: api.Send, after: float) -> list[api.Action]:
-    return one.give(api.TimerFired(send.id + 1), after)
+    return one.handle(api.TimerFired(send.id + 1), after)
 
 
 def respond_elsewhere(one: Harness, server: str) -> None:
@@ -33,7 +33,7 @@
 
 
 def unanswered_request(one: Harness, **fields: object) -> api.Send:
-    [send] = only(one.ask(**fields), api.Send)
+    [send] = only(one.submit(**fields), api.Send)
     return send
 
 
@@ -63,7 +63,7 @@
     kinds = [type(action) for action in actions if isinstance(action, api.Cancel | api.Send)]
     assert kinds == [api.Cancel, api.Send]
     assert only(actions, api.Send)[0].server != send.server
-    again = one.ends(send, api.Result.CANCELLED)
+    again = one.end_attempt(send, api.Result.CANCELLED)
     assert not only(again, api.Send) and not only(again, api.Fail)
 
 
@@ -93,11 +93,11 @@
     one = Harness()
     warm_up(one)
     running = unanswered_request(one)
-    one.begins(running)
+    one.start_response(running)
     sends = [unanswered_request(one) for _ in range(6)]
     send = next(each for each in sends if each.server == running.server)
     for _ in range(10):
-        one.give(StreamProgress(running.server))
+        one.handle(StreamProgress(running.server))
         respond_elsewhere(one, running.server)
         fire_timer(one, send, after=0.1)
     assert not health.is_ejected(one.balancer.services[SERVICE].servers[running.server])
@@ -144,14 +144,14 @@
         one.fill_budget()  # what is lost is more than a fifth
         send = unanswered_request(one, max_attempts=2, chain=((number, 300),))
         if send.server != server.id:
-            one.begins(send)
-            one.ends(send, api.Result.OK, finished=True)
+            one.start_response(send)
+            one.end_attempt(send, api.Result.OK, finished=True)
             continue
         lost += 1
         server.last_response_at = one.now + 1.0  # its answers to peers, until the look
         [again] = only(fire_timer(one, send, after=1.0), api.Send)
         assert again.server != server.id
-        one.ends(send, api.Result.CANCELLED)
-        one.ends(again, api.Result.OK, attempt=1, finished=True)
+        one.end_attempt(send, api.Result.CANCELLED)
+        one.end_attempt(again, api.Result.OK, attempt=1, finished=True)
     assert lost >= 4
     assert server.consecutive_failures == 0 and not health.is_ejected(server)
--- a/tests/fleet/placement/test_exchange.py
+++ b/tests/fleet/placement/test_exchange.py
@@ -27,32 +27,32 @@
     return [
         answer
         for tell in only(actions, api.SendToPeer)
-        for answer in other.give(api.PeerMessage(sender, tell.payload))
+        for answer in other.handle(api.PeerMessage(sender, tell.payload))
     ]
 
 
 def test_rows_are_sent_every_second_window_and_on_request() -> None:
     one, other = pair()
-    told = [len(only(one.window(), api.SendToPeer)) for _ in range(6)]
-    assert sum(told) == 3
+    announced = [len(only(one.window(), api.SendToPeer)) for _ in range(6)]
+    assert sum(announced) == 3
     answers = carry(only(one.balancer.start(one.now), api.SendToPeer)[:1], 1, other)
     assert [tell.peer for tell in only(answers, api.SendToPeer)] == [1]
 
 
 def test_a_long_prompt_is_announced_at_once_and_peers_avoid_its_server() -> None:
     one, other = pair()
-    actions = one.ask(**long_prompt(1))
+    actions = one.submit(**long_prompt(1))
     [send] = only(actions, api.Send)
     carry(actions, 1, other)
     busy = other.balancer.services[SERVICE].servers[send.server]
     assert busy.prefill_backlog(20_000.0, other.now) > 0.5
-    assert send.server not in {only(other.ask(), api.Send)[0].server for _ in range(10)}
+    assert send.server not in {only(other.submit(), api.Send)[0].server for _ in range(10)}
 
 
 def test_rows_out_of_turn_are_bounded() -> None:
     one = Harness(3, peers=tuple(range(1, 200)))
-    told = sum(len(only(one.ask(**long_prompt(n)), api.SendToPeer)) for n in range(20))
-    assert told <= 1
+    announced = sum(len(only(one.submit(**long_prompt(n)), api.SendToPeer)) for n in range(20))
+    assert announced <= 1
 
 
 def test_large_fleets_send_rows_less_often() -> None:
@@ -66,7 +66,7 @@
 def test_a_timed_out_peer_is_not_live_until_its_next_row() -> None:
     one, other = pair()
     row = only(other.window(), api.SendToPeer) or only(other.window(), api.SendToPeer)
-    one.give(api.PeerMessage(2, row[0].payload))
+    one.handle(api.PeerMessage(2, row[0].payload))
     assert one.balancer.exchange.live == [1, 2]
     for _ in range(8):
         one.window()
@@ -79,18 +79,18 @@
 
 def test_the_load_of_a_peer_is_dropped_with_it() -> None:
     one, other = pair()
-    carry(other.ask(**long_prompt(1)), 2, one)
+    carry(other.submit(**long_prompt(1)), 2, one)
     servers = one.balancer.services[SERVICE].ready
     assert sum(server.peers_in_flight for server in servers) == 1
-    one.give(PeersChanged((1,), (0,)))
+    one.handle(PeersChanged((1,), (0,)))
     assert sum(server.peers_in_flight for server in servers) == 0
 
 
 def test_stale_foreign_and_own_rows_change_nothing() -> None:
     one, other = pair()
-    actions = other.ask(**long_prompt(1))
+    actions = other.submit(**long_prompt(1))
     later = (
-        other.ask(
+        other.submit(
             **long_prompt(2),
         )
         + other.window()
@@ -128,7 +128,7 @@
 def test_all_routers_know_where_shared_blocks_are_cached() -> None:
     one, other = pair()
     one.now, other.now = one.now + 1.0, other.now + 1.0
-    actions = one.ask(**long_prompt(1))
+    actions = one.submit(**long_prompt(1))
     [send] = only(actions, api.Send)
     assert carry(actions, 1, other) == []
     prompt = other.balancer.pending_requests.get(1) or one.balancer.pending_requests[1]
@@ -141,9 +141,9 @@
     prompt_homes = {subject: one.serve(**long_prompt(subject)) for subject in range(40)}
     other.now = one.now
     question = encode_row(Row(RowFlags.ASK, 0, int(other.now * 1000), 0, (), (), ()))
-    carry(one.give(api.PeerMessage(2, question)), 1, other)
+    carry(one.handle(api.PeerMessage(2, question)), 1, other)
     for harness in (one, other):
-        harness.give(InstancesChanged(SERVICE, instances(4)))
+        harness.handle(InstancesChanged(SERVICE, instances(4)))
         assert {subject: harness.serve(**long_prompt(subject)) for subject in range(40)} == prompt_homes
         new = {harness.serve(**long_prompt(subject)) for subject in range(40, 80)}
         assert "i-03" in new
@@ -152,12 +152,12 @@
 def test_a_starting_router_learns_from_its_peers_what_is_cached() -> None:
     one = Harness(5, me=1, peers=(1, 2))
     prompt_homes = {subject: one.serve(**long_prompt(subject)) for subject in range(40)}
-    one.give(InstancesChanged(SERVICE, instances(6)))
+    one.handle(InstancesChanged(SERVICE, instances(6)))
     other = Harness(0, me=2, peers=(2,))
-    asked = other.give(PeersChanged((1, 2), (0, 0)), after=20.0)
+    asked = other.handle(PeersChanged((1, 2), (0, 0)), after=20.0)
     assert any(decode_row(tell.payload).flags & RowFlags.ASK for tell in only(asked, api.SendToPeer))
     carry(carry(asked, 2, one), 1, other)
-    other.give(InstancesChanged(SERVICE, instances(6)))  # known only after the rows
+    other.handle(InstancesChanged(SERVICE, instances(6)))  # known only after the rows
     assert {subject: other.serve(**long_prompt(subject)) for subject in range(40)} == prompt_homes
 
 
@@ -177,7 +177,7 @@
 )
 def test_bytes_that_are_no_row_are_dropped(payload: bytes) -> None:
     one, _ = pair()
-    assert one.give(api.PeerMessage(2, payload)) == []
+    assert one.handle(api.PeerMessage(2, payload)) == []
 
 
 def test_a_window_sets_the_timer_of_the_next() -> None:
@@ -197,33 +197,39 @@
         sequence += 5000
         sender, kind = draw.choice(peers), draw.random()
         hashed_ids = {server.id_hash for server in service.servers.values()} | {99}  # one that is not known
-        named = {salt: draw.randrange(1, 9) for salt in sorted(hashed_ids) if draw.random() < 0.4}
+        named = {id_hash: draw.randrange(1, 9) for id_hash in sorted(hashed_ids) if draw.random() < 0.4}
         if kind < 0.8:
             entries = tuple(
-                ServerEntry(salt, running, 0, False, None, 0.0) for salt, running in named.items()
+                ServerEntry(id_hash, running, 0, False, None, 0.0) for id_hash, running in named.items()
             )
             row = Row(RowFlags.NONE, 0, sequence, 0, (), entries, ())
-            one.give(api.PeerMessage(sender, encode_row(row)), after=0.01)
+            one.handle(api.PeerMessage(sender, encode_row(row)), after=0.01)
             last[sender] = named
         elif kind < 0.9:
             left = tuple(peer for peer in peers if peer != sender)
-            one.give(PeersChanged((1, *left), (0,) * 3))
-            one.give(PeersChanged((1, *peers), (0,) * 4))
+            one.handle(PeersChanged((1, *left), (0,) * 3))
+            one.handle(PeersChanged((1, *peers), (0,) * 4))
             last.pop(sender, None)
         else:
-            one.give(InstancesChanged(SERVICE, instances(draw.randrange(2, 6))))
+            one.handle(InstancesChanged(SERVICE, instances(draw.randrange(2, 6))))
             gone = {server.id_hash for server in service.servers.values()}
             last = {
-                peer: {salt: n for salt, n in told.items() if salt in gone} for peer, told in last.items()
+                peer: {id_hash: n for id_hash, n in announced.items() if id_hash in gone}
+                for peer, announced in last.items()
             }
         for server in service.servers.values():
             assert server.peers_in_flight == sum(load.in_flight for load in server.peer_loads.values())
             for peer, load in server.peer_loads.items():
                 assert load.in_flight == last[peer][server.id_hash]
-        held = {(peer, server.id_hash) for server in service.servers.values() for peer in server.peer_loads}
-        told_of_known = {
-            (peer, salt) for peer, told in last.items() for salt in told if salt in service.by_hash
+        known_pairs = {
+            (peer, server.id_hash) for server in service.servers.values() for peer in server.peer_loads
         }
-        assert held <= told_of_known
+        announced_pairs = {
+            (peer, id_hash)
+            for peer, announced in last.items()
+            for id_hash in announced
+            if id_hash in service.by_hash
+        }
+        assert known_pairs <= announced_pairs
         if kind < 0.8:
-            assert {salt for peer, salt in held if peer == sender} == set(last[sender]) - {99}
+            assert {id_hash for peer, id_hash in known_pairs if peer == sender} == set(last[sender]) - {99}
--- a/tests/fleet/placement/test_fuzz.py
+++ b/tests/fleet/placement/test_fuzz.py
@@ -49,16 +49,16 @@
     """Plays an engine that obeys every action, and checks it against the rules."""
 
     def __init__(self, seed: int) -> None:
-        self.rng, self.one = random.Random(seed), Harness(4, slack=SLACK)
-        self.tries: dict[int, TrackedRequest] = {}
+        self.rng, self.harness = random.Random(seed), Harness(4, slack=SLACK)
+        self.requests: dict[int, TrackedRequest] = {}
         self.states = {f"i-{number:02}": InstanceState.READY for number in range(4)}
         self.next_server = 4
         self.timers: list[tuple[float, int]] = []
         self.arrivals: list[tuple[float, bool]] = []  # when, and whether it is a repeat
         self.asked: list[float] = []
 
-    def give(self, event: object) -> None:
-        for action in self.one.give(event):
+    def handle(self, event: object) -> None:
+        for action in self.harness.handle(event):
             self.obey(action)
 
     def obey(self, action: api.Action) -> None:
@@ -66,40 +66,40 @@
             self.check_send(action)
         elif isinstance(action, api.SetTimer):
             assert action.delay >= 0.0
-            self.timers.append((self.one.now + action.delay, action.token))
+            self.timers.append((self.harness.now + action.delay, action.token))
         elif isinstance(action, api.Cancel):
             self.cancel(action)
         elif isinstance(action, api.Reject):
-            one = self.tries[action.id]
+            one = self.requests[action.id]
             assert not one.over and one.may_have_run == 0 and not one.head
             assert 0.0 < action.retry_after <= 2.0
             one.over = True
         elif isinstance(action, api.Fail):
-            one = self.tries[action.id]
+            one = self.requests[action.id]
             assert not one.over and (one.may_have_run or one.head)
             one.over = True
 
     def check_send(self, action: api.Send) -> None:
-        one = self.tries[action.id]
+        one = self.requests[action.id]
         assert not one.over and not one.out, "one attempt at a time, and none after the answer"
-        assert self.one.now < one.deadline
+        assert self.harness.now < one.deadline
         assert self.states[action.server] is InstanceState.READY
         assert one.reached < one.request.max_attempts
         assert one.may_have_run == 0 or one.request.retryable
-        self.arrivals.append((self.one.now, one.reached > 0))
+        self.arrivals.append((self.harness.now, one.reached > 0))
         one.out.add(len(one.sent))
         one.sent.append(action.server)
         one.reached += 1
         one.may_have_run += 1
 
     def cancel(self, action: api.Cancel) -> None:
-        one = self.tries[action.id]
+        one = self.requests[action.id]
         if action.attempt in one.out:
             assert one.over or one.request.retryable
             self.end(action.id, action.attempt, api.Result.CANCELLED)
 
     def end(self, number: int, attempt: int, result: api.Result) -> None:
-        one = self.tries[number]
+        one = self.requests[number]
         one.out.discard(attempt)
         if result.never_ran:
             one.may_have_run -= 1
@@ -114,22 +114,32 @@
 
     def step(self) -> None:
         self.pending: list[api.Outcome] = []
-        self.one.now += self.rng.expovariate(40.0)
-        due = [timer for timer in self.timers if timer[0] <= self.one.now]
-        self.timers = [timer for timer in self.timers if timer[0] > self.one.now]
+        self.harness.now += self.rng.expovariate(40.0)
+        due = [timer for timer in self.timers if timer[0] <= self.harness.now]
+        self.timers = [timer for timer in self.timers if timer[0] > self.harness.now]
         for _, token in due:
-            self.give(api.TimerFired(token))
+            self.handle(api.TimerFired(token))
             self.flush()
-        self.rng.choice([self.ask, self.ask, self.begin, self.finish, self.finish, self.leave, self.hint,
-                          self.change, self.garbage])()  # fmt: skip
+        steps = [
+            self.submit,
+            self.submit,
+            self.begin,
+            self.finish,
+            self.finish,
+            self.leave,
+            self.hint,
+            self.change,
+            self.garbage,
+        ]
+        self.rng.choice(steps)()
         self.flush()
 
     def flush(self) -> None:
         while self.pending:
-            self.give(self.pending.pop(0))
+            self.handle(self.pending.pop(0))
 
-    def ask(self) -> None:
-        self.one.next_id += 1
+    def submit(self) -> None:
+        self.harness.next_id += 1
         kind = self.rng.choice(list(RequestKind))
         fields: dict[str, object] = {
             "kind": kind,
@@ -138,46 +148,46 @@
             "priority": self.rng.randint(0, 3),
         }
         if self.rng.random() < 0.2:
-            fields = long_prompt(self.rng.randrange(9), self.one.next_id, **{**fields, "time_left": 10.0})
-        asked = request(self.one.next_id, **fields)
-        self.tries[asked.id] = TrackedRequest(asked, self.one.now + asked.time_left)
-        self.asked.append(self.one.now)
-        self.give(asked)
+            fields = long_prompt(self.rng.randrange(9), self.harness.next_id, **{**fields, "time_left": 10.0})
+        asked = request(self.harness.next_id, **fields)
+        self.requests[asked.id] = TrackedRequest(asked, self.harness.now + asked.time_left)
+        self.asked.append(self.harness.now)
+        self.handle(asked)
 
     def some(self) -> tuple[int, int] | None:
-        out = [(number, attempt) for number, one in self.tries.items() for attempt in one.out]
+        out = [(number, attempt) for number, one in self.requests.items() for attempt in one.out]
         return self.rng.choice(out) if out else None
 
     def begin(self) -> None:
         if found := self.some():
             number, attempt = found
-            one = self.tries[number]
+            one = self.requests[number]
             if not one.over and one.begun < 0 and one.request.kind is RequestKind.STREAM:
                 one.begun, one.head = attempt, True
-                self.give(api.StreamStarted(number, attempt, one.sent[attempt], 0.08))
+                self.handle(api.StreamStarted(number, attempt, one.sent[attempt], 0.08))
 
     def finish(self) -> None:
         if found := self.some():
             result = self.rng.choice(ENDS)
-            if self.tries[found[0]].begun == found[1]:
+            if self.requests[found[0]].begun == found[1]:
                 result = self.rng.choice([api.Result.OK, api.Result.RESET, api.Result.TIMEOUT])
             self.end(*found, result)
 
     def leave(self) -> None:
-        waiting = [number for number, one in self.tries.items() if not one.over]
+        waiting = [number for number, one in self.requests.items() if not one.over]
         if waiting and self.rng.random() < 0.3:
             number = self.rng.choice(waiting)
-            self.tries[number].over = True
-            self.give(api.ClientGone(number))
+            self.requests[number].over = True
+            self.handle(api.ClientGone(number))
 
     def hint(self) -> None:
         if found := self.some():
-            self.give(StreamProgress(self.tries[found[0]].sent[found[1]]))
+            self.handle(StreamProgress(self.requests[found[0]].sent[found[1]]))
 
     def change(self) -> None:
         if self.rng.random() < 0.5:
             count = self.rng.randint(1, 3)
-            self.give(PeersChanged(tuple(range(1, count + 1)), (0,) * count))
+            self.handle(PeersChanged(tuple(range(1, count + 1)), (0,) * count))
             return
         name = self.rng.choice(list(self.states))
         ready = [each for each, state in self.states.items() if state is InstanceState.READY]
@@ -188,24 +198,24 @@
             self.states[f"i-{self.next_server:02}"] = InstanceState.READY
             self.next_server += 1
         listed = [instance(int(each[2:]), state) for each, state in self.states.items()]
-        self.give(InstancesChanged(SERVICE, tuple(listed)))
+        self.handle(InstancesChanged(SERVICE, tuple(listed)))
 
     def garbage(self) -> None:
-        self.give(api.PeerMessage(2, self.rng.randbytes(self.rng.randrange(80))))
-        self.give(api.Outcome(10**6, 0, "i-00", api.Result.OK, 0.1, True))
-        self.give(api.StreamStarted(10**6, 0, "i-00", 0.1))
-        self.give(api.TimerFired(10**6))
+        self.handle(api.PeerMessage(2, self.rng.randbytes(self.rng.randrange(80))))
+        self.handle(api.Outcome(10**6, 0, "i-00", api.Result.OK, 0.1, True))
+        self.handle(api.StreamStarted(10**6, 0, "i-00", 0.1))
+        self.handle(api.TimerFired(10**6))
 
     def settle(self) -> None:
         """All clients leave; nothing may be left of them."""
         self.pending = []
-        for number, one in self.tries.items():
+        for number, one in self.requests.items():
             if not one.over:
                 one.over = True
-                self.give(api.ClientGone(number))
+                self.handle(api.ClientGone(number))
                 self.flush()
-        assert not any(one.out for one in self.tries.values())
-        balancer = self.one.balancer
+        assert not any(one.out for one in self.requests.values())
+        balancer = self.harness.balancer
         assert not balancer.pending_requests and not balancer.attempts
         for server in balancer.services[SERVICE].servers.values():
             assert server.in_flight == 0 and not server.pending_prefills
@@ -226,4 +236,4 @@
         oracle.step()
     oracle.check_budget()
     oracle.settle()
-    assert len(oracle.tries) > 60
+    assert len(oracle.requests) > 60
--- a/tests/fleet/placement/test_outliers.py
+++ b/tests/fleet/placement/test_outliers.py
@@ -114,16 +114,16 @@
     bad, sent, failed = "i-02", 0, 0
     late = list[str]()
     for number in range(400):
-        [send] = only(one.ask(max_attempts=1), api.Send)
+        [send] = only(one.submit(max_attempts=1), api.Send)
         if number >= 300:
             late.append(send.server)
         sent += send.server == bad
         if send.server == bad and sent % 5 in (1, 3):
             failed += 1
-            one.ends(send, api.Result.ERROR, finished=True)
+            one.end_attempt(send, api.Result.ERROR, finished=True)
         else:
-            one.begins(send, after=0.0)
-            one.ends(send, api.Result.OK, finished=True)
+            one.start_response(send, after=0.0)
+            one.end_attempt(send, api.Result.OK, finished=True)
         one.now += 0.01
         if number % 25 == 24:
             one.window(after=0.0)
@@ -184,13 +184,13 @@
         outliers.eject(server, router.now)
     for router in (one, other):
         router.now += outliers.FIRST_EJECTION_S
-    [send] = only(one.ask(max_attempts=1), api.Send)
+    [send] = only(one.submit(max_attempts=1), api.Send)
     while send.server != bad.id:
-        [send] = only(one.ask(max_attempts=1), api.Send)
-    one.ends(send, api.Result.ERROR, finished=True)
+        [send] = only(one.submit(max_attempts=1), api.Send)
+    one.end_attempt(send, api.Result.ERROR, finished=True)
     assert bad.outlier_ejections == 2 and far.outlier_ejections == 1
     for tell in only(one.window(after=0.2), api.SendToPeer):
-        other.give(api.PeerMessage(1, tell.payload), after=0.2)
+        other.handle(api.PeerMessage(1, tell.payload), after=0.2)
     assert far.outlier_ejections == 2
     assert far not in health.usable(
         other.balancer.services["model"].ready, other.now + 2 * outliers.FIRST_EJECTION_S
--- a/tests/fleet/placement/test_retries_over_restarts.py
+++ b/tests/fleet/placement/test_retries_over_restarts.py
@@ -57,7 +57,7 @@
     now: float = 0.0
     queue: list[tuple[float, int, object]] = field(default_factory=list)
     order: itertools.count[int] = field(default_factory=itertools.count)
-    lives: list[int] = field(default_factory=lambda: [0] * ROUTERS)
+    incarnations: list[int] = field(default_factory=lambda: [0] * ROUTERS)
     balancers: list[PromptBalancer | None] = field(default_factory=lambda: [None] * ROUTERS)
     requests: list[float] = field(default_factory=list)
     repeats: list[float] = field(default_factory=list)
@@ -80,39 +80,39 @@
     def at(self, when: float, what: object) -> None:
         heapq.heappush(self.queue, (when, next(self.order), what))
 
-    def step(self, kind: str, told: object) -> None:
+    def step(self, kind: str, event_data: object) -> None:
         if kind == "ask":
-            self.ask()
+            self.submit()
         elif kind == "kill":
-            assert isinstance(told, Kill)
-            for router in told.routers:
+            assert isinstance(event_data, Kill)
+            for router in event_data.routers:
                 self.balancers[router] = None
-                self.at(self.now + told.away, ("start", router))
+                self.at(self.now + event_data.away, ("start", router))
         elif kind == "start":
-            assert isinstance(told, int)
-            self.start(told)
+            assert isinstance(event_data, int)
+            self.start(event_data)
         else:
-            router, life, event = told  # type: ignore[misc]
-            if self.lives[router] == life:
-                self.give(router, event)
+            router, incarnation, event = event_data  # type: ignore[misc]
+            if self.incarnations[router] == incarnation:
+                self.handle(router, event)
 
     def start(self, router: int) -> None:
-        self.lives[router] += 1
+        self.incarnations[router] += 1
         seed = self.rng.getrandbits(32)
         self.balancers[router] = PromptBalancer(settings(router + 1), seed, self.now, retry_slack=RULE.slack)
         balancer = self.balancers[router]
         assert balancer
         balancer.start(self.now)
-        self.give(router, ServiceInfo(SERVICE, 64, 400_000, 4, 360))
-        self.give(router, InstancesChanged(SERVICE, instances(BACKENDS)))
+        self.handle(router, ServiceInfo(SERVICE, 64, 400_000, 4, 360))
+        self.handle(router, InstancesChanged(SERVICE, instances(BACKENDS)))
         numbers = tuple(range(1, ROUTERS + 1))
         self.later(router, ALONE, PeersChanged(numbers, (0,) * ROUTERS))
         self.later(router, WINDOW_STEP, api.TimerFired(0))
 
     def later(self, router: int, after: float, event: object) -> None:
-        self.at(self.now + after, ("event", (router, self.lives[router], event)))
+        self.at(self.now + after, ("event", (router, self.incarnations[router], event)))
 
-    def ask(self) -> None:
+    def submit(self) -> None:
         """A client sends a request to a router that is there."""
         self.at(self.now + self.rng.expovariate(self.story.rate), ("ask", None))
         there = [router for router in range(ROUTERS) if self.balancers[router]]
@@ -121,9 +121,9 @@
             router = self.rng.choices(there, [SHARES[each] for each in there])[0]
             number = len(self.requests)
             event = request(number, kind=RequestKind.IDEMPOTENT, max_attempts=3)
-            self.give(router, event)
+            self.handle(router, event)
 
-    def give(self, router: int, event: object) -> None:
+    def handle(self, router: int, event: object) -> None:
         balancer = self.balancers[router]
         if balancer is None:
             return
--- a/tests/fleet/placement/test_retry_budget.py
+++ b/tests/fleet/placement/test_retry_budget.py
@@ -17,9 +17,9 @@
 
 
 def shared_by(routers: int, now: float = 0.0) -> RouterCount:
-    sharers = RouterCount()
-    sharers.record(routers, now)
-    return sharers
+    router_count = RouterCount()
+    router_count.record(routers, now)
+    return router_count
 
 
 def earn(retry_budget: RetryBudget, now: float, requests: int = 1000) -> None:
@@ -106,41 +106,41 @@
 
 
 def test_the_bucket_shrinks_at_once_when_more_routers_are_known() -> None:
-    sharers = shared_by(1)
-    retry_budget = RetryBudget(RATIO, SLACK, sharers)
+    router_count = shared_by(1)
+    retry_budget = RetryBudget(RATIO, SLACK, router_count)
     earn(retry_budget, 5.0)
-    sharers.record(8, 5.0)
+    router_count.record(8, 5.0)
     assert spend_all(retry_budget, 5.0) == CAPACITY_RATIO * SLACK / 8
 
 
 def test_routers_that_are_no_longer_known_count_for_as_long_as_a_partition_may_last() -> None:
-    sharers = shared_by(6, 100.0)
-    sharers.record(1, 110.0)
-    assert sharers.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
-    sharers.record(4, 120.0)
-    sharers.record(2, 130.0)
-    assert sharers.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
-    assert sharers.count(111.0 + ROUTER_COUNT_WINDOW_S) == 4
-    assert sharers.count(131.0 + ROUTER_COUNT_WINDOW_S) == 2
-    sharers.record(0, 140.0)
-    assert sharers.count(141.0 + ROUTER_COUNT_WINDOW_S) == 1
+    router_count = shared_by(6, 100.0)
+    router_count.record(1, 110.0)
+    assert router_count.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
+    router_count.record(4, 120.0)
+    router_count.record(2, 130.0)
+    assert router_count.count(110.0 + ROUTER_COUNT_WINDOW_S) == 6
+    assert router_count.count(111.0 + ROUTER_COUNT_WINDOW_S) == 4
+    assert router_count.count(131.0 + ROUTER_COUNT_WINDOW_S) == 2
+    router_count.record(0, 140.0)
+    assert router_count.count(141.0 + ROUTER_COUNT_WINDOW_S) == 1
 
 
 def test_the_router_count_against_an_oracle() -> None:
     for seed in range(30):
         rng = random.Random(seed)
-        sharers, now = RouterCount(), 0.0
-        held = [(1, 0.0)]  # counts, and since when
+        router_count, now = RouterCount(), 0.0
+        counts = [(1, 0.0)]  # counts, and since when
         for _ in range(60):
             now += rng.expovariate(1 / 40.0)
-            sharers.record(count := rng.randint(1, 9), now)
-            held.append((count, now))
+            router_count.record(count := rng.randint(1, 9), now)
+            counts.append((count, now))
             at = now + rng.random()
-            ends = [since for _, since in held[1:]] + [at]
-            lately = [
-                each for (each, _), end in zip(held, ends, strict=True) if end >= at - ROUTER_COUNT_WINDOW_S
+            ends = [since for _, since in counts[1:]] + [at]
+            recent = [
+                each for (each, _), end in zip(counts, ends, strict=True) if end >= at - ROUTER_COUNT_WINDOW_S
             ]
-            assert sharers.count(at) == max(lately)
+            assert router_count.count(at) == max(recent)
             now = at
 
 
--- a/tests/fleet/placement/test_rows.py
+++ b/tests/fleet/placement/test_rows.py
@@ -80,13 +80,13 @@
 
 
 @pytest.mark.parametrize(
-    ("heard", "read"), [(None, None), (0.0, 0.0), (0.034, 0.04), (2.54, 2.54), (2.55, None), (60.0, None)]
+    ("age", "decoded"), [(None, None), (0.0, 0.0), (0.034, 0.04), (2.54, 2.54), (2.55, None), (60.0, None)]
 )
-def test_ages_of_responses_are_never_announced_younger(heard: float | None, read: float | None) -> None:
-    entry = ServerEntry(7, 1, 10, True, heard, 0.0)
+def test_ages_of_responses_are_never_announced_younger(age: float | None, decoded: float | None) -> None:
+    entry = ServerEntry(7, 1, 10, True, age, 0.0)
     row = decode_row(encode_row(Row(RowFlags.NONE, 0, 1, 0, (), (entry,), ())))
-    told = row.entries[0].response_age
-    assert told == (None if read is None else pytest.approx(read))
+    decoded_age = row.entries[0].response_age
+    assert decoded_age == (None if decoded is None else pytest.approx(decoded))
 
 
 def test_what_exceeds_the_bounds_is_left_out() -> None:
--- a/tests/fleet/placement/test_selection.py
+++ b/tests/fleet/placement/test_selection.py
@@ -9,7 +9,7 @@
 
 
 def sent(one: Harness, **fields: object) -> str:
-    [send] = only(one.ask(**fields), api.Send)
+    [send] = only(one.submit(**fields), api.Send)
     return send.server
 
 
@@ -64,30 +64,30 @@
 
 def test_connections_of_a_backend_are_shared_among_the_routers() -> None:
     one = Harness(2, peers=(1, 2, 3, 4, 5, 6, 7, 8, 9, 10))
-    one.give(ServiceInfo(SERVICE, 64, 400_000, 4, 100))
-    sends = [action for _ in range(40) for action in only(one.ask(), api.Send)]
+    one.handle(ServiceInfo(SERVICE, 64, 400_000, 4, 100))
+    sends = [action for _ in range(40) for action in only(one.submit(), api.Send)]
     assert len(sends) == 2 * 9
     assert len(one.balancer.queue) == 22
 
 
 def test_saturated_backends_are_avoided_and_then_requests_are_rejected() -> None:
     one = Harness(2)
-    [first] = only(one.ask(), api.Send)
-    [second] = only(one.ends(first, api.Result.OVERLOADED), api.Send)
+    [first] = only(one.submit(), api.Send)
+    [second] = only(one.end_attempt(first, api.Result.OVERLOADED), api.Send)
     assert {first.server, second.server} == {"i-00", "i-01"}
-    [refuse] = only(one.ends(second, api.Result.OVERLOADED, attempt=1), api.Reject)
+    [refuse] = only(one.end_attempt(second, api.Result.OVERLOADED, attempt=1), api.Reject)
     assert 0.05 <= refuse.retry_after <= 1.0
-    held = one.ask()
-    assert not only(held, api.Send) and not only(held, api.Reject)  # held for room
+    actions = one.submit()
+    assert not only(actions, api.Send) and not only(actions, api.Reject)  # queued
     assert only(one.window(), api.Send)
 
 
 def test_queued_requests_are_sent_by_priority_when_capacity_is_back() -> None:
     one = Harness(1)
-    [first] = only(one.ask(max_attempts=1), api.Send)
-    one.ends(first, api.Result.OVERLOADED)
-    one.ask(priority=3, latency_target=2.0)
-    one.ask(priority=0, latency_target=2.0)
+    [first] = only(one.submit(max_attempts=1), api.Send)
+    one.end_attempt(first, api.Result.OVERLOADED)
+    one.submit(priority=3, latency_target=2.0)
+    one.submit(priority=0, latency_target=2.0)
     one.balancer.services[SERVICE].servers["i-00"].saturated_until = 0.0
     assert [send.id for send in only(one.window(0.01), api.Send)] == [3, 2]
 
--- a/tests/fleet/router/test_admission.py
+++ b/tests/fleet/router/test_admission.py
@@ -56,23 +56,23 @@
     status: GrantStatus = GrantStatus.GRANTED
     owner: Address | None = None
     retry_after: float = 0.7
-    silent: set[Address] = field(default_factory=set)
-    asks: list[tuple[Address, QuotaRequest]] = field(default_factory=list)
-    questions: int = 0
+    unresponsive: set[Address] = field(default_factory=set)
+    quota_requests: list[tuple[Address, QuotaRequest]] = field(default_factory=list)
+    freshness_requests: int = 0
 
     def send(self, to: Address, payload: bytes) -> None:
         record = decode(payload)
         if isinstance(record, FreshnessRequest):
-            self.questions += 1
+            self.freshness_requests += 1
             reply: FreshnessProof | QuotaGrant = FreshnessProof(record.nonce, self.version, self.age, None)
         else:
             assert isinstance(record, QuotaRequest)
-            self.asks.append((to, record))
+            self.quota_requests.append((to, record))
             status = self.status if self.owner in (None, to) else GrantStatus.NOT_OWNER
             tokens = record.cost if status is GrantStatus.GRANTED else 0
             other = self.owner if status is GrantStatus.NOT_OWNER else None
             reply = QuotaGrant(record.nonce, status, tokens, self.retry_after, other)
-        if to not in self.silent:
+        if to not in self.unresponsive:
             asyncio.get_running_loop().call_soon(self.admission.receive, to, encode(reply))
 
 
@@ -168,7 +168,7 @@
         fields = fields_of(backend.requests[0])
         assert fields["authorization"] == "Bearer any"
         assert fields["x-tenant"] == "trams"
-        assert not controllers.questions and not controllers.asks
+        assert not controllers.freshness_requests and not controllers.quota_requests
 
     asyncio.run(play(ask, [backend], tenants=None))
 
@@ -212,7 +212,7 @@
 
     async def ask(found: Rig, controllers: Controllers) -> None:
         assert (await found.ask(request("good"))).startswith(b"HTTP/1.1 200")
-        assert not controllers.questions
+        assert not controllers.freshness_requests
 
     asyncio.run(play(ask, [backend], revoke=0.0, controllers=Controllers(age=None)))
 
@@ -224,8 +224,8 @@
         answer = await found.ask(request("tram", extra="X-Token-Count: 1460,80\r\n"))
         assert answer.startswith(b"HTTP/1.1 200")
         await found.ask(request("tram", number="a2"))
-        assert [record.cost for _, record in controllers.asks if record.cost != 1540] == [200]
-        assert controllers.asks[-1][0] == CONTROLLERS[1].address
+        assert [record.cost for _, record in controllers.quota_requests if record.cost != 1540] == [200]
+        assert controllers.quota_requests[-1][0] == CONTROLLERS[1].address
 
     asyncio.run(play(ask, [backend], controllers=Controllers(owner=CONTROLLERS[1].address)))
 
@@ -246,10 +246,10 @@
 
     async def ask(found: Rig, controllers: Controllers) -> None:
         assert (await found.ask(request("tram"))).startswith(b"HTTP/1.1 200")
-        assert [to for to, _ in controllers.asks] == [one.address for one in CONTROLLERS]
+        assert [to for to, _ in controllers.quota_requests] == [one.address for one in CONTROLLERS]
 
-    controllers = Controllers(silent={CONTROLLERS[0].address}, age=0.0)
-    controllers.silent = {CONTROLLERS[0].address}
+    controllers = Controllers(unresponsive={CONTROLLERS[0].address}, age=0.0)
+    controllers.unresponsive = {CONTROLLERS[0].address}
     asyncio.run(play(ask, [backend], revoke=0.0, controllers=controllers))
 
 
@@ -257,7 +257,7 @@
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
-        controllers.silent = {one.address for one in CONTROLLERS}
+        controllers.unresponsive = {one.address for one in CONTROLLERS}
         answer = await found.ask(request("tram"))
         assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After" in answer
         assert not backend.requests
@@ -274,7 +274,7 @@
     async def ask(found: Rig, controllers: Controllers) -> None:
         assert (await found.ask(request("tram"))).startswith(b"HTTP/1.1 503")
         assert (await found.ask(request("tram", number="a2"))).startswith(b"HTTP/1.1 200")
-        assert len(controllers.asks) == 1
+        assert len(controllers.quota_requests) == 1
 
     asyncio.run(play(ask, [backend], revoke=0.0))
 
@@ -283,19 +283,19 @@
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
-        held: list[tuple[Address, bytes]] = []
-        controllers.admission._send = lambda to, payload: held.append((to, payload))
+        sent: list[tuple[Address, bytes]] = []
+        controllers.admission._send = lambda to, payload: sent.append((to, payload))
         _, writer = await found.connect()
         writer.write(request("tram"))
-        while not held:
+        while not sent:
             await asyncio.sleep(0)
         writer.close()
         while found.listener.connections:
             await asyncio.sleep(0)
         controllers.admission._send = controllers.send
-        controllers.send(*held[0])
+        controllers.send(*sent[0])
         assert (await found.ask(request("tram", number="a2"))).startswith(b"HTTP/1.1 200")
-        assert len(backend.requests) == 1 and len(controllers.asks) == 1
+        assert len(backend.requests) == 1 and len(controllers.quota_requests) == 1
 
     asyncio.run(play(ask, [backend], revoke=0.0))
 
@@ -309,7 +309,7 @@
     async def ask(found: Rig, controllers: Controllers) -> None:
         assert (await found.ask(request("tram"))).startswith(b"HTTP/1.1 200")
         await found.ask(request("tram", number="a2"))
-        assert controllers.asks[-1][1].spent == 200
+        assert controllers.quota_requests[-1][1].spent == 200
 
     asyncio.run(play(ask, [broken, sound], revoke=0.0))
 
@@ -326,12 +326,12 @@
     backend = Backend("b", answer_whole)
 
     async def ask(found: Rig, controllers: Controllers) -> None:
-        held: list[tuple[Address, bytes]] = []
-        controllers.admission._send = lambda to, payload: held.append((to, payload))
+        sent: list[tuple[Address, bytes]] = []
+        controllers.admission._send = lambda to, payload: sent.append((to, payload))
         asking = asyncio.ensure_future(found.ask(request("tram")))
-        while not held:
+        while not sent:
             await asyncio.sleep(0)
-        to, payload = held[0]
+        to, payload = sent[0]
         record = decode(payload)
         assert isinstance(record, QuotaRequest)
         controllers.admission._loop = LaterLoop()
--- a/tests/fleet/router/test_backends.py
+++ b/tests/fleet/router/test_backends.py
@@ -16,7 +16,7 @@
 
 
 class Recorder:
-    """Stands for the connections and for the engine, and keeps what they are told."""
+    """Stands for the upstream connections and the engine, and records the calls."""
 
     def __init__(self) -> None:
         self.ready: dict[str, Address] = {}
@@ -43,26 +43,26 @@
 
 
 def test_a_backend_that_a_newer_record_does_not_name_is_sent_nothing() -> None:
-    made, told = backends()
+    made, recorder = backends()
     made.update("s", (ONE, TWO))
     made.update("s", (TWO,))
-    assert set(told.ready) == told.known == {"i-2"} and not told.draining
-    assert told.events[-1] == InstancesChanged("s", (TWO,))
+    assert set(recorder.ready) == recorder.known == {"i-2"} and not recorder.draining
+    assert recorder.events[-1] == InstancesChanged("s", (TWO,))
 
 
 def test_a_draining_backend_finishes_and_takes_nothing_new() -> None:
-    made, told = backends()
+    made, recorder = backends()
     made.update("s", (ONE, TWO))
     made.update("s", (replace(ONE, state=InstanceState.DRAINING), TWO))
-    assert told.known == {"i-2"} and set(told.draining) == {"i-1"}
+    assert recorder.known == {"i-2"} and set(recorder.draining) == {"i-1"}
 
 
 def test_a_service_without_backends_is_known_and_not_ready() -> None:
-    made, told = backends()
+    made, recorder = backends()
     assert not made.any_ready()
     made.update("s", ())
-    assert told.events == [InstancesChanged("s", ())] and not made.any_ready()
+    assert recorder.events == [InstancesChanged("s", ())] and not made.any_ready()
     made.update("s", (ONE,))
     assert made.any_ready()
     made.update("s", (ONE,))
-    assert len(told.events) == 2
+    assert len(recorder.events) == 2
--- a/tests/fleet/router/test_members_endpoint.py
+++ b/tests/fleet/router/test_members_endpoint.py
@@ -25,7 +25,7 @@
 def play(scene: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]) -> None:
     """One connection to a router that is ready and tells its members in two bytes."""
 
-    async def whole() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         members = MembersEndpoint(loop, lambda: b"{}")
         server = await loop.create_server(lambda: ReadinessConnection(lambda: True, members), "127.0.0.1", 0)
@@ -38,7 +38,7 @@
             server.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(whole())
+        runner.run(scenario())
 
 
 def test_members_are_sent_and_the_connection_ends() -> None:
@@ -50,7 +50,7 @@
 
 
 def test_a_response_that_was_read_makes_way_for_the_next() -> None:
-    async def whole() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
         members = MembersEndpoint(loop, lambda: b"{}")
         server = await loop.create_server(lambda: ReadinessConnection(lambda: True, members), "127.0.0.1", 0)
@@ -62,7 +62,7 @@
         server.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(whole())
+        runner.run(scenario())
 
 
 def test_other_paths_and_methods_stay_unknown() -> None:
@@ -126,7 +126,7 @@
     def __init__(self) -> None:
         self.loop = Loop()
         self.reports = 0
-        self.call = MembersEndpoint(cast(asyncio.AbstractEventLoop, self.loop), self.report)
+        self.endpoint = MembersEndpoint(cast(asyncio.AbstractEventLoop, self.loop), self.report)
 
     def report(self) -> bytes:
         self.reports += 1
@@ -134,11 +134,11 @@
 
     def ask(self) -> Client:
         client = Client()
-        self.call.respond(cast(asyncio.Transport, client))
+        self.endpoint.respond(cast(asyncio.Transport, client))
         return client
 
     def end(self, client: Client) -> None:
-        self.call.connection_lost(cast(asyncio.Transport, client))
+        self.endpoint.connection_lost(cast(asyncio.Transport, client))
 
 
 def test_few_responses_may_stay_unread_and_none_for_long() -> None:
--- a/tests/fleet/router/test_proxying.py
+++ b/tests/fleet/router/test_proxying.py
@@ -95,7 +95,7 @@
 
 def test_progress_of_a_stream_is_reported_with_its_backend_but_not_for_each_event() -> None:
     async def scene() -> None:
-        told, go_on = list[str](), asyncio.Event()
+        reported, go_on = list[str](), asyncio.Event()
 
         async def in_two_parts(
             request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -108,14 +108,14 @@
             writer.write(LAST)
 
         async with rig([Backend("a", in_two_parts)]) as made:
-            made.upstreams.on_progress = told.append
+            made.upstreams.on_progress = reported.append
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
-            assert not told  # the beginning of an answer is reported as such
+            assert not reported  # the beginning of an answer is reported as such
             go_on.set()
             await reader.readuntil(LAST)
-            assert told == ["a"]
+            assert reported == ["a"]
             writer.close()
 
     run(scene())
@@ -176,12 +176,12 @@
 
 
 def test_a_client_that_leaves_cancels_its_request_at_the_backend() -> None:
-    async def silent(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def stalls(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1)
         raise ConnectionResetError
 
     async def scene() -> None:
-        backend = Backend("a", silent)
+        backend = Backend("a", stalls)
         async with rig([backend]) as made:
             _, writer = await made.connect()
             writer.write(REQUEST % b"one")
--- a/tests/fleet/router/test_stalled_streams.py
+++ b/tests/fleet/router/test_stalled_streams.py
@@ -1,4 +1,4 @@
-"""A stream that falls silent is given up only where another backend takes it up."""
+"""A stalled stream is given up only where another backend would continue it."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 def test_a_stalled_stream_waits_where_no_backend_would_continue_it(continued: bool) -> None:
     go_on = asyncio.Event()
 
-    async def silent(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def stalls(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)))
         await go_on.wait()
         writer.write(chunk(event(2)) + LAST_CHUNK)
 
-    async def takes_up(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def continues(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(2)) + LAST_CHUNK)
 
     async def scene() -> None:
-        backends = [Backend("a", silent), Backend("b", takes_up)]
+        backends = [Backend("a", stalls), Backend("b", continues)]
         async with rig(backends, (route(stream_resume=True),)) as made:
             made.upstreams.may_continue = lambda request: continued
             reader, writer = await made.connect()
@@ -45,12 +45,12 @@
 def test_the_request_of_a_stream_knows_its_flow() -> None:
     asked = list[int]()
 
-    async def silent(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def stalls(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)))
         await asyncio.Event().wait()
 
     async def scene() -> None:
-        async with rig([Backend("a", silent)], (route(stream_resume=True),)) as made:
+        async with rig([Backend("a", stalls)], (route(stream_resume=True),)) as made:
             made.upstreams.may_continue = lambda request: bool(asked.append(request.flow_id))
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
--- a/tests/fleet/tenancy/test_floors.py
+++ b/tests/fleet/tenancy/test_floors.py
@@ -39,25 +39,25 @@
 
 
 def test_a_part_keeps_floors_beside_instances_and_over_a_snapshot() -> None:
-    told: list[FloorsRecord] = []
-    part = ServicePartition(on_floors=told.append)
-    part.apply(1, ServiceRecord("s", 3, b"x").pack())
+    applied: list[FloorsRecord] = []
+    partition = ServicePartition(on_floors=applied.append)
+    partition.apply(1, ServiceRecord("s", 3, b"x").pack())
     record = FloorsRecord(1, {ONE: 5, TWO: 6})
-    assert part.apply(2, record.pack()) == STORED
-    assert part.apply(3, FloorsRecord(2, {TWO: REMOVED, ONE: 4}).pack()) == STORED
-    assert part.floors == {ONE: 4} and len(told) == 2
+    assert partition.apply(2, record.pack()) == STORED
+    assert partition.apply(3, FloorsRecord(2, {TWO: REMOVED, ONE: 4}).pack()) == STORED
+    assert partition.floors == {ONE: 4} and len(applied) == 2
     again = ServicePartition()
     kept = again.floors
     again.floors[TWO] = 9
-    again.load(part.save())
+    again.load(partition.save())
     assert again.floors == {ONE: 4} and again.floors is kept
     assert again.version_of("s") == 3
 
 
 def test_a_snapshot_of_the_version_before_has_no_floors() -> None:
-    part = ServicePartition()
-    part.apply(1, ServiceRecord("s", 3, b"x").pack())
-    whole = part.save()
+    partition = ServicePartition()
+    partition.apply(1, ServiceRecord("s", 3, b"x").pack())
+    whole = partition.save()
     without = b"\x01" + whole[1 : len(whole) - len(FloorsRecord(0, {}).pack())]
     again = ServicePartition()
     again.load(without)
@@ -67,6 +67,6 @@
 
 
 def test_a_record_that_is_cut_changes_nothing() -> None:
-    part = ServicePartition()
-    assert part.apply(1, FloorsRecord(1, {ONE: 5}).pack()[:-1]) == SUPERSEDED
-    assert not part.floors
+    partition = ServicePartition()
+    assert partition.apply(1, FloorsRecord(1, {ONE: 5}).pack()[:-1]) == SUPERSEDED
+    assert not partition.floors
--- a/tests/fleet/tenancy/test_quota.py
+++ b/tests/fleet/tenancy/test_quota.py
@@ -42,7 +42,7 @@
 LOW = -(10**12)
 
 
-def ledger(tenant: Tenant = TENANT, floor: int | None = LOW, start: int | None = None) -> QuotaTable:
+def quota_table(tenant: Tenant = TENANT, floor: int | None = LOW, start: int | None = None) -> QuotaTable:
     """A ledger whose bucket begins with `start` tokens (0 if None) and may fall to `floor`."""
     found, floors = QuotaTable(RULES), Floors()
     found.configure([tenant])
@@ -70,7 +70,7 @@
 
 
 def test_a_bucket_starts_at_its_floor_and_fills_at_the_rate() -> None:
-    found = ledger(start=-4_000)
+    found = quota_table(start=-4_000)
     needed = 4_000 / ((1 - EXTRA_BURST_RATIO) * TENANT.rate)  # its owner before may have seen it full
     assert status(found.grant(request(1), needed - 0.01)) is GrantStatus.DENIED
     assert status(found.grant(request(1), needed + 0.01)) is GrantStatus.GRANTED
@@ -142,15 +142,15 @@
 
 
 def test_the_bucket_is_bounded_and_overdrawn_by_one_request() -> None:
-    assert status(ledger().grant(request(SIZE + DEBT + 2), 1e6)) is GrantStatus.DENIED
-    found = ledger()
+    assert status(quota_table().grant(request(SIZE + DEBT + 2), 1e6)) is GrantStatus.DENIED
+    found = quota_table()
     assert status(found.grant(request(SIZE + DEBT - 2), 1e6)) is GrantStatus.GRANTED
     assert status(found.grant(request(1), 1e6)) is GrantStatus.DENIED
 
 
 def test_after_a_burst_from_a_full_bucket_no_window_holds_more_than_the_limit() -> None:
     for retry_after in (0.0, 0.5, 2.0, 7.9, 8.1, 20.0):
-        found, used = ledger(), list[tuple[float, int]]()
+        found, used = quota_table(), list[tuple[float, int]]()
         for start in (100.0, 100.0 + retry_after):
             for turn in range(1_000):
                 now = start + turn * 0.008 if retry_after >= 8.0 else start + turn * 0.02
@@ -162,7 +162,7 @@
 
 
 def test_a_tenant_within_its_limit_may_use_a_burst_of_some_seconds_more() -> None:
-    found = ledger()
+    found = quota_table()
     for turn in range(400):  # three quarters of its rate for twenty seconds
         assert status(found.grant(request(1_500), 100.0 + turn * 0.05)) is GrantStatus.GRANTED
     for turn in range(120):  # then twice its rate for three
@@ -170,7 +170,7 @@
 
 
 def test_small_requests_do_not_starve_large_ones() -> None:
-    found, drawn = ledger(), random.Random(1)
+    found, drawn = quota_table(), random.Random(1)
     counts = {1_000: [0, 0], 9_000: [0, 0]}
     for turn in range(4_000):
         cost = drawn.choice((1_000, 9_000))
@@ -181,7 +181,7 @@
 
 
 def test_a_denied_request_gets_a_retry_after() -> None:
-    found = ledger(start=-20_000)
+    found = quota_table(start=-20_000)
     denied = found.grant(request(1_000), 0.0)
     assert denied is not None and denied.retry_after == pytest.approx(
         20_500 / ((1 - EXTRA_BURST_RATIO) * TENANT.rate)
@@ -190,33 +190,33 @@
 
 
 def test_the_retry_after_of_an_impossible_request_is_bounded() -> None:
-    denied = ledger().grant(request(10**9), 100.0)
+    denied = quota_table().grant(request(10**9), 100.0)
     assert denied is not None and denied.status is GrantStatus.DENIED and denied.retry_after <= 5.0
 
 
 def test_a_controller_that_does_not_own_the_part_grants_nothing() -> None:
-    found = ledger()
+    found = quota_table()
     found.release(PART)
     assert status(found.grant(request(1), 100.0)) is GrantStatus.NOT_OWNER
     assert not found.due_floors(PART, 100.0)
 
 
 def test_a_tenant_is_granted_nothing_at_another_part_than_its_own() -> None:
-    found = ledger()
+    found = quota_table()
     found.acquire(PART + 1, Floors(), 0.0)
     assert status(found.grant(request(1)._replace(partition=PART + 1), 100.0)) is GrantStatus.NOT_OWNER
 
 
 def test_a_tenant_that_is_not_known_yet_is_granted_nothing() -> None:
-    assert status(ledger().grant(request(1, tenant=Tenant("other")), 100.0)) is GrantStatus.NOT_OWNER
+    assert status(quota_table().grant(request(1, tenant=Tenant("other")), 100.0)) is GrantStatus.NOT_OWNER
 
 
 def test_a_tenant_without_a_limit_is_not_counted() -> None:
-    assert status(ledger(Tenant(TENANT.name)).grant(request(10**9), 0.0)) is GrantStatus.UNLIMITED
+    assert status(quota_table(Tenant(TENANT.name)).grant(request(10**9), 0.0)) is GrantStatus.UNLIMITED
 
 
 def test_a_lower_limit_binds_at_once_and_a_higher_one_does_not_fill_the_bucket() -> None:
-    found = ledger()
+    found = quota_table()
     found.grant(request(1), 100.0)
     found.configure([Tenant(TENANT.name, rate=10.0, burst=10.0)])
     assert status(found.grant(request(100_000), 100.0)) is GrantStatus.DENIED
@@ -225,14 +225,14 @@
 
 
 def test_use_without_a_grant_is_deducted() -> None:
-    found = ledger()
+    found = quota_table()
     found.grant(request(1, spent=SIZE), 100.0)
     assert status(found.grant(request(1), 100.0)) is GrantStatus.DENIED
     assert status(found.grant(request(1), 100.1)) is GrantStatus.GRANTED
 
 
 def test_prefetched_tokens_are_bounded_and_only_from_a_well_filled_bucket() -> None:
-    found = ledger()
+    found = quota_table()
     bound = int(PREFETCH_RATIO * BEYOND)
 
     def granted(at: QuotaTable, now: float) -> int:
@@ -243,7 +243,7 @@
     assert granted(found, 100.0) == 100 + bound
     assert granted(found, 100.5) == 100
     assert granted(found, 101.6) == 100 + bound
-    assert granted(ledger(start=SIZE // 3), 0.0) == 100
+    assert granted(quota_table(start=SIZE // 3), 0.0) == 100
 
 
 @dataclass
