--- a/firvane/core/net/dialer.py
+++ b/firvane/core/net/dialer.py
@@ -12,7 +12,7 @@
 
 from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.transport_pool import TransportPool
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 
 P = TypeVar("P", bound=asyncio.BaseProtocol)
 
@@ -33,7 +33,7 @@
         deadline: float,
         factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> Dialing:
         """Connect to an address.
 
@@ -57,13 +57,13 @@
         deadline: float,
         factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> None:
         self.dialer, self.sock = dialer, sock
         self.factory, self.up, self.ended = factory, up, ended
         loop = dialer.loop
         loop.add_writer(sock.fileno(), self._writable)
-        self.timer = loop.call_at(deadline, self._fail, Ending.DIAL_EXPIRED)
+        self.timer = loop.call_at(deadline, self._fail, Termination.CONNECT_TIMEOUT)
         self.connecting, self.closed = True, False
 
     def _stop_waiting(self) -> None:
@@ -73,12 +73,12 @@
 
     def _writable(self) -> None:
         if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-            self._fail(Ending.REFUSED)
+            self._fail(Termination.CONNECTION_REFUSED)
         else:
             self._stop_waiting()
             self.dialer.transports.submit(self)
 
-    def _fail(self, ending: Ending) -> None:
+    def _fail(self, ending: Termination) -> None:
         if self.connecting:
             self._stop_waiting()
             self.sock.close()
@@ -87,7 +87,7 @@
     def close(self) -> None:
         """Cancel the attempt."""
         self.closed = True
-        self._fail(Ending.CANCELLED)
+        self._fail(Termination.CANCELLED)
 
     def make_protocol(self) -> P | None:
         """The protocol of the connection, or None where the attempt was cancelled meanwhile."""
@@ -99,7 +99,7 @@
 
     def failed(self) -> None:
         """No transport could be made."""
-        self.ended(Ending.BROKE_UNSENT)
+        self.ended(Termination.BROKEN_BEFORE_SENT)
 
 
 class SocketDialer:
@@ -114,18 +114,18 @@
         deadline: float,
         factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
-        ended: Callable[[Ending], None],
+        ended: Callable[[Termination], None],
     ) -> Dialing:
         """Connect to an address (see `Dialer.dial`)."""
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         except OSError:
-            ended(Ending.NO_SOCKET)
+            ended(Termination.NO_FREE_SOCKET)
             return NO_DIAL
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         if sock.connect_ex(address) not in (0, errno.EINPROGRESS):
             sock.close()
-            ended(Ending.REFUSED)
+            ended(Termination.CONNECTION_REFUSED)
             return NO_DIAL
         return SocketDial(self, sock, deadline, factory, up, ended)
 
--- a/firvane/fleet/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -12,11 +12,11 @@
 from functools import partial
 
 from firvane.core.address import Address
-from firvane.core.engine import Exchange
+from firvane.core.engine_protocols import Exchange
 from firvane.core.net.dialer import Dialer
 from firvane.core.net.http_message import Message
 from firvane.core.net.upstream_exchange import UpstreamRun
-from firvane.core.terminations import Ending
+from firvane.core.terminations import Termination
 from firvane.fleet.router.requests import ProxiedRequest
 from firvane.fleet.router.upstream_connection import Pool, Run, UpstreamConnection
 
@@ -78,7 +78,7 @@
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
         if target not in self.pools:
-            run.end(Ending.TOO_LATE)
+            run.end(Termination.TARGET_DRAINED)
         elif unsendable := self._why_unsendable(run, now):
             run.end(unsendable)
         elif connection := pool.take(request.request_id):
@@ -98,12 +98,12 @@
 
     # Connections
 
-    def _why_unsendable(self, run: Run, now: float) -> Ending | None:
+    def _why_unsendable(self, run: Run, now: float) -> Termination | None:
         """Return what forbids a run's first byte now, if anything."""
         if not run.pool.ready:
-            return Ending.TOO_LATE
-        if now >= min(run.exchange.deadline, run.exchange.by):
-            return Ending.WITHDRAWN
+            return Termination.TARGET_DRAINED
+        if now >= min(run.exchange.deadline, run.exchange.start_before):
+            return Termination.NOT_SENT
         return None
 
     def _dial(self, run: Run, now: float) -> None:
@@ -124,14 +124,14 @@
         if run.over:
             self.park(connection)
         elif connection.closed or connection.transport.is_closing():
-            run.end(Ending.BROKE_UNSENT)
+            run.end(Termination.BROKEN_BEFORE_SENT)
         elif unsendable := self._why_unsendable(run, now):
             self.park(connection)
             run.end(unsendable)
         else:
             connection.send(run, now)
 
-    def _on_connect_failed(self, run: Run, ending: Ending) -> None:
+    def _on_connect_failed(self, run: Run, ending: Termination) -> None:
         self.connections -= 1
         run.end(ending)
 
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -1,4 +1,4 @@
-"""What the proxy reports: one source for the door and for the log."""
+"""The metrics of a proxy, for the admin API and for the log."""
 
 from __future__ import annotations
 
@@ -6,36 +6,37 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from firvane.core.request_counters import ANSWERS, Counts
+from firvane.core.request_counters import ANSWERS, ClassCounters
 
 
 @dataclass
-class Loads:
-    """Files read at SIGHUP."""
+class ReloadCounts:
+    """Configuration files that were read at SIGHUP: applied, and refused."""
 
     taken: int = 0
-    errors: int = 0  # turned down
+    errors: int = 0
 
 
 @dataclass
 class Figures:
-    """At one moment."""
+    """The metrics at one moment."""
 
     state: str
-    handled: Mapping[str, Counts]
+    handled: Mapping[str, ClassCounters]
     in_progress: int
     known_backends: int
     skipped_backends: int
-    loads: Loads = field(default_factory=Loads)
+    loads: ReloadCounts = field(default_factory=ReloadCounts)
 
     def tries(self) -> int:
+        """Attempts that were written to targets."""
         return sum(counts.upstream_tries for counts in self.handled.values())
 
     def text(self) -> str:
-        """As the door tells them, on one line."""
+        """The metrics as JSON on one line, for `show-stat`."""
         return json.dumps(
             {
-                "handled": {name: counts.told() for name, counts in self.handled.items()},
+                "handled": {name: counts.answer_counts() for name, counts in self.handled.items()},
                 "in_progress": self.in_progress,
                 "known_backends": self.known_backends,
                 "skipped_backends": self.skipped_backends,
@@ -47,8 +48,8 @@
         )
 
     def fields(self) -> dict[str, int | str]:
-        """As the log's event `figures` has them."""
-        told = [counts.told() for counts in self.handled.values()]
+        """The metrics as fields of the log event `figures`."""
+        told = [counts.answer_counts() for counts in self.handled.values()]
         totals = {name: sum(counts[name] for counts in told) for name in ANSWERS}
         return {
             "state": self.state,
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -10,11 +10,12 @@
 import httptools
 
 from firvane.core import interface as api
-from firvane.core.engine import Engine, Flow
+from firvane.core.engine import Engine
+from firvane.core.flows import Flow
 from firvane.core.net.http_message import HttpError, Message
 from firvane.core.net.http_writer import make_rejections
 from firvane.core.net.request_scan import percent_decode
-from firvane.core.request_counters import Counts
+from firvane.core.request_counters import ClassCounters
 from firvane.proxy.limits.admission_gate import Gate
 from firvane.proxy.net.managed_connection import ManagedConnection
 from firvane.proxy.net.resource_monitor import ResourceMonitor
@@ -91,10 +92,10 @@
         monitor: ResourceMonitor,
     ) -> None:
         self.loop, self.engine, self.settings, self.monitor = loop, engine, settings, monitor
-        engine.gate = self
+        engine.load_shedder = self
         self.classes: dict[bytes, tuple[int, api.RequestClass]] = {}
         self.previous_classes: dict[tuple[bytes, bytes], tuple[int, api.RequestClass]] = {}
-        self.counts: dict[bytes, Counts] = {}
+        self.counts: dict[bytes, ClassCounters] = {}
         self.tenants: dict[bytes, int] = {}
         self.connections: dict[ManagedConnection, None] = {}
         self.turns, self.account = monitor.turns, monitor.account
@@ -124,7 +125,9 @@
         self.previous_classes = {(name, request_method(cls)): (number, cls) for name, (number, cls) in known}
         self.settings = settings
         self.classes = {settings.classes[i].name.encode(): (i, settings.classes[i]) for i in current}
-        self.counts = {name: self.engine.tally.of(cls.name) for name, (_, cls) in self.classes.items()}
+        self.counts = {
+            name: self.engine.request_counters.for_class(cls.name) for name, (_, cls) in self.classes.items()
+        }
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
         self.gate.name(tuple(self.tenants))
 
@@ -204,7 +207,7 @@
             return False
         return connection.rate_count > EXCESSIVE_RATE_FACTOR * (1.0 + self.mean_requests)
 
-    def turn_away(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
+    def shed(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
         """Set what part of each tenant's requests is rejected before it is parsed (called by the engine).
 
         Args:
@@ -224,7 +227,7 @@
             counts.dropped += 1
             if self.metrics is not None:
                 self.count_unparsed(name[0], message.fields.get(b"x-caller", b""))
-        self.engine.endings["no lease on the policy"] += 1
+        self.engine.event_counts["no lease on the policy"] += 1
         limits = self.settings.limits
         return min(limits.max_retry_after, next(self.lease_backoffs)) if limits.retry_after else 0.0
 
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -4,13 +4,13 @@
 
 import httptools
 
-from firvane.core.engine import Flow
+from firvane.core.flows import Flow
 from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
 from firvane.core.net.dialer import reset_on_close
 from firvane.core.net.http_message import BytesLike, HttpError, Message, Stream
 from firvane.core.net.http_reader import MessageReader
 from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
-from firvane.core.request_counters import Counts
+from firvane.core.request_counters import ClassCounters
 from firvane.proxy.limits.memory_account import Held
 from firvane.proxy.limits.memory_costs import WINDOW
 from firvane.proxy.net.client_context import ClientContext
@@ -82,13 +82,13 @@
         self.response_stream: Stream | None = None
         self.chunked = self.closes_after = False
         self.working = False
-        self.counts: Counts | None = None
+        self.counts: ClassCounters | None = None
 
     def go_on(self, given: bool = False) -> None:
         """Process input as far as the turn allows; `given` where it has waited for this turn."""
         raise NotImplementedError
 
-    def begins(self, answer: Message) -> None:
+    def on_response_started(self, answer: Message) -> None:
         """Write the head of a long response; its body follows as it arrives and as the client reads it."""
         flow, stream = self.flow, answer.stream
         if flow is None or stream is None:
@@ -123,12 +123,12 @@
         if self.chunked and self.response_stream and not self.transport.is_closing():
             self.transport.write(LAST_CHUNK)
 
-    def ends(self) -> None:
+    def on_response_finished(self) -> None:
         """A long response is complete."""
         self.response_stream = None
         self._response_written(self.closes_after, CLIENT_STALL_TIMEOUT_S, True)
 
-    def cut(self) -> None:
+    def on_response_aborted(self) -> None:
         """Abort a long response.
 
         Its client can tell that it is truncated: by its length, the missing last chunk, or the reset.
@@ -136,20 +136,20 @@
         self.response_stream = None
         self.transport.abort()
 
-    def served(self, answer: Message) -> None:
+    def on_response(self, answer: Message) -> None:
         """Write the response of a target."""
         self._respond(200, answer.body, answer.size, list(answer.end_to_end_fields()))
 
-    def refused(self, retry_after: float) -> None:
+    def on_rejected(self, retry_after: float) -> None:
         """Reject the request; `retry_after` in s, or 0 for none."""
         extra = [b"Retry-After: %.3f\r\n" % retry_after] if retry_after > 0 else []
         self._respond(503, [b"refused\n"], 8, extra)
 
-    def failed(self) -> None:
+    def on_failed(self) -> None:
         """Respond that no target has served the request."""
         self._respond(502, [b"failed\n"], 7, [])
 
-    def at_fault(self) -> None:
+    def on_bad_request(self) -> None:
         """Respond that the request is invalid, as a target found."""
         self._reject_malformed(HttpError(400))
 
@@ -229,7 +229,7 @@
     def _reject_malformed(self, fault: HttpError) -> None:
         """Respond to malformed input and close: what follows it cannot be trusted."""
         self.keep_alive, self.discarding = False, True
-        self.context.engine.endings[f"turned down {fault.status}"] += 1
+        self.context.engine.event_counts[f"turned down {fault.status}"] += 1
         self._respond_status(fault.status)
 
     def _release_output(self) -> None:
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -75,8 +75,8 @@
     Mutant(
         "Retry-After only where it is allowed",
         "firvane/core/engine.py",
-        "flow.client.refused(action.retry_after if self.settings.limits.retry_after else 0.0)",
-        "flow.client.refused(action.retry_after)",
+        "flow.client.on_rejected(action.retry_after if self.settings.limits.retry_after else 0.0)",
+        "flow.client.on_rejected(action.retry_after)",
         f"{TEST}::test_retry_after_only_where_it_is_allowed",
     ),
     Mutant(
