--- a/firvane/fleet/placement/server_view.py
+++ b/firvane/fleet/placement/server_view.py
@@ -248,3 +248,8 @@
             self.peers_in_flight += load.in_flight
             if load.tokens:
                 self.prefilling_peers[peer] = load
+
+
+def server_id(server: ServerView) -> str:
+    """Return the id of a server, as a sort key."""
+    return server.id
--- a/firvane/fleet/placement/service_view.py
+++ b/firvane/fleet/placement/service_view.py
@@ -8,7 +8,7 @@
 from firvane.fleet.placement.events import ServiceInfo
 from firvane.fleet.placement.prefix_cache import PrefixCacheView
 from firvane.fleet.placement.prompt_homes import HomeOrder, Prompt
-from firvane.fleet.placement.server_view import ServerView
+from firvane.fleet.placement.server_view import ServerView, server_id
 from firvane.fleet.placement.slices import Slices
 from firvane.fleet.placement.throughput import ThroughputEstimates
 
@@ -71,7 +71,7 @@
             server = self.servers.get(name) or self._add_server(instance)
             server.ready = server.ready and instance.state is InstanceState.READY
         self.by_hash = {server.id_hash: server for server in self.servers.values()}
-        self.ready = sorted((each for each in self.servers.values() if each.ready), key=_server_id)
+        self.ready = sorted((each for each in self.servers.values() if each.ready), key=server_id)
         for server in self.ready:
             server.prefix_cache.max_blocks = max(MIN_CACHED_BLOCKS, MAX_CACHED_BLOCKS // len(self.ready))
         self._assign_slices()
@@ -112,7 +112,3 @@
         if in_flight >= slots:
             expected += (in_flight + 1 - slots) / slots * throughput.duration
         return expected
-
-
-def _server_id(server: ServerView) -> str:
-    return server.id
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -14,7 +14,7 @@
 from firvane.core.balancing.slices import deal
 from firvane.fleet.placement.prompt_homes import rank_servers
 from firvane.fleet.placement.rows import Section
-from firvane.fleet.placement.server_view import ServerView
+from firvane.fleet.placement.server_view import ServerView, server_id
 
 WORK_UNIT_TOKENS = 1024.0
 MOVE_SALT = 77  # separates the draw of moves from the hash of homes
@@ -50,7 +50,7 @@
         """Deal the ready servers to the live routers."""
         self.by_router = {router: [] for router in sorted(routers)}
         self.owners = {}
-        for router, server in deal(sorted(servers, key=_server_id), list(self.by_router)):
+        for router, server in deal(sorted(servers, key=server_id), list(self.by_router)):
             self.by_router[router].append(server)
             self.owners.setdefault(server.id, []).append(router)
         self.shares = self._between_live(self.shares)
@@ -136,7 +136,3 @@
         servers = self.by_router.get(router, ())
         hashed_ids = [(server.id_hash, server.id) for server in servers if server.id != home]
         return rank_servers(key, hashed_ids, 1)[0] if hashed_ids else None
-
-
-def _server_id(server: ServerView) -> str:
-    return server.id
