--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -106,11 +106,11 @@
         return 2
     snapshot_store = None
     if config.snapshot:  # imported by name: without the key no process loads the module
-        kept = importlib.import_module("firvane.proxy.snapshots.file")
-        snapshot_store = partial(kept.Keeper, config.snapshot, config.name)
-    policy_agreement = (
-        importlib.import_module("firvane.proxy.quorum.driver").PolicyConsensus if config.policy else None
-    )
+        snapshots = importlib.import_module("firvane.proxy.snapshots.file")
+        snapshot_store = partial(snapshots.SnapshotStore, config.snapshot, config.name)
+    policy_agreement = None
+    if config.policy:
+        policy_agreement = importlib.import_module("firvane.proxy.quorum.driver").PolicyConsensus
     return serve(config, partial(read_config, os.environ, again=True), snapshot_store, policy_agreement)
 
 
--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -14,13 +14,13 @@
 class SnapshotStore(Protocol):
     """Keeps learned estimates beyond the end of the process (`snapshots.file`)."""
 
-    def recall(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
+    def load(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
         """The stored estimates and endpoint list, or None; `now` is Unix time in s."""
 
-    def keep(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
-        """Store estimates and the endpoint list that `listed` makes, possibly in another thread."""
+    def save(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
+        """Store estimates and the endpoint list that `make_list` returns, possibly in another thread."""
 
-    def close(self, now: float, listed: Callable[[], Any], held: api.RestoredEstimates) -> None:
+    def close(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
         """Store them for the last time, before this returns."""
 
 
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -155,7 +155,7 @@
         """Restore the snapshot; return the configuration, with the stored list where it has none."""
         recovery = self.balancer.recovery
         store = self.snapshot_store
-        restored = store.recall(self.wall()) if store and recovery else None
+        restored = store.load(self.wall()) if store and recovery else None
         if not (restored and recovery):
             return config
         memory, listed = restored
@@ -169,7 +169,7 @@
         return config if config.known or config.discovery is None else replace(config, known=listed)
 
     def _snapshot(self) -> tuple[float, Callable[[], Any], api.RestoredEstimates]:
-        """The arguments of `SnapshotStore.keep`."""
+        """The arguments of `SnapshotStore.save`."""
         recovery, balancer = self.balancer.recovery, self.balancer
         assert recovery  # no store is made without it
         return (
@@ -180,7 +180,7 @@
 
     def _store_snapshot(self, due: float) -> None:
         if self.snapshot_store and self.lifecycle.meaning().takes:
-            self.snapshot_store.keep(*self._snapshot())
+            self.snapshot_store.save(*self._snapshot())
             due += self.config.snapshot_every
             self.loop.call_at(due, self._store_snapshot, due)
 
