--- a/firvane/fleet/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -10,7 +10,7 @@
 from firvane.fleet.cluster.agent import Item
 from firvane.fleet.controller.instance_records import InstanceRecords
 from firvane.fleet.controller.platform_client import PlatformError, PlatformReply
-from firvane.fleet.discovery.pages import CompleteList, Fetch, PageWalk, Pause, WalkStep
+from firvane.fleet.discovery.pages import Backoff, CompleteList, Fetch, InstanceListReader, ReadStep
 
 POLL_INTERVAL_S = 1.0  # from the start of a poll to the start of the next
 MAX_BACKOFF_S = 1.0  # also against `Retry-After`: a backend may begin to drain as soon as the list is back
@@ -43,7 +43,9 @@
         self._sleep = sleep
         self._task: asyncio.Task[None] | None = None
         self._failing = False
-        self._walk = PageWalk()  # lasts for all polls: its backoff grows with consecutive failures
+        self._reader = (
+            InstanceListReader()
+        )  # lasts for all polls: its backoff grows with consecutive failures
 
     def acquire(self, term: int) -> None:
         """Acquire the role in a term of its partition; the first poll begins at once."""
@@ -76,28 +78,28 @@
 
     async def poll(self) -> None:
         """Fetch all pages of the list, and publish what has changed."""
-        walk = self._walk
-        step: WalkStep = walk.begin(self._loop.time())
+        reader = self._reader
+        step: ReadStep = reader.begin(self._loop.time())
         while not isinstance(step, CompleteList):
-            if isinstance(step, Pause):
+            if isinstance(step, Backoff):
                 await self._wait(step)
-            step = await self._fetch(walk, step)
+            step = await self._fetch(reader, step)
         self._recovered()
         for item in self._records.observe(step, self._loop.time()):
             self._publish(item)
 
-    async def _fetch(self, walk: PageWalk, step: Fetch | Pause) -> WalkStep:
+    async def _fetch(self, reader: InstanceListReader, step: Fetch | Backoff) -> ReadStep:
         try:
             reply = await self._platform.get(step.path)
         except PlatformError as error:
-            return walk.failure(str(error), self._loop.time())
-        next_step = walk.answer(reply.status, reply.body, self._loop.time())
-        if isinstance(next_step, Pause) and reply.retry_after_s:
+            return reader.on_failure(str(error), self._loop.time())
+        next_step = reader.on_reply(reply.status, reply.body, self._loop.time())
+        if isinstance(next_step, Backoff) and reply.retry_after_s:
             retry_at = self._loop.time() + reply.retry_after_s
-            return Pause(max(next_step.until, retry_at), next_step.path, next_step.reason)
+            return Backoff(max(next_step.until, retry_at), next_step.path, next_step.reason)
         return next_step
 
-    async def _wait(self, pause: Pause) -> None:
+    async def _wait(self, pause: Backoff) -> None:
         if not self._failing:
             self._failing = True
             self._log.warning("instance_list_unavailable", reason=pause.reason)
--- a/firvane/fleet/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -63,7 +63,7 @@
 
     def observe(self, listed: CompleteList, now: float) -> list[Item]:
         """Merge a complete list; returns the items to publish."""
-        changed = self.table.observe(listed.instances, now, listed.certain)
+        changed = self.table.observe(listed.instances, now, listed.is_consistent)
         self._services |= changed
         if not self.owns_role:
             return []
--- a/firvane/fleet/discovery/__init__.py
+++ b/firvane/fleet/discovery/__init__.py
@@ -1,1 +1,7 @@
-"""Knowledge of the backends' instances: the platform's paged list, sticky states and the record passed on."""
+"""Discovery of backends: the platform's paged list, the table of instances, and their record."""
+
+from __future__ import annotations
+
+
+class DiscoveryError(Exception):
+    """Base of the errors of this package."""
--- a/firvane/fleet/discovery/codec.py
+++ b/firvane/fleet/discovery/codec.py
@@ -1,6 +1,6 @@
-"""The record in which instances are passed on: a version byte, bounded lengths, compressed.
+"""Codec of the record of instances: a version byte, bounded lengths, compressed with zlib.
 
-Texts are UTF-8 with a length of one byte. Addresses are IPv4, four bytes and a port.
+Texts are UTF-8 with a length of one byte. Addresses are IPv4: four bytes and a port.
 """
 
 from __future__ import annotations
@@ -8,8 +8,10 @@
 import struct
 import zlib
 from collections.abc import Iterable
+from typing import NamedTuple
 
 from firvane.core.address import Address
+from firvane.fleet.discovery import DiscoveryError
 from firvane.fleet.discovery.instances import Instance, InstanceState, ModelVersion
 
 RECORD_VERSION = 1
@@ -18,18 +20,19 @@
 MAX_RECORD_BYTES = 16 * 1024 * 1024
 MAX_TEXT_BYTES = 255
 MAX_MODELS = 255
+IPV4_OCTETS = 4
 
 _HEAD = struct.Struct("!BHI")  # record version, number of instances, bytes before compression
 _INSTANCE = struct.Struct("!4BHIBIB")  # address, port, slots, state, cold remaining (ms), number of models
 _MODEL = struct.Struct("!QB")  # version, number of adapters
 
 
-class InstanceRecordError(ValueError):
-    """A record of instances is cut off, oversized, of an unknown version or otherwise unreadable."""
+class InstanceRecordError(DiscoveryError, ValueError):
+    """A record of instances is cut off, oversized, of an unknown version or otherwise malformed."""
 
 
 def encode_instances(instances: Iterable[Instance]) -> bytes:
-    """Encode instances in their order; `InstanceRecordError` where one is out of bounds."""
+    """Encode instances in order; `InstanceRecordError` if one is out of bounds."""
     encoded = []
     try:
         for instance in instances:
@@ -43,7 +46,7 @@
 
 
 def decode_instances(payload: bytes) -> tuple[Instance, ...]:
-    """Decode a record; `InstanceRecordError` where it is none."""
+    """Decode a record; `InstanceRecordError` if it is malformed."""
     count, body = _inflate(payload)
     reader = _Reader(body)
     try:
@@ -55,7 +58,12 @@
     return instances
 
 
-def _inflate(payload: bytes) -> tuple[int, bytes]:
+class _Body(NamedTuple):
+    instance_count: int
+    data: bytes
+
+
+def _inflate(payload: bytes) -> _Body:
     if len(payload) < _HEAD.size:
         raise InstanceRecordError("the record is cut off")
     record_version, count, length = _HEAD.unpack_from(payload)
@@ -70,18 +78,20 @@
         raise InstanceRecordError(f"the record cannot be decompressed: {error}") from error
     if len(body) != length or not inflater.eof or inflater.unused_data:
         raise InstanceRecordError("the length of the record is wrong")
-    return count, body
+    return _Body(count, body)
 
 
 def _encode(instance: Instance) -> bytes:
     host, port = instance.address
     octets = [int(part) for part in host.split(".")]
-    if len(octets) != 4:
+    if len(octets) != IPV4_OCTETS:
         raise InstanceRecordError(f"{host!r} is not an IPv4 address")
     if len(instance.models) > MAX_MODELS:
         raise InstanceRecordError("an instance has too many models")
-    state, cold, models = instance.state, instance.cold_remaining_ms, len(instance.models)
-    parts = [_INSTANCE.pack(*octets, port, instance.slots, state, cold, models)]
+    head = _INSTANCE.pack(
+        *octets, port, instance.slots, instance.state, instance.cold_remaining_ms, len(instance.models)
+    )
+    parts = [head]
     texts = (instance.id, instance.service, instance.zone, instance.software, instance.stage)
     parts.extend(_text(text) for text in texts)
     for model in instance.models:
@@ -98,7 +108,7 @@
 
 
 class _Reader:
-    """Reads fields one after the other; whatever is wrong raises an error that the caller names."""
+    """Decodes fields in order; the caller translates the errors of malformed ones."""
 
     def __init__(self, body: bytes) -> None:
         self._body = body
--- a/firvane/fleet/discovery/instances.py
+++ b/firvane/fleet/discovery/instances.py
@@ -1,12 +1,12 @@
-"""Instances of backends and the table that keeps their states.
+"""Instances of backends, and the table of their states.
 
-Rules of the table:
+Invariants of the table:
 
-1. A state only rises, READY < DRAINING < GONE, so that tables of two pollers can be merged without conflict.
-2. An id that is absent from a complete list is GONE and never returns. One that another poller told of since
-   the last list may be younger than this list, so only the next list decides on it.
-3. A new id at an address ends the id that was there before.
-4. Ids that are GONE are kept for `GONE_KEPT_S` after they were last seen, so that the table stays bounded.
+1. A state only rises, READY < DRAINING < GONE, so that the tables of two pollers merge without conflict.
+2. An id that is missing from a complete list is GONE and never returns. An id that was merged from another
+   poller since the last list may be newer than this list, so only the next list decides on it.
+3. A new id at an address replaces the id that was there before.
+4. Ids that are GONE are retained for `GONE_RETENTION_S` after they were last seen: the table stays bounded.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 from firvane.core.address import Address
 
-GONE_KEPT_S = 600.0
+GONE_RETENTION_S = 600.0
 
 
 class InstanceState(enum.IntEnum):
-    """The life of an instance; it only rises."""
+    """The state of an instance; it only rises."""
 
     READY = 0
     DRAINING = 1
@@ -31,7 +31,7 @@
 
 
 class ModelVersion(Struct, frozen=True):
-    """A model that an instance holds, with the version of its weights."""
+    """A model that an instance serves, with the version of its weights."""
 
     name: str
     version: int
@@ -39,7 +39,7 @@
 
 
 class Instance(Struct, frozen=True):
-    """One start of a backend. `cold_remaining_ms`: how much longer it stays slow, as the list said it."""
+    """One incarnation of a backend; `cold_remaining_ms` is the rest of its warm-up, as listed."""
 
     id: str
     service: str
@@ -53,23 +53,23 @@
     stage: str = ""
 
     def differs_from(self, other: Instance) -> bool:
-        """True where anything but the remaining cold time differs; that runs down by itself."""
+        """Whether anything but the remaining warm-up differs, which decreases by itself."""
         if self == other:
             return False
         return replace(self, cold_remaining_ms=0) != replace(other, cold_remaining_ms=0)
 
 
 class InstanceTable:
-    """All instances that are known, by id. Pure; `now` is in monotonic seconds."""
+    """All known instances, by id; `now` is in monotonic seconds."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, Instance] = {}
-        self._gone_at: dict[str, float | None] = {}  # None: from a merge, dated by the next observation
-        self._missing: set[str] = set()  # absent from the last list, which was not certain
-        self._merged: set[str] = set()  # learned from another poller since the last list
+        self._gone_at: dict[str, float | None] = {}  # None: from a merge, set by the next list
+        self._missing: set[str] = set()  # from the last list, which was not consistent
+        self._merged: set[str] = set()  # from another poller since the last list
 
     def services(self) -> frozenset[str]:
-        """Names of the services that have an instance which is not gone."""
+        """The names of services with an instance that is not gone."""
         return frozenset(
             each.service for each in self._by_id.values() if each.state is not InstanceState.GONE
         )
@@ -79,34 +79,34 @@
         return tuple(each for each in self.record_of(service) if each.state is not InstanceState.GONE)
 
     def record_of(self, service: str) -> tuple[Instance, ...]:
-        """The same together with those that are gone; this is what is passed on."""
+        """All instances of a service, also those that are gone; this is what is published."""
         found = [each for each in self._by_id.values() if each.service == service]
         return tuple(sorted(found, key=lambda each: each.id))
 
     def state_of(self, instance_id: str) -> InstanceState | None:
-        """The state of an id, or None where it is not known."""
+        """The state of an id; None if it is not known."""
         instance = self._by_id.get(instance_id)
         return instance.state if instance else None
 
-    def observe(self, complete: Sequence[Instance], now: float, certain: bool = True) -> frozenset[str]:
-        """Take a complete list and return the services whose set changed.
+    def observe(self, complete: Sequence[Instance], now: float, is_consistent: bool = True) -> frozenset[str]:
+        """Merge a complete list; returns the services whose instances changed.
 
-        Where the list came in several pages it may have shifted between them and skipped an id. It is not
-        `certain` then, and a ready id is gone only if the next list lacks it too.
+        A list of several pages may have changed between them and skipped an id: it is not `is_consistent`,
+        and a ready id is gone only if the next list lacks it too.
         """
         changed: set[str] = set()
         self._retire_replaced(complete, now, changed)
         listed = {each.id for each in complete}
         for instance in complete:
-            self._take(instance, changed)
-        self._retire_absent(listed, now, certain, changed)
+            self._merge_instance(instance, changed)
+        self._retire_absent(listed, now, is_consistent, changed)
         self._forget_gone(listed, now)
         return frozenset(changed)
 
     def merge(self, service: str, instances: Sequence[Instance]) -> bool:
-        """Take what another poller knows of a service; True where anything changed.
+        """Merge another poller's record of a service; returns whether anything changed.
 
-        The higher state wins. Ids that are absent there stay as they are: the next list decides on them.
+        The higher state wins. Ids that the record lacks stay unchanged: the next list decides on them.
         """
         changed: set[str] = set()
         for instance in instances:
@@ -114,32 +114,32 @@
                 continue
             if instance.id not in self._by_id:
                 self._merged.add(instance.id)
-            self._take(instance, changed)
+            self._merge_instance(instance, changed)
         return bool(changed)
 
     def replace(self, service: str, instances: Sequence[Instance], now: float) -> bool:
-        """Take a newer record of a service from its poller; True where anything changed.
+        """Replace the record of a service by a newer one; returns whether anything changed.
 
-        For routers, which keep no list of their own. An id that is absent leaves the table: it was gone so
-        long that its poller has forgotten it, or the poller has changed and may learn of it again.
+        For routers, which read no list of their own. An id that the record lacks leaves the table: its
+        retention is over, or the poller has changed and may list it again.
         """
         changed: set[str] = set()
         if self.merge(service, instances):
             changed.add(service)
-        kept = {each.id for each in instances}
+        recorded = {each.id for each in instances}
         for known in self.of(service):
-            if known.id in kept:
+            if known.id in recorded:
                 continue
             if known.state is InstanceState.DRAINING:
                 self._retire(known, now, changed)
             else:
                 del self._by_id[known.id]
                 changed.add(service)
-        self._forget_gone(kept, now)
+        self._forget_gone(recorded, now)
         self._merged.clear()
         return bool(changed)
 
-    def _take(self, instance: Instance, changed: set[str]) -> None:
+    def _merge_instance(self, instance: Instance, changed: set[str]) -> None:
         known = self._by_id.get(instance.id)
         if known is not None and known.state > instance.state:
             instance = known if known.state is InstanceState.GONE else replace(instance, state=known.state)
@@ -157,20 +157,20 @@
         changed.add(instance.service)
 
     def _retire_replaced(self, complete: Sequence[Instance], now: float, changed: set[str]) -> None:
-        """End the known ids whose address the list gives to an id that is new here."""
-        new_holders = {each.address: each.id for each in complete if each.id not in self._by_id}
-        if not new_holders:
+        """Retire known ids whose address belongs to a new id in the list."""
+        new_owners = {each.address: each.id for each in complete if each.id not in self._by_id}
+        if not new_owners:
             return
         for known in list(self._by_id.values()):
-            if known.state is not InstanceState.GONE and new_holders.get(known.address, known.id) != known.id:
+            if known.state is not InstanceState.GONE and new_owners.get(known.address, known.id) != known.id:
                 self._retire(known, now, changed)
 
-    def _retire_absent(self, listed: set[str], now: float, certain: bool, changed: set[str]) -> None:
+    def _retire_absent(self, listed: set[str], now: float, is_consistent: bool, changed: set[str]) -> None:
         missing: set[str] = set()
         for known in list(self._by_id.values()):
             if known.id in listed or known.id in self._merged or known.state is InstanceState.GONE:
                 continue
-            if certain or known.state is InstanceState.DRAINING or known.id in self._missing:
+            if is_consistent or known.state is InstanceState.DRAINING or known.id in self._missing:
                 self._retire(known, now, changed)
             else:
                 missing.add(known.id)
@@ -181,6 +181,6 @@
         for instance_id, gone_at in list(self._gone_at.items()):
             if gone_at is None or instance_id in listed:
                 self._gone_at[instance_id] = now
-            elif now - gone_at > GONE_KEPT_S:
+            elif now - gone_at > GONE_RETENTION_S:
                 del self._gone_at[instance_id]
                 self._by_id.pop(instance_id, None)
--- a/firvane/fleet/discovery/pages.py
+++ b/firvane/fleet/discovery/pages.py
@@ -1,8 +1,9 @@
-"""The platform's list of instances, page by page.
+"""Reading the platform's list of instances, page by page.
 
-`PageWalk` says which page to ask for next and yields the list only when all its pages have come. After 429 or
-any failure it starts again from the first page, after a pause that doubles up to `LONGEST_PAUSE_S`. So it
-does where the walk took longer than `LONGEST_WALK_S`: a process that was frozen must not act on an old list.
+`InstanceListReader` names the next page to fetch, and returns the list when all pages are complete. After a
+429 or any failure it starts again from the first page, with an exponential backoff up to `MAX_BACKOFF_S`. It
+also starts again if the pages took longer than `MAX_READ_DURATION_S`, since a process that was frozen must
+not act on an old list.
 """
 
 from __future__ import annotations
@@ -13,15 +14,18 @@
 from msgspec import Struct
 
 from firvane.core.address import parse_address
+from firvane.fleet.discovery import DiscoveryError
 from firvane.fleet.discovery.instances import Instance, InstanceState, ModelVersion
 
 LIST_PATH = "/instances"
-FIRST_PAUSE_S = 0.25
-LONGEST_PAUSE_S = 4.0
-LONGEST_WALK_S = 5.0
+INITIAL_BACKOFF_S = 0.25
+MAX_BACKOFF_S = 4.0
+MAX_READ_DURATION_S = 5.0
 MAX_PAGES = 1_000
 MAX_TEXT_BYTES = 255
 MAX_COUNT = 2**32 - 1
+MAX_VERSION = 2**64 - 1
+MAX_BACKOFF_DOUBLINGS = 16
 MAX_MODELS = 255
 
 OK = 200
@@ -29,8 +33,8 @@
 _STATES = {"ready": InstanceState.READY, "draining": InstanceState.DRAINING}
 
 
-class PageError(ValueError):
-    """A page of the list cannot be read."""
+class PageError(DiscoveryError, ValueError):
+    """A page of the list is malformed."""
 
 
 class Page(Struct, frozen=True):
@@ -68,7 +72,7 @@
 
 
 def parse_page(body: bytes) -> Page:
-    """Read one page; `PageError` where anything in it is not as it must be."""
+    """Decode one page; `PageError` if it is malformed or out of bounds."""
     try:
         entry = _decoder.decode(body)
         return Page(tuple(_instance(each) for each in entry.instances), entry.next_token or None)
@@ -79,13 +83,13 @@
 
 
 class Fetch(Struct, frozen=True):
-    """Ask for this path and query now."""
+    """Fetch this path and query now."""
 
     path: str
 
 
-class Pause(Struct, frozen=True):
-    """Ask for `path` at the time `until` (monotonic seconds); `reason` says what went wrong."""
+class Backoff(Struct, frozen=True):
+    """Fetch `path` at the time `until` (monotonic seconds); `reason` is that of the failure."""
 
     until: float
     path: str
@@ -93,56 +97,56 @@
 
 
 class CompleteList(Struct, frozen=True):
-    """All pages have come. `certain` is false where there were several, between which the list may shift."""
+    """The complete list; not `is_consistent` if it had several pages, between which it may have changed."""
 
     instances: tuple[Instance, ...]
-    certain: bool
+    is_consistent: bool
 
 
-WalkStep = Fetch | Pause | CompleteList
+ReadStep = Fetch | Backoff | CompleteList
 
 
-class PageWalk:
-    """One walk after the other through the pages of the list."""
+class InstanceListReader:
+    """Reads the pages of the list, again and again."""
 
     def __init__(self, zone: str | None = None) -> None:
         self._zone = zone
         self._found: dict[str, Instance] = {}
         self._pages = 0
         self._failures = 0
-        self._began: float | None = None
+        self._began_at: float | None = None
 
     def begin(self, now: float | None = None) -> Fetch:
-        """Start a walk; what an unfinished one had found is dropped. Without `now` it may take any time."""
-        self._began = now
+        """Start from the first page, and drop unfinished reads; without `now` there is no limit of time."""
+        self._began_at = now
         self._found.clear()
         self._pages = 0
         return Fetch(self._path(None))
 
-    def answer(self, status: int, body: bytes, now: float) -> WalkStep:
-        """Take the answer to the last `Fetch` or `Pause`."""
+    def on_reply(self, status: int, body: bytes, now: float) -> ReadStep:
+        """Process the reply to the last `Fetch` or `Backoff`."""
         if status != OK:
-            return self.failure(f"status {status}", now)
-        if self._began is not None and now - self._began > LONGEST_WALK_S:
-            return self.failure("the walk took too long", now)
+            return self.on_failure(f"status {status}", now)
+        if self._began_at is not None and now - self._began_at > MAX_READ_DURATION_S:
+            return self.on_failure("the walk took too long", now)
         try:
             page = parse_page(body)
         except PageError as error:
-            return self.failure(str(error), now)
+            return self.on_failure(str(error), now)
         self._pages += 1
         for instance in page.instances:
-            self._note(instance)
+            self._record(instance)
         if page.next_token is None:
             return self._complete(now)
         if self._pages >= MAX_PAGES:
-            return self.failure("the list has too many pages", now)
+            return self.on_failure("the list has too many pages", now)
         return Fetch(self._path(page.next_token))
 
-    def failure(self, reason: str, now: float) -> Pause:
-        """Take the news that no answer came, and start again after a pause."""
-        pause = min(FIRST_PAUSE_S * 2.0 ** min(self._failures, 16), LONGEST_PAUSE_S)
+    def on_failure(self, reason: str, now: float) -> Backoff:
+        """Start again after a backoff, as there was no usable reply."""
+        backoff_s = min(INITIAL_BACKOFF_S * 2.0 ** min(self._failures, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_S)
         self._failures += 1
-        return Pause(now + pause, self.begin(now + pause).path, reason)
+        return Backoff(now + backoff_s, self.begin(now + backoff_s).path, reason)
 
     def _complete(self, now: float) -> CompleteList:
         complete = CompleteList(tuple(self._found.values()), self._pages == 1)
@@ -150,8 +154,8 @@
         self.begin(now)
         return complete
 
-    def _note(self, instance: Instance) -> None:
-        """Keep an instance; one that a shifting list shows twice keeps the higher state."""
+    def _record(self, instance: Instance) -> None:
+        """Record an instance; if a changing list names it twice, the higher state counts."""
         known = self._found.get(instance.id)
         if known is None or instance.state > known.state:
             self._found[instance.id] = instance
@@ -189,7 +193,7 @@
 
 
 def _model(entry: _ModelEntry) -> ModelVersion:
-    if not 0 <= entry.config_version < 2**64:
+    if not 0 <= entry.config_version <= MAX_VERSION:
         raise PageError("the version of a model is out of bounds")
     adapters = tuple(each for each in entry.adapters if isinstance(each, str))[:MAX_MODELS]
     for text in (entry.name, *adapters):
--- a/tests/fleet/controller/test_instance_records.py
+++ b/tests/fleet/controller/test_instance_records.py
@@ -17,7 +17,7 @@
 
 
 def listed(*instances: Instance) -> CompleteList:
-    return CompleteList(instances, certain=True)
+    return CompleteList(instances, is_consistent=True)
 
 
 def states(item: Item) -> dict[str, InstanceState]:
--- a/tests/fleet/discovery/test_instances.py
+++ b/tests/fleet/discovery/test_instances.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from firvane.fleet.discovery.instances import GONE_KEPT_S, Instance, InstanceState, InstanceTable
+from firvane.fleet.discovery.instances import GONE_RETENTION_S, Instance, InstanceState, InstanceTable
 
 READY, DRAINING, GONE = InstanceState.READY, InstanceState.DRAINING, InstanceState.GONE
 
@@ -57,11 +57,11 @@
 
 def test_a_list_that_may_have_shifted_ends_a_ready_id_only_the_second_time() -> None:
     known = table(instance("a"), instance("b"), instance("c", state=DRAINING))
-    assert known.observe([instance("b")], 1.0, certain=False) == {"writer"}
+    assert known.observe([instance("b")], 1.0, is_consistent=False) == {"writer"}
     assert (known.state_of("a"), known.state_of("c")) == (READY, GONE)
-    assert known.observe([instance("a"), instance("b")], 2.0, certain=False) == frozenset()
-    known.observe([instance("b")], 3.0, certain=False)
-    assert known.observe([instance("b")], 4.0, certain=False) == {"writer"}
+    assert known.observe([instance("a"), instance("b")], 2.0, is_consistent=False) == frozenset()
+    known.observe([instance("b")], 3.0, is_consistent=False)
+    assert known.observe([instance("b")], 4.0, is_consistent=False) == {"writer"}
     assert known.state_of("a") is GONE
 
 
@@ -78,9 +78,9 @@
     known = table(instance("a"), instance("b"))
     known.observe([instance("b")], 1.0)
     known.observe([instance("a"), instance("b")], 100.0)
-    known.observe([instance("b")], 100.0 + GONE_KEPT_S)
+    known.observe([instance("b")], 100.0 + GONE_RETENTION_S)
     assert known.state_of("a") is GONE
-    known.observe([instance("b")], 101.0 + GONE_KEPT_S)
+    known.observe([instance("b")], 101.0 + GONE_RETENTION_S)
     assert known.state_of("a") is None
 
 
@@ -116,9 +116,9 @@
     known = InstanceTable()
     known.merge("writer", [instance("a", state=GONE)])
     known.observe([], 5000.0)
-    known.observe([], 5000.0 + GONE_KEPT_S)
+    known.observe([], 5000.0 + GONE_RETENTION_S)
     assert known.state_of("a") is GONE
-    known.observe([], 5001.0 + GONE_KEPT_S)
+    known.observe([], 5001.0 + GONE_RETENTION_S)
     assert known.state_of("a") is None
 
 
--- a/tests/fleet/discovery/test_pages.py
+++ b/tests/fleet/discovery/test_pages.py
@@ -9,14 +9,14 @@
 
 from firvane.fleet.discovery.instances import InstanceState, ModelVersion
 from firvane.fleet.discovery.pages import (
-    FIRST_PAUSE_S,
-    LONGEST_PAUSE_S,
-    LONGEST_WALK_S,
+    INITIAL_BACKOFF_S,
+    MAX_BACKOFF_S,
+    MAX_READ_DURATION_S,
+    Backoff,
     CompleteList,
     Fetch,
+    InstanceListReader,
     PageError,
-    PageWalk,
-    Pause,
     parse_page,
 )
 
@@ -107,67 +107,67 @@
 
 
 def test_a_list_of_one_page_is_certain() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     assert walk.begin(0.0) == Fetch("/instances")
-    complete = walk.answer(200, page(entry()), 0.0)
+    complete = walk.on_reply(200, page(entry()), 0.0)
     assert isinstance(complete, CompleteList)
-    assert complete.certain
+    assert complete.is_consistent
     assert [each.id for each in complete.instances] == ["i-1"]
 
 
 def test_the_walk_asks_for_each_page_and_quotes_what_it_asks() -> None:
-    walk = PageWalk(zone="north & south")
+    walk = InstanceListReader(zone="north & south")
     assert walk.begin(0.0) == Fetch("/instances?zone=north%20%26%20south")
-    step = walk.answer(200, page(entry("a"), token="p/1?"), 0.0)
+    step = walk.on_reply(200, page(entry("a"), token="p/1?"), 0.0)
     assert step == Fetch("/instances?zone=north%20%26%20south&page_token=p%2F1%3F")
-    complete = walk.answer(200, page(entry("b", state="draining"), entry("a", state="draining")), 0.0)
+    complete = walk.on_reply(200, page(entry("b", state="draining"), entry("a", state="draining")), 0.0)
     assert isinstance(complete, CompleteList)
-    assert not complete.certain
+    assert not complete.is_consistent
     assert {each.id: each.state.name for each in complete.instances} == {"a": "DRAINING", "b": "DRAINING"}
 
 
 def test_a_failure_on_any_page_starts_again_and_yields_nothing() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     walk.begin(0.0)
-    walk.answer(200, page(entry("a"), token="1"), 0.0)
-    step = walk.answer(429, b"", 10.0)
-    assert step == Pause(10.0 + FIRST_PAUSE_S, "/instances", "status 429")
-    complete = walk.answer(200, page(entry("b")), 11.0)
+    walk.on_reply(200, page(entry("a"), token="1"), 0.0)
+    step = walk.on_reply(429, b"", 10.0)
+    assert step == Backoff(10.0 + INITIAL_BACKOFF_S, "/instances", "status 429")
+    complete = walk.on_reply(200, page(entry("b")), 11.0)
     assert isinstance(complete, CompleteList)
     assert [each.id for each in complete.instances] == ["b"]
 
 
 def test_pauses_double_to_a_bound_and_start_anew_after_a_list() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     walk.begin(0.0)
-    pauses = [walk.failure("no answer", 0.0).until for _ in range(8)]
-    assert pauses[:3] == [FIRST_PAUSE_S, 2 * FIRST_PAUSE_S, 4 * FIRST_PAUSE_S]
-    assert pauses[-1] == LONGEST_PAUSE_S
-    walk.answer(200, page(), 0.0)
-    assert walk.failure("no answer", 0.0).until == FIRST_PAUSE_S
+    pauses = [walk.on_failure("no answer", 0.0).until for _ in range(8)]
+    assert pauses[:3] == [INITIAL_BACKOFF_S, 2 * INITIAL_BACKOFF_S, 4 * INITIAL_BACKOFF_S]
+    assert pauses[-1] == MAX_BACKOFF_S
+    walk.on_reply(200, page(), 0.0)
+    assert walk.on_failure("no answer", 0.0).until == INITIAL_BACKOFF_S
 
 
 def test_a_malformed_page_is_a_failure() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     walk.begin(0.0)
-    step = walk.answer(200, b"{", 0.0)
-    assert isinstance(step, Pause)
+    step = walk.on_reply(200, b"{", 0.0)
+    assert isinstance(step, Backoff)
     assert "cannot be read" in step.reason
 
 
 def test_pages_without_end_are_a_failure() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     walk.begin(0.0)
     step = None
     for number in range(1000):
-        step = walk.answer(200, page(token=str(number)), 0.0)
-    assert isinstance(step, Pause)
+        step = walk.on_reply(200, page(token=str(number)), 0.0)
+    assert isinstance(step, Backoff)
 
 
 def test_a_walk_that_took_too_long_yields_nothing() -> None:
-    walk = PageWalk()
+    walk = InstanceListReader()
     walk.begin(0.0)
-    assert isinstance(walk.answer(200, page(token="1"), LONGEST_WALK_S), Fetch)
-    late = walk.answer(200, page(), LONGEST_WALK_S + 0.1)
-    assert isinstance(late, Pause)
-    assert isinstance(walk.answer(200, page(), late.until + LONGEST_WALK_S), CompleteList)
+    assert isinstance(walk.on_reply(200, page(token="1"), MAX_READ_DURATION_S), Fetch)
+    late = walk.on_reply(200, page(), MAX_READ_DURATION_S + 0.1)
+    assert isinstance(late, Backoff)
+    assert isinstance(walk.on_reply(200, page(), late.until + MAX_READ_DURATION_S), CompleteList)
--- a/tests/simulation/localfleet/test_instance_list.py
+++ b/tests/simulation/localfleet/test_instance_list.py
@@ -4,7 +4,7 @@
 
 import json
 
-from firvane.fleet.discovery.pages import CompleteList, Fetch, PageWalk
+from firvane.fleet.discovery.pages import CompleteList, Fetch, InstanceListReader
 from firvane.simulation.localfleet.instance_list import InstanceList, ListedInstance, ListedState
 
 LAG = 0.8
@@ -38,13 +38,13 @@
     instances = InstanceList(0.0, 2, 40)
     for number in range(5):
         instances.put(instance(number, "zone-b" if number == 3 else "zone-a"), 0.0)
-    walk = PageWalk()  # as the real poller asks
+    walk = InstanceListReader()  # as the real poller asks
     step = walk.begin()
     pages = 0
     while isinstance(step, Fetch):
         token = step.path.partition("page_token=")[2] or None
         answer = instances.answer(None, token, 1.0)
-        following = walk.answer(answer.status, answer.body, 1.0)
+        following = walk.on_reply(answer.status, answer.body, 1.0)
         assert isinstance(following, Fetch | CompleteList)
         pages += 1
         if isinstance(following, CompleteList):
