--- a/firvane/fleet/configuration/checker.py
+++ b/firvane/fleet/configuration/checker.py
@@ -1,30 +1,42 @@
-"""The full check of an order before it is proposed, in steps between which an event loop can turn."""
+"""The full validation of an order before it is proposed, in steps between which the event loop can run."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
-from typing import Any
+from typing import Any, NamedTuple
 
 from firvane.fleet.configuration.codes import ResultCode
-from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, Document, alike, name_of
+from firvane.fleet.configuration.document import (
+    LIMITS,
+    ROUTES,
+    SERVICES,
+    TENANTS,
+    Document,
+    is_same_json,
+    name_of,
+)
 from firvane.fleet.configuration.item import ItemError, read_entry
 from firvane.fleet.configuration.orders import MAX_PROBLEMS, Order, Problem, Result, invalid
 from firvane.fleet.configuration.schema import ItemSchemas
 from firvane.fleet.configuration.state import ConfigurationState
 from firvane.fleet.configuration.structure import item_place
 
-ITEMS_PER_STEP = 8  # some 1 ms on a full core
+ITEMS_PER_STEP = 8  # about 1 ms
 MAX_DEPTH = 32
 
-Item = tuple[str, str, Any]  # key of the list, place, item
+
+class _ChangedItem(NamedTuple):
+    key: str  # of the list
+    place: str
+    item: Any
 
 
 class Checker:
-    """Checks one order against a state, a batch of items per step.
+    """Validates one order against a state, a batch of items per step.
 
     Iterate to the end, then read `result`: `ACCEPTED` means that the order may be proposed. Items that are
-    the same as accepted ones are not checked again. At last the document is read as routers read it, so that
-    none is taken which they cannot use. The state may move on meanwhile; `apply` checks what depends on it.
+    the same in the document in force are not validated again. Finally the document is decoded as routers
+    decode it. The state may change meanwhile; `apply` repeats the checks that depend on it.
     """
 
     def __init__(
@@ -45,18 +57,19 @@
         return self
 
     def __next__(self) -> None:
-        """Do one step; `StopIteration` once `result` is there."""
+        """Perform one step; `StopIteration` once `result` is set."""
         next(self._steps)
 
     def finish(self) -> Result:
-        """Do all remaining steps at once."""
+        """Perform all remaining steps at once."""
         for _ in self:
             pass
         assert self.result is not None
         return self.result
 
     def _check(self) -> Iterator[None]:
-        version, accepted = self._state.version, self._state.parsed
+        version = self._state.version
+        accepted = self._state.parsed
         outcome = self._state.draft(self._order)
         yield
         if isinstance(outcome, Result):
@@ -75,7 +88,7 @@
         self.result = invalid(version, problems) if problems else Result(ResultCode.ACCEPTED, outcome.version)
 
     def _item_problems(self, key: str, place: str, item: Any) -> Iterator[Problem]:
-        if depth_exceeds(item, MAX_DEPTH):
+        if exceeds_depth(item, MAX_DEPTH):
             yield Problem(ResultCode.TOO_DEEP, place, f"is nested more than {MAX_DEPTH} deep")
         elif self._schemas.knows(key):
             yield from self._schemas.find_problems(key, item, place)
@@ -89,27 +102,27 @@
     return []
 
 
-def _changed_items(document: Document, accepted: Document) -> Iterator[Item]:
+def _changed_items(document: Document, accepted: Document) -> Iterator[_ChangedItem]:
     for key, value in document.items():
         before = accepted.get(key)
         if key in (ROUTES, SERVICES, TENANTS) and isinstance(value, list):
             yield from _changed_of_list(key, value, before)
-        elif (key == LIMITS or isinstance(value, (dict, list))) and not alike(value, before):
-            yield key, key, value
+        elif (key == LIMITS or isinstance(value, (dict, list))) and not is_same_json(value, before):
+            yield _ChangedItem(key, key, value)
 
 
-def _changed_of_list(key: str, items: list[Any], before: Any) -> Iterator[Item]:
+def _changed_of_list(key: str, items: list[Any], before: Any) -> Iterator[_ChangedItem]:
     known = {name_of(item): item for item in before} if isinstance(before, list) else {}
     for position, item in enumerate(items):
-        if not alike(item, known.get(name_of(item))):
-            yield key, item_place(key, position, item), item
+        if not is_same_json(item, known.get(name_of(item))):
+            yield _ChangedItem(key, item_place(key, position, item), item)
 
 
-def depth_exceeds(value: Any, bound: int) -> bool:
-    """True where lists and objects are nested more than `bound` deep."""
+def exceeds_depth(value: Any, bound: int) -> bool:
+    """Whether lists and objects are nested more than `bound` deep."""
     if not isinstance(value, (dict, list)):
         return False
     if bound == 0:
         return True
     inner = value.values() if isinstance(value, dict) else value
-    return any(depth_exceeds(each, bound - 1) for each in inner)
+    return any(exceeds_depth(each, bound - 1) for each in inner)
--- a/firvane/fleet/configuration/codes.py
+++ b/firvane/fleet/configuration/codes.py
@@ -6,16 +6,17 @@
 
 
 class ResultCode(enum.IntEnum):
-    """What became of a call or of one field: a number, an HTTP status and a meaning.
+    """The result of a call, or a problem of one field: a number, an HTTP status and a meaning.
 
-    1xxx: taken or answered. 2xxx: the call or its document is at fault. 3xxx: it came too late.
-    5xxx: nothing was decided here, so the same call may be sent again.
+    1xxx: accepted or answered. 2xxx: the call or its document is invalid. 3xxx: it conflicts with a later
+    state. 5xxx: nothing was decided here, so the same call may be retried.
     """
 
     http_status: int
     meaning: str
 
     def __new__(cls, number: int, http_status: int, meaning: str) -> ResultCode:
+        """Create a member with its status and meaning."""
         code = int.__new__(cls, number)
         code._value_ = number
         code.http_status = http_status
@@ -77,7 +78,7 @@
 
     @property
     def is_acknowledgement(self) -> bool:
-        """True where the order is in force or was."""
+        """Whether the order is or was in force."""
         return self in (ResultCode.ACCEPTED, ResultCode.REPEATED)
 
 
@@ -85,7 +86,7 @@
 
 
 def code_of(number: int) -> ResultCode:
-    """The code with this number; `ValueError` where there is none."""
+    """The code with this number; `ValueError` if there is none."""
     try:
         return _BY_NUMBER[number]
     except KeyError:
--- a/firvane/fleet/configuration/document.py
+++ b/firvane/fleet/configuration/document.py
@@ -1,7 +1,7 @@
-"""Configuration documents as JSON objects: reading, merging a change, writing.
+"""Configuration documents as JSON objects: decoding, merging of changes, encoding.
 
 A document is an object with `config_version`, lists of items that have a `name` (`routes`, `services` and any
-other), and further members such as `limits`. Members that are not known here are kept as they came.
+other), and further members such as `limits`. Unknown members are retained unchanged.
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 
 import msgspec
 
+from firvane.fleet.configuration import ConfigurationError
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import Order, OrderKind, Problem
 
@@ -25,8 +26,8 @@
 EMPTY = b"{}"
 
 
-class DocumentError(ValueError):
-    """A document cannot be read or merged; `problems` says why."""
+class DocumentError(ConfigurationError, ValueError):
+    """A document cannot be decoded or merged; `problems` says why."""
 
     def __init__(self, *problems: Problem) -> None:
         super().__init__("; ".join(map(str, problems)))
@@ -34,7 +35,7 @@
 
 
 def parse_object(body: bytes) -> Document:
-    """Read one JSON object that fills the whole body; `DocumentError` otherwise."""
+    """Decode a body that is one JSON object; `DocumentError` otherwise."""
     try:
         parsed = msgspec.json.decode(body)
     except RecursionError:
@@ -47,14 +48,15 @@
 
 
 def encode(document: Document) -> bytes:
-    """The canonical text: compact JSON, members and items in the order in which they came."""
+    """Encode canonically: compact JSON, with members and items in their order."""
     return msgspec.json.encode(document)
 
 
 def build(order: Order, current: Document) -> Document:
-    """The document that would be in force after the order; `current` is left as it is.
+    """The document after the order; `current` is not changed.
 
-    Raises `DocumentError` where the body cannot be read or merged.
+    Raises:
+        DocumentError: If the body cannot be decoded or merged.
     """
     body = parse_object(order.body)
     if order.kind is OrderKind.REPLACE:
@@ -135,7 +137,7 @@
 
 
 def merge_items(items: list[Any], added: list[Any], removed: list[str]) -> list[Any]:
-    """The list with items removed by name, replaced in their places, and new ones at the end."""
+    """Remove items by name, replace others in place, and append new ones."""
     replacements = {item["name"]: item for item in added}
     gone = set(removed)
     merged = []
@@ -149,12 +151,12 @@
     return merged
 
 
-def alike(left: Any, right: Any) -> bool:
-    """True where two values are written in the same way; 1, 1.0 and true are equal but not alike."""
+def is_same_json(left: Any, right: Any) -> bool:
+    """Whether two values have the same JSON text; 1, 1.0 and true are equal but have not."""
     return left is right or (left == right and msgspec.json.encode(left) == msgspec.json.encode(right))
 
 
 def name_of(item: Any) -> str | None:
-    """The `name` of an item, or None where it has none."""
+    """The `name` of an item; None if it has none."""
     name = item.get("name") if isinstance(item, dict) else None
     return name if isinstance(name, str) else None
--- a/firvane/fleet/configuration/item.py
+++ b/firvane/fleet/configuration/item.py
@@ -1,15 +1,17 @@
-"""The configuration as it is passed on to routers: a versioned, compressed document.
+"""Codec of the configuration for routers: a versioned, compressed document.
 
-Routers load this file and `routes`, and none of the checks.
+Routers import this module and `routes`, and none of the validation.
 """
 
 from __future__ import annotations
 
 import struct
 import zlib
+from typing import NamedTuple
 
 import msgspec
 
+from firvane.fleet.configuration import ConfigurationError
 from firvane.fleet.configuration.routes import Configuration, ConfigurationEntry, Tenant, TenantsEntry
 
 ITEM_VERSION = 1
@@ -22,19 +24,26 @@
 _tenants_decoder = msgspec.json.Decoder(TenantsEntry)
 
 
-class ItemError(ValueError):
-    """A payload is cut off, oversized, of an unknown version or otherwise unreadable."""
+class ItemError(ConfigurationError, ValueError):
+    """A payload is cut off, oversized, of an unknown version or otherwise malformed."""
 
 
 def pack_item(version: int, document: bytes) -> bytes:
-    """Compress a document for dissemination; `ItemError` where it is too large."""
+    """Encode a document for dissemination; `ItemError` if it is too large."""
     if len(document) > MAX_DOCUMENT_BYTES:
         raise ItemError("the document is too large")
     return _HEAD.pack(ITEM_VERSION, version, len(document)) + zlib.compress(document, COMPRESSION_LEVEL)
 
 
-def unpack_document(payload: bytes) -> tuple[int, bytes]:
-    """The version and the JSON text of a payload; `ItemError` where it is none."""
+class VersionedDocument(NamedTuple):
+    """The version and the JSON text of a configuration."""
+
+    version: int
+    text: bytes
+
+
+def unpack_document(payload: bytes) -> VersionedDocument:
+    """Decode the version and the JSON text of a payload; `ItemError` if it is malformed."""
     if len(payload) < _HEAD.size:
         raise ItemError("the item is cut off")
     record_version, version, length = _HEAD.unpack_from(payload)
@@ -49,22 +58,22 @@
         raise ItemError(f"the document cannot be decompressed: {error}") from error
     if len(document) != length or not inflater.eof or inflater.unused_data:
         raise ItemError("the length of the document is wrong")
-    return version, document
+    return VersionedDocument(version, document)
 
 
 def read_item(payload: bytes) -> Configuration:
-    """The typed configuration of a payload; `ItemError` where it is none."""
+    """Decode the configuration of a payload; `ItemError` if it is malformed."""
     version, document = unpack_document(payload)
     return read_document(document, version)
 
 
 def read_document(document: bytes, version: int) -> Configuration:
-    """The typed configuration of a JSON text; `ItemError` where it is none."""
+    """Decode the configuration of a JSON text; `ItemError` if it is malformed."""
     return read_entry(document).configuration(version)
 
 
 def read_entry(document: bytes) -> ConfigurationEntry:
-    """The entries of a JSON text, not yet in the types of routers; `ItemError` where it is none."""
+    """Decode a JSON text, without the conversion to the types of routers; `ItemError` if it is malformed."""
     try:
         return _decoder.decode(document)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -72,7 +81,7 @@
 
 
 def read_tenants(document: bytes) -> tuple[Tenant, ...]:
-    """The tenants of a JSON text, without its routes; `ItemError` where it is none."""
+    """Decode only the tenants of a JSON text; `ItemError` if it is malformed."""
     try:
         return _tenants_decoder.decode(document).typed()
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/firvane/fleet/configuration/order_history.py
+++ b/firvane/fleet/configuration/order_history.py
@@ -1,89 +1,97 @@
-"""The orders that were taken, by the version on which each built: tells a repeated order from a late one.
+"""The applied orders by their base version: distinguishes a repeated order from a late one.
 
-Each order that is taken leads from its base to a higher version, so no two of them have the same base. Of the
-versions from `complete_from` on, all that were ever built upon are here: an order on one of them was taken if
-its digest stands here, and was certainly not if it does not. Of older versions nothing can be proved.
+Each applied order leads from its base to a higher version, so no two have the same base. The history is
+complete from the version `complete_from` on: an order with such a base was applied if and only if its
+digest is here. Of older versions nothing is known.
 """
 
 from __future__ import annotations
 
 import enum
 import struct
+from typing import NamedTuple
 
 from firvane.fleet.configuration.orders import DIGEST_BYTES, Order, RecordError
 
-REMEMBERED_ORDERS = 4096
+MAX_ORDERS = 4096  # in the history
 
-_HEAD = struct.Struct("!QII")  # the version from which on it is complete, numbers of orders and of digests
+_HEAD = struct.Struct("!QII")  # `complete_from`, numbers of orders and of digests without a base
 _ENTRY = struct.Struct(f"!Q{DIGEST_BYTES}s")  # base, digest
 
 
-class Fate(enum.Enum):
-    """What the history says of an order on an earlier version than the one in force."""
+class OrderStatus(enum.Enum):
+    """Whether an order on an earlier version than the one in force was applied."""
 
-    TAKEN = enum.auto()
-    NOT_TAKEN = enum.auto()
-    FORGOTTEN = enum.auto()  # its base is older than what is remembered
+    APPLIED = enum.auto()
+    NOT_APPLIED = enum.auto()
+    UNKNOWN = enum.auto()  # its base is older than the history
 
 
 class OrderHistory:
-    """The last orders that were taken, oldest first."""
+    """The last applied orders, oldest first."""
 
-    def __init__(self, limit: int = REMEMBERED_ORDERS) -> None:
+    def __init__(self, limit: int = MAX_ORDERS) -> None:
         self._limit = limit
-        self._digests: dict[int, bytes] = {}  # by base, rising
+        self._digests: dict[int, bytes] = {}  # by base, ascending
         self._complete_from = 0
-        self._without_base: frozenset[bytes] = frozenset()  # of a snapshot in the older format
+        self._digests_without_base: frozenset[bytes] = frozenset()  # from a snapshot of format 1
 
     def add(self, order: Order) -> None:
-        """An order was taken on the version in force."""
+        """Add an order that was applied to the version in force."""
         self._digests[order.base] = order.digest()
         if len(self._digests) > self._limit:
             oldest = next(iter(self._digests))
             del self._digests[oldest]
             self._complete_from = next(iter(self._digests))
-            self._without_base = frozenset()
+            self._digests_without_base = frozenset()
 
-    def fate_of(self, order: Order) -> Fate:
-        """Whether an order on an earlier version was taken."""
+    def status_of(self, order: Order) -> OrderStatus:
+        """Whether an order on an earlier version was applied."""
         digest = order.digest()
-        if self._digests.get(order.base) == digest or digest in self._without_base:
-            return Fate.TAKEN
-        return Fate.NOT_TAKEN if order.base >= self._complete_from else Fate.FORGOTTEN
+        if self._digests.get(order.base) == digest or digest in self._digests_without_base:
+            return OrderStatus.APPLIED
+        return OrderStatus.NOT_APPLIED if order.base >= self._complete_from else OrderStatus.UNKNOWN
 
     def pack(self) -> bytes:
-        """Encode for a snapshot."""
+        """Encode as part of a snapshot."""
         entries = [_ENTRY.pack(base, digest) for base, digest in self._digests.items()]
-        head = _HEAD.pack(self._complete_from, len(entries), len(self._without_base))
-        return head + b"".join(entries) + b"".join(sorted(self._without_base))
+        head = _HEAD.pack(self._complete_from, len(entries), len(self._digests_without_base))
+        return head + b"".join(entries) + b"".join(sorted(self._digests_without_base))
 
     @classmethod
-    def unpack(cls, record: bytes, start: int) -> tuple[OrderHistory, int]:
-        """Decode from a snapshot, and say where it ends; `RecordError` where it is none."""
+    def unpack(cls, record: bytes, start: int) -> DecodedHistory:
+        """Decode the history in a snapshot; `RecordError` if it is malformed."""
         try:
             complete_from, count, digest_count = _HEAD.unpack_from(record, start)
         except struct.error:
             raise RecordError("the history of orders is cut off") from None
-        begin = start + _HEAD.size
-        middle = begin + count * _ENTRY.size
-        end = middle + digest_count * DIGEST_BYTES
+        orders_start = start + _HEAD.size
+        digests_start = orders_start + count * _ENTRY.size
+        end = digests_start + digest_count * DIGEST_BYTES
         if end > len(record):
             raise RecordError("the history of orders is cut off")
         history = cls()
         history._complete_from = complete_from
-        history._digests = dict(_ENTRY.iter_unpack(record[begin:middle]))
-        history._without_base = frozenset(split_digests(record[middle:end]))
-        return history, end
+        history._digests = dict(_ENTRY.iter_unpack(record[orders_start:digests_start]))
+        history._digests_without_base = frozenset(split_digests(record[digests_start:end]))
+        return DecodedHistory(history, end)
 
     @classmethod
     def without_bases(cls, digests: bytes, is_complete: bool, version: int) -> OrderHistory:
-        """The history of a snapshot that tells no bases; `is_complete`: none had been forgotten."""
+        """The history in a snapshot of format 1, which has no bases; `is_complete`: it has every order."""
         history = cls()
-        history._without_base = frozenset(split_digests(digests))
+        history._digests_without_base = frozenset(split_digests(digests))
         history._complete_from = 0 if is_complete else version
         return history
 
 
+class DecodedHistory(NamedTuple):
+    """A decoded history, and the offset of the byte after it."""
+
+    history: OrderHistory
+    end: int
+
+
 def split_digests(data: bytes) -> list[bytes]:
-    """Digests that stand one behind the other."""
+    """Split concatenated digests."""
     return [data[start : start + DIGEST_BYTES] for start in range(0, len(data), DIGEST_BYTES)]
--- a/firvane/fleet/configuration/orders.py
+++ b/firvane/fleet/configuration/orders.py
@@ -1,4 +1,4 @@
-"""Orders of the operators and their results, as values and as `struct` records."""
+"""Operators' orders and their results, and the codec of their records."""
 
 from __future__ import annotations
 
@@ -6,9 +6,11 @@
 import hashlib
 import struct
 from collections.abc import Sequence
+from typing import NamedTuple
 
 from msgspec import Struct
 
+from firvane.fleet.configuration import ConfigurationError
 from firvane.fleet.configuration.codes import ResultCode, code_of
 
 RECORD_VERSION = 1
@@ -23,31 +25,31 @@
 _PROBLEM_HEAD = struct.Struct("!HHH")  # code, lengths of the place and of the detail
 
 
-class RecordError(ValueError):
-    """A record is cut off, oversized, of an unknown version or otherwise unreadable."""
+class RecordError(ConfigurationError, ValueError):
+    """A record is cut off, oversized, of an unknown version or otherwise malformed."""
 
 
 class OrderKind(enum.IntEnum):
-    """What an order does with the current configuration."""
+    """The effect of an order on the current configuration."""
 
     REPLACE = 1
     MODIFY = 2
 
 
 class Order(Struct, frozen=True):
-    """One change as the operator sent it: `base` is the version it builds on, `body` its unchanged text."""
+    """One order as the operator sent it: `base` is the version it is based on, `body` its unchanged text."""
 
     kind: OrderKind
     base: int
     body: bytes
 
     def digest(self) -> bytes:
-        """Identify the order, so that the very same one is recognised when it is sent again."""
+        """The digest that identifies the order, so that a repetition is recognised."""
         head = _ORDER_HEAD.pack(RECORD_VERSION, self.kind, self.base, len(self.body))
         return hashlib.blake2b(head + self.body, digest_size=DIGEST_BYTES).digest()
 
     def pack(self) -> bytes:
-        """Encode as a record. `RecordError` where the base or the body is out of bounds."""
+        """Encode as a record; `RecordError` if the base or the body is out of bounds."""
         if not 0 <= self.base <= MAX_VERSION:
             raise RecordError("the base version is out of bounds")
         if len(self.body) > MAX_BODY_BYTES:
@@ -56,7 +58,7 @@
 
     @classmethod
     def unpack(cls, record: bytes) -> Order:
-        """Decode a record; `RecordError` where it is none."""
+        """Decode a record; `RecordError` if it is malformed."""
         if len(record) < _ORDER_HEAD.size:
             raise RecordError("the order is cut off")
         record_version, kind, base, length = _ORDER_HEAD.unpack_from(record)
@@ -74,7 +76,7 @@
 
 
 class Problem(Struct, frozen=True):
-    """One fault of a document: its code, the place (`routes[NAME].timeout_ms`) and what is wrong there."""
+    """One error in a document: its code, its place (`routes[NAME].timeout_ms`) and a description."""
 
     code: ResultCode
     place: str
@@ -86,22 +88,22 @@
 
 
 class Result(Struct, frozen=True):
-    """The answer to an order: `version` is the configuration's version after it."""
+    """The result of an order; `version` is that of the configuration after it."""
 
     code: ResultCode
     version: int
     problems: tuple[Problem, ...] = ()
 
     def pack(self) -> bytes:
-        """Encode as a record; problems beyond `MAX_PROBLEMS` and long texts are cut."""
-        kept = self.problems[:MAX_PROBLEMS]
-        parts = [_RESULT_HEAD.pack(RECORD_VERSION, self.code, self.version, len(kept))]
-        parts.extend(_pack_problem(problem) for problem in kept)
-        return b"".join(parts)
+        """Encode as a record; problems beyond `MAX_PROBLEMS` and long texts are truncated."""
+        problems = self.problems[:MAX_PROBLEMS]
+        chunks = [_RESULT_HEAD.pack(RECORD_VERSION, self.code, self.version, len(problems))]
+        chunks.extend(_pack_problem(problem) for problem in problems)
+        return b"".join(chunks)
 
     @classmethod
     def unpack(cls, record: bytes) -> Result:
-        """Decode a record; `RecordError` where it is none."""
+        """Decode a record; `RecordError` if it is malformed."""
         try:
             record_version, code, version, count = _RESULT_HEAD.unpack_from(record)
             if record_version != RECORD_VERSION:
@@ -117,7 +119,7 @@
 
 
 def invalid(version: int, problems: Sequence[Problem]) -> Result:
-    """Refuse a document for its problems."""
+    """The result that rejects a document for its problems."""
     return Result(ResultCode.INVALID, version, tuple(problems[:MAX_PROBLEMS]))
 
 
@@ -134,7 +136,12 @@
     return encoded[:MAX_TEXT_BYTES].decode("utf-8", "ignore").encode()
 
 
-def _unpack_problems(record: bytes, offset: int, count: int) -> tuple[tuple[Problem, ...], int]:
+class _DecodedProblems(NamedTuple):
+    problems: tuple[Problem, ...]
+    end: int  # offset of the byte after them
+
+
+def _unpack_problems(record: bytes, offset: int, count: int) -> _DecodedProblems:
     problems = []
     for _ in range(count):
         code, place_length, detail_length = _PROBLEM_HEAD.unpack_from(record, offset)
@@ -148,4 +155,4 @@
         place = record[place_start:detail_start].decode()
         detail = record[detail_start:offset].decode()
         problems.append(Problem(code_of(code), place, detail))
-    return tuple(problems), offset
+    return _DecodedProblems(tuple(problems), offset)
--- a/firvane/fleet/configuration/recovered.py
+++ b/firvane/fleet/configuration/recovered.py
@@ -1,7 +1,7 @@
-"""Which version of the configuration a disk holds: what is applied, and the orders that follow it in the log.
+"""The configuration version that a disk holds: the applied one, and the orders after it in the log.
 
-After a restart the log's tail is applied only once a majority has confirmed it, so that the version in force
-is not known yet. What the disk holds is known at once.
+After a restart the tail of the log is applied only once a majority has confirmed it; the version on the
+disk is known at once.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def recovered_version(applied: int, records: Iterable[bytes]) -> int:
-    """The version that the packed orders lead to from the version `applied`, if all of them are committed.
+    """The version that the packed orders lead to from the version `applied`, if all are committed.
 
-    Orders were checked before they were proposed, so only their base is looked at; what cannot be read or
-    builds on another version changes nothing, as in `ConfigurationState.apply`.
+    Orders were validated before they were proposed, so only their base is checked; malformed ones and those
+    on another version change nothing, as in `ConfigurationState.apply`.
     """
     version = applied
     for record in records:
--- a/firvane/fleet/configuration/routes.py
+++ b/firvane/fleet/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The configuration in types, and the table that finds the route of a request."""
+"""The typed configuration, and the table that finds the route of a request."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class RouteKind(enum.Enum):
-    """How often a request may run and what its answer looks like; unknown kinds are `NON_IDEMPOTENT`."""
+    """Whether a request may be retried, and the form of its response; unknown kinds are `NON_IDEMPOTENT`."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -38,7 +38,7 @@
 class Route(Struct, frozen=True):
     """One route. Times are in milliseconds; `targets` holds no weight of 0 and is never empty.
 
-    `target_latency_ms` and `gap_aim_ms` are 0 where the operator gave none.
+    `target_latency_ms` and `gap_aim_ms` (target of the time between tokens) are 0 if the operator gave none.
     """
 
     name: str
@@ -53,27 +53,26 @@
     session_affinity: bool
     stream_resume: bool
     gap_aim_ms: float
-    anonymous: bool = False  # no key is asked for, where the configuration has tenants
+    anonymous: bool = False  # whether requests need no key although there are tenants
 
 
 class Tenant(Struct, frozen=True):
-    """One tenant: digests of its keys, its rank, and what it may use over all routers together.
+    """One tenant: digests of its keys, its priority, and its quota over all routers together.
 
-    `rate` (a second) and `burst` count tokens where `counts_tokens`, else requests; a `rate` of 0
-    is no limit.
+    `rate` (a second) and `burst` count tokens if `counts_tokens`, else requests; a `rate` of 0 is no limit.
     """
 
     name: str
     key_digests: tuple[bytes, ...] = ()
-    priority: int | None = None  # goes before that of the route
+    priority: int | None = None  # overrides that of the route
     counts_tokens: bool = False
-    uncached_tokens: int = 0  # counted for a request that tells no number of tokens
+    uncached_tokens: int = 0  # charged for a request without a number of tokens
     rate: float = 0.0
     burst: float = 0.0
 
 
 class Engine(Struct, frozen=True):
-    """The model server of a backend: batch places, memory in tokens, tokens an event of a stream holds."""
+    """The model server of a backend: batch slots, KV cache in tokens, tokens per event of a stream."""
 
     slots: int
     cache_tokens: int
@@ -95,7 +94,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Bounds on what a client sends (bytes) and on how long it takes or stays idle (milliseconds)."""
+    """Limits of what a client sends (bytes), and its timeouts (milliseconds)."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -104,9 +103,9 @@
 
 
 class Configuration(Struct, frozen=True):
-    """One version of the whole configuration; `services` are by name.
+    """One version of the complete configuration; `services` are by name.
 
-    `tenants` is None where the document has no such member: then no request needs a key.
+    `tenants` is None if the document has no such member: then no request needs a key.
     """
 
     version: int
@@ -117,7 +116,7 @@
 
 
 class RouteTable:
-    """Finds the longest path prefix of a host, with one look-up for each segment of the path."""
+    """Finds the longest matching path prefix of a host, with one lookup for each segment of the path."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.version
@@ -127,13 +126,13 @@
             self._hosts.setdefault(host, _HostRoutes()).add(route)
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route of a request, or None. `host` may hold a port, `path` a query; hosts ignore case."""
+        """The route of a request; None if there is none. `host` may have a port, `path` a query."""
         routes = self._hosts.get(host) or self._hosts.get(_bare_host(host))
         return routes.find(path) if routes else None
 
 
 class _HostRoutes:
-    """The routes of one host by their prefix."""
+    """The routes of one host, by prefix."""
 
     __slots__ = ("_by_prefix", "_longest")
 
@@ -157,7 +156,7 @@
 
 
 def key_digest(key: bytes) -> bytes:
-    """What is kept of a tenant's key, and compared with what a client sends."""
+    """The digest of a tenant's key, which is stored in place of the key."""
     return digest(key, KEY_DIGEST_BYTES)
 
 
@@ -168,7 +167,7 @@
     return host.partition(b":")[0]
 
 
-# The document as msgspec reads it. Each member that may be missing may also be null.
+# The document as msgspec decodes it; each optional member may also be null.
 
 
 class _TargetEntry(msgspec.Struct):
@@ -294,7 +293,7 @@
 
 
 class ConfigurationEntry(msgspec.Struct):
-    """A document as it is read from JSON; `configuration` turns it into the types above."""
+    """A document as it is decoded from JSON; `configuration` converts it to the types above."""
 
     routes: list[_RouteEntry] = msgspec.field(default_factory=list)
     services: list[_ServiceEntry] = msgspec.field(default_factory=list)
@@ -302,7 +301,7 @@
     tenants: list[_TenantEntry] | None = None
 
     def configuration(self, version: int) -> Configuration:
-        """The typed configuration under this version."""
+        """Convert to the typed configuration of this version."""
         return Configuration(
             version,
             tuple(entry.route() for entry in self.routes),
@@ -313,12 +312,12 @@
 
 
 class TenantsEntry(msgspec.Struct):
-    """The tenants of a document and nothing else of it."""
+    """Only the tenants of a document."""
 
     tenants: list[_TenantEntry] | None = None
 
     def typed(self) -> tuple[Tenant, ...]:
-        """The tenants in types; empty where the document has no such member."""
+        """Convert to typed tenants; empty if the document has no such member."""
         return tuple(entry.tenant() for entry in self.tenants or ())
 
 
@@ -326,7 +325,7 @@
 
 
 def _merged(split: Iterable[_TargetEntry]) -> Iterable[Target]:
-    """Targets with the weights of each service summed; a weight of 0 sends nothing and is left out."""
+    """Targets with the weights of each service summed; those with a weight of 0 are omitted."""
     weights: dict[str, float] = {}
     for entry in split:
         weights[entry.service] = weights.get(entry.service, 0.0) + entry.weight
--- a/firvane/fleet/configuration/schema.py
+++ b/firvane/fleet/configuration/schema.py
@@ -1,7 +1,7 @@
-"""Types and bounds of single items, checked with cerberus.
+"""Types and bounds of single items, validated with cerberus.
 
-cerberus is loaded with the first check, so that a process which checks nothing does not pay for it.
-Members that no schema names are let through. A check costs some 0.13 ms a route on a full core.
+Cerberus is imported with the first validation, so that other processes do not pay for it. Members without a
+schema are allowed.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS
 from firvane.fleet.configuration.orders import Problem
 
-MAX_NUMBER = 2**53  # the largest whole number that every JSON reader keeps
-MAX_TEXT = 4096
+MAX_NUMBER = 2**53  # the largest integer that every JSON decoder preserves
+MAX_TEXT_CHARACTERS = 4096
 
-_TEXT = {"type": "string", "maxlength": MAX_TEXT, "empty": False, "required": True}
-_OPTIONAL_TEXT = {"type": "string", "maxlength": MAX_TEXT, "nullable": True}
+_TEXT = {"type": "string", "maxlength": MAX_TEXT_CHARACTERS, "empty": False, "required": True}
+_OPTIONAL_TEXT = {"type": "string", "maxlength": MAX_TEXT_CHARACTERS, "nullable": True}
 _FLAG = {"type": "boolean", "nullable": True}
 _COUNT = {"type": "integer", "min": 0, "max": MAX_NUMBER, "nullable": True}
 _AMOUNT = {"type": "number", "min": 0, "max": MAX_NUMBER, "nullable": True}
@@ -82,17 +82,17 @@
 
 
 class ItemSchemas:
-    """Validators of cerberus, each made when first needed."""
+    """The validators of cerberus, each created when it is first needed."""
 
     def __init__(self) -> None:
         self._validators: dict[str, Any] = {}
 
     def knows(self, key: str) -> bool:
-        """True where items under this member of a document have a schema."""
+        """Whether items of this member of a document have a schema."""
         return key in _SCHEMAS
 
     def find_problems(self, key: str, item: Any, place: str) -> Iterator[Problem]:
-        """Name every fault of one item of the member `key`."""
+        """Yield every problem of one item of the member `key`."""
         if not isinstance(item, dict):
             yield Problem(ResultCode.WRONG_TYPE, place, "must be an object")
             return
@@ -109,8 +109,8 @@
 
 @functools.cache
 def _validator_class() -> Any:
-    """cerberus' validator, for which `true` and `false` are no whole numbers."""
-    import cerberus  # loaded when an order is checked, not when a process starts
+    """The validator class of cerberus, for which `true` and `false` are not integers."""
+    import cerberus  # costly: only for validation
 
     whole_number = cerberus.TypeDefinition("integer", (int,), (bool,))
     types = {**cerberus.Validator.types_mapping, "integer": whole_number}
@@ -118,7 +118,7 @@
 
 
 def _problems(error: Any, place: str) -> Iterator[Problem]:
-    """One problem for each leaf of an error of cerberus; a list or an object has its errors inside."""
+    """Yield one problem for each leaf of an error of cerberus, whose children are in lists and objects."""
     children = error.child_errors
     if children:
         for child in children:
--- a/firvane/fleet/configuration/state.py
+++ b/firvane/fleet/configuration/state.py
@@ -1,21 +1,22 @@
 """The replicated state of the configuration.
 
-Rules that every replica follows in the same way:
+Rules that all replicas apply deterministically:
 
-1. An order that was taken before is acknowledged again, in whatever life of whichever process.
-2. An order on an earlier version is refused as a conflict only where it is proved that it was not taken
+1. An order that was applied before is acknowledged again, by any incarnation of any process.
+2. An order on an earlier version is rejected as a conflict only if it is known that it was not applied
    (`order_history`); one on a version that was never reached is a conflict as well.
-3. An order is invalid unless the document that it leads to is valid and has a version above the current.
-4. Everything else is taken: the document changes as one.
+3. An order is invalid unless the document that it leads to is valid and has a version above the current one.
+4. Any other order is applied: the document changes atomically.
 
-`apply` repeats these checks, since two orders on one base may both have been found good before either was
-taken. It does not run cerberus: `checker.Checker` does so once, before an order is proposed. A conflict that
-`check` finds is final only on a replica whose state is known to be current.
+`apply` repeats these checks, since two orders on one base may both have been accepted before either was
+applied. It does not run cerberus: `checker.Checker` does so once, before an order is proposed. A conflict
+that `check` finds is final only on a replica whose state is known to be current.
 """
 
 from __future__ import annotations
 
 import struct
+from typing import NamedTuple
 
 from msgspec import Struct
 
@@ -23,7 +24,7 @@
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.document import Document, DocumentError
 from firvane.fleet.configuration.item import MAX_DOCUMENT_BYTES, ItemError, pack_item, unpack_document
-from firvane.fleet.configuration.order_history import Fate, OrderHistory
+from firvane.fleet.configuration.order_history import OrderHistory, OrderStatus
 from firvane.fleet.configuration.orders import (
     DIGEST_BYTES,
     MAX_BODY_BYTES,
@@ -38,17 +39,15 @@
 __all__ = ["ConfigurationState", "Draft", "Order", "OrderKind", "Result"]
 
 SNAPSHOT_VERSION = 2
-SNAPSHOT_WITHOUT_BASES = 1  # the version before, which is still read
-DIGESTS_WITHOUT_BASES = 1024  # as many as that version remembered
+SNAPSHOT_WITHOUT_BASES = 1  # an older version, which is still read
+MAX_DIGESTS_WITHOUT_BASES = 1024  # in that version
 
-_SNAPSHOT_HEAD = struct.Struct(
-    "!BI"
-)  # snapshot version, length of the item; the history follows, then the item
+_SNAPSHOT_HEAD = struct.Struct("!BI")  # version, length of the item; the history and the item follow
 _OLD_SNAPSHOT_HEAD = struct.Struct("!BHI")  # snapshot version, number of digests, length of the item
 
 
 class Draft(Struct, frozen=True):
-    """What an order would lead to, found valid."""
+    """The valid document that an order leads to."""
 
     version: int
     document: Document
@@ -56,7 +55,7 @@
 
 
 class ConfigurationState:
-    """The current document and the orders that led to it. Pure; one instance per replica."""
+    """The current document and the orders that led to it; one instance per replica."""
 
     def __init__(self) -> None:
         self._version = 0
@@ -72,27 +71,27 @@
 
     @property
     def document(self) -> bytes:
-        """The whole configuration in force as canonical JSON; `{}` before the first."""
+        """The complete configuration in force as canonical JSON; `{}` before the first."""
         return self._document
 
     @property
     def parsed(self) -> Document:
-        """The same as an object; whoever reads it leaves it unchanged."""
+        """The same as an object, which callers must not change."""
         return self._parsed
 
     def check(self, order: Order) -> Result:
-        """What `apply` would answer now; nothing changes, and cerberus is not run."""
+        """The result that `apply` would return now, without a change."""
         outcome = self.draft(order)
         return outcome if isinstance(outcome, Result) else Result(ResultCode.ACCEPTED, outcome.version)
 
     def draft(self, order: Order) -> Draft | Result:
-        """The document that the order leads to, or the result that ends it."""
+        """The document that the order leads to, or the result that rejects or repeats it."""
         if len(order.body) > MAX_BODY_BYTES:
             return Result(ResultCode.TOO_LARGE, self._version)
         if order.base > self._version:
             return Result(ResultCode.CONFLICT, self._version)
         if order.base < self._version:
-            return Result(_CODES_OF_FATES[self._history.fate_of(order)], self._version)
+            return Result(_CODES_OF_STATUSES[self._history.status_of(order)], self._version)
         try:
             document = documents.build(order, self._parsed)
         except DocumentError as error:
@@ -106,7 +105,7 @@
         return Draft(document[documents.VERSION], document, text)
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Take a packed order from the log and return the packed result. `index` has no effect on it."""
+        """Apply a packed order of the log and return the packed result; `index` has no effect."""
         try:
             order = Order.unpack(payload)
         except RecordError:
@@ -119,19 +118,19 @@
         return Result(ResultCode.ACCEPTED, self._version).pack()
 
     def item_payload(self) -> bytes:
-        """The configuration in force for dissemination; `item.read_item` reads it."""
+        """The configuration in force, encoded for dissemination (`item.read_item`)."""
         if self._item is None:
             self._item = pack_item(self._version, self._document)
         return self._item
 
     def save(self) -> bytes:
-        """A snapshot of everything that answers depend on."""
+        """Encode a snapshot of the document and the history of orders."""
         item = self.item_payload()
         head = _SNAPSHOT_HEAD.pack(SNAPSHOT_VERSION, len(item))
         return head + self._history.pack() + item
 
     def load(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot; `RecordError` leaves it as it was."""
+        """Replace the state by a snapshot; `RecordError` if it is malformed, with the state unchanged."""
         if not snapshot:
             raise RecordError("the snapshot is empty")
         read = _SNAPSHOT_READERS.get(snapshot[0])
@@ -147,25 +146,30 @@
         self._item = None
 
 
-def _read_snapshot(snapshot: bytes) -> tuple[OrderHistory, Draft]:
+class _Snapshot(NamedTuple):
+    history: OrderHistory
+    draft: Draft
+
+
+def _read_snapshot(snapshot: bytes) -> _Snapshot:
     if len(snapshot) < _SNAPSHOT_HEAD.size:
         raise RecordError("the snapshot is cut off")
     _, item_length = _SNAPSHOT_HEAD.unpack_from(snapshot)
     history, item_start = OrderHistory.unpack(snapshot, _SNAPSHOT_HEAD.size)
-    return history, _read_snapshot_item(snapshot, item_start, item_length)
+    return _Snapshot(history, _read_snapshot_item(snapshot, item_start, item_length))
 
 
-def _read_snapshot_without_bases(snapshot: bytes) -> tuple[OrderHistory, Draft]:
+def _read_snapshot_without_bases(snapshot: bytes) -> _Snapshot:
     if len(snapshot) < _OLD_SNAPSHOT_HEAD.size:
         raise RecordError("the snapshot is cut off")
     _, count, item_length = _OLD_SNAPSHOT_HEAD.unpack_from(snapshot)
     item_start = _OLD_SNAPSHOT_HEAD.size + count * DIGEST_BYTES
-    if count > DIGESTS_WITHOUT_BASES:
+    if count > MAX_DIGESTS_WITHOUT_BASES:
         raise RecordError("the length of the snapshot is wrong")
     draft = _read_snapshot_item(snapshot, item_start, item_length)
     digests = snapshot[_OLD_SNAPSHOT_HEAD.size : item_start]
-    is_complete = count < DIGESTS_WITHOUT_BASES
-    return OrderHistory.without_bases(digests, is_complete, draft.version), draft
+    is_complete = count < MAX_DIGESTS_WITHOUT_BASES
+    return _Snapshot(OrderHistory.without_bases(digests, is_complete, draft.version), draft)
 
 
 def _read_snapshot_item(snapshot: bytes, start: int, length: int) -> Draft:
@@ -179,10 +183,10 @@
     return Draft(version, document, text)
 
 
-_CODES_OF_FATES = {
-    Fate.TAKEN: ResultCode.REPEATED,
-    Fate.NOT_TAKEN: ResultCode.CONFLICT,
-    Fate.FORGOTTEN: ResultCode.FORGOTTEN,
+_CODES_OF_STATUSES = {
+    OrderStatus.APPLIED: ResultCode.REPEATED,
+    OrderStatus.NOT_APPLIED: ResultCode.CONFLICT,
+    OrderStatus.UNKNOWN: ResultCode.FORGOTTEN,
 }
 _SNAPSHOT_READERS = {
     SNAPSHOT_VERSION: _read_snapshot,
--- a/firvane/fleet/configuration/structure.py
+++ b/firvane/fleet/configuration/structure.py
@@ -1,7 +1,7 @@
-"""The rules that make a document valid, checked in the same way by every replica.
+"""The rules of a valid document, checked by every replica.
 
-These checks are cheap and deterministic, so the replicated state repeats them. Types of the remaining fields
-are left to `schema`, which is dearer and runs once, before an order is proposed.
+These checks are cheap and deterministic, so the replicated state repeats them. The types of the other
+fields are checked by `schema`, which costs more and runs once, before an order is proposed.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, VERSION, Document
 from firvane.fleet.configuration.orders import MAX_VERSION, Problem
 
-NO_TEXT = "must be a text that is not empty"
+NOT_A_TEXT = "must be a text that is not empty"
 MAX_WEIGHT = 1e300  # keeps a sum of weights finite
 
 
 def find_problems(
     document: Document, current_version: int, accepted: Document | None = None
 ) -> list[Problem]:
-    """Name every fault of a whole document that would follow the version now in force.
+    """Find all problems of a document that is to follow the version in force.
 
-    `accepted` is the document in force, which is valid: of routes that are the very objects that stand in it
-    only names and places are checked again, unless a service has gone.
+    `accepted` is the document in force, which is valid: of routes that are the same objects in it only
+    names and places are checked again, unless a service was removed.
     """
     problems = list(_version_problems(document.get(VERSION), current_version))
     for key in (ROUTES, SERVICES):
@@ -49,7 +49,7 @@
 
 
 def _valid_routes(accepted: Document, services: set[str]) -> set[int]:
-    """The identities of routes that are valid by themselves beside these services."""
+    """The identities of routes that are known to be valid with these services."""
     before = {service["name"] for service in accepted.get(SERVICES, ())}
     return {id(route) for route in accepted.get(ROUTES, ())} if before <= services else set()
 
@@ -66,12 +66,12 @@
 
 
 def item_place(key: str, position: int, item: Any) -> str:
-    """Where an item stands: by its name, or by its position where it has none."""
+    """The place of an item in a problem: by its name, or by its position if it has none."""
     return f"{key}[{item['name']}]" if _has_name(item) else f"{key}[{position}]"
 
 
 def is_number(value: Any) -> TypeGuard[int | float]:
-    """True for JSON numbers; `true` and `false` are none."""
+    """Whether a value is a JSON number; `true` and `false` are not."""
     return type(value) is int or type(value) is float
 
 
@@ -85,7 +85,7 @@
         if not isinstance(item, dict):
             yield Problem(ResultCode.WRONG_TYPE, f"{key}[{position}]", "must be an object")
         elif not _has_name(item):
-            yield Problem(ResultCode.MISSING_FIELD, f"{key}[{position}].name", NO_TEXT)
+            yield Problem(ResultCode.MISSING_FIELD, f"{key}[{position}].name", NOT_A_TEXT)
         elif item["name"] in seen:
             yield Problem(ResultCode.DUPLICATE_NAME, item_place(key, position, item), "comes twice")
         else:
@@ -93,7 +93,7 @@
 
 
 def _tenant_problems(tenants: Any) -> Iterator[Problem]:
-    """Faults of the tenants as a whole; null counts as absent."""
+    """Problems of the list of tenants; null counts as absent."""
     if tenants is None:
         return
     if not isinstance(tenants, list):
@@ -128,7 +128,7 @@
 def _route_problems(route: Document, place: str, services: set[str]) -> Iterator[Problem]:
     for field in ("host", "path_prefix"):
         if not (isinstance(route.get(field), str) and route[field]):
-            yield Problem(ResultCode.MISSING_FIELD, f"{place}.{field}", NO_TEXT)
+            yield Problem(ResultCode.MISSING_FIELD, f"{place}.{field}", NOT_A_TEXT)
     prefix = route.get("path_prefix")
     if isinstance(prefix, str) and prefix and not (prefix[0] == "/" and prefix[-1] == "/"):
         detail = f"{prefix!r} must begin and end with a slash"
--- a/firvane/fleet/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -43,9 +43,7 @@
         self._sleep = sleep
         self._task: asyncio.Task[None] | None = None
         self._failing = False
-        self._reader = (
-            InstanceListReader()
-        )  # lasts for all polls: its backoff grows with consecutive failures
+        self._reader = InstanceListReader()  # for all polls: its backoff grows with failures
 
     def acquire(self, term: int) -> None:
         """Acquire the role in a term of its partition; the first poll begins at once."""
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -53,8 +53,8 @@
     Mutant(
         "an order that was taken is never refused, however long ago",
         "firvane/fleet/configuration/order_history.py",
-        "return Fate.NOT_TAKEN if order.base >= self._complete_from else Fate.FORGOTTEN",
-        "return Fate.NOT_TAKEN",
+        "return OrderStatus.NOT_APPLIED if order.base >= self._complete_from else OrderStatus.UNKNOWN",
+        "return OrderStatus.NOT_APPLIED",
         f"{STATE}test_remembered_orders_are_bounded",
     ),
     Mutant(
@@ -74,7 +74,7 @@
     Mutant(
         "what is remembered of an order is its bytes",
         "firvane/fleet/configuration/order_history.py",
-        "if self._digests.get(order.base) == digest or digest in self._without_base:",
+        "if self._digests.get(order.base) == digest or digest in self._digests_without_base:",
         "if order.base in self._digests:",
         f"{CONFIGURATION}test_state.py",
     ),
--- a/tests/fleet/configuration/test_state.py
+++ b/tests/fleet/configuration/test_state.py
@@ -11,7 +11,7 @@
 from firvane.fleet.configuration import state as states
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.item import pack_item, read_item
-from firvane.fleet.configuration.order_history import REMEMBERED_ORDERS
+from firvane.fleet.configuration.order_history import MAX_ORDERS
 from firvane.fleet.configuration.orders import MAX_BODY_BYTES, Order, OrderKind, RecordError, Result
 from firvane.fleet.configuration.state import ConfigurationState
 from tests.fleet.configuration.documents import (
@@ -82,7 +82,7 @@
 
 def test_remembered_orders_are_bounded() -> None:
     state = ConfigurationState()
-    orders = [replacement(version, whole(version + 1)) for version in range(REMEMBERED_ORDERS + 1)]
+    orders = [replacement(version, whole(version + 1)) for version in range(MAX_ORDERS + 1)]
     for order in orders:
         assert apply(state, order).code is ResultCode.ACCEPTED
     other_life = ConfigurationState()
@@ -92,7 +92,7 @@
         assert each.check(orders[1]).code is ResultCode.REPEATED
         assert each.check(replacement(0, whole(7))).code is ResultCode.FORGOTTEN
         assert each.check(replacement(1, whole(7))).code is ResultCode.CONFLICT
-    assert len(state.save()) < REMEMBERED_ORDERS * 24 + 1000
+    assert len(state.save()) < MAX_ORDERS * 24 + 1000
 
 
 def test_an_order_on_a_version_that_was_never_reached_is_a_conflict() -> None:
