--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""How soon receivers hear: a control service as it is started, discovery, receivers in their own processes.
+"""Latency of updates: a control service as it is started, discovery, receivers in their own processes.
 
     python -m benchmarks.control --boxes 2000 --receivers 1,100,1000
     python -m benchmarks.control --receivers 100 --drains 20 --json control.json
@@ -28,13 +28,13 @@
 from firvane.simulation.runner.receiver import ENDPOINTS, Receiver
 from firvane.simulation.runner.receiver_link import Link
 
-EACH = 125  # receivers in a process
+RECEIVERS_PER_PROCESS = 125
 ZONES = ("ikeja", "lekki", "yaba")
-PAUSE = 1.0  # s between two drains
-PATIENCE = 60.0  # s
+DRAIN_INTERVAL_S = 1.0
+TIMEOUT_S = 60.0
 
 COMMAND = "from firvane.cli import run; run()"
-FILE = """
+CONFIG_TEMPLATE = """
 listen = "127.0.0.1:{port}"
 seed = 1
 zone = "ikeja"
@@ -56,8 +56,8 @@
 # Receivers, in a process of their own
 
 
-class Light(Receiver):
-    """Reads of endpoints only who they are and of which list: what many on one machine do must not count."""
+class LightReceiver(Receiver):
+    """Decodes only the version of endpoints, so that many receivers on one machine cost little."""
 
     def hear(self, data: bytes) -> bool:
         self.heard_bytes = getattr(self, "heard_bytes", 0) + len(data)
@@ -74,15 +74,15 @@
         return True
 
 
-async def follow(args: argparse.Namespace) -> None:
-    """Told by lines which list to wait for; says at what times its receivers had it, once all have."""
+async def run_receivers(args: argparse.Namespace) -> None:
+    """Read from lines which list version to wait for, and print when all receivers had it."""
     wanted, times, before = 0, dict[str, float](), 0
 
     def number(receiver: Receiver) -> int:
         text = receiver.versions[ENDPOINTS].get("web", "")
         return int(text.partition(".")[0] or 0)
 
-    def heard(receiver: Receiver) -> None:
+    def on_update(receiver: Receiver) -> None:
         if receiver.name not in times and number(receiver) >= wanted:
             times[receiver.name] = time.monotonic()
             if len(times) == len(links):
@@ -95,9 +95,9 @@
     links = []
     for n in range(args.count):
         name = f"r{args.first + n}"
-        receiver = Light(name, delta=n % 2 == 1)  # of no zone: each is told of every box
+        receiver = LightReceiver(name, delta=n % 2 == 1)  # of no zone: each gets every backend
         receiver.heard_bytes = 0
-        links.append(Link(receiver, [f"127.0.0.1:{args.port}"], heard))
+        links.append(Link(receiver, [f"127.0.0.1:{args.port}"], on_update))
     for link in links:
         link.start()
     reader, loop = asyncio.StreamReader(), asyncio.get_running_loop()
@@ -108,15 +108,15 @@
         times.clear()
         if word == "wait":
             for link in links:
-                heard(link.receiver)
+                on_update(link.receiver)
         elif word == "hang":
             for link in links:
                 link.receiver.versions[ENDPOINTS].clear()
                 link.hang_up()
 
 
-class Receivers:
-    """Some receivers in a process."""
+class ReceiverProcess:
+    """A process with some receivers."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -125,9 +125,9 @@
         assert self.process.stdin
         self.process.stdin.write(f"{words}\n".encode())
 
-    async def told(self) -> dict[str, Any]:
+    async def next_times(self) -> dict[str, Any]:
         assert self.process.stdout
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             line = await self.process.stdout.readline()
         found: dict[str, Any] = json.loads(line)
         return found
@@ -137,6 +137,8 @@
 
 
 class Discovery:
+    """A discovery service with a watch."""
+
     def __init__(self, boxes: int) -> None:
         self.index = 1
         self.boxes = {f"box-{n}": self._entry(n) for n in range(boxes)}
@@ -165,7 +167,7 @@
         writer.write(f"{len(line):x}\r\n{line}\r\n".encode())
 
     def tell(self, entries: list[dict[str, Any]]) -> float:
-        """Written now; the time of it."""
+        """Write the changes, and return the time of the write."""
         self.index += 1
         for entry in entries:
             self.boxes[entry["name"]] = entry
@@ -176,17 +178,18 @@
         return at
 
     def drain(self) -> float:
+        """Drain one backend, and return the time of the write."""
         name = next(name for name, entry in self.boxes.items() if entry["status"] == "up")
         return self.tell([{**self.boxes[name], "status": "draining"}])
 
     def weigh(self, weight: float) -> float:
-        """Every second box has that weight from now on: to receivers all weights are others then."""
+        """Set the weight of every second backend, which changes all weights at the receivers."""
         entries = list(self.boxes.values())[::2]
         return self.tell([{**entry, "weight": weight} for entry in entries])
 
 
-def used(pid: int) -> tuple[float, float]:
-    """CPU seconds and peak memory in MB of a process."""
+def resource_usage(pid: int) -> tuple[float, float]:
+    """The CPU seconds and the peak memory in MB of a process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     ticks = os.sysconf("SC_CLK_TCK")
     status = Path(f"/proc/{pid}/status").read_text()
@@ -194,7 +197,7 @@
     return (int(fields[11]) + int(fields[12])) / ticks, int(peak.split()[1]) / 1024
 
 
-def cut(times: list[float]) -> dict[str, float]:
+def latency_summary(times: list[float]) -> dict[str, float]:
     times = sorted(times)
     return {
         "p50_ms": 1e3 * statistics.median(times),
@@ -212,21 +215,21 @@
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
     file = Path(folder) / "control.toml"
-    file.write_text(FILE.format(port=port, discovery=await discovery.start()))
+    file.write_text(CONFIG_TEMPLATE.format(port=port, discovery=await discovery.start()))
     service = await asyncio.create_subprocess_exec(sys.executable, "-c", COMMAND, "control", str(file))
     groups = []
-    for first in range(0, count, EACH):
-        here = min(EACH, count - first)
+    for first in range(0, count, RECEIVERS_PER_PROCESS):
+        here = min(RECEIVERS_PER_PROCESS, count - first)
         words = ["--follow", "--first", str(first), "--count", str(here), "--port", str(port)]
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "benchmarks.control", *words, stdin=-1, stdout=-1
         )
-        groups.append(Receivers(process))
+        groups.append(ReceiverProcess(process))
     rows = []
 
     async def wait(since: float) -> tuple[list[float], int]:
-        told = [await group.told() for group in groups]
-        return [at - since for one in told for at in one["at"]], sum(one["bytes"] for one in told)
+        next_times = [await group.next_times() for group in groups]
+        return [at - since for one in next_times for at in one["at"]], sum(one["bytes"] for one in next_times)
 
     try:
         for group in groups:
@@ -235,9 +238,9 @@
         print(f"{count} receivers, {args.boxes} boxes: all follow", flush=True)
         for name in ("idle", "under a full push"):
             ages: list[float] = []
-            sent, cpu = 0, used(service.pid)[0]
+            sent, cpu = 0, resource_usage(service.pid)[0]
             for n in range(args.drains):
-                await asyncio.sleep(PAUSE)
+                await asyncio.sleep(DRAIN_INTERVAL_S)
                 for group in groups:
                     group.say(f"wait {discovery.index + (2 if name != 'idle' else 1)}")
                 await asyncio.sleep(0.05)
@@ -247,16 +250,16 @@
                 found, size = await wait(discovery.drain())
                 ages += found
                 sent += size
-            spent = used(service.pid)[0] - cpu
+            spent = resource_usage(service.pid)[0] - cpu
             rows.append(
                 {
-                    "receivers": count, "what": f"drain, {name}", **cut(ages),
+                    "receivers": count, "what": f"drain, {name}", **latency_summary(ages),
                     "kb_each": sent / 1e3 / args.drains / count, "cpu_s": spent / args.drains,
                 }
             )  # fmt: skip
         for what in ("all come back", "drain while all come back"):
-            await asyncio.sleep(2 * PAUSE)
-            cpu, since = used(service.pid)[0], time.monotonic()
+            await asyncio.sleep(2 * DRAIN_INTERVAL_S)
+            cpu, since = resource_usage(service.pid)[0], time.monotonic()
             for group in groups:
                 group.say(f"hang {discovery.index + (what != 'all come back')}")
             if what != "all come back":
@@ -265,12 +268,12 @@
             found, size = await wait(since)
             rows.append(
                 {
-                    "receivers": count, "what": what, **cut(found), "kb_each": size / 1e3 / count,
-                    "cpu_s": used(service.pid)[0] - cpu,
+                    "receivers": count, "what": what, **latency_summary(found), "kb_each": size / 1e3 / count,
+                    "cpu_s": resource_usage(service.pid)[0] - cpu,
                 }
             )  # fmt: skip
         for row in rows:
-            row["peak_mb"] = used(service.pid)[1]
+            row["peak_mb"] = resource_usage(service.pid)[1]
     finally:
         for group in groups:
             assert group.process.stdin
@@ -281,7 +284,7 @@
     return rows
 
 
-async def everything(args: argparse.Namespace) -> None:
+async def measure_all(args: argparse.Namespace) -> None:
     rows = []
     for count in map(int, args.receivers.split(",")):
         rows += await measure(args, count)
@@ -306,7 +309,7 @@
     args = parser.parse_args()
     _, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
-    what = follow(args) if args.follow else everything(args)
+    what = run_receivers(args) if args.follow else measure_all(args)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(what)
 
--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -33,7 +33,7 @@
 from firvane.core.flows import Flow
 from firvane.core.terminations import Termination
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.config.model import Control as Words
+from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.control import stream_codec
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.stream import Stream
@@ -45,13 +45,19 @@
 from firvane.simulation.emulation.seeded_random import mix, named
 from firvane.simulation.runner.receiver import Receiver, Way
 
-CLASS, SERVICE = "profile-view", "lagos-web"
-EACH, NEAR = 6, 0.002  # receivers in a zone; s one way between a receiver and the service
-REPORT_S, BACK = 1.0, (0.025, 0.25)  # s between load reports; s until a receiver's next attempt
-WARM, LENGTH = 6.0, 60.0  # s that do not count; s of a run
+CLASS_NAME = "profile-view"
+SERVICE_NAME = "lagos-web"
+RECEIVERS_PER_ZONE = 6
+LINK_LATENCY_S = 0.002  # one way between a receiver and the service
+REPORT_S = 1.0  # between load reports
+RETRY_BACKOFF_MIN_S = 0.025
+RETRY_BACKOFF_MAX_S = 0.25
+MAX_ATTEMPTS = 3
+WARM_UP_S = 6.0  # at the start of a run, not measured
+RUN_S = 60.0
 MODES = ("all firvane", "half told by xDS", "half round robin")
 CASES = ("calm", "deploy", "zone silent", "flood")
-GRACE = 1.0  # s after a service or a receiver was told, in which a box that drains may get new work
+DRAIN_GRACE_S = 1.0  # in which a draining backend may still get requests
 
 
 class Timer:
@@ -62,8 +68,8 @@
         self.cancelled = True
 
 
-class Time:
-    """A clock that moves from one call to the next."""
+class VirtualClock:
+    """A virtual clock that advances from one call to the next."""
 
     def __init__(self) -> None:
         self.now, self.order = 0.0, itertools.count()
@@ -85,8 +91,8 @@
 
 
 @dataclass
-class Figures:
-    """What one run came to."""
+class RunMetrics:
+    """The results of one run."""
 
     service: float = 0.0  # worth answered within the aim, of the worth asked for
     worst: float = 0.0  # the same in the worst 5 s
@@ -128,7 +134,7 @@
     def __init__(self, case: str, mode: str, seed: int, rate: float, counts_as: int = 3) -> None:
         self.counts_as = counts_as
         self.case, self.mode, self.seed = case, mode, seed
-        self.clock, self.dice = Time(), Random(f"world/{seed}")
+        self.clock, self.dice = VirtualClock(), Random(f"world/{seed}")
         self.boxes_as, self.network = Boxes(), Network()
         retries = Retries(most=2, how="wait")
         self.load = Load(rate=rate, retries=retries)
@@ -142,7 +148,7 @@
         self.ports: dict[str, int] = {}
         self.stepping: dict[str, Any] = {}
         self.served = Counter[int]()
-        self.figures = Figures()
+        self.metrics = RunMetrics()
         self.sums: dict[str, list[float]] = {"proxy": [0.0, 0.0], "receiver": [0.0, 0.0]}
         self.windows: dict[int, list[float]] = {}
         self.answered: set[str] = set()
@@ -159,9 +165,11 @@
             self.tier += self.service.places
         self.receivers: list[Any] = []
         if half:
-            kind = Told if self.service else RoundRobin
+            kind = XdsReceiver if self.service else RoundRobin
             zones = self.network.zones
-            self.receivers = [kind(self, f"r{n}", zones[n % len(zones)]) for n in range(EACH * len(zones))]
+            self.receivers = [
+                kind(self, f"r{n}", zones[n % len(zones)]) for n in range(RECEIVERS_PER_ZONE * len(zones))
+            ]
 
     # Boxes
 
@@ -219,7 +227,7 @@
         stood = box.is_up
         offer = box.offer(now, attempt.call, at.key, at.work)
         if stood and box.state == "fell":
-            self.figures.fell += 1
+            self.metrics.fell += 1
         if offer.verdict == "turned away":
             self.turned += 1
             self.clock.call_at(now + attempt.back, attempt.end, Termination.REJECTED)
@@ -282,12 +290,12 @@
 
     def ask(self, tries: Iterator[Try]) -> None:
         one = next(tries)
-        if one.at < LENGTH:
+        if one.at < RUN_S:
             self.clock.call_at(one.at, self.first, one, tries)
 
     def first(self, one: Try, tries: Iterator[Try]) -> None:
         self.ask(tries)
-        if one.at >= WARM:
+        if one.at >= WARM_UP_S:
             way = "receiver" if self.through_receiver(one) else "proxy"
             self.sums[way][0] += one.work * one.worth
             self.windows.setdefault(int(one.at / 5), [0.0, 0.0])[0] += one.work * one.worth
@@ -297,7 +305,7 @@
         return bool(self.receivers) and mix(int(one.first, 16)) & 1 == 1
 
     def take(self, one: Try) -> None:
-        self.tries += one.at >= WARM
+        self.tries += one.at >= WARM_UP_S
         if self.through_receiver(one):
             here = [r for r in self.receivers if r.zone == one.zone]
             here[mix(int(one.call, 16)) % len(here)].ask(one)
@@ -308,26 +316,26 @@
     def answer(self, one: Try, status: int, retry_after: float = 0.0) -> None:
         now = self.clock.now
         if status == 200:
-            if now <= one.first_at + one.aim and one.first not in self.answered and one.first_at >= WARM:
+            if now <= one.first_at + one.aim and one.first not in self.answered and one.first_at >= WARM_UP_S:
                 self.answered.add(one.first)
                 way = "receiver" if self.through_receiver(one) else "proxy"
                 self.sums[way][1] += one.work * one.worth
                 self.windows[int(one.first_at / 5)][1] += one.work * one.worth
             return
-        self.refusals += status in (429, 503) and one.at >= WARM
+        self.refusals += status in (429, 503) and one.at >= WARM_UP_S
         if again := self.crowd.again(now, one, status, retry_after):
             self.clock.call_at(again.at, self.take, again)
 
     # All of it
 
-    def run(self) -> Figures:
+    def run(self) -> RunMetrics:
         for one in self.tier:
             one.start()
         self.troubles()
         self.ask(self.crowd.tries())
-        self.clock.run(LENGTH + 3.0)
+        self.clock.run(RUN_S + 3.0)
         got, asked = (sum(pair[i] for pair in self.sums.values()) for i in (1, 0))
-        found = self.figures
+        found = self.metrics
         found.service = got / asked
         found.worst = min(pair[1] / pair[0] for pair in self.windows.values())
         for way, name in (("proxy", "proxies"), ("receiver", "receivers")):
@@ -347,8 +355,8 @@
     )  # fmt: skip
 
 
-class Member:
-    """What a proxy and the service have in common: a place in the tier, a late list, an engine."""
+class TierMember:
+    """The common parts of a proxy and of the service: a place in the tier, a late list, an engine."""
 
     def __init__(self, world: World, me: int, count: int) -> None:
         self.world, self.me, self.name = world, me, f"proxy-{me}"
@@ -358,7 +366,9 @@
         boxes, load = world.boxes_as, world.load
         self.settings = api.Settings(
             me=me, proxies=count, tick=0.005, zone=me % len(zones), zones=len(zones), key_affinity=True,
-            classes=(api.RequestClass(CLASS, load.aim_s, load.deadline_s, idempotency=api.Idempotency.SAFE),),
+            classes=(
+                api.RequestClass(CLASS_NAME, load.aim_s, load.deadline_s, idempotency=api.Idempotency.SAFE),
+            ),
             rules=api.Rules(0.02, 1.0, boxes.cold_share, boxes.warm_s, boxes.fall_multiple, boxes.fall_s),
             limits=api.Limits(
                 3, cancel=True, hedging=True, peers=True, retry_after=True, max_retry_after=1.2
@@ -380,25 +390,25 @@
 
     def refresh(self) -> None: ...
 
-    def news(self, changes: list[Change], kind: api.ListKind) -> api.ServerList:
+    def update(self, changes: list[Change], kind: api.ListKind) -> api.ServerList:
         zones = self.world.network.zones
         return api.ServerList(kind, self.version, tuple(server(one, zones, self.kinds) for one in changes))
 
     def first_list(self) -> api.ServerList:
         self.version, changes = self.world.registry.snapshot(self.name, self.world.clock.now)
-        return self.news(changes, api.ListKind.COMPLETE)
+        return self.update(changes, api.ListKind.COMPLETE)
 
     def listen(self) -> None:
         if changes := self.world.registry.due(self.name, self.world.clock.now):
             self.version = changes[-1].version
-            self.heard(self.news(changes, api.ListKind.INCREMENTAL))
+            self.on_server_list(self.update(changes, api.ListKind.INCREMENTAL))
 
-    def heard(self, news: api.ServerList) -> None:
+    def on_server_list(self, update: api.ServerList) -> None:
         raise NotImplementedError
 
 
-class Asked:
-    """A member's try at a proxy."""
+class ClientCallbacks:
+    """The callbacks of a client's request at a proxy."""
 
     def __init__(self, world: World, one: Try) -> None:
         self.world, self.one = world, one
@@ -419,8 +429,8 @@
     on_response_finished = on_response_aborted = on_failed
 
 
-class Proxy(Member):
-    """The real engine and module."""
+class Proxy(TierMember):
+    """A proxy with the real engine and decision module."""
 
     def __init__(self, world: World, me: int, count: int) -> None:
         super().__init__(world, me, count)
@@ -431,13 +441,13 @@
 
     def start(self) -> None:
         self.engine.start()
-        self.heard(self.first_list())
+        self.on_server_list(self.first_list())
 
-    def heard(self, news: api.ServerList) -> None:
-        self.engine.update_server_list(news)
+    def on_server_list(self, update: api.ServerList) -> None:
+        self.engine.update_server_list(update)
 
     def ask(self, one: Try) -> None:
-        flow: Flow[Try, int] = Flow(one, Asked(self.world, one), one.deadline)
+        flow: Flow[Try, int] = Flow(one, ClientCallbacks(self.world, one), one.deadline)
         self.engine.accept_request(
             flow,
             api.Request(
@@ -457,7 +467,7 @@
     def close_idle(self, target: str) -> None: ...
 
 
-class Place(Member):
+class ServicePlace(TierMember):
     """One of the service's places in the tier."""
 
     engine: Engine[Any, Any]
@@ -467,11 +477,11 @@
         if self.engine is self.service.core.engine:
             self.service.begin(self)
 
-    def heard(self, news: api.ServerList) -> None:
-        self.service.heard(news)
+    def on_server_list(self, update: api.ServerList) -> None:
+        self.service.on_server_list(update)
 
     def listen(self) -> None:
-        if self.engine is self.service.core.engine:  # the service hears the list once
+        if self.engine is self.service.core.engine:  # the service takes the list once
             super().listen()
 
 
@@ -481,65 +491,65 @@
     def __init__(self, world: World, me: int, count: int) -> None:
         self.world = world
         clock = world.clock
-        self.places = [Place(world, me + n, count) for n in range(world.counts_as)]
-        words = Words(service=SERVICE, report_s=REPORT_S, counts_as=world.counts_as)
+        self.places = [ServicePlace(world, me + n, count) for n in range(world.counts_as)]
+        control_settings = ControlSettings(service=SERVICE_NAME, report_s=REPORT_S, counts_as=world.counts_as)
         self.core = Core(
-            [place.settings for place in self.places], words, named(world.seed, "service"),
+            [place.settings for place in self.places], control_settings, named(world.seed, "service"),
             world.network.zones, clock, self.places, self, self, clock.time,
         )  # fmt: skip
         for place, engine in zip(self.places, self.core.engines, strict=True):
             place.engine, place.service = engine, self
-        self.writer = stream_codec.Writer(SERVICE)
-        self.followers: list[Told] = []
+        self.writer = stream_codec.Writer(SERVICE_NAME)
+        self.receivers_on_stream: list[XdsReceiver] = []
         self.drained: dict[str, float] = {}
 
-    def begin(self, place: Place) -> None:
+    def begin(self, place: ServicePlace) -> None:
         self.core.start()
-        self.heard(place.first_list())
+        self.on_server_list(place.first_list())
 
     def refresh(self) -> None: ...
 
-    def heard(self, news: api.ServerList) -> None:
-        for one in news.servers:
+    def on_server_list(self, update: api.ServerList) -> None:
+        for one in update.servers:
             up = one.state is not api.ServerState.GONE
             self.core.target(one.id, ("127.0.0.1", self.world.ports[one.id]) if up else None, up)
             if one.state is not api.ServerState.UP:
                 self.drained.setdefault(one.id, self.world.clock.now)
-        self.core.on_server_list(news)
+        self.core.on_server_list(update)
 
     def on_published(self, zones: list[int]) -> None:
-        for follower in self.followers:
-            if follower.group in zones:
-                self.write(follower)
+        for receiver in self.receivers_on_stream:
+            if receiver.group in zones:
+                self.write(receiver)
 
-    def write(self, follower: Told) -> None:
-        while (state := self.core.state(follower.group)) and (push := follower.stream.next_response(state)):
-            data = self.writer.write(push, follower.stream.delta)
-            self.world.clock.call_at(self.world.clock.now + NEAR, follower.hear, data)
+    def write(self, receiver: XdsReceiver) -> None:
+        while (state := self.core.state(receiver.group)) and (push := receiver.stream.next_response(state)):
+            data = self.writer.write(push, receiver.stream.delta)
+            self.world.clock.call_at(self.world.clock.now + LINK_LATENCY_S, receiver.hear, data)
 
-    def read(self, follower: Told, data: bytes) -> None:
+    def read(self, receiver: XdsReceiver, data: bytes) -> None:
         form: Any = discovery_pb2.DeltaDiscoveryRequest
-        if not follower.stream.delta:
+        if not receiver.stream.delta:
             form = discovery_pb2.DiscoveryRequest
-        stream_codec.read(follower.stream, form.FromString(data))
-        self.write(follower)
+        stream_codec.read(receiver.stream, form.FromString(data))
+        self.write(receiver)
 
-    def report(self, follower: Told, data: bytes) -> None:
+    def report(self, receiver: XdsReceiver, data: bytes) -> None:
         request = lrs_pb2.LoadStatsRequest.FromString(data)
         self.core.on_report(
-            follower.name, *stream_codec.read_reports(request, SERVICE, self.core.names, dict)
+            receiver.name, *stream_codec.read_reports(request, SERVICE_NAME, self.core.names, dict)
         )
 
 
-class Follower:
-    """A receiver: one attempt at a time, again as its route says."""
+class EmulatedReceiver:
+    """A receiver: one attempt at a time, retried as its route allows."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
         self.dice = Random(f"follower/{world.seed}/{name}")
 
     def way(self, key: str, tried: set[str]) -> tuple[str, int] | None:
-        """A box and how many attempts there may be in all; None: it is dropped."""
+        """A backend and the most attempts in total; None: the request is dropped."""
         raise NotImplementedError
 
     def ask(self, one: Try) -> None:
@@ -568,7 +578,8 @@
             if ending is Termination.SERVED:
                 world.answer(one, 200)
             elif number < most and self.may_retry():
-                span = self.dice.uniform(0.0, min(BACK[1], BACK[0] * 2 ** (number - 1)))
+                bound = min(RETRY_BACKOFF_MAX_S, RETRY_BACKOFF_MIN_S * 2 ** (number - 1))
+                span = self.dice.uniform(0.0, bound)
                 self.again(1)
                 world.clock.call_at(world.clock.now + span, self.attempt, one, number + 1, tried)
             else:
@@ -587,15 +598,15 @@
         return True
 
     def again(self, more: int) -> None:
-        """So many more further tries are out."""
+        """So many more retries are in flight."""
 
     def count(self, box: str) -> None: ...
 
     def ended(self, box: str, well: bool) -> None: ...
 
 
-class RoundRobin(Follower):
-    """Goes by its own late list, one box after the other."""
+class RoundRobin(EmulatedReceiver):
+    """Uses its own late list, round robin."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         super().__init__(world, name, zone)
@@ -612,11 +623,11 @@
 
     def way(self, key: str, tried: set[str]) -> tuple[str, int] | None:
         self.next += 1
-        return (self.up[self.next % len(self.up)], 3) if self.up else None
+        return (self.up[self.next % len(self.up)], MAX_ATTEMPTS) if self.up else None
 
 
-class Told(Follower):
-    """Goes by what the service tells it."""
+class XdsReceiver(EmulatedReceiver):
+    """Uses the assignments of the control service."""
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         super().__init__(world, name, zone)
@@ -624,14 +635,14 @@
         self.service, delta = world.service, mix(named(world.seed, name)) & 1 == 1
         self.receiver, self.stream = Receiver(name, zone, delta=delta, seed=world.seed), Stream(delta)
         self.group = self.service.core.catalog.zone_of(zone)
-        self.service.followers.append(self)
+        self.service.receivers_on_stream.append(self)
         self.service.core.registry.connect(name, self.group, 0.0)
         world.clock.call_at(0.1, self.speak)
         world.clock.call_at(REPORT_S * (1.0 + self.dice.random()), self.report, 0.0)
 
     def speak(self) -> None:
         for data in self.receiver.requests():
-            self.world.clock.call_at(self.world.clock.now + NEAR, self.service.read, self, data)
+            self.world.clock.call_at(self.world.clock.now + LINK_LATENCY_S, self.service.read, self, data)
 
     def hear(self, data: bytes) -> None:
         self.receiver.hear(data)
@@ -639,25 +650,25 @@
 
     def report(self, last: float) -> None:
         now = self.world.clock.now
-        data = self.receiver.report(SERVICE, now - last)
-        self.world.clock.call_at(now + NEAR, self.service.report, self, data)
+        data = self.receiver.report(SERVICE_NAME, now - last)
+        self.world.clock.call_at(now + LINK_LATENCY_S, self.service.report, self, data)
         self.world.clock.call_at(now + REPORT_S, self.report, now)
 
     def way(self, key: str, tried: set[str]) -> tuple[str, int] | None:
         for again in range(4):  # as `host_selection_retry_max_attempts` says
-            found = self.receiver.way(f"/{CLASS}/x", f"{key}{again or ''}")
+            found = self.receiver.way(f"/{CLASS_NAME}/x", f"{key}{again or ''}")
             if not isinstance(found, Way):
                 return None
             box = self.world.by_port(found.address[1])
             if box not in tried:
                 break
         drained = self.service.drained.get(box)
-        if drained is not None and self.world.clock.now > drained + GRACE:
-            self.world.figures.late += 1
+        if drained is not None and self.world.clock.now > drained + DRAIN_GRACE_S:
+            self.world.metrics.late += 1
         return box, found.retries + 1
 
     def may_retry(self) -> bool:
-        return self.receiver.may_retry(SERVICE)
+        return self.receiver.may_retry(SERVICE_NAME)
 
     def again(self, more: int) -> None:
         self.receiver.again += more
@@ -669,7 +680,7 @@
         self.receiver.ended(("127.0.0.1", self.world.ports[box]), well)
 
 
-def play(given: tuple[str, str, int, float, int]) -> Figures:
+def play(given: tuple[str, str, int, float, int]) -> RunMetrics:
     return World(*given).run()
 
 
