--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -41,7 +41,7 @@
 
 
 class RequestMetrics(Protocol):
-    """ClassCounters of requests by class and tenant."""
+    """Counts of requests by class and tenant."""
 
     def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
         """A request is taken up."""
@@ -69,7 +69,7 @@
         connections: All client connections, in the order of their arrival (a set's order would differ from
             run to run).
         policy_lease: The lease on the policy that all proxies agree on, where there is one.
-        metrics: ClassCounters by class and tenant, where they are configured.
+        metrics: Counts by class and tenant, where they are configured.
         set_accepting: Pauses or resumes the acceptance of connections.
         accepting_paused: It is paused.
         over_capacity: There are more connections than descriptors for them.
