--- a/tests/simulation/soak/faults.py
+++ b/tests/simulation/soak/faults.py
@@ -82,8 +82,8 @@
         "acknowledges the other one of two orders under one number",
         "CONFIG",
         "firvane/fleet/configuration/state.py",
-        "    Fate.NOT_TAKEN: ResultCode.CONFLICT,\n",
-        "    Fate.NOT_TAKEN: ResultCode.ACCEPTED,\n",
+        "    OrderStatus.NOT_APPLIED: ResultCode.CONFLICT,\n",
+        "    OrderStatus.NOT_APPLIED: ResultCode.ACCEPTED,\n",
     ),
     Fault(
         "a budget of each process, not of the fleet",
