--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -88,7 +88,11 @@
         self.has_lease = False
         self.next_tick_at = 0.0
         self.timer: asyncio.TimerHandle | None = None
-        self.action_handlers: dict[type[Any], Callable[[Any], None]] = {
+        self.action_handlers = self._make_action_handlers()
+
+    def _make_action_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
+        host = self.host
+        return {
             events.SendMessage: lambda action: host.peers.tell(action.peer, action.payload),
             events.SaveState: self._save,
             events.FetchText: self._fetch,
--- a/firvane/proxy/quorum/outbox.py
+++ b/firvane/proxy/quorum/outbox.py
@@ -95,7 +95,9 @@
             state.log("policy_voter_recovered", epoch=epoch, incarnation=state.new_incarnation)
         assert state.acceptor
         state.acceptor.on_saved(self.pending_writes[token])
-        self.pending_writes = {later: kept for later, kept in self.pending_writes.items() if later > token}
+        self.pending_writes = {
+            later: written for later, written in self.pending_writes.items() if later > token
+        }
         ready = [reply for reply in self.pending_replies if reply.token <= token]
         self.pending_replies = [reply for reply in self.pending_replies if reply.token > token]
         for reply in ready:
--- a/firvane/proxy/rollout/comparison.py
+++ b/firvane/proxy/rollout/comparison.py
@@ -385,11 +385,11 @@
             soaked = f"{self._compared_s:.0f} of {self.soak_s:.0f} s are judged"
             return Finding(Verdict.CANNOT_TELL, soaked)
         small = {key for key, pool in self._pools.items() if pool.taken < self.settings.least_key}
-        told = [key for key in self._pools if key not in small]
-        if not any(key.startswith("class:") for key in told):
+        judged = [key for key in self._pools if key not in small]
+        if not any(key.startswith("class:") for key in judged):
             return Finding(Verdict.CANNOT_TELL, "the new side has had too few requests of every class")
         # A missing latency is no reason to wait.
-        wanted = [(metric, key) for key in told for metric in METRICS_OF_COUNTS]
+        wanted = [(metric, key) for key in judged for metric in METRICS_OF_COUNTS]
         wanted += [name for name, track in self._tracks.items() if name[1] not in small and track.count]
         uppers = []
         for name in dict.fromkeys(wanted):
@@ -407,8 +407,8 @@
     def figures(self) -> Mapping[tuple[str, str], tuple[float, float, float, float]]:
         """Return old, new, and the bounds of the difference at alpha, by metric and key."""
         alpha = self.alpha / max(1, len(METRICS_BY_KEY) * len(self._pools) + len(METRICS_OF_PROCESS))
-        told = ((name, t, t.half_width(alpha)) for name, t in self._tracks.items())
-        return {name: (t.old, t.new, t.mean - half, t.mean + half) for name, t, half in told}
+        bounds = ((name, t, t.half_width(alpha)) for name, t in self._tracks.items())
+        return {name: (t.old, t.new, t.mean - half, t.mean + half) for name, t, half in bounds}
 
 
 def _taken(block: Block) -> int:
