--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -12,11 +12,11 @@
 from typing import Any, Generic, TypeVar, cast
 
 from firvane.core.logs import Log
-from firvane.core.net.connection_checks import Quiet, always
+from firvane.core.net.connection_checks import NoInputCheck, always_true
 from firvane.core.net.dialer import Dialing
 from firvane.core.terminations import Termination
 from firvane.proxy.config.node import Config
-from firvane.proxy.net.listening_socket import Accept, LoopDoor
+from firvane.proxy.net.listening_socket import ConnectionFactory, LoopAcceptor
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy import Proxy
 from firvane.simulation.runner.process import Process
@@ -39,7 +39,7 @@
         dialer: MemoryDialer,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Termination], None],
     ) -> None:
@@ -85,7 +85,7 @@
         self,
         address: tuple[str, int],
         deadline: float,
-        factory: Callable[[Quiet], P],
+        factory: Callable[[NoInputCheck], P],
         up: Callable[[P], None],
         ended: Callable[[Termination], None],
     ) -> Dialing:
@@ -94,13 +94,13 @@
     def close(self) -> None: ...
 
 
-class MemoryDoor(LoopDoor):
+class MemoryAcceptor(LoopAcceptor):
     """A proxy's way in, in memory: whoever is accepted can be asked whether it has left, as a kernel can."""
 
-    async def open(self, address: tuple[str, int], accept: Accept) -> None:
+    async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
         def made() -> asyncio.BaseProtocol:
             assert server.newcomer
-            return accept(always, server.newcomer.stands)
+            return accept(always_true, server.newcomer.stands)
 
         server = cast(VirtualLoop, self.loop).memory.listen(address, made)
         self.server = cast(asyncio.Server, server)
@@ -154,17 +154,17 @@
             keeper = partial(Keeper, config.snapshot, config.name, aside=lambda work: work())
         agreement = None
         if config.policy:
-            from firvane.proxy.quorum.driver import Policies
+            from firvane.proxy.quorum.driver import PolicyConsensus
 
-            agreement = partial(Policies, aside=lambda work: work(), clock=self.loop.time)
+            agreement = partial(PolicyConsensus, run_off_loop=lambda work: work(), clock=self.loop.time)
         make = partial(
             Proxy, self.loop, config, wall=self.wall, dialer=dialer, usage=lambda: UNKNOWN, log=self.log,
             keeper=keeper, agreement=agreement,
         )  # fmt: skip
         self.proxy = process.call(make)
-        self.proxy.door = MemoryDoor(self.loop)
+        self.proxy.acceptor = MemoryAcceptor(self.loop)
         if epoch:
-            self.proxy.front.agreement = Marked(epoch)
+            self.proxy.limiter.policy_lease = Marked(epoch)
         if self.shim:
             process.call(self.shim, self.proxy)
         self.on_state("started", 0)
@@ -209,7 +209,7 @@
             self.signal = partial(self.reload, read, epoch)
         elif self.process and self.proxy:
             self.process.call(self.proxy.reload, read)
-            self.proxy.front.agreement = Marked(epoch)
+            self.proxy.limiter.policy_lease = Marked(epoch)
 
     def kill(self, silently: bool = False) -> None:
         """End it at once; `silently` where its machine is gone. What it knew and held is lost."""
--- a/tests/core/test_process_signals.py
+++ b/tests/core/test_process_signals.py
@@ -14,7 +14,7 @@
 
 from firvane.core import logs, process_signals
 from firvane.core.process_signals import SIGNALS
-from firvane.fleet.controller.replication_opening import JournalOpener, OpenedJournal
+from firvane.fleet.controller.journal_opener import JournalOpener, OpenedJournal
 from firvane.fleet.storage.writer import JournalWriter
 from firvane.proxy.quorum.store import Store
 from firvane.proxy.snapshots.file import Keeper
@@ -56,7 +56,7 @@
 
 def test_the_thread_that_writes_the_policy_blocks_signals(tmp_path: Path) -> None:
     store = Store(tmp_path, logs.QUIET, lambda follow: follow())
-    assert through_worker(store.aside) >= set(SIGNALS)
+    assert through_worker(store.run_off_loop) >= set(SIGNALS)
 
 
 def test_the_thread_that_writes_journals_blocks_signals() -> None:
--- a/tests/crossings/mutants/client_gone.py
+++ b/tests/crossings/mutants/client_gone.py
@@ -8,22 +8,22 @@
 MUTANTS = [
     Mutant(
         "a request is not taken up whose client has gone",
-        "firvane/proxy/net/client_requests.py",
-        "        if not self.stands():\n",
+        "firvane/proxy/net/client_connection.py",
+        "        if not self.is_peer_open():\n",
         "        if False:\n",
         f"{HERE} -k asked_and_left or sweep",
     ),
     Mutant(
         "bytes behind a request do not hide that its client left",
         "firvane/proxy/net/connection_limiter.py",
-        "if connection.paused and not connection.stands():",
+        "if connection.reading_paused and not connection.is_peer_open():",
         "if False:",
         f"{HERE} -k behind_another",
     ),
     Mutant(
         "the end of a connection is seen behind unread bytes",
         "firvane/core/net/dialer.py",
-        "        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == ESTABLISHED\n",
+        "        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] == TCP_ESTABLISHED\n",
         "        return sock.recv(1, socket.MSG_PEEK) != b''\n",
         f"{HERE} -k turn_is_used_up",
     ),
@@ -37,14 +37,15 @@
     Mutant(
         "nothing more is written for whom the kernel knows to have gone",
         "firvane/proxy/net/upstream_pool.py",
-        "over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.wanted()",
+        "over = now >= min(run.exchange.deadline, run.exchange.start_before) "
+        "or not run.request.sender_waits()",
         "over = now >= min(run.exchange.deadline, run.exchange.start_before)",
         f"{HERE} -k between_two_sweeps",
     ),
     Mutant(
         "what is open for who has gone ends in that very call",
-        "firvane/proxy/net/client_requests.py",
-        "            self.transport.abort()\n            self._give_up()",
+        "firvane/proxy/net/client_connection.py",
+        "            self.transport.abort()\n            self._abort_upload()",
         "            self.transport.abort()",
         f"{HERE} -k between_two_sweeps",
     ),
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -103,15 +103,15 @@
     Mutant(
         "a class that comes percent-encoded is served",
         "firvane/proxy/net/client_context.py",
-        "            name = unescaped(name)\n",
+        "            name = percent_decode(name)\n",
         "",
         f"{TEST}::test_so_is_one_that_comes_percent_encoded",
     ),
     Mutant(
         "a short aim is no overload",
         "firvane/proxy/net/resource_monitor.py",
-        "max(LEAST_LATE, LATE * aim)",
-        "LATE * aim",
+        "max(MIN_LAG_S, LAG_PART * target)",
+        "LAG_PART * target",
         f"{TEST}::test_what_any_turn_takes_is_no_pressure_however_short_the_aim",
     ),
     Mutant(
