--- a/firvane/core/balancing/records.py
+++ b/firvane/core/balancing/records.py
@@ -1,31 +1,29 @@
-"""The records that the decisions keep: servers, open requests, and the rows that proxies announce."""
+"""The records that the decisions keep of servers and open requests, and the arithmetic that they share.
+
+Times are in seconds on the decisions' clock, durations in seconds.
+"""
 
 from __future__ import annotations
 
 import math
-import struct
 from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from firvane.core import interface as api
 
 if TYPE_CHECKING:
     from mypy_extensions import i64  # the machine's own 64 bits, where this is compiled; at run time just int
 
-ROW = struct.Struct("<BBBQHffffB")  # the fields of Row up to the count of entries
-ENTRY = struct.Struct("<HB")  # tag of a server, attempts out there
-VERSION = 1
-# Of a weight. None is 0, by which shares would be divided: the least counts as a thousandth part, not as less
-# than any figure, as what was learnt by it outlives it.
-LEAST, MOST = 2.0**-10, 1e15
-TOLD = 1e9  # a row's rates are below
+MIN_WEIGHT = 2.0**-10  # above 0, as shares are divided by weights; not tiny, as estimates outlive a weight
+MAX_WEIGHT = 1e15
+INITIAL_CAPACITY = 4.0  # attempts
 
 
 def mix(a: int, b: int) -> int:
     """A stable 32-bit hash of two numbers, the same in every process."""
-    # Only 64 bits of any product count. So the large factor stands here as the negative number of the same
-    # bits, which fits a machine word, and compiled the products wrap; interpreted they just grow.
+    # Only 64 bits of a product matter. The large factor is written as the negative number of the same bits,
+    # which fits a machine word: compiled the products wrap, interpreted they grow.
     x: i64 = a
     y: i64 = b
     x = (x ^ y * 0x9E3779B1) * -0x2917014799A6026D
@@ -33,9 +31,9 @@
 
 
 def total(values: Iterable[float]) -> float:
-    """Their sum, added up from the left: the same bits on every Python, and in its compiled form.
+    """The sum of values from left to right: the same bits on every Python, interpreted or compiled.
 
-    The built-in sum minds the last bits from Python 3.12 on, and mypyc takes it for one of integers.
+    The built-in `sum` compensates from Python 3.12 on, and mypyc compiles it for integers.
     """
     result = 0.0
     for value in values:
@@ -44,72 +42,123 @@
 
 
 def clamp_weight(weight: float) -> float:
-    """A weight as it counts, whatever a list says: nobody can be put out of action by what he is sent."""
-    return min(MOST, max(LEAST, weight))
+    """A weight within the bounds that the arithmetic can take, whatever a list says."""
+    return min(MAX_WEIGHT, max(MIN_WEIGHT, weight))
 
 
 @dataclass(slots=True, eq=False)
 class InFlightAttempt:
-    """An attempt that is out."""
+    """An attempt that has not ended.
+
+    Attributes:
+        sent_at: when it was sent.
+        usual_duration: of such an attempt there, as known then.
+        overtaken_by: attempts sent to the same server later and answered before it.
+        is_lost: no answer is expected any more, and it no longer counts.
+    """
 
-    sent_at: float  # when it was sent
-    usual_duration: float  # s that such a one usually takes there, as known then
-    overtaken_by: int = 0  # attempts sent to the same server later and answered before it
-    is_lost: bool = False  # it is not expected to be answered any more, and counts no more
+    sent_at: float
+    usual_duration: float
+    overtaken_by: int = 0
+    is_lost: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """What one proxy knows of one server."""
+    """What one proxy knows of one server.
+
+    Attributes:
+        entry: its entry of the server list.
+        id_hash: a stable hash of its id.
+        weight: of the list, clamped.
+        started_at: its last start, by the list or as observed; None: long ago.
+        in_flight: attempts from here.
+        capacity: estimate of the attempts from here that it takes without a rejection.
+        capacity_cut_at: when that was last lowered.
+        announced: `in_flight` as last announced to the peers.
+        peers_in_flight: attempts of the peers, by their rows.
+        relative_latency: its recent durations, relative to those usual for their classes.
+        relative_latency_at: when that was last updated.
+        error_rate: the recent part of its responses that were errors.
+        failures: attempts that failed since its last response.
+        connection_failures: those of them whose connection broke or could not be made.
+        failing_since: when the first of these was.
+        rejected_first_connections: rejections in a row of a first connection from here.
+        failed_extra_connections: recent connections that it did not accept while it had others from here.
+        failed_extra_connections_at: when that was last updated.
+        last_response_at: when an attempt last ended by the server itself.
+        response_gap: mean time between such ends.
+        retry_at: no attempt is sent before.
+        connections_full_at: when its table of connections was last found full.
+        duration_sum: of its recent responses to requests with hinted work.
+        work_sum: the work hinted for these, in seconds.
+        response_count: how many these are, faded.
+        tokens: sends that its slow-start budget allows.
+        tokens_at: when that was last refilled.
+        owner_count: proxies whose slices hold it.
+        owner: the proxy to whose slice it counts.
+        stepped_capacity: its capacity as found by steps in a recovery.
+        is_stepping: whether that doubles with each round trip (recovery/steps.py).
+        stepped_at: when that was last lowered.
+        work_pace: seconds that a second of work takes, by its last responses in a recovery.
+        attempts: those that `in_flight` counts, in the order sent.
+    """
 
     entry: api.Server
-    id_hash: int  # a stable hash of its id
+    id_hash: int
     weight: float
-    started_at: float | None  # its last start, by the list or as seen
-    in_flight: int = 0  # attempts out from here
-    capacity: float = 4.0  # attempts from here that it takes without turning any away, as learnt
-    capacity_cut_at: float = 0.0  # when that was last lowered
-    announced: int = 0  # the same as last announced
-    peers_in_flight: int = 0  # and from the peers, by their rows
-    relative_latency: float = (
-        1.0  # how its answers' times compare with those of their classes, as of `slow_at`
-    )
+    started_at: float | None
+    in_flight: int = 0
+    capacity: float = INITIAL_CAPACITY
+    capacity_cut_at: float = 0.0
+    announced: int = 0
+    peers_in_flight: int = 0
+    relative_latency: float = 1.0
     relative_latency_at: float = 0.0
-    error_rate: float = 0.0  # part of its answers of late that said it failed
-    failures: int = 0  # failures since its last answer
-    connection_failures: int = 0  # of those, connections that ended or were not made
-    failing_since: float = 0.0  # when the first of them was
-    rejected_first_connections: int = 0  # times in a row that it had no place for a first connection of ours
-    failed_extra_connections: float = (
-        0.0  # connections that it lately did not take while it held others, as of `unmade_at`
-    )
+    error_rate: float = 0.0
+    failures: int = 0
+    connection_failures: int = 0
+    failing_since: float = 0.0
+    rejected_first_connections: int = 0
+    failed_extra_connections: float = 0.0
     failed_extra_connections_at: float = 0.0
-    last_response_at: float = 0.0  # when an attempt there last came to any end of the server's own
-    response_gap: float = 0.0  # mean time between those of late
-    retry_at: float = 0.0  # nothing is sent before
-    connections_full_at: float = -1e9  # when it last turned a connection away
-    duration_sum: float = 0.0  # s that its answers of late have taken, and the work that was hinted for them
+    last_response_at: float = 0.0
+    response_gap: float = 0.0
+    retry_at: float = 0.0
+    connections_full_at: float = -1e9
+    duration_sum: float = 0.0
     work_sum: float = 0.0
-    response_count: float = 0.0  # how many those are
-    tokens: float = 0.0  # sends that its budget allows while it is cold, as of `tokens_at`
+    response_count: float = 0.0
+    tokens: float = 0.0
     tokens_at: float = 0.0
-    owner_count: int = 0  # proxies whose slices hold it
-    owner: int = -1  # the proxy whose slice it counts to
-    stepped_capacity: float = 1.0  # its room as found by steps, in a recovery
-    is_stepping: bool = False  # that room doubles with each round trip (recovery/steps.py)
-    stepped_at: float = 0.0  # when that was last cut there
-    work_pace: float = 0.0  # s that a second of work takes there, as of its last answers in a recovery
-    attempts: list[InFlightAttempt] = field(default_factory=list)  # the attempts that `own` counts, as sent
+    owner_count: int = 0
+    owner: int = -1
+    stepped_capacity: float = 1.0
+    is_stepping: bool = False
+    stepped_at: float = 0.0
+    work_pace: float = 0.0
+    attempts: list[InFlightAttempt] = field(default_factory=list)
 
     def update(self, entry: api.Server, live: bool) -> tuple[bool, bool]:
-        """The list says this of it now; whether it has moved, and whether its part of the ring changes."""
+        """Take over its entry of a new list.
+
+        Args:
+            entry: the new entry.
+            live: whether weights follow the server's load.
+
+        Returns:
+            Whether its state or zone has changed, and whether its part of the key ring changes.
+        """
         old, weight = self.entry, self.weight
         if (entry.up_since or 0.0) > (old.up_since or 0.0):  # restarted
-            self.started_at, self.failures, self.retry_at, self.response_count = entry.up_since, 0, 0.0, 0.0
+            self.started_at = entry.up_since
+            self.failures = 0
+            self.retry_at = 0.0
+            self.response_count = 0.0
             self.error_rate = 0.0
-        # Live weights fall with what a server holds: its largest is nearest to its size.
-        told = clamp_weight(entry.weight)
-        self.weight = max(weight, told) if live else told
+        # Live weights fall with a server's load: its largest is nearest to its size.
+        listed = clamp_weight(entry.weight)
+        self.weight = max(weight, listed) if live else listed
         self.entry = entry
         moved = entry.state is not old.state or entry.zone != old.zone
         return moved, self.weight != weight or entry.kind != old.kind
@@ -117,69 +166,43 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """An open request: its attempts, and what they commit it to."""
+    """A request without a final answer: its attempts, and what they commit it to.
+
+    Attributes:
+        deadline: when its final answer is due.
+        queue_until: until when it may wait with nothing in flight.
+        key_hash: of its key, or drawn where it has none.
+        attempts_sent: attempts so far.
+        maybe_ran: of these, those that are not known never to have run.
+        dedup_group: the servers that drop duplicates of the first of these.
+        dedup_until: until when they do.
+        body_consumed: its body cannot be sent again.
+        attempts: the servers' ids of the attempts in flight, by number.
+        tried_servers: hashes of the ids of the servers it was sent to.
+    """
 
     request: api.Request
     request_class: api.RequestClass
     deadline: float
-    queue_until: float  # until when it may be held with nothing sent
+    queue_until: float
     key_hash: int
     attempts_sent: int = 0
-    maybe_ran: int = 0  # attempts out, or not known to have kept from running
-    dedup_group: int = 0  # the servers that drop repeats of the first of these
-    dedup_until: float = 0.0  # and for how long
-    body_consumed: bool = False  # its body cannot be sent again: what is out is its last attempt
+    maybe_ran: int = 0
+    dedup_group: int = 0
+    dedup_until: float = 0.0
+    body_consumed: bool = False
     attempts: dict[int, str] = field(default_factory=dict)
     tried_servers: set[int] = field(default_factory=set)
 
     def start_before(self, entry: api.Server, now: float) -> float:
-        """When an attempt that sets out there now has to be on its way at the latest.
+        """When the first byte of an attempt that starts there now must be sent at the latest.
 
-        Guards a class whose repeats are dropped for a time alone against one that comes after it, since its
-        connection came up late: the box would run it again.
+        A class whose duplicates are dropped for a limited time must not be sent after it, which a connection
+        that is established late would do: the server would run the request again.
         """
         if not self.maybe_ran:
-            self.dedup_group, self.dedup_until = (
-                entry.dedup_group(self.request_class.dedup_scope),
-                now + self.request_class.dedup_window,
-            )
+            self.dedup_group = entry.dedup_group(self.request_class.dedup_scope)
+            self.dedup_until = now + self.request_class.dedup_window
         elif self.request_class.idempotency is api.Idempotency.KEYED:
             return self.dedup_until
         return math.inf
-
-
-class Row(NamedTuple):
-    """A proxy's announced state."""
-
-    version: int
-    flags: int
-    zone: int
-    sequence: int
-    phi: int  # requests held
-    mu: float  # what its slice can do
-    arrivals: float  # requests of the last window
-    forecast: float  # and of the next, as it expects them
-    served: float  # answers a second
-    entries: int
-    received_at: float  # when it was heard
-    in_flight: list[tuple[int, int]]  # attempts out by server, own slice and offload alike
-
-
-def encode_row(
-    flags: int, zone: int, now: float, figures: tuple[int, float, float, float, float], out: list[Backend]
-) -> bytes:
-    """A row as bytes: the `figures` from `phi` to `served`, and the attempts that are `out` from here."""
-    phi, *rates = figures
-    # Guards the windows, which read their own row: one that cannot be read would end each of them.
-    rates = [min(rate, 0.99 * TOLD) for rate in rates]
-    head = ROW.pack(VERSION, flags, zone, int(now * 1000), phi, *rates, len(out))
-    return head + b"".join(ENTRY.pack(s.id_hash & 0xFFFF, min(255, s.in_flight)) for s in out)
-
-
-def decode_row(payload: bytes, now: float) -> Row:
-    """A row from bytes; `ValueError` or `struct.error` where they are not one."""
-    row = Row._make([*ROW.unpack_from(payload), now, list(ENTRY.iter_unpack(payload[ROW.size :]))])
-    rates = (row.mu, row.arrivals, row.forecast, row.served)
-    if row.version != VERSION or len(row.in_flight) != row.entries or not all(0 <= x < TOLD for x in rates):
-        raise ValueError("not a row")
-    return row
--- a/firvane/core/balancing/window.py
+++ b/firvane/core/balancing/window.py
@@ -12,18 +12,23 @@
 from firvane.core.balancing.greedy_pairing import pair
 from firvane.core.balancing.records import total
 
-WINDOW = 0.25  # s between policies: well under the seconds over which demand moves
-GAIN, LEAK = 0.3, 0.85  # how fast shares follow the excess and forget it: rows are a window or two late
-CROSS_MARGIN = 0.15  # excess below this part of the target stays in its zone
-FORGOTTEN = 0.01  # a share that has leaked to this is dropped
+WINDOW = 0.25  # s; well under the seconds over which demand moves
+SHARE_GAIN = 0.3  # part of the excess that a window adds to the shares: rows are a window or two late
+SHARE_RETENTION = 0.85  # part of a share that a window keeps
+CROSS_ZONE_MARGIN = 0.15  # excess below this part of the target stays in its zone
+MIN_SHARE = 0.01  # a share that has faded to this is dropped
 
 Shares = dict[tuple[int, int], float]  # part of the giver's demand that goes to the taker, by both
 
 
 def growth(forecast: float, arrivals: float, served: float, age: float) -> float:
-    """What a row adds to the load ahead, equation (1): its forecast, and the windows since it was heard.
+    """What a row adds to the load ahead, equation (1): its forecast, and the windows since it arrived.
 
-    `arrivals` are of one window, `served` a second, and `age` is in seconds.
+    Args:
+        forecast: requests of the next window.
+        arrivals: requests of the last window.
+        served: answers a second.
+        age: seconds since the row arrived.
     """
     return forecast + age // WINDOW * (arrivals - served * WINDOW)
 
@@ -37,7 +42,7 @@
 
 
 def excess(load: Mapping[int, float], target: Mapping[int, float]) -> dict[int, float]:
-    """Room (above 0) or excess (below) of each slice.
+    """The free capacity (above 0) or excess (below 0) of each slice.
 
     What may be chance in a count is no excess: moving it takes keys off their warm servers for nothing.
     """
@@ -61,10 +66,10 @@
     for zone in sorted(by_zone):
         flows += pair(by_zone[zone])
         theta.update(by_zone[zone])
-    flows += pair({n: min(0.0, t + CROSS_MARGIN * target[n]) if t < 0 else t for n, t in theta.items()})
-    following = {k: share * LEAK for k, share in shares.items() if share > FORGOTTEN}
+    flows += pair({n: min(0.0, t + CROSS_ZONE_MARGIN * target[n]) if t < 0 else t for n, t in theta.items()})
+    following = {k: share * SHARE_RETENTION for k, share in shares.items() if share > MIN_SHARE}
     for giver, taker, moved in flows:
-        following[giver, taker] = following.get((giver, taker), 0.0) + GAIN * moved / load[giver]
+        following[giver, taker] = following.get((giver, taker), 0.0) + SHARE_GAIN * moved / load[giver]
     return following
 
 
--- a/firvane/core/interface.py
+++ b/firvane/core/interface.py
@@ -12,7 +12,7 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a request does."""
+    """Whether a second run of a request does harm: never, not within its deduplication, or always."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class DedupScope(Enum):
-    """The servers that together drop the repeats of a keyed request."""
+    """The servers that together drop the duplicates of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class LoadReportSource(Enum):
-    """Where servers' load reports are found."""
+    """Where servers' load reports are found: in their responses or in those to health checks."""
 
     RESPONSES = "answers"
     PROBES = "probes"
@@ -36,7 +36,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event holds: the changes, everything, an old copy, or news of a failed call."""
+    """What a server list event holds: changes, the complete list, a cached copy, or a failed call."""
 
     INCREMENTAL = "changes"
     COMPLETE = "complete"
@@ -53,12 +53,12 @@
 
 
 class Result(Enum):
-    """How an attempt ended. What is not known to have kept from running counts as UNKNOWN."""
+    """How an attempt ended; UNKNOWN where nothing tells whether it ran."""
 
     OK = "ok"
     ERROR = "error"
     OVERLOADED = "full"
-    CONNECTIONS_FULL = "no_place"  # the server's table of connections is full: it turned away a new one
+    CONNECTIONS_FULL = "no_place"  # the server's table of connections is full: it rejected a new one
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -74,7 +74,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """A class of requests: its aim, its worth, and what a repeat of it may do."""
+    """A class of requests.
+
+    Attributes:
+        latency_target: seconds within which an answer has its full value.
+        deadline: seconds after which its client gives up.
+        value: priority weight of an answer.
+        late_value_fraction: of the value, that a late answer keeps.
+        idempotency: whether a second run does harm.
+        dedup_scope: the servers that together drop duplicates.
+        dedup_window: seconds for which they do.
+        stream: whether answers are streamed.
+        latency_target_stretch: as the settings give it; unused.
+    """
 
     name: str
     latency_target: float
@@ -90,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's share of the service and the rate that it stands for over all proxies."""
+    """A tenant: its quota share of the service, and that in requests a second over all proxies; 0: any."""
 
     name: str
     quota_share: float = 0.0
@@ -99,7 +111,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the four rules."""
+    """The figures of the four rules; durations in seconds.
+
+    Attributes:
+        answer_slack: kept free before a deadline.
+        drain_grace: after which a draining server is sent nothing.
+        start_capacity: part of its capacity that a server has at its start.
+        slow_start: after a start, until a server has all of it.
+        fall_multiple: of what it can do, that overloads a server in slow start within `fall_window`.
+        fall_window: see there.
+        ask_within: as the settings give it; unused.
+    """
 
     answer_slack: float
     drain_grace: float
@@ -112,7 +134,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment allows."""
+    """What the deployment allows; durations in seconds."""
 
     max_attempts: int
     cancel: bool = False
@@ -129,20 +151,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryOptions:
-    """The parts of a recovery from a power loss, each of which may be switched off."""
+    """The parts of the recovery from a power loss, each of which may be switched off."""
 
-    trials: bool = True  # a box is tried by its home first, and not by all
-    steps: bool = True  # its room is found by steps
-    first_tries: bool = True  # they go before those that come again
-    ask: bool = True  # peers are asked what they hold
+    trials: bool = True  # a server is tried by the owner of its slice first
+    steps: bool = True  # a server's capacity is found by steps
+    first_tries: bool = True  # first attempts go before retries
+    ask: bool = True  # peers are asked for their state
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredEstimates:
-    """What was kept from a life before this one, as it may be believed now."""
+    """Estimates of an earlier incarnation, aged as they apply now."""
 
-    age: float  # s since it was kept
-    scale: float = 0.0  # answers a second and weight of a warm server; 0: not known
+    age: float  # s since they were saved
+    scale: float = 0.0  # answers a second and weight of a warm server; 0: unknown
     kinds: Mapping[str, float] = field(default_factory=dict)  # the same by kind, by its name
     capacities: Mapping[str, float] = field(default_factory=dict)  # of servers, by id
     start_times: Mapping[str, float] = field(default_factory=dict)  # their last starts, by id
@@ -150,7 +172,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What one balancer is told when it starts."""
+    """The configuration of one balancer.
+
+    Attributes:
+        me: index of this proxy, from 0.
+        proxies: number of proxies.
+        tick: seconds by which a batch of events may be late.
+        ask: whether the server list has to be asked for.
+        weighted: whether the list's weights count.
+        live_weights: whether these follow the servers' load.
+        over_quota_value: factor of the value of requests beyond a tenant's quota share.
+        key_affinity: whether servers answer a key they met lately with less work.
+        recovery: None: off.
+    """
 
     me: int
     proxies: int
@@ -170,7 +204,7 @@
     over_quota_value: float = 1.0
     key_affinity: bool = False
     costs: Mapping[str, float] = field(default_factory=dict)
-    recovery: RecoveryOptions | None = None  # off
+    recovery: RecoveryOptions | None = None
 
 
 @dataclass(slots=True)
@@ -186,13 +220,13 @@
     zone: int = 0
 
     def dedup_group(self, scope: DedupScope) -> int:
-        """The servers that drop a keyed request's repeats together with this one."""
+        """The group of servers that drop a keyed request's duplicates together with this one."""
         return 0 if scope is DedupScope.ALL else self.zone if scope is DedupScope.ZONE else self.cell
 
 
 @dataclass(slots=True)
 class ServerList:
-    """News of the server list."""
+    """An update of the server list."""
 
     kind: ListKind
     version: int
@@ -201,7 +235,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request; it is owed one final answer within `left`."""
+    """A client's request; its final answer is due within `time_left` seconds. `work` is a hint in seconds."""
 
     id: int
     class_id: int
@@ -238,14 +272,14 @@
 
 @dataclass(slots=True)
 class BodyConsumed:
-    """Part of a request's body has gone on and is held no more: it cannot be sent again."""
+    """Part of a request's body was forwarded and released: it cannot be sent again."""
 
     id: int
 
 
 @dataclass(slots=True)
 class DeadlineShortened:
-    """The proxy ends sooner than the request's time: its answer is owed within `left`."""
+    """The proxy shuts down before a request's deadline: its answer is due within `time_left` seconds."""
 
     id: int
     time_left: float
@@ -253,7 +287,7 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected; no answer is due any more."""
 
     id: int
 
@@ -275,7 +309,7 @@
 
 @dataclass(slots=True)
 class ProbeResult:
-    """The result of a probe."""
+    """The end of a health check."""
 
     server: str
     result: Result
@@ -285,14 +319,12 @@
 
 @dataclass(slots=True)
 class OverloadSignal:
-    """What the proxy itself cannot carry: said whenever that changes, and each period while it lasts."""
+    """What the proxy itself cannot carry; sent whenever that changes, and each period while it lasts."""
 
-    excess_fraction: float  # of the requests that come, beyond what its turns are enough for
-    shed_over_quota: bool  # what exceeds a tenant's share is to go in any case
-    hedging_allowed: bool  # second copies are affordable
-    rejected_unseen: tuple[
-        int, ...
-    ] = ()  # requests turned away since the last time, by tenant, that were not shown
+    excess_fraction: float  # of the requests that arrive, beyond what the event loop can serve
+    shed_over_quota: bool  # what exceeds a tenant's quota share is shed in any case
+    hedging_allowed: bool  # second attempts are affordable
+    rejected_unseen: tuple[int, ...] = ()  # requests shed unparsed since the last signal, by tenant
 
 
 Event = (
@@ -314,7 +346,7 @@
 class Send:
     """Start the next attempt of a request; given up after `timeout` where that is above 0.
 
-    Its first byte goes out before `by`, on the clock of the decisions, or never.
+    Its first byte is sent before `start_before`, on the clock of the decisions, or never.
     """
 
     id: int
@@ -325,7 +357,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: trying again is harmless."""
+    """Final answer: rejected, a retry is harmless, after `retry_after` seconds where above 0."""
 
     id: int
     retry_after: float = 0.0
@@ -333,7 +365,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: an error that promises nothing."""
+    """Final answer: an error; the request may have run."""
 
     id: int
 
@@ -356,7 +388,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after `span`; not needed any more once the request it is for has ended."""
+    """Ask for a TimerFired after `delay` seconds; void once the request it is for has ended."""
 
     delay: float
     token: int
@@ -365,7 +397,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Check a server."""
+    """Check a server's health."""
 
     server: str
 
@@ -391,7 +423,7 @@
 
 @dataclass(slots=True)
 class Log:
-    """A line for the operators: an event and its fields."""
+    """A log line for the operators: an event and its fields."""
 
     text: str = ""
     event: str = "decisions"
@@ -400,11 +432,11 @@
 
 @dataclass(slots=True)
 class ShedLoad:
-    """Reject these parts of what comes unseen, until told otherwise: by tenant, or one part for all."""
+    """Reject these fractions of what arrives, until the next such action: by tenant, or one for all."""
 
     fractions: tuple[float, ...]
     retry_after: float = 0.0
-    include_retries: bool = False  # marked retries as well: whoever was told to come that late comes too late
+    include_retries: bool = False  # all marked retries as well: they would return too late
 
 
 Action = (
--- a/firvane/proxy/capacity/tenant_admission.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -6,7 +6,8 @@
 from collections.abc import Mapping, Sequence
 
 from firvane.core import interface as api
-from firvane.core.balancing.records import Row, total
+from firvane.core.balancing.records import total
+from firvane.core.balancing.rows import Row
 
 
 def part(settings: api.Settings, rows: Mapping[int, Row], here: float) -> float:
--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -24,6 +24,7 @@
 MODULES = (
     "firvane.core.interface",
     "firvane.core.balancing.records",
+    "firvane.core.balancing.rows",
     "firvane.core.terminations",
     "firvane.proxy.capacity.backend_estimates",
     "firvane.proxy.routing.hash_ring",
--- a/firvane/proxy/recovery/peers.py
+++ b/firvane/proxy/recovery/peers.py
@@ -24,7 +24,8 @@
 from collections.abc import Iterable
 from statistics import median
 
-from firvane.core.balancing.records import Backend, Row
+from firvane.core.balancing.records import Backend
+from firvane.core.balancing.rows import Row
 from firvane.proxy.limits.token_buckets import Rates
 from firvane.proxy.recovery.messages import Held
 
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -25,7 +25,8 @@
 from collections.abc import Callable, Collection, Iterable, Mapping, Sequence
 
 from firvane.core import interface as api
-from firvane.core.balancing.records import Backend, OpenRequest, Row
+from firvane.core.balancing.records import Backend, OpenRequest
+from firvane.core.balancing.rows import Row
 from firvane.proxy.capacity.backend_estimates import BackendEstimates
 from firvane.proxy.recovery import messages, steps
 from firvane.proxy.recovery.messages import Ask, Held, Loan
--- a/firvane/proxy/routing/row_codec.py
+++ b/firvane/proxy/routing/row_codec.py
@@ -21,7 +21,8 @@
 from collections.abc import Collection, Iterable, Sequence
 from typing import NamedTuple
 
-from firvane.core.balancing.records import ENTRY, ROW, Backend
+from firvane.core.balancing.records import Backend
+from firvane.core.balancing.rows import ENTRY, ROW
 from firvane.proxy.routing.server_names import Names, long_name
 
 LARGEST = 256  # bytes of a row
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -16,7 +16,8 @@
 from firvane.core import interface as api
 from firvane.core.balancing import window
 from firvane.core.balancing.greedy_pairing import forecast
-from firvane.core.balancing.records import Backend, OpenRequest, Row, decode_row, encode_row, total
+from firvane.core.balancing.records import Backend, OpenRequest, total
+from firvane.core.balancing.rows import Row, decode_row, encode_row
 from firvane.core.balancing.slices import deal
 from firvane.core.balancing.window import WINDOW
 from firvane.proxy.capacity import slow_start
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -24,12 +24,12 @@
     ),
     Mutant(
         "no weight of a list is divided by as 0", "firvane/core/balancing/records.py",
-        "min(MOST, max(LEAST, weight))", "min(MOST, weight)",
+        "min(MAX_WEIGHT, max(MIN_WEIGHT, weight))", "min(MAX_WEIGHT, weight)",
         f"{TESTS}::test_no_weight_of_a_list_stops_a_proxy",
     ),
     Mutant(
-        "a proxy can read its own row, whatever a list's weights are", "firvane/core/balancing/records.py",
-        "    rates = [min(rate, 0.99 * TOLD) for rate in rates]\n", "",
+        "a proxy can read its own row, whatever a list's weights are", "firvane/core/balancing/rows.py",
+        "    rates = [min(rate, MAX_RATE) for rate in rates]\n", "",
         f"{TESTS}::test_no_weight_of_a_list_stops_a_proxy",
     ),
     Mutant(
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -11,7 +11,8 @@
 
 from benchmarks.small_world import SITUATIONS, Situation, World
 from firvane.core import interface as api
-from firvane.core.balancing.records import Backend, OpenRequest, decode_row, encode_row
+from firvane.core.balancing.records import Backend, OpenRequest
+from firvane.core.balancing.rows import decode_row, encode_row
 from firvane.proxy.capacity import class_counts, tenant_admission
 from firvane.proxy.capacity.backend_estimates import LATE, LIGHT, LONG, RARE, SHOWN, SLOW, BackendEstimates
 from firvane.proxy.capacity.excluded_servers import skipped
--- a/tests/proxy/recovery/test_peers.py
+++ b/tests/proxy/recovery/test_peers.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from firvane.core import interface as api
-from firvane.core.balancing.records import Backend, Row
+from firvane.core.balancing.records import Backend
+from firvane.core.balancing.rows import Row
 from firvane.proxy.recovery import messages
 from firvane.proxy.recovery.messages import Ask, Held, Loan
 from firvane.proxy.recovery.peers import BOUND, FRESH, LENT, QUORUM, Loans, Told, neediest
--- a/tests/proxy/test_balancer.py
+++ b/tests/proxy/test_balancer.py
@@ -8,7 +8,8 @@
 
 from firvane.core import interface as api
 from firvane.core.balancing.greedy_pairing import forecast, pair
-from firvane.core.balancing.records import ENTRY, ROW, OpenRequest, decode_row
+from firvane.core.balancing.records import OpenRequest
+from firvane.core.balancing.rows import ENTRY, ROW, decode_row
 from firvane.core.balancing.window import WINDOW
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity.slow_start import BOLD_ALL
