--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -158,10 +158,10 @@
 
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
-        given = calls.asked(line.encode()).given
-    except calls.Useless as useless:
+        given = calls.parse_call(line.encode()).given
+    except calls.InvalidCallError as useless:
         raise Bad(f"policy propose: --voters: {useless}") from None
-    if voters is not None and isinstance(given, calls.Propose):
+    if voters is not None and isinstance(given, calls.ProposePolicy):
         if given.voters is None:
             raise Bad("policy propose: --voters: names none")
         for _, reason in misfits(given.voters, max(given.voters) + 1):
@@ -175,7 +175,7 @@
     from firvane.proxy.policy_text import digest_of
 
     retry_until = 0.0
-    for line in (*calls.puts(digest_of(change.text), change.text), change.proposal):
+    for line in (*calls.format_put_calls(digest_of(change.text), change.text), change.proposal):
         answer = _call(change.address, line, retry_until)
         retry_until = until
         if not answer.startswith("+OK"):
@@ -318,7 +318,7 @@
         OSError: There is no answer, no digest, or no text of that digest.
     """
     from firvane.cli import admin_connection
-    from firvane.proxy.admin_api.calls import Call, got
+    from firvane.proxy.admin_api.calls import Call, parse_chunk
     from firvane.proxy.policy_text import digest_of
 
     answer = admin_connection.call(address, Call.POLICY_STATUS.value)
@@ -328,7 +328,7 @@
     text, length = b"", 1
     while len(text) < length:
         try:
-            length, piece = got(
+            length, piece = parse_chunk(
                 admin_connection.call(address, f"{Call.POLICY_GET.value} {digest[0]} {len(text)}")
             )
         except ValueError as error:
--- a/firvane/proxy/admin_api/calls.py
+++ b/firvane/proxy/admin_api/calls.py
@@ -1,12 +1,12 @@
-"""The operators' calls as bytes: one line to a connection, whatever it is cut into.
+"""The operators' calls on the wire: one line to a connection, however it is cut into reads.
 
-Rules that hold here and nowhere else:
+Invariants:
 
 1. A call ends with a line feed, with or without a carriage return before it. What follows it is not read.
-2. A line is `LONGEST` bytes at the most; one that is longer is answered at once.
-3. A call that was cut off is no call: nothing is done for half of one.
-4. Words that a call has are read here: whoever answers gets a record that is well in itself, and a caller
-   whose words are not gets a reason that repeats nothing of them.
+2. A line is `MAX_LINE_BYTES` bytes at the most; one that is longer is answered at once.
+3. A call without its line feed is no call: nothing is done for a partial one.
+4. Arguments are validated here: the handlers get valid records, and a caller with invalid arguments gets an
+   error that repeats nothing of them.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
 
-LONGEST = 256
-PUT = 144  # bytes of a text in one `policy-put`: its line is as long as a line may be
-GOT = 12_000  # bytes of a text in one answer to `policy-get`, at the most
+MAX_LINE_BYTES = 256  # of a call
+PUT_CHUNK_BYTES = 144  # of a text in one `policy-put`, whose line is as long as a line may be
+GET_CHUNK_BYTES = 12_000  # of a text in one response to `policy-get`
 
 
 class Call(Enum):
-    """What can be asked for."""
+    """The calls, by their names on the wire."""
 
     READY = "ready"
     SHOW_STAT = "show-stat"
@@ -43,100 +43,114 @@
     POLICY_ABORT = "policy-abort"
 
 
-class Useless(Exception):  # noqa: N818 - the caller's fault, and an ordinary event here
-    """No call can be made of it; the reason is what its caller is told."""
+class InvalidCallError(Exception):
+    """A line that is no valid call; the text is the reason that its caller gets."""
 
 
-class Put(NamedTuple):
-    """A piece of a policy's text."""
+class PutText(NamedTuple):
+    """A chunk of a policy's text is uploaded.
+
+    Attributes:
+        digest: The digest of the text.
+        length: Bytes of the text.
+        offset: Of the chunk in the text.
+        data: The chunk, of at least one byte and within the length.
+    """
 
     digest: bytes
-    length: int  # of the whole text
-    offset: int  # of the piece in it
-    data: bytes  # at least one byte, and none beyond the length
+    length: int
+    offset: int
+    data: bytes
 
 
-class Get(NamedTuple):
-    """A piece of a policy's text is wanted, from this offset on."""
+class GetText(NamedTuple):
+    """A chunk of a policy's text is asked for, from an offset on."""
 
     digest: bytes
     offset: int
 
 
-class Propose(NamedTuple):
-    """A policy whose text was put here is to be in force."""
+class ProposePolicy(NamedTuple):
+    """A policy whose text was uploaded is proposed.
+
+    Attributes:
+        digest: The digest of its text.
+        voters: The voters from then on, ascending, or None for the current ones.
+    """
 
     digest: bytes
-    voters: tuple[int, ...] | None  # from then on, ascending; None: those that there are
+    voters: tuple[int, ...] | None
 
 
-class Named(NamedTuple):
-    """A policy that was proposed here."""
+class PolicyReference(NamedTuple):
+    """A policy that was proposed here is referred to."""
 
     digest: bytes
 
 
-Given = Put | Get | Propose | Named
+CallArguments = PutText | GetText | ProposePolicy | PolicyReference
 
 
-class Asked(NamedTuple):
-    """A call that is whole: its words as they came, and what they say."""
+class AdminCall(NamedTuple):
+    """A complete call: its arguments as they came, and parsed."""
 
     call: Call
     words: tuple[str, ...] = ()
-    given: Given | None = None
+    given: CallArguments | None = None
 
 
-POLICY = frozenset(call for call in Call if call.value.startswith("policy-"))
+POLICY_CALLS = frozenset(call for call in Call if call.value.startswith("policy-"))
 CALLS = {call.value.encode(): call for call in Call}
 
 
-class Line:
-    """Gathers one call."""
+class CallReader:
+    """Reads one call from a connection."""
 
     def __init__(self) -> None:
-        self.held = bytearray()
+        self.buffer = bytearray()
 
-    def feed(self, data: bytes) -> Asked | None:
-        """The call, once it is whole; `Useless` where it never will be."""
+    def feed(self, data: bytes) -> AdminCall | None:
+        """The call, or None until it is complete; raises `InvalidCallError` where it is none."""
         end = data.find(b"\n")
-        self.held += data if end < 0 else data[:end]
-        if len(self.held) > LONGEST:
-            raise Useless(f"a call has {LONGEST} bytes at the most")
+        self.buffer += data if end < 0 else data[:end]
+        if len(self.buffer) > MAX_LINE_BYTES:
+            raise InvalidCallError(f"a call has {MAX_LINE_BYTES} bytes at the most")
         if end < 0:
             return None
-        return asked(bytes(self.held.strip()))
+        return parse_call(bytes(self.buffer.strip()))
 
 
-def asked(line: bytes) -> Asked:
-    """The call that a line is; `Useless` where it is none."""
+def parse_call(line: bytes) -> AdminCall:
+    """The call in a line; raises `InvalidCallError` where it is none."""
     if line.startswith(b"policy-"):
         return _policy(line)
     call = CALLS.get(line)
     if call is None:
-        raise Useless("unknown call: there are " + ", ".join(one.value for one in Call if one not in POLICY))
-    return Asked(call)
+        raise InvalidCallError(
+            "unknown call: there are " + ", ".join(one.value for one in Call if one not in POLICY_CALLS)
+        )
+    return AdminCall(call)
 
 
-def _policy(line: bytes) -> Asked:
+def _policy(line: bytes) -> AdminCall:
     name, *rest = line.split()
     call = CALLS.get(name)
     if call is None:
-        known = ", ".join(one.value for one in Call if one in POLICY)
-        raise Useless(f"unknown call: of a policy's there are {known}")
+        known = ", ".join(one.value for one in Call if one in POLICY_CALLS)
+        raise InvalidCallError(f"unknown call: of a policy's there are {known}")
     if not line.isascii():
-        raise Useless(f"{call.value}: a word is not ASCII")
+        raise InvalidCallError(f"{call.value}: a word is not ASCII")
     words = tuple(word.decode() for word in rest)
-    form, numbers, read = FORMS[call]
+    form, numbers, read = ARGUMENT_FORMS[call]
     if len(words) not in numbers:
-        raise Useless(f"the call is {call.value} {form}".rstrip())
+        raise InvalidCallError(f"the call is {call.value} {form}".rstrip())
     try:
-        return Asked(call, words, read(*words) if read else None)
+        return AdminCall(call, words, read(*words) if read else None)
     except ValueError as error:
-        raise Useless(f"{call.value}: {error}") from None
+        raise InvalidCallError(f"{call.value}: {error}") from None
 
 
-# What is read of the words
+# Arguments
 
 
 def _digest(word: str) -> bytes:
@@ -161,34 +175,34 @@
     return data
 
 
-def _put(digest: str, length: str, offset: str, piece: str) -> Put:
-    whole = _number(length, "length", MAX_TEXT_BYTES + 1)
+def _put(digest: str, length: str, offset: str, piece: str) -> PutText:
+    total = _number(length, "length", MAX_TEXT_BYTES + 1)
     start = _number(offset, "offset", MAX_TEXT_BYTES)
     data = _piece(piece)
-    if start + len(data) > whole:
+    if start + len(data) > total:
         raise ValueError("the piece ends after the text")
-    return Put(_digest(digest), whole, start, data)
+    return PutText(_digest(digest), total, start, data)
 
 
-def _get(digest: str, offset: str) -> Get:
-    return Get(_digest(digest), _number(offset, "offset", MAX_TEXT_BYTES))
+def _get(digest: str, offset: str) -> GetText:
+    return GetText(_digest(digest), _number(offset, "offset", MAX_TEXT_BYTES))
 
 
-def _propose(digest: str, voters: str | None = None) -> Propose:
+def _propose(digest: str, voters: str | None = None) -> ProposePolicy:
     if voters is None:
-        return Propose(_digest(digest), None)
+        return ProposePolicy(_digest(digest), None)
     numbers = tuple(_number(word, "voter", 1000) for word in voters.split(","))
     if any(a >= b for a, b in pairwise(numbers)):
         raise ValueError("the voters are not in ascending order, each of them once")
-    return Propose(_digest(digest), numbers)
+    return ProposePolicy(_digest(digest), numbers)
 
 
-def _named(digest: str) -> Named:
-    return Named(_digest(digest))
+def _named(digest: str) -> PolicyReference:
+    return PolicyReference(_digest(digest))
 
 
-# The words of a call, how many there may be, and what reads them.
-FORMS: dict[Call, tuple[str, tuple[int, ...], Callable[..., Given] | None]] = {
+# The usage of the arguments of a call, how many there may be, and their parser.
+ARGUMENT_FORMS: dict[Call, tuple[str, tuple[int, ...], Callable[..., CallArguments] | None]] = {
     Call.POLICY_STATUS: ("", (0,), None),
     Call.POLICY_HISTORY: ("", (0,), None),
     Call.POLICY_PUT: ("DIGEST LENGTH OFFSET BASE64", (4,), _put),
@@ -199,39 +213,43 @@
 }
 
 
-# What is said of a text
+# Texts of policies in chunks
 
 
-def puts(digest: bytes, text: bytes) -> Iterator[str]:
-    """The lines that put a text at a door, one after the other."""
-    for offset in range(0, len(text), PUT):
-        piece = b2a_base64(text[offset : offset + PUT], newline=False).decode()
+def format_put_calls(digest: bytes, text: bytes) -> Iterator[str]:
+    """Yield the calls that upload a text, chunk by chunk."""
+    for offset in range(0, len(text), PUT_CHUNK_BYTES):
+        piece = b2a_base64(text[offset : offset + PUT_CHUNK_BYTES], newline=False).decode()
         yield f"{Call.POLICY_PUT.value} {digest.hex()} {len(text)} {offset} {piece}"
 
 
-def piece(text: bytes, offset: int) -> bytes:
-    """The answer to `policy-get`: the length of the whole text, and up to `GOT` bytes of it."""
+def format_chunk(text: bytes, offset: int) -> bytes:
+    """The response to `policy-get`: the length of the text, and a chunk of it from an offset."""
     if offset >= len(text):
-        return no(f"the text has {len(text)} bytes")
-    return yes(f"{len(text)} {b2a_base64(text[offset : offset + GOT], newline=False).decode()}")
+        return format_error(f"the text has {len(text)} bytes")
+    return format_ok(
+        f"{len(text)} {b2a_base64(text[offset : offset + GET_CHUNK_BYTES], newline=False).decode()}"
+    )
 
 
-def got(answer: str) -> tuple[int, bytes]:
-    """The length of the whole text, and the piece that such an answer holds; `ValueError` for any other."""
+def parse_chunk(answer: str) -> tuple[int, bytes]:
+    """The length of the text and the chunk in a response to `policy-get`, or `ValueError`."""
     head, length, data, *_ = [*answer.split(), "", "", ""]
     if head != "+OK":
         raise ValueError(answer.strip().removeprefix("-ERR ") or "nothing")
     return _number(length, "length", MAX_TEXT_BYTES + 1), _piece(data)
 
 
-def yes(text: str = "") -> bytes:
+def format_ok(text: str = "") -> bytes:
+    """A response of success, on one line."""
     return f"+OK {text}".rstrip().encode() + b"\n"
 
 
-def no(why: str) -> bytes:
+def format_error(why: str) -> bytes:
+    """A response of failure, on one line."""
     return f"-ERR {why}\n".encode()
 
 
-def lines(text: str) -> bytes:
-    """A longer answer: it stands alone, and a line ends it."""
+def format_block(text: str) -> bytes:
+    """A response of several lines, which a line with a dot ends."""
     return text.encode() + b"\n.\n"
--- a/firvane/proxy/admin_api/server.py
+++ b/firvane/proxy/admin_api/server.py
@@ -6,13 +6,13 @@
 from collections.abc import Callable
 from typing import cast
 
-from firvane.proxy.admin_api.calls import Asked, Line, Useless, no
+from firvane.proxy.admin_api.calls import AdminCall, CallReader, InvalidCallError, format_error
 
 MAX_CONNECTIONS = 16  # one more closes the oldest
 CONNECTION_TIMEOUT_S = 5.0  # to send a call, or to read the response
 ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 4  # beside them: the listening socket, and connections just accepted
 
-Answer = Callable[[Asked], bytes]
+Answer = Callable[[AdminCall], bytes]
 
 
 class AdminServer:
@@ -52,7 +52,7 @@
     """One operator's connection."""
 
     def __init__(self, server: AdminServer) -> None:
-        self.server, self.line = server, Line()
+        self.server, self.line = server, CallReader()
         self.done = False
         self.transport: asyncio.Transport
 
@@ -71,8 +71,8 @@
             return  # one call to a connection
         try:
             asked = self.line.feed(data)
-        except Useless as useless:
-            self._respond(no(str(useless)))
+        except InvalidCallError as useless:
+            self._respond(format_error(str(useless)))
             return
         if asked:
             self._respond(self.server.answer(asked))
@@ -80,7 +80,7 @@
     def eof_received(self) -> None:
         """Answer a call that was cut off (asyncio)."""
         if not self.done:
-            self._respond(no("the call has no end: a line feed is missing"))
+            self._respond(format_error("the call has no end: a line feed is missing"))
 
     def _respond(self, answer: bytes) -> None:
         self.done = True
--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -6,7 +6,7 @@
 from typing import Any, Protocol
 
 from firvane.core import interface as api
-from firvane.proxy.admin_api.calls import Asked
+from firvane.proxy.admin_api.calls import AdminCall
 
 POLICY_DESCRIPTORS = 4  # for texts of policies that are fetched and served
 
@@ -44,7 +44,7 @@
     def may(self) -> bool:
         """Whether a new request may be decided now."""
 
-    def call(self, asked: Asked) -> bytes:
+    def call(self, asked: AdminCall) -> bytes:
         """The response to an operators' call."""
 
     def close(self) -> None:
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -13,7 +13,7 @@
 from firvane.core.net.dialer import Dialer
 from firvane.proxy import shutdown_timing
 from firvane.proxy.admin_api import calls
-from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.admin_api.calls import AdminCall, Call
 from firvane.proxy.admin_api.lifecycle import Event, State
 from firvane.proxy.config.node import Config
 from firvane.proxy.config.reload import check_open_flows, check_shape, waiting_for_start
@@ -186,39 +186,41 @@
 
     # The admin API
 
-    def _answer(self, asked: Asked) -> bytes:
+    def _answer(self, asked: AdminCall) -> bytes:
         """The response to an operators' call."""
         call = asked.call
-        if call in calls.POLICY:
+        if call in calls.POLICY_CALLS:
             if self.policy_agreement is None:
-                return calls.no("no policy is agreed on here: [policy] is not set")
+                return calls.format_error("no policy is agreed on here: [policy] is not set")
             return self.policy_agreement.call(asked)
         if call is Call.SHOW_STAT:
-            return calls.lines(self.figures().text())
+            return calls.format_block(self.figures().text())
         if call is Call.MEASURES:
             if not isinstance(self.limiter.metrics, Measures):
-                return calls.no("nothing is measured here: measures is not set")
-            return calls.lines(self.limiter.metrics.text())
+                return calls.format_error("nothing is measured here: measures is not set")
+            return calls.format_block(self.limiter.metrics.text())
         if call is Call.READY:
             return self._answer_ready()
         if call is Call.RECOVERY:
             recovery = self.balancer.recovery
             if recovery is None:
-                return calls.no("recovery is switched off")
+                return calls.format_error("recovery is switched off")
             told = recovery.status(self.engine.now())
-            return calls.lines("\n".join(f"{name} {value}" for name, value in told.items()))
+            return calls.format_block("\n".join(f"{name} {value}" for name, value in told.items()))
         event = Event.DRAIN if call is Call.DRAIN else Event.RESUME
         if not self._apply_event(event):
-            return calls.no(f"{self.lifecycle.state.value}: too late, or too early, to {call.value}")
-        return calls.yes(self.lifecycle.state.value)
+            return calls.format_error(
+                f"{self.lifecycle.state.value}: too late, or too early, to {call.value}"
+            )
+        return calls.format_ok(self.lifecycle.state.value)
 
     def _answer_ready(self) -> bytes:
         state = self.lifecycle.state.value
         if not self.lifecycle.meaning().takes:
-            return calls.no(f"{state}: no clients yet")
+            return calls.format_error(f"{state}: no clients yet")
         if self.policy_agreement and not self.policy_agreement.may():
-            return calls.no(f"{state}, and refuses: it has no lease on the policy in force")
-        return calls.yes(state)
+            return calls.format_error(f"{state}, and refuses: it has no lease on the policy in force")
+        return calls.format_ok(state)
 
     def _apply_event(self, event: Event) -> bool:
         """Change the state by an event; return False where the current state does not allow it."""
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -17,7 +17,7 @@
 from firvane.core.net.dialer import Dialer, SocketDialer
 from firvane.core.net.http_message import Message
 from firvane.core.net.transport_pool import TransportPool
-from firvane.proxy.admin_api.calls import Asked
+from firvane.proxy.admin_api.calls import AdminCall
 from firvane.proxy.admin_api.lifecycle import Lifecycle
 from firvane.proxy.admin_api.metrics import Figures, ReloadCounts
 from firvane.proxy.admin_api.server import ADMIN_DESCRIPTORS, AdminServer
@@ -113,7 +113,7 @@
             LoopAcceptor(loop) if dialer else SocketAcceptor(loop, self.admin_transports, self.log)
         )
 
-    def _answer(self, asked: Asked) -> bytes:
+    def _answer(self, asked: AdminCall) -> bytes:
         """The response to an operators' call."""
         raise NotImplementedError
 
--- a/firvane/proxy/quorum/admin_calls.py
+++ b/firvane/proxy/quorum/admin_calls.py
@@ -6,7 +6,7 @@
 from datetime import UTC, datetime
 
 from firvane.proxy.admin_api import calls
-from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.admin_api.calls import AdminCall, Call
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.errors import UploadError
 from firvane.proxy.quorum.events import Event
@@ -56,7 +56,7 @@
             Call.POLICY_ABORT: self._abort,
         }
 
-    def answer(self, asked: Asked) -> bytes:
+    def answer(self, asked: AdminCall) -> bytes:
         """Return the answer to a call."""
         handler = self.handlers[asked.call]
         return handler() if asked.given is None else handler(asked.given)
@@ -86,7 +86,7 @@
     def _status(self) -> bytes:
         status = self.member.status(self.clock())
         status["without_lease"] = "serve" if self.serves_without_lease else "refuse"
-        return calls.lines("\n".join(f"{name} {value}" for name, value in status.items()))
+        return calls.format_block("\n".join(f"{name} {value}" for name, value in status.items()))
 
     def _history(self) -> bytes:
         def line(entry: HistoryEntry) -> str:
@@ -94,30 +94,30 @@
             voters = ",".join(map(str, entry.value.voters))
             return f"{entry.value.epoch} {entry.value.digest.hex()} {voters} {activated_at}"
 
-        return calls.lines("\n".join(map(line, self.history())))
+        return calls.format_block("\n".join(map(line, self.history())))
 
-    def _put(self, given: calls.Put) -> bytes:
+    def _put(self, given: calls.PutText) -> bytes:
         if given.digest in self.library.texts:
-            return calls.yes("it is here")
+            return calls.format_ok("it is here")
         try:
             complete = self.library.uploads.add_chunk(
                 given.digest, given.length, given.offset, given.data, self.clock()
             )
         except UploadError as error:
-            return calls.no(str(error))
-        return calls.yes("it is here" if complete else "")
+            return calls.format_error(str(error))
+        return calls.format_ok("it is here" if complete else "")
 
-    def _get(self, given: calls.Get) -> bytes:
+    def _get(self, given: calls.GetText) -> bytes:
         text = self.library.get(given.digest)
-        return calls.piece(text, given.offset) if text else calls.no("its text is not here")
+        return calls.format_chunk(text, given.offset) if text else calls.format_error("its text is not here")
 
-    def _propose(self, given: calls.Propose) -> bytes:
+    def _propose(self, given: calls.ProposePolicy) -> bytes:
         digest = given.digest
         if digest not in self.library.texts and self.library.uploads.get(digest) is None:
-            return calls.no("its text is not here: put it first")
+            return calls.format_error("its text is not here: put it first")
         check = self.library.check(digest)
         if check.reason:
-            return calls.no(" ".join(check.reason.split()))
+            return calls.format_error(" ".join(check.reason.split()))
         voters = check.voters if given.voters is None else given.voters
         self.failed.pop(digest, None)
         if digest in self.library.texts:
@@ -126,17 +126,17 @@
         else:
             self.pending[digest] = voters
             self.library.save(self.library.uploads.get(digest) or b"")
-        return calls.yes(ProposalOutcome.OPEN.value)
+        return calls.format_ok(ProposalOutcome.OPEN.value)
 
-    def _outcome(self, given: calls.Named) -> bytes:
+    def _outcome(self, given: calls.PolicyReference) -> bytes:
         if given.digest in self.pending:
-            return calls.yes(f"{ProposalOutcome.OPEN.value}: its text is being written")
+            return calls.format_ok(f"{ProposalOutcome.OPEN.value}: its text is being written")
         if given.digest in self.failed:
-            return calls.yes(f"{ProposalOutcome.FAILED.value}: {self.failed[given.digest]}")
+            return calls.format_ok(f"{ProposalOutcome.FAILED.value}: {self.failed[given.digest]}")
         outcome, reason = self.member.outcome(given.digest)
-        return calls.yes(f"{outcome.value}: {reason}")
+        return calls.format_ok(f"{outcome.value}: {reason}")
 
-    def _abort(self, given: calls.Named) -> bytes:
+    def _abort(self, given: calls.PolicyReference) -> bytes:
         if given.digest in self.pending:
             del self.pending[given.digest]
             self._add_failed(given.digest, "it was aborted")
@@ -144,4 +144,4 @@
         outcome, reason = self.member.outcome(given.digest)
         if given.digest in self.failed or outcome is ProposalOutcome.FAILED:
             return self._outcome(given)
-        return calls.no(f"{outcome.value}: {reason}")
+        return calls.format_error(f"{outcome.value}: {reason}")
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from firvane.proxy.admin_api import calls
-from firvane.proxy.admin_api.calls import Asked
+from firvane.proxy.admin_api.calls import AdminCall
 from firvane.proxy.config.node import PolicyTold
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.admin_calls import AdminCalls
@@ -186,10 +186,10 @@
             return True
         return member.may_serve(now) and self.value == member.serving
 
-    def call(self, asked: Asked) -> bytes:
+    def call(self, asked: AdminCall) -> bytes:
         """Return the answer to a call of the admin API."""
         if self.admin is None:
-            return calls.no("starting: what is on disk has not been read yet")
+            return calls.format_error("starting: what is on disk has not been read yet")
         return self.admin.answer(asked)
 
     def close(self) -> None:
--- a/firvane/proxy/quorum/text_fetch.py
+++ b/firvane/proxy/quorum/text_fetch.py
@@ -20,7 +20,7 @@
 from firvane.core.net.connection_checks import NoInputCheck
 from firvane.core.net.dialer import Dialer, Dialing
 from firvane.core.terminations import Termination
-from firvane.proxy.admin_api.calls import Call, got
+from firvane.proxy.admin_api.calls import Call, parse_chunk
 from firvane.proxy.quorum.uploads import TextAssembly
 
 MAX_ANSWER_BYTES = 17 << 10  # of an answer with one chunk
@@ -162,7 +162,7 @@
         if request is not self.request or self.closed:
             return
         try:
-            length, data = got(answer.decode("ascii", "replace"))
+            length, data = parse_chunk(answer.decode("ascii", "replace"))
             text = self.assembly.add(length, len(self.assembly.received), data)
         except ValueError as error:
             self._fail(request, str(error)[:MAX_ERROR_CHARS])
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -33,7 +33,7 @@
 from firvane.core.atomic_write import write_atomically
 from firvane.core.checksum import Damaged, verify, with_header
 from firvane.core.logs import Log
-from firvane.proxy.admin_api.calls import Useless, lines, no, yes
+from firvane.proxy.admin_api.calls import InvalidCallError, format_block, format_error, format_ok
 from firvane.proxy.rollout import readiness_probe, supervisor_config
 from firvane.proxy.rollout.child_process import ChildProcess
 from firvane.proxy.rollout.errors import CallRejectedError
@@ -323,18 +323,18 @@
         """Return the answer to a call."""
         try:
             call = parse_call(line)
-        except Useless as error:
-            return no(str(error))
+        except InvalidCallError as error:
+            return format_error(str(error))
         if call.command is Command.STATUS:
-            return lines(format_status(self._status()))
+            return format_block(format_status(self._status()))
         try:
             self._execute(self._apply(call))
         except (CallRejectedError, validation.ValidationError) as error:
-            return no(str(error).splitlines()[0])
+            return format_error(str(error).splitlines()[0])
         except OSError as error:
             self._fail_unstarted_candidate()
-            return no(f"it cannot be kept: {error.strerror or error}")
-        return yes(self.slot.state.value)
+            return format_error(f"it cannot be kept: {error.strerror or error}")
+        return format_ok(self.slot.state.value)
 
     def _apply(self, call: ParsedCall) -> list[SlotAction]:
         """Return the actions of a call that changes the slot."""
--- a/firvane/proxy/rollout/supervisor_calls.py
+++ b/firvane/proxy/rollout/supervisor_calls.py
@@ -2,7 +2,8 @@
 
 Invariants:
 
-1. A call that is read is complete and valid; any other one is a `Useless` whose reason repeats nothing of it.
+1. A call that is read is complete and valid; any other one is an `InvalidCallError` whose reason repeats
+   nothing of it.
 2. All calls but `place-status` carry the fencing token of the rollout: a slot rejects a lower one.
 """
 
@@ -13,7 +14,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from firvane.proxy.admin_api.calls import LONGEST, Useless
+from firvane.proxy.admin_api.calls import MAX_LINE_BYTES, InvalidCallError
 
 MIN_STATUS_LINES = 2
 
@@ -58,21 +59,21 @@
     Raises:
         Useless: The line is no call.
     """
-    if len(data) > LONGEST:
-        raise Useless(f"a call has {LONGEST} bytes at the most")
+    if len(data) > MAX_LINE_BYTES:
+        raise InvalidCallError(f"a call has {MAX_LINE_BYTES} bytes at the most")
     name, *words = data.decode("ascii", "replace").split() or [""]
     command = COMMANDS.get(name)
     if command is None:
-        raise Useless("unknown call: there are " + ", ".join(COMMANDS))
+        raise InvalidCallError("unknown call: there are " + ", ".join(COMMANDS))
     names = ARGUMENTS[command].split()
     if len(words) != len(names):
-        raise Useless(f"the call is {command.value} {ARGUMENTS[command]}".rstrip())
+        raise InvalidCallError(f"the call is {command.value} {ARGUMENTS[command]}".rstrip())
     values = dict(zip(names, words, strict=True))
     token, argument = values.pop("ROLL", "0"), next(iter(values.values()), "")
     if not re.fullmatch("[0-9]{1,9}", token):
-        raise Useless(f"{command.value}: the roll is not a whole number")
+        raise InvalidCallError(f"{command.value}: the roll is not a whole number")
     if values and not re.fullmatch("[A-Za-z0-9_.-]{1,40}", argument):
-        raise Useless(f"{command.value}: a name has letters, digits, '_', '.' and '-', up to 40")
+        raise InvalidCallError(f"{command.value}: a name has letters, digits, '_', '.' and '-', up to 40")
     return ParsedCall(command, argument, int(token))
 
 
--- a/firvane/proxy/rollout/supervisor_connection.py
+++ b/firvane/proxy/rollout/supervisor_connection.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Protocol, cast
 
-from firvane.proxy.admin_api.calls import LONGEST, no
+from firvane.proxy.admin_api.calls import MAX_LINE_BYTES, format_error
 
 CONNECTION_TIMEOUT_S = 5.0
 MAX_CONNECTIONS = 32
@@ -50,13 +50,13 @@
             return
         self.received += data
         line, end, _ = bytes(self.received).partition(b"\n")
-        if end or len(self.received) > LONGEST:
+        if end or len(self.received) > MAX_LINE_BYTES:
             self._send(self.handler.answer(line.strip()))
 
     def eof_received(self) -> None:
         """Answer a call that was cut off."""
         if not self.answered:
-            self._send(no("the call has no end: a line feed is missing"))
+            self._send(format_error("the call has no end: a line feed is missing"))
 
     def _send(self, answer: bytes) -> None:
         self.answered = True
--- a/firvane/simulation/runner/policies.py
+++ b/firvane/simulation/runner/policies.py
@@ -21,7 +21,7 @@
 
 import msgspec
 
-from firvane.proxy.admin_api.calls import puts
+from firvane.proxy.admin_api.calls import format_put_calls
 from firvane.proxy.policy_text import digest_of
 from firvane.simulation.emulation.records import Proposed, Said
 from firvane.simulation.emulation.scenario import Scenario
@@ -144,7 +144,7 @@
 
     def begin(self, now: float) -> None:
         """At the door whose turn it is."""
-        self.left = [*puts(digest_of(self.text), self.text), f"policy-propose {self.digest}"]
+        self.left = [*format_put_calls(digest_of(self.text), self.text), f"policy-propose {self.digest}"]
         self.known = now
         self.said = ""
         self._next(now)
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -15,7 +15,7 @@
 from firvane.cli import admin_connection as doors
 from firvane.cli import policy as module
 from firvane.proxy.admin_api import calls
-from firvane.proxy.admin_api.calls import Asked, Call, Line, Put, Useless
+from firvane.proxy.admin_api.calls import AdminCall, Call, CallReader, InvalidCallError, PutText
 from firvane.proxy.policy_text import digest_of
 from tests.cli.test_command import told
 from tests.proxy.config.test_policy import TIER
@@ -24,7 +24,7 @@
 NEXT = '[limits]\nattempts = 3\nprobes = true\n[[tenants]]\nname = "a"\nshare = 0.25\n[[tenants]]\nname = "b"'
 BAD = "[limits]\nattempts = 0\nsocket = 1"
 FORCE = digest_of(BASE.encode())
-DONE = calls.yes("in force: epoch 4")
+DONE = calls.format_ok("in force: epoch 4")
 
 
 class StandIn:
@@ -34,9 +34,11 @@
         self.socket = socket.create_server(("127.0.0.1", 0))
         self.at = "{}:{}".format(*self.socket.getsockname())
         self.texts = {FORCE: bytearray(BASE.encode())}
-        self.heard: list[Asked] = []
+        self.heard: list[AdminCall] = []
         self.outcomes = [DONE]
-        self.says: dict[Call, bytes] = {Call.POLICY_STATUS: calls.lines(f"epoch 3\nin_force {FORCE.hex()}")}
+        self.says: dict[Call, bytes] = {
+            Call.POLICY_STATUS: calls.format_block(f"epoch 3\nin_force {FORCE.hex()}")
+        }
         self.thread = threading.Thread(target=self._serve, daemon=True)
         self.thread.start()
 
@@ -47,31 +49,35 @@
             except OSError:
                 return
             with caller:
-                line, asked = Line(), None
+                line, asked = CallReader(), None
                 try:
                     while asked is None and (data := caller.recv(4096)):
                         asked = line.feed(data)
                     if asked:
                         self.heard.append(asked)
                         caller.sendall(self._answer(asked))
-                except Useless as useless:
-                    caller.sendall(calls.no(str(useless)))
+                except InvalidCallError as useless:
+                    caller.sendall(calls.format_error(str(useless)))
 
-    def _answer(self, asked: Asked) -> bytes:
+    def _answer(self, asked: AdminCall) -> bytes:
         given = asked.given
         if asked.call in self.says:
             return self.says[asked.call]
-        if isinstance(given, Put):
+        if isinstance(given, PutText):
             text = self.texts.setdefault(given.digest, bytearray(given.length))
             text[given.offset : given.offset + len(given.data)] = given.data
-            return calls.yes()
-        if isinstance(given, calls.Get):
-            return calls.piece(bytes(self.texts[given.digest]), given.offset)
-        if isinstance(given, calls.Propose):
-            return calls.yes("open") if given.digest in self.texts else calls.no("its text is not here")
+            return calls.format_ok()
+        if isinstance(given, calls.GetText):
+            return calls.format_chunk(bytes(self.texts[given.digest]), given.offset)
+        if isinstance(given, calls.ProposePolicy):
+            return (
+                calls.format_ok("open")
+                if given.digest in self.texts
+                else calls.format_error("its text is not here")
+            )
         if asked.call is Call.POLICY_OUTCOME:
             return self.outcomes.pop(0) if len(self.outcomes) > 1 else self.outcomes[0]
-        return calls.yes()
+        return calls.format_ok()
 
     def close(self) -> None:
         self.socket.shutdown(socket.SHUT_RDWR)
@@ -106,22 +112,40 @@
     args: tuple[str, ...], voters: tuple[int, ...] | None, at: StandIn, files: Path, capsys: Capture
 ) -> None:
     # An answer that is lost on the way is asked for again.
-    at.outcomes = [calls.yes("open: awaits proxy 2"), b"", b"+OK in fo", calls.yes("unknown: why"), DONE]
+    at.outcomes = [
+        calls.format_ok("open: awaits proxy 2"),
+        b"",
+        b"+OK in fo",
+        calls.format_ok("unknown: why"),
+        DONE,
+    ]
     text = Path(args[0]).read_bytes()
     code, out, err = told(capsys, "policy", "propose", *args, "--at", at.at)
     assert (code, out) == (0, f"{args[0]}: in force: epoch 4\n")
     assert err == [f"{args[0]}: open: awaits proxy 2", f"{args[0]}: unknown: why"]
     assert at.texts[digest_of(text)] == text
-    assert calls.Propose(digest_of(text), voters) in [one.given for one in at.heard]
+    assert calls.ProposePolicy(digest_of(text), voters) in [one.given for one in at.heard]
 
 
 @pytest.mark.parametrize(
     ("outcome", "code", "words"),
     [
-        (calls.yes("failed: proxy 2: limits.attempts: is 3"), 1, "failed: proxy 2: limits.attempts: is 3"),
-        (calls.yes("open: awaits proxy 2"), 3, "unknown: awaits proxy 2; ask again: firvane policy propose"),
-        (calls.no("no such proposal here"), 3, "unknown: no such proposal here; ask again: firvane policy"),
-        (calls.yes("in forced: epoch 4"), 3, "unknown"),
+        (
+            calls.format_ok("failed: proxy 2: limits.attempts: is 3"),
+            1,
+            "failed: proxy 2: limits.attempts: is 3",
+        ),
+        (
+            calls.format_ok("open: awaits proxy 2"),
+            3,
+            "unknown: awaits proxy 2; ask again: firvane policy propose",
+        ),
+        (
+            calls.format_error("no such proposal here"),
+            3,
+            "unknown: no such proposal here; ask again: firvane policy",
+        ),
+        (calls.format_ok("in forced: epoch 4"), 3, "unknown"),
         (b"-ERR in force: epoch 4\n", 3, "unknown"),
         (b"\xff\x1b[2J\x00\n", 3, "does not answer: the answer was cut off; ask again"),
     ],
@@ -159,7 +183,7 @@
 def test_a_door_that_says_no_proposes_nothing_and_an_interrupt_is_no_failure(
     at: StandIn, files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    at.says[Call.POLICY_PROPOSE] = calls.no("another change is open")
+    at.says[Call.POLICY_PROPOSE] = calls.format_error("another change is open")
     code, _, err = told(capsys, "policy", "propose", "next.toml", "--at", at.at)
     assert code == 1 and err == ["next.toml: not proposed: another change is open"]
 
@@ -197,12 +221,12 @@
 
 
 def test_status_and_history_are_what_the_doors_say(at: StandIn, files: Path, capsys: Capture) -> None:
-    at.says[Call.POLICY_HISTORY] = calls.no("no policy is agreed on here: [policy] is not set")
+    at.says[Call.POLICY_HISTORY] = calls.format_error("no policy is agreed on here: [policy] is not set")
     code, out, _ = told(capsys, "policy", "status", at.at)
     assert (code, out) == (0, f"{at.at}\n  epoch 3\n  in_force {FORCE.hex()}\n")
     code, _, err = told(capsys, "policy", "history", at.at)
     assert code == 1 and "[policy] is not set" in err[0]
-    at.says[Call.POLICY_STATUS] = calls.lines("epoch 3")[:-2]  # cut between two lines
+    at.says[Call.POLICY_STATUS] = calls.format_block("epoch 3")[:-2]  # cut between two lines
     assert told(capsys, "policy", "status", at.at)[0] == 1
 
 
@@ -211,8 +235,8 @@
     change: str, at: StandIn, files: Path, capsys: Capture
 ) -> None:
     assert told(capsys, "policy", "abort", change, "--at", at.at) == (0, f"{change}: given up\n", [])
-    assert at.heard[-1].given == calls.Named(digest_of(NEXT.encode()))
-    at.says[Call.POLICY_ABORT] = calls.no("too late: its moment is agreed on")
+    assert at.heard[-1].given == calls.PolicyReference(digest_of(NEXT.encode()))
+    at.says[Call.POLICY_ABORT] = calls.format_error("too late: its moment is agreed on")
     assert told(capsys, "policy", "abort", change, "--at", at.at)[0] == 1
 
 
--- a/tests/proxy/admin_api/test_calls.py
+++ b/tests/proxy/admin_api/test_calls.py
@@ -10,38 +10,38 @@
 
 from firvane.proxy.admin_api.calls import (
     CALLS,
-    GOT,
-    LONGEST,
-    POLICY,
-    PUT,
-    Asked,
+    GET_CHUNK_BYTES,
+    MAX_LINE_BYTES,
+    POLICY_CALLS,
+    PUT_CHUNK_BYTES,
+    AdminCall,
     Call,
-    Get,
-    Given,
-    Line,
-    Named,
-    Propose,
-    Put,
-    Useless,
-    got,
-    no,
-    piece,
-    puts,
+    CallArguments,
+    CallReader,
+    GetText,
+    InvalidCallError,
+    PolicyReference,
+    ProposePolicy,
+    PutText,
+    format_chunk,
+    format_error,
+    format_put_calls,
+    parse_chunk,
 )
 from firvane.proxy.policy_text import MAX_TEXT_BYTES, digest_of
 from tests.proxy.net.helpers import cut, garbage, places, seeded
 
 D = "00112233445566778899aabbccddeeff"
 DIGEST = bytes.fromhex(D)
-EXAMPLES: dict[str, Given | None] = {
+EXAMPLES: dict[str, CallArguments | None] = {
     "policy-status": None,
     "policy-history": None,
-    f"policy-put {D} 9 7 eHk=": Put(DIGEST, 9, 7, b"xy"),
-    f"policy-get {D} 12000": Get(DIGEST, 12000),
-    f"policy-propose {D}": Propose(DIGEST, None),
-    f"policy-propose {D} 0,1,12": Propose(DIGEST, (0, 1, 12)),
-    f"policy-outcome {D}": Named(DIGEST),
-    f"policy-abort {D}": Named(DIGEST),
+    f"policy-put {D} 9 7 eHk=": PutText(DIGEST, 9, 7, b"xy"),
+    f"policy-get {D} 12000": GetText(DIGEST, 12000),
+    f"policy-propose {D}": ProposePolicy(DIGEST, None),
+    f"policy-propose {D} 0,1,12": ProposePolicy(DIGEST, (0, 1, 12)),
+    f"policy-outcome {D}": PolicyReference(DIGEST),
+    f"policy-abort {D}": PolicyReference(DIGEST),
 }
 
 
@@ -50,16 +50,16 @@
 def test_a_call_is_the_same_however_it_is_cut(where: list[int]) -> None:
     # Guards against a line that only works when it comes in one piece, and one that needs a carriage return.
     for call in Call:
-        if call not in POLICY:
-            assert_found(call.value, where, Asked(call))
+        if call not in POLICY_CALLS:
+            assert_found(call.value, where, AdminCall(call))
     for line, said in EXAMPLES.items():
         name, *rest = line.split()
-        assert_found(line, where, Asked(CALLS[name.encode()], tuple(rest), said))
+        assert_found(line, where, AdminCall(CALLS[name.encode()], tuple(rest), said))
 
 
-def assert_found(call: str, where: list[int], wanted: Asked) -> None:
+def assert_found(call: str, where: list[int], wanted: AdminCall) -> None:
     for end in (b"\n", b"\r\n", b"\r\ndrain\n"):
-        line, found = Line(), None
+        line, found = CallReader(), None
         for part in cut(call.encode() + end, where):
             found = found or line.feed(part)
         assert found == wanted
@@ -69,7 +69,7 @@
 def test_a_call_that_was_cut_off_is_none(call: str) -> None:
     # Guards against half of a proposal, or the voters 0 and 1 where 0, 1 and 12 were said.
     for end in range(len(call) + 1):
-        assert Line().feed(call[:end].encode()) is None
+        assert CallReader().feed(call[:end].encode()) is None
 
 
 @pytest.mark.parametrize(
@@ -93,32 +93,32 @@
     ],
 )
 def test_bad_words_are_turned_down_in_one_line(line: str, why: str) -> None:
-    with pytest.raises(Useless) as caught:
-        Line().feed(line.encode() + b"\n")
-    assert str(caught.value).startswith(why) and no(str(caught.value)).count(b"\n") == 1
+    with pytest.raises(InvalidCallError) as caught:
+        CallReader().feed(line.encode() + b"\n")
+    assert str(caught.value).startswith(why) and format_error(str(caught.value)).count(b"\n") == 1
 
 
 def test_the_answer_to_an_unknown_call_is_the_one_that_it_was() -> None:
-    with pytest.raises(Useless) as caught:
-        Line().feed(b"polic\n")
+    with pytest.raises(InvalidCallError) as caught:
+        CallReader().feed(b"polic\n")
     assert str(caught.value) == "unknown call: there are ready, show-stat, measures, drain, resume, recovery"
 
 
 @seeded
-@given(st.binary(min_size=1, max_size=3 * PUT) | st.just(bytes(MAX_TEXT_BYTES)))
+@given(st.binary(min_size=1, max_size=3 * PUT_CHUNK_BYTES) | st.just(bytes(MAX_TEXT_BYTES)))
 def test_a_text_goes_through_the_door_in_pieces_and_comes_out_the_same(text: bytes) -> None:
     digest, there, back = digest_of(text), bytearray(len(text)), b""
-    for line in puts(digest, text):
-        found = Line().feed(line.encode() + b"\r\n")
-        assert found and isinstance(found.given, Put)
+    for line in format_put_calls(digest, text):
+        found = CallReader().feed(line.encode() + b"\r\n")
+        assert found and isinstance(found.given, PutText)
         put = found.given
         assert (put.digest, put.length) == (digest, len(text))
         there[put.offset : put.offset + len(put.data)] = put.data
     while len(back) < len(text):
-        length, more = got(piece(bytes(there), len(back)).decode())
-        assert length == len(text) and 0 < len(more) <= GOT
+        length, more = parse_chunk(format_chunk(bytes(there), len(back)).decode())
+        assert length == len(text) and 0 < len(more) <= GET_CHUNK_BYTES
         back += more
-    assert back == text and piece(text, len(text)).startswith(b"-ERR")
+    assert back == text and format_chunk(text, len(text)).startswith(b"-ERR")
 
 
 @pytest.mark.parametrize(
@@ -126,39 +126,39 @@
 )
 def test_what_holds_no_piece_gives_none(answer: str) -> None:
     with pytest.raises(ValueError):
-        got(answer + "\n")
+        parse_chunk(answer + "\n")
 
 
 @pytest.mark.parametrize("data", [b"\n", b"\r\n", b"stop\n", b"DRAIN\n", b"ready now\n", b"\xff\x00\n"])
 def test_what_is_no_call_is_said_to_be_none(data: bytes) -> None:
-    with pytest.raises(Useless, match="show-stat"):
-        Line().feed(data)
+    with pytest.raises(InvalidCallError, match="show-stat"):
+        CallReader().feed(data)
 
 
 def test_a_line_without_an_end_is_bounded() -> None:
     # Guards against a caller that fills the memory.
-    line = Line()
-    with pytest.raises(Useless):
-        for _ in range(LONGEST + 1):
+    line = CallReader()
+    with pytest.raises(InvalidCallError):
+        for _ in range(MAX_LINE_BYTES + 1):
             assert line.feed(b"x") is None
-    assert len(line.held) <= LONGEST + 1
+    assert len(line.buffer) <= MAX_LINE_BYTES + 1
 
 
 @seeded
 @given(garbage)
 def test_garbage_is_a_call_or_useless_or_waits(data: bytes) -> None:
-    line = Line()
+    line = CallReader()
     try:
         found = line.feed(data)
-    except Useless:
+    except InvalidCallError:
         return
-    assert isinstance(found, Asked) or b"\n" not in data
+    assert isinstance(found, AdminCall) or b"\n" not in data
 
 
 @seeded
 @given(st.sampled_from(list(EXAMPLES)), st.integers(0, 200), garbage)
 def test_garbage_in_the_middle_of_a_call_is_a_call_or_useless(call: str, place: int, data: bytes) -> None:
     line = call.encode()[:place] + data + call.encode()[place + len(data) :] + b"\n"
-    with contextlib.suppress(Useless):
-        found = Line().feed(line)
+    with contextlib.suppress(InvalidCallError):
+        found = CallReader().feed(line)
         assert found and (found.given is not None or not found.words)
--- a/tests/proxy/quorum/small_fleet.py
+++ b/tests/proxy/quorum/small_fleet.py
@@ -128,7 +128,7 @@
 
     async def propose(self, p: int, text: bytes) -> str:
         """Put a text at a door, and propose it; its digest."""
-        for line in calls.puts(digest_of(text), text):
+        for line in calls.format_put_calls(digest_of(text), text):
             assert (await self.door(p, line)).startswith("+OK"), line
         return await self.door(p, f"policy-propose {digest_of(text).hex()}")
 
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -293,9 +293,9 @@
         made = replace(tier.config(0), listen=here, ops=here, peer_listen=here)
         proxy = Proxy(loop, made, log=Lines(loop.time), policy_agreement=PolicyConsensus)  # type: ignore[arg-type]
         await proxy.start()
-        at, agreement = proxy.ops.address(), proxy.policy_agreement
+        at, agreement = proxy.admin_acceptor.address(), proxy.policy_agreement
         assert agreement
-        lines = [*calls.puts(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
+        lines = [*calls.format_put_calls(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
         assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
         # A lease that a busy machine let lapse comes again, and the epoch in use is the new one then.
         while agreement.epoch == 1 or not agreement.may():
--- a/tests/proxy/quorum/test_fetch.py
+++ b/tests/proxy/quorum/test_fetch.py
@@ -28,11 +28,11 @@
 
 
 def well(offset: int) -> bytes:
-    return calls.piece(TEXT, offset)
+    return calls.format_chunk(TEXT, offset)
 
 
 def other(offset: int) -> bytes:
-    return calls.piece(TEXT[:-1] + bytes((TEXT[-1] ^ 1,)), offset)
+    return calls.format_chunk(TEXT[:-1] + bytes((TEXT[-1] ^ 1,)), offset)
 
 
 class Door(Noted):
@@ -43,8 +43,8 @@
         self.answer = answer
 
     def data_received(self, data: bytes) -> None:
-        asked = calls.asked(data.strip())
-        assert isinstance(asked.given, calls.Get) and asked.given.digest == DIGEST
+        asked = calls.parse_call(data.strip())
+        assert isinstance(asked.given, calls.GetText) and asked.given.digest == DIGEST
         if answer := self.answer(asked.given.offset):
             self.transport.write(answer)
             self.transport.write_eof()
@@ -54,13 +54,16 @@
 HOLDERS: dict[str, tuple[Answer | None, float]] = {
     "gone": (None, 0.1),
     "silent": (lambda offset: b"", CHUNK_TIMEOUT_S + 0.1),
-    "has none": (lambda offset: calls.no("its text is not here"), 0.1),
+    "has none": (lambda offset: calls.format_error("its text is not here"), 0.1),
     "has another": (other, 1.0),
     "goes on and on": (lambda offset: b"x" * 100_000, 0.1),
-    "changes its length": (lambda offset: calls.piece(TEXT[: MAX_TEXT_BYTES - offset // 2], offset), 0.2),
-    "drips": (lambda offset: calls.yes(f"{len(TEXT)} AAAA"), 1.0),
+    "changes its length": (
+        lambda offset: calls.format_chunk(TEXT[: MAX_TEXT_BYTES - offset // 2], offset),
+        0.2,
+    ),
+    "drips": (lambda offset: calls.format_ok(f"{len(TEXT)} AAAA"), 1.0),
     "dies half way": (
-        lambda offset: calls.piece(TEXT, offset) if offset < 20_000 else b"",
+        lambda offset: calls.format_chunk(TEXT, offset) if offset < 20_000 else b"",
         CHUNK_TIMEOUT_S + 0.3,
     ),
 }
--- a/tests/proxy/rollout/test_slot.py
+++ b/tests/proxy/rollout/test_slot.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from firvane.proxy.admin_api.calls import Useless
+from firvane.proxy.admin_api.calls import InvalidCallError
 from firvane.proxy.rollout import supervisor_calls
 from firvane.proxy.rollout.errors import CallRejectedError
 from firvane.proxy.rollout.slot import MAX_CONSECUTIVE_CRASHES, Slot
@@ -334,7 +334,7 @@
     assert supervisor_calls.parse_call(said.encode()) == ParsedCall(order, word, roll)
     for wrong in (f"{said} more", said.replace("7", "-7"), "place-nothing", "", "x" * 300):
         if wrong != said:
-            with pytest.raises(Useless):
+            with pytest.raises(InvalidCallError):
                 supervisor_calls.parse_call(wrong.encode())
 
 
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -11,7 +11,7 @@
 
 from firvane.core import logs
 from firvane.proxy import metrics
-from firvane.proxy.admin_api.calls import Asked, Call
+from firvane.proxy.admin_api.calls import AdminCall, Call
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy import Proxy
 from firvane.simulation.emulation.records import Answered, Record
@@ -55,7 +55,7 @@
         patched.setattr(virtual_proxy, "Proxy", make)
         day = structs.replace(DAY, load=structs.replace(DAY.load, may_repeat=get))
         run.play_virtual(day, 3, records.append)
-    return proxies[0]._answer(Asked(Call.MEASURES)), records
+    return proxies[0]._answer(AdminCall(Call.MEASURES)), records
 
 
 def agrees(answer: bytes, records: list[Record]) -> bool:
--- a/tests/together/governed.py
+++ b/tests/together/governed.py
@@ -164,7 +164,7 @@
     async def propose(self, number: int, policy: bytes, voters: str = "") -> str:
         """What the door says to it, which is the end of it where it says no."""
         digest = digest_of(policy)
-        for line in calls.puts(digest, policy):
+        for line in calls.format_put_calls(digest, policy):
             await self.says(number, line, "+OK")
         self.expect(number, policy)
         said = await self.ask(number, f"policy-propose {digest.hex()} {voters}".strip())
