--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -24,7 +24,7 @@
 if __name__ == "__main__":
     native.activate()  # before anything that is compiled is imported
 
-from firvane.core.logs import Bridge, Log
+from firvane.core.logs import Log, LoggingBridge
 from firvane.core.worker_threads import start_loop_threads
 from firvane.proxy.config.node import Config
 from firvane.proxy.config.platform import read_config
@@ -44,7 +44,7 @@
     """Run a proxy from its start to its shutdown, by signals."""
     loop = asyncio.get_running_loop()
     proxy = Proxy(loop, config, snapshot_store=snapshot_store, policy_agreement=policy_agreement)
-    logging.getLogger().addHandler(Bridge(proxy.log))
+    logging.getLogger().addHandler(LoggingBridge(proxy.log))
     proxy.log.info("native", **native.state()._asdict())
     shutdown = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/firvane/core/logs.py
+++ b/firvane/core/logs.py
@@ -1,16 +1,16 @@
-"""The log: an event's name and its fields, one line each, as logfmt or JSON.
+"""Structured logging: an event's name and its fields on one line, as logfmt or JSON.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. An event is a name in lower case with underscores; whatever differs from one time to the next is a field.
-2. What is below the level costs one call and formats nothing. Where a caller would have to gather fields
-   first, on the way of a request, it asks `is_enabled_for` once and keeps the answer.
-3. Nothing that is logged can end the proxy: a line that cannot be written is lost.
-4. There is no global set-up: a proxy is handed its log, with its name bound to it, and several proxies in one
-   process keep theirs apart. Its clock is handed in as well: lines of virtual time carry virtual times.
+1. An event is a name in snake case; whatever varies is a field.
+2. An event below the level costs one call and formats nothing. Code on the path of requests that would have
+   to gather fields first asks `is_enabled_for` once and keeps the answer.
+3. Logging never fails: a line that cannot be written is lost.
+4. There is no global state: a proxy is given its log, with its name bound to it, so that several proxies in
+   one process have their own. The clock is given as well: lines of virtual time carry virtual times.
 
 The interface is structlog's, so that an application which has structlog hands the proxy a logger of its own.
-structlog itself is not loaded here: it would take 1.5 MB of the 25 that a proxy holds.
+structlog itself is not imported, for the memory that it takes.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 from firvane.core.printable import plain
 
-LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
+LEVELS = {"debug": logging.DEBUG, "info": logging.INFO, "warning": logging.WARNING, "error": logging.ERROR}
 FORMATS = ("logfmt", "json")
 
 
@@ -35,23 +35,27 @@
     def bind(self, **fields: Any) -> Log:
         """The same log, with these fields in each line."""
 
-    def is_enabled_for(self, level: int) -> bool: ...
+    def is_enabled_for(self, level: int) -> bool:
+        """Whether events of a level of `LEVELS` are written."""
 
-    def debug(self, event: str, **fields: Any) -> Any: ...
+    def debug(self, event: str, **fields: Any) -> Any:
+        """Log an event for debugging."""
 
-    def info(self, event: str, **fields: Any) -> Any: ...
+    def info(self, event: str, **fields: Any) -> Any:
+        """Log an ordinary event."""
 
-    def warning(self, event: str, **fields: Any) -> Any: ...
+    def warning(self, event: str, **fields: Any) -> Any:
+        """Log an event that operators should know of."""
 
     def error(self, event: str, **fields: Any) -> Any:
-        """An exception goes into `exc_info`."""
+        """Log an error; an exception goes into `exc_info`."""
 
     def exception(self, event: str, **fields: Any) -> Any:
-        """An error, with the exception that is being handled."""
+        """Log an error with the exception that is being handled."""
 
 
-class Lines:
-    """A log that renders each event into a line. `wall` tells Unix time in seconds."""
+class LineLog:
+    """A log that renders each event into a line."""
 
     def __init__(
         self,
@@ -61,15 +65,26 @@
         wall: Callable[[], float],
         fields: dict[str, Any],
     ) -> None:
+        """Create a log.
+
+        Args:
+            level: The lowest level that is written, of `LEVELS`.
+            render: Makes a line of the fields.
+            write: Writes a line.
+            wall: Unix time in s.
+            fields: Those that each line has.
+        """
         self.level, self.render, self.write, self.wall, self.fields = level, render, write, wall, fields
 
-    def bind(self, **fields: Any) -> Lines:
-        return Lines(self.level, self.render, self.write, self.wall, {**self.fields, **fields})
+    def bind(self, **fields: Any) -> LineLog:
+        """The same log, with these fields in each line."""
+        return LineLog(self.level, self.render, self.write, self.wall, {**self.fields, **fields})
 
     def is_enabled_for(self, level: int) -> bool:
+        """Whether events of a level of `LEVELS` are written."""
         return level >= self.level
 
-    def _tell(self, level: str, event: str, fields: dict[str, Any]) -> None:
+    def _write_event(self, level: str, event: str, fields: dict[str, Any]) -> None:
         if LEVELS[level] >= self.level:
             at = self.wall()
             stamp = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(at)) + f".{int(at % 1 * 1000):03}Z"
@@ -79,24 +94,29 @@
             self.write(self.render(line))
 
     def debug(self, event: str, **fields: Any) -> None:
-        if self.level <= 10:
-            self._tell("debug", event, fields)
+        """Log an event for debugging."""
+        if self.level <= logging.DEBUG:
+            self._write_event("debug", event, fields)
 
     def info(self, event: str, **fields: Any) -> None:
-        self._tell("info", event, fields)
+        """Log an ordinary event."""
+        self._write_event("info", event, fields)
 
     def warning(self, event: str, **fields: Any) -> None:
-        self._tell("warning", event, fields)
+        """Log an event that operators should know of."""
+        self._write_event("warning", event, fields)
 
     def error(self, event: str, **fields: Any) -> None:
-        self._tell("error", event, fields)
+        """Log an error; an exception goes into `exc_info`."""
+        self._write_event("error", event, fields)
 
     def exception(self, event: str, **fields: Any) -> None:
-        self._tell("error", event, {**fields, "exc_info": sys.exception()})
+        """Log an error with the exception that is being handled."""
+        self._write_event("error", event, {**fields, "exc_info": sys.exception()})
 
 
 def to_stderr(line: str) -> None:
-    """Write a line whole; who has closed standard error reads no log, and that is no fault of the proxy."""
+    """Write a line to standard error at once; one that is closed is ignored."""
     try:
         sys.stderr.write(line + "\n")
         sys.stderr.flush()
@@ -105,6 +125,7 @@
 
 
 def logfmt(fields: dict[str, Any]) -> str:
+    """Fields as logfmt (`key=value`)."""
     return " ".join(f"{key}={_value(value)}" for key, value in fields.items())
 
 
@@ -121,6 +142,7 @@
 
 
 def as_json(fields: dict[str, Any]) -> str:
+    """Fields as a JSON object."""
     return json.dumps(fields, default=str)
 
 
@@ -130,24 +152,32 @@
     write: Callable[[str], object] = to_stderr,
     wall: Callable[[], float] = time.time,
 ) -> Log:
-    """A log at a level of `LEVELS`, as "logfmt" or "json"; `wall` tells Unix time in seconds."""
-    return Lines(LEVELS[level], as_json if form == "json" else logfmt, write, wall, {})
+    """Make a log.
+
+    Args:
+        level: The name of the lowest level that is written, of `LEVELS`.
+        form: "logfmt" or "json".
+        write: Writes a line.
+        wall: Unix time in s.
+    """
+    return LineLog(LEVELS[level], as_json if form == "json" else logfmt, write, wall, {})
 
 
-QUIET: Log = Lines(100, logfmt, to_stderr, time.time, {})  # for parts that stand alone
+QUIET: Log = LineLog(logging.CRITICAL + 1, logfmt, to_stderr, time.time, {})  # writes nothing
 
 
-class Bridge(logging.Handler):
-    """Passes on what libraries log in their own way: asyncio's word of an error in a callback, above all."""
+class LoggingBridge(logging.Handler):
+    """Passes on what libraries log by the standard module, such as asyncio's errors in callbacks."""
 
     def __init__(self, log: Log) -> None:
         super().__init__(logging.WARNING)
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
+        """Log a record as the event `library`."""
         try:
-            tell = self.log.warning if record.levelno < logging.ERROR else self.log.error
+            write = self.log.warning if record.levelno < logging.ERROR else self.log.error
             error = record.exc_info[1] if record.exc_info else None
-            tell("library", logger=record.name, text=record.getMessage(), exc_info=error)
-        except Exception:  # as logging itself: no fault of a record may reach who logged it
+            write("library", logger=record.name, text=record.getMessage(), exc_info=error)
+        except Exception:  # as the standard handlers do: a bad record must not fail the code that logged it
             self.handleError(record)
--- a/firvane/core/printable.py
+++ b/firvane/core/printable.py
@@ -1,10 +1,10 @@
-"""Text that others wrote, fit for a line of a log or a terminal."""
+"""Untrusted text made safe for a line of a log or a terminal."""
 
 from __future__ import annotations
 
 
 def plain(text: str) -> str:
-    """On one line, and with nothing in it that a terminal would take for more than text."""
+    """The text with line ends, control characters and the like escaped."""
     if text.isprintable():
         return text
     return "".join(c if c.isprintable() else c.encode("unicode_escape").decode() for c in text)
--- a/firvane/core/validation.py
+++ b/firvane/core/validation.py
@@ -1,11 +1,11 @@
-"""TOML and JSON into structs, with every fault named at once.
+"""Validates TOML and JSON against structs, and reports every violation at once.
 
-Rules that hold here and nowhere else:
+Invariants:
 
 1. Whatever the bytes, the outcome is a value or `ValidationError`; nothing else is raised.
-2. A fault is one line: file, key, what is wrong, what was given; for an unknown key the nearest known one.
-3. A part that is faulty hides no fault of another. What is checked across keys is checked in each part whose
-   own keys are well, whatever else its checks and those of its parts find.
+2. A violation is one line: file, key, what is wrong, the value; for an unknown key the nearest known one.
+3. An invalid part hides no violation of another. Checks across keys run in each part whose own keys are
+   valid, whatever other checks find.
 4. What is read is bounded: `MAX_FILE_BYTES` bytes, `MAX_KEY_DEPTH` levels of dotted keys,
    `MAX_LISTED_VIOLATIONS` violations in full.
 """
@@ -27,26 +27,36 @@
 MAX_FILE_BYTES = 512 * 1024  # bytes of a file: far beyond any that somebody writes
 MAX_KEY_DEPTH = 32  # parts of a dotted key: the standard library's parser takes memory by their square
 MAX_LISTED_VIOLATIONS = 100  # faults named one by one
-MAX_SHOWN_CHARS = 60  # characters shown of what was given
+MAX_SHOWN_CHARS = 60  # of a value
+MAX_SHOWN_BITS = 64  # of a number
+MAX_FLOAT = 1e300
 # One part of such a key, wherever it stands, in strings too. Possessive and bounded, so linear in time.
 KEY_PART_PATTERN = r"""(?:[A-Za-z0-9_-]++|"(?:\\.|[^"\\\n]){0,200}+"|'[^'\n]{0,200}+')"""
 TOO_DEEP_PATTERN = re.compile(rf"(?<![A-Za-z0-9_-])(?:{KEY_PART_PATTERN}[ \t]*+\.[ \t]*+){{{MAX_KEY_DEPTH}}}")
 LOCATION_PATTERN = re.compile(r" \(at (line \d+, column \d+|end of document)\)$")
 
 T = TypeVar("T")
-# Looks across the keys of a struct that are each well: pairs of a key in it ("" for all of it) and a reason.
+# Checks a struct whose keys are each valid: yields pairs of a key in it ("" for all of it) and a reason.
 Check = Callable[[Any], Iterable[tuple[str, str]]]
 Checks = Mapping[type, Check]
 
 
 class Violation(NamedTuple):
-    """One thing that is wrong. `key` is a dotted path with indices, "" for the file as a whole."""
+    """One thing that is wrong in a file.
+
+    Attributes:
+        file: The name of the file.
+        key: A dotted path with indices, or "" for the file as a whole.
+        reason: What is wrong.
+        given: The value as it is shown.
+        nearest: The known key that an unknown one was probably meant to be.
+    """
 
     file: str
     key: str
     reason: str
-    given: str = ""  # as it is shown
-    nearest: str = ""  # the known key that an unknown one was probably meant to be
+    given: str = ""
+    nearest: str = ""
 
     def __str__(self) -> str:
         text = f"{self.file}: {self.key}: {self.reason}" if self.key else f"{self.file}: {self.reason}"
@@ -56,14 +66,14 @@
 
 
 class ValidationError(ValueError):
-    """Why a file is of no use: every fault, in the order of the file's struct."""
+    """A file is invalid: every violation, in the order of the file's struct."""
 
     def __init__(self, violations: Sequence[Violation]) -> None:
         self.violations = tuple(violations)
         super().__init__("\n".join(self.lines()))
 
     def lines(self) -> Iterator[str]:
-        """One line for each fault, the last of them for all beyond `MAX_LISTED_VIOLATIONS`."""
+        """One line for each violation, and a last one for all beyond `MAX_LISTED_VIOLATIONS`."""
         yield from map(str, self.violations[:MAX_LISTED_VIOLATIONS])
         if len(self.violations) > MAX_LISTED_VIOLATIONS:
             unlisted = len(self.violations) - MAX_LISTED_VIOLATIONS
@@ -71,14 +81,14 @@
 
 
 def read(path: str | Path, kind: type[T], checks: Checks | None = None) -> T:
-    """The struct that a file holds; raises `ValidationError`."""
+    """Read a file into a struct; raises `ValidationError`."""
     return build(load(path), kind, str(path), checks)
 
 
 def load(path: str | Path) -> dict[str, Any]:
-    """The bare data of a file, TOML or JSON by its content; raises `ValidationError`."""
+    """Read the plain data of a file, TOML or JSON by its content; raises `ValidationError`."""
     try:
-        with open(path, "rb") as file:
+        with Path(path).open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
     except (OSError, ValueError) as error:  # ValueError: a name with a zero byte in it
         reason = getattr(error, "strerror", None) or str(error)
@@ -87,7 +97,7 @@
 
 
 def parse(data: bytes, file: str) -> dict[str, Any]:
-    """The bare data in some bytes; raises `ValidationError` under the file's name."""
+    """Parse the plain data in the bytes of a file; raises `ValidationError`."""
     try:
         return _parse(data)
     except RecursionError:
@@ -124,7 +134,7 @@
 
 
 def build(raw: Any, kind: type[T], file: str, checks: Checks | None = None) -> T:
-    """The struct that bare data stands for; raises `ValidationError` with all that is wrong with it."""
+    """Convert plain data to a struct; raises `ValidationError` with all violations."""
     validator = _Validator(file, checks or {})
     validator.value(raw, mi.type_info(kind), "")
     if validator.violations:
@@ -136,13 +146,13 @@
 
 
 def format_value(value: Any) -> str:
-    """What was given, short and on one line."""
+    """A value, short and on one line."""
     match value:
         case bool():
             return "true" if value else "false"
         case None:
             return "null"
-        case int() if value.bit_length() > 64:
+        case int() if value.bit_length() > MAX_SHOWN_BITS:
             return f"a number of {value.bit_length()} bits"
         case int() | float():
             return str(value)
@@ -157,26 +167,31 @@
 
 
 def join_key(path: str, key: str) -> str:
-    """The path of a key within what stands at another path."""
+    """The path of a key in the value at another path."""
     if not re.fullmatch(r"[\w.\[\]-]+", key):
         key = json.dumps(key[:MAX_SHOWN_CHARS], ensure_ascii=False)
     return f"{path}.{key}" if path and key[:1] != "[" else path + key
 
 
 class _Validator:
-    """Holds bare data against a type, and notes each fault with its path."""
+    """Compares plain data with a type, and collects violations with their paths.
+
+    Attributes:
+        violations: All that were found.
+        blocking: How many of them keep a struct from being built.
+    """
 
     def __init__(self, file: str, checks: Checks) -> None:
         self.file, self.checks = file, checks
         self.violations: list[Violation] = []
-        self.blocking = 0  # of these: what keeps a part from being made at all
+        self.blocking = 0
 
     def add_violation(self, path: str, reason: str, given: str = "", nearest: str = "") -> None:
         self.violations.append(Violation(self.file, path, reason, given, nearest))
         self.blocking += 1
 
     def value(self, raw: Any, type_: mi.Type, path: str, means: str = "") -> None:
-        """`means` says in words what the type's pattern asks for."""
+        """Compare a value with a type; `means` describes the type's pattern."""
         match type_:
             case mi.Metadata():
                 self.value(raw, type_.type, path, _form(type_) or means)
@@ -234,20 +249,20 @@
             self.value(item, type_.value_type, join_key(path, str(key)))
 
     def _union(self, raw: Any, type_: mi.UnionType, path: str, means: str) -> None:
-        """Well where one of the types is; else the faults of the one that comes nearest are told."""
-        tries: list[list[Violation]] = []
+        """Valid where one of the types matches; else the violations of the nearest type count."""
+        attempts: list[list[Violation]] = []
         violations, blocking = self.violations, self.blocking
         for one in type_.types:
             self.violations, self.blocking = [], 0
             self.value(raw, one, path, means)
-            if not self.blocking:  # it is of this type, though its checks may have found something
+            if not self.blocking:  # it has this type, though checks may have found something
                 self.violations, self.blocking = violations + self.violations, blocking
                 return
-            tries.append(self.violations)
+            attempts.append(self.violations)
         self.violations, self.blocking = violations, blocking
-        if tries:
-            # A fault further down means that the value is of that kind; the kinds come in no order of worth.
-            deep = [violations for violations in tries if any(fault.key != path for fault in violations)]
+        if attempts:
+            # A violation further down means that the value is of that type; their order means nothing.
+            deep = [violations for violations in attempts if any(one.key != path for one in violations)]
             if deep:
                 least = min(deep, key=len)
                 self.violations += least
@@ -257,12 +272,12 @@
 
 
 def _form(type_: mi.Metadata) -> str:
-    """What a pattern asks for, as put down beside it: `Meta(pattern=..., extra={"form": "an address"})`."""
+    """The description beside a pattern: `Meta(pattern=..., extra={"form": "an address"})`."""
     return str((type_.extra or {}).get("form", ""))
 
 
 def _nearest(key: str, known: Iterable[str]) -> str:
-    from difflib import get_close_matches  # only where somebody has made a mistake
+    from difflib import get_close_matches  # imported only for an error
 
     found = get_close_matches(key[:MAX_SHOWN_CHARS], list(known), 1)
     return found[0] if found else ""
@@ -276,13 +291,9 @@
             return isinstance(raw, int) and not isinstance(raw, bool) and _within(raw, type_)
         case mi.FloatType():
             number = isinstance(raw, int | float) and not isinstance(raw, bool)
-            return number and abs(raw) < 1e300 and math.isfinite(raw) and _within(raw, type_)
+            return number and abs(raw) < MAX_FLOAT and math.isfinite(raw) and _within(raw, type_)
         case mi.StrType():
-            if not isinstance(raw, str) or len(raw) < (type_.min_length or 0):
-                return False
-            if type_.max_length is not None and len(raw) > type_.max_length:
-                return False
-            return type_.pattern is None or re.fullmatch(type_.pattern, raw) is not None
+            return isinstance(raw, str) and _fits_text(raw, type_)
         case mi.LiteralType():
             return any(raw == value and type(raw) is type(value) for value in type_.values)
         case mi.EnumType():
@@ -296,8 +307,16 @@
     return True
 
 
+def _fits_text(raw: str, type_: mi.StrType) -> bool:
+    if len(raw) < (type_.min_length or 0):
+        return False
+    if type_.max_length is not None and len(raw) > type_.max_length:
+        return False
+    return type_.pattern is None or re.fullmatch(type_.pattern, raw) is not None
+
+
 def _python(type_: mi.Type) -> Any:
-    """The type itself, where nothing is known of it but that."""
+    """The Python type, where msgspec names one."""
     return getattr(type_, "cls", Any)
 
 
@@ -312,7 +331,7 @@
 
 
 def expected(type_: mi.Type, means: str = "") -> str:
-    """What may stand there, in words."""
+    """What a type allows, in words."""
     match type_:
         case mi.Metadata():
             return expected(type_.type, _form(type_) or means)
@@ -323,27 +342,35 @@
         case mi.FloatType():
             return "a number" + _bounds(type_)
         case mi.StrType():
-            if type_.pattern is not None and means:
-                return means
-            return "a text that is not empty" if type_.min_length else "a text"
+            return _expected_text(type_, means)
         case mi.LiteralType():
             return "one of " + ", ".join(map(format_value, type_.values))
         case mi.EnumType():
             return "one of " + ", ".join(format_value(one.value) for one in type_.cls)
         case mi.StructType() | mi.DictType():
             return "a table"
-        case mi.TupleType():
-            return f"a list of {len(type_.item_types)}"
-        case mi.VarTupleType() | mi.ListType():
-            if type_.max_length is not None:
-                return f"a list of {type_.min_length or 0} to {type_.max_length}"
-            return f"a list of at least {type_.min_length}" if type_.min_length else "a list"
+        case mi.TupleType() | mi.VarTupleType() | mi.ListType():
+            return _expected_list(type_)
         case mi.UnionType():
             kinds = (one for one in type_.types if not isinstance(one, mi.NoneType))
             return " or ".join(expected(one, means) for one in kinds)
     return type(type_).__name__.removesuffix("Type").lower()
 
 
+def _expected_text(type_: mi.StrType, means: str) -> str:
+    if type_.pattern is not None and means:
+        return means
+    return "a text that is not empty" if type_.min_length else "a text"
+
+
+def _expected_list(type_: mi.TupleType | mi.VarTupleType | mi.ListType) -> str:
+    if isinstance(type_, mi.TupleType):
+        return f"a list of {len(type_.item_types)}"
+    if type_.max_length is not None:
+        return f"a list of {type_.min_length or 0} to {type_.max_length}"
+    return f"a list of at least {type_.min_length}" if type_.min_length else "a list"
+
+
 def _bounds(type_: mi.IntType | mi.FloatType) -> str:
     low = f" of at least {type_.ge:.10g}" if type_.ge is not None else ""
     low = f" above {type_.gt:.10g}" if type_.gt is not None else low
--- a/firvane/programs/logging.py
+++ b/firvane/programs/logging.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from firvane.core.logs import Bridge, Log
+from firvane.core.logs import Log, LoggingBridge
 
 KEY_ORDER = ("timestamp", "level", "program", "node", "event")
 
@@ -54,4 +54,4 @@
 
 def bridge_library_logs(log: Log) -> None:
     """Write the warnings of libraries, asyncio's above all, to the daemon's log."""
-    logging.getLogger().addHandler(Bridge(log))
+    logging.getLogger().addHandler(LoggingBridge(log))
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from firvane.core import validation
-from firvane.core.logs import Bridge
+from firvane.core.logs import LoggingBridge
 from firvane.proxy import native
 from firvane.proxy.config.checks import CHECKS
 from firvane.proxy.config.file import node
@@ -38,7 +38,7 @@
 async def run(told: Told, read_again: Callable[[], Told]) -> None:
     loop = asyncio.get_running_loop()
     service = Control(loop, *told)
-    logging.getLogger().addHandler(Bridge(service.log))
+    logging.getLogger().addHandler(LoggingBridge(service.log))
     service.log.info("native", **native.state()._asdict())
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/tests/core/test_logs.py
+++ b/tests/core/test_logs.py
@@ -75,7 +75,7 @@
 def test_a_library_s_word_keeps_its_traceback_in_one_line() -> None:
     log, told = lines("logfmt")
     library = logging.Logger("asyncio")
-    library.addHandler(logs.Bridge(log))
+    library.addHandler(logs.LoggingBridge(log))
     try:
         raise RuntimeError("lost")
     except RuntimeError:
