--- a/firvane/core/validation.py
+++ b/firvane/core/validation.py
@@ -337,10 +337,8 @@
             return expected(type_.type, _form(type_) or means)
         case mi.BoolType():
             return "true or false"
-        case mi.IntType():
-            return "a whole number" + _bounds(type_)
-        case mi.FloatType():
-            return "a number" + _bounds(type_)
+        case mi.IntType() | mi.FloatType():
+            return ("a whole number" if isinstance(type_, mi.IntType) else "a number") + _bounds(type_)
         case mi.StrType():
             return _expected_text(type_, means)
         case mi.LiteralType():
