--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -12,7 +12,7 @@
 import uvloop
 
 from firvane.core import validation
-from firvane.core.logs import Bridge
+from firvane.core.logs import LoggingBridge
 from firvane.proxy import native
 from firvane.proxy.config.checks import CHECKS
 from firvane.proxy.config.file import node
@@ -39,7 +39,7 @@
     """Run a service until SIGTERM or SIGINT; SIGHUP reloads its file."""
     loop = asyncio.get_running_loop()
     service = Control(loop, *settings)
-    logging.getLogger().addHandler(Bridge(service.log))
+    logging.getLogger().addHandler(LoggingBridge(service.log))
     service.log.info("native", **native.state()._asdict())
     ended = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -24,6 +24,7 @@
 MODULES = (
     "firvane.core.interface",
     "firvane.core.balancing.records",
+    "firvane.core.balancing.rows",
     "firvane.core.terminations",
     "firvane.proxy.capacity.backend_estimates",
     "firvane.proxy.routing.hash_ring",
@@ -38,6 +39,8 @@
     "firvane.proxy.limits.descriptors",
     "firvane.proxy.limits.admission_gate",
     "firvane.proxy.limits.loop_budget",
+    "firvane.proxy.slice_table",
+    "firvane.proxy.server_selection",
     "firvane.proxy.balancer",
     "firvane.core.engine_protocols",
     "firvane.core.flows",
