--- a/firvane/proxy/recovery/messages.py
+++ b/firvane/proxy/recovery/messages.py
@@ -1,11 +1,12 @@
-"""What proxies say to one another in a recovery, on the peers' datagrams: a question, an answer, a loan.
+"""Messages of a recovery in the datagrams between proxies: a request, a reply, a loan of capacity.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. Each begins with a version that readers of rows do not know and leave alone: who has no recovery, or an
-   older program, loses nothing by it.
-2. Boxes go by their tag, the 16 bits that rows use. Ages go, never times: no two clocks need agree.
-3. A message that does not fit its own counts is none, and changes nothing. None is longer than a datagram.
+1. Each begins with `MESSAGE_PREFIX`, which the readers of other datagrams do not know and ignore: a proxy
+   without a recovery, or of an older version, loses nothing by it.
+2. Backends are identified by their tag, the 16 bits that rows use. Messages hold ages, never times: no two
+   clocks need agree.
+3. A message that does not fit its own counts is rejected, and changes nothing. None exceeds a datagram.
 """
 
 from __future__ import annotations
@@ -13,69 +14,93 @@
 import struct
 from typing import NamedTuple
 
-VERSION = 4
-MARK = bytes((VERSION,))
-HEAD = struct.Struct("<BBQ")  # version, what it is, ms: a later one of a sender goes before an earlier
-TELL = struct.Struct("<IffBB")  # version of the list, scale, s since an answer, warm, how many cold
-COLD = struct.Struct("<HH")  # a tag, and its age in tenths of a second
-LOAN = struct.Struct("<HB")  # a tag, and how many attempts may be out there
-MOST = 55  # cold boxes in one message
-ASKS, TELLS, LENDS = 1, 2, 3
-NEVER = 1e6  # s since an answer, where there was none
+WIRE_VERSION = 4
+MESSAGE_PREFIX = bytes((WIRE_VERSION,))
+HEADER = struct.Struct("<BBQ")  # version, kind, time in ms: a later one of a sender supersedes an earlier one
+REPLY = struct.Struct("<IffBB")  # list version, scale, s since a response, warm, how many cold backends
+COLD_BACKEND = struct.Struct("<HH")  # a tag, and its age in tenths of a second
+LOAN = struct.Struct("<HB")  # a tag, and how many attempts may be in flight there
+MAX_COLD_BACKENDS = 55  # in one message
+REQUEST_KIND = 1
+REPLY_KIND = 2
+LOAN_KIND = 3
+NEVER_S = 1e6  # time since a response, where there was none
+MAX_SCALE = 1e9
+MAX_AGE = 0xFFFF  # in tenths of a second
+MAX_LOAN = 255
+AGES_PER_S = 10
 
 
-class Ask(NamedTuple):
-    """What do you hold?"""
+class StateRequest(NamedTuple):
+    """Asks a peer for its state."""
 
 
-class Held(NamedTuple):
-    """What a proxy holds."""
+class StateReply(NamedTuple):
+    """The state of a proxy."""
 
-    version: int  # of the list; 0: none from discovery itself
-    scale: float  # answers a second and weight of a warm box; 0: not known
-    since: float  # s since its last answer from any box
-    warm: bool  # it is in no recovery itself
-    cold: dict[int, float]  # s since the start of boxes that are cold, by tag
+    list_version: int  # of the endpoint list; 0: none from discovery itself
+    scale: float  # responses a second and weight of a warm backend; 0: not known
+    idle_s: float  # since its last response from any backend
+    is_warm: bool  # it is in no recovery itself
+    cold_ages_s: dict[int, float]  # time since the start of backends that are cold, by tag
 
 
-class Loan(NamedTuple):
-    """The home of a box has room to spare there."""
+class CapacityLoan(NamedTuple):
+    """The owner of a backend has capacity to spare there."""
 
     tag: int
-    most: int  # attempts that may be out; 0 takes it back
+    max_attempts: int  # that may be in flight; 0 takes it back
 
 
-Message = Ask | Held | Loan
+Message = StateRequest | StateReply | CapacityLoan
 
 
-def pack(message: Message, now: float) -> bytes:
-    """As bytes; the youngest boxes go first where not all fit."""
-    at = int(now * 1000)
-    if isinstance(message, Ask):
-        return HEAD.pack(VERSION, ASKS, at)
-    if isinstance(message, Loan):
-        return HEAD.pack(VERSION, LENDS, at) + LOAN.pack(message.tag, min(255, message.most))
-    cold = sorted(message.cold.items(), key=lambda entry: (entry[1], entry[0]))[:MOST]
-    since = min(NEVER, message.since)
-    told = TELL.pack(message.version & 0xFFFFFFFF, message.scale, since, message.warm, len(cold))
-    ages = b"".join(COLD.pack(tag, min(0xFFFF, int(10 * age))) for tag, age in cold)
-    return HEAD.pack(VERSION, TELLS, at) + told + ages
+class ReceivedMessage(NamedTuple):
+    """A message, and when it was sent by its sender's clock."""
 
+    sent_at_ms: int
+    message: Message
 
-def unpack(payload: bytes) -> tuple[int, Message]:
-    """When it was said, in ms, and what; `ValueError` or `struct.error` where it is none."""
-    version, what, at = HEAD.unpack_from(payload)
-    rest = payload[HEAD.size :]
-    if version != VERSION:
+
+def encode(message: Message, now: float) -> bytes:
+    """Return the payload of a message that is sent at `now`, in seconds.
+
+    Of the cold backends of a reply those with the lowest ages are sent where not all fit.
+    """
+    at_ms = int(now * 1000)
+    if isinstance(message, StateRequest):
+        return HEADER.pack(WIRE_VERSION, REQUEST_KIND, at_ms)
+    if isinstance(message, CapacityLoan):
+        loan = LOAN.pack(message.tag, min(MAX_LOAN, message.max_attempts))
+        return HEADER.pack(WIRE_VERSION, LOAN_KIND, at_ms) + loan
+    by_age = sorted(message.cold_ages_s.items(), key=lambda entry: (entry[1], entry[0]))
+    cold = by_age[:MAX_COLD_BACKENDS]
+    idle_s = min(NEVER_S, message.idle_s)
+    version = message.list_version & 0xFFFFFFFF
+    reply = REPLY.pack(version, message.scale, idle_s, message.is_warm, len(cold))
+    ages = b"".join(COLD_BACKEND.pack(tag, min(MAX_AGE, int(AGES_PER_S * age_s))) for tag, age_s in cold)
+    return HEADER.pack(WIRE_VERSION, REPLY_KIND, at_ms) + reply + ages
+
+
+def decode(payload: bytes) -> ReceivedMessage:
+    """Return the message of a payload.
+
+    Raises:
+        ValueError: The payload is no message of a recovery.
+        struct.error: It is cut off.
+    """
+    version, kind, at_ms = HEADER.unpack_from(payload)
+    body = payload[HEADER.size :]
+    if version != WIRE_VERSION:
         raise ValueError("not a message of a recovery")
-    if what == ASKS and not rest:
-        return at, Ask()
-    if what == LENDS:
-        return at, Loan(*LOAN.unpack(rest))
-    if what != TELLS:
+    if kind == REQUEST_KIND and not body:
+        return ReceivedMessage(at_ms, StateRequest())
+    if kind == LOAN_KIND:
+        return ReceivedMessage(at_ms, CapacityLoan(*LOAN.unpack(body)))
+    if kind != REPLY_KIND:
         raise ValueError("a message that is not known")
-    list_version, scale, since, warm, count = TELL.unpack_from(rest)
-    cold = {tag: age / 10 for tag, age in COLD.iter_unpack(rest[TELL.size :])}
-    if len(cold) != count or not (0.0 <= scale < 1e9) or not (0.0 <= since <= NEVER):
+    list_version, scale, idle_s, warm, count = REPLY.unpack_from(body)
+    cold = {tag: age / AGES_PER_S for tag, age in COLD_BACKEND.iter_unpack(body[REPLY.size :])}
+    if len(cold) != count or not (0.0 <= scale < MAX_SCALE) or not (0.0 <= idle_s <= NEVER_S):
         raise ValueError("an answer that does not fit itself")
-    return at, Held(list_version, scale, since, warm == 1, cold)
+    return ReceivedMessage(at_ms, StateReply(list_version, scale, idle_s, warm == 1, cold))
--- a/firvane/proxy/recovery/peers.py
+++ b/firvane/proxy/recovery/peers.py
@@ -27,7 +27,7 @@
 from firvane.core.balancing.records import Backend
 from firvane.core.balancing.rows import Row
 from firvane.proxy.limits.token_buckets import Rates
-from firvane.proxy.recovery.messages import Held
+from firvane.proxy.recovery.messages import StateReply
 
 FEW, AGAIN, RATE, QUORUM = 15, 1.0, 20.0, 2
 BOUND = 4.0  # times by which peers may differ from memory
@@ -42,24 +42,24 @@
     """What peers hold, as they said of late."""
 
     def __init__(self) -> None:
-        self.held: dict[int, tuple[float, Held]] = {}  # by peer: when it came, and what
+        self.held: dict[int, tuple[float, StateReply]] = {}  # by peer: when it came, and what
         self.stamps: dict[int, int] = {}
         self.rates = Rates(RATE, RATE)  # of answers, to all askers together
 
     def may_answer(self, now: float) -> bool:
         return self.rates.allow(0, now)
 
-    def hear(self, sender: int, at: int, held: Held, now: float) -> None:
+    def hear(self, sender: int, at: int, held: StateReply, now: float) -> None:
         if at > self.stamps.get(sender, -1):
             self.stamps[sender], self.held[sender] = at, (now, held)
 
-    def fresh(self, now: float) -> list[tuple[float, Held]]:
+    def fresh(self, now: float) -> list[tuple[float, StateReply]]:
         return [(at, held) for at, held in self.held.values() if now - at < FRESH]
 
     def warm(self, now: float, asked: int) -> int:
         """How many of those `asked` say that they are warm and had an answer of late; 0 where too few do."""
         fresh = [held for _, held in self.fresh(now)]
-        warm = sum(held.warm and held.since <= LATELY for held in fresh)
+        warm = sum(held.is_warm and held.idle_s <= LATELY for held in fresh)
         return warm if 2 * len(fresh) >= asked and 3 * warm > 2 * len(fresh) else 0
 
     def scale(self, now: float, remembered: float) -> float:
@@ -75,7 +75,7 @@
         fresh = self.fresh(now)
         starts: dict[int, list[float]] = {}
         for at, held in fresh:
-            for tag, age in held.cold.items():
+            for tag, age in held.cold_ages_s.items():
                 starts.setdefault(tag, []).append(at - age)
         return {tag: median(said) for tag, said in starts.items() if 2 * len(said) > max(1, len(fresh))}
 
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -29,7 +29,7 @@
 from firvane.core.balancing.rows import Row
 from firvane.proxy.capacity.backend_estimates import BackendEstimates
 from firvane.proxy.recovery import messages, steps
-from firvane.proxy.recovery.messages import Ask, Held, Loan
+from firvane.proxy.recovery.messages import CapacityLoan, StateReply, StateRequest
 from firvane.proxy.recovery.peers import AGAIN as ASK_AGAIN
 from firvane.proxy.recovery.peers import FEW, SPARE, Loans, Told, neediest
 from firvane.proxy.recovery.state_machine import (
@@ -63,7 +63,7 @@
         self.state_machine, self.started = RecoveryStateMachine(now), now
         self.dealt = settings.proxies <= 1 or not settings.limits.peers  # slices are dealt with all that live
         self.turned_away = now  # when a request last found no room
-        self.answered_at = now - messages.NEVER  # when a box last did
+        self.answered_at = now - messages.NEVER_S  # when a box last did
         self.proven = dict[Backend, float]()  # since when they have answered in this life
         self.begun = dict[Backend, float | None]()  # whose rooms are found by steps, and their starts then
         self.mine = set[Backend]()  # this proxy's, as of the last window
@@ -241,8 +241,8 @@
         now: float,
     ) -> list[api.Action]:
         """What follows from a peer's message, beginning with its mark; raises as `unpack` does."""
-        sender, (at, said) = message.sender, messages.unpack(message.payload)
-        if isinstance(said, Ask):
+        sender, (at, said) = message.sender, messages.decode(message.payload)
+        if isinstance(said, StateRequest):
             if not self.parts.ask or not self.told.may_answer(now):
                 return []
             cold = {
@@ -251,15 +251,15 @@
                 if self.evidence.is_in_slow_start(s, now)
             }
             since = now - self.answered_at
-            held = Held(self.version, self.evidence.fleet_rate, since, not self.on, cold)
-            return [api.SendToPeer(sender, messages.pack(held, now))]
-        if isinstance(said, Held):
+            held = StateReply(self.version, self.evidence.fleet_rate, since, not self.on, cold)
+            return [api.SendToPeer(sender, messages.encode(held, now))]
+        if isinstance(said, StateReply):
             self.told.hear(sender, at, said, now)
             self._believe(up, now)
             self._listen(now)
         elif (server := meant(said.tag)) and server.owner == sender and self.on:
-            self.loans.take(server, said.most, now)
-            server.capacity = max(1.0, float(said.most))
+            self.loans.take(server, said.max_attempts, now)
+            server.capacity = max(1.0, float(said.max_attempts))
         return []
 
     def _believe(self, up: Collection[Backend], now: float) -> None:
@@ -342,7 +342,7 @@
         self.ask_at = now + ASK_AGAIN * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
         few = self.dice.sample(peers, min(FEW, len(peers)))
         self.rounds, self.few, self.asked = self.rounds + 1, len(few), self.asked + len(few)
-        return [api.SendToPeer(peer, messages.pack(Ask(), now)) for peer in few]
+        return [api.SendToPeer(peer, messages.encode(StateRequest(), now)) for peer in few]
 
     def _lend(self, rows: Mapping[int, Row], now: float) -> list[api.Action]:
         """Lend the room that is left over at a box to who lacks most, one box to each."""
@@ -355,7 +355,9 @@
                 peer = needy.pop(0)
                 self.loans.lend(server, peer, spare, now)
                 server.capacity = max(1.0, server.stepped_capacity - self.loans.lent(server, now))
-                actions.append(api.SendToPeer(peer, messages.pack(Loan(server.id_hash & 0xFFFF, spare), now)))
+                actions.append(
+                    api.SendToPeer(peer, messages.encode(CapacityLoan(server.id_hash & 0xFFFF, spare), now))
+                )
         return actions
 
     # What operators ask
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -199,7 +199,7 @@
         try:
             if self.estimates.on_peer_message(message.sender, message.payload):
                 return
-            if self.recovery and message.payload[:1] == messages.MARK:
+            if self.recovery and message.payload[:1] == messages.MESSAGE_PREFIX:
                 self.actions += self.recovery.heard(message, self.up, self.listing.meant, now)
                 return
             row = decode_row(message.payload, now)
--- a/tests/proxy/recovery/test_histories.py
+++ b/tests/proxy/recovery/test_histories.py
@@ -19,7 +19,7 @@
 
 from firvane.core import interface as api
 from firvane.proxy.recovery import messages
-from firvane.proxy.recovery.messages import Held, Loan
+from firvane.proxy.recovery.messages import CapacityLoan, StateReply
 from tests.proxy.recovery.small_fleet import WARM, SmallFleet
 
 CORES = [4, 2, 4, 2, 2, 8]
@@ -36,15 +36,15 @@
     draw = random.Random(seed)
 
     def lie(sender: int, payload: bytes) -> bytes | None:
-        if sender >= count or payload[:1] != messages.MARK:
+        if sender >= count or payload[:1] != messages.MESSAGE_PREFIX:
             return payload
-        at, said = messages.unpack(payload)
-        if isinstance(said, Held):
+        at, said = messages.decode(payload)
+        if isinstance(said, StateReply):
             scale, cold = min(9e8, (said.scale + 1) * times), {draw.randrange(65536): 0.0}
-            said = Held(draw.randrange(99), scale, 0.0, True, cold)
-        elif isinstance(said, Loan):
-            said = Loan(draw.randrange(65536), 255)
-        return messages.pack(said, at / 1000)
+            said = StateReply(draw.randrange(99), scale, 0.0, True, cold)
+        elif isinstance(said, CapacityLoan):
+            said = CapacityLoan(draw.randrange(65536), 255)
+        return messages.encode(said, at / 1000)
 
     return lie
 
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -42,7 +42,7 @@
 
 
 def any_is_warm(self: Told, now: float, asked: int) -> int:
-    return sum(held.warm for _, held in self.fresh(now))
+    return sum(held.is_warm for _, held in self.fresh(now))
 
 
 def cut() -> None:
--- a/tests/proxy/recovery/test_peers.py
+++ b/tests/proxy/recovery/test_peers.py
@@ -14,7 +14,7 @@
 from firvane.core.balancing.records import Backend
 from firvane.core.balancing.rows import Row
 from firvane.proxy.recovery import messages
-from firvane.proxy.recovery.messages import Ask, Held, Loan
+from firvane.proxy.recovery.messages import CapacityLoan, StateReply, StateRequest
 from firvane.proxy.recovery.peers import BOUND, FRESH, LENT, QUORUM, Loans, Told, neediest
 
 FEW = st.dictionaries(st.integers(0, 0xFFFF), st.integers(0, 0xFFFF).map(lambda n: n / 10), max_size=30)
@@ -25,34 +25,38 @@
 def test_messages_come_back_as_they_went_and_fit_a_datagram(
     version: int, scale: int, since: int, cold: dict[int, float]
 ) -> None:
-    held = Held(version, scale, since, bool(version & 1), cold)
-    for message in (Ask(), Loan(version & 0xFFFF, scale & 0xFF), held):
-        payload = messages.pack(message, 12.5)
-        assert messages.unpack(payload) == (12_500, message) and len(payload) <= 256
+    held = StateReply(version, scale, since, bool(version & 1), cold)
+    for message in (StateRequest(), CapacityLoan(version & 0xFFFF, scale & 0xFF), held):
+        payload = messages.encode(message, 12.5)
+        assert messages.decode(payload) == (12_500, message) and len(payload) <= 256
         for cut in range(len(payload)):
             with pytest.raises((ValueError, messages.struct.error)):
-                messages.unpack(payload[:cut])
+                messages.decode(payload[:cut])
 
 
 def test_of_many_cold_boxes_the_youngest_are_told() -> None:
-    held = Held(1, 2.0, 0.0, True, {tag: float(tag) for tag in range(200)})
-    payload = messages.pack(held, 1.0)
+    held = StateReply(1, 2.0, 0.0, True, {tag: float(tag) for tag in range(200)})
+    payload = messages.encode(held, 1.0)
     assert len(payload) <= 256
-    _, back = messages.unpack(payload)
-    assert isinstance(back, Held) and sorted(back.cold) == list(range(messages.MOST))
+    _, back = messages.decode(payload)
+    assert isinstance(back, StateReply) and sorted(back.cold_ages_s) == list(
+        range(messages.MAX_COLD_BACKENDS)
+    )
 
 
 @settings(derandomize=True, max_examples=100)
 @given(st.binary(max_size=256))
 def test_hostile_bytes_end_in_one_of_two_errors(payload: bytes) -> None:
     with contextlib.suppress(ValueError, messages.struct.error):
-        messages.unpack(messages.MARK + payload)
+        messages.decode(messages.MESSAGE_PREFIX + payload)
 
 
 def told(scales: list[float], cold: list[dict[int, float]] | None = None, now: float = 10.0) -> Told:
     said = Told()
     for number, scale in enumerate(scales):
-        said.hear(number, 1, Held(1, scale, 1.0, scale > 0.0, (cold or [{}] * len(scales))[number]), now)
+        said.hear(
+            number, 1, StateReply(1, scale, 1.0, scale > 0.0, (cold or [{}] * len(scales))[number]), now
+        )
     return said
 
 
@@ -79,14 +83,14 @@
     assert told([1.0] * 3 + [0.0]).warm(10.0, 5) == 3 and told([1.0] * 2 + [0.0]).warm(10.0, 3) == 0
     assert told([1.0]).warm(10.0, 3) == 0  # the first to answer does not decide
     said = told([0.0])
-    said.hear(0, 2, Held(1, 1.0, 60.0, True, {}), 10.0)  # warm, and idle for a minute
+    said.hear(0, 2, StateReply(1, 1.0, 60.0, True, {}), 10.0)  # warm, and idle for a minute
     assert said.warm(10.0, 1) == 0
 
 
 def test_a_box_is_cold_when_most_say_so_and_an_older_message_changes_nothing() -> None:
     said = told([1.0] * 5, [{1: 4.0}, {1: 6.0}, {1: 5.0, 2: 0.0}, {2: 0.0}, {}])
     assert said.cold(10.0) == {1: 5.0}
-    said.hear(4, 0, Held(1, 1.0, 1.0, True, {2: 0.0}), 10.0)
+    said.hear(4, 0, StateReply(1, 1.0, 1.0, True, {2: 0.0}), 10.0)
     assert said.cold(10.0) == {1: 5.0}
 
 
@@ -122,7 +126,7 @@
 
 def test_a_question_is_answered_within_a_rate() -> None:
     own = recovery()
-    ask = api.PeerMessage(2, messages.pack(Ask(), 1.0))
+    ask = api.PeerMessage(2, messages.encode(StateRequest(), 1.0))
     answers = [own.heard(ask, [], lambda tag: None, 1.0) for _ in range(100)]
     assert 0 < sum(map(len, answers)) <= 20
 
@@ -131,7 +135,7 @@
 def test_only_its_home_lends_a_box(sender: int, taken: int) -> None:
     own, box = recovery(), Backend(api.Server("a"), 77, 1.0, None)
     box.owner = 3
-    loan = api.PeerMessage(sender, messages.pack(Loan(77, 2), 1.0))
+    loan = api.PeerMessage(sender, messages.encode(CapacityLoan(77, 2), 1.0))
     assert own.heard(loan, [box], lambda tag: box, 1.0) == []
     assert own.loans.left(box, 1.5) == taken
     assert own.holds(box, False, 1.5) is (taken == 0)
--- a/tests/proxy/recovery/test_small_fleet.py
+++ b/tests/proxy/recovery/test_small_fleet.py
@@ -23,7 +23,7 @@
         said: list[int] = []
 
         def count(sender: int, payload: bytes, said: list[int] = said) -> bytes | None:
-            if payload[:1] == messages.MARK:
+            if payload[:1] == messages.MESSAGE_PREFIX:
                 said.append(len(payload))
             return None if lost else payload
 
--- a/tests/wire_formats/test_datagrams.py
+++ b/tests/wire_formats/test_datagrams.py
@@ -55,7 +55,7 @@
     "proxy row 1": (lambda data: row_codec.unpack(data, RECEIVED_AT), encode_proxy_row),
     "proxy row 2": (lambda data: row_codec.unpack(data, RECEIVED_AT), encode_proxy_row),
     "class counts": (class_counts.unpack, lambda read: class_counts.pack(read[1], read[0] / 1000)),
-    "recovery": (recovery.unpack, lambda read: recovery.pack(read[1], read[0] / 1000)),
+    "recovery": (recovery.decode, lambda read: recovery.encode(read[1], read[0] / 1000)),
     "policy consensus": (quorum.decode, quorum.encode),
     "membership": (membership.decode_message, membership.encode_message),
     "dissemination": (dissemination.decode_message, dissemination.encode_message),
