--- a/firvane/proxy/recovery/peers.py
+++ b/firvane/proxy/recovery/peers.py
@@ -1,118 +1,147 @@
-"""What is made of what peers say they hold, and of the room that a home lends.
-
-Rules that hold here and nowhere else:
-
-1. `FEW` peers are asked, drawn anew each round, and rounds are `AGAIN` seconds apart, then twice as long each
-   time: a recovery of N proxies costs some 2 x `FEW` x N small datagrams a round, however large N is. A proxy
-   answers `RATE` of them a second at the most.
-2. A scale is believed as the median of those that were told, from `QUORUM` of them on, and kept within
-   `BOUND` times what is remembered, where something is: no third of the peers moves it beyond what an honest
-   one said.
-3. A box is taken for cold when most of those that told say so, at the median of their ages. That can make it
-   colder, never warmer: a word of others opens no box.
-4. What was told counts for `FRESH` seconds.
-5. Peers are warm when half of those asked have told, and over two in three of these say so and have had
-   answers of late. With fewer the first to answer would decide; and a bare majority of a sample is too
-   often a third that lies (five asked of twelve: one recovery in five). That a peer serves says nothing: in
-   a recovery of all it does, too.
-6. Room is lent by the home of a box alone, to one peer at a time, out of its own, and for `LENT` seconds:
-   the home leaves it free meanwhile, and one that has gone takes its loans with it.
+"""What is concluded from the state that peers report, and the capacity that owners of backends lend.
+
+Invariants:
+
+1. `MAX_ASKED_PEERS` peers are asked, drawn anew each round, and rounds are `ASK_INTERVAL_S` apart, then twice
+   as long each time: a recovery of N proxies costs some 2 x `MAX_ASKED_PEERS` x N small datagrams a round,
+   however large N is. A proxy answers `MAX_ANSWERS_PER_S` of them.
+2. A scale is taken as the median of those reported, from `MIN_REPORTS` of them on, and kept within
+   `MAX_SCALE_RATIO` times the restored one, where there is one: no third of the peers moves it beyond what an
+   honest one reported.
+3. A backend is taken for cold when most of those that reported say so, at the median of their ages. That can
+   make it colder, never warmer: no report of others opens a backend.
+4. A report counts for `REPORT_LIFETIME_S`.
+5. Peers are warm when half of those asked have reported, and over two in three of these say so and have had
+   responses of late. With fewer the first to answer would decide; and a bare majority of a sample is too
+   often a third that lies. That a peer serves proves nothing: in a recovery of all it does, too.
+6. Capacity is lent by the owner of a backend alone, to one peer at a time, out of its own, and for
+   `LOAN_DURATION_S`: the owner leaves it free meanwhile, and one that is gone takes its loans with it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from statistics import median
+from typing import NamedTuple
 
 from firvane.core.balancing.records import Backend
 from firvane.core.balancing.rows import Row
 from firvane.proxy.limits.token_buckets import Rates
 from firvane.proxy.recovery.messages import StateReply
 
-FEW, AGAIN, RATE, QUORUM = 15, 1.0, 20.0, 2
-BOUND = 4.0  # times by which peers may differ from memory
-FRESH = 5.0  # s
-LATELY = 2.0  # s within which a warm peer has had an answer
-LENT = 1.0  # s
-SPARE = 1.0  # attempts' room that a home keeps when it lends
-NEEDY = 0.1  # part of what comes to a peer that it does not serve, from which on it is lent to
+MAX_ASKED_PEERS = 15
+ASK_INTERVAL_S = 1.0
+MAX_ANSWERS_PER_S = 20.0
+MIN_REPORTS = 2
+MAX_SCALE_RATIO = 4.0  # by which peers may differ from the restored scale
+REPORT_LIFETIME_S = 5.0
+WARM_MAX_IDLE_S = 2.0  # within which a warm peer has had a response
+LOAN_DURATION_S = 1.0
+RESERVED_ATTEMPTS = 1.0  # of capacity that an owner keeps when it lends
+UNSERVED_SHARE = 0.1  # of what comes to a peer, from which on capacity is lent to it
 
 
-class Told:
-    """What peers hold, as they said of late."""
+class Report(NamedTuple):
+    """A peer's state, and when it came."""
+
+    received_at: float
+    state: StateReply
+
+
+class Loan(NamedTuple):
+    """How many attempts may be in flight, and until when."""
+
+    max_attempts: int
+    expires_at: float
+
+
+class PeerReports:
+    """The state that peers have reported of late. Times are seconds on one clock."""
 
     def __init__(self) -> None:
-        self.held: dict[int, tuple[float, StateReply]] = {}  # by peer: when it came, and what
-        self.stamps: dict[int, int] = {}
-        self.rates = Rates(RATE, RATE)  # of answers, to all askers together
+        self.reports: dict[int, Report] = {}  # by peer
+        self.last_sent_ms: dict[int, int] = {}  # by peer, on its own clock
+        self.rates = Rates(MAX_ANSWERS_PER_S, MAX_ANSWERS_PER_S)  # of answers, to all peers together
 
     def may_answer(self, now: float) -> bool:
+        """Whether a request may be answered; counts the answer."""
         return self.rates.allow(0, now)
 
-    def hear(self, sender: int, at: int, held: StateReply, now: float) -> None:
-        if at > self.stamps.get(sender, -1):
-            self.stamps[sender], self.held[sender] = at, (now, held)
+    def add(self, sender: int, sent_at_ms: int, state: StateReply, now: float) -> None:
+        """Add a report, unless a later one of its sender has come before."""
+        if sent_at_ms > self.last_sent_ms.get(sender, -1):
+            self.last_sent_ms[sender], self.reports[sender] = sent_at_ms, Report(now, state)
 
-    def fresh(self, now: float) -> list[tuple[float, StateReply]]:
-        return [(at, held) for at, held in self.held.values() if now - at < FRESH]
+    def fresh(self, now: float) -> list[Report]:
+        """Return the reports that still count."""
+        return [report for report in self.reports.values() if now - report.received_at < REPORT_LIFETIME_S]
 
-    def warm(self, now: float, asked: int) -> int:
-        """How many of those `asked` say that they are warm and had an answer of late; 0 where too few do."""
-        fresh = [held for _, held in self.fresh(now)]
-        warm = sum(held.is_warm and held.idle_s <= LATELY for held in fresh)
+    def count_warm(self, now: float, asked: int) -> int:
+        """Return how many of those `asked` are warm and had a response of late; 0 where too few are."""
+        fresh = [report.state for report in self.fresh(now)]
+        warm = sum(state.is_warm and state.idle_s <= WARM_MAX_IDLE_S for state in fresh)
         return warm if 2 * len(fresh) >= asked and 3 * warm > 2 * len(fresh) else 0
 
-    def scale(self, now: float, remembered: float) -> float:
-        """Answers a second and weight of a warm box; what is remembered where too few have told."""
-        scales = [held.scale for _, held in self.fresh(now) if held.scale > 0.0]
-        if len(scales) < QUORUM:
-            return remembered
-        told = median(scales)
-        return min(max(told, remembered / BOUND), remembered * BOUND) if remembered else told
-
-    def cold(self, now: float) -> dict[int, float]:
-        """When those boxes started that most say are cold, by tag."""
+    def agreed_scale(self, now: float, restored: float) -> float:
+        """Return the responses a second and weight of a warm backend; `restored` where too few reported."""
+        scales = [report.state.scale for report in self.fresh(now) if report.state.scale > 0.0]
+        if len(scales) < MIN_REPORTS:
+            return restored
+        scale = median(scales)
+        if not restored:
+            return scale
+        return min(max(scale, restored / MAX_SCALE_RATIO), restored * MAX_SCALE_RATIO)
+
+    def cold_starts(self, now: float) -> dict[int, float]:
+        """Return when those backends started that most peers report as cold, by tag."""
         fresh = self.fresh(now)
         starts: dict[int, list[float]] = {}
-        for at, held in fresh:
-            for tag, age in held.cold_ages_s.items():
-                starts.setdefault(tag, []).append(at - age)
-        return {tag: median(said) for tag, said in starts.items() if 2 * len(said) > max(1, len(fresh))}
+        for report in fresh:
+            for tag, age_s in report.state.cold_ages_s.items():
+                starts.setdefault(tag, []).append(report.received_at - age_s)
+        return {tag: median(times) for tag, times in starts.items() if 2 * len(times) > max(1, len(fresh))}
 
 
-class Loans:
-    """What this proxy has lent, and what it was lent."""
+class CapacityLoans:
+    """The capacity that this proxy has lent, and what it has borrowed. Times are seconds on one clock."""
 
     def __init__(self) -> None:
-        self.out: dict[Backend, dict[int, tuple[int, float]]] = {}  # by box and peer: how many, until when
-        self.had: dict[Backend, tuple[int, float]] = {}
+        self.lent_out: dict[Backend, dict[int, Loan]] = {}  # by backend and peer
+        self.borrowed: dict[Backend, Loan] = {}
 
-    def lent(self, server: Backend, now: float) -> int:
-        """Attempts that peers may have out at a box of this proxy's."""
-        out = self.out.get(server)
-        if not out:
+    def lent_attempts(self, server: Backend, now: float) -> int:
+        """Return how many attempts peers may have in flight at a backend of this proxy's."""
+        loans = self.lent_out.get(server)
+        if not loans:
             return 0
-        for peer in [peer for peer, (_, until) in out.items() if until <= now]:
-            del out[peer]
-        return sum(most for most, _ in out.values())
+        for peer in [peer for peer, loan in loans.items() if loan.expires_at <= now]:
+            del loans[peer]
+        return sum(loan.max_attempts for loan in loans.values())
 
-    def lend(self, server: Backend, peer: int, most: int, now: float) -> None:
-        self.out.setdefault(server, {})[peer] = most, now + LENT
+    def lend(self, server: Backend, peer: int, max_attempts: int, now: float) -> None:
+        """Lend a peer capacity at a backend of this proxy's."""
+        self.lent_out.setdefault(server, {})[peer] = Loan(max_attempts, now + LOAN_DURATION_S)
 
-    def take(self, server: Backend, most: int, now: float) -> None:
-        self.had[server] = most, now + LENT
+    def borrow(self, server: Backend, max_attempts: int, now: float) -> None:
+        """Borrow capacity at a backend of another owner."""
+        self.borrowed[server] = Loan(max_attempts, now + LOAN_DURATION_S)
 
-    def left(self, server: Backend, now: float) -> int:
-        """Attempts that may be out from here at a box of another home."""
-        most, until = self.had.get(server, (0, 0.0))
-        return most if now < until else 0
+    def borrowed_attempts(self, server: Backend, now: float) -> int:
+        """Return how many attempts may be in flight from here at a backend of another owner."""
+        loan = self.borrowed.get(server)
+        return loan.max_attempts if loan and now < loan.expires_at else 0
 
     def clear(self) -> None:
-        self.out.clear()
-        self.had.clear()
-
-
-def neediest(rows: Iterable[tuple[int, Row]], window: float) -> list[int]:
-    """Peers that serve less than comes to them, those that lack most first."""
-    short = [(row.arrivals - row.served * window, number, row.arrivals) for number, row in rows]
-    return [number for lack, number, came in sorted(short, reverse=True) if lack > NEEDY * came + 1.0]
+        """End all loans."""
+        self.lent_out.clear()
+        self.borrowed.clear()
+
+
+def most_unserved(rows: Iterable[tuple[int, Row]], window_s: float) -> list[int]:
+    """Return the peers that serve less than comes to them, those that lack most first."""
+    short = [(row.arrivals - row.served * window_s, number, row.arrivals) for number, row in rows]
+    return [
+        number
+        for lack, number, arrivals in sorted(short, reverse=True)
+        if lack > UNSERVED_SHARE * arrivals + 1.0
+    ]
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -30,8 +30,14 @@
 from firvane.proxy.capacity.backend_estimates import BackendEstimates
 from firvane.proxy.recovery import messages, steps
 from firvane.proxy.recovery.messages import CapacityLoan, StateReply, StateRequest
-from firvane.proxy.recovery.peers import AGAIN as ASK_AGAIN
-from firvane.proxy.recovery.peers import FEW, SPARE, Loans, Told, neediest
+from firvane.proxy.recovery.peers import (
+    ASK_INTERVAL_S,
+    MAX_ASKED_PEERS,
+    RESERVED_ATTEMPTS,
+    CapacityLoans,
+    PeerReports,
+    most_unserved,
+)
 from firvane.proxy.recovery.state_machine import (
     CALM_PERIOD_S,
     PEER_TIMEOUT_S,
@@ -73,7 +79,7 @@
         self.trusting = False  # peers are warm: what the list says has not just started has not
         self.memory: api.RestoredEstimates | None = None
         self.version = 0  # of the list, by discovery's own word
-        self.told, self.loans = Told(), Loans()
+        self.reports, self.loans = PeerReports(), CapacityLoans()
         self.ask_at, self.asked, self.rounds, self.few = now, 0, 0, 0
         self.sources: dict[str, str] = {}  # what was trusted, and from whom
 
@@ -93,7 +99,7 @@
             return None
         if is_mine and self.dealt:
             return True if self.parts.steps else None  # the next window begins with it
-        return server.in_flight >= self.loans.left(server, now) if self.parts.trials else None
+        return server.in_flight >= self.loans.borrowed_attempts(server, now) if self.parts.trials else None
 
     def _is_known(self, server: Backend, now: float) -> bool:
         """Whether a box is as in ordinary times: warm by its age, and there; or on peers' word."""
@@ -184,7 +190,7 @@
         if server in self.begun and outcome.result is not api.Result.CANCELLED:
             request = job.request if job else None
             aim = job.request_class.latency_target if job else self.settings.classes[0].latency_target
-            lent = self.loans.lent(server, now)
+            lent = self.loans.lent_attempts(server, now)
             steps.ended(server, request, aim, outcome, lent, now)
             server.capacity = max(1.0, server.stepped_capacity - lent)
             if outcome.result is api.Result.CONNECT_FAILED and self.parts.trials:
@@ -215,7 +221,7 @@
     def _listen(self, now: float) -> None:
         """Whether peers are warm by what they have told."""
         if self.state_machine.state in (RecoveryState.ASKING_PEERS, RecoveryState.PROBING):
-            warm = self.told.warm(now, self.few)
+            warm = self.reports.count_warm(now, self.few)
             self.trusting = warm > 0
             if warm and not self.struck:
                 self.state_machine.apply(RecoveryEvent.PEERS_WARM, now, f"{warm} say so")
@@ -243,7 +249,7 @@
         """What follows from a peer's message, beginning with its mark; raises as `unpack` does."""
         sender, (at, said) = message.sender, messages.decode(message.payload)
         if isinstance(said, StateRequest):
-            if not self.parts.ask or not self.told.may_answer(now):
+            if not self.parts.ask or not self.reports.may_answer(now):
                 return []
             cold = {
                 s.id_hash & 0xFFFF: now - (s.started_at or now)
@@ -254,11 +260,11 @@
             held = StateReply(self.version, self.evidence.fleet_rate, since, not self.on, cold)
             return [api.SendToPeer(sender, messages.encode(held, now))]
         if isinstance(said, StateReply):
-            self.told.hear(sender, at, said, now)
+            self.reports.add(sender, at, said, now)
             self._believe(up, now)
             self._listen(now)
         elif (server := meant(said.tag)) and server.owner == sender and self.on:
-            self.loans.take(server, said.max_attempts, now)
+            self.loans.borrow(server, said.max_attempts, now)
             server.capacity = max(1.0, float(said.max_attempts))
         return []
 
@@ -266,10 +272,10 @@
         """Take what peers agree on: a scale where the evidence has none of its own, and starts."""
         if self.answered_at < self.state_machine.since:  # nothing of this life says better
             remembered = self.memory.scale if self.memory else 0.0
-            if scale := self.told.scale(now, remembered):
+            if scale := self.reports.agreed_scale(now, remembered):
                 self.evidence.fleet_rate = scale
-                self.sources["scale"] = f"{scale:.3g}, the median of {len(self.told.fresh(now))} peers"
-        cold = self.told.cold(now)
+                self.sources["scale"] = f"{scale:.3g}, the median of {len(self.reports.fresh(now))} peers"
+        cold = self.reports.cold_starts(now)
         for server in up:
             start = cold.get(server.id_hash & 0xFFFF)
             if start is not None and server not in self.proven and start > (server.started_at or 0.0):
@@ -339,8 +345,8 @@
         wanted = self.state_machine.state is not RecoveryState.GROWING and self.settings.limits.peers
         if not (wanted and peers and self.parts.ask and now >= self.ask_at):
             return []
-        self.ask_at = now + ASK_AGAIN * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
-        few = self.dice.sample(peers, min(FEW, len(peers)))
+        self.ask_at = now + ASK_INTERVAL_S * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
+        few = self.dice.sample(peers, min(MAX_ASKED_PEERS, len(peers)))
         self.rounds, self.few, self.asked = self.rounds + 1, len(few), self.asked + len(few)
         return [api.SendToPeer(peer, messages.encode(StateRequest(), now)) for peer in few]
 
@@ -348,13 +354,18 @@
         """Lend the room that is left over at a box to who lacks most, one box to each."""
         if not self.parts.trials or not rows or now < self.turned_away + SETTLED:
             return []
-        needy, actions = neediest(rows.items(), WINDOW), list[api.Action]()
+        needy, actions = most_unserved(rows.items(), WINDOW), list[api.Action]()
         for server in sorted(self.mine & self.begun.keys(), key=lambda s: s.entry.id):
-            spare = int(server.stepped_capacity - server.in_flight - self.loans.lent(server, now) - SPARE)
+            spare = int(
+                server.stepped_capacity
+                - server.in_flight
+                - self.loans.lent_attempts(server, now)
+                - RESERVED_ATTEMPTS
+            )
             if spare >= 1 and needy and server in self.proven:
                 peer = needy.pop(0)
                 self.loans.lend(server, peer, spare, now)
-                server.capacity = max(1.0, server.stepped_capacity - self.loans.lent(server, now))
+                server.capacity = max(1.0, server.stepped_capacity - self.loans.lent_attempts(server, now))
                 actions.append(
                     api.SendToPeer(peer, messages.encode(CapacityLoan(server.id_hash & 0xFFFF, spare), now))
                 )
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -13,7 +13,7 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 from firvane.proxy.recovery import peers, recovery, steps
-from firvane.proxy.recovery.peers import Told
+from firvane.proxy.recovery.peers import PeerReports
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.recovery.state_machine import TRANSITIONS, RecoveryEvent, RecoveryState
 from firvane.proxy.snapshots import file, types
@@ -41,8 +41,8 @@
     Path(path).write_bytes(data)
 
 
-def any_is_warm(self: Told, now: float, asked: int) -> int:
-    return sum(held.is_warm for _, held in self.fresh(now))
+def any_is_warm(self: PeerReports, now: float, asked: int) -> int:
+    return sum(report.state.is_warm for report in self.fresh(now))
 
 
 def cut() -> None:
@@ -75,9 +75,9 @@
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
     Mutant("the highest scale", peers, "median", max,
            test_peers.test_a_third_of_liars_moves_the_scale_no_further_than_honest_peers),
-    Mutant("one warm peer is enough", Told, "warm", any_is_warm,
+    Mutant("one warm peer is enough", PeerReports, "count_warm", any_is_warm,
            test_peers.test_peers_are_warm_when_most_say_so_and_have_had_answers),
-    Mutant("answers without a rate", Told, "may_answer", lambda self, now: True,
+    Mutant("answers without a rate", PeerReports, "may_answer", lambda self, now: True,
            test_peers.test_a_question_is_answered_within_a_rate),
     Mutant("a pace that stays", steps, "rest", lambda server: None,
            test_steps.test_work_that_would_take_more_than_its_aim_is_not_sent),
--- a/tests/proxy/recovery/test_small_fleet.py
+++ b/tests/proxy/recovery/test_small_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 
 from firvane.proxy.recovery import messages
-from firvane.proxy.recovery.peers import FEW
+from firvane.proxy.recovery.peers import MAX_ASKED_PEERS
 from firvane.proxy.recovery.state_machine import RecoveryState
 from tests.proxy.recovery.small_fleet import SmallFleet
 
@@ -29,4 +29,4 @@
 
         SmallFleet(proxies, [4] * max(6, proxies), rate=20.0, lies=count, back=100.0).run(5.0)
         # Each message is counted at each proxy that it could go to; there are three rounds in that time.
-        assert said and len(said) / proxies <= 3 * 2 * FEW * proxies and max(said) <= 256
+        assert said and len(said) / proxies <= 3 * 2 * MAX_ASKED_PEERS * proxies and max(said) <= 256
