--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -132,7 +132,7 @@
         return (
             not self.stepped(server)
             or job.attempts_sent > 0
-            or steps.fits(server, job.request.work, job.request_class.latency_target)
+            or steps.fits_target(server, job.request.work, job.request_class.latency_target)
         )
 
     def pause(self, job: OpenRequest, pause: float, now: float) -> float:
@@ -191,7 +191,7 @@
             request = job.request if job else None
             aim = job.request_class.latency_target if job else self.settings.classes[0].latency_target
             lent = self.loans.lent_attempts(server, now)
-            steps.ended(server, request, aim, outcome, lent, now)
+            steps.on_attempt_ended(server, request, aim, outcome, lent, now)
             server.capacity = max(1.0, server.stepped_capacity - lent)
             if outcome.result is api.Result.CONNECT_FAILED and self.parts.trials:
                 server.retry_at = min(server.retry_at, now + self.dice.uniform(*TRIAL))
@@ -313,7 +313,7 @@
                 self._leave(self.begun.keys() - self.mine)
             self._begin(mine, now)
             for server in self.begun:
-                steps.rest(server)
+                steps.decay_pace(server)
             actions += self._ask(now) + self._lend(rows, now)
         else:
             self.settled = {s: s.started_at for s in cold}
@@ -337,7 +337,7 @@
         room = self.memory.capacities.get(server.entry.id, 1.0)
         if self.memory.start_times.get(server.entry.id) != server.entry.up_since or server.failures:
             room *= self.settings.rules.start_capacity
-        return max(1.0, min(steps.MOST_FIRST, room))
+        return max(1.0, min(steps.MAX_FIRST_CAPACITY, room))
 
     def _ask(self, now: float) -> list[api.Action]:
         """Ask a few peers, anew in each round, until a box has answered."""
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -67,7 +67,7 @@
 back = test_histories.many_histories
 MUTANTS = (
     Mutant("no cut", steps, "_cut", lambda *more: None, cut),
-    Mutant("boundless growth", steps, "ended", grows, back),
+    Mutant("boundless growth", steps, "on_attempt_ended", grows, back),
     Mutant("a room as remembered", Recovery, "_first_room", lambda self, server: 1e4, back),
     Mutant("all try a box", Recovery, "holds", lambda *more: None,
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
@@ -79,7 +79,7 @@
            test_peers.test_peers_are_warm_when_most_say_so_and_have_had_answers),
     Mutant("answers without a rate", PeerReports, "may_answer", lambda self, now: True,
            test_peers.test_a_question_is_answered_within_a_rate),
-    Mutant("a pace that stays", steps, "rest", lambda server: None,
+    Mutant("a pace that stays", steps, "decay_pace", lambda server: None,
            test_steps.test_work_that_would_take_more_than_its_aim_is_not_sent),
     Mutant("an answer shows that a box is warm", Recovery, "_is_old", known, back),
     Mutant("a table without an end", TRANSITIONS, RecoveryState.GROWING.value,
--- a/tests/proxy/recovery/test_steps.py
+++ b/tests/proxy/recovery/test_steps.py
@@ -24,7 +24,7 @@
 
 
 def heard(server: Backend, result: api.Result, took: float, now: float, lent: int = 0) -> None:
-    steps.ended(server, None, AIM, api.Outcome(1, 0, "a", result, took, True), lent, now)
+    steps.on_attempt_ended(server, None, AIM, api.Outcome(1, 0, "a", result, took, True), lent, now)
 
 
 def drive(
@@ -64,7 +64,7 @@
     cores=st.integers(1, 16),
     speed=st.floats(0.2, 1.5),
     gives_up=st.floats(0.6, 2.5),
-    first=st.floats(1.0, steps.MOST_FIRST),
+    first=st.floats(1.0, steps.MAX_FIRST_CAPACITY),
 )
 def test_no_box_is_pushed_over_whatever_its_size_and_whatever_was_remembered(
     cores: int, speed: float, gives_up: float, first: float
@@ -97,9 +97,9 @@
 @pytest.mark.parametrize(
     ("result", "took", "left"),
     [
-        (api.Result.OK, 0.45, 8 * steps.CUT),
-        (api.Result.OVERLOADED, 0.01, 8 * steps.DEEP),
-        (api.Result.TIMEOUT, 1.0, 8 * steps.DEEP),
+        (api.Result.OK, 0.45, 8 * steps.LATE_FACTOR),
+        (api.Result.OVERLOADED, 0.01, 8 * steps.FAILURE_FACTOR),
+        (api.Result.TIMEOUT, 1.0, 8 * steps.FAILURE_FACTOR),
         (api.Result.CONNECT_FAILED, 0.0, 1.0),
         (api.Result.ERROR, 0.1, 8.0),
     ],
@@ -123,13 +123,13 @@
 
 def test_work_that_would_take_more_than_its_aim_is_not_sent() -> None:
     server = backend()
-    assert steps.fits(server, 9.0, AIM) and steps.fits(server, None, AIM)
+    assert steps.fits_target(server, 9.0, AIM) and steps.fits_target(server, None, AIM)
     request = api.Request(1, 0, 2.0, work=0.04)
-    steps.ended(server, request, AIM, api.Outcome(1, 0, "a", api.Result.OK, 0.4, True), 0, 1.0)
-    assert steps.fits(server, 0.05, AIM) and not steps.fits(server, 0.051, AIM)
+    steps.on_attempt_ended(server, request, AIM, api.Outcome(1, 0, "a", api.Result.OK, 0.4, True), 0, 1.0)
+    assert steps.fits_target(server, 0.05, AIM) and not steps.fits_target(server, 0.051, AIM)
     server.in_flight = 1
-    steps.rest(server)  # its answer will tell
-    assert not steps.fits(server, 0.051, AIM)
+    steps.decay_pace(server)  # its answer will tell
+    assert not steps.fits_target(server, 0.051, AIM)
     server.in_flight = 0
-    steps.rest(server)
-    assert steps.fits(server, 0.051, AIM) and not steps.fits(server, 0.07, AIM)
+    steps.decay_pace(server)
+    assert steps.fits_target(server, 0.051, AIM) and not steps.fits_target(server, 0.07, AIM)
--- a/tests/proxy/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -22,7 +22,7 @@
 from firvane.core.balancing.records import Backend
 from firvane.proxy.capacity.backend_estimates import BackendEstimates
 from firvane.proxy.recovery.recovery import Recovery
-from firvane.proxy.recovery.steps import MOST_FIRST
+from firvane.proxy.recovery.steps import MAX_FIRST_CAPACITY
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.file import SnapshotStore, read
 from firvane.proxy.snapshots.types import (
@@ -142,7 +142,7 @@
     box.failures = fails
     own.listed([box], api.ServerList(api.ListKind.CACHED, 1), 0.0)
     own.window({box}, {}, 0.1)
-    assert 1.0 <= box.capacity <= MOST_FIRST
+    assert 1.0 <= box.capacity <= MAX_FIRST_CAPACITY
     if name != "a":  # a new id gets nothing of another's, wherever it is
         assert box.capacity == 1.0
     if not same or fails:
