--- a/firvane/fleet/replication/log.py
+++ b/firvane/fleet/replication/log.py
@@ -111,10 +111,10 @@
         """Adopt a snapshot of committed entries; retain up to `keep_bytes` of the entries that it covers."""
         self.snapshot = snapshot
         drop = snapshot.index - self.base_index
-        kept = 0
+        retained_bytes = 0
         while drop > 0:
-            kept += len(self._entries[drop - 1].payload) + ENTRY_OVERHEAD
-            if kept > keep_bytes:
+            retained_bytes += len(self._entries[drop - 1].payload) + ENTRY_OVERHEAD
+            if retained_bytes > keep_bytes:
                 break
             drop -= 1
         if drop > 0:
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -62,11 +62,11 @@
         """Add the sums to the balancer's counts and estimates."""
         balancer = self.balancer
         aim = min(cls.latency_target for cls in balancer.settings.classes)
-        for name, told in reported.backends.items():
-            balancer.arrived[-1] += told.issued
-            balancer.served[-1] += told.served
+        for name, counts in reported.backends.items():
+            balancer.arrived[-1] += counts.issued
+            balancer.served[-1] += counts.served
             if server := balancer.servers.get(name):
-                if took := take(balancer.evidence, server, told, aim, now):
+                if took := take(balancer.evidence, server, counts, aim, now):
                     known = self.took.get(name, took)
                     self.took[name] = known + LATENCY_SMOOTHING * (took - known)
                 balancer.large.mark(server)
--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -210,9 +210,9 @@
             return 0, 0, 0
         out = []
         for i, n in enumerate(pending):
-            whole = int(min(n, max(1.0, n * part)))
-            pending[i] = n - whole
-            out.append(whole)
+            released = int(min(n, max(1.0, n * part)))
+            pending[i] = n - released
+            out.append(released)
         return out[0], out[1], out[2]
 
     def _sum(self, counts: tuple[int, int, int], observations: list[BackendObservations], now: float) -> Sum:
--- a/firvane/proxy/control/resource_codec.py
+++ b/firvane/proxy/control/resource_codec.py
@@ -75,8 +75,8 @@
 
 
 def _seconds(span: float) -> Any:
-    whole = int(span)
-    return duration_pb2.Duration(seconds=whole, nanos=round((span - whole) * 1e6) * 1000)
+    seconds = int(span)
+    return duration_pb2.Duration(seconds=seconds, nanos=round((span - seconds) * 1e6) * 1000)
 
 
 class Endpoints:
@@ -89,18 +89,18 @@
 
     def make(self, name: str, assignment: Assignment) -> Resource:
         """Encode the assignment of a group as the endpoints of a cluster."""
-        kept = self._cache
+        cached = self._cache
         self._cache = {}
         message = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
         for locality in assignment.localities:
-            self._locality(message, locality, kept)
+            self._locality(message, locality, cached)
         if assignment.dropped:
             drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
             drop.drop_percentage.numerator = min(MAX_DROP_NUMERATOR, assignment.dropped)
             drop.drop_percentage.denominator = percent_pb2.FractionalPercent.TEN_THOUSAND
         return resource(name, message)
 
-    def _locality(self, message: Any, locality: Locality, kept: dict[WeightedEndpoint, Any]) -> None:
+    def _locality(self, message: Any, locality: Locality, cached: dict[WeightedEndpoint, Any]) -> None:
         if not locality.weight:  # xDS has no weight 0: the locality is omitted
             return
         made = message.endpoints.add()
@@ -109,7 +109,7 @@
         made.load_balancing_weight.value = locality.weight
         entries = []
         for endpoint in locality.endpoints:
-            self._cache[endpoint] = entry = kept.get(endpoint) or _endpoint(endpoint)
+            self._cache[endpoint] = entry = cached.get(endpoint) or _endpoint(endpoint)
             entries.append(entry)
         made.lb_endpoints.extend(entries)
 
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -248,13 +248,13 @@
                     "why": list(last.causes[:10]), "serials": [entry.serial for entry in entries],
                 }
             )  # fmt: skip
-        silent = sorted(name for name, one in self.core.registry.receivers.items() if not one.streams)
+        disconnected = sorted(name for name, one in self.core.registry.receivers.items() if not one.streams)
         return {
             "service": self.name,
             "list": self.group.index,
             "groups": groups,
             "receivers": receivers,
-            "left": silent,
+            "left": disconnected,
         }
 
     def _receiver_status(self, session: Session, node: stream_codec.Node) -> dict[str, Any]:
@@ -291,8 +291,8 @@
                 raise LookupError(f"{question.get(end, '')!r} is no state of that group that is kept")
             found.append(entry)
         before, after = found
-        kept = self.core.catalog.history[zone]
-        passed = [one for one in kept if before.serial < one.serial <= after.serial]
+        entries = self.core.catalog.history[zone]
+        passed = [one for one in entries if before.serial < one.serial <= after.serial]
         return {
             "before": before.serial,
             "after": after.serial,
--- a/firvane/proxy/control/stream.py
+++ b/firvane/proxy/control/stream.py
@@ -391,7 +391,7 @@
         ]
         removed = sorted(set(gone) | set(absent))
         subscription.initial_versions = {
-            name: held for name, held in subscription.initial_versions.items() if name in retained
+            name: version for name, version in subscription.initial_versions.items() if name in retained
         }
         subscription.reported_missing |= set(absent)
         subscription.reported_missing -= visible.keys()
