--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -63,10 +63,10 @@
         balancer = self.balancer
         aim = min(cls.latency_target for cls in balancer.settings.classes)
         for name, counts in reported.backends.items():
-            balancer.arrived[-1] += counts.issued
+            balancer.arrivals[-1] += counts.issued
             balancer.served[-1] += counts.served
             if server := balancer.servers.get(name):
-                if took := take(balancer.evidence, server, counts, aim, now):
+                if took := take(balancer.estimates, server, counts, aim, now):
                     known = self.took.get(name, took)
                     self.took[name] = known + LATENCY_SMOOTHING * (took - known)
                 balancer.large.mark(server)
