--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,7 +28,7 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.capacity.backend_estimates import RARE, slowness
+from firvane.proxy.capacity.backend_estimates import MIN_LOSS_RATE, slowness
 from firvane.simulation.emulation.backend import Box
 from firvane.simulation.emulation.network import Links
 from firvane.simulation.emulation.records import Answered, Arrived, Asked, Record
@@ -71,7 +71,7 @@
     if evidence.is_in_slow_start(server, now):
         return "cold"
     if (
-        evidence.loss_rate >= RARE
+        evidence.loss_rate >= MIN_LOSS_RATE
         and server.attempts
         and any(evidence.is_attempt_lost(mark, now) for mark in server.attempts)
     ):
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -16,7 +16,7 @@
 from firvane.core.balancing.window import WINDOW
 from firvane.core.interface import DedupScope, Idempotency
 from firvane.proxy.capacity import tenant_admission
-from firvane.proxy.capacity.backend_estimates import CROWD, FAULTY, LONG
+from firvane.proxy.capacity.backend_estimates import EJECTION_ERROR_RATE, LONG_DURATIONS, MAX_HEDGE_REJECTIONS
 from firvane.proxy.server_selection import TENANT_WINDOW_S, ServerSelection
 from firvane.proxy.slice_table import FLAG_ASK_ROWS, PEER_TIMEOUT_ROWS
 
@@ -234,7 +234,7 @@
         attempt = self.estimates.on_attempt_sent(server, request.class_id, request.work, key, now)
         job.attempts_sent += 1
         job.maybe_ran += 1
-        if server.failures > 1 or server.error_rate > FAULTY:
+        if server.failures > 1 or server.error_rate > EJECTION_ERROR_RATE:
             server.retry_at = now + TRIAL_INTERVAL_S  # one trial at a time
         if self.estimates.is_in_slow_start(server, now):
             server.tokens -= 1
@@ -282,7 +282,7 @@
 
     def may_hedge(self) -> bool:
         """Whether a second attempt beside the first is affordable now."""
-        if not self.hedging_allowed or self.estimates.rejected_fraction >= CROWD:
+        if not self.hedging_allowed or self.estimates.rejected_fraction >= MAX_HEDGE_REJECTIONS:
             return False
         return not (self.recovery and self.recovery.on)
 
@@ -310,7 +310,7 @@
 
     def hedge_slow(self, job: OpenRequest, attempt: InFlightAttempt, now: float) -> None:
         """The server answers others: this attempt is slow, or its connection is dead."""
-        time_left = attempt.sent_at + LONG * attempt.usual_duration - now
+        time_left = attempt.sent_at + LONG_DURATIONS * attempt.usual_duration - now
         if time_left > self.settings.tick:
             self.set_request_timer(job, min(time_left, 0.5 * attempt.usual_duration))
         elif self.may_hedge() and (other := self.choose(job, now, HEDGE_CAPACITY)):
--- a/firvane/proxy/capacity/load_reports.py
+++ b/firvane/proxy/capacity/load_reports.py
@@ -18,11 +18,11 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.proxy.capacity.backend_estimates import (
-    AFTER,
-    FAULT,
-    FAULTY,
-    GUESS,
-    SLOW,
+    EJECTION_ERROR_RATE,
+    EJECTION_TRIAL_S,
+    ERROR_RATE_GAIN,
+    INITIAL_GROWTH_S,
+    LATE_TARGET_FRACTION,
     BackendEstimates,
     slowness,
 )
@@ -70,13 +70,13 @@
 
 def _judge(server: Backend, told: Sum, ended: int, now: float) -> None:
     """Whether it mostly fails."""
-    before, weight = server.error_rate, 1.0 - (1.0 - FAULT) ** min(ended, MOST)
+    before, weight = server.error_rate, 1.0 - (1.0 - ERROR_RATE_GAIN) ** min(ended, MOST)
     server.error_rate += weight * (told.worse - server.error_rate)
-    if server.error_rate > FAULTY:
+    if server.error_rate > EJECTION_ERROR_RATE:
         server.failures = max(2, server.failures)  # one trial at a time
-        server.retry_at = max(server.retry_at, now + AFTER)
+        server.retry_at = max(server.retry_at, now + EJECTION_TRIAL_S)
     elif told.served:
-        if before > FAULTY or server.failures:
+        if before > EJECTION_ERROR_RATE or server.failures:
             server.retry_at = min(server.retry_at, now)
         server.failures = server.connection_failures = 0
 
@@ -94,11 +94,11 @@
             kept * slowness(server, now) + (1.0 - kept) * ratio,
             now,
         )
-    short = took > SLOW * aim or told.bad > SPOILT
+    short = took > LATE_TARGET_FRACTION * aim or told.bad > SPOILT
     if short:
         if now > server.capacity_cut_at + 0.5 * aim:
             server.capacity, server.capacity_cut_at = max(1.0, CUT * server.capacity), now
     elif answers and server.in_flight + 1 > 0.7 * server.capacity:
-        guess = not server.capacity_cut_at and now < evidence.started + GUESS
+        guess = not server.capacity_cut_at and now < evidence.started + INITIAL_GROWTH_S
         server.capacity += 0.5 * min(answers, 4) if guess else 0.1 * answers / server.capacity
     return took
--- a/firvane/proxy/capacity/tenant_admission.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -1,4 +1,4 @@
-"""Which part of each tenant's requests to turn away: what exceeds a share first, then everyone's alike."""
+"""Which fraction of each tenant's requests to shed: what exceeds a quota share first, then all alike."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 
 
 def part(settings: api.Settings, rows: Mapping[int, Row], here: float) -> float:
-    """The part of all proxies' requests that comes to this one, by the `rows` of those that are heard.
+    """The part of all proxies' requests that arrives here.
 
-    `here` are the tenants' requests a second that came here. Where proxies tell each other nothing a tenant
-    exceeds its share only if it takes more of an even part, and of what is asked here: else each proxy would
-    grant all of the share, or one that is asked more than others would find everyone over theirs.
+    Where proxies exchange no rows, a tenant exceeds its quota share only by more than an even part of it and
+    than the part that arrives here: else each proxy would grant the whole share, or one that is sent more than
+    the others would find all tenants over theirs.
+
+    Args:
+        settings: of the proxy.
+        rows: of all live proxies.
+        here: the tenants' requests a second that arrive here.
     """
     even = 1.0 / settings.proxies
     if not settings.limits.peers:
@@ -25,7 +30,7 @@
 
 
 def parts(asked: Sequence[float], quotas: Sequence[float], part: float, over_share: bool) -> list[float]:
-    """By tenant; `asked` and `quotas` (0: any) are requests. `part` of all goes, or what is over a share."""
+    """The fractions to shed by tenant; `asked` and `quotas` (0: any) are requests, `part` is of all."""
     over = [max(0.0, n - (quota or n)) for n, quota in zip(asked, quotas, strict=True)]
     within = total(asked) - total(over)
     wanted = max(part * total(asked), total(over) if over_share else 0.0)
@@ -37,8 +42,15 @@
 def turn_away(
     settings: api.Settings, asked: Sequence[float], span: float, pressure: api.OverloadSignal, pause: float
 ) -> api.ShedLoad:
-    """Whom to turn away unseen: `asked` requests by tenant within `span` s of their quotas' worth; who is
-    sent away stays away for `pause` of the aim at least."""
+    """The action that sheds load.
+
+    Args:
+        settings: of the proxy.
+        asked: recent requests by tenant.
+        span: seconds of a tenant's quota that these are compared with.
+        pressure: what the proxy cannot carry.
+        pause: part of the latency target in which the rejected clients are asked to stay away, at least.
+    """
     allowed = [tenant.quota_rps * span for tenant in settings.tenants]
     each = parts(asked, allowed, pressure.excess_fraction, pressure.shed_over_quota)
     # While that lasts whoever returns soon is turned away again, at a cost to those who could be served.
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -21,7 +21,7 @@
 from firvane.core.balancing.slices import deal
 from firvane.core.balancing.window import WINDOW
 from firvane.proxy.capacity import slow_start
-from firvane.proxy.capacity.backend_estimates import FADE, BackendEstimates
+from firvane.proxy.capacity.backend_estimates import LATENCY_HALF_LIFE_S, BackendEstimates
 from firvane.proxy.recovery import messages
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.routing.hash_ring import Ring
@@ -242,7 +242,7 @@
         ready_at = server.retry_at
         is_slow = (
             server.relative_latency > SLOW_LATENCY
-            and server.relative_latency_at > now - LATENCY_MEMORY_FADES * FADE
+            and server.relative_latency_at > now - LATENCY_MEMORY_FADES * LATENCY_HALF_LIFE_S
         )
         refresh_at = now + POWER_REFRESH_S if is_slow else math.inf
         is_warm = not self.estimates.is_in_slow_start(server, now)
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -14,7 +14,15 @@
 from firvane.core.balancing.records import Backend, OpenRequest
 from firvane.core.balancing.rows import decode_row, encode_row
 from firvane.proxy.capacity import class_counts, tenant_admission
-from firvane.proxy.capacity.backend_estimates import LATE, LIGHT, LONG, RARE, SHOWN, SLOW, BackendEstimates
+from firvane.proxy.capacity.backend_estimates import (
+    LATE_DURATIONS,
+    LATE_TARGET_FRACTION,
+    LIGHT_WORK_FRACTION,
+    LONG_DURATIONS,
+    MIN_LOSS_RATE,
+    PACE_MARGIN,
+    BackendEstimates,
+)
 from firvane.proxy.capacity.excluded_servers import skipped
 from firvane.proxy.capacity.slow_start import refill
 from tests.helpers import RULES, SAFE, server, settings, started
@@ -94,7 +102,7 @@
     made, box = evidence()
     made.typical_duration[0] = 0.1
     mark = made.on_attempt_sent(box, 0, None, (1, 0), 100.0)
-    late, long = 100.0 + LATE * 0.1, 100.0 + LONG * 0.1
+    late, long = 100.0 + LATE_DURATIONS * 0.1, 100.0 + LONG_DURATIONS * 0.1
     assert not made.is_attempt_lost(
         mark, long + 9.0
     )  # slow, or its box is silent: nothing tells it from that
@@ -102,7 +110,7 @@
     assert not made.is_attempt_lost(mark, long - 0.01) and made.is_attempt_lost(mark, long)
     mark.overtaken_by = 2
     assert not made.is_attempt_lost(mark, late - 0.01) and made.is_attempt_lost(mark, late)
-    mark.overtaken_by, made.loss_rate = 0, RARE
+    mark.overtaken_by, made.loss_rate = 0, MIN_LOSS_RATE
     assert not made.is_attempt_lost(mark, long - 0.01) and made.is_attempt_lost(mark, long)
 
 
@@ -172,7 +180,7 @@
     for n in range(100, 110):
         answer(cold, n, 0.1)
     assert made.slow_start_fraction(cold, 100.0) == pytest.approx(
-        SHOWN
+        PACE_MARGIN
     )  # as quick as the warm ones, less the margin
     for n in range(200, 230):
         answer(cold, n, 0.5)
@@ -365,11 +373,13 @@
         return box.capacity
 
     aim = made.settings.classes[0].latency_target
-    room = answer(1, LIGHT * aim / 2, SLOW * aim / 2)
+    room = answer(1, LIGHT_WORK_FRACTION * aim / 2, LATE_TARGET_FRACTION * aim / 2)
     assert room > 1.3
-    cut = answer(2, LIGHT * aim / 2, SLOW * aim * 1.1)
-    assert cut < room and answer(3, LIGHT * aim / 2, SLOW * aim * 1.1) == cut  # late answers come in bunches
-    assert answer(4, LIGHT * aim * 2, SLOW * aim * 1.1) > cut
+    cut = answer(2, LIGHT_WORK_FRACTION * aim / 2, LATE_TARGET_FRACTION * aim * 1.1)
+    assert (
+        cut < room and answer(3, LIGHT_WORK_FRACTION * aim / 2, LATE_TARGET_FRACTION * aim * 1.1) == cut
+    )  # late answers come in bunches
+    assert answer(4, LIGHT_WORK_FRACTION * aim * 2, LATE_TARGET_FRACTION * aim * 1.1) > cut
 
 
 def test_a_cold_server_gets_no_more_than_its_room_however_large_its_budget() -> None:
--- a/tests/proxy/test_balancer.py
+++ b/tests/proxy/test_balancer.py
@@ -12,7 +12,7 @@
 from firvane.core.balancing.rows import ENTRY, ROW, decode_row
 from firvane.core.balancing.window import WINDOW
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.capacity.slow_start import BOLD_ALL
+from firvane.proxy.capacity.slow_start import POOLED_OVERCOMMIT
 from firvane.proxy.slice_table import MAX_ROW_ENTRIES
 from tests.helpers import (
     CLASSES,
@@ -593,7 +593,7 @@
         balancer = Balancer(settings(proxies=40, me=me), me, 90.0)
         balancer.start(90.0)
         balancer.handle(full_list(server("x", up_since=99.9)), 100.0)
-        balancer.estimates.fleet_rate = 8.0 / BOLD_ALL / 0.3
+        balancer.estimates.fleet_rate = 8.0 / POOLED_OVERCOMMIT / 0.3
         for n, past in enumerate(times):
             for i in (2 * n, 2 * n + 1):  # more is asked for than it may have
                 if out := sends(balancer.handle(api.Request(i, 0, 0.4, f"k{i}"), 100.0 + past)):
