--- a/firvane/proxy/capacity/tenant_admission.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -14,8 +14,8 @@
     """The part of all proxies' requests that arrives here.
 
     Where proxies exchange no rows, a tenant exceeds its quota share only by more than an even part of it and
-    than the part that arrives here: else each proxy would grant the whole share, or one that is sent more than
-    the others would find all tenants over theirs.
+    than the part that arrives here: else each proxy would grant the whole share, or one that is sent more
+    than the others would find all tenants over theirs.
 
     Args:
         settings: of the proxy.
