--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -24,7 +24,7 @@
 
 from msgspec import Struct
 
-from firvane.proxy.limits.token_buckets import Rates
+from firvane.proxy.limits.token_buckets import TokenBuckets
 from firvane.proxy.net.peer_datagrams import DATAGRAM_BURST, DATAGRAM_RATE_PER_S
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum import events
@@ -53,7 +53,7 @@
 CHANGE_S = 22.0  # in which a change ends: readiness, the activation delay, and what is lost on the way
 ROUND_S = 5.0  # round a change, in which service that is lost is counted
 RESTART_RANGE_S = (0.5, 12.0)
-FIRST = digest_of(b"the first policy")
+FIRST_BACKOFF_S = digest_of(b"the first policy")
 
 
 class Span(NamedTuple):
@@ -75,11 +75,11 @@
         self.member: Member | None = None
         self.run_number = 0
         self.stored: VoterState | None = None
-        self.texts: set[bytes] = {FIRST}
+        self.texts: set[bytes] = {FIRST_BACKOFF_S}
         self.is_stalled = False
         self.pending_events: list[events.Event] = []
         self.disk_full = False  # its disk
-        self.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
+        self.rates = TokenBuckets(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.open_span: tuple[float, int] | None = None  # since when it holds, and which epoch
         self.tick_at = inf
 
@@ -158,7 +158,7 @@
         names = [self.name(voter) for voter in self.voters]
         self.judge = Epochs(self.findings, names, self.times.activation_tolerance_s, CHANGE_S)
         self.seen: dict[int, bytes] = {}
-        first = VoterState(1, Value(1, FIRST, self.voters), True, NO_PROPOSAL_NUMBER, None, ())
+        first = VoterState(1, Value(1, FIRST_BACKOFF_S, self.voters), True, NO_PROPOSAL_NUMBER, None, ())
         for node in self.nodes:
             if node.number in self.voters:
                 node.stored = first
@@ -199,7 +199,7 @@
             node.number, self.config.proxies, self.voters, self.times, seed, node.clock(self.now),
             node.stored, has,
         )  # fmt: skip
-        node.rates = Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
+        node.rates = TokenBuckets(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.judge.see(ProxyState(self.now, self.name(node.number), "ready"))
         self.give(node, events.Tick())
 
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -11,7 +11,7 @@
 from firvane.core.address import Address, parse_address
 from firvane.core.logs import FORMATS, LEVELS
 from firvane.proxy.config.node import Config, PolicyTold
-from firvane.proxy.limits.descriptors import LEAST
+from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS
 from firvane.proxy.limits.memory_costs import derive
 from firvane.proxy.settings import SHOWN, is_number, parse_settings, shape
 
@@ -80,7 +80,7 @@
     sockets = int(numbers["sockets"])
     derive(numbers["memory_mb"], sockets, numbers["cores"])
     # The operators' door takes its part of them before the proxy deals out the rest.
-    if ops and sockets < (least := LEAST + DOOR):
+    if ops and sockets < (least := MIN_DESCRIPTORS + DOOR):
         raise ValueError(
             f"limits.sockets is {sockets}: at least {least} are needed, of which the door of ops keeps {DOOR}"
         )
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -24,7 +24,7 @@
 from firvane.proxy.control.certificates import TlsCredentials
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.types import Snapshot
-from firvane.proxy.limits.discovery_timing import Pauses
+from firvane.proxy.limits.discovery_timing import DiscoveryBackoff
 from firvane.proxy.net.endpoint_list import EndpointListReader
 from firvane.proxy.net.peer_datagrams import PeerDatagrams
 from firvane.proxy.net.target_group import TargetGroup
@@ -63,8 +63,10 @@
         self.loop, self.config = loop, config
         self.name = control_settings.service
         reader = EndpointListReader(config.zones, config.kinds)
-        pauses = Pauses(0, random.Random(config.seed))
-        self.group = TargetGroup(loop, config.discovery, reader, self._target, self._listed, self.log, pauses)
+        backoff = DiscoveryBackoff(0, random.Random(config.seed))
+        self.group = TargetGroup(
+            loop, config.discovery, reader, self._target, self._listed, self.log, backoff
+        )
         self.peers = [
             PeerDatagrams(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
             for place, own in enumerate(places(config, control_settings))
--- a/firvane/proxy/limits/__init__.py
+++ b/firvane/proxy/limits/__init__.py
@@ -1,4 +1,4 @@
-"""What the proxy may hold and do: memory, descriptors, turns of the loop, and what to give up under pressure.
+"""Resource limits: memory, descriptors, work in an iteration of the loop, load shedding, overload actions.
 
-Pure: no file here opens, reads a clock or draws; figures and `now` are handed in.
+Pure: no module here does I/O, reads a clock or draws; measurements and `now` are arguments.
 """
--- a/firvane/proxy/limits/admission.py
+++ b/firvane/proxy/limits/admission.py
@@ -1,48 +1,53 @@
-"""What part of the requests that come can be carried, from what was carried while there was more to do.
+"""Admission control: which fraction of requests to reject, from what was served while there was a backlog.
 
 Rules that hold here and nowhere else:
 
-1. Only a period in which somebody was refused for want of turns, or had to wait for one throughout, says
-   what can be carried; a calm one says only that it was no less.
-2. The part to turn away follows what is offered beyond that. It rises at once and falls by `EASE` a period,
-   so that the brake is looked at again and again, and never released in one go.
-3. It is a wish: the decision module says whom it falls on.
+1. Only a period in which the queue was full, or never empty, shows the capacity; a calm one shows only that
+   it is no less.
+2. The fraction to reject follows what is offered beyond that. It rises at once and falls by `RELEASE_FACTOR`
+   a period, so that it is probed again and again, and never released in one go.
+3. It is a request: the balancer decides which requests are rejected.
 """
 
 from __future__ import annotations
 
-EASE = 0.5  # of the part turned away that is left after a period with room to spare
-SPARE = 1.05  # of what was carried is tried next: what can be carried may have grown
-GAIN = 0.5  # how far one period moves what is thought to be carried
-LEAST = 0.02  # a smaller part is none
+RELEASE_FACTOR = 0.5  # of the fraction, that is left after a period with spare capacity
+PROBE_FACTOR = 1.05  # of the known capacity that is admitted next: it may have grown
+CAPACITY_GAIN = 0.5  # weight of one period in the estimate of the capacity
+MIN_FRACTION = 0.02  # less is none
+MAX_FRACTION = 0.98
 
 
-class Admission:
-    """Follows what can be carried, period by period."""
+class AdmissionController:
+    """Follows the capacity, period by period."""
 
     def __init__(self) -> None:
-        self.carried = 0.0  # requests a second, as last seen at the limit
+        self.capacity = 0.0  # requests a second, in the last period with a backlog
         self.offered = 0.0  # requests a second in the last period
-        self.part = 0.0  # of the offered that is to be turned away
+        self.fraction = 0.0  # of the offered requests, to reject
 
-    def period(self, span: float, taken: int, turned_away: int, overflowed: int, waited: bool) -> float:
-        """The part of what comes to turn away in the next period.
+    def update(self, span: float, taken: int, rejected: int, overflowed: int, waited: bool) -> float:
+        """Return the fraction of requests to reject in the next period.
 
-        `span` is in seconds; `taken` went to the decisions, `turned_away` by the part in force, `overflowed`
-        for want of turns; `waited` says that the line was never empty.
+        Args:
+            span: length of the period, in seconds.
+            taken: requests that went to the decisions.
+            rejected: requests rejected by the fraction in force.
+            overflowed: requests rejected by a full queue.
+            waited: the queue was never empty.
         """
         if span <= 0:
-            return self.part
+            return self.fraction
         rate = taken / span
-        self.offered = (taken + turned_away + overflowed) / span
+        self.offered = (taken + rejected + overflowed) / span
         if overflowed or waited:
-            self.carried += (GAIN if self.carried else 1.0) * (rate - self.carried)
-            wanted = 1.0 - SPARE * self.carried / self.offered if self.offered else 0.0
-            self.part = max(wanted, self.part * EASE)
+            self.capacity += (CAPACITY_GAIN if self.capacity else 1.0) * (rate - self.capacity)
+            wanted = 1.0 - PROBE_FACTOR * self.capacity / self.offered if self.offered else 0.0
+            self.fraction = max(wanted, self.fraction * RELEASE_FACTOR)
         else:
-            self.carried = max(self.carried, rate)
-            self.part *= EASE
-        if self.part < LEAST:
-            self.part = 0.0
-        self.part = min(self.part, 0.98)
-        return self.part
+            self.capacity = max(self.capacity, rate)
+            self.fraction *= RELEASE_FACTOR
+        if self.fraction < MIN_FRACTION:
+            self.fraction = 0.0
+        self.fraction = min(self.fraction, MAX_FRACTION)
+        return self.fraction
--- a/firvane/proxy/limits/admission_gate.py
+++ b/firvane/proxy/limits/admission_gate.py
@@ -1,11 +1,10 @@
-"""The gate in front of the decisions: turns away unseen what the decision module has said to turn away.
+"""Load shedding in front of the decisions: rejects, unparsed, what the balancer has said to reject.
 
 Rules that hold here and nowhere else:
 
-1. The parts are the module's. What comes beyond a full line is turned away for want of a turn; nothing
-   else is.
-2. A part is followed exactly and without chance: of a tenant's requests every so many-th is turned away.
-3. What was turned away is counted by tenant, and told to the module with the next pressure.
+1. The fractions are the balancer's. Beyond them only what finds the queue full is rejected.
+2. A fraction is followed exactly and without chance: of a tenant's requests every n-th is rejected.
+3. Rejections are counted by tenant, and reported to the balancer with the next overload signal.
 """
 
 from __future__ import annotations
@@ -13,61 +12,65 @@
 from collections.abc import Callable, Sequence
 
 
-class Gate:
-    """The parts to turn away, and the counts of what was."""
+class AdmissionGate:
+    """The fractions to reject, and the counts of what was."""
 
-    def __init__(self, tenants: Sequence[bytes], crowded: Callable[[bool], bool]) -> None:
-        """`tenants` in the settings' order; `crowded` tells whether there is no turn for another request.
+    def __init__(self, tenants: Sequence[bytes], is_queue_full: Callable[[bool], bool]) -> None:
+        """Create the gate.
 
-        It is told whether that comes from one who asks far more than others do.
+        Args:
+            tenants: names, in the order of the settings.
+            is_queue_full: whether the queue is full for a client, given whether that asks more than others.
         """
         self.numbers = {name: i for i, name in enumerate(tenants)}
-        self.crowded = crowded
-        self.parts = [0.0] * max(1, len(tenants))
-        self.owing = [0.0] * len(self.parts)  # what the parts have added up to since the last one turned away
-        self.unseen = [0] * len(self.parts)  # turned away since this was last told
-        self.again = False  # marked retries are turned away
-        self.shut = False  # some part is turned away
-        self.wished = self.overflowed = 0  # turned away by the parts; for want of a turn
+        self.is_queue_full = is_queue_full
+        self.fractions = [0.0] * max(1, len(tenants))
+        self.accumulated = [0.0] * len(
+            self.fractions
+        )  # what the fractions have added up to since the last rejection
+        self.rejected_by_tenant = [0] * len(self.fractions)  # rejected since the last report
+        self.rejects_retries = False  # marked retries are rejected
+        self.is_shedding = False  # some fraction is rejected
+        self.shed = self.overflowed = 0  # rejected by the fractions; by a full queue
 
-    def name(self, tenants: Sequence[bytes]) -> None:
-        """These from now on; who was there before has its number still."""
+    def set_tenants(self, tenants: Sequence[bytes]) -> None:
+        """Take over the names of tenants; those that were known keep their numbers."""
         self.numbers = {name: i for i, name in enumerate(tenants)}
-        more = max(1, len(tenants)) - len(self.parts)
-        self.parts += [0.0] * more
-        self.owing += [0.0] * more
-        self.unseen += [0] * more
+        more = max(1, len(tenants)) - len(self.fractions)
+        self.fractions += [0.0] * more
+        self.accumulated += [0.0] * more
+        self.rejected_by_tenant += [0] * more
 
-    def set(self, parts: Sequence[float], again: bool = False) -> None:
-        """The module's word: a part for each tenant, or one for all; `again`: and all marked retries."""
-        self.again = again
-        if len(parts) != len(self.parts):
-            parts = [parts[0] if parts else 0.0] * len(self.parts)
-        self.parts = [min(1.0, max(0.0, part)) for part in parts]
-        self.shut = any(self.parts)
+    def set_fractions(self, fractions: Sequence[float], retries: bool = False) -> None:
+        """Set the fraction to reject of each tenant, or one for all; `retries`: and all marked retries."""
+        self.rejects_retries = retries
+        if len(fractions) != len(self.fractions):
+            fractions = [fractions[0] if fractions else 0.0] * len(self.fractions)
+        self.fractions = [min(1.0, max(0.0, fraction)) for fraction in fractions]
+        self.is_shedding = any(self.fractions)
 
-    def turns_away(self, tenant: bytes, greedy: bool = False, again: bool = False) -> bool:
-        """Whether a request of this tenant's, a marked retry or not, is to be turned away; it is counted."""
+    def rejects(self, tenant: bytes, greedy: bool = False, is_retry: bool = False) -> bool:
+        """Whether a request of this tenant, a marked retry or not, is to be rejected; it is counted."""
         number = self.numbers.get(tenant, 0)
-        if again and self.again:
-            self.wished += 1
-            self.unseen[number] += 1
+        if is_retry and self.rejects_retries:
+            self.shed += 1
+            self.rejected_by_tenant[number] += 1
             return True
-        if part := self.parts[number]:
-            owing = self.owing[number] + part
-            if owing >= 1.0:
-                self.owing[number] = owing - 1.0
-                self.wished += 1
-                self.unseen[number] += 1
+        if fraction := self.fractions[number]:
+            accumulated = self.accumulated[number] + fraction
+            if accumulated >= 1.0:
+                self.accumulated[number] = accumulated - 1.0
+                self.shed += 1
+                self.rejected_by_tenant[number] += 1
                 return True
-            self.owing[number] = owing
-        if self.crowded(greedy):
+            self.accumulated[number] = accumulated
+        if self.is_queue_full(greedy):
             self.overflowed += 1
-            self.unseen[number] += 1
+            self.rejected_by_tenant[number] += 1
             return True
         return False
 
-    def told(self) -> tuple[int, ...]:
-        """What was turned away by tenant since the last call."""
-        unseen, self.unseen = tuple(self.unseen), [0] * len(self.unseen)
-        return unseen
+    def take_rejections(self) -> tuple[int, ...]:
+        """Rejections by tenant since the last call."""
+        rejected, self.rejected_by_tenant = tuple(self.rejected_by_tenant), [0] * len(self.rejected_by_tenant)
+        return rejected
--- a/firvane/proxy/limits/descriptors.py
+++ b/firvane/proxy/limits/descriptors.py
@@ -1,10 +1,10 @@
-"""The budget of file descriptors: each use has a floor that no other takes, the rest is for whoever asks.
+"""The budget of file descriptors: each use has a floor that no other takes, the rest is shared.
 
 Rules that hold here and nowhere else:
 
-1. A lease is had before a descriptor is opened, and given back when it is closed.
+1. A lease is taken before a descriptor is opened, and released when it is closed.
 2. A use may go beyond its floor only into what the floors of the others leave.
-3. What is refused is told at once: nothing waits for a descriptor here.
+3. A lease is granted or rejected at once: nothing waits for a descriptor here.
 """
 
 from __future__ import annotations
@@ -22,63 +22,75 @@
     CLIENTS = "clients"
 
 
-OWN, DISCOVERY, PEERS = 24, 4, 2  # standard streams, epoll, eventfds, listeners; a file; libuv's spare
-TARGETS_FLOOR, CLIENTS_FLOOR = 0.4, 0.5  # of what is left after those
-LEAST = 64  # fewer than that serve nobody
+OWN_FLOOR = 24  # standard streams, epoll, eventfds, listeners; a file; libuv's spare
+DISCOVERY_FLOOR = 4
+PEERS_FLOOR = 2
+TARGETS_FLOOR_RATIO = 0.4  # of what is left after those
+CLIENTS_FLOOR_RATIO = 0.5
+MIN_DESCRIPTORS = 64  # fewer serve nobody
 
 
 def floors(total: int) -> dict[Use, int]:
-    """The floor of each use; `ValueError` where `total` descriptors cannot hold the least of all."""
-    if total < LEAST:
-        raise ValueError(f"{total} descriptors are too few: at least {LEAST} are needed")
-    rest = total - OWN - DISCOVERY - PEERS
+    """The floor of each use.
+
+    Raises:
+        ValueError: `total` descriptors are fewer than `MIN_DESCRIPTORS`.
+    """
+    if total < MIN_DESCRIPTORS:
+        raise ValueError(f"{total} descriptors are too few: at least {MIN_DESCRIPTORS} are needed")
+    rest = total - OWN_FLOOR - DISCOVERY_FLOOR - PEERS_FLOOR
     return {
-        Use.OWN: OWN,
-        Use.DISCOVERY: DISCOVERY,
-        Use.PEERS: PEERS,
-        Use.TARGETS: int(rest * TARGETS_FLOOR),
-        Use.CLIENTS: int(rest * CLIENTS_FLOOR),
+        Use.OWN: OWN_FLOOR,
+        Use.DISCOVERY: DISCOVERY_FLOOR,
+        Use.PEERS: PEERS_FLOOR,
+        Use.TARGETS: int(rest * TARGETS_FLOOR_RATIO),
+        Use.CLIENTS: int(rest * CLIENTS_FLOOR_RATIO),
     }
 
 
 class Descriptors:
-    """Leases of descriptors, by use."""
+    """BodyLeases of descriptors, by use."""
 
     def __init__(self, total: int, floor: dict[Use, int] | None = None) -> None:
         self.total, self.floor = total, floor or floors(total)
-        self.held = dict.fromkeys(Use, 0)
-        self.held[Use.OWN] = self.floor[Use.OWN]
-        self.refused = dict.fromkeys(Use, 0)
+        self.open = dict.fromkeys(Use, 0)
+        self.open[Use.OWN] = self.floor[Use.OWN]
+        self.rejected = dict.fromkeys(Use, 0)
 
-    def most(self, use: Use) -> int:
-        """How many `use` could hold if nobody else went beyond its floor."""
+    def limit(self, use: Use) -> int:
+        """How many `use` could open if no other went beyond its floor."""
         return self.total - sum(floor for other, floor in self.floor.items() if other is not use)
 
     def free(self, use: Use) -> int:
         """How many more `use` may open now."""
         left, floor = self.total, self.floor
-        for other, held in self.held.items():
-            left -= held if other is use or held > floor[other] else floor[other]
+        for other, count in self.open.items():
+            left -= count if other is use or count > floor[other] else floor[other]
         return left
 
     def lease(self, use: Use) -> bool:
         """Whether one more may be opened; it is then counted."""
         if self.free(use) <= 0:
-            self.refused[use] += 1
+            self.rejected[use] += 1
             return False
-        self.held[use] += 1
+        self.open[use] += 1
         return True
 
     def count(self, use: Use) -> bool:
-        """Count one that is open already, as an accepted connection is; whether there was room for it."""
-        self.held[use] += 1
+        """Count one that is open already, as an accepted connection is; whether it is within the limit."""
+        self.open[use] += 1
         return self.free(use) >= 0
 
-    def give_back(self, use: Use) -> None:
-        if not self.held[use]:
+    def release(self, use: Use) -> None:
+        """Count a descriptor as closed.
+
+        Raises:
+            ValueError: none is leased for this use.
+        """
+        if not self.open[use]:
             raise ValueError(f"a descriptor for {use.value} is given back that was never leased")
-        self.held[use] -= 1
+        self.open[use] -= 1
 
-    def part(self, use: Use) -> float:
-        """What `use` holds, as a part of what it may hold now."""
-        return self.held[use] / max(1, self.held[use] + self.free(use))
+    def usage(self, use: Use) -> float:
+        """What `use` has open, as a fraction of what it may have open now."""
+        return self.open[use] / max(1, self.open[use] + self.free(use))
--- a/firvane/proxy/limits/loop_budget.py
+++ b/firvane/proxy/limits/loop_budget.py
@@ -1,18 +1,17 @@
-"""Turns of the loop: how much is done in one, and who comes next.
-
-Rules that hold here and nowhere else:
-
-1. A turn has `TURN` units of work, one client `SHARE` of them. All that a client can cause counts: a
-   request read, one answered without a decision, and, as the dearest, one that the decisions are asked
-   about.
-2. Who finds no more room in a turn waits in line, and each goes on in turn; nobody stands in it twice. Who
-   has used up its own part, or has sent one request behind another, or asks far more than others do, waits
-   in the line behind, of which each turn takes `BEHIND` units, and more only where nobody else is waiting.
-3. The line is no longer than can be worked off in the time that a request may wait there. What comes when
-   it is full is refused; of those who ask far more than others, when a quarter of it is.
-4. Refusals have a budget of their own, `REFUSALS` a turn, and a line of their own. So they cost a bounded
-   part of each turn however many there are: what cannot be done does not cost what can. They wait for
-   nothing else.
+"""The budget of one iteration of the event loop: how much work is done in it, and whose work is next.
+
+Invariants:
+
+1. An iteration has `ITERATION_UNITS` of work, one connection `CONNECTION_UNITS` of them. Everything that a
+   client can cause counts: a request that is read, one that is answered without a decision, and, as the
+   most expensive, one that needs a decision.
+2. A worker that exceeds the budget is queued, once at most, and goes on in order. One that has used up its
+   own units, has pipelined requests, or asks far more than others do, waits in a low-priority queue, of
+   which each iteration takes `LOW_PRIORITY_UNITS`, and more only where nobody else waits.
+3. The queue is no longer than can be served in the time that a request may wait in it. What arrives when it
+   is full is rejected; from clients that ask far more than others, when it is a quarter full.
+4. Rejections have a budget of their own, `REJECTIONS_PER_ITERATION`, and a queue of their own, so that they
+   cost a bounded fraction of each iteration however many there are.
 """
 
 from __future__ import annotations
@@ -21,100 +20,106 @@
 from collections.abc import Callable
 from typing import Protocol
 
-TURN, SHARE = 156, 52  # units of work in a turn: over all connections, and for one of them
-READ_ONE, DECIDE = 1, 12  # units: read a request, or answer it outright; have it decided and sent
-BEHIND = 52  # units a turn for those who have had their part
-CHUNKED = 8  # units: read a step of a body in chunks, which may be of one byte each
-REFUSALS = 30  # in a turn: some 0.7 ms beside the 2 to 3 ms of the requests that are decided in it
-MORE_REFUSALS = 30  # and more of them the longer their line is, for none is to wait for long
-LEAST_LINE = 48  # who may wait in any case: some four turns
+ITERATION_UNITS = 156  # of work in an iteration, over all connections
+CONNECTION_UNITS = 52  # for one connection
+READ_UNITS = 1  # to read a request, or answer it outright
+DECISION_UNITS = 12  # to have a request decided and sent
+LOW_PRIORITY_UNITS = 52  # an iteration, for those that have used up their own
+CHUNKED_READ_UNITS = 8  # to read a step of a chunked body, whose chunks may have one byte each
+REJECTIONS_PER_ITERATION = 30
+MAX_EXTRA_REJECTIONS = 30  # the longer their queue is
+MIN_QUEUE_LENGTH = 48  # that is admitted in any case
 
 
 class Worker(Protocol):
-    """Who waits in line."""
+    """Whoever has work that can wait for a later iteration."""
 
     queued: bool
 
     def go_on(self, given: bool = False) -> None:
-        """Work as long as `spend` allows; `given` in a turn of its own, for which it has waited."""
+        """Work as long as `spend` allows; `given` where it has waited for this iteration."""
 
     def refuse(self) -> None:
-        """Refuse what is here."""
-
-
-class Turns:
-    """The work of one turn, and the line of those who have more."""
-
-    def __init__(self, call_soon: Callable[[Callable[[], None]], object], most_wait: float) -> None:
-        """`call_soon` runs a callback in the next turn; `most_wait` is in seconds."""
-        self.call_soon, self.most_wait = call_soon, most_wait
-        self.line: deque[Worker] = deque()
-        self.behind: deque[Worker] = deque()  # those who have had their part
-        self.refused: deque[Worker] = deque()  # who waits for a refusal
-        self.spent = 0  # units in this turn
-        self.mine = 0  # of them by whoever works now
-        self.taken = 0  # requests that went to the decisions, ever
-        self.rate = 0.0  # of them a second, as last measured while there was more to do than could be done
+        """Reject what is pending."""
+
+
+class LoopBudget:
+    """The work of one iteration, and the queues of those that have more."""
+
+    def __init__(self, call_soon: Callable[[Callable[[], None]], object], max_wait_s: float) -> None:
+        """`call_soon` runs a callback in the next iteration; `max_wait_s` bounds the wait in the queue."""
+        self.call_soon, self.max_wait_s = call_soon, max_wait_s
+        self.queue: deque[Worker] = deque()
+        self.low_priority: deque[Worker] = deque()  # those that have used up their own units
+        self.rejections: deque[Worker] = deque()  # those that wait for a rejection
+        self.spent = 0  # units in this iteration
+        self.spent_by_worker = 0  # of them by the current worker
+        self.decided = 0  # requests that went to the decisions, ever
+        self.rate = 0.0  # of them a second, in the last period with a backlog
         self._due = False
 
     def full(self, greedy: bool = False) -> bool:
-        """Whether the line is as long as it may be, for one who asks no more than others or far more."""
-        most = max(LEAST_LINE, int(self.rate * self.most_wait))
-        return 4 * len(self.line) >= most if greedy else len(self.line) >= most
+        """Whether the queue is full, for a client that asks no more than others or, `greedy`, far more."""
+        most = max(MIN_QUEUE_LENGTH, int(self.rate * self.max_wait_s))
+        return 4 * len(self.queue) >= most if greedy else len(self.queue) >= most
 
     def begin(self) -> None:
-        """Somebody begins to work; what it spends from now on is its own part."""
-        self.mine = 0
+        """A worker begins; what is spent from now on is its own."""
+        self.spent_by_worker = 0
 
     def spend(self, units: int) -> bool:
-        """Whether there is room for so much more in this turn, for whoever works now; it is then counted."""
-        if self.spent + units > TURN or self.mine + units > SHARE:
+        """Whether the iteration and the worker may spend so many units more; they are then counted."""
+        if self.spent + units > ITERATION_UNITS or self.spent_by_worker + units > CONNECTION_UNITS:
             return False
         self.spent += units
-        self.mine += units
-        if units >= DECIDE:
-            self.taken += 1
+        self.spent_by_worker += units
+        if units >= DECISION_UNITS:
+            self.decided += 1
         self._call()
         return True
 
-    def wait(self, worker: Worker, behind: bool = False) -> None:
-        """Let it go on in a turn to come, after those that wait already; `behind` if it has had its part."""
+    def wait(self, worker: Worker, low_priority: bool = False) -> None:
+        """Queue a worker for a later iteration; `low_priority` if it has used up its own units."""
         if not worker.queued:
             worker.queued = True
-            (self.behind if behind or self.mine + DECIDE > SHARE else self.line).append(worker)
+            (
+                self.low_priority
+                if low_priority or self.spent_by_worker + DECISION_UNITS > CONNECTION_UNITS
+                else self.queue
+            ).append(worker)
             self._call()
 
-    def refuse(self, worker: Worker) -> None:
-        """Have it refused at the end of the next turn, where its budget allows, with the others in one go.
+    def queue_rejection(self, worker: Worker) -> None:
+        """Queue a worker for rejection at the end of an iteration, together with others.
 
         Together they cost less: whoever reads the answers is woken by the first.
         """
         if not worker.queued:
             worker.queued = True
-            self.refused.append(worker)
+            self.rejections.append(worker)
             self._call()
 
     def _call(self) -> None:
         if not self._due:
             self._due = True
-            self.call_soon(self.turn)
+            self.call_soon(self.run_iteration)
 
-    def turn(self) -> None:
-        """The next turn begins: those who wait go on, in their order, once each at the most."""
+    def run_iteration(self) -> None:
+        """Begin the next iteration: those that wait go on, in their order, once each at the most."""
         self._due, self.spent = False, 0
-        self._take(self.line, TURN - BEHIND if self.behind else TURN)
-        self._take(self.behind, TURN if not self.line else self.spent + BEHIND)
-        waiting = len(self.refused)
-        for _ in range(min(waiting, REFUSALS + min(MORE_REFUSALS, waiting // 32))):
-            worker = self.refused.popleft()
+        self._take(self.queue, ITERATION_UNITS - LOW_PRIORITY_UNITS if self.low_priority else ITERATION_UNITS)
+        self._take(self.low_priority, ITERATION_UNITS if not self.queue else self.spent + LOW_PRIORITY_UNITS)
+        waiting = len(self.rejections)
+        for _ in range(min(waiting, REJECTIONS_PER_ITERATION + min(MAX_EXTRA_REJECTIONS, waiting // 32))):
+            worker = self.rejections.popleft()
             worker.queued = False
             worker.refuse()
-        if self.line or self.behind or self.refused:
+        if self.queue or self.low_priority or self.rejections:
             self._call()
 
     def _take(self, line: deque[Worker], most: int) -> None:
         for _ in range(len(line)):
-            if self.spent > most - DECIDE - READ_ONE:
+            if self.spent > most - DECISION_UNITS - READ_UNITS:
                 return
             worker = line.popleft()
             worker.queued = False
--- a/firvane/proxy/limits/memory_costs.py
+++ b/firvane/proxy/limits/memory_costs.py
@@ -1,7 +1,6 @@
-"""What each thing costs in memory, as measured, and what follows from the limits at the start.
+"""What each object costs in memory, and what fits into the limits.
 
-The costs are bytes resident beyond the idle program, by `benchmarks/limits.py memory` (100, 500 and 1,000
-of each; Python 3.11, uvloop 0.23, httptools 0.9, x86-64), rounded up. A change of them is measured again.
+Costs are bytes resident beyond the idle program; `benchmarks/limits.py memory` shows them.
 """
 
 from __future__ import annotations
@@ -9,20 +8,22 @@
 import math
 from typing import NamedTuple
 
-from firvane.proxy.limits.descriptors import LEAST, Use, floors
+from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS, Use, floors
 
 MB = 1 << 20
-IDLE_CLIENT = 2_800  # a client connection: transport, parser, listener
-IDLE_TARGET = 2_200  # a connection to a target, parked
-FLOW = 7_000  # an open flow: its request, its forward, timers, the decisions' job
-WINDOW = 48 * 1024  # a long message on its way: what one read has brought, and its copy in the transport
-BOX = 10_000  # a box: its entry, its pool, the decisions' record, its points on the ring
+IDLE_CLIENT_BYTES = 2_800  # a client connection: transport, parser, protocol
+IDLE_TARGET_BYTES = 2_200  # an idle connection to a target
+FLOW_BYTES = 7_000  # an open flow: its request, its attempt, timers, the decisions' record
+STREAM_WINDOW_BYTES = (
+    48 * 1024
+)  # a streamed message: what one read has brought, and its copy in the transport
+BACKEND_BYTES = 10_000  # a backend: its entry, its pool, the decisions' record, its points on the ring
 
-PROGRAM = 17 * MB  # the program with nothing to do: its own pages, and what it alone holds of files
-MOST_BOXES = 4_000  # a change of a longer list would stop the loop for more than 0.1 s
-LINE = 200  # an entry of the list on its line
-LEAST_WORK = 2 * MB  # below that nothing can be served
-SAFETY = 0.08  # of the limit: the allocator's fragments, the stacks, what is in the kernel's name
+PROGRAM_BYTES = 17 * MB  # the program with nothing to do: its own pages, and what it alone holds of files
+MAX_BACKENDS = 4_000  # a change of a longer list would block the loop for more than 0.1 s
+ENDPOINT_BYTES = 200  # an entry of the endpoint list on the wire
+MIN_WORKING_BYTES = 2 * MB  # less serves nothing
+SAFETY_MARGIN = 0.08  # of the limit: the allocator's fragments, stacks, the kernel's buffers
 
 
 class Bounds(NamedTuple):
@@ -30,7 +31,7 @@
 
     memory: int  # bytes that may be accounted
     bodies: int  # bytes of them for bodies beyond the small ones
-    sockets: int  # descriptors that may be used: no more than the memory has room for
+    sockets: int  # descriptors that may be used: no more than fit into the memory
     clients: int  # client connections that fit where targets hold no more than their floor
     flows: int  # flows open at once
     boxes: int  # entries of the list
@@ -38,26 +39,30 @@
 
 
 def derive(memory_mb: float, sockets: int, cores: float) -> Bounds:
-    """What fits; `ValueError` with the mend where the limits cannot hold a proxy at all."""
+    """What fits into the limits.
+
+    Raises:
+        ValueError: they cannot hold a proxy at all; the text says what is needed.
+    """
     if cores <= 0:
         raise ValueError(f"limits.cores is {cores}: give a part of a core above 0")
-    memory = int(memory_mb * MB * (1 - SAFETY)) - PROGRAM
-    if memory < LEAST_WORK:
-        least = math.ceil((PROGRAM + LEAST_WORK) / (1 - SAFETY) / MB)
+    memory = int(memory_mb * MB * (1 - SAFETY_MARGIN)) - PROGRAM_BYTES
+    if memory < MIN_WORKING_BYTES:
+        least = math.ceil((PROGRAM_BYTES + MIN_WORKING_BYTES) / (1 - SAFETY_MARGIN) / MB)
         raise ValueError(f"limits.memory_mb is {memory_mb:g}: at least {least} are needed")
-    if sockets < LEAST:
-        raise ValueError(f"limits.sockets is {sockets}: at least {LEAST} are needed")
-    sockets = max(LEAST, min(sockets, memory // 2 // IDLE_TARGET))
+    if sockets < MIN_DESCRIPTORS:
+        raise ValueError(f"limits.sockets is {sockets}: at least {MIN_DESCRIPTORS} are needed")
+    sockets = max(MIN_DESCRIPTORS, min(sockets, memory // 2 // IDLE_TARGET_BYTES))
     floor = floors(sockets)
-    rest = memory - sockets * IDLE_TARGET
+    rest = memory - sockets * IDLE_TARGET_BYTES
     clients = sockets - sum(floor.values()) + floor[Use.CLIENTS]
-    boxes = min(MOST_BOXES, max(16, rest // 4 // BOX))
+    boxes = min(MAX_BACKENDS, max(16, rest // 4 // BACKEND_BYTES))
     return Bounds(
         memory=memory,
         bodies=rest // 3,
         sockets=sockets,
         clients=clients,
-        flows=max(8, min(clients, rest // 4 // FLOW)),
+        flows=max(8, min(clients, rest // 4 // FLOW_BYTES)),
         boxes=boxes,
-        line=min(4 * MB, max(64 * 1024, boxes * LINE)),
+        line=min(4 * MB, max(64 * 1024, boxes * ENDPOINT_BYTES)),
     )
--- a/firvane/proxy/limits/overload.py
+++ b/firvane/proxy/limits/overload.py
@@ -1,16 +1,14 @@
-"""The overload manager: how pressed each resource is, and what is given up for it.
+"""The overload manager: the pressure on each resource, and the actions that it triggers.
 
 Rules that hold here and nowhere else:
 
-1. A resource has one level, moved by one figure between 0 and 1 (its use) and the thresholds in `UP` and
-   `DOWN`.
-2. A level is entered with the first look that shows it, and left one at a time, after `CALM_FOR` seconds
-   without it: what was given up does not come back and go again with every breath.
-3. What a level gives up stands in `GIVES_UP` and nowhere else. Levels of different resources add up.
-4. Each step is told once, with its cause and figure; nothing else is.
+1. A resource has one level, set by its use (0 to 1) and the thresholds in `RAISE_AT` and `LOWER_FACTOR`.
+2. A level is entered with the first sample that shows it, and left one at a time, after `CALM_PERIOD_S`
+   without it, so that an action does not start and stop with every sample.
+3. The actions of a level are listed in `ACTIONS` and nowhere else. Levels of different resources add up.
+4. Each change of a level is reported once, with its cause and the resource's use.
 
-What concerns requests is not decided here: the decision module is told the pressure and says whom to turn
-away.
+Which requests are rejected is not decided here: the balancer gets the pressure and decides.
 """
 
 from __future__ import annotations
@@ -29,7 +27,7 @@
 
 
 class Level(IntEnum):
-    """How short it runs."""
+    """How short a resource runs."""
 
     CALM = 0
     BUSY = 1
@@ -37,43 +35,62 @@
     CRITICAL = 3
 
 
-class Measure(Enum):
-    """What may be given up, the cheapest for the usual clients first."""
+class OverloadAction(Enum):
+    """What is done under pressure, the cheapest for ordinary clients first."""
 
-    SHORT_IDLE = "idle connections are kept for less"
-    NO_COPIES = "no second copies"
-    TURN_AWAY = "what exceeds a share, then a part of the rest, is turned away"
-    CLOSE_SILENT = "connections that only stand there are closed"
-    REFUSE_NEW = "new connections are answered and closed"
-    SHED = "connections are closed in order of least claim"
+    SHORTEN_IDLE_TIMEOUT = "shorten_idle_timeout"
+    DISABLE_HEDGING = "disable_hedging"
+    SHED_LOAD = "shed_load"
+    CLOSE_IDLE_CONNECTIONS = "close_idle_connections"
+    REJECT_CONNECTIONS = "reject_connections"
+    EVICT_CONNECTIONS = "evict_connections"
 
 
-# The thresholds of BUSY, HEAVY and CRITICAL; a level is left below DOWN times its threshold.
-UP: dict[Resource, tuple[float, float, float]] = {
+# The thresholds of BUSY, HEAVY and CRITICAL; a level is left below `LOWER_FACTOR` times its threshold.
+RAISE_AT: dict[Resource, tuple[float, float, float]] = {
     Resource.MEMORY: (0.6, 0.75, 0.9),
     Resource.DESCRIPTORS: (0.5, 0.9, 1.0),
     Resource.LAG: (0.2, 0.4, 0.8),
     Resource.CPU: (0.8, 0.95, 1.2),
 }
-DOWN = 0.85
-CALM_FOR = 1.0  # s
-
-_M, _D, _L, _C = Resource.MEMORY, Resource.DESCRIPTORS, Resource.LAG, Resource.CPU
-GIVES_UP: dict[tuple[Resource, Level], frozenset[Measure]] = {
-    (_M, Level.BUSY): frozenset((Measure.SHORT_IDLE,)),
-    (_M, Level.HEAVY): frozenset((Measure.SHORT_IDLE, Measure.NO_COPIES, Measure.CLOSE_SILENT)),
-    (_M, Level.CRITICAL): frozenset(
-        (Measure.SHORT_IDLE, Measure.NO_COPIES, Measure.CLOSE_SILENT, Measure.TURN_AWAY, Measure.REFUSE_NEW)
+LOWER_FACTOR = 0.85
+CALM_PERIOD_S = 1.0
+
+ACTIONS: dict[tuple[Resource, Level], frozenset[OverloadAction]] = {
+    (Resource.MEMORY, Level.BUSY): frozenset((OverloadAction.SHORTEN_IDLE_TIMEOUT,)),
+    (Resource.MEMORY, Level.HEAVY): frozenset(
+        (
+            OverloadAction.SHORTEN_IDLE_TIMEOUT,
+            OverloadAction.DISABLE_HEDGING,
+            OverloadAction.CLOSE_IDLE_CONNECTIONS,
+        )
+    ),
+    (Resource.MEMORY, Level.CRITICAL): frozenset(
+        (
+            OverloadAction.SHORTEN_IDLE_TIMEOUT,
+            OverloadAction.DISABLE_HEDGING,
+            OverloadAction.CLOSE_IDLE_CONNECTIONS,
+            OverloadAction.SHED_LOAD,
+            OverloadAction.REJECT_CONNECTIONS,
+        )
+    ),
+    (Resource.DESCRIPTORS, Level.BUSY): frozenset((OverloadAction.SHORTEN_IDLE_TIMEOUT,)),
+    (Resource.DESCRIPTORS, Level.HEAVY): frozenset(
+        (OverloadAction.SHORTEN_IDLE_TIMEOUT, OverloadAction.CLOSE_IDLE_CONNECTIONS)
+    ),
+    (Resource.DESCRIPTORS, Level.CRITICAL): frozenset(
+        (
+            OverloadAction.SHORTEN_IDLE_TIMEOUT,
+            OverloadAction.CLOSE_IDLE_CONNECTIONS,
+            OverloadAction.EVICT_CONNECTIONS,
+        )
     ),
-    (_D, Level.BUSY): frozenset((Measure.SHORT_IDLE,)),
-    (_D, Level.HEAVY): frozenset((Measure.SHORT_IDLE, Measure.CLOSE_SILENT)),
-    (_D, Level.CRITICAL): frozenset((Measure.SHORT_IDLE, Measure.CLOSE_SILENT, Measure.SHED)),
-    (_L, Level.BUSY): frozenset((Measure.NO_COPIES,)),
-    (_L, Level.HEAVY): frozenset((Measure.NO_COPIES, Measure.TURN_AWAY)),
-    (_L, Level.CRITICAL): frozenset((Measure.NO_COPIES, Measure.TURN_AWAY)),
-    (_C, Level.BUSY): frozenset(),
-    (_C, Level.HEAVY): frozenset((Measure.NO_COPIES, Measure.TURN_AWAY)),
-    (_C, Level.CRITICAL): frozenset((Measure.NO_COPIES, Measure.TURN_AWAY)),
+    (Resource.LAG, Level.BUSY): frozenset((OverloadAction.DISABLE_HEDGING,)),
+    (Resource.LAG, Level.HEAVY): frozenset((OverloadAction.DISABLE_HEDGING, OverloadAction.SHED_LOAD)),
+    (Resource.LAG, Level.CRITICAL): frozenset((OverloadAction.DISABLE_HEDGING, OverloadAction.SHED_LOAD)),
+    (Resource.CPU, Level.BUSY): frozenset(),
+    (Resource.CPU, Level.HEAVY): frozenset((OverloadAction.DISABLE_HEDGING, OverloadAction.SHED_LOAD)),
+    (Resource.CPU, Level.CRITICAL): frozenset((OverloadAction.DISABLE_HEDGING, OverloadAction.SHED_LOAD)),
 }
 
 
@@ -87,35 +104,39 @@
 
 
 class Overload:
-    """The levels of all resources, and what is given up now."""
+    """The levels of all resources, and the actions in force."""
 
     def __init__(self) -> None:
         self.levels = dict.fromkeys(Resource, Level.CALM)
         self._above = dict.fromkeys(Resource, 0.0)  # when the level was last seen to be needed
-        self.given_up: frozenset[Measure] = frozenset()
+        self.active_actions: frozenset[OverloadAction] = frozenset()
 
     def see(self, resource: Resource, figure: float, now: float) -> Step | None:
-        """A new figure of a resource; the step that it takes, if it takes one."""
+        """Take the use of a resource at `now` (s); return the change of its level, if there is one."""
         before, after = self.levels[resource], Level.CALM
-        for level, threshold in zip((Level.BUSY, Level.HEAVY, Level.CRITICAL), UP[resource], strict=True):
-            if figure >= threshold * (DOWN if level <= before else 1.0):
+        for level, threshold in zip(
+            (Level.BUSY, Level.HEAVY, Level.CRITICAL), RAISE_AT[resource], strict=True
+        ):
+            if figure >= threshold * (LOWER_FACTOR if level <= before else 1.0):
                 after = level
         if after >= before:
             self._above[resource] = now
-        elif now < self._above[resource] + CALM_FOR:
+        elif now < self._above[resource] + CALM_PERIOD_S:
             after = before
         else:
             after, self._above[resource] = Level(before - 1), now
         if after is before:
             return None
         self.levels[resource] = after
-        self.given_up = frozenset().union(
-            *(GIVES_UP[key] for key in self.levels.items() if key[1] is not Level.CALM)
+        self.active_actions = frozenset().union(
+            *(ACTIONS[key] for key in self.levels.items() if key[1] is not Level.CALM)
         )
         return Step(resource, before, after, figure)
 
-    def gives_up(self, measure: Measure) -> bool:
-        return measure in self.given_up
+    def is_active(self, action: OverloadAction) -> bool:
+        """Whether an action is in force."""
+        return action in self.active_actions
 
     def worst(self) -> Level:
+        """The highest level of all resources."""
         return max(self.levels.values())
--- a/firvane/proxy/limits/token_buckets.py
+++ b/firvane/proxy/limits/token_buckets.py
@@ -1,11 +1,11 @@
-"""How often something may happen: buckets of tokens, one for each sender."""
+"""Token buckets, one for each sender."""
 
 from __future__ import annotations
 
 from collections.abc import Hashable
 
 
-class Rates:
+class TokenBuckets:
     """At most `rate` a second from each sender, `burst` at once; at most `senders` are remembered."""
 
     def __init__(self, rate: float, burst: float, senders: int = 1024) -> None:
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -10,10 +10,10 @@
 from firvane.core.net.http_message import HttpError, Message, Stream
 from firvane.core.net.request_scan import scan_is_retry, scan_request_class, scan_tenant
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.limits.loop_budget import CHUNKED, DECIDE, READ_ONE
-from firvane.proxy.limits.memory_account import SMALL, Held
-from firvane.proxy.limits.memory_costs import FLOW, IDLE_CLIENT, WINDOW
-from firvane.proxy.limits.overload import Measure
+from firvane.proxy.limits.loop_budget import CHUNKED_READ_UNITS, DECISION_UNITS, READ_UNITS
+from firvane.proxy.limits.memory_account import MAX_UNLEASED_BODY_BYTES, MemoryUse
+from firvane.proxy.limits.memory_costs import FLOW_BYTES, IDLE_CLIENT_BYTES, STREAM_WINDOW_BYTES
+from firvane.proxy.limits.overload import OverloadAction
 from firvane.proxy.net.client_responses import (
     CLIENT_STALL_TIMEOUT_S,
     LINGER_TIMEOUT_S,
@@ -61,13 +61,13 @@
         self.transport.set_write_buffer_limits(0)
         context = self.context
         context.connections[self] = None
-        context.account.charge(Held.CLIENTS, IDLE_CLIENT)
+        context.account.charge(MemoryUse.CLIENTS, IDLE_CLIENT_BYTES)
         self.idle_since = context.loop.time()
         self.expires_at = self.idle_since + REQUEST_TIMEOUT_S
         if not context.monitor.descriptors.count(Use.CLIENTS):
             context.over_capacity = True
             context.pause_accepting()
-        if context.monitor.gives_up(Measure.REFUSE_NEW):
+        if context.monitor.is_active(OverloadAction.REJECT_CONNECTIONS):
             self.keep_alive = False
             self._respond(503, [b"refused\n"], 8, [])
 
@@ -76,18 +76,18 @@
         context = self.context
         if self in context.connections:
             del context.connections[self]
-            context.monitor.descriptors.give_back(Use.CLIENTS)
+            context.monitor.descriptors.release(Use.CLIENTS)
             context.over_capacity = (
                 context.over_capacity and context.monitor.descriptors.free(Use.CLIENTS) < 0
             )
-            context.account.charge(Held.CLIENTS, -IDLE_CLIENT)
+            context.account.charge(MemoryUse.CLIENTS, -IDLE_CLIENT_BYTES)
         self.ending = True
         self.upload = self.response_stream = None
         self.unparsed, self.offset = b"", 0
         self.reader.reset()
         self._update_account()
         self._release_output()
-        context.monitor.leases.give_back(self)
+        context.monitor.leases.release(self)
         flow = self._detach_flow()
         if flow:
             self._abandon(flow)
@@ -184,7 +184,7 @@
         if not self.ending:
             self.idle_since = self.context.loop.time()
             self.expires_at = self.idle_since + 2 * IDLE_TIMEOUT_S
-            self.context.turns.wait(self)
+            self.context.loop_budget.wait(self)
 
     def data_received(self, data: bytes) -> None:
         """Reject a request unparsed where the proxy sheds load, or process it (asyncio)."""
@@ -196,23 +196,23 @@
         if idle:
             self.pipelined = False
             is_excessive = context.exceeds_fair_rate(self)
-            if gate.shut or gate.crowded(is_excessive) or context.account.pressed:
+            if gate.is_shedding or gate.is_queue_full(is_excessive) or context.account.under_pressure:
                 tenant = scan_tenant(data)
-                again = gate.again and scan_is_retry(data)
+                again = gate.rejects_retries and scan_is_retry(data)
                 counts = None if tenant is None else context.counts.get(scan_request_class(data))
                 if (tenant is not None and counts) and (
-                    gate.turns_away(tenant, is_excessive, again) or context.account.pressed
+                    gate.rejects(tenant, is_excessive, again) or context.account.under_pressure
                 ):
                     self.counts = counts
                     if context.metrics is not None:
                         context.count_unparsed(scan_request_class(data), tenant)
-                    context.turns.refuse(self)
+                    context.loop_budget.queue_rejection(self)
                     return
         self.unparsed, self.offset = (self.unparsed[self.offset :] + data if self.unparsed else data), 0
         self.go_on()
 
     def refuse(self) -> None:
-        """Reject a request before it is parsed (called by `Turns`)."""
+        """Reject a request before it is parsed (called by `LoopBudget`)."""
         if self.ending:
             return
         if self.counts:
@@ -231,15 +231,15 @@
         """Process input as far as the turn allows; `given` where it has waited for this turn."""
         if self.working:
             return
-        self.working, turns = True, self.context.turns
-        turns.begin()
+        self.working, loop_budget = True, self.context.loop_budget
+        loop_budget.begin()
         while not self.queued and self._has_work():
             if not given and (self.pipelined or self.context.exceeds_fair_rate(self)):
-                turns.wait(self, behind=True)
-            elif turns.spend(self._cost()):
+                loop_budget.wait(self, low_priority=True)
+            elif loop_budget.spend(self._cost()):
                 self._work()
             else:
-                turns.wait(self)
+                loop_budget.wait(self)
         self.working = False
         self._update_account()
         # Reading pauses while input cannot be processed, but not behind the last response.
@@ -254,9 +254,11 @@
         if (message := self.reader.message) and not self.upload:
             size += self.reader.raw_size
             leases = self.context.monitor.leases
-            self.awaiting_lease = message.size > SMALL and not leases.ask(self, self._leased)
+            self.awaiting_lease = message.size > MAX_UNLEASED_BODY_BYTES and not leases.request(
+                self, self._leased
+            )
         if size != self.charged_input:
-            self.context.account.charge(Held.READING, size - self.charged_input)
+            self.context.account.charge(MemoryUse.READING, size - self.charged_input)
             self.charged_input = size
 
     def _leased(self) -> None:
@@ -266,8 +268,8 @@
     def _cost(self) -> int:
         """The cost of the next step, in units of the turn's budget."""
         if self.reader.completed:
-            return DECIDE
-        return CHUNKED if self.reader.in_unsized_body() else READ_ONE
+            return DECISION_UNITS
+        return CHUNKED_READ_UNITS if self.reader.in_unsized_body() else READ_UNITS
 
     def _has_work(self) -> bool:
         if self.upload and not self.ending:
@@ -319,7 +321,7 @@
 
     def _begin_upload(self, message: Message) -> None:
         """Take up a long request before it is complete: the rest is passed on as it arrives."""
-        self.context.monitor.leases.give_back(self)
+        self.context.monitor.leases.release(self)
         self.awaiting_lease = False
         self.upload = message.stream = Stream(self)
         # What has arrived of the body goes through the stream like the rest: a target with an idle connection
@@ -382,7 +384,7 @@
             self._reject_malformed(error)
             return
         # No request is taken up before the endpoint list is known, nor while memory is short.
-        if not self.context.ready or self.context.account.pressed:
+        if not self.context.ready or self.context.account.under_pressure:
             cls = self.context.settings.classes[request.class_id]
             self.context.engine.request_counters.for_class(cls.name).dropped += 1
             if self.context.metrics is not None:
@@ -401,8 +403,8 @@
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
         self.flow.response_time = left if self.upload else 0.0
         message.sender_waits = self.client_waits
-        self.charged_flow = FLOW + (WINDOW if self.upload else message.size)
-        context.account.charge(Held.FLOWS, self.charged_flow)
+        self.charged_flow = FLOW_BYTES + (STREAM_WINDOW_BYTES if self.upload else message.size)
+        context.account.charge(MemoryUse.FLOWS, self.charged_flow)
         self.request_count += 1
         self.pipelined = bool(self.unparsed)
         context.count_request(self)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -16,7 +16,7 @@
 from firvane.core.net.http_writer import make_rejections
 from firvane.core.net.request_scan import percent_decode
 from firvane.core.request_counters import ClassCounters
-from firvane.proxy.limits.admission_gate import Gate
+from firvane.proxy.limits.admission_gate import AdmissionGate
 from firvane.proxy.net.managed_connection import ManagedConnection
 from firvane.proxy.net.resource_monitor import ResourceMonitor
 
@@ -70,7 +70,7 @@
             run to run).
         policy_lease: The lease on the policy that all proxies agree on, where there is one.
         metrics: Counts by class and tenant, where they are configured.
-        set_accepting: Pauses or resumes the acceptance of connections.
+        set_accepting: DiscoveryBackoff or resumes the acceptance of connections.
         accepting_paused: It is paused.
         over_capacity: There are more connections than descriptors for them.
         rate_second: The current second of loop time.
@@ -98,10 +98,10 @@
         self.counts: dict[bytes, ClassCounters] = {}
         self.tenants: dict[bytes, int] = {}
         self.connections: dict[ManagedConnection, None] = {}
-        self.turns, self.account = monitor.turns, monitor.account
-        self.gate = Gate((), monitor.turns.full)
+        self.loop_budget, self.account = monitor.loop_budget, monitor.account
+        self.gate = AdmissionGate((), monitor.loop_budget.full)
         self.apply_settings(settings, tuple(range(len(settings.classes))))
-        monitor.counts = lambda: (self.gate.wished, self.gate.overflowed, self.gate.told())
+        monitor.counts = lambda: (self.gate.shed, self.gate.overflowed, self.gate.take_rejections())
         self.rejections = itertools.cycle(make_rejections(0.0, 0.0))
         self.policy_lease: PolicyLease | None = None
         self.metrics: RequestMetrics | None = None
@@ -129,7 +129,7 @@
             name: self.engine.request_counters.for_class(cls.name) for name, (_, cls) in self.classes.items()
         }
         self.tenants = {tenant.name.encode(): i for i, tenant in enumerate(settings.tenants)}
-        self.gate.name(tuple(self.tenants))
+        self.gate.set_tenants(tuple(self.tenants))
 
     def forget_previous_settings(self) -> None:
         """Accept no more requests by the settings before the current ones."""
@@ -215,7 +215,7 @@
             retry_after: Mean seconds after which rejected clients are to retry; 0 for none.
             again: Whether retries are rejected first.
         """
-        self.gate.set(parts, again)
+        self.gate.set_fractions(parts, again)
         limits = self.settings.limits
         pause = retry_after if limits.retry_after else 0.0
         self.rejections = itertools.cycle(make_rejections(pause, limits.max_retry_after))
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -11,8 +11,8 @@
 from firvane.core.net.http_reader import MessageReader
 from firvane.core.net.http_writer import LAST_CHUNK, format_response, format_response_head, frame_chunk
 from firvane.core.request_counters import ClassCounters
-from firvane.proxy.limits.memory_account import Held
-from firvane.proxy.limits.memory_costs import WINDOW
+from firvane.proxy.limits.memory_account import MemoryUse
+from firvane.proxy.limits.memory_costs import STREAM_WINDOW_BYTES
 from firvane.proxy.net.client_context import ClientContext
 from firvane.proxy.net.managed_connection import IDLE_TIMEOUT_S, ManagedConnection
 
@@ -39,7 +39,7 @@
         charged_flow: The same for the flow.
         charged_output: The same for a response that the client has yet to read.
         awaiting_lease: Reading is paused until a lease on memory for a large body is given.
-        queued: It waits for its turn in the event loop (set by `Turns`).
+        queued: It waits for its turn in the event loop (set by `LoopBudget`).
         pipelined: The input was sent behind a request that is in flight.
         policy_field: A header line for the response that names the policy, or b"".
         head_received_at: When the head of the current request arrived, in loop time.
@@ -99,8 +99,8 @@
         self.closes_after = self._closes_connection() or bare
         if bare:
             reset_on_close(self.transport)
-        self.charged_flow += WINDOW
-        context.account.charge(Held.FLOWS, WINDOW)
+        self.charged_flow += STREAM_WINDOW_BYTES
+        context.account.charge(MemoryUse.FLOWS, STREAM_WINDOW_BYTES)
         head = format_response_head(answer, self.chunked, self.closes_after)
         if self.policy_field:
             head.insert(1, self.policy_field)
@@ -190,7 +190,7 @@
             self.discarding = True
         self.upload, self.upload_paused = None, False
         flow = self._detach_flow()
-        context.monitor.leases.give_back(self)
+        context.monitor.leases.release(self)
         self.idle_since = context.loop.time()
         # A request that has begun to arrive behind this one has its own timeout.
         self.expires_at = self.idle_since + (
@@ -216,14 +216,14 @@
         if self.write_blocked and not self.charged_output:
             self.expires_at = expires
             self.charged_output = self.transport.get_write_buffer_size()
-            self.context.account.charge(Held.WRITING, self.charged_output)
+            self.context.account.charge(MemoryUse.WRITING, self.charged_output)
 
     def _detach_flow(self) -> Flow[Message, Message] | None:
         """Detach and return the request in flight, if any."""
         flow, self.flow = self.flow, None
         if flow:
             self.context.open_ids.discard(flow.request.fields[b"x-call-id"])
-            self.context.account.charge(Held.FLOWS, -self.charged_flow)
+            self.context.account.charge(MemoryUse.FLOWS, -self.charged_flow)
         return flow
 
     def _reject_malformed(self, fault: HttpError) -> None:
@@ -235,5 +235,5 @@
     def _release_output(self) -> None:
         """Return the charge for an unread response, which is with the kernel now, or lost."""
         if self.charged_output:
-            self.context.account.charge(Held.WRITING, -self.charged_output)
+            self.context.account.charge(MemoryUse.WRITING, -self.charged_output)
             self.charged_output = 0
--- a/firvane/proxy/net/connection_limiter.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -6,7 +6,7 @@
 
 from firvane.core.net.connection_checks import NoInputCheck, PeerOpenCheck, always_true
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.limits.overload import Measure
+from firvane.proxy.limits.overload import OverloadAction
 from firvane.proxy.net.client_connection import ClientConnection
 from firvane.proxy.net.client_context import ClientContext
 from firvane.proxy.net.managed_connection import BUSY, IDLE_TIMEOUT_S
@@ -34,9 +34,9 @@
         self.monitor.see_descriptors()
         self.over_capacity = self.monitor.descriptors.free(Use.CLIENTS) < 0
         timeouts = (IDLE_TIMEOUT_S, IDLE_TIMEOUT_S, IDLE_TIMEOUT_S)
-        if self.monitor.gives_up(Measure.SHORT_IDLE):
+        if self.monitor.is_active(OverloadAction.SHORTEN_IDLE_TIMEOUT):
             timeouts = SHORT_IDLE_TIMEOUTS_S
-        if self.monitor.gives_up(Measure.CLOSE_SILENT):
+        if self.monitor.is_active(OverloadAction.CLOSE_IDLE_CONNECTIONS):
             timeouts = SHORTEST_IDLE_TIMEOUTS_S
         for connection in list(self.connections):
             idle_timeout = timeouts[min(2, connection.request_count)]
@@ -62,7 +62,7 @@
         """Close the connections with the least retention priority, the oldest first among equals."""
         descriptors = self.monitor.descriptors
         free = descriptors.free(Use.CLIENTS)
-        wanted = 1 + int((descriptors.held[Use.CLIENTS] + free) * EVICTION_PART)
+        wanted = 1 + int((descriptors.open[Use.CLIENTS] + free) * EVICTION_PART)
         if free < wanted:
             others = (c for c in self.connections if not c.transport.get_write_buffer_size())
             spare = [(c.retention_priority(), n, c) for n, c in enumerate(others)]
--- a/firvane/proxy/net/peer_datagrams.py
+++ b/firvane/proxy/net/peer_datagrams.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any, cast
 
-from firvane.proxy.limits.token_buckets import Rates
+from firvane.proxy.limits.token_buckets import TokenBuckets
 
 MAX_DATAGRAM_BYTES = 256
 DATAGRAM_RATE_PER_S = 20.0  # that a peer may send: ten times what it needs
@@ -34,7 +34,7 @@
                 rate are dropped.
             time: Seconds on a monotonic clock.
         """
-        self.time, self.rates = time, Rates(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
+        self.time, self.rates = time, TokenBuckets(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
         self.me, self.peers, self.everyone, self.on_message = me, peers, everyone, on_message
         self.numbers = {address: number for number, address in enumerate(peers)}
         self.transport: asyncio.DatagramTransport | None = None
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -13,12 +13,12 @@
 from firvane.core import interface as api
 from firvane.core.logs import QUIET, Log
 from firvane.core.net.http_reader import MAX_BODY_BYTES, MAX_HEAD_BYTES
-from firvane.proxy.limits.admission import Admission
+from firvane.proxy.limits.admission import AdmissionController
 from firvane.proxy.limits.descriptors import Descriptors, Use
-from firvane.proxy.limits.loop_budget import Turns
-from firvane.proxy.limits.memory_account import Account, Leases
+from firvane.proxy.limits.loop_budget import LoopBudget
+from firvane.proxy.limits.memory_account import BodyLeases, MemoryAccount
 from firvane.proxy.limits.memory_costs import MB, Bounds, derive
-from firvane.proxy.limits.overload import Level, Measure, Overload, Resource
+from firvane.proxy.limits.overload import Level, Overload, OverloadAction, Resource
 
 SAMPLE_INTERVAL_S = 0.25
 LAG_PART = 0.25  # of the shortest latency target: a loop that lags more is under pressure
@@ -88,14 +88,14 @@
         self.loop, self.usage, self.cores = loop, usage, cores
         self.bounds: Bounds = derive(memory_mb, sockets, cores)
         self.limit = memory_mb * MB
-        self.account = Account(self.bounds.memory)
-        self.leases = Leases(self.bounds.bodies, MAX_BODY_BYTES + MAX_HEAD_BYTES)
+        self.account = MemoryAccount(self.bounds.memory)
+        self.leases = BodyLeases(self.bounds.bodies, MAX_BODY_BYTES + MAX_HEAD_BYTES)
         self.descriptors = Descriptors(self.bounds.sockets)
-        self.turns = Turns(loop.call_soon, 0.0)
+        self.loop_budget = LoopBudget(loop.call_soon, 0.0)
         self.apply_settings(settings)
-        self.turns.rate = INITIAL_RATE_PER_CORE * cores
+        self.loop_budget.rate = INITIAL_RATE_PER_CORE * cores
         self.overload = Overload()
-        self.admission = Admission()
+        self.admission = AdmissionController()
         self.report_pressure: Callable[[api.OverloadSignal], None] = lambda pressure: None
         self.counts: Callable[[], tuple[int, int, tuple[int, ...]]] = lambda: (0, 0, ())
         self.lag = 0.0  # s, the worst since the last sample
@@ -109,7 +109,7 @@
         """Set the bounds on lag and waiting by the shortest latency target of the settings."""
         target = min(cls.latency_target for cls in settings.classes)
         # Targets shorter than a turn of the loop must not make each turn a sign of overload.
-        self.max_lag, self.turns.most_wait = max(MIN_LAG_S, LAG_PART * target), TURN_WAIT_PART * target
+        self.max_lag, self.loop_budget.max_wait_s = max(MIN_LAG_S, LAG_PART * target), TURN_WAIT_PART * target
 
     def start(self) -> None:
         """Sample regularly from now on."""
@@ -121,23 +121,23 @@
         """Take in the usage of a resource, as a part of its limit; log a change of level."""
         step = self.overload.see(what, figure, self.loop.time())
         if step:
-            measures = sorted(measure.value for measure in self.overload.given_up)
+            measures = sorted(measure.value for measure in self.overload.active_actions)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
                 "pressure",
                 on=what.value,
                 now=step.after.name.lower(),
                 was=step.before.name.lower(),
                 part=figure,
-                given_up=",".join(measures) or "nothing",
+                active_actions=",".join(measures) or "nothing",
             )
 
-    def gives_up(self, measure: Measure) -> bool:
+    def is_active(self, measure: OverloadAction) -> bool:
         """Whether a measure against overload is in force."""
-        return measure in self.overload.given_up
+        return measure in self.overload.active_actions
 
     def see_descriptors(self) -> None:
         """Take in how many of the clients' descriptors are used."""
-        self.see(Resource.DESCRIPTORS, self.descriptors.part(Use.CLIENTS))
+        self.see(Resource.DESCRIPTORS, self.descriptors.usage(Use.CLIENTS))
 
     def late_by(self, lag: float) -> None:
         """The event loop ran a timer `lag` seconds late."""
@@ -155,7 +155,7 @@
         self.late_by(now - due)
         used = self.usage()
         cpu, self._cpu = used.cpu - self._cpu, used.cpu
-        self.see(Resource.MEMORY, max(self.account.part(), used.memory / self.limit))
+        self.see(Resource.MEMORY, max(self.account.usage(), used.memory / self.limit))
         self.see(Resource.LAG, self.lag / self.max_lag)
         self.see(Resource.CPU, cpu / span / self.cores if span > 0 else 0.0)
         self.see_descriptors()
@@ -165,13 +165,16 @@
 
     def _admit(self, span: float) -> None:
         """Estimate what part of the arriving requests can be served, and report it to the decisions."""
-        wished, overflowed, unseen = self.counts()
-        before, self._last_counts = self._last_counts, (self.turns.taken, wished, overflowed)
-        taken, wished, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
-        part = self.admission.period(span, taken, wished, overflowed, bool(self.turns.line))
-        self.turns.rate = self.admission.carried or INITIAL_RATE_PER_CORE * self.cores
+        shed, overflowed, unseen = self.counts()
+        before, self._last_counts = self._last_counts, (self.loop_budget.decided, shed, overflowed)
+        taken, shed, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
+        part = self.admission.update(span, taken, shed, overflowed, bool(self.loop_budget.queue))
+        self.loop_budget.rate = self.admission.capacity or INITIAL_RATE_PER_CORE * self.cores
         pressure = api.OverloadSignal(
-            part, self.gives_up(Measure.TURN_AWAY), not self.gives_up(Measure.NO_COPIES), unseen
+            part,
+            self.is_active(OverloadAction.SHED_LOAD),
+            not self.is_active(OverloadAction.DISABLE_HEDGING),
+            unseen,
         )
         known = self._reported
         switches = pressure.shed_over_quota, pressure.hedging_allowed
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -27,7 +27,7 @@
 from firvane.core import interface as api
 from firvane.core.address import Address
 from firvane.core.logs import QUIET, Log
-from firvane.proxy.limits.discovery_timing import Heard, Pauses
+from firvane.proxy.limits.discovery_timing import DiscoveryBackoff, WatchProgress
 from firvane.proxy.net.discovery_watch import DiscoveryWatch
 from firvane.proxy.net.endpoint_list import EndpointListError, EndpointListReader, format_endpoint_list
 
@@ -58,7 +58,7 @@
         on_target: Callable[[str, Address | None, bool], None],
         on_list: Callable[[api.ServerList], None],
         log: Log = QUIET,
-        pauses: Pauses | None = None,
+        backoff: DiscoveryBackoff | None = None,
     ) -> None:
         """Create a target group.
 
@@ -70,10 +70,10 @@
                 with no address for one that was removed.
             on_list: Called with each list.
             log: For failures of discovery.
-            pauses: When discovery is called; without it, calls are free.
+            backoff: When discovery is called; without it, calls are free.
         """
         self.log = log
-        self.pauses = pauses or Pauses(0, random.Random(0))
+        self.backoff = backoff or DiscoveryBackoff(0, random.Random(0))
         self.loop, self.address, self.reader = loop, address, reader
         self.on_target, self.on_list = on_target, on_list
         self.index = 0
@@ -165,17 +165,17 @@
         if address == self.address:
             return
         self.address, self.index = address, 0
-        self.pauses.told()
+        self.backoff.reset()
         if self.task:  # else it has not been started
             self.stop()
             self.start()
 
     async def follow(self) -> None:
         """Renew the watch for as long as the proxy runs, or until discovery moves."""
-        await asyncio.sleep(self.pauses.before_first(self.known))
+        await asyncio.sleep(self.backoff.first_delay(self.known))
         while self.address:
             silent = await self._watch_once(self.address)
-            await asyncio.sleep(self.pauses.before_next(silent))
+            await asyncio.sleep(self.backoff.next_delay(silent))
 
     async def _watch_once(self, address: Address) -> bool:
         """Watch until the watch ends; return whether it has timed out."""
@@ -191,16 +191,16 @@
         try:
             while not watch.over:
                 heard = watch.heard
-                if await self._times_out(ended, self.pauses.silent_at(heard)):
+                if await self._times_out(ended, self.backoff.times_out_at(heard)):
                     timed_out = True
-                    self.pauses.gave_up(heard)
+                    self.backoff.on_timeout(heard)
                     watch.end("discovery has fallen silent")
         finally:
             dial.cancel()
             watch.end(f"it is no longer followed at {host}")
         return timed_out
 
-    def _heard(self) -> Heard | None:
+    def _heard(self) -> WatchProgress | None:
         """What was received on the current watch."""
         return self.watch.heard if self.watch else None
 
@@ -222,7 +222,7 @@
         # and a call that could be made only now has the time that every call has.
         while not self.list_received.is_set():
             watch = self.watch
-            if await self._times_out(self.list_received, self.pauses.answer_at(self._heard())):
+            if await self._times_out(self.list_received, self.backoff.answer_deadline(self._heard())):
                 return False
             if watch and (
                 watch.over or watch is not self.watch
@@ -252,7 +252,7 @@
                 self.index = 0
                 raise  # from the code behind `on_list`: the list may be half taken in
             self.list_received.set()
-        self.pauses.told()
+        self.backoff.reset()
 
     def _check_version(self, data: Any, current: int) -> None:
         """Raise `EndpointListError` for changes that are older than the current list."""
@@ -263,7 +263,7 @@
 
     def _ended(self, ended: asyncio.Event, why: str) -> None:
         ended.set()
-        up = self.watch and self.watch.heard.asked is not None
+        up = self.watch and self.watch.heard.requested_at is not None
         self._warn("watch_ended" if up else "discovery_unreachable", why)
 
     def _warn(self, event: str, why: str) -> None:
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -31,8 +31,8 @@
 from firvane.core.net.upstream_exchange import UpstreamRun, close_idle
 from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.limits.memory_account import SMALL, Held
-from firvane.proxy.limits.memory_costs import IDLE_TARGET, WINDOW
+from firvane.proxy.limits.memory_account import MAX_UNLEASED_BODY_BYTES, MemoryUse
+from firvane.proxy.limits.memory_costs import IDLE_TARGET_BYTES, STREAM_WINDOW_BYTES
 from firvane.proxy.net.resource_monitor import ResourceMonitor
 
 IDLE_PART = 0.5  # of the idle timeout in the settings, after which targets may close connections
@@ -115,7 +115,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """The connection has its transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        self.owner.monitor.account.charge(Held.TARGETS, IDLE_TARGET)
+        self.owner.monitor.account.charge(MemoryUse.TARGETS, IDLE_TARGET_BYTES)
         # Without a buffer, writes go to the kernel at once, and `resume_writing` reports when the rest has
         # gone: only so is it known whether the connection broke before or after the last byte.
         self.transport.set_write_buffer_limits(0)
@@ -219,7 +219,7 @@
         now = self.owner.loop.time()
         if self.response_stream is None and message:
             self.head_received_at = self.head_received_at or now
-            unsized = message.size > SMALL and message.content_length() is None
+            unsized = message.size > MAX_UNLEASED_BODY_BYTES and message.content_length() is None
             may_be_long = unsized and now > self.head_received_at + BUFFERING_S
             if not message.exceeds_buffer and not may_be_long:
                 return False
@@ -230,7 +230,7 @@
             message.stream = self.response_stream = Stream(self)
             self._release()
             self.owner.streams[self] = None
-            self.owner.monitor.account.charge(Held.ANSWERS, WINDOW)
+            self.owner.monitor.account.charge(MemoryUse.ANSWERS, STREAM_WINDOW_BYTES)
             self.run.exchange.on_response_started(message)
         self.progress_at = now
         if message and self.response_stream:
@@ -243,7 +243,7 @@
         if self.response_stream:
             self.response_stream = None
             del self.owner.streams[self]
-            self.owner.monitor.account.charge(Held.ANSWERS, -WINDOW)
+            self.owner.monitor.account.charge(MemoryUse.ANSWERS, -STREAM_WINDOW_BYTES)
 
     def check_progress(self, now: float) -> None:
         """End the run of a long response that has made no progress for too long by loop time `now` in s."""
@@ -255,10 +255,10 @@
         monitor, message = self.owner.monitor, self.reader.message
         size = self.reader.raw_size if message else 0
         if size != self.charged:
-            monitor.account.charge(Held.ANSWERS, size - self.charged)
+            monitor.account.charge(MemoryUse.ANSWERS, size - self.charged)
             self.charged = size
-        large = message is not None and message.size > SMALL
-        if large and not self.awaiting_lease and not monitor.leases.ask(self, self._leased):
+        large = message is not None and message.size > MAX_UNLEASED_BODY_BYTES
+        if large and not self.awaiting_lease and not monitor.leases.request(self, self._leased):
             self.awaiting_lease = True
             self.transport.pause_reading()
 
@@ -270,9 +270,9 @@
     def _release(self) -> None:
         """Return what was charged for the response, which is no longer kept here."""
         monitor = self.owner.monitor
-        monitor.leases.give_back(self)
+        monitor.leases.release(self)
         if self.charged:
-            monitor.account.charge(Held.ANSWERS, -self.charged)
+            monitor.account.charge(MemoryUse.ANSWERS, -self.charged)
             self.charged = 0
 
     def _complete(self, message: Message, followed: bool) -> None:
@@ -331,8 +331,8 @@
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is closed (asyncio)."""
         monitor = self.owner.monitor
-        monitor.descriptors.give_back(Use.TARGETS)
-        monitor.account.charge(Held.TARGETS, -IDLE_TARGET)
+        monitor.descriptors.release(Use.TARGETS)
+        monitor.account.charge(MemoryUse.TARGETS, -IDLE_TARGET_BYTES)
         self.reader.reset()
         self._release()
         self._end_stream()
@@ -467,7 +467,7 @@
             connection.send(run)
 
     def _dial_failed(self, run: Run, ending: Termination) -> None:
-        self.monitor.descriptors.give_back(Use.TARGETS)
+        self.monitor.descriptors.release(Use.TARGETS)
         run.end(ending)
 
     def park(self, connection: Connection) -> None:
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -19,7 +19,7 @@
 from firvane.proxy.config.reload import check_open_flows, check_shape, waiting_for_start
 from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.limits.memory_costs import FLOW, MB
+from firvane.proxy.limits.memory_costs import FLOW_BYTES, MB
 from firvane.proxy.metrics import Measures
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy_parts import ProxyParts
@@ -290,7 +290,7 @@
 
     def fits(self, settings: api.Settings) -> str:
         """Why a policy with these settings does not fit the limits of this proxy; "" where it does."""
-        most = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW)
+        most = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW_BYTES)
         return check_open_flows(settings, most)
 
     def adopt(self, settings: api.Settings) -> None:
@@ -330,17 +330,17 @@
     def _report(self, due: float) -> None:
         """Log the metrics, every `REPORT_INTERVAL_S`."""
         monitor, endings, gate = self.monitor, self.engine.event_counts, self.limiter.gate
-        wished, overflowed = self.reported_rejections
-        endings["turned away unseen"] = gate.wished - wished
+        shed, overflowed = self.reported_rejections
+        endings["turned away unseen"] = gate.shed - shed
         endings["found no turn"] = gate.overflowed - overflowed
-        self.reported_rejections = gate.wished, gate.overflowed
+        self.reported_rejections = gate.shed, gate.overflowed
         self.log.info(
             "figures",
             clients=len(self.limiter.connections),
-            to_targets=monitor.descriptors.held[Use.TARGETS],
+            to_targets=monitor.descriptors.open[Use.TARGETS],
             dials=self.upstream_pools.dials,
             open=self.engine.unanswered,
-            held_mb=round(monitor.account.held / MB, 1),
+            held_mb=round(monitor.account.used_bytes / MB, 1),
             lag_ms=round(1000 * monitor.worst_lag()),
             **({"epoch": self.policy_agreement.epoch} if self.policy_agreement else {}),
             **self.figures().fields(),
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -25,9 +25,9 @@
 from firvane.proxy.capacity.excluded_servers import skipped
 from firvane.proxy.config.node import Config
 from firvane.proxy.extensions import POLICY_DESCRIPTORS, PolicyAgreement, SnapshotStore
-from firvane.proxy.limits.discovery_timing import Pauses
-from firvane.proxy.limits.memory_account import Held
-from firvane.proxy.limits.memory_costs import BOX, MB
+from firvane.proxy.limits.discovery_timing import DiscoveryBackoff
+from firvane.proxy.limits.memory_account import MemoryUse
+from firvane.proxy.limits.memory_costs import BACKEND_BYTES, MB
 from firvane.proxy.metrics import Errors, Measures, Used
 from firvane.proxy.net.connection_limiter import ConnectionLimiter
 from firvane.proxy.net.endpoint_list import EndpointListReader
@@ -122,9 +122,9 @@
         loop, settings, bounds = self.loop, config.settings, self.monitor.bounds
         self.upstream_pools = UpstreamPools(loop, settings.limits, settings.rules, self.monitor, self.dialer)
         reader = EndpointListReader(config.zones, config.kinds, bounds.boxes, bounds.line)
-        pauses = Pauses(settings.proxies if settings.ask else 0, random.Random(config.seed))
+        backoff = DiscoveryBackoff(settings.proxies if settings.ask else 0, random.Random(config.seed))
         self.target_group = TargetGroup(
-            loop, config.discovery, reader, self.upstream_pools.listed, self._listed, self.log, pauses
+            loop, config.discovery, reader, self.upstream_pools.listed, self._listed, self.log, backoff
         )
 
     def _make_engine(self, config: Config) -> None:
@@ -164,8 +164,8 @@
             self.limiter.metrics = Measures(clock, self.used, errors.count, version, os.getpid())
 
     def _listed(self, update: api.ServerList) -> None:
-        tables = BOX * len(self.target_group.servers)
-        self.monitor.account.charge(Held.TABLES, tables - self.table_bytes)
+        tables = BACKEND_BYTES * len(self.target_group.servers)
+        self.monitor.account.charge(MemoryUse.TABLES, tables - self.table_bytes)
         self.table_bytes = tables
         self.engine.update_server_list(update)
 
@@ -176,8 +176,8 @@
 
     def figures(self) -> Figures:
         """The metrics of the admin API and of the log, as of now."""
-        engine, turns = self.engine, self.monitor.turns
-        waiting = len(turns.line) + len(turns.behind) + len(turns.refused)
+        engine, loop_budget = self.engine, self.monitor.loop_budget
+        waiting = len(loop_budget.queue) + len(loop_budget.low_priority) + len(loop_budget.rejections)
         return Figures(
             self.lifecycle.state.value,
             engine.request_counters.by_class,
@@ -189,6 +189,6 @@
 
     def used(self) -> Used:
         """CPU time, memory and descriptors that this process uses."""
-        usage, held = self.monitor.usage(), sum(self.monitor.descriptors.held.values())
+        usage, held = self.monitor.usage(), sum(self.monitor.descriptors.open.values())
         opened = held if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
         return Used(usage.cpu, usage.memory / MB, opened)
--- a/firvane/proxy/recovery/peers.py
+++ b/firvane/proxy/recovery/peers.py
@@ -26,7 +26,7 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.core.balancing.rows import Row
-from firvane.proxy.limits.token_buckets import Rates
+from firvane.proxy.limits.token_buckets import TokenBuckets
 from firvane.proxy.recovery.messages import StateReply
 
 MAX_ASKED_PEERS = 15
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self.reports: dict[int, Report] = {}  # by peer
         self.last_sent_ms: dict[int, int] = {}  # by peer, on its own clock
-        self.rates = Rates(MAX_ANSWERS_PER_S, MAX_ANSWERS_PER_S)  # of answers, to all peers together
+        self.rates = TokenBuckets(MAX_ANSWERS_PER_S, MAX_ANSWERS_PER_S)  # of answers, to all peers together
 
     def may_answer(self, now: float) -> bool:
         """Whether a request may be answered; counts the answer."""
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -103,7 +103,7 @@
             held += self.size * up / 60
         counts = self.proxy.limiter.metrics.classes.values()
         cpu = sum(0.0005 * one.taken + 0.0002 * one.attempts for one in counts)
-        return Used(cpu, held, sum(self.proxy.monitor.descriptors.held.values()))
+        return Used(cpu, held, sum(self.proxy.monitor.descriptors.open.values()))
 
     def _take(self, flow: Any, request: Any) -> None:
         self.taken += 1
--- a/tests/core/net/test_http.py
+++ b/tests/core/net/test_http.py
@@ -15,7 +15,7 @@
 from firvane.core.flows import Flow
 from firvane.core.net import http_message, http_reader, http_writer
 from firvane.core.request_counters import RequestCounters
-from firvane.proxy.limits.loop_budget import BEHIND, DECIDE, READ_ONE, TURN
+from firvane.proxy.limits.loop_budget import DECISION_UNITS, ITERATION_UNITS, LOW_PRIORITY_UNITS, READ_UNITS
 from firvane.proxy.net.client_connection import ClientConnection
 from firvane.proxy.net.connection_limiter import ConnectionLimiter
 from tests.helpers import settings
@@ -314,14 +314,16 @@
     made, wire, _ = listener()
     made.context.engine = refusing = Refusing()  # type: ignore[assignment]
     made.data_received(GET * 2000)
-    share = BEHIND // (READ_ONE + DECIDE)  # of a turn, for what is sent behind another request
+    share = LOW_PRIORITY_UNITS // (
+        READ_UNITS + DECISION_UNITS
+    )  # of a turn, for what is sent behind another request
     assert len(refusing.flows) == 1 and wire.paused
     make_places(made.context.monitor, 1000)
-    turns = TURN // (READ_ONE + DECIDE)
-    others = [Wire(ClientConnection(made.context)) for _ in range(3 * turns)]
+    loop_budget = ITERATION_UNITS // (READ_UNITS + DECISION_UNITS)
+    others = [Wire(ClientConnection(made.context)) for _ in range(3 * loop_budget)]
     for other in others:
         other.protocol.data_received(GET)
-    assert len(refusing.flows) == turns
+    assert len(refusing.flows) == loop_budget
     before = len(statuses(wire))
     for _ in range(4):
         turn(made)
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -60,22 +60,23 @@
     ),
     Mutant(
         "a silent watch is opened anew", PAUSES,
-        "return heard.line + SILENCE", "return heard.line + 100.0",
+        "return progress.last_line_at + WATCH_TIMEOUT_S", "return progress.last_line_at + 100.0",
         f"{TESTS}::test_a_watch_that_falls_silent_is_opened_anew",
     ),
     Mutant(
         "an answer that stops after its head is called again", PAUSES,
-        "return min(heard.byte + self.begun, asked + SILENCE)", "return asked + 100.0",
+        "return min(progress.last_byte_at + self.stall_timeout_s, sent_at + WATCH_TIMEOUT_S)",
+        "return sent_at + 100.0",
         f"{TESTS}::test_a_watch_that_falls_silent_is_opened_anew",
     ),
     Mutant(
         "a call that is not answered is made again soon", PAUSES,
-        "        return asked + ANSWER\n", "        return asked + SILENCE\n",
+        "        return sent_at + FIRST_BYTE_TIMEOUT_S\n", "        return sent_at + WATCH_TIMEOUT_S\n",
         f"{TESTS}::test_a_call_that_is_not_answered_is_made_again_until_one_is",
     ),
     Mutant(
         "a call that may wait in a queue does", PAUSES,
-        "        if self.span:\n            return heard.called + SILENCE\n", "",
+        "        if self.span:\n            return progress.started_at + WATCH_TIMEOUT_S\n", "",
         f"{TESTS}::test_a_call_that_may_wait_in_a_queue_is_not_made_again_so_soon",
     ),
     Mutant(
@@ -95,7 +96,7 @@
     ),
     Mutant(
         "an agent that was away is called again soon", PAUSES,
-        "FIRST, LONGEST = 0.1, 0.2", "FIRST, LONGEST = 0.1, 2.0",
+        "MAX_BACKOFF_S = 0.2", "MAX_BACKOFF_S = 2.0",
         "tests/proxy/limits/test_discovery_timing.py::test_a_free_call_is_made_at_once_and_soon_again",
     ),
     Mutant(
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -61,7 +61,7 @@
     Mutant(
         "the door's descriptors are counted before the start",
         "firvane/proxy/config/platform.py",
-        "    if ops and sockets < (least := LEAST + DOOR):",
+        "    if ops and sockets < (least := MIN_DESCRIPTORS + DOOR):",
         "    if ops and sockets < (least := LEAST):",
         f"{TEST}::test_the_program_says_it_and_ends_with_2",
     ),
--- a/tests/crossings/test_client_gone.py
+++ b/tests/crossings/test_client_gone.py
@@ -14,12 +14,12 @@
 import pytest
 
 from firvane.core import interface as api
-from firvane.proxy.limits.memory_account import SMALL, Held
+from firvane.proxy.limits.memory_account import MAX_UNLEASED_BODY_BYTES, MemoryUse
 from tests.crossings.harness import ERROR, FULL, MS, OK, Link, Rig, a_class, params, play, request, rig
 
 HOW = pytest.mark.parametrize("how", ["fin", "reset"])
 CANCEL = pytest.mark.parametrize("cancel", [True, False])
-CLEAN = (Held.READING, Held.FLOWS, Held.WRITING, Held.CLIENTS)
+CLEAN = (MemoryUse.READING, MemoryUse.FLOWS, MemoryUse.WRITING, MemoryUse.CLIENTS)
 
 
 PATIENT = [
@@ -58,7 +58,7 @@
 async def unleased(made: Rig) -> tuple[Link, Any]:
     """A client whose body waits for a lease, and the proxy's end of it."""
     client = await made.client()
-    await client.send(ask("c1", "/pay/x", body=bytes(4 * SMALL)))
+    await client.send(ask("c1", "/pay/x", body=bytes(4 * MAX_UNLEASED_BODY_BYTES)))
     listener = await made.listener(client)
     await made.see(lambda: listener.awaiting_lease)
     return client, listener
@@ -67,10 +67,12 @@
 @contextlib.asynccontextmanager
 async def nothing_left(made: Rig) -> AsyncIterator[None]:
     """Whoever comes within has gone in the end, and the account is what it was."""
-    account, held = made.proxy.monitor.account, made.proxy.monitor.descriptors.held
-    before = [account.by[what] for what in CLEAN], dict(held), made.at_rest()
+    account, held = made.proxy.monitor.account, made.proxy.monitor.descriptors.open
+    before = [account.bytes_by_use[what] for what in CLEAN], dict(held), made.at_rest()
     yield
-    await made.see(lambda: ([account.by[what] for what in CLEAN], dict(held), made.at_rest()) == before)
+    await made.see(
+        lambda: ([account.bytes_by_use[what] for what in CLEAN], dict(held), made.at_rest()) == before
+    )
     assert not made.proxy.limiter.open_ids and not made.proxy.limiter.connections
 
 
@@ -97,15 +99,15 @@
         async with rig(tmp_path, **limits()) as made:
             await made.start()
             await warm(made)
-            turns = made.proxy.monitor.turns
-            spend = turns.spend
-            turns.spend = lambda units: False  # type: ignore[method-assign]
+            loop_budget = made.proxy.monitor.loop_budget
+            spend = loop_budget.spend
+            loop_budget.spend = lambda units: False  # type: ignore[method-assign]
             client = await made.client()
             await client.send(ask("c1") + (ask("c2") if behind else b""))
             listener = await made.listener(client)
             await made.see(lambda: listener.queued)
             await gone(made, client, how)
-            turns.spend = spend  # type: ignore[method-assign]
+            loop_budget.spend = spend  # type: ignore[method-assign]
             await made.see(lambda: not made.proxy.limiter.connections)
             await only(made)
 
@@ -149,7 +151,7 @@
                 await gone(made, client, how)
                 leases.free = free
                 await made.see(lambda: not made.proxy.limiter.connections)
-            assert not leases.line
+            assert not leases.queue
             await only(made)
 
     play(work())
@@ -166,7 +168,7 @@
             client, listener = await unleased(made)
             await gone(made, client, how)
             leases.free = free
-            leases.line.pop(listener)
+            leases.queue.pop(listener)
             listener._leased()  # in the same turn: no sweep has come in between
             await made.see(lambda: not made.proxy.limiter.connections)
             await only(made)
--- a/tests/crossings/test_ends.py
+++ b/tests/crossings/test_ends.py
@@ -305,7 +305,7 @@
             used = await made.client()
             assert await asked(used, "u1")
             # Under pressure who has asked nothing for 0.5 s makes room, and a busy machine makes loops late.
-            made.proxy.monitor.gives_up = lambda measure: False  # type: ignore[method-assign]
+            made.proxy.monitor.is_active = lambda measure: False  # type: ignore[method-assign]
             if why == "end":
                 made.later(made.proxy.drain())
             client = await made.client()
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -21,7 +21,7 @@
 from firvane.proxy.net.discovery_watch import DiscoveryWatch, JsonObjectSplitter
 from firvane.proxy.net.endpoint_list import EndpointListError
 from tests.crossings.harness import (
-    CHUNKED,
+    CHUNKED_READ_UNITS,
     ERROR,
     FULL,
     MS,
@@ -187,7 +187,7 @@
 def test_a_watch_that_falls_silent_is_opened_anew(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, fall: Callable[[Watch], Awaitable[None]]
 ) -> None:
-    monkeypatch.setattr(discovery_timing, "SILENCE", 0.3)
+    monkeypatch.setattr(discovery_timing, "WATCH_TIMEOUT_S", 0.3)
 
     async def work() -> None:
         async with rig(tmp_path) as made:
@@ -230,11 +230,12 @@
             group = made.proxy.target_group
             assert (
                 group.watch
-                and group.pauses.silent_at(group.watch.heard) > asked + discovery_timing.SILENCE - 1.0
+                and group.backoff.times_out_at(group.watch.heard)
+                > asked + discovery_timing.WATCH_TIMEOUT_S - 1.0
             )
-            await asyncio.sleep(3 * discovery_timing.ANSWER)
+            await asyncio.sleep(3 * discovery_timing.FIRST_BYTE_TIMEOUT_S)
             assert not made.agent.waiting()
-            await waiting.send(CHUNKED)
+            await waiting.send(CHUNKED_READ_UNITS)
             await waiting.tell(1, *made.entries())
             await made.said("event=ready")
 
@@ -247,7 +248,7 @@
 ) -> None:
     # It stands still in a call of its own, or while it reads another connection: then it comes to its timers
     # before it reads the watch's.
-    monkeypatch.setattr(discovery_timing, "SILENCE", 0.4)
+    monkeypatch.setattr(discovery_timing, "WATCH_TIMEOUT_S", 0.4)
 
     async def work() -> None:
         async with rig(tmp_path) as made:
@@ -336,8 +337,8 @@
         (b"HTTP/1.1 404 No\r\nContent-Length: 44\r\n\r\n" + NO_NEWS, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + NO_NEWS, 9),
         (b"not HTTP at all\r\n\r\n", 1),
-        (CHUNKED + b"4\r\nnot\n\r\n", 0),
-        (CHUNKED + b'5\r\n{"in\n\r\n', 0),
+        (CHUNKED_READ_UNITS + b"4\r\nnot\n\r\n", 0),
+        (CHUNKED_READ_UNITS + b'5\r\n{"in\n\r\n', 0),
     ],
 )
 def test_an_answer_of_no_use_ends_the_watch_at_once(tmp_path: Path, answer: bytes, index: int) -> None:
@@ -363,7 +364,7 @@
             port = made.agent.port
             made.agent.close()  # the watch ends, and dials are refused from here on
             group = made.proxy.target_group
-            await made.see(lambda: group.pauses.pause == discovery_timing.LONGEST)
+            await made.see(lambda: group.backoff.backoff_s == discovery_timing.MAX_BACKOFF_S)
             back = Agent.__new__(Agent)
             back.loop, back.links = made.loop, []
             back.sock = socket.create_server(("127.0.0.1", port), backlog=64)
@@ -391,7 +392,7 @@
         b"GET", 100, lambda line: (lines.append(line), watch.end("moved")), lambda why: None
     )  # type: ignore[func-returns-value]
     Wire(watch)
-    watch.data_received(CHUNKED + b"4\r\n\n\n\n\n\r\n")
+    watch.data_received(CHUNKED_READ_UNITS + b"4\r\n\n\n\n\n\r\n")
     watch.data_received(b"2\r\n\n\n\r\n")
     assert lines == [b""]
 
@@ -771,7 +772,7 @@
 def test_discovery_comes_back_into_a_release(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     # Down: the open watch falls silent, calls made meanwhile are never answered. Back, with targets that
     # drain: the proxy hears at once, and nothing goes to them from then on.
-    monkeypatch.setattr(discovery_timing, "SILENCE", 0.4)
+    monkeypatch.setattr(discovery_timing, "WATCH_TIMEOUT_S", 0.4)
 
     async def work() -> None:
         async with rig(tmp_path, 2, AT_ONCE) as made:
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -30,7 +30,7 @@
 from firvane.core.net.http_message import Message
 from firvane.core.terminations import Termination
 from firvane.proxy.config.platform import read_config
-from firvane.proxy.limits.overload import Measure, Resource
+from firvane.proxy.limits.overload import OverloadAction, Resource
 from firvane.proxy.proxy import Proxy
 from tests.crossings.harness import (
     ERROR,
@@ -38,8 +38,8 @@
     MS,
     OK,
     Agent,
-    Held,
     Link,
+    MemoryUse,
     Target,
     a_class,
     configured,
@@ -273,7 +273,7 @@
             answer = await asked(client, "c1")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"Retry-After: " in answer) is allowed
             made.proxy.limiter.shed([1.0], 0.5)
-            made.proxy.limiter.gate.shut = True
+            made.proxy.limiter.gate.is_shedding = True
             answer = await asked(client, "c2")
             assert answer.startswith(b"HTTP/1.1 503 ") and (b"retry-after: " in answer.lower()) is allowed
             assert "c2" not in made.targets[0].calls
@@ -504,9 +504,9 @@
         async with rig(tmp_path, 1, params(classes=[cls])) as made:
             monitor = made.proxy.monitor
             monitor.see(Resource.LAG, 0.003 / monitor.max_lag)
-            assert monitor.gives_up(Measure.TURN_AWAY) is False
+            assert monitor.is_active(OverloadAction.SHED_LOAD) is False
             monitor.see(Resource.LAG, 0.25 * max(aim, 40) / 1000 / monitor.max_lag)  # this one is
-            assert monitor.gives_up(Measure.TURN_AWAY)
+            assert monitor.is_active(OverloadAction.SHED_LOAD)
 
     play(work())
 
@@ -742,7 +742,7 @@
     async def work() -> None:
         loop = asyncio.get_running_loop()
         proxy = Proxy(loop, config, log=logs.make("error", "logfmt", lines.append))
-        proxy.upstream_pools.dialer = held = Held(proxy.dialer)  # type: ignore[assignment]
+        proxy.upstream_pools.dialer = held = MemoryUse(proxy.dialer)  # type: ignore[assignment]
         held.holding = True
         proxy.engine.start()
         with contextlib.suppress(ValueError):  # as `start` takes it
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -17,7 +17,7 @@
 from firvane.core.net.transport_pool import TransportPool
 from firvane.core.terminations import Termination
 from firvane.proxy.limits.descriptors import Use
-from firvane.proxy.limits.memory_account import SMALL, Held, Leases
+from firvane.proxy.limits.memory_account import MAX_UNLEASED_BODY_BYTES, BodyLeases, MemoryUse
 from firvane.proxy.net import listening_socket
 from firvane.proxy.net.client_connection import ClientConnection
 from firvane.proxy.net.connection_limiter import ConnectionLimiter
@@ -59,7 +59,7 @@
 
     def __init__(self) -> None:
         self.limiter, self.taken, self.clock = make_limiter()
-        self.limiter.monitor.leases = Leases(2 * (MAX_BODY_BYTES + 1), MAX_BODY_BYTES + 1)
+        self.limiter.monitor.leases = BodyLeases(2 * (MAX_BODY_BYTES + 1), MAX_BODY_BYTES + 1)
         self.wires = [Wire(self.limiter.accept()) for _ in range(4)]
         self.number = 0
 
@@ -95,8 +95,8 @@
             self.limiter.shed((1.0,) if size % 2 else (0.0,), 0.1)
         elif kind == "turn":
             self.clock.turn()
-        assert all(held >= 0 for held in self.limiter.account.by)
-        assert sum(self.limiter.account.by) == self.limiter.account.held
+        assert all(held >= 0 for held in self.limiter.account.bytes_by_use)
+        assert sum(self.limiter.account.bytes_by_use) == self.limiter.account.used_bytes
 
 
 KINDS = ["get", "get", "post", "answer", "answer", "stick", "unstick", "close", "shut", "turn"]
@@ -122,22 +122,25 @@
     left = len(crowd.taken.left)
     assert sum(status in (200, 503) for wire in crowd.wires for status in statuses(wire)) >= taken - left
     account = crowd.limiter.account
-    assert account.held == account.by[Held.CLIENTS] + account.by[Held.READING]
+    assert (
+        account.used_bytes
+        == account.bytes_by_use[MemoryUse.CLIENTS] + account.bytes_by_use[MemoryUse.READING]
+    )
     for wire in crowd.wires:
         wire.close()
-    assert account.held == 0 and not any(account.by)
-    assert not crowd.limiter.monitor.leases.holders and not crowd.limiter.monitor.leases.line
-    assert crowd.limiter.monitor.descriptors.held[Use.CLIENTS] == 0 and not crowd.limiter.open_ids
+    assert account.used_bytes == 0 and not any(account.bytes_by_use)
+    assert not crowd.limiter.monitor.leases.holders and not crowd.limiter.monitor.leases.queue
+    assert crowd.limiter.monitor.descriptors.open[Use.CLIENTS] == 0 and not crowd.limiter.open_ids
 
 
 def test_large_bodies_wait_for_a_lease_and_go_on_in_order() -> None:
     made, taken, _ = make_limiter()
-    made.monitor.leases = Leases(1, 1)
+    made.monitor.leases = BodyLeases(1, 1)
     wires = [Wire(made.accept()) for _ in range(3)]
     for n, wire in enumerate(wires):
-        wire.protocol.data_received(LARGE.replace(b"9b1f", b"%d" % n) + b"x" * (SMALL + 1))
+        wire.protocol.data_received(LARGE.replace(b"9b1f", b"%d" % n) + b"x" * (MAX_UNLEASED_BODY_BYTES + 1))
     assert [wire.paused for wire in wires] == [False, True, True]
-    wires[0].protocol.data_received(b"x" * (20000 - SMALL - 1))
+    wires[0].protocol.data_received(b"x" * (20000 - MAX_UNLEASED_BODY_BYTES - 1))
     assert len(taken.flows) == 1
     wires[0].protocol.on_response(answer())
     assert [wire.paused for wire in wires] == [False, False, True]
@@ -147,32 +150,36 @@
 
 def test_a_large_answer_waits_for_a_lease_too() -> None:
     pools = unwired(Clock())
-    pools.monitor.leases = Leases(1, 1)
+    pools.monitor.leases = BodyLeases(1, 1)
     pool, wires, ended = Pool("s"), [], []
     for _ in range(2):
         connection = connected(pools, pool)
         wires.append(Wire(connection))
         ended.append(Ended(1001.0))
         connection.send(Run(a_request(), pool, ended[-1]))
-        connection.data_received(b"HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + b"x" * (SMALL + 1))
+        connection.data_received(
+            b"HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + b"x" * (MAX_UNLEASED_BODY_BYTES + 1)
+        )
     account = pools.monitor.account
-    assert [wire.paused for wire in wires] == [False, True] and account.by[Held.ANSWERS] > 2 * SMALL
-    wires[0].protocol.data_received(b"x" * (20000 - SMALL - 1))
+    assert [wire.paused for wire in wires] == [False, True] and account.bytes_by_use[
+        MemoryUse.ANSWERS
+    ] > 2 * MAX_UNLEASED_BODY_BYTES
+    wires[0].protocol.data_received(b"x" * (20000 - MAX_UNLEASED_BODY_BYTES - 1))
     assert ended[0].endings == [Termination.SERVED] and not wires[1].paused
     for wire in wires:
         wire.close()
-    assert account.held == 0 and not pools.monitor.leases.holders
+    assert account.used_bytes == 0 and not pools.monitor.leases.holders
 
 
 def test_nothing_is_taken_on_while_the_account_is_pressed() -> None:
     made, wire, taken = listener()
-    made.context.account.pressed = True
+    made.context.account.under_pressure = True
     made.data_received(GET)
     made.data_received(POST)  # one with a body is read first
     for _ in range(3):
         turn(made)
     assert statuses(wire) == [503, 503] and not taken.flows and not wire.closed
-    made.context.account.pressed = False
+    made.context.account.under_pressure = False
     made.data_received(GET)
     assert len(taken.flows) == 1
 
@@ -234,7 +241,7 @@
         if made.flow:
             made.on_response(answer())
     assert statuses(wire) == [200, 503] * 3 and len(taken.flows) == 3
-    assert wire.written.count(b"Retry-After: ") == 3 and made.context.gate.wished == 3
+    assert wire.written.count(b"Retry-After: ") == 3 and made.context.gate.shed == 3
 
 
 def test_a_list_or_a_line_that_does_not_fit_is_turned_down_whole() -> None:
@@ -379,11 +386,11 @@
         acceptor = SocketAcceptor(loop, transports)
         await acceptor.open(("127.0.0.1", 0), shared.accept)
         clients = [socket.create_connection(acceptor.address()) for _ in range(64)]
-        turns = 0
+        loop_budget = 0
         while len(shared.connections) < 64:
             await asyncio.sleep(0)
-            turns += 1
-        assert turns < 32
+            loop_budget += 1
+        assert loop_budget < 32
         for client in clients:
             client.close()
         acceptor.close()
@@ -397,7 +404,7 @@
     told = list[api.OverloadSignal]()
     made.monitor.report_pressure = told.append
     made.monitor.start()
-    made.monitor.turns.most_wait = 0.0
+    made.monitor.loop_budget.max_wait_s = 0.0
     for n in range(200):  # more than a line and the turns of a period hold
         Wire(made.accept()).protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
     clock.advance(0.25)
--- a/tests/proxy/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -7,10 +7,26 @@
 from hypothesis import strategies as st
 
 from firvane.core import interface as api
-from firvane.proxy.limits.admission import Admission
-from firvane.proxy.limits.admission_gate import Gate
-from firvane.proxy.limits.loop_budget import DECIDE, LEAST_LINE, READ_ONE, REFUSALS, SHARE, TURN, Turns
-from firvane.proxy.limits.overload import CALM_FOR, GIVES_UP, UP, Level, Measure, Overload, Resource
+from firvane.proxy.limits.admission import AdmissionController
+from firvane.proxy.limits.admission_gate import AdmissionGate
+from firvane.proxy.limits.loop_budget import (
+    CONNECTION_UNITS,
+    DECISION_UNITS,
+    ITERATION_UNITS,
+    MIN_QUEUE_LENGTH,
+    READ_UNITS,
+    REJECTIONS_PER_ITERATION,
+    LoopBudget,
+)
+from firvane.proxy.limits.overload import (
+    ACTIONS,
+    CALM_PERIOD_S,
+    RAISE_AT,
+    Level,
+    Overload,
+    OverloadAction,
+    Resource,
+)
 from tests.helpers import started
 from tests.proxy.net.helpers import seeded
 
@@ -22,7 +38,7 @@
             steps.append((step.before, step.after, 0.25 * n))
     calm, busy, heavy, critical = Level
     assert steps == [(calm, critical, 0.25), (critical, heavy, 1.75), (heavy, busy, 2.75), (busy, calm, 3.75)]
-    assert not overload.given_up and overload.worst() is calm
+    assert not overload.active_actions and overload.worst() is calm
 
 
 @seeded
@@ -34,42 +50,44 @@
         step = overload.see(resource, figure, now=0.25 * n)
         after = overload.levels[resource]
         assert (step is None) == (before is after)
-        assert after >= sum(figure >= threshold for threshold in UP[resource])  # never less than is needed
-        assert overload.given_up == GIVES_UP.get((resource, after), frozenset())
+        assert after >= sum(
+            figure >= threshold for threshold in RAISE_AT[resource]
+        )  # never less than is needed
+        assert overload.active_actions == ACTIONS.get((resource, after), frozenset())
         if after < before:
-            assert after == before - 1 and all(0.25 * n - fall >= CALM_FOR for fall in falls[-1:])
+            assert after == before - 1 and all(0.25 * n - fall >= CALM_PERIOD_S for fall in falls[-1:])
             falls.append(0.25 * n)
 
 
 def test_a_graver_level_gives_up_no_less() -> None:
     for resource in Resource:
-        given_up = [GIVES_UP[resource, level] for level in Level if level]
-        assert given_up[0] <= given_up[1] <= given_up[2]
-    assert Measure.SHED in GIVES_UP[Resource.DESCRIPTORS, Level.CRITICAL]
+        active_actions = [ACTIONS[resource, level] for level in Level if level]
+        assert active_actions[0] <= active_actions[1] <= active_actions[2]
+    assert OverloadAction.EVICT_CONNECTIONS in ACTIONS[Resource.DESCRIPTORS, Level.CRITICAL]
 
 
 def test_what_can_be_carried_is_learnt_only_at_the_limit() -> None:
-    admission = Admission()
-    assert admission.period(1.0, 500, 0, 0, waited=False) == 0.0  # all of it was carried
-    assert admission.period(1.0, 1000, 0, 3000, waited=True) == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.1)
-    parts = [admission.period(1.0, 1000, 3000, 0, waited=True) for _ in range(8)]
+    admission = AdmissionController()
+    assert admission.update(1.0, 500, 0, 0, waited=False) == 0.0  # all of it was carried
+    assert admission.update(1.0, 1000, 0, 3000, waited=True) == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.1)
+    parts = [admission.update(1.0, 1000, 3000, 0, waited=True) for _ in range(8)]
     assert parts[-1] == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.01)
-    eased = [admission.period(1.0, 900, 0, 0, waited=False) for _ in range(8)]
+    eased = [admission.update(1.0, 900, 0, 0, waited=False) for _ in range(8)]
     assert eased == sorted(eased, reverse=True) and eased[-1] == 0.0
 
 
 class Asker:
     """Somebody with so many requests, each read and then decided."""
 
-    def __init__(self, turns: Turns, requests: int) -> None:
-        self.turns, self.left, self.queued = turns, requests, False
+    def __init__(self, loop_budget: LoopBudget, requests: int) -> None:
+        self.loop_budget, self.left, self.queued = loop_budget, requests, False
         self.done = self.refusals = 0
 
     def go_on(self, given: bool = False) -> None:
-        self.turns.begin()
+        self.loop_budget.begin()
         while self.left:
-            if not self.turns.spend(READ_ONE + DECIDE):
-                self.turns.wait(self)
+            if not self.loop_budget.spend(READ_UNITS + DECISION_UNITS):
+                self.loop_budget.wait(self)
                 return
             self.left -= 1
             self.done += 1
@@ -80,47 +98,50 @@
 
 def test_a_turn_is_shared_and_refusals_cost_their_own_part_only() -> None:
     due = []
-    turns = Turns(due.append, most_wait=0.02)
-    greedy, others = Asker(turns, 10_000), [Asker(turns, 1) for _ in range(20)]
+    loop_budget = LoopBudget(due.append, max_wait_s=0.02)
+    greedy, others = Asker(loop_budget, 10_000), [Asker(loop_budget, 1) for _ in range(20)]
     for asker in (greedy, *others):
         asker.go_on()
-    assert greedy.done == SHARE // (READ_ONE + DECIDE) and turns.spent <= TURN
-    refused = [Asker(turns, 0) for _ in range(3 * REFUSALS)]
+    assert (
+        greedy.done == CONNECTION_UNITS // (READ_UNITS + DECISION_UNITS)
+        and loop_budget.spent <= ITERATION_UNITS
+    )
+    refused = [Asker(loop_budget, 0) for _ in range(3 * REJECTIONS_PER_ITERATION)]
     for asker in refused:
-        turns.refuse(asker)
-        turns.refuse(asker)  # it stands in line once
+        loop_budget.queue_rejection(asker)
+        loop_budget.queue_rejection(asker)  # it stands in line once
     assert not any(asker.refusals for asker in refused)
     for n in range(1, 5):
         assert len(due) == 1  # one call for the next turn, however many wait
         due.pop()()
-        assert REFUSALS * min(n, 3) <= sum(asker.refusals for asker in refused)
-        assert turns.spent <= TURN
+        assert REJECTIONS_PER_ITERATION * min(n, 3) <= sum(asker.refusals for asker in refused)
+        assert loop_budget.spent <= ITERATION_UNITS
     for _ in range(8):
         due.pop()()
     assert all(asker.done == 1 for asker in others) and greedy.left
 
 
 def test_the_line_is_as_long_as_its_wait_allows() -> None:
-    turns = Turns(lambda call: None, most_wait=0.02)
-    for _ in range(LEAST_LINE):
-        assert not turns.full()
-        turns.wait(Asker(turns, 1))
-    assert turns.full()
-    turns.rate = 50.0 * (LEAST_LINE + 1)  # a second; a fiftieth of that may wait
-    assert not turns.full()
+    loop_budget = LoopBudget(lambda call: None, max_wait_s=0.02)
+    for _ in range(MIN_QUEUE_LENGTH):
+        assert not loop_budget.full()
+        loop_budget.wait(Asker(loop_budget, 1))
+    assert loop_budget.full()
+    loop_budget.rate = 50.0 * (MIN_QUEUE_LENGTH + 1)  # a second; a fiftieth of that may wait
+    assert not loop_budget.full()
 
 
 def test_parts_are_followed_exactly_and_a_full_line_refuses_the_rest() -> None:
     crowded = False
-    gate = Gate((b"lagos", b"kano"), lambda greedy: crowded)
-    gate.set((0.25, 1.0))
-    assert [gate.turns_away(b"lagos") for _ in range(8)] == [False, False, False, True] * 2
-    assert gate.shut and gate.turns_away(b"kano")
-    assert gate.told() == (2, 1) and gate.told() == (0, 0)
-    gate.set((0.0, 0.0))
-    assert not gate.shut and not gate.turns_away(b"kano")
+    gate = AdmissionGate((b"lagos", b"kano"), lambda greedy: crowded)
+    gate.set_fractions((0.25, 1.0))
+    assert [gate.rejects(b"lagos") for _ in range(8)] == [False, False, False, True] * 2
+    assert gate.is_shedding and gate.rejects(b"kano")
+    assert gate.take_rejections() == (2, 1) and gate.take_rejections() == (0, 0)
+    gate.set_fractions((0.0, 0.0))
+    assert not gate.is_shedding and not gate.rejects(b"kano")
     crowded = True
-    assert gate.turns_away(b"nobody") and (gate.wished, gate.overflowed) == (3, 1)
+    assert gate.rejects(b"nobody") and (gate.shed, gate.overflowed) == (3, 1)
 
 
 def test_the_decisions_turn_away_first_what_exceeds_a_share() -> None:
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -214,9 +214,9 @@
 
 def make_places(made: ResourceMonitor, places: int) -> None:
     both = {Use.TARGETS: places, Use.CLIENTS: places}
-    held = made.descriptors.held
+    held = made.descriptors.open
     made.descriptors = Descriptors(2 * places, {use: both.get(use, 0) for use in Use})
-    made.descriptors.held.update({use: held[use] for use in both})
+    made.descriptors.open.update({use: held[use] for use in both})
 
 
 def endpoint(name: str, port: int, **more: Any) -> dict[str, Any]:
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -14,7 +14,7 @@
 from firvane.core.logs import QUIET
 from firvane.proxy.admin_api.lifecycle import Event
 from firvane.proxy.config.platform import read_config
-from firvane.proxy.limits.memory_account import Held
+from firvane.proxy.limits.memory_account import MemoryUse
 from firvane.proxy.proxy import Proxy
 from tests.proxy.net.helpers import endpoint, run
 from tests.proxy.test_program import config
@@ -250,11 +250,11 @@
         assert sent < 32
         [connection] = stage.proxy.limiter.connections
         assert connection.transport.get_write_buffer_size() <= 64 * 1024
-        assert sum(stage.proxy.monitor.account.by) < 1 << 20
+        assert sum(stage.proxy.monitor.account.bytes_by_use) < 1 << 20
         _, body = b"", await reader.readexactly(32 * len(BODY))
         assert body == 32 * BODY
-        by = stage.proxy.monitor.account.by
-        await until(lambda: not by[Held.FLOWS] and not by[Held.ANSWERS])
+        by = stage.proxy.monitor.account.bytes_by_use
+        await until(lambda: not by[MemoryUse.FLOWS] and not by[MemoryUse.ANSWERS])
         stage.close()
 
     run(work())
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -159,7 +159,7 @@
         await bench.target(OK)
         await bench.send()
         await bench.send()
-        assert bench.connections == 1 and bench.pools.monitor.descriptors.held[Use.TARGETS] == 1
+        assert bench.connections == 1 and bench.pools.monitor.descriptors.open[Use.TARGETS] == 1
         await bench.rested()
         bench.pools.forward(request(), "s", ended := Ended(bench.loop.time() + LEFT)).cancel()
         assert not bench.pools.pools["s"].idle
@@ -177,7 +177,7 @@
             free.bind(("127.0.0.1", 0))
             bench.pools.listed("s", free.getsockname(), True)
             assert (await bench.send()).endings == [Termination.CONNECTION_REFUSED]
-        assert bench.pools.monitor.descriptors.held[Use.TARGETS] == 0
+        assert bench.pools.monitor.descriptors.open[Use.TARGETS] == 0
         bench.transports.close()
 
     run(work())
