--- a/benchmarks/policy_members.py
+++ b/benchmarks/policy_members.py
@@ -53,7 +53,7 @@
 CHANGE_S = 22.0  # in which a change ends: readiness, the activation delay, and what is lost on the way
 ROUND_S = 5.0  # round a change, in which service that is lost is counted
 RESTART_RANGE_S = (0.5, 12.0)
-FIRST_BACKOFF_S = digest_of(b"the first policy")
+FIRST = digest_of(b"the first policy")
 
 
 class Span(NamedTuple):
@@ -75,7 +75,7 @@
         self.member: Member | None = None
         self.run_number = 0
         self.stored: VoterState | None = None
-        self.texts: set[bytes] = {FIRST_BACKOFF_S}
+        self.texts: set[bytes] = {FIRST}
         self.is_stalled = False
         self.pending_events: list[events.Event] = []
         self.disk_full = False  # its disk
@@ -158,7 +158,7 @@
         names = [self.name(voter) for voter in self.voters]
         self.judge = Epochs(self.findings, names, self.times.activation_tolerance_s, CHANGE_S)
         self.seen: dict[int, bytes] = {}
-        first = VoterState(1, Value(1, FIRST_BACKOFF_S, self.voters), True, NO_PROPOSAL_NUMBER, None, ())
+        first = VoterState(1, Value(1, FIRST, self.voters), True, NO_PROPOSAL_NUMBER, None, ())
         for node in self.nodes:
             if node.number in self.voters:
                 node.stored = first
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -70,7 +70,7 @@
             run to run).
         policy_lease: The lease on the policy that all proxies agree on, where there is one.
         metrics: Counts by class and tenant, where they are configured.
-        set_accepting: DiscoveryBackoff or resumes the acceptance of connections.
+        set_accepting: Pauses or resumes the acceptance of connections.
         accepting_paused: It is paused.
         over_capacity: There are more connections than descriptors for them.
         rate_second: The current second of loop time.
--- a/tests/crossings/harness.py
+++ b/tests/crossings/harness.py
@@ -39,7 +39,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 FULL = b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 ERROR = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
-CHUNKED_READ_UNITS = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
 def play(work: Coroutine[Any, Any, None]) -> None:
@@ -279,7 +279,7 @@
         self.links.append(made)
         made.query = (await made.until(b"\r\n\r\n")).split()[1].decode().partition("?")[2]
         if headed:
-            await made.send(CHUNKED_READ_UNITS)
+            await made.send(CHUNKED)
         return made
 
 
@@ -288,7 +288,7 @@
     return endpoint(name, target.port, **more)
 
 
-class MemoryUse:
+class HoldingDialer:
     """A dialer that keeps each dial to itself until it is let go: it connects late, or never."""
 
     def __init__(self, real: Any) -> None:
@@ -376,7 +376,7 @@
         log = logs.make("info", "logfmt", self._logged)
         self.proxy = Proxy(self.loop, read_config(self.env), log=log)
         self.proxy.monitor.usage = UsageFromHere()
-        self.dialer = MemoryUse(self.proxy.dialer)
+        self.dialer = HoldingDialer(self.proxy.dialer)
         self.proxy.upstream_pools.dialer = self.dialer  # type: ignore[assignment]
         self.clients: list[Link] = []
         self.tasks: list[asyncio.Task[Any]] = []
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -19,7 +19,7 @@
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.net.upstream_pool import REUSE_DELAY_S, Connection, UpstreamPools
 from tests.crossings.harness import (
-    CHUNKED_READ_UNITS,
+    CHUNKED,
     ERROR,
     FULL,
     MS,
@@ -466,7 +466,7 @@
     play(work())
 
 
-LOW_PRIORITY_UNITS = {
+BEHIND = {
     "get": request("c2"),
     "post": request("c2", "/pay/y", body=b"B" * 500),
     "long": request("c2", "/pay/y", body=b"B" * 70_000),
@@ -474,7 +474,7 @@
 }
 
 
-@pytest.mark.parametrize("behind", LOW_PRIORITY_UNITS)
+@pytest.mark.parametrize("behind", BEHIND)
 @pytest.mark.parametrize("size", [60_000, 66_000, LONG])
 def test_what_is_sent_behind_a_body_in_chunks_is_none_of_it(tmp_path: Path, size: int, behind: str) -> None:
     # Read in one step with the last chunk, the next request passed for more of the body: it never ended, or
@@ -488,7 +488,7 @@
             parts = [body[at : at + 1000] for at in range(0, size, 1000)]
             sent = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
             client = await made.client()
-            made.later(client.send(head + sent + LOW_PRIORITY_UNITS[behind]))
+            made.later(client.send(head + sent + BEHIND[behind]))
             link = await made.targets[0].link()
             came, got = await link.until(b"\r\n\r\n"), b""
             if b"Transfer-Encoding: chunked" in came:
@@ -697,13 +697,13 @@
     "fin-after-the-head": (breaks(HEAD, "fin"), MAY),
     "reset-in-mid-body": (breaks(HALF, "reset"), MAY),
     "fin-in-mid-body": (breaks(HALF, "fin"), MAY),
-    "fin-in-a-chunk": (breaks(CHUNKED_READ_UNITS + b"5\r\nhal", "fin"), MAY),
+    "fin-in-a-chunk": (breaks(CHUNKED + b"5\r\nhal", "fin"), MAY),
     "fin-without-a-length": (breaks(b"HTTP/1.1 200 OK\r\n\r\nhalf?", "fin"), MAY),
     "full-cut-in-its-body": (breaks(FULL.replace(b"Length: 0", b"Length: 9"), "reset"), MAY),
     "nothing": (hangs(), MAY),
     "head-without-end": (hangs(HEAD[:20]), MAY),
     "answer-without-end": (hangs(HALF), MAY),
-    "chunks-without-end": (hangs(CHUNKED_READ_UNITS + b"2\r\nhi\r\n"), MAY),
+    "chunks-without-end": (hangs(CHUNKED + b"2\r\nhi\r\n"), MAY),
     "full-without-end": (hangs(FULL.replace(b"Length: 0", b"Length: 9")), MAY),
 }
 SETTINGS = [
--- a/tests/crossings/test_closes.py
+++ b/tests/crossings/test_closes.py
@@ -11,7 +11,7 @@
 import pytest
 
 from firvane.proxy.net.client_responses import INITIAL_WINDOW_BYTES
-from tests.crossings.harness import CHUNKED_READ_UNITS, Link, Rig, play, request, rig
+from tests.crossings.harness import CHUNKED, Link, Rig, play, request, rig
 
 MORE = request("c2")  # what its client sends behind the request whose answer is the last
 
@@ -104,7 +104,7 @@
             client, size = await made.client(), 80_000
             await client.send(request("c1").replace(b"HTTP/1.1", version))
             link = await made.targets[0].taken()
-            await link.send(CHUNKED_READ_UNITS + b"%x\r\n%s\r\n" % (size, b"x" * size))
+            await link.send(CHUNKED + b"%x\r\n%s\r\n" % (size, b"x" * size))
             await client.until(b"xxx")
             if ends == "whole":
                 await link.send(b"0\r\n\r\n")
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -21,7 +21,7 @@
 from firvane.proxy.net.discovery_watch import DiscoveryWatch, JsonObjectSplitter
 from firvane.proxy.net.endpoint_list import EndpointListError
 from tests.crossings.harness import (
-    CHUNKED_READ_UNITS,
+    CHUNKED,
     ERROR,
     FULL,
     MS,
@@ -235,7 +235,7 @@
             )
             await asyncio.sleep(3 * discovery_timing.FIRST_BYTE_TIMEOUT_S)
             assert not made.agent.waiting()
-            await waiting.send(CHUNKED_READ_UNITS)
+            await waiting.send(CHUNKED)
             await waiting.tell(1, *made.entries())
             await made.said("event=ready")
 
@@ -337,8 +337,8 @@
         (b"HTTP/1.1 404 No\r\nContent-Length: 44\r\n\r\n" + NO_NEWS, 1),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 44\r\n\r\n" + NO_NEWS, 9),
         (b"not HTTP at all\r\n\r\n", 1),
-        (CHUNKED_READ_UNITS + b"4\r\nnot\n\r\n", 0),
-        (CHUNKED_READ_UNITS + b'5\r\n{"in\n\r\n', 0),
+        (CHUNKED + b"4\r\nnot\n\r\n", 0),
+        (CHUNKED + b'5\r\n{"in\n\r\n', 0),
     ],
 )
 def test_an_answer_of_no_use_ends_the_watch_at_once(tmp_path: Path, answer: bytes, index: int) -> None:
@@ -392,7 +392,7 @@
         b"GET", 100, lambda line: (lines.append(line), watch.end("moved")), lambda why: None
     )  # type: ignore[func-returns-value]
     Wire(watch)
-    watch.data_received(CHUNKED_READ_UNITS + b"4\r\n\n\n\n\n\r\n")
+    watch.data_received(CHUNKED + b"4\r\n\n\n\n\n\r\n")
     watch.data_received(b"2\r\n\n\n\r\n")
     assert lines == [b""]
 
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -38,8 +38,8 @@
     MS,
     OK,
     Agent,
+    HoldingDialer,
     Link,
-    MemoryUse,
     Target,
     a_class,
     configured,
@@ -742,7 +742,7 @@
     async def work() -> None:
         loop = asyncio.get_running_loop()
         proxy = Proxy(loop, config, log=logs.make("error", "logfmt", lines.append))
-        proxy.upstream_pools.dialer = held = MemoryUse(proxy.dialer)  # type: ignore[assignment]
+        proxy.upstream_pools.dialer = held = HoldingDialer(proxy.dialer)  # type: ignore[assignment]
         held.holding = True
         proxy.engine.start()
         with contextlib.suppress(ValueError):  # as `start` takes it
