--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -124,11 +124,11 @@
             measures = sorted(measure.value for measure in self.overload.given_up)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
                 "pressure",
-                on=what.value,
-                now=step.after.name.lower(),
-                was=step.before.name.lower(),
-                part=figure,
-                given_up=",".join(measures) or "nothing",
+                resource=what.value,
+                load_level=step.after.name.lower(),
+                previous_load_level=step.before.name.lower(),
+                usage=figure,
+                measures=",".join(measures) or "nothing",
             )
 
     def gives_up(self, measure: Measure) -> bool:
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -264,7 +264,7 @@
     def _ended(self, ended: asyncio.Event, why: str) -> None:
         ended.set()
         up = self.watch and self.watch.heard.asked is not None
-        self._warn("watch_ended" if up else "discovery_unreachable", why)
+        self._warn("discovery_watch_ended" if up else "discovery_unreachable", why)
 
     def _warn(self, event: str, why: str) -> None:
         """Log a warning, at most one in `LOG_INTERVAL_S`."""
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -126,7 +126,7 @@
             try:
                 self.target_group.learn(config.known, cached=config.discovery is not None)
             except ValueError as error:
-                self.log.warning("known_list_useless", why=str(error))
+                self.log.warning("stored_list_rejected", why=str(error))
             self.config = replace(config, known=None)  # the target group keeps it in a form of its own
         self.target_group.start()
         # Where discovery serves the whole fleet its answer may come late: requests are served meanwhile.
@@ -134,7 +134,7 @@
         if not self.target_group.servers:
             await self.target_group.list_received.wait()
         elif not await self.target_group.is_told(timeout):
-            self.log.warning("discovery_silent", targets=len(self.target_group.servers))
+            self.log.warning("discovery_timed_out", targets=len(self.target_group.servers))
 
     def _log_limits(self, config: Config) -> None:
         bounds = self.monitor.bounds
@@ -161,7 +161,7 @@
         memory, listed = restored
         recovery.remember(memory, {name: number for number, name in enumerate(config.kinds)})
         self.log.info(
-            "snapshot_read",
+            "snapshot_restored",
             age_s=round(memory.age, 1),
             scale=round(memory.scale, 2),
             rooms=len(memory.capacities),
@@ -264,22 +264,24 @@
         if config.discovery and old.discovery:
             self.target_group.move(config.discovery)
         at = "{}:{}".format(*config.discovery) if config.discovery else None
-        self.log.info("config_reread", discovery=at, targets=len(self.target_group.servers))
+        self.log.info("config_reloaded", discovery=at, targets=len(self.target_group.servers))
         if waiting := waiting_for_start(self.engine.settings, old, config):
-            self.log.warning("config_waits", text="the next start is needed for " + ", ".join(waiting))
+            self.log.warning(
+                "config_needs_restart", text="the next start is needed for " + ", ".join(waiting)
+            )
         self._take_over(old, config)
 
     def _refuse_config(self, error: Exception) -> None:
         self.reload_counts.errors += 1
         for line in str(error).splitlines():
-            self.log.error("config_useless", why=line)
+            self.log.error("config_rejected", why=line)
 
     def _take_over(self, old: Config, config: Config) -> None:
         """Use the settings of a configuration that was read anew, unless a policy decides them."""
         if self.policy_agreement:
             if config.settings != old.settings:
                 text = "what a policy may say was not taken over from the file: firvane policy propose"
-                self.log.warning("policy_overrules", epoch=self.policy_agreement.epoch, text=text)
+                self.log.warning("policy_overrides_config", epoch=self.policy_agreement.epoch, text=text)
             self.config = replace(old, shape=config.shape)
             return
         if config.settings != old.settings:
@@ -309,7 +311,7 @@
         self.settings_changed_at = self.loop.time()
         changed_at = self.settings_changed_at
         self.loop.call_at(changed_at + PREVIOUS_SETTINGS_S, self._retire_settings, changed_at)
-        self.log.info("retuned", classes=",".join(cls.name for cls in settings.classes))
+        self.log.info("settings_applied", classes=",".join(cls.name for cls in settings.classes))
 
     def _retire_settings(self, since: float) -> None:
         """Accept no more requests by the settings before those of `since`."""
--- a/tests/cli/test_running.py
+++ b/tests/cli/test_running.py
@@ -75,11 +75,11 @@
             assert await ask(reader, writer, 1) == b"1"
             configure(ports[1], "[oops]\n")
             proxy.send_signal(signal.SIGHUP)
-            assert "oops: unknown key" in await said(proxy.stderr, "config_useless")
+            assert "oops: unknown key" in await said(proxy.stderr, "config_rejected")
             assert await ask(reader, writer, 2) == b"1"
             configure(ports[1])
             proxy.send_signal(signal.SIGHUP)
-            await said(proxy.stderr, "config_reread")
+            await said(proxy.stderr, "config_reloaded")
             assert await ask(reader, writer, 3) == b"2"
             proxy.terminate()
             writer.close()
--- a/tests/crossings/test_handovers.py
+++ b/tests/crossings/test_handovers.py
@@ -93,7 +93,7 @@
                 old.process.terminate()
                 await old.said("event=state", "handing over")
                 old.signal(signal.SIGHUP)  # which changes nothing of the end
-                await old.said("event=config_reread")
+                await old.said("event=config_reloaded")
                 # Whoever comes now is the new one's; what the old one has is its own to the end.
                 second = await places.asks("c3")
                 other = await places.target.next()
@@ -319,7 +319,7 @@
             before = made.proxy.config, made.proxy.engine.settings, made.proxy.target_group.address
             made.proxy.reload(made.read_again)
             assert (made.proxy.config, made.proxy.engine.settings, made.proxy.target_group.address) == before
-            assert any("config_useless" in line for line in made.lines)
+            assert any("config_rejected" in line for line in made.lines)
             await client.send(request("c1")[30:])
             assert b" 200 " in await answered(client)
 
@@ -339,7 +339,7 @@
             more = {"index": 2, "snapshot": True, "endpoints": [entry("s1", target), entry("s2", target)]}
             configured(tmp_path, made.agent, without_pay())
             proxy.reload(lambda: replace(made.read_again(), discovery=None, known=more))
-            assert any("config_useless" in line and "2 endpoints" in line for line in made.lines)
+            assert any("config_rejected" in line and "2 endpoints" in line for line in made.lines)
             assert list(proxy.target_group.servers) == ["s1"] and b"pay" in proxy.limiter.classes
             assert (proxy.reload_counts.taken, proxy.reload_counts.errors) == (0, 1)
 
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -858,7 +858,7 @@
                 assert not made.proxy.limiter.ready
                 await watch.send(chunk)
             await starting
-            assert group.index == 2 and not any("event=discovery_silent" in line for line in made.lines)
+            assert group.index == 2 and not any("event=discovery_timed_out" in line for line in made.lines)
             client = await made.client()
             for n in range(10):
                 await client.send(request(f"c{n}"))
@@ -876,7 +876,7 @@
         async with rig(tmp_path, 1, known=whole(1, entry("s1", target))) as made:
             made.later(target.serve())
             await made.proxy.start()
-            assert any("event=discovery_silent" in line for line in made.lines)
+            assert any("event=discovery_timed_out" in line for line in made.lines)
             client = await made.client()
             await client.send(request("c1"))
             assert await answer(client) == 200
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -637,7 +637,7 @@
             before = (proxy.config, proxy.engine.settings, proxy.classes, dict(proxy.limiter.classes))
             spoilt(made.env, fault)
             proxy.reload(lambda: read_config(made.env, again=True))
-            await made.said("event=config_useless", "config.json")
+            await made.said("event=config_rejected", "config.json")
             assert (proxy.config, proxy.engine.settings, proxy.classes, proxy.limiter.classes) == before
             assert proxy.reload_counts.errors == 1 and proxy.reload_counts.taken == 0
             await link.send(OK)
@@ -657,7 +657,7 @@
                             "settings": params(limits={"cancel": None})})
             )  # fmt: skip
             made.proxy.reload(lambda: read_config(made.env, again=True))
-            await made.said("event=config_useless", "limits.cancel is missing, and was there before")
+            await made.said("event=config_rejected", "limits.cancel is missing, and was there before")
             assert made.proxy.engine.settings.limits.cancel
 
     play(work())
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -61,7 +61,7 @@
     assert proxy
     later = replace(fleet.config(0).settings, classes=fleet.config(0).settings.classes[:1])
     proxy.reload(lambda: replace(fleet.config(0), settings=later))
-    assert "policy_overrules" in fleet.logs[0].events() and await fleet.get(0, b"long") == (200, 2)
+    assert "policy_overrides_config" in fleet.logs[0].events() and await fleet.get(0, b"long") == (200, 2)
     await asyncio.sleep(5)
     figures = [fields for _, event, fields in fleet.logs[0].told if event == "figures"]
     assert (figures[0]["epoch"], figures[-1]["epoch"]) == (1, 2)
--- a/tests/together/test_policy.py
+++ b/tests/together/test_policy.py
@@ -192,7 +192,7 @@
                 re.sub(r'"over-share-worth": [\d.]+', '"over-share-worth": 0.25', file.read_text())
             )
             fleet.hang_up(0)
-            await fleet.said(0, "event=policy_overrules", "epoch=1")
+            await fleet.said(0, "event=policy_overrides_config", "epoch=1")
             await fleet.takes(1, *ALL)
             assert await fleet.in_force(1, NEW) == 2
             for number in ALL:
--- a/tests/together/test_power.py
+++ b/tests/together/test_power.py
@@ -117,7 +117,7 @@
             fleet.back(*ALL)
             await fleet.serves(*ALL)
             for number in ALL:
-                await fleet.said(number, "event=discovery_silent")
+                await fleet.said(number, "event=discovery_timed_out")
                 assert "as last known" in (await fleet.status(number))["trusted"]
             assert fleet.arrived["box-2"] == before
             fleet.discovery(away=False)
@@ -160,7 +160,7 @@
             fleet.discovery(away=True)  # a start waits for it, for half a second or where there is no list
             before = fleet.arrived["box-2"]
             fleet.back(*ALL)
-            await fleet.said(2, "event=snapshot_read" if knows else "event=ops")
+            await fleet.said(2, "event=snapshot_restored" if knows else "event=ops")
             fleet.stall(2)
             assert knows or "event=ready" not in fleet.log(2)
             fleet.discovery(away=False)
@@ -188,7 +188,7 @@
             fleet.back(*ALL)
             fleet.boxes_back()
             for number in ALL:
-                await fleet.said(number, "event=snapshot_read")
+                await fleet.said(number, "event=snapshot_restored")
             await fleet.reaches(State.OVER.value, *ALL)
             await fleet.serves(*ALL)
             for number in ALL:
@@ -217,7 +217,7 @@
                 "torn": "event=snapshot_useless",
                 "newer": f"reads up to {FORMAT}",
                 "old": "scale=0 rooms=0",
-                "older": "event=snapshot_read",
+                "older": "event=snapshot_restored",
             }
             for number in ALL:
                 await fleet.said(number, lines[memory])
@@ -267,7 +267,7 @@
             assert not [key for key in fleet.answers if key[1] == 502]
             fleet.back(*ALL)
             for number in ALL:
-                await fleet.said(number, "event=snapshot_read")
+                await fleet.said(number, "event=snapshot_restored")
             await fleet.serves(*ALL)
 
     run(work())
