--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -121,19 +121,19 @@
         """Take in the usage of a resource, as a part of its limit; log a change of level."""
         step = self.overload.see(what, figure, self.loop.time())
         if step:
-            measures = sorted(measure.value for measure in self.overload.active_actions)
+            actions = sorted(action.value for action in self.overload.active_actions)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
                 "pressure",
-                on=what.value,
-                now=step.after.name.lower(),
-                was=step.before.name.lower(),
-                part=figure,
-                active_actions=",".join(measures) or "nothing",
+                resource=what.value,
+                load_level=step.after.name.lower(),
+                previous_load_level=step.before.name.lower(),
+                usage=figure,
+                active_actions=",".join(actions) or "none",
             )
 
-    def is_active(self, measure: OverloadAction) -> bool:
-        """Whether a measure against overload is in force."""
-        return measure in self.overload.active_actions
+    def is_active(self, action: OverloadAction) -> bool:
+        """Whether an action against overload is in force."""
+        return action in self.overload.active_actions
 
     def see_descriptors(self) -> None:
         """Take in how many of the clients' descriptors are used."""
