--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -151,7 +151,7 @@
             self.tenant_requests[tenant] += rejected
         asked = list(self.tenant_requests.values())
         span = TENANT_WINDOW_S * self.demand_fraction()
-        shed = tenant_admission.turn_away(self.settings, asked, span, signal, RETRY_AFTER_FRACTION)
+        shed = tenant_admission.shed_action(self.settings, asked, span, signal, RETRY_AFTER_FRACTION)
         self.actions.append(shed)
 
     def on_window(self, now: float) -> None:
--- a/firvane/proxy/capacity/excluded_servers.py
+++ b/firvane/proxy/capacity/excluded_servers.py
@@ -1,4 +1,4 @@
-"""Which listed servers the decisions leave out now: what operators are told of them."""
+"""The number of listed servers that get no requests at present, for operators."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 
-MOMENT = 0.05  # s: a box that had no room just now is left alone for less
+MIN_BACKOFF_S = 0.05  # shorter pauses do not count: a server that rejected for lack of capacity gets one
 
 
-def skipped(servers: Iterable[Backend], now: float) -> int:
-    """How many get nothing: they are leaving, or have failed and wait for their next trial."""
-    return sum(s.entry.state is not api.ServerState.UP or s.retry_at > now + MOMENT for s in servers)
+def count_excluded(servers: Iterable[Backend], now: float) -> int:
+    """Return how many servers are draining, or have failed and are backed off until their next trial."""
+    return sum(s.entry.state is not api.ServerState.UP or s.retry_at > now + MIN_BACKOFF_S for s in servers)
--- a/firvane/proxy/capacity/load_reports.py
+++ b/firvane/proxy/capacity/load_reports.py
@@ -1,15 +1,16 @@
-"""What is believed of a box from sums: of what others did there, told now and then, no attempt by itself.
-
-Rules that hold here and nowhere else:
-
-1. Sums say what single ends say, in the same words of `BackendEstimates`: a box that serves is not down, one
-   that mostly fails is left alone, one that takes long has little room. What only single ends can show (which
-   attempt was lost, which were overtaken) is not guessed at.
-2. A failure that most boxes have alike is not a box's: what they turn away and what they spoil is told as
-   one number, and where all are short it is the room that is cut, not the box that is left alone.
-3. The time that answers take is what was out, divided by what was served a second: it holds in the mean.
-4. Nothing said here makes a cold box warm.
-5. Sums move a belief no further than so many single ends would, and no more than `MOST` of them at once.
+"""Server estimates from load summaries: totals over many receivers, in place of single ended attempts.
+
+Invariants:
+
+1. A summary changes the same fields of `BackendEstimates` in the same way as ended attempts: a server that
+   serves is not down, one that mostly fails is ejected, one with long response times has little capacity.
+   What only single attempts can show (which one was lost, which were overtaken) is not estimated.
+2. A failure ratio that most servers share is not a fault of one server: rejections and errors are reported as
+   one number, and where all servers lack capacity the capacities are cut, but no server is ejected.
+3. The response time is the attempts in progress divided by the responses a second (Little's law, as a mean).
+4. No summary ends a server's slow start.
+5. A summary changes an estimate no more than as many single attempts would, and counts as
+   `MAX_COUNTED_RESPONSES` at the most.
 """
 
 from __future__ import annotations
@@ -27,78 +28,87 @@
     slowness,
 )
 
-MOST = 20  # answers that one sum counts for, where it moves a belief
-SPOILT, CUT = 0.02, 0.9  # part of the answers that fail where a box is short of room; what of it is left then
-CLEAR = 5.0  # answers from which a sum says something of the time they take
+MAX_COUNTED_RESPONSES = 20  # responses that one summary counts for in an estimate
+# Failure ratio above which a server lacks capacity; the factor by which its capacity is then cut.
+MAX_FAILURE_RATIO, CAPACITY_CUT_FACTOR = 0.02, 0.9
+MIN_TIMED_RESPONSES = 5.0  # from which on a summary gives a response time
 
 
 class Sum(NamedTuple):
-    """What all have done at one box within a span, as far as it is believed."""
+    """What all receivers did at one server within a period, outliers left out."""
 
     served: int = 0
     failed: int = 0
     issued: int = 0
-    out: float = 0.0  # in progress now
-    rate: float = 0.0  # answers a second, over a longer span than this one
-    bad: float = 0.0  # part of the answers that failed, as most of those who told agree on
-    worse: float = 0.0  # the same, beyond what most boxes fail
-    silent: bool = False  # work was issued, and nothing has ended for too long
+    out: float = 0.0  # attempts in progress now
+    rate: float = 0.0  # responses a second, over a longer period than this one
+    bad: float = 0.0  # failed fraction of the responses, as most receivers report it
+    worse: float = 0.0  # the same, beyond the ratio that most servers share
+    silent: bool = False  # requests were issued, and none has ended for too long
 
 
-def take(evidence: BackendEstimates, server: Backend, told: Sum, aim: float, now: float) -> float:
-    """Believe a sum; `aim` is the seconds that an answer may usually take.
+def take(
+    estimates: BackendEstimates, server: Backend, summary: Sum, latency_target: float, now: float
+) -> float:
+    """Apply a summary to a server's estimates.
 
-    Returns the seconds that an answer takes there, 0 where too few came to tell.
+    Returns the response time in seconds, or 0 where there were too few responses to know it.
     """
-    server.in_flight = round(told.out)
-    ended = told.served + told.failed
+    server.in_flight = round(summary.out)
+    ended = summary.served + summary.failed
     if ended:
         server.response_gap += 0.2 * (min(1.0, now - server.last_response_at) - server.response_gap)
         server.last_response_at = now
-    if told.silent:
-        evidence.on_silence(server, now)
+    if summary.silent:
+        estimates.on_silence(server, now)
         return 0.0
-    if told.served and not evidence.is_in_slow_start(server, now):
+    if summary.served and not estimates.is_in_slow_start(server, now):
         kind = server.entry.kind
-        evidence.served_counts[kind] = evidence.served_counts.get(kind, 0) + told.served
-        if flow := evidence.kind_windows.get(kind):
-            flow.answers += told.served
+        estimates.served_counts[kind] = estimates.served_counts.get(kind, 0) + summary.served
+        if windows := estimates.kind_windows.get(kind):
+            windows.responses += summary.served
     if ended:
-        _judge(server, told, ended, now)
-    return _time(evidence, server, told, aim, now) if ended else 0.0
+        _update_error_rate(server, summary, ended, now)
+    return _update_capacity(estimates, server, summary, latency_target, now) if ended else 0.0
 
 
-def _judge(server: Backend, told: Sum, ended: int, now: float) -> None:
-    """Whether it mostly fails."""
-    before, weight = server.error_rate, 1.0 - (1.0 - ERROR_RATE_GAIN) ** min(ended, MOST)
-    server.error_rate += weight * (told.worse - server.error_rate)
+def _update_error_rate(server: Backend, summary: Sum, ended: int, now: float) -> None:
+    """Update the error rate, and eject or readmit the server."""
+    before, weight = server.error_rate, 1.0 - (1.0 - ERROR_RATE_GAIN) ** min(ended, MAX_COUNTED_RESPONSES)
+    server.error_rate += weight * (summary.worse - server.error_rate)
     if server.error_rate > EJECTION_ERROR_RATE:
         server.failures = max(2, server.failures)  # one trial at a time
         server.retry_at = max(server.retry_at, now + EJECTION_TRIAL_S)
-    elif told.served:
+    elif summary.served:
         if before > EJECTION_ERROR_RATE or server.failures:
             server.retry_at = min(server.retry_at, now)
         server.failures = server.connection_failures = 0
 
 
-def _time(evidence: BackendEstimates, server: Backend, told: Sum, aim: float, now: float) -> float:
-    """Its pace and its room."""
-    took = told.out / told.rate if told.rate * 2.0 * aim >= CLEAR else 0.0
-    answers = min(told.served, MOST)
-    if took and answers:
-        typical = evidence.typical_duration[0]
-        evidence.typical_duration[0] += min(0.1, 0.01 * answers) * (min(took, aim) - typical)
-        kept = 0.8**answers
-        ratio = min(8.0, took / max(typical, 1e-3))
+def _update_capacity(
+    estimates: BackendEstimates, server: Backend, summary: Sum, latency_target: float, now: float
+) -> float:
+    """Update the relative latency and the capacity; return the response time, 0 where it is not known."""
+    response_time = (
+        summary.out / summary.rate if summary.rate * 2.0 * latency_target >= MIN_TIMED_RESPONSES else 0.0
+    )
+    responses = min(summary.served, MAX_COUNTED_RESPONSES)
+    if response_time and responses:
+        typical = estimates.typical_duration[0]
+        estimates.typical_duration[0] += min(0.1, 0.01 * responses) * (
+            min(response_time, latency_target) - typical
+        )
+        retained = 0.8**responses
+        ratio = min(8.0, response_time / max(typical, 1e-3))
         server.relative_latency, server.relative_latency_at = (
-            kept * slowness(server, now) + (1.0 - kept) * ratio,
+            retained * slowness(server, now) + (1.0 - retained) * ratio,
             now,
         )
-    short = took > LATE_TARGET_FRACTION * aim or told.bad > SPOILT
-    if short:
-        if now > server.capacity_cut_at + 0.5 * aim:
-            server.capacity, server.capacity_cut_at = max(1.0, CUT * server.capacity), now
-    elif answers and server.in_flight + 1 > 0.7 * server.capacity:
-        guess = not server.capacity_cut_at and now < evidence.started + INITIAL_GROWTH_S
-        server.capacity += 0.5 * min(answers, 4) if guess else 0.1 * answers / server.capacity
-    return took
+    lacks_capacity = response_time > LATE_TARGET_FRACTION * latency_target or summary.bad > MAX_FAILURE_RATIO
+    if lacks_capacity:
+        if now > server.capacity_cut_at + 0.5 * latency_target:
+            server.capacity, server.capacity_cut_at = max(1.0, CAPACITY_CUT_FACTOR * server.capacity), now
+    elif responses and server.in_flight + 1 > 0.7 * server.capacity:
+        is_guess = not server.capacity_cut_at and now < estimates.started + INITIAL_GROWTH_S
+        server.capacity += 0.5 * min(responses, 4) if is_guess else 0.1 * responses / server.capacity
+    return response_time
--- a/firvane/proxy/capacity/slow_start.py
+++ b/firvane/proxy/capacity/slow_start.py
@@ -1,12 +1,12 @@
-"""The budget of a server in slow start: tokens, shared by the proxies that send to it.
+"""The send budget of a server in slow start: tokens, shared by the proxies that send to it.
 
 Invariants:
 
-1. The budget is some 1.25 to 1.8 times what the server is estimated to do, in even parts for its senders.
-2. In a small fleet the owners of its slices send, and a partitioned peer is left its part: it may deal the
-   slices anew. In a large one all proxies send, as the one owner of a slice sees few of its keys.
-3. Where all send, each starts with a random part of a token: full ones would be spent together.
-4. The budget is an estimate, so the attempts there, of all proxies as far as known, stay within its capacity.
+1. The budget is 1.25 to 1.8 times the estimated rate of the server, in equal parts for its senders.
+2. In a small fleet only the owners of its slices send; a partitioned peer keeps its part, since it may
+   reassign the slices. In a large fleet all proxies send, as a single owner sees few of its slice's keys.
+3. Where all proxies send, each starts with a random fraction of a token: full ones would be spent together.
+4. The budget is an estimate, so the attempts of all known proxies there also stay within its capacity.
 """
 
 from __future__ import annotations
@@ -16,27 +16,30 @@
 from firvane.core.balancing.records import Backend
 from firvane.proxy.capacity.backend_estimates import BackendEstimates
 
-OVERCOMMIT = 1.25  # of what a server in slow start is estimated to do
-POOLED_OVERCOMMIT = 1.8  # the same where all proxies send, as one capacity bounds them
-BURST_FRACTION = 0.3  # of the tokens of the rule's window, that a proxy may have at once
+OVERCOMMIT = 1.25  # budget relative to the estimated rate of the server
+POOLED_OVERCOMMIT = 1.8  # the same where all proxies send, as one capacity bounds them all
+BURST_FRACTION = 0.3  # of the tokens of the rules' `fall_window`: the most that a proxy may hold
 
 
-def rate(evidence: BackendEstimates, server: Backend, senders: int, now: float) -> tuple[float, float]:
-    """Tokens a second that a server in slow start gets here, and how many it may have."""
-    part = evidence.relative_rate.get(server.entry.kind, 1.0)
-    able = evidence.slow_start_fraction(server, now) * (server.weight * part)
-    overcommit = POOLED_OVERCOMMIT if evidence.is_pooled else OVERCOMMIT
-    each = max(overcommit * able * evidence.fleet_rate, 1.0) / senders
-    return each, max(1.0, BURST_FRACTION * each * evidence.settings.rules.fall_window)
+def rate(estimates: BackendEstimates, server: Backend, senders: int, now: float) -> tuple[float, float]:
+    """Return the tokens a second of a server in slow start for this proxy, and the most that it may hold."""
+    kind_rate = estimates.relative_rate.get(server.entry.kind, 1.0)
+    estimated_rate = estimates.slow_start_fraction(server, now) * (server.weight * kind_rate)
+    overcommit = POOLED_OVERCOMMIT if estimates.is_pooled else OVERCOMMIT
+    token_rate = max(overcommit * estimated_rate * estimates.fleet_rate, 1.0) / senders
+    return token_rate, max(1.0, BURST_FRACTION * token_rate * estimates.settings.rules.fall_window)
 
 
 def refill(
-    evidence: BackendEstimates, server: Backend, senders: int, now: float, dice: random.Random
+    estimates: BackendEstimates, server: Backend, senders: int, now: float, rng: random.Random
 ) -> bool:
-    """Refill its tokens; whether they allow a send."""
-    each, most = rate(evidence, server, senders, now)
-    if evidence.is_pooled and server.tokens_at < (server.started_at or 0.0):
-        server.tokens, server.tokens_at = dice.random(), now
-    server.tokens, server.tokens_at = min(most, server.tokens + each * (now - server.tokens_at)), now
-    held = server.in_flight + server.peers_in_flight if evidence.is_pooled else 0
-    return server.tokens >= 1.0 and held < max(1.0, server.capacity)
+    """Refill a server's tokens; return whether tokens and capacity allow a send."""
+    token_rate, max_tokens = rate(estimates, server, senders, now)
+    if estimates.is_pooled and server.tokens_at < (server.started_at or 0.0):
+        server.tokens, server.tokens_at = rng.random(), now
+    server.tokens, server.tokens_at = (
+        min(max_tokens, server.tokens + token_rate * (now - server.tokens_at)),
+        now,
+    )
+    in_flight = server.in_flight + server.peers_in_flight if estimates.is_pooled else 0
+    return server.tokens >= 1.0 and in_flight < max(1.0, server.capacity)
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -22,7 +22,7 @@
 from firvane.proxy.admin_api.metrics import Figures, ReloadCounts
 from firvane.proxy.admin_api.server import ADMIN_DESCRIPTORS, AdminServer
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.capacity.excluded_servers import skipped
+from firvane.proxy.capacity.excluded_servers import count_excluded
 from firvane.proxy.config.node import Config
 from firvane.proxy.extensions import POLICY_DESCRIPTORS, PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.discovery_timing import DiscoveryBackoff
@@ -183,7 +183,7 @@
             engine.request_counters.by_class,
             engine.unanswered + waiting,
             len(engine.known_targets),
-            skipped(self.balancer.servers.values(), engine.now()),
+            count_excluded(self.balancer.servers.values(), engine.now()),
             self.reload_counts,
         )
 
--- a/firvane/proxy/server_selection.py
+++ b/firvane/proxy/server_selection.py
@@ -75,7 +75,7 @@
     def demand_fraction(self) -> float:
         """The part of all proxies' requests that arrives here."""
         rate = total(self.tenant_requests.values()) / TENANT_WINDOW_S
-        return tenant_admission.part(self.settings, self.rows, rate)
+        return tenant_admission.arrival_fraction(self.settings, self.rows, rate)
 
     # Which server
 
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -131,7 +131,8 @@
     Mutant(
         "a usual answer is no silence",
         "firvane/proxy/capacity/backend_estimates.py",
-        "max(server.last_response_at, server.attempts[0].sent_at if server.attempts else mark.sent_at)",
+        "max(\n            server.last_response_at, "
+        "server.attempts[0].sent_at if server.attempts else attempt.sent_at\n        )",
         "server.last_response_at",
         "tests/proxy/test_balancer.py::test_a_server_that_is_seldom_asked_is_not_silent_before_its_usual_time",
     ),
@@ -145,8 +146,8 @@
     Mutant(
         "a share is granted once, not by each proxy",
         "firvane/proxy/capacity/tenant_admission.py",
-        "return max(even, here",
-        "return max(1.0, here",
+        "return max(even, arrival_rate",
+        "return max(1.0, arrival_rate",
         "tests/proxy/capacity/test_backend_estimates.py::test_a_share_is_granted_in_parts_where_proxies_hear_no_other",
     ),
     Mutant(
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -23,7 +23,7 @@
     PACE_MARGIN,
     BackendEstimates,
 )
-from firvane.proxy.capacity.excluded_servers import skipped
+from firvane.proxy.capacity.excluded_servers import count_excluded
 from firvane.proxy.capacity.slow_start import refill
 from tests.helpers import RULES, SAFE, server, settings, started
 from tests.proxy.net.helpers import seeded
@@ -82,12 +82,12 @@
     assert box.retry_at <= 100.3  # some errors say nothing yet
     for n in range(3, 8):
         answer(made, box, n, api.Result.ERROR, 100.0 + n / 10)
-    assert box.retry_at > 101.0 and skipped([box], 100.8) == 1
+    assert box.retry_at > 101.0 and count_excluded([box], 100.8) == 1
     now = 102.0
     for n in range(8, 14):
         answer(made, box, n, api.Result.OK, now)
         now = max(now + 0.01, box.retry_at)
-    assert box.retry_at < now and box.error_rate < 0.5 and not skipped([box], now)
+    assert box.retry_at < now and box.error_rate < 0.5 and not count_excluded([box], now)
 
 
 def test_requests_that_are_at_fault_themselves_keep_no_box_out() -> None:
@@ -95,7 +95,7 @@
     made, box = evidence()
     for n in range(30):
         answer(made, box, n, api.Result.ERROR, 100.0 + n / 10, finished=True)
-    assert not box.error_rate and not skipped([box], 103.0)
+    assert not box.error_rate and not count_excluded([box], 103.0)
 
 
 def test_only_what_is_late_and_overtaken_or_late_among_losses_is_lost() -> None:
@@ -322,23 +322,26 @@
 @seeded
 @given(st.binary(max_size=64), st.booleans())
 def test_counts_that_are_none_are_refused_and_change_nothing(payload: bytes, marked: bool) -> None:
-    heard = class_counts.Heard()
+    heard = class_counts.PeerCounts()
     if marked:
-        payload = class_counts.MARK + payload
+        payload = class_counts.PREFIX + payload
     try:
-        heard.more(1, payload)
+        heard.update(1, payload)
     except (ValueError, struct.error):
         assert not heard.last
 
 
 def test_counts_lost_late_or_begun_anew_add_up() -> None:
-    heard = class_counts.Heard()
-    assert heard.more(1, class_counts.pack({0: 50, 1: 5}, 1.0)) == {0: 0, 1: 0}  # long ago, for all one knows
-    assert heard.more(1, class_counts.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
-    assert heard.more(1, class_counts.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
-    assert heard.more(1, class_counts.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
-    assert heard.more(1, class_counts.pack({n: n for n in range(300)}, 5.0)).keys() == set(
-        range(class_counts.MOST)
+    heard = class_counts.PeerCounts()
+    assert heard.update(1, class_counts.pack({0: 50, 1: 5}, 1.0)) == {
+        0: 0,
+        1: 0,
+    }  # long ago, for all one knows
+    assert heard.update(1, class_counts.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
+    assert heard.update(1, class_counts.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
+    assert heard.update(1, class_counts.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
+    assert heard.update(1, class_counts.pack({n: n for n in range(300)}, 5.0)).keys() == set(
+        range(class_counts.MAX_KINDS)
     )
 
 
@@ -432,10 +435,10 @@
     tenants = (api.Tenant("lagos", quota_rps=60.0), api.Tenant("abuja", quota_rps=40.0))
     alone = settings(proxies=10, tenants=tenants, limits=api.Limits(max_attempts=4))
     rows = {0: decode_row(encode_row(0, 0, 1.0, (0, 1.0, here / 4, here / 4, here), []), 1.0)}
-    assert tenant_admission.part(alone, rows, here) == pytest.approx(expected)
+    assert tenant_admission.arrival_fraction(alone, rows, here) == pytest.approx(expected)
     heard = settings(proxies=10, tenants=tenants)
-    assert tenant_admission.part(heard, rows | {1: rows[0]}, here) == 0.5
-    assert tenant_admission.part(settings(proxies=4, limits=alone.limits), rows, here) == 0.25
+    assert tenant_admission.arrival_fraction(heard, rows | {1: rows[0]}, here) == 0.5
+    assert tenant_admission.arrival_fraction(settings(proxies=4, limits=alone.limits), rows, here) == 0.25
 
 
 @pytest.mark.parametrize("what", SITUATIONS, ids=lambda what: what.name)
