--- a/firvane/proxy/capacity/load_reports.py
+++ b/firvane/proxy/capacity/load_reports.py
@@ -34,27 +34,27 @@
 MIN_TIMED_RESPONSES = 5.0  # from which on a summary gives a response time
 
 
-class Sum(NamedTuple):
+class LoadSummary(NamedTuple):
     """What all receivers did at one server within a period, outliers left out."""
 
     served: int = 0
     failed: int = 0
     issued: int = 0
-    out: float = 0.0  # attempts in progress now
+    in_progress: float = 0.0  # attempts in progress now
     rate: float = 0.0  # responses a second, over a longer period than this one
-    bad: float = 0.0  # failed fraction of the responses, as most receivers report it
-    worse: float = 0.0  # the same, beyond the ratio that most servers share
+    failure_ratio: float = 0.0  # failed fraction of the responses, as most receivers report it
+    excess_failure_ratio: float = 0.0  # the same, beyond the ratio that most servers share
     silent: bool = False  # requests were issued, and none has ended for too long
 
 
-def take(
-    estimates: BackendEstimates, server: Backend, summary: Sum, latency_target: float, now: float
+def apply_summary(
+    estimates: BackendEstimates, server: Backend, summary: LoadSummary, latency_target: float, now: float
 ) -> float:
     """Apply a summary to a server's estimates.
 
     Returns the response time in seconds, or 0 where there were too few responses to know it.
     """
-    server.in_flight = round(summary.out)
+    server.in_flight = round(summary.in_progress)
     ended = summary.served + summary.failed
     if ended:
         server.response_gap += 0.2 * (min(1.0, now - server.last_response_at) - server.response_gap)
@@ -72,10 +72,10 @@
     return _update_capacity(estimates, server, summary, latency_target, now) if ended else 0.0
 
 
-def _update_error_rate(server: Backend, summary: Sum, ended: int, now: float) -> None:
+def _update_error_rate(server: Backend, summary: LoadSummary, ended: int, now: float) -> None:
     """Update the error rate, and eject or readmit the server."""
     before, weight = server.error_rate, 1.0 - (1.0 - ERROR_RATE_GAIN) ** min(ended, MAX_COUNTED_RESPONSES)
-    server.error_rate += weight * (summary.worse - server.error_rate)
+    server.error_rate += weight * (summary.excess_failure_ratio - server.error_rate)
     if server.error_rate > EJECTION_ERROR_RATE:
         server.failures = max(2, server.failures)  # one trial at a time
         server.retry_at = max(server.retry_at, now + EJECTION_TRIAL_S)
@@ -86,11 +86,13 @@
 
 
 def _update_capacity(
-    estimates: BackendEstimates, server: Backend, summary: Sum, latency_target: float, now: float
+    estimates: BackendEstimates, server: Backend, summary: LoadSummary, latency_target: float, now: float
 ) -> float:
     """Update the relative latency and the capacity; return the response time, 0 where it is not known."""
     response_time = (
-        summary.out / summary.rate if summary.rate * 2.0 * latency_target >= MIN_TIMED_RESPONSES else 0.0
+        summary.in_progress / summary.rate
+        if summary.rate * 2.0 * latency_target >= MIN_TIMED_RESPONSES
+        else 0.0
     )
     responses = min(summary.served, MAX_COUNTED_RESPONSES)
     if response_time and responses:
@@ -104,7 +106,9 @@
             retained * slowness(server, now) + (1.0 - retained) * ratio,
             now,
         )
-    lacks_capacity = response_time > LATE_TARGET_FRACTION * latency_target or summary.bad > MAX_FAILURE_RATIO
+    lacks_capacity = (
+        response_time > LATE_TARGET_FRACTION * latency_target or summary.failure_ratio > MAX_FAILURE_RATIO
+    )
     if lacks_capacity:
         if now > server.capacity_cut_at + 0.5 * latency_target:
             server.capacity, server.capacity_cut_at = max(1.0, CAPACITY_CUT_FACTOR * server.capacity), now
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.capacity.load_reports import Sum, take
+from firvane.proxy.capacity.load_reports import LoadSummary, apply_summary
 
 LATENCY_SMOOTHING = 0.2  # weight of each report
 
@@ -19,10 +19,10 @@
 class LoadReported:
     """An event: the sums of all receivers' reports since the last one, by backend."""
 
-    backends: Mapping[str, Sum]
+    backends: Mapping[str, LoadSummary]
 
 
-def split(sums: Mapping[str, Sum], places: int, turn: int) -> list[LoadReported]:
+def split(sums: Mapping[str, LoadSummary], places: int, turn: int) -> list[LoadReported]:
     """Split sums evenly over several places in the tier; whole numbers lose nothing.
 
     `turn` must differ between calls: it rotates who gets the remainder.
@@ -40,7 +40,7 @@
                     served=share(one.served, place),
                     failed=share(one.failed, place),
                     issued=share(one.issued, place),
-                    out=one.out / places,
+                    in_progress=one.in_progress / places,
                     rate=one.rate / places,
                 )
                 for name, one in sums.items()
@@ -66,7 +66,7 @@
             balancer.arrivals[-1] += counts.issued
             balancer.served[-1] += counts.served
             if server := balancer.servers.get(name):
-                if took := take(balancer.estimates, server, counts, aim, now):
+                if took := apply_summary(balancer.estimates, server, counts, aim, now):
                     known = self.took.get(name, took)
                     self.took[name] = known + LATENCY_SMOOTHING * (took - known)
                 balancer.large.mark(server)
--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -17,7 +17,7 @@
 from collections.abc import Collection, Mapping
 from statistics import median
 
-from firvane.proxy.capacity.load_reports import Sum
+from firvane.proxy.capacity.load_reports import LoadSummary
 from firvane.proxy.control.types import UNKNOWN_ZONE, Report
 
 RETENTION_S = 15.0  # of a receiver without a stream
@@ -188,7 +188,7 @@
             found[receiver.zone] = max(found.get(receiver.zone, 0.0), self.rate(receiver) / total)
         return found
 
-    def take(self, now: float) -> dict[str, Sum]:
+    def take(self, now: float) -> dict[str, LoadSummary]:
         """Release the counts that are due since the last call, by backend."""
         span = min(self.interval_s, now - self._taken_at) if self._taken_at is not None else 0.0
         self._taken_at = now
@@ -200,9 +200,12 @@
         found = {}
         for backend, observations in by_backend.items():
             found[backend] = self._sum(self._release(backend, part), observations, now)
-        bad = [one.bad for one in found.values() if one.rate]
+        bad = [one.failure_ratio for one in found.values() if one.rate]
         usual = median(bad) if len(bad) >= MIN_BACKENDS_FOR_USUAL else 0.0
-        return {backend: one._replace(worse=_beyond(one.bad, usual)) for backend, one in found.items()}
+        return {
+            backend: one._replace(excess_failure_ratio=_beyond(one.failure_ratio, usual))
+            for backend, one in found.items()
+        }
 
     def _release(self, backend: str, part: float) -> tuple[int, int, int]:
         pending = self._pending.get(backend)
@@ -215,7 +218,9 @@
             out.append(released)
         return out[0], out[1], out[2]
 
-    def _sum(self, counts: tuple[int, int, int], observations: list[BackendObservations], now: float) -> Sum:
+    def _sum(
+        self, counts: tuple[int, int, int], observations: list[BackendObservations], now: float
+    ) -> LoadSummary:
         ratios = []
         stalled = responsive = 0
         for seen in observations:
@@ -229,11 +234,11 @@
         bad = 0.0
         if ratios:
             bad = float(median(ratios)) if len(ratios) >= MIN_RECEIVERS_FOR_MEDIAN else min(ratios)
-        return Sum(
+        return LoadSummary(
             *counts,
-            out=sum(seen.in_progress for seen in observations),
+            in_progress=sum(seen.in_progress for seen in observations),
             rate=sum(seen.served + seen.failed for seen in observations),
-            bad=bad,
+            failure_ratio=bad,
             silent=stalled > responsive,
         )
 
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -11,7 +11,7 @@
 from hypothesis.strategies import composite
 
 from firvane.core import interface as api
-from firvane.proxy.capacity.load_reports import Sum
+from firvane.proxy.capacity.load_reports import LoadSummary
 from firvane.proxy.control import estimates, route_settings
 from firvane.proxy.control.catalog import Catalog, differences
 from firvane.proxy.control.debounce import Debouncer
@@ -142,23 +142,28 @@
 def test_reports_count_in_the_module_as_its_own_forwards_do() -> None:
     balancer = started("abc")
     feedback = LoadFeedback(balancer)
-    usual = {"served": 20, "issued": 20, "out": 2.0, "rate": 40.0}
+    usual = {"served": 20, "issued": 20, "in_progress": 2.0, "rate": 40.0}
     for n in range(40):
         now = 100.0 + n / 4
-        told = {"a": Sum(**usual), "b": Sum(**{**usual, "served": 2, "failed": 18, "bad": 0.9, "worse": 0.9})}
-        balancer.handle(LoadReported({**told, "c": Sum(**{**usual, "out": 30.0})}), now)  # type: ignore[arg-type]
+        told = {
+            "a": LoadSummary(**usual),
+            "b": LoadSummary(
+                **{**usual, "served": 2, "failed": 18, "failure_ratio": 0.9, "excess_failure_ratio": 0.9}
+            ),
+        }
+        balancer.handle(LoadReported({**told, "c": LoadSummary(**{**usual, "in_progress": 30.0})}), now)  # type: ignore[arg-type]
         balancer.handle(api.TimerFired(0), now)
     a, b, c = (balancer.servers[name] for name in "abc")
     assert a.in_flight == 2 and b.error_rate > 0.5 and b.retry_at > now and a.retry_at <= now
     assert balancer.estimates.power(c, now) < 0.7 * balancer.estimates.power(a, now)  # it takes far longer
     row = balancer.rows[0]
     assert row.arrivals >= 20 and dict(row.in_flight)[a.id_hash & 0xFFFF] == 2  # peers read it as any proxy's
-    balancer.handle(LoadReported({"a": Sum(issued=5, out=5.0, silent=True)}), now)  # type: ignore[arg-type]
+    balancer.handle(LoadReported({"a": LoadSummary(issued=5, in_progress=5.0, silent=True)}), now)  # type: ignore[arg-type]
     assert a.retry_at > now and feedback.balancer is balancer
     b.retry_at = 0.0
-    balancer.handle(LoadReported({"b": Sum(**usual)}), now + 9)  # type: ignore[arg-type]
+    balancer.handle(LoadReported({"b": LoadSummary(**usual)}), now + 9)  # type: ignore[arg-type]
     for n in range(4):
-        balancer.handle(LoadReported({"b": Sum(**usual)}), now + 9 + n)  # type: ignore[arg-type]
+        balancer.handle(LoadReported({"b": LoadSummary(**usual)}), now + 9 + n)  # type: ignore[arg-type]
     assert b.error_rate < 0.5 and b.failures == 0
 
 
@@ -167,7 +172,7 @@
 def test_several_places_get_even_parts_that_add_up(places: int, counts: list[int]) -> None:
     got = [0] * places
     for turn, count in enumerate(counts):
-        parts = split({"a": Sum(served=count, issued=count, out=1.0, rate=5.0)}, places, turn)
+        parts = split({"a": LoadSummary(served=count, issued=count, in_progress=1.0, rate=5.0)}, places, turn)
         assert sum(part.backends["a"].served for part in parts) == count
         assert sum(part.backends["a"].rate for part in parts) == pytest.approx(5.0)
         got = [sum_ + part.backends["a"].served for sum_, part in zip(got, parts, strict=True)]
@@ -204,7 +209,7 @@
     book, out = ReceiverRegistry(1.0), 0
     book.connect("r1", 0, 0.0)
     book.report("r1", {"a": Report(served=97, issued=97)}, "a", 1.0, 0.0)
-    taken = [book.take(n / 4).get("a", Sum()).served for n in range(40)]
+    taken = [book.take(n / 4).get("a", LoadSummary()).served for n in range(40)]
     out = sum(taken)
     assert out == 97 and max(taken) < 97
 
@@ -221,7 +226,7 @@
         book.report("liar", lies, "a", 1.0, float(second))
         book.report("stranger", lies, "a", 1.0, float(second))
     found = book.take(6.0)
-    assert set(found) == {"a"} and found["a"].bad < 0.5
+    assert set(found) == {"a"} and found["a"].failure_ratio < 0.5
     assert book.clipped >= 15 and book.demand()[0] <= 1000.0 + 10.0 * honest + 1
 
 
