--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -30,7 +30,7 @@
 
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend, InFlightAttempt
-from firvane.proxy.capacity import class_counts
+from firvane.proxy.capacity import kind_counts
 
 LATENCY_HALF_LIFE_S = 3.0  # of a server's relative latency
 INITIAL_GROWTH_S = 5.0  # after the proxy's start, while capacities grow quickly; later slow start applies
@@ -118,7 +118,7 @@
         self.is_large_fleet = settings.proxies >= LARGE_FLEET_PROXIES
         self.is_pooled = self.is_large_fleet and settings.limits.peers
         self.served_counts = dict[int, int]()  # responses of warm servers since the start, by kind; announced
-        self.peer_counts = class_counts.PeerCounts()
+        self.peer_counts = kind_counts.PeerCounts()
         self.rejected_fraction = 0.0  # of attempts, for lack of capacity
         self.loss_rate = 0.0  # fraction of attempts never answered though their server answers others
 
@@ -410,14 +410,14 @@
 
     def encode_counts(self, now: float) -> bytes:
         """Return the encoded response counts for the peers, sent with each row."""
-        return class_counts.pack(self.served_counts, now)
+        return kind_counts.pack(self.served_counts, now)
 
     def on_peer_message(self, sender: int, payload: bytes) -> bool:
         """Apply a peer's response counts; return whether the message holds any.
 
-        Raises the errors of `class_counts.unpack`.
+        Raises the errors of `kind_counts.unpack`.
         """
-        if payload[:1] != class_counts.PREFIX:
+        if payload[:1] != kind_counts.PREFIX:
             return False
         for kind, count in self.peer_counts.update(sender, payload).items():
             if self.is_pooled:
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -13,7 +13,7 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend, OpenRequest
 from firvane.core.balancing.rows import decode_row, encode_row
-from firvane.proxy.capacity import class_counts, tenant_admission
+from firvane.proxy.capacity import kind_counts, tenant_admission
 from firvane.proxy.capacity.backend_estimates import (
     LATE_DURATIONS,
     LATE_TARGET_FRACTION,
@@ -219,7 +219,7 @@
             made.on_attempt_ended(warm, None, api.Outcome(window, 0, "a", api.Result.OK, 0.05, True), now)
         if window % 2 == 0:
             for peer in range(1, 5):
-                assert made.on_peer_message(peer, class_counts.pack({0: 1000 * peer + 5 * window}, now))
+                assert made.on_peer_message(peer, kind_counts.pack({0: 1000 * peer + 5 * window}, now))
         made.update_rates([warm], 80.0, 1.0, 0.25)
     assert made.best_rate[0] == pytest.approx(4 * 5 / 0.25, rel=0.1)
 
@@ -238,7 +238,7 @@
                         warm, None, api.Outcome(window, n, "a", api.Result.OK, 0.05, True), now
                     )
             made.on_peer_message(
-                1, class_counts.pack({0: 390 * window}, now)
+                1, kind_counts.pack({0: 390 * window}, now)
             )  # heard where proxies hear one another
             made.update_rates([warm], 1600.0, 1.0, 0.25)
             made.on_attempt_ended(
@@ -322,9 +322,9 @@
 @seeded
 @given(st.binary(max_size=64), st.booleans())
 def test_counts_that_are_none_are_refused_and_change_nothing(payload: bytes, marked: bool) -> None:
-    heard = class_counts.PeerCounts()
+    heard = kind_counts.PeerCounts()
     if marked:
-        payload = class_counts.PREFIX + payload
+        payload = kind_counts.PREFIX + payload
     try:
         heard.update(1, payload)
     except (ValueError, struct.error):
@@ -332,16 +332,16 @@
 
 
 def test_counts_lost_late_or_begun_anew_add_up() -> None:
-    heard = class_counts.PeerCounts()
-    assert heard.update(1, class_counts.pack({0: 50, 1: 5}, 1.0)) == {
+    heard = kind_counts.PeerCounts()
+    assert heard.update(1, kind_counts.pack({0: 50, 1: 5}, 1.0)) == {
         0: 0,
         1: 0,
     }  # long ago, for all one knows
-    assert heard.update(1, class_counts.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
-    assert heard.update(1, class_counts.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
-    assert heard.update(1, class_counts.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
-    assert heard.update(1, class_counts.pack({n: n for n in range(300)}, 5.0)).keys() == set(
-        range(class_counts.MAX_KINDS)
+    assert heard.update(1, kind_counts.pack({0: 70, 1: 6}, 3.0)) == {0: 20, 1: 1}  # one in between was lost
+    assert heard.update(1, kind_counts.pack({0: 60, 1: 6}, 2.0)) == {}  # and comes late
+    assert heard.update(1, kind_counts.pack({0: 4}, 4.0)) == {0: 4}  # it has started anew
+    assert heard.update(1, kind_counts.pack({n: n for n in range(300)}, 5.0)).keys() == set(
+        range(kind_counts.MAX_KINDS)
     )
 
 
--- a/tests/wire_formats/test_datagrams.py
+++ b/tests/wire_formats/test_datagrams.py
@@ -22,7 +22,7 @@
 from firvane.fleet.placement.rows import decode_row, encode_row
 from firvane.fleet.tenancy import messages as tenancy
 from firvane.fleet.transport.frames import decode_datagram, encode_frame
-from firvane.proxy.capacity import class_counts
+from firvane.proxy.capacity import kind_counts
 from firvane.proxy.quorum import messages as quorum
 from firvane.proxy.recovery import messages as recovery
 from firvane.proxy.routing import row_codec
@@ -54,7 +54,7 @@
 CODECS: dict[str, tuple[Callable[[bytes], Any], Callable[[Any], bytes]]] = {
     "proxy row 1": (lambda data: row_codec.unpack(data, RECEIVED_AT), encode_proxy_row),
     "proxy row 2": (lambda data: row_codec.unpack(data, RECEIVED_AT), encode_proxy_row),
-    "class counts": (class_counts.unpack, lambda read: class_counts.pack(read[1], read[0] / 1000)),
+    "class counts": (kind_counts.unpack, lambda read: kind_counts.pack(read[1], read[0] / 1000)),
     "recovery": (recovery.decode, lambda read: recovery.encode(read[1], read[0] / 1000)),
     "policy consensus": (quorum.decode, quorum.encode),
     "membership": (membership.decode_message, membership.encode_message),
