--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -141,20 +141,20 @@
         "firvane/proxy/capacity/backend_estimates.py",
         "self.is_pooled, self.kind_windows = self.is_large_fleet and settings.limits.peers, {}",
         "pass",
-        "tests/proxy/capacity/test_backend_estimates.py::test_answers_are_those_of_all_only_while_proxies_tell_each_other_of_theirs",
+        "tests/proxy/capacity/test_backend_estimates.py::test_response_counts_are_pooled_only_while_proxies_exchange_them",
     ),
     Mutant(
         "a share is granted once, not by each proxy",
         "firvane/proxy/capacity/tenant_admission.py",
         "return max(even, arrival_rate",
         "return max(1.0, arrival_rate",
-        "tests/proxy/capacity/test_backend_estimates.py::test_a_share_is_granted_in_parts_where_proxies_hear_no_other",
+        "tests/proxy/capacity/test_backend_estimates.py::test_a_quota_is_divided_among_proxies_that_exchange_no_rows",
     ),
     Mutant(
         "a cold box's budget is of what all do",
         "firvane/proxy/capacity/backend_estimates.py",
         "return 1 if self.settings.limits.peers else self.settings.proxies",
         "return 1",
-        "tests/proxy/capacity/test_backend_estimates.py::test_proxies_that_hear_no_peer_give_a_cold_box_together_what_it_can_do",
+        "tests/proxy/capacity/test_backend_estimates.py::test_proxies_without_peer_counts_together_keep_to_the_budget_of_a_cold_server",
     ),
 ]
