--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -140,8 +140,8 @@
 
     # Queries
 
-    def power(self, server: Backend, now: float) -> float:
-        """Return a server's effective weight, lowered while it is slower than others, before errors show."""
+    def effective_weight(self, server: Backend, now: float) -> float:
+        """Return a server's weight by capacity and kind, lowered while it is slower than others, before errors show."""
         size = (
             self.kind_sizes.get(server.entry.kind, 1.0) if self.is_pooled else 1.0
         )  # else capacity shows it
--- a/firvane/proxy/control/estimates.py
+++ b/firvane/proxy/control/estimates.py
@@ -45,7 +45,7 @@
                 name,
                 addresses[name],
                 server.entry.zone,
-                max(MIN_POWER, balancer.estimates.power(server, now)),
+                max(MIN_POWER, balancer.estimates.effective_weight(server, now)),
                 server.capacity,
                 budget,
                 is_cold,
--- a/firvane/proxy/server_selection.py
+++ b/firvane/proxy/server_selection.py
@@ -143,7 +143,7 @@
                 return False
             if kinds and server.entry.kind not in kinds:
                 return False
-            most = share * self.estimates.power(server, now) + 1
+            most = share * self.estimates.effective_weight(server, now) + 1
             return server.in_flight + server.peers_in_flight <= most and fits(server)
 
         if keyed and first and takes(first):
@@ -178,7 +178,7 @@
             pace = {s.entry.kind: self.estimates.work_pace.get(s.entry.kind, 1.0) for s in free}
             quickest = min(pace.values())
             free = [s for s in free if pace[s.entry.kind] <= QUICK_PACE_FACTOR * quickest]
-        power = {s.id_hash: self.estimates.power(s, now) for s in free}
+        power = {s.id_hash: self.estimates.effective_weight(s, now) for s in free}
         mean = sum(s.in_flight + s.peers_in_flight for s in free) / total(power.values())
         free = [s for s in free if s.in_flight < max(1.0, limit * s.capacity)]
         if job.request.key is not None:
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -183,7 +183,7 @@
         busy = [s for s in self.servers.values() if s.in_flight]
         busy = sorted(busy, key=lambda s: (-s.in_flight, s.entry.id))[:MAX_ROW_ENTRIES]
         own_slice = self.slices.get(self.settings.me, [])
-        mu = total(self.estimates.power(s, now) / s.owner_count for s in own_slice)
+        mu = total(self.estimates.effective_weight(s, now) / s.owner_count for s in own_slice)
         phi = min(MAX_PHI, len(self.open_requests))
         served = sum(self.served[-SERVED_RATE_WINDOWS:]) / SERVED_RATE_WINDOWS / WINDOW
         for server in self.up:
@@ -238,7 +238,7 @@
 
     def index_figures(self, server: Backend, now: float) -> Figures:
         """What the index of a large slice is to know of a server."""
-        power = self.estimates.power(server, now)
+        power = self.estimates.effective_weight(server, now)
         ready_at = server.retry_at
         is_slow = (
             server.relative_latency > SLOW_LATENCY
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -155,7 +155,9 @@
         balancer.handle(api.TimerFired(0), now)
     a, b, c = (balancer.servers[name] for name in "abc")
     assert a.in_flight == 2 and b.error_rate > 0.5 and b.retry_at > now and a.retry_at <= now
-    assert balancer.estimates.power(c, now) < 0.7 * balancer.estimates.power(a, now)  # it takes far longer
+    assert balancer.estimates.effective_weight(c, now) < 0.7 * balancer.estimates.effective_weight(
+        a, now
+    )  # it takes far longer
     row = balancer.rows[0]
     assert row.arrivals >= 20 and dict(row.in_flight)[a.id_hash & 0xFFFF] == 2  # peers read it as any proxy's
     balancer.handle(LoadReported({"a": LoadSummary(issued=5, in_progress=5.0, silent=True)}), now)  # type: ignore[arg-type]
--- a/tests/proxy/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -95,7 +95,7 @@
         for server, spot in index.spots.items():
             cold, power = (
                 balancer.estimates.is_in_slow_start(server, now),
-                balancer.estimates.power(server, now),
+                balancer.estimates.effective_weight(server, now),
             )
             assert spot.load == server.in_flight + server.peers_in_flight
             assert spot.fill == (server.in_flight / server.capacity if server.in_flight else 0.0)
