--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -141,10 +141,9 @@
     # Queries
 
     def effective_weight(self, server: Backend, now: float) -> float:
-        """Return a server's weight by capacity and kind, lowered while it is slower than others, before errors show."""
-        size = (
-            self.kind_sizes.get(server.entry.kind, 1.0) if self.is_pooled else 1.0
-        )  # else capacity shows it
+        """Return a server's weight by capacity and kind; less while it is slow, before errors show."""
+        # Where counts are not pooled the capacity shows the size of its kind.
+        size = self.kind_sizes.get(server.entry.kind, 1.0) if self.is_pooled else 1.0
         return server.weight * size * server.capacity * min(1.0, 1.5 / slowness(server, now))
 
     def usual_duration(self, cls: int, server: Backend, work: float | None) -> float:
