--- a/firvane/proxy/limits/memory_costs.py
+++ b/firvane/proxy/limits/memory_costs.py
@@ -34,8 +34,8 @@
     sockets: int  # descriptors that may be used: no more than fit into the memory
     clients: int  # client connections that fit where targets hold no more than their floor
     flows: int  # flows open at once
-    boxes: int  # entries of the list
-    line: int  # bytes of one line of the list
+    backends: int  # entries of the list
+    list_line_bytes: int  # bytes of one line of the list
 
 
 def derive(memory_mb: float, sockets: int, cores: float) -> Bounds:
@@ -56,13 +56,13 @@
     floor = floors(sockets)
     rest = memory - sockets * IDLE_TARGET_BYTES
     clients = sockets - sum(floor.values()) + floor[Use.CLIENTS]
-    boxes = min(MAX_BACKENDS, max(16, rest // 4 // BACKEND_BYTES))
+    backends = min(MAX_BACKENDS, max(16, rest // 4 // BACKEND_BYTES))
     return Bounds(
         memory=memory,
         bodies=rest // 3,
         sockets=sockets,
         clients=clients,
         flows=max(8, min(clients, rest // 4 // FLOW_BYTES)),
-        boxes=boxes,
-        line=min(4 * MB, max(64 * 1024, boxes * ENDPOINT_BYTES)),
+        backends=backends,
+        list_line_bytes=min(4 * MB, max(64 * 1024, backends * ENDPOINT_BYTES)),
     )
--- a/firvane/proxy/limits/overload.py
+++ b/firvane/proxy/limits/overload.py
@@ -94,13 +94,13 @@
 }
 
 
-class Step(NamedTuple):
+class LevelChange(NamedTuple):
     """A resource has changed its level."""
 
     resource: Resource
     before: Level
     after: Level
-    figure: float
+    usage: float
 
 
 class Overload:
@@ -111,13 +111,13 @@
         self._above = dict.fromkeys(Resource, 0.0)  # when the level was last seen to be needed
         self.active_actions: frozenset[OverloadAction] = frozenset()
 
-    def see(self, resource: Resource, figure: float, now: float) -> Step | None:
+    def update(self, resource: Resource, usage: float, now: float) -> LevelChange | None:
         """Take the use of a resource at `now` (s); return the change of its level, if there is one."""
         before, after = self.levels[resource], Level.CALM
         for level, threshold in zip(
             (Level.BUSY, Level.HEAVY, Level.CRITICAL), RAISE_AT[resource], strict=True
         ):
-            if figure >= threshold * (LOWER_FACTOR if level <= before else 1.0):
+            if usage >= threshold * (LOWER_FACTOR if level <= before else 1.0):
                 after = level
         if after >= before:
             self._above[resource] = now
@@ -131,7 +131,7 @@
         self.active_actions = frozenset().union(
             *(ACTIONS[key] for key in self.levels.items() if key[1] is not Level.CALM)
         )
-        return Step(resource, before, after, figure)
+        return LevelChange(resource, before, after, usage)
 
     def is_active(self, action: OverloadAction) -> bool:
         """Whether an action is in force."""
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -120,7 +120,7 @@
 
     def see(self, what: Resource, figure: float) -> None:
         """Take in the usage of a resource, as a part of its limit; log a change of level."""
-        step = self.overload.see(what, figure, self.loop.time())
+        step = self.overload.update(what, figure, self.loop.time())
         if step:
             actions = sorted(action.value for action in self.overload.active_actions)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -146,7 +146,7 @@
             clients=bounds.clients,
             flows=bounds.flows,
             bodies_mb=round(bounds.bodies / MB, 1),
-            boxes=bounds.boxes,
+            boxes=bounds.backends,
         )
 
     # Snapshots of learned estimates
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -121,7 +121,7 @@
         """Make the endpoint list and the connections to the targets on it."""
         loop, settings, bounds = self.loop, config.settings, self.monitor.bounds
         self.upstream_pools = UpstreamPools(loop, settings.limits, settings.rules, self.monitor, self.dialer)
-        reader = EndpointListReader(config.zones, config.kinds, bounds.boxes, bounds.line)
+        reader = EndpointListReader(config.zones, config.kinds, bounds.backends, bounds.list_line_bytes)
         backoff = DiscoveryBackoff(settings.proxies if settings.ask else 0, random.Random(config.seed))
         self.target_group = TargetGroup(
             loop, config.discovery, reader, self.upstream_pools.listed, self._listed, self.log, backoff
--- a/tests/proxy/limits/test_memory_account.py
+++ b/tests/proxy/limits/test_memory_account.py
@@ -101,7 +101,7 @@
         bounds.sockets * IDLE_TARGET_BYTES
         + bounds.bodies
         + bounds.flows * FLOW_BYTES
-        + bounds.boxes * BACKEND_BYTES
+        + bounds.backends * BACKEND_BYTES
     )
     assert held <= bounds.memory < memory * MB
 
--- a/tests/proxy/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -34,7 +34,7 @@
 def test_each_step_is_told_once_and_levels_come_back_one_by_one() -> None:
     overload, steps = Overload(), []
     for n, figure in enumerate([0.1, 0.95, 0.95, 0.95] + [0.0] * 30):
-        if step := overload.see(Resource.MEMORY, figure, now=0.25 * n):
+        if step := overload.update(Resource.MEMORY, figure, now=0.25 * n):
             steps.append((step.before, step.after, 0.25 * n))
     calm, busy, heavy, critical = Level
     assert steps == [(calm, critical, 0.25), (critical, heavy, 1.75), (heavy, busy, 2.75), (busy, calm, 3.75)]
@@ -47,7 +47,7 @@
     overload, falls = Overload(), list[float]()
     for n, figure in enumerate(figures):
         before = overload.levels[resource]
-        step = overload.see(resource, figure, now=0.25 * n)
+        step = overload.update(resource, figure, now=0.25 * n)
         after = overload.levels[resource]
         assert (step is None) == (before is after)
         assert after >= sum(
