--- a/firvane/proxy/limits/__init__.py
+++ b/firvane/proxy/limits/__init__.py
@@ -1,4 +1,5 @@
-"""Resource limits: memory, descriptors, work in an iteration of the loop, load shedding, overload actions.
+"""Resource limits: memory, descriptors, work per event loop iteration, load shedding, overload actions.
 
-Pure: no module here does I/O, reads a clock or draws; measurements and `now` are arguments.
+Pure: no module here does I/O, reads a clock or creates a random generator; measurements, `now` and generators
+are arguments.
 """
--- a/firvane/proxy/limits/descriptors.py
+++ b/firvane/proxy/limits/descriptors.py
@@ -1,9 +1,9 @@
-"""The budget of file descriptors: each use has a floor that no other takes, the rest is shared.
+"""The budget of file descriptors: each use has a reserved minimum (floor), the rest is shared.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A lease is taken before a descriptor is opened, and released when it is closed.
-2. A use may go beyond its floor only into what the floors of the others leave.
+1. A lease is acquired before a descriptor is opened, and released when it is closed.
+2. A use may exceed its floor only with descriptors beyond the floors of the other uses.
 3. A lease is granted or rejected at once: nothing waits for a descriptor here.
 """
 
@@ -15,23 +15,23 @@
 class Use(Enum):
     """What a descriptor is for."""
 
-    OWN = "own"  # the loop's, the log's, the listening sockets, files read at a reload
-    DISCOVERY = "discovery"  # the watch, and the one that follows it when discovery moves
+    OWN = "own"  # the event loop, the log, the listening sockets, files read at a reload
+    DISCOVERY = "discovery"  # the watch, and its successor when the address of discovery changes
     PEERS = "peers"
     TARGETS = "targets"
     CLIENTS = "clients"
 
 
-OWN_FLOOR = 24  # standard streams, epoll, eventfds, listeners; a file; libuv's spare
+OWN_FLOOR = 24  # standard streams, epoll, eventfds, listeners, a file, the spare descriptor of libuv
 DISCOVERY_FLOOR = 4
 PEERS_FLOOR = 2
-TARGETS_FLOOR_RATIO = 0.4  # of what is left after those
+TARGETS_FLOOR_RATIO = 0.4  # of what the floors above leave
 CLIENTS_FLOOR_RATIO = 0.5
-MIN_DESCRIPTORS = 64  # fewer serve nobody
+MIN_DESCRIPTORS = 64  # fewer cannot serve any client
 
 
 def floors(total: int) -> dict[Use, int]:
-    """The floor of each use.
+    """Return the floor of each use.
 
     Raises:
         ValueError: `total` descriptors are fewer than `MIN_DESCRIPTORS`.
@@ -49,7 +49,7 @@
 
 
 class Descriptors:
-    """BodyLeases of descriptors, by use."""
+    """Counts leased descriptors, by use."""
 
     def __init__(self, total: int, floor: dict[Use, int] | None = None) -> None:
         self.total, self.floor = total, floor or floors(total)
@@ -58,18 +58,18 @@
         self.rejected = dict.fromkeys(Use, 0)
 
     def limit(self, use: Use) -> int:
-        """How many `use` could open if no other went beyond its floor."""
+        """Return how many descriptors `use` could open if all others kept within their floors."""
         return self.total - sum(floor for other, floor in self.floor.items() if other is not use)
 
     def free(self, use: Use) -> int:
-        """How many more `use` may open now."""
+        """Return how many more descriptors `use` may open now."""
         left, floor = self.total, self.floor
         for other, count in self.open.items():
             left -= count if other is use or count > floor[other] else floor[other]
         return left
 
     def lease(self, use: Use) -> bool:
-        """Whether one more may be opened; it is then counted."""
+        """Return whether one more descriptor may be opened, and count it if so."""
         if self.free(use) <= 0:
             self.rejected[use] += 1
             return False
@@ -77,7 +77,7 @@
         return True
 
     def count(self, use: Use) -> bool:
-        """Count one that is open already, as an accepted connection is; whether it is within the limit."""
+        """Count a descriptor that is already open, as of an accepted connection; return whether it fits."""
         self.open[use] += 1
         return self.free(use) >= 0
 
@@ -85,12 +85,12 @@
         """Count a descriptor as closed.
 
         Raises:
-            ValueError: none is leased for this use.
+            ValueError: no descriptor is leased for this use.
         """
         if not self.open[use]:
-            raise ValueError(f"a descriptor for {use.value} is given back that was never leased")
+            raise ValueError(f"released a descriptor for {use.value} that was never leased")
         self.open[use] -= 1
 
     def usage(self, use: Use) -> float:
-        """What `use` has open, as a fraction of what it may have open now."""
+        """Return the open descriptors of `use` as a fraction of those that it may have open now."""
         return self.open[use] / max(1, self.open[use] + self.free(use))
--- a/firvane/proxy/limits/memory_account.py
+++ b/firvane/proxy/limits/memory_account.py
@@ -1,13 +1,13 @@
-"""The account of memory: how much is used, by what, and who may use more.
+"""The memory account: how much is used, by what, and when no more may be accepted.
 
-Rules that hold here and nowhere else:
+Invariants:
 
 1. Every byte that a peer can make the proxy keep is charged under one `MemoryUse`, and released once.
 2. An object (a connection, a flow, a backend) is charged at a fixed cost, see `memory_costs.py`.
-3. Small bodies are charged as they come. A body that grows beyond `MAX_UNLEASED_BODY_BYTES` needs a lease
-   of the largest size that it may reach, before more of it is read; whoever gets none waits in order, with
-   reading paused. Holders of a lease can always finish, so those that wait always go on.
-4. Crossing `high` sets `under_pressure`, falling to `low` clears it. While it is set nothing new is accepted.
+3. Small bodies are charged as they arrive. A body that grows beyond `MAX_UNLEASED_BODY_BYTES` needs a lease
+   of the largest size that it may reach before more of it is read; without one it waits in order, with
+   reading paused. Holders of a lease can always finish, so waiting bodies always proceed in the end.
+4. Reaching `high` sets `under_pressure`, falling to `low` clears it. While it is set nothing new is accepted.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 
     CLIENTS = 0  # open client connections, at a fixed cost each
     TARGETS = 1  # connections to targets, at a fixed cost each
-    READING = 2  # heads and bodies from clients, and pipelined bytes behind them
+    READING = 2  # request heads and bodies being read, and pipelined bytes behind them
     FLOWS = 3  # open flows, at a fixed cost each, with their requests
-    ANSWERS = 4  # answers from targets
-    WRITING = 5  # answers that clients have not read
-    TABLES = 6  # the list, the decisions' records, peers' rows
+    ANSWERS = 4  # responses from targets
+    WRITING = 5  # responses that clients have not read
+    TABLES = 6  # the endpoint list, the decisions' records, peers' rows
 
 
 class MemoryAccount:
@@ -42,9 +42,9 @@
         self.peak = 0
         self.under_pressure = False
 
-    def charge(self, what: MemoryUse, size: int) -> None:
-        """Take `size` bytes more (or less, where negative) under `what`."""
-        self.bytes_by_use[what] += size
+    def charge(self, use: MemoryUse, size: int) -> None:
+        """Charge `size` bytes (release them, if negative) under `use`."""
+        self.bytes_by_use[use] += size
         self.used_bytes += size
         if size > 0:
             if self.used_bytes > self.peak:
@@ -57,5 +57,5 @@
             self.under_pressure = False
 
     def usage(self) -> float:
-        """The bytes used, as a fraction of the budget."""
+        """Return the bytes used, as a fraction of the budget."""
         return self.used_bytes / self.budget
--- a/firvane/proxy/limits/memory_costs.py
+++ b/firvane/proxy/limits/memory_costs.py
@@ -1,6 +1,6 @@
-"""What each object costs in memory, and what fits into the limits.
+"""The memory cost of each kind of object, and the bounds that follow from the configured limits.
 
-Costs are bytes resident beyond the idle program; `benchmarks/limits.py memory` shows them.
+Costs are resident bytes beyond the idle program; `benchmarks/limits.py memory` measures them.
 """
 
 from __future__ import annotations
@@ -14,38 +14,36 @@
 IDLE_CLIENT_BYTES = 2_800  # a client connection: transport, parser, protocol
 IDLE_TARGET_BYTES = 2_200  # an idle connection to a target
 FLOW_BYTES = 7_000  # an open flow: its request, its attempt, timers, the decisions' record
-STREAM_WINDOW_BYTES = (
-    48 * 1024
-)  # a streamed message: what one read has brought, and its copy in the transport
+STREAM_WINDOW_BYTES = 48 * 1024  # a streamed message: the bytes of one read, and their copy in the transport
 BACKEND_BYTES = 10_000  # a backend: its entry, its pool, the decisions' record, its points on the ring
 
-PROGRAM_BYTES = 17 * MB  # the program with nothing to do: its own pages, and what it alone holds of files
-MAX_BACKENDS = 4_000  # a change of a longer list would block the loop for more than 0.1 s
+PROGRAM_BYTES = 17 * MB  # the idle program: its private pages, and file pages that only it maps
+MAX_BACKENDS = 4_000  # a change of a longer list would block the event loop for more than 0.1 s
 ENDPOINT_BYTES = 200  # an entry of the endpoint list on the wire
-MIN_WORKING_BYTES = 2 * MB  # less serves nothing
-SAFETY_MARGIN = 0.08  # of the limit: the allocator's fragments, stacks, the kernel's buffers
+MIN_WORKING_BYTES = 2 * MB  # beyond the program; with less no request can be served
+SAFETY_MARGIN = 0.08  # of the limit: allocator fragmentation, stacks, kernel buffers
 
 
 class Bounds(NamedTuple):
-    """What fits into the limits."""
+    """The bounds that follow from the configured limits."""
 
-    memory: int  # bytes that may be accounted
-    bodies: int  # bytes of them for bodies beyond the small ones
-    sockets: int  # descriptors that may be used: no more than fit into the memory
-    clients: int  # client connections that fit where targets hold no more than their floor
-    flows: int  # flows open at once
-    backends: int  # entries of the list
-    list_line_bytes: int  # bytes of one line of the list
+    memory: int  # bytes of the memory account
+    bodies: int  # bytes of these for leased bodies
+    sockets: int  # descriptors that may be used; no more than fit into the memory
+    clients: int  # client connections that fit if targets use no more than their floor
+    flows: int  # open flows
+    backends: int  # entries of the endpoint list
+    list_line_bytes: int  # of one line of the endpoint list
 
 
 def derive(memory_mb: float, sockets: int, cores: float) -> Bounds:
-    """What fits into the limits.
+    """Return the bounds that follow from the limits.
 
     Raises:
-        ValueError: they cannot hold a proxy at all; the text says what is needed.
+        ValueError: the limits are too small for a proxy; the text says what is needed.
     """
     if cores <= 0:
-        raise ValueError(f"limits.cores is {cores}: give a part of a core above 0")
+        raise ValueError(f"limits.cores is {cores}: give a number of cores, or a fraction of one, above 0")
     memory = int(memory_mb * MB * (1 - SAFETY_MARGIN)) - PROGRAM_BYTES
     if memory < MIN_WORKING_BYTES:
         least = math.ceil((PROGRAM_BYTES + MIN_WORKING_BYTES) / (1 - SAFETY_MARGIN) / MB)
--- a/firvane/proxy/limits/overload.py
+++ b/firvane/proxy/limits/overload.py
@@ -1,14 +1,14 @@
-"""The overload manager: the pressure on each resource, and the actions that it triggers.
+"""The overload manager: the level of pressure on each resource, and the actions that it triggers.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A resource has one level, set by its use (0 to 1) and the thresholds in `RAISE_AT` and `LOWER_FACTOR`.
-2. A level is entered with the first sample that shows it, and left one at a time, after `CALM_PERIOD_S`
-   without it, so that an action does not start and stop with every sample.
-3. The actions of a level are listed in `ACTIONS` and nowhere else. Levels of different resources add up.
-4. Each change of a level is reported once, with its cause and the resource's use.
+1. A resource has one level, set by its usage and the thresholds in `RAISE_AT` and `LOWER_FACTOR`.
+2. A level is raised by the first sample that requires it, and lowered one step at a time, after
+   `CALM_PERIOD_S` without such a sample, so that actions do not start and stop with every sample.
+3. Only `ACTIONS` lists the actions of a level. The actions of all resources apply together.
+4. Each change of a level is returned once, with the resource and its usage.
 
-Which requests are rejected is not decided here: the balancer gets the pressure and decides.
+Which requests are rejected is not decided here: the balancer receives the pressure and decides.
 """
 
 from __future__ import annotations
@@ -18,16 +18,16 @@
 
 
 class Resource(Enum):
-    """What can run short."""
+    """A limited resource."""
 
     MEMORY = "memory"
     DESCRIPTORS = "descriptors"
-    LAG = "lag"  # lateness of the loop, as a part of what a request may lose by it
-    CPU = "cpu"  # time used, as a part of what the platform allows
+    LAG = "lag"  # delay of the event loop, as a fraction of the acceptable delay
+    CPU = "cpu"  # CPU time used, as a fraction of what the platform grants
 
 
 class Level(IntEnum):
-    """How short a resource runs."""
+    """The level of pressure on a resource."""
 
     CALM = 0
     BUSY = 1
@@ -36,7 +36,7 @@
 
 
 class OverloadAction(Enum):
-    """What is done under pressure, the cheapest for ordinary clients first."""
+    """An action under pressure; the cheapest for ordinary clients first."""
 
     SHORTEN_IDLE_TIMEOUT = "shorten_idle_timeout"
     DISABLE_HEDGING = "disable_hedging"
@@ -95,7 +95,7 @@
 
 
 class LevelChange(NamedTuple):
-    """A resource has changed its level."""
+    """A change of the level of a resource."""
 
     resource: Resource
     before: Level
@@ -108,11 +108,11 @@
 
     def __init__(self) -> None:
         self.levels = dict.fromkeys(Resource, Level.CALM)
-        self._above = dict.fromkeys(Resource, 0.0)  # when the level was last seen to be needed
+        self._required_at = dict.fromkeys(Resource, 0.0)  # when a sample last required the present level
         self.active_actions: frozenset[OverloadAction] = frozenset()
 
     def update(self, resource: Resource, usage: float, now: float) -> LevelChange | None:
-        """Take the use of a resource at `now` (s); return the change of its level, if there is one."""
+        """Apply the usage of a resource at `now` (s); return the change of its level, or None."""
         before, after = self.levels[resource], Level.CALM
         for level, threshold in zip(
             (Level.BUSY, Level.HEAVY, Level.CRITICAL), RAISE_AT[resource], strict=True
@@ -120,11 +120,11 @@
             if usage >= threshold * (LOWER_FACTOR if level <= before else 1.0):
                 after = level
         if after >= before:
-            self._above[resource] = now
-        elif now < self._above[resource] + CALM_PERIOD_S:
+            self._required_at[resource] = now
+        elif now < self._required_at[resource] + CALM_PERIOD_S:
             after = before
         else:
-            after, self._above[resource] = Level(before - 1), now
+            after, self._required_at[resource] = Level(before - 1), now
         if after is before:
             return None
         self.levels[resource] = after
@@ -134,9 +134,9 @@
         return LevelChange(resource, before, after, usage)
 
     def is_active(self, action: OverloadAction) -> bool:
-        """Whether an action is in force."""
+        """Return whether an action is in force."""
         return action in self.active_actions
 
     def worst(self) -> Level:
-        """The highest level of all resources."""
+        """Return the highest level of all resources."""
         return max(self.levels.values())
