--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -97,7 +97,7 @@
     Mutant(
         "an agent that was away is called again soon", PAUSES,
         "MAX_BACKOFF_S = 0.2", "MAX_BACKOFF_S = 2.0",
-        "tests/proxy/limits/test_discovery_timing.py::test_a_free_call_is_made_at_once_and_soon_again",
+        "tests/proxy/limits/test_discovery_timing.py::test_a_free_request_is_made_at_once_and_repeated_soon",
     ),
     Mutant(
         "a watch that was given up while dialled asks nothing", WATCH,
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds at work on connections: the account closes, nothing stalls, nothing taken is lost."""
+"""Tests of the limits on connections: charges are released, nothing stalls, no accepted request is lost."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
     seeded,
 )
 from tests.proxy.net.test_upstream_pool import connected, unwired
-from tests.proxy.net.test_upstream_pool import request as a_request
+from tests.proxy.net.test_upstream_pool import request as make_request
 
 LARGE = POST.replace(b"Length: 4", b"Length: 20000").replace(b"body", b"")
 
 
 def make_limiter(places: int = 100) -> tuple[ConnectionLimiter, Taken, Clock]:
     clock, taken = Clock(), Taken()
-    made = ConnectionLimiter(clock, taken, settings(classes=(READ, PAY)), make_monitor(clock, places))  # type: ignore[arg-type]
-    made.ready = True
-    return made, taken, clock
+    limiter = ConnectionLimiter(clock, taken, settings(classes=(READ, PAY)), make_monitor(clock, places))  # type: ignore[arg-type]
+    limiter.ready = True
+    return limiter, taken, clock
 
 
-class Crowd:
-    """Some clients on one limiter, moved by a test's steps; every request has an id of its own."""
+class Clients:
+    """Clients of one limiter, driven by the steps of a test; each request has its own id."""
 
     def __init__(self) -> None:
         self.limiter, self.taken, self.clock = make_limiter()
@@ -64,14 +64,14 @@
         self.wires = [Wire(self.limiter.accept()) for _ in range(4)]
         self.number = 0
 
-    def ask(self, wire: Wire, form: bytes, times: int, cut: int) -> None:
+    def send(self, wire: Wire, form: bytes, times: int, cut: int) -> None:
         data = b""
         for _ in range(times):
             self.number += 1
             data += form.replace(b"9b1f", b"%x" % self.number)
         data += b"x" * (20000 if form is LARGE else 0)
         for start in range(0, len(data), cut):
-            if not wire.paused and not wire.closed:  # as the loop does: nothing comes while reading is paused
+            if not wire.paused and not wire.closed:  # like the event loop: no data while reading is paused
                 wire.protocol.data_received(data[start : start + cut])
 
     def open_flows(self) -> list[Any]:
@@ -80,9 +80,9 @@
     def step(self, kind: str, which: int, size: int) -> None:
         wire = self.wires[which % len(self.wires)]
         if kind == "get" and not wire.closed:
-            self.ask(wire, GET, 1 + size % 5, 1 + size)
+            self.send(wire, GET, 1 + size % 5, 1 + size)
         elif kind == "post" and not wire.closed:
-            self.ask(wire, LARGE, 1, 1000 + size)
+            self.send(wire, LARGE, 1, 1000 + size)
         elif kind == "answer" and (flows := self.open_flows()):
             flow = flows[which % len(flows)]
             (flow.client.on_response(answer(b"y" * size)) if size % 3 else flow.client.on_rejected(0.1))
@@ -100,44 +100,46 @@
         assert sum(self.limiter.account.bytes_by_use) == self.limiter.account.used_bytes
 
 
-KINDS = ["get", "get", "post", "answer", "answer", "stick", "unstick", "close", "shut", "turn"]
+STEP_KINDS = ["get", "get", "post", "answer", "answer", "stick", "unstick", "close", "shut", "turn"]
 
 
 @seeded
-@given(st.lists(st.tuples(st.sampled_from(KINDS), st.integers(0, 20), st.integers(1, 3000)), max_size=50))
-def test_whatever_comes_in_whatever_order_the_account_closes(steps: list[tuple[str, int, int]]) -> None:
-    crowd = Crowd()
+@given(
+    st.lists(st.tuples(st.sampled_from(STEP_KINDS), st.integers(0, 20), st.integers(1, 3000)), max_size=50)
+)
+def test_after_any_sequence_of_events_all_charges_are_released(steps: list[tuple[str, int, int]]) -> None:
+    clients = Clients()
     for step in steps:
-        crowd.step(*step)
-    for wire in crowd.wires:
+        clients.step(*step)
+    for wire in clients.wires:
         if wire.buffered:
             wire.unstick()
         wire.stuck = False
-    for _ in range(400):  # whoever is still here is answered, whatever waited goes on: nothing stalls
-        crowd.clock.turn()
-        for flow in crowd.open_flows():
+    for _ in range(400):  # open requests are answered and waiting ones proceed: nothing stalls
+        clients.clock.turn()
+        for flow in clients.open_flows():
             flow.client.on_response(answer())
-    for wire in crowd.wires:
+    for wire in clients.wires:
         assert wire.closed or not (wire.protocol.unparsed or wire.paused or wire.protocol.queued)
-    taken = len(crowd.taken.flows)
-    left = len(crowd.taken.left)
-    assert sum(status in (200, 503) for wire in crowd.wires for status in statuses(wire)) >= taken - left
-    account = crowd.limiter.account
+    taken = len(clients.taken.flows)
+    left = len(clients.taken.left)
+    assert sum(status in (200, 503) for wire in clients.wires for status in statuses(wire)) >= taken - left
+    account = clients.limiter.account
     assert (
         account.used_bytes
         == account.bytes_by_use[MemoryUse.CLIENTS] + account.bytes_by_use[MemoryUse.READING]
     )
-    for wire in crowd.wires:
+    for wire in clients.wires:
         wire.close()
     assert account.used_bytes == 0 and not any(account.bytes_by_use)
-    assert not crowd.limiter.monitor.leases.holders and not crowd.limiter.monitor.leases.queue
-    assert crowd.limiter.monitor.descriptors.open[Use.CLIENTS] == 0 and not crowd.limiter.open_ids
+    assert not clients.limiter.monitor.leases.holders and not clients.limiter.monitor.leases.queue
+    assert clients.limiter.monitor.descriptors.open[Use.CLIENTS] == 0 and not clients.limiter.open_ids
 
 
-def test_large_bodies_wait_for_a_lease_and_go_on_in_order() -> None:
-    made, taken, _ = make_limiter()
-    made.monitor.leases = BodyLeases(1, 1)
-    wires = [Wire(made.accept()) for _ in range(3)]
+def test_large_bodies_wait_for_a_lease_and_proceed_in_order() -> None:
+    limiter, taken, _ = make_limiter()
+    limiter.monitor.leases = BodyLeases(1, 1)
+    wires = [Wire(limiter.accept()) for _ in range(3)]
     for n, wire in enumerate(wires):
         wire.protocol.data_received(LARGE.replace(b"9b1f", b"%d" % n) + b"x" * (MAX_UNLEASED_BODY_BYTES + 1))
     assert [wire.paused for wire in wires] == [False, True, True]
@@ -149,7 +151,7 @@
     assert not wires[2].paused
 
 
-def test_a_large_answer_waits_for_a_lease_too() -> None:
+def test_a_large_response_waits_for_a_lease_too() -> None:
     pools = unwired(Clock())
     pools.monitor.leases = BodyLeases(1, 1)
     pool, wires, ended = Pool("s"), [], []
@@ -157,7 +159,7 @@
         connection = connected(pools, pool)
         wires.append(Wire(connection))
         ended.append(Ended(1001.0))
-        connection.send(Run(a_request(), pool, ended[-1]))
+        connection.send(Run(make_request(), pool, ended[-1]))
         connection.data_received(
             b"HTTP/1.1 200 OK\r\nContent-Length: 20000\r\n\r\n" + b"x" * (MAX_UNLEASED_BODY_BYTES + 1)
         )
@@ -172,16 +174,16 @@
     assert account.used_bytes == 0 and not pools.monitor.leases.holders
 
 
-def test_nothing_is_taken_on_while_the_account_is_pressed() -> None:
-    made, wire, taken = listener()
-    made.context.account.under_pressure = True
-    made.data_received(GET)
-    made.data_received(POST)  # one with a body is read first
+def test_no_request_is_accepted_while_the_memory_account_is_under_pressure() -> None:
+    connection, wire, taken = listener()
+    connection.context.account.under_pressure = True
+    connection.data_received(GET)
+    connection.data_received(POST)  # a request with a body is read before it is rejected
     for _ in range(3):
-        turn(made)
+        turn(connection)
     assert statuses(wire) == [503, 503] and not taken.flows and not wire.closed
-    made.context.account.under_pressure = False
-    made.data_received(GET)
+    connection.context.account.under_pressure = False
+    connection.data_received(GET)
     assert len(taken.flows) == 1
 
 
@@ -200,52 +202,54 @@
         (b"rubbish\r\n\r\n", None),
     ],
 )
-def test_only_what_is_surely_one_request_without_a_body_is_refused_unread(
+def test_only_input_that_is_exactly_one_request_without_a_body_is_rejected_unparsed(
     data: bytes, tenant: bytes | None
 ) -> None:
     assert scan_tenant(data) == tenant
     assert scan_is_retry(GET) and not scan_is_retry(GET.replace(b"Again: 1", b"Again: 0"))
 
 
-def test_marked_retries_are_refused_where_they_come_too_late_in_any_case() -> None:
-    made, wire, taken = listener()
-    made.context.shed((0.0001,), 1.2, again=True)
+def test_marked_retries_are_rejected_while_shedding_includes_them() -> None:
+    connection, wire, taken = listener()
+    connection.context.shed((0.0001,), 1.2, again=True)
     for n, form in enumerate((GET, GET.replace(b"X-Again: 1", b"X-Again: 0"))):
-        made.data_received(form.replace(b"9b1f", b"%d" % n))
-        turn(made)
+        connection.data_received(form.replace(b"9b1f", b"%d" % n))
+        turn(connection)
     assert statuses(wire) == [503] and len(taken.flows) == 1
 
 
-def test_who_waits_for_a_refusal_is_neither_idle_nor_in_the_way() -> None:
-    # Nothing of its request is kept, so it looked idle, and was closed before its answer: a request lost.
-    made, wire, _ = listener()
-    made.context.shed((1.0,), 0.2)
-    made.data_received(GET)
-    make_places(made.context.monitor, 1)
-    made.idle_since -= 100.0
-    made.expires_at = 0.0
-    made.context.sweep()
-    made.context.close_idle()
-    made.context._evict()
-    assert not wire.closed and made.retention_priority()[0] == BUSY
-    turn(made)
-    assert statuses(wire) == [503] and made.is_idle()
-
-
-def test_what_the_decisions_turn_away_never_reaches_them() -> None:
-    made, wire, taken = listener()
-    made.context.settings = settings(limits=api.Limits(max_attempts=3, retry_after=True, max_retry_after=1.2))
-    made.context.shed((0.5,), 0.2)
+def test_a_connection_that_waits_for_a_rejection_is_neither_idle_nor_evicted() -> None:
+    # Nothing of its request is kept, so the connection looked idle and was closed before its response.
+    connection, wire, _ = listener()
+    connection.context.shed((1.0,), 0.2)
+    connection.data_received(GET)
+    make_places(connection.context.monitor, 1)
+    connection.idle_since -= 100.0
+    connection.expires_at = 0.0
+    connection.context.sweep()
+    connection.context.close_idle()
+    connection.context._evict()
+    assert not wire.closed and connection.retention_priority()[0] == BUSY
+    turn(connection)
+    assert statuses(wire) == [503] and connection.is_idle()
+
+
+def test_requests_shed_by_the_fractions_do_not_reach_the_decisions() -> None:
+    connection, wire, taken = listener()
+    connection.context.settings = settings(
+        limits=api.Limits(max_attempts=3, retry_after=True, max_retry_after=1.2)
+    )
+    connection.context.shed((0.5,), 0.2)
     for n in range(6):
-        made.data_received(GET.replace(b"9b1f", b"%d" % n))
-        turn(made)
-        if made.flow:
-            made.on_response(answer())
+        connection.data_received(GET.replace(b"9b1f", b"%d" % n))
+        turn(connection)
+        if connection.flow:
+            connection.on_response(answer())
     assert statuses(wire) == [200, 503] * 3 and len(taken.flows) == 3
-    assert wire.written.count(b"Retry-After: ") == 3 and made.context.gate.shed == 3
+    assert wire.written.count(b"Retry-After: ") == 3 and connection.context.gate.shed == 3
 
 
-def test_a_list_or_a_line_that_does_not_fit_is_turned_down_whole() -> None:
+def test_an_endpoint_list_or_line_beyond_its_bound_is_rejected_as_a_whole() -> None:
     reader = EndpointListReader(("a",), ("big",), max_endpoints=3)
     entries = [endpoint(f"s{n}", 1000 + n) for n in range(4)]
     reader.read({"index": 1, "snapshot": True, "endpoints": entries[:3]})
@@ -260,68 +264,68 @@
     assert len(ends) == 1 and "1000 bytes" in ends[0] and not lines
 
 
-def test_a_peer_that_floods_is_heard_no_more_than_its_rate() -> None:
-    clock, heard = Clock(), list[bytes]()
-    peers = PeerDatagrams(0, [("h", 1), ("h", 2)], None, lambda n, data: heard.append(data), clock.time)
+def test_datagrams_of_a_flooding_peer_are_limited_to_its_rate() -> None:
+    clock, received = Clock(), list[bytes]()
+    peers = PeerDatagrams(0, [("h", 1), ("h", 2)], None, lambda n, data: received.append(data), clock.time)
     for _ in range(1000):
         peers.datagram_received(b"row", ("h", 2))
-    assert len(heard) == DATAGRAM_BURST
+    assert len(received) == DATAGRAM_BURST
     clock.advance(1.0)
     peers.datagram_received(b"row", ("h", 2))
-    assert len(heard) == DATAGRAM_BURST + 1
+    assert len(received) == DATAGRAM_BURST + 1
 
 
-def test_where_nobody_can_give_way_the_door_shuts_until_somebody_goes() -> None:
-    made, _, clock = make_limiter(places=6)
-    words = list[bool]()
-    made.set_accepting = words.append
-    wires = [Wire(made.accept()) for _ in range(6)]
+def test_accepting_stops_while_no_connection_can_be_evicted_until_one_closes() -> None:
+    limiter, _, clock = make_limiter(places=6)
+    accepting = list[bool]()
+    limiter.set_accepting = accepting.append
+    wires = [Wire(limiter.accept()) for _ in range(6)]
     for n, wire in enumerate(wires):
         wire.protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
-    late = Wire(made.accept())  # accepted before the door could shut
+    late = Wire(limiter.accept())  # accepted before accepting could stop
     late.protocol.data_received(GET.replace(b"9b1f", b"late"))
     clock.advance(1.0)
-    assert words == [False] and not any(wire.closed for wire in (*wires, late))
+    assert accepting == [False] and not any(wire.closed for wire in (*wires, late))
     late.protocol.on_response(answer())
-    assert late.closed  # one more than there are places
+    assert late.closed  # one connection beyond the limit
     clock.advance(0.1)
-    assert words == [False]
+    assert accepting == [False]
     wires[4].close()
     clock.advance(0.1)
-    assert words == [False, True]
-
-
-def test_newcomers_by_the_thousand_are_let_in_at_a_bounded_rate_and_usual_clients_stay() -> None:
-    # Each newcomer had the least claim looked for among all: a storm of connects took the loop from everyone.
-    made, _, clock = make_limiter(places=100)
-    opened = [True]
-    made.set_accepting = lambda come: opened.append(come)
-    usual = [Wire(made.accept()) for _ in range(20)]
-    for n, wire in enumerate(usual):
-        for ask in range(2):
-            wire.protocol.data_received(GET.replace(b"9b1f", b"%d-%d" % (n, ask)))
+    assert accepting == [False, True]
+
+
+def test_a_storm_of_connections_is_accepted_at_a_bounded_rate_and_regular_clients_stay() -> None:
+    # Each new connection searched all for one to evict: a storm of connections blocked the event loop.
+    limiter, _, clock = make_limiter(places=100)
+    accepting = [True]
+    limiter.set_accepting = lambda value: accepting.append(value)
+    regular = [Wire(limiter.accept()) for _ in range(20)]
+    for n, wire in enumerate(regular):
+        for number in range(2):
+            wire.protocol.data_received(GET.replace(b"9b1f", b"%d-%d" % (n, number)))
             wire.protocol.on_response(answer())
-    came = 0
+    accepted = 0
     for _ in range(500):  # 5 s
-        while opened[-1]:
-            Wire(made.accept())
-            came += 1
+        while accepting[-1]:
+            Wire(limiter.accept())
+            accepted += 1
         clock.advance(0.01)
-    assert not any(wire.closed for wire in usual)
-    assert came < 80 + 5.0 / 0.04 * (2 + 100 // 32) + 10
-    assert len(made.connections) <= 101
+    assert not any(wire.closed for wire in regular)
+    assert accepted < 80 + 5.0 / 0.04 * (2 + 100 // 32) + 10
+    assert len(limiter.connections) <= 101
 
 
-def test_newcomers_wait_in_the_kernel_while_the_door_is_shut_and_no_descriptor_is_to_be_had(
+def test_new_connections_wait_in_the_kernel_while_accepting_is_off_or_descriptors_run_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        transports, came = TransportPool(loop), asyncio.Event()
+        transports, accepted = TransportPool(loop), asyncio.Event()
 
         class Client(ClientConnection):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
-                came.set()
+                accepted.set()
 
             def connection_lost(self, error: Exception | None) -> None: ...
 
@@ -329,12 +333,12 @@
         transports.start()
         await acceptor.open(("127.0.0.1", 0), lambda *kernel: Client(shared, *kernel))
         acceptor.set_accepting(False)
-        newcomer = socket.create_connection(acceptor.address())
+        client = socket.create_connection(acceptor.address())
         await asyncio.sleep(0)
-        assert not came.is_set()
+        assert not accepted.is_set()
 
-        class Spent:
-            """The listening socket of a process that has no descriptor left, once."""
+        class ExhaustedSocket:
+            """A listening socket whose first accept finds no free descriptor."""
 
             def __init__(self, sock: socket.socket) -> None:
                 self.sock, self.tries = sock, 0
@@ -348,38 +352,38 @@
             def __getattr__(self, name: str) -> Any:
                 return getattr(self.sock, name)
 
-        spent = Spent(acceptor.sock)
-        monkeypatch.setattr(acceptor, "sock", spent)
+        exhausted = ExhaustedSocket(acceptor.sock)
+        monkeypatch.setattr(acceptor, "sock", exhausted)
         monkeypatch.setattr(listening_socket, "ACCEPT_BACKOFF_S", 0.0)
         acceptor.set_accepting(True)
-        await came.wait()
-        assert spent.tries >= 2
-        newcomer.close()
+        await accepted.wait()
+        assert exhausted.tries >= 2
+        client.close()
         acceptor.close()
         transports.close()
 
     run(work())
 
 
-def test_who_has_asked_meanwhile_is_not_closed_as_idle() -> None:
-    # At its limit the loop was late to read: a request that had come was lost with its idle connection.
-    made, _, clock = make_limiter()
-    came = [True, False]
-    listeners = [made.accept(lambda n=n: not came[n]) for n in range(2)]
+def test_a_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
+    # An overloaded event loop reads late: an unread request was lost with its connection, closed as idle.
+    limiter, _, clock = make_limiter()
+    has_unread = [True, False]
+    listeners = [limiter.accept(lambda n=n: not has_unread[n]) for n in range(2)]
     wires = [Wire(listener) for listener in listeners]
     clock.advance(100.0)
-    made.sweep()
+    limiter.sweep()
     assert [wire.closed for wire in wires] == [False, True]
-    make_places(made.monitor, 1)
-    made._evict()
+    make_places(limiter.monitor, 1)
+    limiter._evict()
     assert not wires[0].closed
-    came[0] = False
-    made.sweep()
+    has_unread[0] = False
+    limiter.sweep()
     assert wires[0].closed
 
 
-def test_many_newcomers_become_connections_in_a_few_turns() -> None:
-    # The loop's own server takes one a turn: at the limit most clients had left before their turn came.
+def test_many_connections_are_accepted_in_a_few_loop_iterations() -> None:
+    # The event loop's own server accepts one per iteration: under load most clients left before that.
     async def work() -> None:
         loop = asyncio.get_running_loop()
         transports, shared = TransportPool(loop), make_limiter(places=200)[0]
@@ -387,11 +391,11 @@
         acceptor = SocketAcceptor(loop, transports)
         await acceptor.open(("127.0.0.1", 0), shared.accept)
         clients = [socket.create_connection(acceptor.address()) for _ in range(64)]
-        loop_budget = 0
+        iterations = 0
         while len(shared.connections) < 64:
             await asyncio.sleep(0)
-            loop_budget += 1
-        assert loop_budget < 32
+            iterations += 1
+        assert iterations < 32
         for client in clients:
             client.close()
         acceptor.close()
@@ -400,18 +404,22 @@
     run(work())
 
 
-def test_pressure_reaches_the_decisions_with_what_was_turned_away() -> None:
-    made, _, clock = make_limiter()
-    told = list[api.OverloadSignal]()
-    made.monitor.report_pressure = told.append
-    made.monitor.start()
-    made.monitor.loop_budget.max_wait_s = 0.0
-    for n in range(200):  # more than a line and the turns of a period hold
-        Wire(made.accept()).protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
+def test_overload_signals_reach_the_decisions_with_the_rejected_requests() -> None:
+    limiter, _, clock = make_limiter()
+    signals = list[api.OverloadSignal]()
+    limiter.monitor.report_pressure = signals.append
+    limiter.monitor.start()
+    limiter.monitor.loop_budget.max_wait_s = 0.0
+    for n in range(200):  # more than the queue and the iterations of a period take
+        Wire(limiter.accept()).protocol.data_received(GET.replace(b"9b1f", b"%d" % n))
     clock.advance(0.25)
-    assert told and told[0].excess_fraction > 0 and sum(told[0].rejected_unseen) == made.gate.overflowed > 0
+    assert (
+        signals
+        and signals[0].excess_fraction > 0
+        and sum(signals[0].rejected_unseen) == limiter.gate.overflowed > 0
+    )
     clock.advance(5.0)
-    assert told[-1].excess_fraction == 0.0
-    count = len(told)
+    assert signals[-1].excess_fraction == 0.0
+    count = len(signals)
     clock.advance(5.0)
-    assert len(told) == count  # a calm proxy has nothing to say
+    assert len(signals) == count  # without pressure nothing is reported
--- a/tests/proxy/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -1,4 +1,4 @@
-"""Levels, measures, turns and the gate: what is given up, for how long, and at whose cost."""
+"""Tests of overload levels, admission control, the loop budget and the admission gate."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 from tests.proxy.net.helpers import seeded
 
 
-def test_each_step_is_told_once_and_levels_come_back_one_by_one() -> None:
+def test_each_level_change_is_returned_once_and_levels_fall_one_by_one() -> None:
     overload, steps = Overload(), []
-    for n, figure in enumerate([0.1, 0.95, 0.95, 0.95] + [0.0] * 30):
-        if step := overload.update(Resource.MEMORY, figure, now=0.25 * n):
+    for n, usage in enumerate([0.1, 0.95, 0.95, 0.95] + [0.0] * 30):
+        if step := overload.update(Resource.MEMORY, usage, now=0.25 * n):
             steps.append((step.before, step.after, 0.25 * n))
     calm, busy, heavy, critical = Level
     assert steps == [(calm, critical, 0.25), (critical, heavy, 1.75), (heavy, busy, 2.75), (busy, calm, 3.75)]
@@ -43,45 +43,48 @@
 
 @seeded
 @given(st.sampled_from(list(Resource)), st.lists(st.floats(0.0, 2.0), min_size=1, max_size=80))
-def test_nothing_flaps_and_what_is_given_up_is_the_tables(resource: Resource, figures: list[float]) -> None:
-    overload, falls = Overload(), list[float]()
-    for n, figure in enumerate(figures):
+def test_levels_do_not_flap_and_their_actions_are_those_of_the_table(
+    resource: Resource, usages: list[float]
+) -> None:
+    overload, lowered_at = Overload(), list[float]()
+    for n, usage in enumerate(usages):
         before = overload.levels[resource]
-        step = overload.update(resource, figure, now=0.25 * n)
+        step = overload.update(resource, usage, now=0.25 * n)
         after = overload.levels[resource]
         assert (step is None) == (before is after)
-        assert after >= sum(
-            figure >= threshold for threshold in RAISE_AT[resource]
-        )  # never less than is needed
+        # Never lower than the thresholds require.
+        assert after >= sum(usage >= threshold for threshold in RAISE_AT[resource])
         assert overload.active_actions == ACTIONS.get((resource, after), frozenset())
         if after < before:
-            assert after == before - 1 and all(0.25 * n - fall >= CALM_PERIOD_S for fall in falls[-1:])
-            falls.append(0.25 * n)
+            assert after == before - 1 and all(
+                0.25 * n - earlier >= CALM_PERIOD_S for earlier in lowered_at[-1:]
+            )
+            lowered_at.append(0.25 * n)
 
 
-def test_a_graver_level_gives_up_no_less() -> None:
+def test_a_higher_level_has_all_actions_of_the_lower_ones() -> None:
     for resource in Resource:
         active_actions = [ACTIONS[resource, level] for level in Level if level]
         assert active_actions[0] <= active_actions[1] <= active_actions[2]
     assert OverloadAction.EVICT_CONNECTIONS in ACTIONS[Resource.DESCRIPTORS, Level.CRITICAL]
 
 
-def test_what_can_be_carried_is_learnt_only_at_the_limit() -> None:
+def test_the_capacity_is_measured_only_during_a_backlog() -> None:
     admission = AdmissionController()
-    assert admission.update(1.0, 500, 0, 0, waited=False) == 0.0  # all of it was carried
+    assert admission.update(1.0, 500, 0, 0, waited=False) == 0.0  # all requests were served
     assert admission.update(1.0, 1000, 0, 3000, waited=True) == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.1)
-    parts = [admission.update(1.0, 1000, 3000, 0, waited=True) for _ in range(8)]
-    assert parts[-1] == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.01)
-    eased = [admission.update(1.0, 900, 0, 0, waited=False) for _ in range(8)]
-    assert eased == sorted(eased, reverse=True) and eased[-1] == 0.0
+    fractions = [admission.update(1.0, 1000, 3000, 0, waited=True) for _ in range(8)]
+    assert fractions[-1] == pytest.approx(1 - 1.05 * 1000 / 4000, abs=0.01)
+    released = [admission.update(1.0, 900, 0, 0, waited=False) for _ in range(8)]
+    assert released == sorted(released, reverse=True) and released[-1] == 0.0
 
 
-class Asker:
-    """Somebody with so many requests, each read and then decided."""
+class QueuedWorker:
+    """A worker with so many requests, each read and then decided."""
 
     def __init__(self, loop_budget: LoopBudget, requests: int) -> None:
         self.loop_budget, self.left, self.queued = loop_budget, requests, False
-        self.done = self.refusals = 0
+        self.done = self.rejections = 0
 
     def go_on(self, given: bool = False) -> None:
         self.loop_budget.begin()
@@ -93,75 +96,78 @@
             self.done += 1
 
     def refuse(self) -> None:
-        self.refusals += 1
+        self.rejections += 1
 
 
-def test_a_turn_is_shared_and_refusals_cost_their_own_part_only() -> None:
+def test_an_iteration_is_shared_and_rejections_cost_only_their_own_budget() -> None:
     due = []
     loop_budget = LoopBudget(due.append, max_wait_s=0.02)
-    greedy, others = Asker(loop_budget, 10_000), [Asker(loop_budget, 1) for _ in range(20)]
-    for asker in (greedy, *others):
-        asker.go_on()
+    greedy, others = QueuedWorker(loop_budget, 10_000), [QueuedWorker(loop_budget, 1) for _ in range(20)]
+    for worker in (greedy, *others):
+        worker.go_on()
     assert (
         greedy.done == CONNECTION_UNITS // (READ_UNITS + DECISION_UNITS)
         and loop_budget.spent <= ITERATION_UNITS
     )
-    refused = [Asker(loop_budget, 0) for _ in range(3 * REJECTIONS_PER_ITERATION)]
-    for asker in refused:
-        loop_budget.queue_rejection(asker)
-        loop_budget.queue_rejection(asker)  # it stands in line once
-    assert not any(asker.refusals for asker in refused)
+    rejected = [QueuedWorker(loop_budget, 0) for _ in range(3 * REJECTIONS_PER_ITERATION)]
+    for worker in rejected:
+        loop_budget.queue_rejection(worker)
+        loop_budget.queue_rejection(worker)  # a worker is queued only once
+    assert not any(worker.rejections for worker in rejected)
     for n in range(1, 5):
-        assert len(due) == 1  # one call for the next turn, however many wait
+        assert len(due) == 1  # one callback for the next iteration, however many wait
         due.pop()()
-        assert REJECTIONS_PER_ITERATION * min(n, 3) <= sum(asker.refusals for asker in refused)
+        assert REJECTIONS_PER_ITERATION * min(n, 3) <= sum(worker.rejections for worker in rejected)
         assert loop_budget.spent <= ITERATION_UNITS
     for _ in range(8):
         due.pop()()
-    assert all(asker.done == 1 for asker in others) and greedy.left
+    assert all(worker.done == 1 for worker in others) and greedy.left
 
 
-def test_the_line_is_as_long_as_its_wait_allows() -> None:
+def test_the_queue_is_as_long_as_its_maximum_wait_allows() -> None:
     loop_budget = LoopBudget(lambda call: None, max_wait_s=0.02)
     for _ in range(MIN_QUEUE_LENGTH):
         assert not loop_budget.full()
-        loop_budget.wait(Asker(loop_budget, 1))
+        loop_budget.wait(QueuedWorker(loop_budget, 1))
     assert loop_budget.full()
     loop_budget.rate = 50.0 * (MIN_QUEUE_LENGTH + 1)  # a second; a fiftieth of that may wait
     assert not loop_budget.full()
 
 
-def test_parts_are_followed_exactly_and_a_full_line_refuses_the_rest() -> None:
-    crowded = False
-    gate = AdmissionGate((b"lagos", b"kano"), lambda greedy: crowded)
+def test_fractions_are_applied_exactly_and_a_full_queue_rejects_the_rest() -> None:
+    is_full = False
+    gate = AdmissionGate((b"lagos", b"kano"), lambda greedy: is_full)
     gate.set_fractions((0.25, 1.0))
     assert [gate.rejects(b"lagos") for _ in range(8)] == [False, False, False, True] * 2
     assert gate.is_shedding and gate.rejects(b"kano")
     assert gate.take_rejections() == (2, 1) and gate.take_rejections() == (0, 0)
     gate.set_fractions((0.0, 0.0))
     assert not gate.is_shedding and not gate.rejects(b"kano")
-    crowded = True
+    is_full = True
     assert gate.rejects(b"nobody") and (gate.shed, gate.overflowed) == (3, 1)
 
 
-def test_the_decisions_turn_away_first_what_exceeds_a_share() -> None:
+def test_the_balancer_sheds_first_what_exceeds_a_quota() -> None:
     tenants = (api.Tenant("lagos", 0.5, 10.0), api.Tenant("kano", 0.5, 10.0))
     balancer = started(tenants=tenants, over_quota_value=0.1)
 
-    def parts(part: float, over_share: bool = False) -> tuple[float, ...]:
-        balancer.tenant_requests = {0: 150.0, 1: 50.0}  # in 5 s: lagos three times its share, kano at its own
+    def fractions(excess_fraction: float, over_share: bool = False) -> tuple[float, ...]:
+        # In 5 s: three times the quota of lagos, exactly the quota of kano.
+        balancer.tenant_requests = {0: 150.0, 1: 50.0}
         balancer.rows[0] = balancer.rows[0]._replace(arrivals=1.0)
-        (action,) = balancer.handle(api.OverloadSignal(part, over_share, hedging_allowed=True), 100.5)
+        (action,) = balancer.handle(
+            api.OverloadSignal(excess_fraction, over_share, hedging_allowed=True), 100.5
+        )
         assert isinstance(action, api.ShedLoad)
         return action.fractions
 
-    assert parts(0.25) == pytest.approx((50 / 150, 0.0))
-    assert parts(0.0, over_share=True) == pytest.approx((100 / 150, 0.0))
-    assert parts(0.75) == pytest.approx((125 / 150, 0.5))  # then half of the rest
-    assert parts(0.0) == (0.0, 0.0)
+    assert fractions(0.25) == pytest.approx((50 / 150, 0.0))
+    assert fractions(0.0, over_share=True) == pytest.approx((100 / 150, 0.0))
+    assert fractions(0.75) == pytest.approx((125 / 150, 0.5))  # and half of the requests within quota
+    assert fractions(0.0) == (0.0, 0.0)
 
 
-def test_while_the_proxy_is_short_of_turns_there_are_no_second_copies() -> None:
+def test_no_attempt_is_hedged_while_hedging_is_not_allowed() -> None:
     balancer = started("ab")
     balancer.handle(api.OverloadSignal(0.0, False, hedging_allowed=False), 100.5)
     balancer.handle(api.Request(1, 0, 2.0, key="k"), 101.0)
