--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -100,9 +100,9 @@
 class BackendEstimates:
     """One proxy's estimates of all servers."""
 
-    def __init__(self, settings: api.Settings, rng: random.Random, now: float) -> None:
-        """`rng` draws the jitter of retry times; `now` is in seconds."""
-        self.settings, self.rng, self.started = settings, rng, now
+    def __init__(self, settings: api.Settings, generator: random.Random, now: float) -> None:
+        """`generator` draws the jitter of retry times; `now` is in seconds."""
+        self.settings, self.rng, self.started = settings, generator, now
         self.typical_duration = [cls.latency_target / 2 for cls in settings.classes]  # s, by class
         # By kind of server: seconds that a second of hinted work takes, queueing included.
         self.work_pace = dict[int, float]()
@@ -234,20 +234,20 @@
 
         `server` is None if it is no longer listed, `request` if it has already been answered.
         """
-        attempt = self.in_flight.pop((outcome.id, outcome.attempt), None)
-        if server is None or attempt is None:
+        ended = self.in_flight.pop((outcome.id, outcome.attempt), None)
+        if server is None or ended is None:
             return False
-        result, lost = outcome.result, attempt.is_lost
+        result, lost = outcome.result, ended.is_lost
         if result not in (api.Result.TIMEOUT, api.Result.CANCELLED, api.Result.NOT_SENT):
-            gap = min(1.0, now - self._unanswered_since(attempt, server))
+            gap = min(1.0, now - self._unanswered_since(ended, server))
             server.response_gap = (
                 server.response_gap + 0.2 * (gap - server.response_gap) if server.response_gap else gap
             )
             server.last_response_at = now
         if not lost:
-            self._remove_attempt(server, attempt)
+            self._remove_attempt(server, ended)
         if result in (api.Result.OK, api.Result.ERROR):
-            self._count_overtaken(server, attempt)
+            self._count_overtaken(server, ended)
         if self.is_large_fleet and result in (api.Result.OK, api.Result.OVERLOADED):
             self.rejected_fraction += REJECTION_GAIN * (
                 (result is api.Result.OVERLOADED) - self.rejected_fraction
@@ -302,14 +302,14 @@
         if server.failures:
             # The response disproves the failures for which the server was backed off.
             server.failures, server.connection_failures, server.retry_at = 0, 0, now
-        latency_target = self.settings.classes[request.class_id].latency_target if request else duration
+        target = self.settings.classes[request.class_id].latency_target if request else duration
         if (
             request
-            and duration > LATE_TARGET_FRACTION * latency_target
-            and (request.work or 0.0) < LIGHT_WORK_FRACTION * latency_target
+            and duration > LATE_TARGET_FRACTION * target
+            and (request.work or 0.0) < LIGHT_WORK_FRACTION * target
         ):
             # What queues there would be late: treat it as a rejection.
-            if now > server.capacity_cut_at + latency_target:
+            if now > server.capacity_cut_at + target:
                 server.capacity, server.capacity_cut_at = max(1.0, 0.9 * server.capacity), now
         elif server.in_flight + 1 > 0.7 * server.capacity:
             # The server was near its capacity and kept up; just after the proxy's start that is only a guess.
--- a/firvane/proxy/capacity/load_reports.py
+++ b/firvane/proxy/capacity/load_reports.py
@@ -40,7 +40,7 @@
     served: int = 0
     failed: int = 0
     issued: int = 0
-    in_progress: float = 0.0  # attempts in progress now
+    pending: float = 0.0  # attempts without a result now
     rate: float = 0.0  # responses a second, over a longer period than this one
     failure_ratio: float = 0.0  # failed fraction of the responses, as most receivers report it
     excess_failure_ratio: float = 0.0  # the same, beyond the ratio that most servers share
@@ -54,7 +54,7 @@
 
     Returns the response time in seconds, or 0 where there were too few responses to know it.
     """
-    server.in_flight = round(summary.in_progress)
+    server.in_flight = round(summary.pending)
     ended = summary.served + summary.failed
     if ended:
         server.response_gap += 0.2 * (min(1.0, now - server.last_response_at) - server.response_gap)
@@ -90,9 +90,7 @@
 ) -> float:
     """Update the relative latency and the capacity; return the response time, 0 where it is not known."""
     response_time = (
-        summary.in_progress / summary.rate
-        if summary.rate * 2.0 * latency_target >= MIN_TIMED_RESPONSES
-        else 0.0
+        summary.pending / summary.rate if summary.rate * 2.0 * latency_target >= MIN_TIMED_RESPONSES else 0.0
     )
     responses = min(summary.served, MAX_COUNTED_RESPONSES)
     if response_time and responses:
--- a/firvane/proxy/capacity/slow_start.py
+++ b/firvane/proxy/capacity/slow_start.py
@@ -41,5 +41,5 @@
         min(max_tokens, server.tokens + token_rate * (now - server.tokens_at)),
         now,
     )
-    in_flight = server.in_flight + server.peers_in_flight if estimates.is_pooled else 0
-    return server.tokens >= 1.0 and in_flight < max(1.0, server.capacity)
+    total_in_flight = server.in_flight + server.peers_in_flight if estimates.is_pooled else 0
+    return server.tokens >= 1.0 and total_in_flight < max(1.0, server.capacity)
--- a/firvane/proxy/capacity/tenant_admission.py
+++ b/firvane/proxy/capacity/tenant_admission.py
@@ -71,10 +71,10 @@
     fractions = shed_fractions(requests, quotas, pressure.excess_fraction, pressure.shed_over_quota)
     # During overload an early retry is rejected again, at the expense of requests that could be served.
     most = settings.limits.max_retry_after
-    latency_target = max(cls.latency_target for cls in settings.classes)
-    retry_after = min(most, retry_after * latency_target + 2.0 * pressure.excess_fraction * most)
+    target = max(cls.latency_target for cls in settings.classes)
+    retry_after = min(most, retry_after * target + 2.0 * pressure.excess_fraction * most)
     return api.ShedLoad(
         tuple(fractions) or (pressure.excess_fraction,),
         retry_after,
-        include_retries=retry_after > latency_target,
+        include_retries=retry_after > target,
     )
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -40,7 +40,7 @@
                     served=share(one.served, place),
                     failed=share(one.failed, place),
                     issued=share(one.issued, place),
-                    in_progress=one.in_progress / places,
+                    pending=one.pending / places,
                     rate=one.rate / places,
                 )
                 for name, one in sums.items()
--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -236,7 +236,7 @@
             bad = float(median(ratios)) if len(ratios) >= MIN_RECEIVERS_FOR_MEDIAN else min(ratios)
         return LoadSummary(
             *counts,
-            in_progress=sum(seen.in_progress for seen in observations),
+            pending=sum(seen.in_progress for seen in observations),
             rate=sum(seen.served + seen.failed for seen in observations),
             failure_ratio=bad,
             silent=stalled > responsive,
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -142,7 +142,7 @@
 def test_reports_count_in_the_module_as_its_own_forwards_do() -> None:
     balancer = started("abc")
     feedback = LoadFeedback(balancer)
-    usual = {"served": 20, "issued": 20, "in_progress": 2.0, "rate": 40.0}
+    usual = {"served": 20, "issued": 20, "pending": 2.0, "rate": 40.0}
     for n in range(40):
         now = 100.0 + n / 4
         told = {
@@ -151,7 +151,7 @@
                 **{**usual, "served": 2, "failed": 18, "failure_ratio": 0.9, "excess_failure_ratio": 0.9}
             ),
         }
-        balancer.handle(LoadReported({**told, "c": LoadSummary(**{**usual, "in_progress": 30.0})}), now)  # type: ignore[arg-type]
+        balancer.handle(LoadReported({**told, "c": LoadSummary(**{**usual, "pending": 30.0})}), now)  # type: ignore[arg-type]
         balancer.handle(api.TimerFired(0), now)
     a, b, c = (balancer.servers[name] for name in "abc")
     assert a.in_flight == 2 and b.error_rate > 0.5 and b.retry_at > now and a.retry_at <= now
@@ -160,7 +160,7 @@
     )  # it takes far longer
     row = balancer.rows[0]
     assert row.arrivals >= 20 and dict(row.in_flight)[a.id_hash & 0xFFFF] == 2  # peers read it as any proxy's
-    balancer.handle(LoadReported({"a": LoadSummary(issued=5, in_progress=5.0, silent=True)}), now)  # type: ignore[arg-type]
+    balancer.handle(LoadReported({"a": LoadSummary(issued=5, pending=5.0, silent=True)}), now)  # type: ignore[arg-type]
     assert a.retry_at > now and feedback.balancer is balancer
     b.retry_at = 0.0
     balancer.handle(LoadReported({"b": LoadSummary(**usual)}), now + 9)  # type: ignore[arg-type]
@@ -174,7 +174,7 @@
 def test_several_places_get_even_parts_that_add_up(places: int, counts: list[int]) -> None:
     got = [0] * places
     for turn, count in enumerate(counts):
-        parts = split({"a": LoadSummary(served=count, issued=count, in_progress=1.0, rate=5.0)}, places, turn)
+        parts = split({"a": LoadSummary(served=count, issued=count, pending=1.0, rate=5.0)}, places, turn)
         assert sum(part.backends["a"].served for part in parts) == count
         assert sum(part.backends["a"].rate for part in parts) == pytest.approx(5.0)
         got = [sum_ + part.backends["a"].served for sum_, part in zip(got, parts, strict=True)]
