--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -266,7 +266,7 @@
                 if team[0] not in by_team:
                     ring = Ring()
                     for server, part in parts.items():
-                        ring.put(server, server.weight, part=part)
+                        ring.put(server, server.weight, fraction=part)
                     by_team[team[0]] = list(map(ring.owner, KEY_HASHES))
                 owners[proxy] = by_team[team[0]]
             homes = {s: proxy for proxy, slice_ in dealt.slices.items() for s in slice_}
--- a/benchmarks/routing_model.py
+++ b/benchmarks/routing_model.py
@@ -39,7 +39,7 @@
                 if server in parts:
                     server.owner = number
                     self.where[server] = self.slices[number]
-                    self.ring.put(server, server.weight, part=parts[server])
+                    self.ring.put(server, server.weight, fraction=parts[server])
                     self.note(server, now)
         self.ring.settle()
 
--- a/firvane/proxy/routing/__init__.py
+++ b/firvane/proxy/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Structures for routing at size: what the decisions ask often, kept as it changes."""
+"""Data structures for routing in large fleets: answers to frequent queries, updated incrementally."""
--- a/firvane/proxy/routing/large_slices.py
+++ b/firvane/proxy/routing/large_slices.py
@@ -2,7 +2,7 @@
 
 Rules that hold here and nowhere else:
 
-1. A slice of up to `SMALL` servers has no index: to look at all of them costs no more.
+1. A slice of up to `MAX_SORTED_SERVERS` servers has no index: scanning all of them costs no more.
 2. Whoever changes a server's figures calls `mark`. They are asked for when an index is next wanted, once
    however often they changed, and again at the time that they name themselves.
 3. Indexes are made when they are first wanted after a deal: a deal may move half of the servers.
@@ -18,7 +18,7 @@
 from typing import NamedTuple
 
 from firvane.core.balancing.records import Backend
-from firvane.proxy.routing.bounded_load import SMALL
+from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS
 from firvane.proxy.routing.index import Index
 
 
@@ -45,7 +45,7 @@
 
     def deal(self, slices: dict[int, list[Backend]]) -> None:
         """The slices are others."""
-        self.slices = {n: servers for n, servers in slices.items() if len(servers) > SMALL}
+        self.slices = {n: servers for n, servers in slices.items() if len(servers) > MAX_SORTED_SERVERS}
         self.indexes, self.spares, self.where, self.changed = {}, Index(), {}, {}
 
     def mark(self, server: Backend) -> None:
--- a/tests/proxy/routing/samples.py
+++ b/tests/proxy/routing/samples.py
@@ -10,7 +10,7 @@
 
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend, mix
-from firvane.proxy.routing.hash_ring import POINTS, SPREAD, UNIT
+from firvane.proxy.routing.hash_ring import POINTS, ROUNDING_SEED, WEIGHT_UNIT
 
 KEYS = [mix(number, 4711) for number in range(20_000)]
 
@@ -57,7 +57,7 @@
 ) -> Callable[[int], Backend | None]:
     """The key ring built anew: by the rule of `ring.py`, or `rounded` as the decisions had it before."""
     up = sorted(servers, key=lambda s: s.entry.id)
-    weights = {id(s): max(1, round(s.weight * UNIT)) for s in up}
+    weights = {id(s): max(1, round(s.weight * WEIGHT_UNIT)) for s in up}
     seen = {s.id_hash: s for s in reversed(up)}  # of two with one salt the lower id
     total = sum(weights[id(s)] for s in seen.values())
 
@@ -65,7 +65,7 @@
         size = sizes[s.entry.kind % len(sizes)]
         if rounded:
             return round(POINTS * (s.weight / (sum(s.weight for s in up) / len(up))) * size) or 1
-        left = 2 * mix(s.id_hash, SPREAD) + 1
+        left = 2 * mix(s.id_hash, ROUNDING_SEED) + 1
         whole = ((POINTS * weights[id(s)] * len(seen) << 33) + left * total) // (total << 33)
         return max(1, int(round(whole * size) * part + left / 2**33))
 
--- a/tests/proxy/routing/test_hash_ring.py
+++ b/tests/proxy/routing/test_hash_ring.py
@@ -118,4 +118,7 @@
         ring.put(here[-1], 1.0)
         ring.settle()
     assert sum(len(bucket) for bucket in ring.buckets) < 3 * POINTS * 100
-    assert len(ring.left) + len(ring.left_before) < 300 and len(ring.rises) + len(ring.falls) < 1000
+    assert (
+        len(ring.removed) + len(ring.removed_before) < 300
+        and len(ring.increases) + len(ring.decreases) < 1000
+    )
--- a/tests/proxy/routing/test_pick.py
+++ b/tests/proxy/routing/test_pick.py
@@ -15,7 +15,7 @@
 from benchmarks.routing import model, route
 from benchmarks.routing_model import CAP, Model, power
 from firvane.core.balancing.records import Backend, mix
-from firvane.proxy.routing.bounded_load import SMALL
+from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS
 from tests.proxy.routing.samples import box, operations
 
 
@@ -72,23 +72,25 @@
             within
             or least
             or (
-                count > SMALL
+                count > MAX_SORTED_SERVERS
                 and found.in_flight / found.capacity <= min(s.in_flight / s.capacity for s in fitting)
             )
         )
         model.send(found, now)
         out.append(found)
-    assert slow or count > SMALL or alike == asked
+    assert slow or count > MAX_SORTED_SERVERS or alike == asked
     return asked, alike
 
 
-@pytest.mark.parametrize(("count", "slow"), [(4, False), (SMALL, False), (9, True), (60, False), (60, True)])
+@pytest.mark.parametrize(
+    ("count", "slow"), [(4, False), (MAX_SORTED_SERVERS, False), (9, True), (60, False), (60, True)]
+)
 def test_over_random_histories_the_choice_is_the_plain_one_or_within_the_bound(
     count: int, slow: bool
 ) -> None:
     played = [play(seed, count, slow) for seed in range(20)]
     asked, alike = sum(a for a, _ in played), sum(b for _, b in played)
-    assert asked > 1000 and (count > SMALL or alike >= asked * 0.98)
+    assert asked > 1000 and (count > MAX_SORTED_SERVERS or alike >= asked * 0.98)
 
 
 def test_a_decision_costs_the_same_in_any_fleet() -> None:
@@ -102,6 +104,14 @@
 
 if __name__ == "__main__":
     start, histories = map(int, sys.argv[1:])
-    sizes = [(2, False), (4, True), (9, False), (SMALL, True), (SMALL, False), (40, False), (40, True)]
+    sizes = [
+        (2, False),
+        (4, True),
+        (9, False),
+        (MAX_SORTED_SERVERS, True),
+        (MAX_SORTED_SERVERS, False),
+        (40, False),
+        (40, True),
+    ]
     totals = [play(seed, *sizes[seed % len(sizes)]) for seed in range(start, start + histories)]
     print(histories, "histories,", *(sum(column) for column in zip(*totals, strict=True)), "asked and alike")
--- a/tests/proxy/routing/test_subset.py
+++ b/tests/proxy/routing/test_subset.py
@@ -96,7 +96,7 @@
             if first not in teams:
                 ring = Ring()
                 for server, part in reach(proxy, dealt, LIMIT).items():
-                    ring.put(server, server.weight, part=part)
+                    ring.put(server, server.weight, fraction=part)
                 teams[first] = [ring.owner(key) for key in keys]
             owners += teams[first]
         return homes(dealt), owners
