--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -31,7 +31,7 @@
 from firvane.core.balancing.records import Backend, mix
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.routing.hash_ring import POINTS, Ring
-from firvane.proxy.routing.index import Index
+from firvane.proxy.routing.load_index import Index
 from firvane.proxy.routing.peer_load import Heard
 from firvane.proxy.routing.row_codec import Head, pack_new, pack_old, unpack
 from firvane.proxy.routing.subset import Deal, Dealer, reach
--- a/benchmarks/routing_model.py
+++ b/benchmarks/routing_model.py
@@ -14,7 +14,7 @@
 from firvane.core.balancing.records import Backend, mix
 from firvane.proxy.routing.bounded_load import walk
 from firvane.proxy.routing.hash_ring import Ring
-from firvane.proxy.routing.index import Index
+from firvane.proxy.routing.load_index import Index
 
 CAP = 1.3  # a server may hold this multiple of its slice's mean load, and one request more
 FADE, SLOW = 3.0, 1.5  # s that halve what was seen of slowness; up to which it costs no power
--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -28,7 +28,7 @@
     "firvane.core.terminations",
     "firvane.proxy.capacity.backend_estimates",
     "firvane.proxy.routing.hash_ring",
-    "firvane.proxy.routing.index",
+    "firvane.proxy.routing.load_index",
     "firvane.proxy.routing.bounded_load",
     "firvane.proxy.routing.large_slices",
     "firvane.proxy.routing.server_list",
--- a/firvane/proxy/routing/large_slices.py
+++ b/firvane/proxy/routing/large_slices.py
@@ -19,7 +19,7 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS
-from firvane.proxy.routing.index import Index
+from firvane.proxy.routing.load_index import Index
 
 
 class Figures(NamedTuple):
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -123,7 +123,7 @@
     ),
     Mutant(
         "a cold box has its turn among its equals",
-        "firvane/proxy/routing/index.py",
+        "firvane/proxy/routing/load_index.py",
         "kept = looked and spot.usable",
         "kept = False and spot.usable",
         "tests/proxy/routing/test_wiring.py::test_a_cold_box_has_its_turn_among_many_where_no_peer_is_heard",
--- a/tests/proxy/routing/test_bounded_load.py
+++ b/tests/proxy/routing/test_bounded_load.py
@@ -6,7 +6,7 @@
 from itertools import islice
 
 from firvane.core.balancing.records import Backend, mix
-from firvane.proxy.routing.bounded_load import MEAN_WALK_LENGTH, MAX_SORTED_SERVERS, walk
+from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS, MEAN_WALK_LENGTH, walk
 from firvane.proxy.routing.hash_ring import Ring
 from tests.proxy.routing.samples import KEYS, box, fleet, operations
 
--- a/tests/proxy/routing/test_index.py
+++ b/tests/proxy/routing/test_load_index.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from firvane.core.balancing.records import Backend
-from firvane.proxy.routing.index import UNIT, Index
+from firvane.proxy.routing.load_index import UNIT, Index
 from tests.proxy.net.helpers import seeded
 from tests.proxy.routing.samples import KEYS, box, operations
 
--- a/tests/proxy/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -9,7 +9,7 @@
 
 from firvane.core import interface as api
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.routing.index import UNIT
+from firvane.proxy.routing.load_index import UNIT
 from tests.helpers import changes, full_list, outcome, sends, settings
 from tests.proxy.routing.samples import KEYS
 
