--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -31,7 +31,7 @@
 from firvane.core.balancing.records import Backend, mix
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.routing.hash_ring import POINTS, Ring
-from firvane.proxy.routing.load_index import Index
+from firvane.proxy.routing.load_index import LoadIndex
 from firvane.proxy.routing.peer_load import Heard
 from firvane.proxy.routing.row_codec import Head, pack_new, pack_old, unpack
 from firvane.proxy.routing.subset import Deal, Dealer, reach
@@ -329,10 +329,10 @@
             made.put(server, server.weight)
         made.settle()
 
-    def index(made: Index) -> None:
+    def index(made: LoadIndex) -> None:
         for server in servers:
-            made.note(server, NOW, 1, server.weight, 0.1)
-        made.sort()
+            made.update(server, NOW, 1, server.weight, 0.1)
+        made.apply_updates()
 
     def heard(made: Heard) -> None:
         for server in servers:
@@ -342,7 +342,7 @@
         for number in range(len(servers)):
             made.set(NOW, NOW + number / 4000, number)
 
-    for made, fill in ((Ring(), ring), (Index(), index), (Heard(), heard), (Wheel(), wheel)):
+    for made, fill in ((Ring(), ring), (LoadIndex(), index), (Heard(), heard), (Wheel(), wheel)):
         tracemalloc.start()
         fill(made)
         yield {"of": type(made).__name__, "bytes": tracemalloc.get_traced_memory()[0] / len(servers)}
--- a/benchmarks/routing_model.py
+++ b/benchmarks/routing_model.py
@@ -14,7 +14,7 @@
 from firvane.core.balancing.records import Backend, mix
 from firvane.proxy.routing.bounded_load import walk
 from firvane.proxy.routing.hash_ring import Ring
-from firvane.proxy.routing.load_index import Index
+from firvane.proxy.routing.load_index import LoadIndex
 
 CAP = 1.3  # a server may hold this multiple of its slice's mean load, and one request more
 FADE, SLOW = 3.0, 1.5  # s that halve what was seen of slowness; up to which it costs no power
@@ -30,9 +30,9 @@
     """One proxy's routing: the servers that it reaches, in their slices."""
 
     def __init__(self, slices: dict[int, list[Backend]], parts: dict[Backend, float], now: float) -> None:
-        self.ring, self.everywhere = Ring(), Index()
-        self.slices = {number: Index() for number in slices}
-        self.where: dict[Backend, Index] = {}
+        self.ring, self.everywhere = Ring(), LoadIndex()
+        self.slices = {number: LoadIndex() for number in slices}
+        self.where: dict[Backend, LoadIndex] = {}
         self.changed: dict[Backend, None] = {}  # to be noted in `everywhere`, which is seldom asked
         for number, servers in slices.items():
             for server in servers:
@@ -52,14 +52,14 @@
             if server.relative_latency > SLOW and server.relative_latency_at > now - 4 * FADE
             else inf
         )
-        self.where[server].note(server, now, load, able, fill, server.retry_at, check_at)
+        self.where[server].update(server, now, load, able, fill, server.retry_at, check_at)
         self.changed[server] = None
 
     def drop(self, server: Backend) -> None:
         """It has left the list."""
         self.ring.drop(server)
-        self.where.pop(server).forget(server)
-        self.everywhere.forget(server)
+        self.where.pop(server).remove(server)
+        self.everywhere.remove(server)
         self.changed.pop(server, None)
 
     def pick(
@@ -74,13 +74,13 @@
         def fits(server: Backend) -> bool:
             return server not in tried
 
-        share = CAP * index.mean(without=tried)
-        for server in walk(self.ring, index.spots, key, first):
+        share = CAP * index.mean(excluded=tried)
+        for server in walk(self.ring, index.records, key, first):
             room = server.in_flight < max(1.0, limit * server.capacity)
             load = server.in_flight + server.peers_in_flight
-            if room and index.usable(server) and fits(server) and load <= share * power(server, now) + 1:
+            if room and index.is_usable(server) and fits(server) and load <= share * power(server, now) + 1:
                 return server
-        return index.least(limit, fits)
+        return index.least_loaded(limit, fits)
 
     def choose(self, key: int, now: float, limit: float, tried: Collection[Backend] = ()) -> Backend | None:
         """The server for a key's hash, of its slice or of any."""
@@ -91,10 +91,10 @@
         if found is None:
             for server in self.changed:
                 fill = server.in_flight / server.capacity if server.in_flight >= 1 else 0.0
-                self.everywhere.note(server, now, 0, 1.0, fill, server.retry_at)
+                self.everywhere.update(server, now, 0, 1.0, fill, server.retry_at)
             self.changed.clear()
             self.everywhere.advance(now)
-            found = self.everywhere.emptiest(limit, lambda s: s not in tried)
+            found = self.everywhere.least_utilized(limit, lambda s: s not in tried)
         return found
 
     def send(self, server: Backend, now: float) -> None:
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -133,7 +133,7 @@
         if server:
             if self.recovery:
                 self.recovery.ended(server, job, outcome, now)
-            self.large.mark(server)
+            self.large.mark_changed(server)
         if job:
             job.attempts.pop(outcome.attempt, None)
             job.maybe_ran -= outcome.result.never_ran
@@ -238,7 +238,7 @@
             server.retry_at = now + TRIAL_INTERVAL_S  # one trial at a time
         if self.estimates.is_in_slow_start(server, now):
             server.tokens -= 1
-        self.large.mark(server)
+        self.large.mark_changed(server)
         self.actions.append(api.Send(job.request.id, server.entry.id, start_before=start_before))
         if self.settings.limits.hedging and not job.attempts.keys() - {job.attempts_sent - 1}:
             hedge_after = HEDGE_FRACTION * job.request_class.latency_target
@@ -293,7 +293,7 @@
         limits = self.settings.limits
         if not attempt.is_lost:
             self.estimates.mark_lost(attempt, server)
-            self.large.mark(server)
+            self.large.mark_changed(server)
         in_flight = job.attempts
         if limits.cancel:
             job.attempts = {}  # the next one takes its place, rather than going beside it
@@ -330,7 +330,7 @@
             return
         if self.estimates.is_silent(attempt, server, now):
             self.estimates.on_silence(server, now)
-            self.large.mark(server)
+            self.large.mark_changed(server)
         if self.may_hedge() and (other := self.choose(job, now, 1.0)):
             self.send(job, other, now)
         else:  # looked at again: later answers may show that it is lost
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -69,6 +69,6 @@
                 if took := apply_summary(balancer.estimates, server, counts, aim, now):
                     known = self.took.get(name, took)
                     self.took[name] = known + LATENCY_SMOOTHING * (took - known)
-                balancer.large.mark(server)
+                balancer.large.mark_changed(server)
         for name in self.took.keys() - balancer.servers.keys():
             del self.took[name]
--- a/firvane/proxy/routing/large_slices.py
+++ b/firvane/proxy/routing/large_slices.py
@@ -1,13 +1,13 @@
-"""The large slices by index, and what has changed in them since they were last asked.
+"""The indexes of the large slices, and the servers that have changed since the last query.
 
-Rules that hold here and nowhere else:
+Invariants:
 
 1. A slice of up to `MAX_SORTED_SERVERS` servers has no index: scanning all of them costs no more.
-2. Whoever changes a server's figures calls `mark`. They are asked for when an index is next wanted, once
-   however often they changed, and again at the time that they name themselves.
-3. Indexes are made when they are first wanted after a deal: a deal may move half of the servers.
-4. An index takes its servers in by an order of its proxy's own. Of equals the one noted longest ago is the
-   next: proxies that all had the list's order would go through it together, one server at a time for all.
+2. The code that changes a server's values calls `mark_changed`. They are read at the next query of an index,
+   once however often they changed, and again at the time that they name themselves.
+3. Indexes are built at the first query after the slices change: a change may move half of the servers.
+4. An index adds its servers in an order of the proxy's own. Of equals the one updated longest ago is next: if
+   all proxies used the list's order, they would all send to one server at a time.
 """
 
 from __future__ import annotations
@@ -19,66 +19,68 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS
-from firvane.proxy.routing.load_index import Index
+from firvane.proxy.routing.load_index import LoadIndex
 
 
-class Figures(NamedTuple):
-    """What an index keeps of a server; times are seconds on the caller's clock."""
+class IndexValues(NamedTuple):
+    """The values of a server for an index; times are seconds on the caller's clock."""
 
-    power: float
-    ready_at: float  # something may be sent to it from then on
-    spare_at: float  # and more than its keys bring: inf where it is not cold
-    check_at: float  # these are to be asked for anew
+    weight: float
+    ready_at: float  # from when on it may be sent to
+    spare_at: float  # from when on it may be sent more than its keys; inf if it is not cold
+    check_at: float  # when these values must be read again
 
 
-class Large:
+class LargeSlices:
     """The indexes of a proxy's large slices."""
 
-    def __init__(self, figures: Callable[[Backend, float], Figures], dice: Random) -> None:
-        """`figures` are a server's at a time; `dice` draws the order of equals."""
-        self.figures, self.random = figures, dice
+    def __init__(self, read_values: Callable[[Backend, float], IndexValues], generator: Random) -> None:
+        """`read_values` returns a server's values at a time; `generator` draws the order of equals."""
+        self.read_values, self.rng = read_values, generator
         self.slices: dict[int, list[Backend]] = {}
-        self.indexes: dict[int, Index] = {}
-        self.spares = Index()  # cold servers that may be sent to; by fill
-        self.where: dict[Backend, list[Index]] = {}
+        self.indexes: dict[int, LoadIndex] = {}
+        self.spares = LoadIndex()  # cold servers with a budget to spare; by utilization
+        self.indexes_by_server: dict[Backend, list[LoadIndex]] = {}
         self.changed: dict[Backend, None] = {}
 
-    def deal(self, slices: dict[int, list[Backend]]) -> None:
-        """The slices are others."""
+    def set_slices(self, slices: dict[int, list[Backend]]) -> None:
+        """Set the slices, by number."""
         self.slices = {n: servers for n, servers in slices.items() if len(servers) > MAX_SORTED_SERVERS}
-        self.indexes, self.spares, self.where, self.changed = {}, Index(), {}, {}
+        self.indexes, self.spares, self.indexes_by_server, self.changed = {}, LoadIndex(), {}, {}
 
-    def mark(self, server: Backend) -> None:
-        """Its figures have changed."""
-        if server in self.where:
+    def mark_changed(self, server: Backend) -> None:
+        """Mark a server whose values have changed."""
+        if server in self.indexes_by_server:
             self.changed[server] = None
 
-    def index(self, number: int, now: float) -> Index | None:
-        """A slice's index as of now; None where it is not large."""
+    def index(self, number: int, now: float) -> LoadIndex | None:
+        """Return the index of a slice as of now; None if the slice is not large."""
         servers = self.slices.get(number)
         if servers is None:
             return None
         index = self.indexes.get(number)
         if index is None:
-            index = self.indexes[number] = Index()
-            for server in self.random.sample(servers, len(servers)):  # rule 4
-                self.where.setdefault(server, []).append(index)
+            index = self.indexes[number] = LoadIndex()
+            for server in self.rng.sample(servers, len(servers)):  # rule 4
+                self.indexes_by_server.setdefault(server, []).append(index)
                 self.changed[server] = None
         if self.changed:
             for server in self.changed:
-                self.note(server, now)
+                self.update(server, now)
             self.changed = {}
         for server in index.advance(now):
-            self.note(server, now, looked=True)
+            self.update(server, now, is_recheck=True)
         self.spares.advance(now)
         return index
 
-    def note(self, server: Backend, now: float, looked: bool = False) -> None:
-        figures, load = self.figures(server, now), server.in_flight + server.peers_in_flight
-        fill = server.in_flight / server.capacity if server.in_flight >= 1 else 0.0
-        for index in self.where[server]:
-            index.note(server, now, load, figures.power, fill, figures.ready_at, figures.check_at, looked)
-        if figures.spare_at < inf:
-            self.spares.note(server, now, 0, 1.0, fill, figures.spare_at, looked=looked)
-        elif server in self.spares.spots:
-            self.spares.forget(server)
+    def update(self, server: Backend, now: float, is_recheck: bool = False) -> None:
+        values, load = self.read_values(server, now), server.in_flight + server.peers_in_flight
+        utilization = server.in_flight / server.capacity if server.in_flight >= 1 else 0.0
+        for index in self.indexes_by_server[server]:
+            index.update(
+                server, now, load, values.weight, utilization, values.ready_at, values.check_at, is_recheck
+            )
+        if values.spare_at < inf:
+            self.spares.update(server, now, 0, 1.0, utilization, values.spare_at, is_recheck=is_recheck)
+        elif server in self.spares.records:
+            self.spares.remove(server)
--- a/firvane/proxy/routing/load_index.py
+++ b/firvane/proxy/routing/load_index.py
@@ -1,22 +1,23 @@
-"""The servers of a slice by load and power, kept as these change.
-
-Rules that hold here and nowhere else:
-
-1. A server's figures are what `note` was last told: its load (attempts out there, of all proxies), its power,
-   its fill (own attempts out by what may be out, 0 where none are), and from when on it may be sent to.
-   Nothing is read anew.
-2. It is usable from that time on. Mean load and the two orders are over usable servers; `advance` lets in
-   those whose time has come, and names those whose figures are to be worked out anew because time alone has
-   changed them (a slowness that fades, a budget that has grown).
-3. The mean is load by power: sums of whole numbers, so that no rounding adds up however long a proxy runs.
-4. `least` gives the smallest (load + 1) / power of the servers that fit and have room: fill below a limit,
-   or 0. Of equals it is the one that was noted longest ago. Where none of the first `LOOKS` of that order
-   will do it is the one with the least fill. So it fails only if none will do, as long as fewer than `LOOKS`
-   do not fit; and where none has room one look tells that.
-5. A change costs a note in a list. The orders take it in when they are next asked, and a heap half of which
-   no longer holds is built anew: O(log n) for each change in the long run, whoever asks.
-6. A look that `advance` asks for is no note where it finds all as it was: the server keeps its place among
-   its equals. Looked at four times a second, cold servers would otherwise always be the last of them.
+"""An index of the servers of a slice by load and weight, updated incrementally.
+
+Invariants:
+
+1. The index holds the values of a server as of its last `update`: load (attempts in flight there, of all
+   proxies), effective weight, utilization (own attempts in flight by capacity, 0 without any), and the time
+   from which on it may be sent to. Nothing is read from the server again.
+2. A server is usable from that time on. Mean load and the two orders cover usable servers; `advance` enables
+   those whose time has come, and returns those whose values must be updated because they change with time
+   alone (a relative latency that decays, a budget that grows).
+3. The mean is load by weight: sums of integers, so that no rounding error accumulates.
+4. `least_loaded` returns the smallest (load + 1) / weight of the servers that fit and have capacity:
+   utilization below a limit, or 0. Of equals it is the one updated longest ago. If none of the first
+   `MAX_CANDIDATES` in that order qualifies, it is the one with the least utilization. So it fails only if
+   no server qualifies, as long as fewer than `MAX_CANDIDATES` do not fit; a single look shows that none has
+   capacity.
+5. An update is appended to a list. The orders apply the list at the next query, and a heap with more than
+   half of its entries invalid is rebuilt: amortised O(log n) per update, whoever queries.
+6. A recheck that `advance` asked for does not count as an update if no value has changed: the server keeps
+   its place among equals. Rechecked four times a second, cold servers would otherwise always come last.
 """
 
 from __future__ import annotations
@@ -28,247 +29,258 @@
 
 from firvane.core.balancing.records import Backend
 
-UNIT = 1 << 20  # parts of a power of 1
-LOOKS = 16  # servers of an order that are offered, at the most
+WEIGHT_UNIT = 1 << 20  # units in a weight of 1
+MAX_CANDIDATES = 16  # servers of an order that are tried
 
 
 @dataclass(slots=True, eq=False)
-class Kind:
+class KindIndex:
     """The usable servers of one kind."""
 
     number: int
     members: int = 0  # usable or not
     count: int = 0
     load: int = 0
-    power: int = 0  # in units
-    by_load: list[tuple[float, int, Spot]] = field(default_factory=list)
-    by_fill: list[tuple[float, int, Spot]] = field(default_factory=list)
+    weight: int = 0  # in units
+    by_load: list[tuple[float, int, IndexRecord]] = field(default_factory=list)
+    by_utilization: list[tuple[float, int, IndexRecord]] = field(default_factory=list)
 
 
 @dataclass(slots=True, eq=False)
-class Spot:
-    """What the index keeps of a server."""
+class IndexRecord:
+    """The values that the index holds of a server."""
 
     server: Backend
-    kind: Kind
+    kind: KindIndex
     load: int = 0
-    power: int = 1
-    fill: float = 0.0
-    ready_at: float = inf  # usable from then on
-    check_at: float = inf  # to be noted anew then
-    wake: float = inf  # when it is next looked at
+    weight: int = 1
+    utilization: float = 0.0
+    ready_at: float = inf  # from when on it is usable
+    check_at: float = inf  # when it must be rechecked
+    wake_at: float = inf  # when `advance` next visits it
     usable: bool = False
-    fresh: bool = False  # noted since the orders were last asked
-    mark: int = 0  # of its entries in the orders that hold; 0 where none do
+    is_pending: bool = False  # updated since the last query of the orders
+    version: int = 0  # of its valid entries in the orders; 0 if there are none
 
 
-class Index:
+class LoadIndex:
     """The servers of a slice, or of all that a proxy reaches. Times are seconds on the caller's clock."""
 
     def __init__(self) -> None:
-        self.spots: dict[Backend, Spot] = {}
-        self.kinds: dict[int, Kind] = {}
-        self.fresh: list[Spot] = []
-        self.waiting: list[tuple[float, int, Spot]] = []
-        self.mark = 0
-
-    def note(
-        self, server: Backend, now: float, load: int, power: float, fill: float,
-        ready_at: float = 0.0, check_at: float = inf, looked: bool = False,
+        self.records: dict[Backend, IndexRecord] = {}
+        self.kinds: dict[int, KindIndex] = {}
+        self.pending: list[IndexRecord] = []
+        self.wake_heap: list[tuple[float, int, IndexRecord]] = []
+        self.version = 0
+
+    def update(
+        self, server: Backend, now: float, load: int, weight: float, utilization: float,
+        ready_at: float = 0.0, check_at: float = inf, is_recheck: bool = False,
     ) -> None:  # fmt: skip
-        """Take in a server or its changed figures: usable from `ready_at`, to be noted anew at `check_at`.
+        """Add a server or update its values: usable from `ready_at`, to be rechecked at `check_at`.
 
-        `looked`: nothing but time has passed there (rule 6).
+        `is_recheck`: only time has passed since the last update (rule 6).
         """
-        spot = self.spots.get(server)
-        if spot is None or spot.kind.number != server.entry.kind:
-            if spot is not None:
-                self.forget(server)
+        record = self.records.get(server)
+        if record is None or record.kind.number != server.entry.kind:
+            if record is not None:
+                self.remove(server)
             number = server.entry.kind
             if number not in self.kinds:
-                self.kinds[number] = Kind(number)
-            spot = self.spots[server] = Spot(server, self.kinds[number])
-            spot.kind.members += 1
-        kind, units = spot.kind, max(1, int(power * UNIT))
-        kept = looked and spot.usable and ready_at <= now  # rule 6
-        kept = kept and (spot.load, spot.power, spot.fill) == (load, units, fill)
-        spot.ready_at, spot.check_at = ready_at, check_at
-        if not kept:
-            if spot.usable:
-                kind.load -= spot.load
-                kind.power -= spot.power
+                self.kinds[number] = KindIndex(number)
+            record = self.records[server] = IndexRecord(server, self.kinds[number])
+            record.kind.members += 1
+        kind, units = record.kind, max(1, int(weight * WEIGHT_UNIT))
+        same = is_recheck and record.usable and ready_at <= now  # rule 6
+        same = same and (record.load, record.weight, record.utilization) == (
+            load,
+            units,
+            utilization,
+        )
+        record.ready_at, record.check_at = ready_at, check_at
+        if not same:
+            if record.usable:
+                kind.load -= record.load
+                kind.weight -= record.weight
                 kind.count -= 1
-            spot.load, spot.power, spot.fill = load, units, fill
+            record.load, record.weight, record.utilization = load, units, utilization
             if ready_at <= now:
-                self.enter(spot)
+                self.enable(record)
             else:
-                spot.usable, spot.mark = False, 0
-        wake = check_at if ready_at <= now or check_at < ready_at else ready_at
-        if wake < spot.wake:
-            spot.wake = wake
-            self.mark += 1
-            heappush(self.waiting, (wake, self.mark, spot))
-
-    def forget(self, server: Backend) -> None:
-        """Remove a server; harmless where it is not here."""
-        spot = self.spots.pop(server, None)
-        if spot is None:
+                record.usable, record.version = False, 0
+        wake_at = check_at if ready_at <= now or check_at < ready_at else ready_at
+        if wake_at < record.wake_at:
+            record.wake_at = wake_at
+            self.version += 1
+            heappush(self.wake_heap, (wake_at, self.version, record))
+
+    def remove(self, server: Backend) -> None:
+        """Remove a server; no effect if it is absent."""
+        record = self.records.pop(server, None)
+        if record is None:
             return
-        if spot.usable:
-            spot.kind.load -= spot.load
-            spot.kind.power -= spot.power
-            spot.kind.count -= 1
-        spot.usable, spot.mark, spot.wake = False, 0, -inf  # its entries hold no more
-        spot.kind.members -= 1
-        if not spot.kind.members:
-            del self.kinds[spot.kind.number]
-
-    def enter(self, spot: Spot) -> None:
-        kind = spot.kind
-        kind.load += spot.load
-        kind.power += spot.power
+        if record.usable:
+            record.kind.load -= record.load
+            record.kind.weight -= record.weight
+            record.kind.count -= 1
+        record.usable, record.version, record.wake_at = False, 0, -inf  # its heap entries become invalid
+        record.kind.members -= 1
+        if not record.kind.members:
+            del self.kinds[record.kind.number]
+
+    def enable(self, record: IndexRecord) -> None:
+        kind = record.kind
+        kind.load += record.load
+        kind.weight += record.weight
         kind.count += 1
-        spot.usable = True
-        if not spot.fresh:
-            spot.fresh = True
-            self.fresh.append(spot)
+        record.usable = True
+        if not record.is_pending:
+            record.is_pending = True
+            self.pending.append(record)
 
     def advance(self, now: float) -> list[Backend]:
-        """Let in those whose time has come; return those that are to be noted anew. To be asked first."""
+        """Enable servers whose time has come; return those to be rechecked. Must precede queries."""
         due: list[Backend] = []
-        while self.waiting and self.waiting[0][0] <= now:
-            wake, _, spot = heappop(self.waiting)
-            if spot.wake != wake:
+        while self.wake_heap and self.wake_heap[0][0] <= now:
+            wake_at, _, record = heappop(self.wake_heap)
+            if record.wake_at != wake_at:
                 continue
-            spot.wake = inf
-            if not spot.usable and spot.ready_at <= now:
-                self.enter(spot)
-            if spot.check_at <= now:
-                spot.check_at = inf
-                due.append(spot.server)
-            wake = spot.check_at if spot.usable or spot.check_at < spot.ready_at else spot.ready_at
-            if wake < inf:
-                spot.wake = wake
-                self.mark += 1
-                heappush(self.waiting, (wake, self.mark, spot))
+            record.wake_at = inf
+            if not record.usable and record.ready_at <= now:
+                self.enable(record)
+            if record.check_at <= now:
+                record.check_at = inf
+                due.append(record.server)
+            wake_at = (
+                record.check_at if record.usable or record.check_at < record.ready_at else record.ready_at
+            )
+            if wake_at < inf:
+                record.wake_at = wake_at
+                self.version += 1
+                heappush(self.wake_heap, (wake_at, self.version, record))
         return due
 
     def next_at(self) -> float:
-        """When `advance` next has something to do, at the earliest; inf where never."""
-        return self.waiting[0][0] if self.waiting else inf
+        """Return the earliest time at which `advance` has something to do; inf for never."""
+        return self.wake_heap[0][0] if self.wake_heap else inf
 
-    def usable(self, server: Backend) -> bool:
-        spot = self.spots.get(server)
-        return spot is not None and spot.usable
+    def is_usable(self, server: Backend) -> bool:
+        record = self.records.get(server)
+        return record is not None and record.usable
 
     def count(self, kinds: Collection[int] | None = None) -> int:
-        """How many are usable, of some kinds or of all."""
+        """Return the number of usable servers, of some kinds or of all."""
         found = 0
         for kind in self.kinds.values():
             if kinds is None or kind.number in kinds:
                 found += kind.count
         return found
 
-    def mean(self, kinds: Collection[int] | None = None, without: Collection[Backend] = ()) -> float:
-        """Load by power over the usable servers of some kinds or of all, but for some; 0 where none are."""
-        load, power = 0, 0
+    def mean(self, kinds: Collection[int] | None = None, excluded: Collection[Backend] = ()) -> float:
+        """Return load by weight over the usable servers of some kinds or of all, 0 if there are none."""
+        load, weight = 0, 0
         for kind in self.kinds.values():
             if kinds is None or kind.number in kinds:
                 load += kind.load
-                power += kind.power
-        for server in without:
-            spot = self.spots.get(server)
-            if spot is not None and spot.usable and (kinds is None or spot.kind.number in kinds):
-                load -= spot.load
-                power -= spot.power
-        return load * UNIT / power if power > 0 else 0.0
-
-    def of(self, kinds: Collection[int] | None) -> list[Kind]:
-        """These kinds, as far as a server of theirs is usable."""
+                weight += kind.weight
+        for server in excluded:
+            record = self.records.get(server)
+            if record is not None and record.usable and (kinds is None or record.kind.number in kinds):
+                load -= record.load
+                weight -= record.weight
+        return load * WEIGHT_UNIT / weight if weight > 0 else 0.0
+
+    def usable_kinds(self, kinds: Collection[int] | None) -> list[KindIndex]:
+        """Return those of some kinds, or of all, that have a usable server."""
         return [k for k in self.kinds.values() if k.count and (kinds is None or k.number in kinds)]
 
-    def quick(self, pace: dict[int, float], within: float, without: Collection[Backend]) -> list[int]:
-        """The kinds that take the least time, or up to so many times that, of those usable beside some."""
+    def fastest_kinds(
+        self, pace: dict[int, float], max_factor: float, excluded: Collection[Backend]
+    ) -> list[int]:
+        """Return the kinds within `max_factor` of the least pace, among those with a usable server left."""
         found: list[tuple[float, int]] = []
-        for kind in self.of(None):
-            if kind.count > len([s for s in without if s.entry.kind == kind.number]):
+        for kind in self.usable_kinds(None):
+            if kind.count > len([s for s in excluded if s.entry.kind == kind.number]):
                 found.append((pace.get(kind.number, 1.0), kind.number))
-        return [number for took, number in found if took <= within * min(found)[0]]
+        return [number for kind_pace, number in found if kind_pace <= max_factor * min(found)[0]]
 
-    def each(self) -> Iterator[Backend]:
-        """All usable servers, for what no order helps with."""
-        return (spot.server for spot in self.spots.values() if spot.usable)
+    def usable_servers(self) -> Iterator[Backend]:
+        """Yield all usable servers, in no order."""
+        return (record.server for record in self.records.values() if record.usable)
 
-    def least(
+    def least_loaded(
         self, limit: float, fits: Callable[[Backend], bool], kinds: Collection[int] | None = None
     ) -> Backend | None:
-        """The least loaded usable server of some kinds, or of all, as far as rule 4 goes."""
-        emptiest = self.emptiest(limit, fits, kinds)
-        if emptiest is None:
+        """Return the least loaded usable server of some kinds, or of all (rule 4)."""
+        least_utilized = self.least_utilized(limit, fits, kinds)
+        if least_utilized is None:
             return None
-        return first([kind.by_load for kind in self.of(kinds)], limit, fits) or emptiest
+        return (
+            first_qualifying([kind.by_load for kind in self.usable_kinds(kinds)], limit, fits)
+            or least_utilized
+        )
 
-    def emptiest(
+    def least_utilized(
         self, limit: float, fits: Callable[[Backend], bool], kinds: Collection[int] | None = None
     ) -> Backend | None:
-        """The one with the least fill instead."""
-        self.sort()
-        among = self.of(kinds)
+        """Return the usable server with the least utilization of some kinds, or of all."""
+        self.apply_updates()
+        among = self.usable_kinds(kinds)
         for kind in among:
-            settle(kind.by_fill)
-        if not any([kind.by_fill[0][0] < limit or kind.by_fill[0][0] <= 0.0 for kind in among]):
+            pop_invalid(kind.by_utilization)
+        if not any([kind.by_utilization[0][0] < limit or kind.by_utilization[0][0] <= 0.0 for kind in among]):
             return None
-        return first([kind.by_fill for kind in among], limit, fits)
-
-    def sort(self) -> None:
-        """Take what was noted into the orders."""
-        for spot in self.fresh:
-            spot.fresh = False
-            if spot.usable:
-                self.mark += 1
-                spot.mark = self.mark
-                kind = spot.kind
-                heappush(kind.by_load, ((spot.load + 1) / spot.power, self.mark, spot))
-                heappush(kind.by_fill, (spot.fill, self.mark, spot))
+        return first_qualifying([kind.by_utilization for kind in among], limit, fits)
+
+    def apply_updates(self) -> None:
+        """Apply the pending updates to the orders."""
+        for record in self.pending:
+            record.is_pending = False
+            if record.usable:
+                self.version += 1
+                record.version = self.version
+                kind = record.kind
+                heappush(kind.by_load, ((record.load + 1) / record.weight, self.version, record))
+                heappush(kind.by_utilization, (record.utilization, self.version, record))
                 if len(kind.by_load) > 2 * kind.count + 64:
-                    kind.by_load = holding(kind.by_load)
-                if len(kind.by_fill) > 2 * kind.count + 64:
-                    kind.by_fill = holding(kind.by_fill)
-        self.fresh = []
+                    kind.by_load = valid_heap(kind.by_load)
+                if len(kind.by_utilization) > 2 * kind.count + 64:
+                    kind.by_utilization = valid_heap(kind.by_utilization)
+        self.pending = []
 
 
-def holding(heap: list[tuple[float, int, Spot]]) -> list[tuple[float, int, Spot]]:
-    """The entries that hold, as a heap."""
-    held = [entry for entry in heap if entry[2].mark == entry[1]]
-    heapify(held)
-    return held
+def valid_heap(heap: list[tuple[float, int, IndexRecord]]) -> list[tuple[float, int, IndexRecord]]:
+    """Return the valid entries as a heap."""
+    valid = [entry for entry in heap if entry[2].version == entry[1]]
+    heapify(valid)
+    return valid
 
 
-def settle(heap: list[tuple[float, int, Spot]]) -> None:
-    """Let its first entry be one that holds."""
-    while heap and heap[0][2].mark != heap[0][1]:
+def pop_invalid(heap: list[tuple[float, int, IndexRecord]]) -> None:
+    """Pop invalid entries until the first one is valid."""
+    while heap and heap[0][2].version != heap[0][1]:
         heappop(heap)
 
 
-def first(
-    heaps: list[list[tuple[float, int, Spot]]], limit: float, fits: Callable[[Backend], bool]
+def first_qualifying(
+    heaps: list[list[tuple[float, int, IndexRecord]]], limit: float, fits: Callable[[Backend], bool]
 ) -> Backend | None:
-    """The first server that will do in the common order of some heaps, of the first `LOOKS`."""
+    """Return the first qualifying server in the merged order of some heaps, of the first `MAX_CANDIDATES`."""
     found: Backend | None = None
-    aside: list[tuple[list[tuple[float, int, Spot]], tuple[float, int, Spot]]] = []
-    while found is None and len(aside) < LOOKS:
-        best: list[tuple[float, int, Spot]] = []
+    skipped: list[tuple[list[tuple[float, int, IndexRecord]], tuple[float, int, IndexRecord]]] = []
+    while found is None and len(skipped) < MAX_CANDIDATES:
+        best: list[tuple[float, int, IndexRecord]] = []
         for heap in heaps:
-            settle(heap)
+            pop_invalid(heap)
             if heap and (not best or heap[0] < best[0]):
                 best = heap
         if not best:
             break
-        spot = best[0][2]
-        if (spot.fill < limit or spot.fill <= 0.0) and fits(spot.server):
-            found = spot.server
+        record = best[0][2]
+        if (record.utilization < limit or record.utilization <= 0.0) and fits(record.server):
+            found = record.server
         else:
-            aside.append((best, heappop(best)))
-    for heap, entry in aside:
+            skipped.append((best, heappop(best)))
+    for heap, entry in skipped:
         heappush(heap, entry)
     return found
--- a/firvane/proxy/server_selection.py
+++ b/firvane/proxy/server_selection.py
@@ -131,11 +131,11 @@
             return self.may_send(job, server, now) and (not recovery or recovery.fits(job, server))
 
         if number == self.settings.me and (
-            spare := self.large.spares.emptiest(1.0, lambda s: fits(s) and s.tokens >= SPARE_TOKENS)
+            spare := self.large.spares.least_utilized(1.0, lambda s: fits(s) and s.tokens >= SPARE_TOKENS)
         ):
             return spare
         heavy = self.is_heavy(job)
-        kinds = index.quick(self.estimates.work_pace, QUICK_PACE_FACTOR, tried) if heavy else None
+        kinds = index.fastest_kinds(self.estimates.work_pace, QUICK_PACE_FACTOR, tried) if heavy else None
         share = MAX_LOAD_FACTOR * index.mean(kinds, tried)
 
         def takes(server: Backend) -> bool:
@@ -148,10 +148,10 @@
 
         if keyed and first and takes(first):
             return first
-        if index.emptiest(limit, fits, kinds) is None:
+        if index.least_utilized(limit, fits, kinds) is None:
             return None
-        walked = walk(self.ring, index.spots, job.key_hash) if keyed else iter(())
-        return next((s for s in walked if takes(s)), None) or index.least(limit, fits, kinds)
+        walked = walk(self.ring, index.records, job.key_hash) if keyed else iter(())
+        return next((s for s in walked if takes(s)), None) or index.least_loaded(limit, fits, kinds)
 
     def pick_by_scan(
         self, job: OpenRequest, first: Backend | None, among: list[Backend], now: float, limit: float
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -25,7 +25,7 @@
 from firvane.proxy.recovery import messages
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.routing.hash_ring import Ring
-from firvane.proxy.routing.large_slices import Figures, Large
+from firvane.proxy.routing.large_slices import IndexValues, LargeSlices
 from firvane.proxy.routing.server_list import Listing, merge
 
 MIN_ROW_INTERVAL_WINDOWS = 2  # from row to row (the design's r)
@@ -69,7 +69,7 @@
         self.rng = random.Random(seed)
         self.servers: dict[str, Backend] = {}
         self.listing = Listing()
-        self.large = Large(self.index_figures, self.rng)
+        self.large = LargeSlices(self.index_figures, self.rng)
         self.up = self.listing.up
         self.open_requests = dict[int, OpenRequest]()
         self.rows = dict[int, Row]()
@@ -107,7 +107,7 @@
             self.watch_backoff = 0.0
         self.servers, touched, renewed, resized = merge(self.servers, update, self.settings.live_weights)
         for server in renewed:
-            self.large.mark(server)
+            self.large.mark_changed(server)
         self.resized_servers.update(resized)
         if touched:
             self.apply_list_change(touched)
@@ -157,7 +157,7 @@
                 self.slices[owner].append(server)
                 server.owner = owner
                 server.owner_count += 1
-        self.large.deal(self.slices)
+        self.large.set_slices(self.slices)
         self.own_slice = set(self.slices.get(self.settings.me, ()))
 
     def update_shares(self, now: float) -> None:
@@ -232,11 +232,11 @@
         for tag, attempts in row.in_flight:
             if (among is None or tag in among) and (server := self.listing.meant(tag)):
                 server.peers_in_flight += sign * attempts
-                self.large.mark(server)
+                self.large.mark_changed(server)
 
     # Servers in slow start
 
-    def index_figures(self, server: Backend, now: float) -> Figures:
+    def index_figures(self, server: Backend, now: float) -> IndexValues:
         """What the index of a large slice is to know of a server."""
         power = self.estimates.effective_weight(server, now)
         ready_at = server.retry_at
@@ -247,10 +247,10 @@
         refresh_at = now + POWER_REFRESH_S if is_slow else math.inf
         is_warm = not self.estimates.is_in_slow_start(server, now)
         if is_warm or (self.recovery and self.recovery.stepped(server)):
-            return Figures(power, ready_at, math.inf, refresh_at)
+            return IndexValues(power, ready_at, math.inf, refresh_at)
         warm_at = (server.started_at or 0.0) + self.settings.rules.slow_start
         if not (senders := self.slow_start_senders(server)):
-            return Figures(power, max(ready_at, warm_at), math.inf, min(warm_at, refresh_at))
+            return IndexValues(power, max(ready_at, warm_at), math.inf, min(warm_at, refresh_at))
         self.refill_budget(server, now)
         ready_at = max(ready_at, self.peers_known_at)
         rate, most = slow_start.rate(self.estimates, server, senders, now)
@@ -258,7 +258,7 @@
             max(ready_at, now + max(0.0, n - server.tokens) / rate) for n in (1.0, SPARE_TOKENS)
         )
         spare_at = spare_at if most >= SPARE_TOKENS else math.inf
-        return Figures(power, one_at, spare_at, min(warm_at, refresh_at, now + WINDOW))
+        return IndexValues(power, one_at, spare_at, min(warm_at, refresh_at, now + WINDOW))
 
     def refill_budget(self, server: Backend, now: float) -> bool:
         """Refill the budget of a server in slow start; whether it lets this proxy send there."""
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -117,15 +117,15 @@
     Mutant(
         "equal boxes are not taken in one order by all",
         "firvane/proxy/routing/large_slices.py",
-        "in self.random.sample(servers, len(servers)):",
+        "in self.rng.sample(servers, len(servers)):",
         "in servers:",
         "tests/proxy/routing/test_wiring.py::test_proxies_that_hear_no_peer_do_not_go_through_the_list_together",
     ),
     Mutant(
         "a cold box has its turn among its equals",
         "firvane/proxy/routing/load_index.py",
-        "kept = looked and spot.usable",
-        "kept = False and spot.usable",
+        "same = is_recheck and record.usable",
+        "same = False and record.usable",
         "tests/proxy/routing/test_wiring.py::test_a_cold_box_has_its_turn_among_many_where_no_peer_is_heard",
     ),
     Mutant(
--- a/tests/proxy/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -9,7 +9,7 @@
 
 from firvane.core import interface as api
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.routing.load_index import UNIT
+from firvane.proxy.routing.load_index import WEIGHT_UNIT
 from tests.helpers import changes, full_list, outcome, sends, settings
 from tests.proxy.routing.samples import KEYS
 
@@ -91,28 +91,28 @@
     """All that the indexes hold, against what it should be."""
     for number, servers in balancer.slices.items():
         index = balancer.large.index(number, now)
-        assert index and set(index.spots) == set(servers)
-        for server, spot in index.spots.items():
-            cold, power = (
+        assert index and set(index.records) == set(servers)
+        for server, record in index.records.items():
+            cold, weight = (
                 balancer.estimates.is_in_slow_start(server, now),
                 balancer.estimates.effective_weight(server, now),
             )
-            assert spot.load == server.in_flight + server.peers_in_flight
-            assert spot.fill == (server.in_flight / server.capacity if server.in_flight else 0.0)
-            assert spot.power / UNIT == pytest.approx(power, rel=0.025)
+            assert record.load == server.in_flight + server.peers_in_flight
+            assert record.utilization == (server.in_flight / server.capacity if server.in_flight else 0.0)
+            assert record.weight / WEIGHT_UNIT == pytest.approx(weight, rel=0.025)
             if not cold:
-                assert spot.usable == (server.retry_at <= now)
-                assert server not in balancer.large.spares.spots
+                assert record.usable == (server.retry_at <= now)
+                assert server not in balancer.large.spares.records
             else:
-                assert not spot.usable or (
+                assert not record.usable or (
                     server in balancer.own_slice and balancer.refill_budget(server, now + 0.01)
                 )
             if cold and server in balancer.own_slice:
-                spare = balancer.large.spares.usable(server)
+                spare = balancer.large.spares.is_usable(server)
                 assert not spare or (balancer.refill_budget(server, now + 0.01) and server.tokens > 1.9)
         for kind in index.kinds.values():
-            spots = [spot for spot in index.spots.values() if spot.usable and spot.kind is kind]
-            assert (kind.load, kind.power) == (sum(s.load for s in spots), sum(s.power for s in spots))
+            records = [record for record in index.records.values() if record.usable and record.kind is kind]
+            assert (kind.load, kind.weight) == (sum(s.load for s in records), sum(s.weight for s in records))
 
 
 @pytest.mark.parametrize("seed", range(6))
