--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -32,8 +32,8 @@
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.routing.hash_ring import POINTS, Ring
 from firvane.proxy.routing.load_index import LoadIndex
-from firvane.proxy.routing.peer_load import Heard
-from firvane.proxy.routing.row_codec import Head, pack_new, pack_old, unpack
+from firvane.proxy.routing.peer_load import PeerLoads
+from firvane.proxy.routing.row_codec import RowHeader, pack_v1, pack_v2, unpack
 from firvane.proxy.routing.subset import Deal, Dealer, reach
 from firvane.proxy.routing.timer_wheel import Wheel
 
@@ -54,8 +54,8 @@
     return Backend(server, crc32(server.id.encode()), server.weight, None)
 
 
-def head(sequence: int) -> Head:
-    return Head(0, sequence % ZONES, 2_000_000 + sequence, 20, 40.0, 20.0, 20.0, 80.0, 30)
+def head(sequence: int) -> RowHeader:
+    return RowHeader(0, sequence % ZONES, 2_000_000 + sequence, 20, 40.0, 20.0, 20.0, 80.0, 30)
 
 
 def best(call: Callable[[], Any], times: int = 3, fresh: Callable[[], Any] | None = None) -> float:
@@ -79,7 +79,7 @@
     balancer.start(NOW)
     balancer.handle(api.ServerList(api.ListKind.COMPLETE, 1, tuple(map(entry, range(boxes)))), NOW)
     for peer in range(1, proxies):
-        balancer.handle(api.PeerMessage(peer, pack_old(head(peer), [])), NOW)
+        balancer.handle(api.PeerMessage(peer, pack_v1(head(peer), [])), NOW)
     balancer.handle(api.TimerFired(0), NOW)
     return balancer
 
@@ -189,11 +189,11 @@
     entries, random = [entry(number) for number in range(boxes)], Random(3)
     salts = [crc32(e.id.encode()) for e in entries]
     picked = [[(salt, 2) for salt in random.sample(salts, 45)] for _ in range(proxies)]
-    balancer, heard = tier(boxes, proxies), Heard()
+    balancer, heard = tier(boxes, proxies), PeerLoads()
     for e in entries:
-        heard.join(backend(e))
-    payloads = [pack_old(head(10**6 + n), out) for n, out in enumerate(picked)]
-    named = [pack_new(head(n), True, out, []) for n, out in enumerate(picked)]
+        heard.add_server(backend(e))
+    payloads = [pack_v1(head(10**6 + n), out) for n, out in enumerate(picked)]
+    named = [pack_v2(head(n), True, out, []) for n, out in enumerate(picked)]
     messages = [api.PeerMessage(n, payload) for n, payload in enumerate(payloads) if n]
     before, after = list[float](), list[float]()
     gc.collect()
@@ -201,7 +201,7 @@
         begun = time.process_time()
         balancer.handle(message, NOW + 1.0)
         middle = time.process_time()
-        heard.hear(n, unpack(named[n], NOW))
+        heard.apply_row(n, unpack(named[n], NOW))
         after.append(time.process_time() - middle)
         before.append(middle - begun)
     yield {"proxies": proxies, "boxes": boxes, "balancer_ms": sum(before) * 1e3,
@@ -334,15 +334,15 @@
             made.update(server, NOW, 1, server.weight, 0.1)
         made.apply_updates()
 
-    def heard(made: Heard) -> None:
+    def heard(made: PeerLoads) -> None:
         for server in servers:
-            made.join(server)
+            made.add_server(server)
 
     def wheel(made: Wheel) -> None:
         for number in range(len(servers)):
             made.set(NOW, NOW + number / 4000, number)
 
-    for made, fill in ((Ring(), ring), (LoadIndex(), index), (Heard(), heard), (Wheel(), wheel)):
+    for made, fill in ((Ring(), ring), (LoadIndex(), index), (PeerLoads(), heard), (Wheel(), wheel)):
         tracemalloc.start()
         fill(made)
         yield {"of": type(made).__name__, "bytes": tracemalloc.get_traced_memory()[0] / len(servers)}
--- a/firvane/proxy/routing/load_index.py
+++ b/firvane/proxy/routing/load_index.py
@@ -11,8 +11,8 @@
 3. The mean is load by weight: sums of integers, so that no rounding error accumulates.
 4. `least_loaded` returns the smallest (load + 1) / weight of the servers that fit and have capacity:
    utilization below a limit, or 0. Of equals it is the one updated longest ago. If none of the first
-   `MAX_CANDIDATES` in that order qualifies, it is the one with the least utilization. So it fails only if
-   no server qualifies, as long as fewer than `MAX_CANDIDATES` do not fit; a single look shows that none has
+   `MAX_CANDIDATES` in that order qualifies, it is the one with the least utilization. So it fails only if no
+   server qualifies, as long as fewer than `MAX_CANDIDATES` do not fit; a single look shows that none has
    capacity.
 5. An update is appended to a list. The orders apply the list at the next query, and a heap with more than
    half of its entries invalid is rebuilt: amortised O(log n) per update, whoever queries.
--- a/firvane/proxy/routing/peer_load.py
+++ b/firvane/proxy/routing/peer_load.py
@@ -1,150 +1,155 @@
-"""What the peers have out where, by their rows.
+"""The attempts of all peers in flight at each server, as announced in their rows.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. Counts are kept by sender and name, also where the list has no such server: it may only be late.
-2. A server's load is what all senders say of its names; where a name means several, it is divided as evenly
-   as whole numbers go. It changes with rows and with the list; each change names the servers that it touches.
-3. A whole row, and one of another version, replaces all that its sender said before. A row of changes
-   replaces what it names; what a sender has not named for `FORGOTTEN` rows is forgotten.
-4. One sender has at most `MOST` names: beyond that only its last row counts.
+1. Counts are kept by sender and name, also for names of no listed server: the list may only be late.
+2. The load of a server is the sum of all senders' counts for its names; where a name refers to several
+   servers it is divided among them as evenly as integers allow. It changes with rows and with the list; each
+   change returns the servers that it affects.
+3. A full row, and a row of another version, replaces all counts of its sender. A delta row replaces those
+   that it names; a name that a sender has not mentioned for `EXPIRY_ROWS` rows expires.
+4. One sender has at most `MAX_NAMES` names: beyond that only its last row counts.
 """
 
 from __future__ import annotations
 
 from firvane.core.balancing.records import Backend
-from firvane.proxy.routing.row_codec import OLD, News
-from firvane.proxy.routing.server_names import LONG, TAG, Names
+from firvane.proxy.routing.row_codec import VERSION_1, ReceivedRow
+from firvane.proxy.routing.server_names import LONG_OFFSET, TAG_OFFSET, ServerNames
 
-FORGOTTEN = 32  # rows
-MOST = 1024  # names
+EXPIRY_ROWS = 32
+MAX_NAMES = 1024  # of one sender
 
 
-class Sender:
-    """What one peer said: attempts out by name, and in which of its rows."""
+class SenderCounts:
+    """The counts of one peer: attempts in flight by name, and the last row that mentioned each name."""
 
     def __init__(self) -> None:
         self.rows = 0
         self.version = 0
         self.counts: dict[int, int] = {}
-        self.named: dict[int, int] = {}
+        self.last_row: dict[int, int] = {}
 
 
-class Heard:
-    """Keeps `peers` of the servers that joined. What changes it returns the servers whose load changed."""
+class PeerLoads:
+    """Maintains `peers_in_flight` of the listed servers; changes return the servers whose load changed."""
 
     def __init__(self) -> None:
-        self.names = Names()
-        self.senders: dict[int, Sender] = {}
-        self.sums: dict[int, int] = {}  # over all senders, by name
+        self.names = ServerNames()
+        self.senders: dict[int, SenderCounts] = {}
+        self.sums: dict[int, int] = {}  # of all senders, by name
 
-    def hear(self, number: int, news: News) -> list[Backend]:
-        """Take in a row; that it is newer than the last of its sender is the caller's to see."""
+    def apply_row(self, number: int, received: ReceivedRow) -> list[Backend]:
+        """Apply a row; the caller ensures that it is newer than the last one of its sender."""
         sender = self.senders.get(number)
         if sender is None:
-            sender = self.senders[number] = Sender()
-        said = read(news)
+            sender = self.senders[number] = SenderCounts()
+        new_counts = counts_by_name(received)
         sender.rows += 1
-        other, sender.version = sender.version != news.version, news.version
-        had = sender.counts
-        if news.whole or other or len(had) + len(said) > MOST:
-            sender.counts = {name: count for name, count in said.items() if count}
-            sender.named = dict.fromkeys(sender.counts, sender.rows)
-            gone = [name for name in had if name not in said]
+        other, sender.version = sender.version != received.version, received.version
+        old_counts = sender.counts
+        if received.is_full or other or len(old_counts) + len(new_counts) > MAX_NAMES:
+            sender.counts = {name: count for name, count in new_counts.items() if count}
+            sender.last_row = dict.fromkeys(sender.counts, sender.rows)
+            removed = [name for name in old_counts if name not in new_counts]
         else:
-            gone, had = [], dict(had)
-            if sender.rows % FORGOTTEN == 0:
-                oldest = sender.rows - FORGOTTEN
-                gone = [name for name, row in sender.named.items() if row <= oldest and name not in said]
-            for name, count in said.items():
+            removed, old_counts = [], dict(old_counts)
+            if sender.rows % EXPIRY_ROWS == 0:
+                expired_row = sender.rows - EXPIRY_ROWS
+                removed = [
+                    name
+                    for name, row in sender.last_row.items()
+                    if row <= expired_row and name not in new_counts
+                ]
+            for name, count in new_counts.items():
                 if count:
-                    sender.counts[name], sender.named[name] = count, sender.rows
-                elif name in had:
-                    del sender.counts[name], sender.named[name]
-            for name in gone:
-                del sender.counts[name], sender.named[name]
-        touched: dict[Backend, None] = {}
-        for name, count in said.items():
-            before = had.get(name, 0)
+                    sender.counts[name], sender.last_row[name] = count, sender.rows
+                elif name in old_counts:
+                    del sender.counts[name], sender.last_row[name]
+            for name in removed:
+                del sender.counts[name], sender.last_row[name]
+        affected: dict[Backend, None] = {}
+        for name, count in new_counts.items():
+            before = old_counts.get(name, 0)
             if count != before:
-                self.shift(name, count - before, touched)
-        for name in gone:
-            self.shift(name, -had[name], touched)
-        return list(touched)
-
-    def forget(self, number: int) -> list[Backend]:
-        """A peer has dropped out."""
-        touched: dict[Backend, None] = {}
+                self.add_to_sum(name, count - before, affected)
+        for name in removed:
+            self.add_to_sum(name, -old_counts[name], affected)
+        return list(affected)
+
+    def remove_peer(self, number: int) -> list[Backend]:
+        """Remove a peer that has timed out, with its counts."""
+        affected: dict[Backend, None] = {}
         sender = self.senders.pop(number, None)
         if sender is not None:
             for name, count in sender.counts.items():
-                self.shift(name, -count, touched)
-        return list(touched)
+                self.add_to_sum(name, -count, affected)
+        return list(affected)
 
-    def join(self, server: Backend) -> list[Backend]:
-        """A server has come to the list, or is up again; harmless where it is here."""
-        if server in self.names.meant(server.id_hash):
+    def add_server(self, server: Backend) -> list[Backend]:
+        """Add a server that was listed or is up again; no effect if it is present."""
+        if server in self.names.servers_named(server.id_hash):
             return []
         server.peers_in_flight = 0
-        return self.relist(server, True)
+        return self.set_listed(server, True)
 
-    def leave(self, server: Backend) -> list[Backend]:
-        """A server has left the list; its load is nothing."""
-        touched = self.relist(server, False)
+    def remove_server(self, server: Backend) -> list[Backend]:
+        """Remove a server that is no longer listed, and reset its load."""
+        affected = self.set_listed(server, False)
         server.peers_in_flight = 0
-        return [other for other in touched if other is not server]
-
-    def relist(self, server: Backend, here: bool) -> list[Backend]:
-        touched: dict[Backend, None] = {}
-        spoken = [name for name in self.names.of(server) if name in self.sums]
-        for name in spoken:
-            self.divide(name, -1, touched)
-        if here:
+        return [other for other in affected if other is not server]
+
+    def set_listed(self, server: Backend, listed: bool) -> list[Backend]:
+        affected: dict[Backend, None] = {}
+        known_names = [name for name in self.names.names_of(server) if name in self.sums]
+        for name in known_names:
+            self.distribute(name, -1, affected)
+        if listed:
             self.names.add(server)
         else:
-            self.names.drop(server)
-        for name in spoken:
-            self.divide(name, 1, touched)
-        return list(touched)
-
-    def shift(self, name: int, by: int, touched: dict[Backend, None]) -> None:
-        """What all senders together say of a name changes."""
-        meant = self.names.servers.get(name) if name < LONG else self.names.meant(name)
+            self.names.remove(server)
+        for name in known_names:
+            self.distribute(name, 1, affected)
+        return list(affected)
+
+    def add_to_sum(self, name: int, by: int, affected: dict[Backend, None]) -> None:
+        """Change the sum of all senders for a name."""
+        servers_named = self.names.servers.get(name) if name < LONG_OFFSET else self.names.servers_named(name)
         total = self.sums.get(name, 0) + by
-        if meant is None or len(meant) == 1:  # as a rule
-            if meant:
-                meant[0].peers_in_flight += by
-                touched[meant[0]] = None
+        if servers_named is None or len(servers_named) == 1:  # the usual case
+            if servers_named:
+                servers_named[0].peers_in_flight += by
+                affected[servers_named[0]] = None
             if total:
                 self.sums[name] = total
             else:
                 del self.sums[name]
             return
-        self.divide(name, -1, touched)
+        self.distribute(name, -1, affected)
         self.sums[name] = total
-        self.divide(name, 1, touched)
+        self.distribute(name, 1, affected)
         if not total:
             del self.sums[name]
 
-    def divide(self, name: int, sign: int, touched: dict[Backend, None]) -> None:
-        """Add the count of a name to the loads of those that it means, or take it off."""
+    def distribute(self, name: int, sign: int, affected: dict[Backend, None]) -> None:
+        """Add the sum for a name to the loads of the servers that it refers to, or subtract it."""
         total = self.sums.get(name, 0)
-        meant = self.names.meant(name) if total else []
-        for i, server in enumerate(meant):
-            part = total // len(meant) + (1 if i < total % len(meant) else 0)
-            server.peers_in_flight += sign * part
-            touched[server] = None
-
-
-def read(news: News) -> dict[int, int]:
-    """The counts of a row by name."""
-    if news.version != OLD and not news.long:
-        said = dict(news.out)
-        if len(said) == len(news.out):
-            return said
-    said, offset = {}, TAG if news.version == OLD else 0
-    for name, count in news.out:
-        said[name + offset] = said.get(name + offset, 0) + count  # old names may be those of two
-    for name, count in news.long:
-        said[name + LONG] = count
-    return said
+        servers_named = self.names.servers_named(name) if total else []
+        for i, server in enumerate(servers_named):
+            share = total // len(servers_named) + (1 if i < total % len(servers_named) else 0)
+            server.peers_in_flight += sign * share
+            affected[server] = None
+
+
+def counts_by_name(row: ReceivedRow) -> dict[int, int]:
+    """Return the counts of a row by name."""
+    if row.version != VERSION_1 and not row.long:
+        counts = dict(row.in_flight)
+        if len(counts) == len(row.in_flight):
+            return counts
+    counts, offset = {}, TAG_OFFSET if row.version == VERSION_1 else 0
+    for name, count in row.in_flight:
+        counts[name + offset] = counts.get(name + offset, 0) + count  # several servers may share a tag
+    for name, count in row.long:
+        counts[name + LONG_OFFSET] = count
+    return counts
--- a/firvane/proxy/routing/row_codec.py
+++ b/firvane/proxy/routing/row_codec.py
@@ -1,18 +1,20 @@
-"""Rows at size: what a proxy tells its peers, in bytes, and what these make of it.
-
-Rules that hold here and nowhere else:
-
-1. A row has 256 bytes at the most. Version 1 is as before. Version 2 names servers by 32 bits, not 16, and
-   says what its slice holds in all. A reader takes both and refuses what is neither.
-2. Who writes version 1 sets `KNOWS`, which old readers ignore. Version 2 goes to peers who have shown that
-   they read it, and to all at once where all live ones have; `send_schedule.py` knows.
-3. Two servers of a proxy's list with one name of 32 bits are told apart by a hash of another kind (`LONG`).
-   Where a reader's list leaves a name to several it divides the count among them: never all to the wrong one.
-4. A whole row tells of all servers with attempts out there, a row of changes of those whose count is not what
-   was last told, 0 for none. Changes are told where that takes fewer bytes, or where not all fits; then the
-   largest change goes first, and of what is left the longest not told. What all fits in one row is told whole
-   at every `WHOLE_EVERY`th at the least, and to new hearers, so that a lost row is made good.
-   `heard.py` keeps what comes in.
+"""Rows of large fleets: encoding and decoding, and the choice of the servers that the next row names.
+
+Invariants:
+
+1. A row has 256 bytes at the most. Version 1 is that of `core/balancing/rows.py`. Version 2 names servers by
+   32 bits in place of 16, and gives the total of its slice. A reader accepts both and rejects anything else.
+2. A writer of version 1 that reads version 2 sets `FLAG_READS_V2`, which old readers ignore. Version 2 is
+   sent to peers that have shown that they read it, and to all at once if all live ones have
+   (`send_schedule.py`).
+3. Two servers of a proxy's list with the same 32-bit name are distinguished by a second hash (long names).
+   Where several servers of a reader's list share a name, the count is divided among them, so that it is never
+   all attributed to the wrong one.
+4. A full row names all servers with attempts in flight, a delta row those whose count differs from the last
+   one sent, with 0 for none. A delta row is sent where it takes fewer bytes, or where a full row does not
+   fit; then the largest change goes first, and then the servers not named for longest. What fits in one row
+   is sent in full at least every `FULL_ROW_INTERVAL` rows, and to new receivers, so that lost rows are made
+   up for. `peer_load.py` keeps the received counts.
 """
 
 from __future__ import annotations
@@ -23,69 +25,93 @@
 
 from firvane.core.balancing.records import Backend
 from firvane.core.balancing.rows import ENTRY, ROW
-from firvane.proxy.routing.server_names import Names, long_name
+from firvane.proxy.routing.server_names import ServerNames, long_name
 
-LARGEST = 256  # bytes of a row
-HEAD = struct.Struct("<BBBIHHHffffB")  # version to the rates, and the number of long entries
-SHORT, LONG = struct.Struct("<IB"), struct.Struct("<QB")  # name of a server, attempts out there
-ASK, RISK, KNOWS, WHOLE = 1, 2, 4, 8  # flags; the first two as before
-OLD, NEW = 1, 2  # versions
-WHOLE_EVERY = 8  # rows
-OLD_ENTRIES = 70
+MAX_ROW_BYTES = 256
+HEADER = struct.Struct("<BBBIHHHffffB")  # version to rates, and the number of entries with long names
+SHORT_ENTRY, LONG_ENTRY = struct.Struct("<IB"), struct.Struct("<QB")  # name of a server, attempts in flight
+# Flags; the first two have the same meaning in both versions.
+FLAG_ASK_ROWS, FLAG_UNEXPECTED_OFFLOAD, FLAG_READS_V2, FLAG_FULL = 1, 2, 4, 8
+VERSION_1, VERSION_2 = 1, 2
+FULL_ROW_INTERVAL = 8  # rows
+MAX_V1_ENTRIES = 70
 
 
-class News(NamedTuple):
-    """A row as heard. Rates as in `state.Row`."""
+class ReceivedRow(NamedTuple):
+    """A received row. Rates as in `core.balancing.rows.Row`."""
 
     version: int
     flags: int
     zone: int
     sequence: int  # ms
-    phi: int  # requests held
+    phi: int  # requests in flight
     mu: float
     arrivals: float
     forecast: float
     served: float
-    at: float  # when it was heard, s
-    held: int  # attempts out at its slice, of all proxies, as it sees them; -1 where it does not say
-    whole: bool  # it names all servers with attempts out there
-    out: list[tuple[int, int]]  # attempts out by name
-    long: list[tuple[int, int]]  # and by long name
+    at: float  # when it was received, s
+    slice_in_flight: (
+        int  # attempts of all proxies in flight at its slice, as known to the sender; -1 if not given
+    )
+    is_full: bool  # it names all servers with attempts in flight
+    in_flight: list[tuple[int, int]]  # short names or tags, with attempts in flight
+    long: list[tuple[int, int]]  # long names, likewise
 
     @property
-    def knows(self) -> bool:
-        """Whether its sender reads version 2."""
-        return self.version >= NEW or bool(self.flags & KNOWS)
+    def reads_v2(self) -> bool:
+        """Return whether the sender reads version 2."""
+        return self.version >= VERSION_2 or bool(self.flags & FLAG_READS_V2)
+
 
+def unpack(payload: bytes, now: float) -> ReceivedRow:
+    """Return the row in a datagram.
 
-def unpack(payload: bytes, now: float) -> News:
-    """A row from bytes; `ValueError` or `struct.error` where they are not one."""
-    if not payload or len(payload) > LARGEST:
+    Raises:
+        ValueError, struct.error: the payload is not a row.
+    """
+    if not payload or len(payload) > MAX_ROW_BYTES:
         raise ValueError("not a row")
-    if payload[0] == OLD:
+    if payload[0] == VERSION_1:
         version, flags, zone, sequence, phi, mu, arrivals, forecast, served, count = ROW.unpack_from(payload)
-        out = list(ENTRY.iter_unpack(payload[ROW.size :]))
-        held, whole, long = -1, True, list[tuple[int, int]]()
-    elif payload[0] == NEW:
-        version, flags, zone, late, early, *rest = HEAD.unpack_from(payload)
-        phi, held, mu, arrivals, forecast, served, longs = rest
-        sequence, whole, middle = late << 16 | early, bool(flags & WHOLE), len(payload) - longs * LONG.size
-        if middle < HEAD.size:
+        in_flight = list(ENTRY.iter_unpack(payload[ROW.size :]))
+        slice_in_flight, is_full, long = -1, True, list[tuple[int, int]]()
+    elif payload[0] == VERSION_2:
+        version, flags, zone, sequence_high, sequence_low, *rest = HEADER.unpack_from(payload)
+        phi, slice_in_flight, mu, arrivals, forecast, served, long_count = rest
+        sequence, is_full, middle = (
+            sequence_high << 16 | sequence_low,
+            bool(flags & FLAG_FULL),
+            len(payload) - long_count * LONG_ENTRY.size,
+        )
+        if middle < HEADER.size:
             raise ValueError("not a row")
-        out = list(SHORT.iter_unpack(payload[HEAD.size : middle]))
-        long = list(LONG.iter_unpack(payload[middle:]))
-        count = len(out)
+        in_flight = list(SHORT_ENTRY.iter_unpack(payload[HEADER.size : middle]))
+        long = list(LONG_ENTRY.iter_unpack(payload[middle:]))
+        count = len(in_flight)
     else:
-        raise ValueError("not a row that is known")
-    if len(out) != count or not all(0 <= x < 1e9 for x in (mu, arrivals, forecast, served)):
+        raise ValueError("not a row of a known version")
+    if len(in_flight) != count or not all(0 <= x < 1e9 for x in (mu, arrivals, forecast, served)):
         raise ValueError("not a row")
-    return News(
-        version, flags, zone, sequence, phi, mu, arrivals, forecast, served, now, held, whole, out, long
+    return ReceivedRow(
+        version,
+        flags,
+        zone,
+        sequence,
+        phi,
+        mu,
+        arrivals,
+        forecast,
+        served,
+        now,
+        slice_in_flight,
+        is_full,
+        in_flight,
+        long,
     )
 
 
-class Head(NamedTuple):
-    """What a row says beside its entries; fields as in `News`."""
+class RowHeader(NamedTuple):
+    """The fields of a row beside its entries, as in `ReceivedRow`."""
 
     flags: int
     zone: int
@@ -95,87 +121,98 @@
     arrivals: float
     forecast: float
     served: float
-    held: int
+    slice_in_flight: int
 
 
-def pack_old(head: Head, out: Sequence[tuple[int, int]]) -> bytes:
-    """A row of version 1. `out`: salts and attempts, the most first; names that two share are told once."""
-    told: dict[int, int] = {}
-    for salt, count in out:
+def pack_v1(head: RowHeader, in_flight: Sequence[tuple[int, int]]) -> bytes:
+    """Return a row of version 1.
+
+    Args:
+        head: the fields beside the entries.
+        in_flight: salts of servers and attempts in flight, largest first; those with the same tag are summed.
+    """
+    count_by_tag: dict[int, int] = {}
+    for salt, count in in_flight:
         tag = salt & 0xFFFF
-        if tag in told or len(told) < OLD_ENTRIES:
-            told[tag] = told.get(tag, 0) + count
-    row = ROW.pack(OLD, head.flags & 3 | KNOWS, head.zone, head.sequence, min(0xFFFF, head.phi), head.mu,
-                   head.arrivals, head.forecast, head.served, len(told))  # fmt: skip
-    return row + b"".join([ENTRY.pack(tag, min(255, count)) for tag, count in told.items()])
+        if tag in count_by_tag or len(count_by_tag) < MAX_V1_ENTRIES:
+            count_by_tag[tag] = count_by_tag.get(tag, 0) + count
+    row = ROW.pack(VERSION_1, head.flags & 3 | FLAG_READS_V2, head.zone, head.sequence, min(0xFFFF, head.phi),
+                   head.mu, head.arrivals, head.forecast, head.served, len(count_by_tag))  # fmt: skip
+    return row + b"".join([ENTRY.pack(tag, min(255, count)) for tag, count in count_by_tag.items()])
 
 
-def pack_new(
-    head: Head, whole: bool, out: Sequence[tuple[int, int]], long: Sequence[tuple[int, int]]
+def pack_v2(
+    head: RowHeader, is_full: bool, in_flight: Sequence[tuple[int, int]], long: Sequence[tuple[int, int]]
 ) -> bytes:
-    """A row of version 2; `ValueError` where the entries do not fit."""
-    if len(out) * SHORT.size + len(long) * LONG.size > LARGEST - HEAD.size:
-        raise ValueError("too much for a row")
-    flags = head.flags & 3 | (WHOLE if whole else 0)
-    late, early = head.sequence >> 16 & 0xFFFFFFFF, head.sequence & 0xFFFF
-    phi, held = min(0xFFFF, head.phi), min(0xFFFF, head.held)
-    row = HEAD.pack(NEW, flags, head.zone, late, early, phi, held, head.mu, head.arrivals, head.forecast,
-                    head.served, len(long))  # fmt: skip
-    entries = [SHORT.pack(name, min(255, count)) for name, count in out]
-    entries += [LONG.pack(name, min(255, count)) for name, count in long]
+    """Return a row of version 2.
+
+    Raises:
+        ValueError: the entries do not fit.
+    """
+    if len(in_flight) * SHORT_ENTRY.size + len(long) * LONG_ENTRY.size > MAX_ROW_BYTES - HEADER.size:
+        raise ValueError("too many entries for a row")
+    flags = head.flags & 3 | (FLAG_FULL if is_full else 0)
+    sequence_high, sequence_low = head.sequence >> 16 & 0xFFFFFFFF, head.sequence & 0xFFFF
+    phi, slice_in_flight = min(0xFFFF, head.phi), min(0xFFFF, head.slice_in_flight)
+    row = HEADER.pack(VERSION_2, flags, head.zone, sequence_high, sequence_low, phi, slice_in_flight, head.mu,
+                      head.arrivals, head.forecast, head.served, len(long))  # fmt: skip
+    entries = [SHORT_ENTRY.pack(name, min(255, count)) for name, count in in_flight]
+    entries += [LONG_ENTRY.pack(name, min(255, count)) for name, count in long]
     return row + b"".join(entries)
 
 
-class Teller:
-    """What was told of the servers, and what is to be told next, in rows that all go to the same peers."""
+class RowEncoder:
+    """Chooses the entries of consecutive rows to the same peers, by the counts that were sent last."""
 
     def __init__(self) -> None:
-        self.told: dict[Backend, int] = {}  # counts above 0, as last told
-        self.row_of: dict[Backend, int] = {}  # the row that last told of a server in `told`
-        self.hearers: set[int] = set()
+        self.sent: dict[Backend, int] = {}  # counts above 0, as last sent
+        self.row_of: dict[Backend, int] = {}  # the number of the last row that named a server of `sent`
+        self.receivers: set[int] = set()
         self.rows = 0
-        self.whole_at = 0  # the row that was last whole
-
-    def row(self, head: Head, servers: Iterable[Backend], names: Names, hearers: Collection[int]) -> bytes:
-        """The next row of version 2 for those hearers, from `own` of the servers that have any."""
-        whole = not self.hearers.issuperset(hearers)
-        self.hearers = set(hearers)
+        self.full_at = 0  # the number of the last full row
+
+    def row(
+        self, head: RowHeader, servers: Iterable[Backend], names: ServerNames, receivers: Collection[int]
+    ) -> bytes:
+        """Return the next row of version 2 for these receivers, from the servers with attempts in flight."""
+        is_full = not self.receivers.issuperset(receivers)
+        self.receivers = set(receivers)
         self.rows += 1
-        out = {server: min(255, server.in_flight) for server in servers if server.in_flight}
-        changed = [s for s in self.told if s not in out]
-        changed += [s for s, count in out.items() if self.told.get(s) != count]
-        fits = entries_size(out, names) <= LARGEST - HEAD.size
-        due = whole or self.rows - self.whole_at >= WHOLE_EVERY
-        if fits and (due or entries_size(out, names) <= entries_size(changed, names)):
-            tell, whole = list(out), True
-            self.told, self.row_of, self.whole_at = {}, {}, self.rows
+        counts = {server: min(255, server.in_flight) for server in servers if server.in_flight}
+        changed = [s for s in self.sent if s not in counts]
+        changed += [s for s, count in counts.items() if self.sent.get(s) != count]
+        fits = entries_size(counts, names) <= MAX_ROW_BYTES - HEADER.size
+        due = is_full or self.rows - self.full_at >= FULL_ROW_INTERVAL
+        if fits and (due or entries_size(counts, names) <= entries_size(changed, names)):
+            to_send, is_full = list(counts), True
+            self.sent, self.row_of, self.full_at = {}, {}, self.rows
         else:
-            # Not all fits, or little has changed: the largest changes, then what was told longest ago.
-            changed.sort(key=lambda s: (-abs(out.get(s, 0) - self.told.get(s, 0)), s.entry.id))
-            tell, whole = changed, False
+            # A full row does not fit, or little has changed: largest changes first, then longest not named.
+            changed.sort(key=lambda s: (-abs(counts.get(s, 0) - self.sent.get(s, 0)), s.entry.id))
+            to_send, is_full = changed, False
             if not fits:
-                same = [s for s in out if self.told.get(s) == out[s]]
-                tell += sorted(same, key=lambda s: (self.row_of[s], s.entry.id))
-        short, long, room = list[tuple[int, int]](), list[tuple[int, int]](), LARGEST - HEAD.size
-        for server in tell:
-            alone, count = names.alone(server), out.get(server, 0)
-            room -= SHORT.size if alone else LONG.size
+                same = [s for s in counts if self.sent.get(s) == counts[s]]
+                to_send += sorted(same, key=lambda s: (self.row_of[s], s.entry.id))
+        short, long, room = list[tuple[int, int]](), list[tuple[int, int]](), MAX_ROW_BYTES - HEADER.size
+        for server in to_send:
+            is_unique, count = names.is_unique(server), counts.get(server, 0)
+            room -= SHORT_ENTRY.size if is_unique else LONG_ENTRY.size
             if room < 0:
                 break
-            if alone:
+            if is_unique:
                 short.append((server.id_hash, count))
             else:
                 long.append((long_name(server), count))
             if count:
-                self.told[server], self.row_of[server] = count, self.rows
+                self.sent[server], self.row_of[server] = count, self.rows
             else:
-                del self.told[server], self.row_of[server]
-        return pack_new(head, whole, short, long)
+                del self.sent[server], self.row_of[server]
+        return pack_v2(head, is_full, short, long)
 
 
-def entries_size(servers: Iterable[Backend], names: Names) -> int:
-    """Bytes of the entries of these servers."""
+def entries_size(servers: Iterable[Backend], names: ServerNames) -> int:
+    """Return the bytes of the entries of these servers."""
     size = 0
     for server in servers:
-        size += SHORT.size if names.alone(server) else LONG.size
+        size += SHORT_ENTRY.size if names.is_unique(server) else LONG_ENTRY.size
     return size
--- a/firvane/proxy/routing/server_names.py
+++ b/firvane/proxy/routing/server_names.py
@@ -1,10 +1,11 @@
-"""What rows call the servers, and whom a name means.
+"""The names by which rows refer to servers, and the servers that a name refers to.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A server's short name is its salt, a CRC of its id; the names of old rows are its lower 16 bits.
-2. A long name adds 32 bits that have nothing to do with the CRC: ids with one salt differ there.
-3. A name that several servers of the list share means all of them, in the order of their ids.
+1. A server's short name is its salt, a CRC of its id; its tag, the name in rows of version 1, is the lower 16
+   bits of the salt.
+2. A long name adds 32 bits independent of the CRC: it differs between ids with the same salt.
+3. A name shared by several listed servers refers to all of them, in the order of their ids.
 """
 
 from __future__ import annotations
@@ -12,51 +13,56 @@
 from firvane.core.balancing.records import Backend
 
 PRIME = (1 << 61) - 1
-TAG, LONG = 1 << 32, 1 << 64  # added to old and long names, so that names of all kinds are keys of one dict
+TAG_OFFSET, LONG_OFFSET = (
+    1 << 32,
+    1 << 64,
+)  # added to tags and long names, so that one dict can hold all names
 
 
 def long_name(server: Backend) -> int:
-    """A name of 64 bits for a server whose salt is another's as well."""
+    """Return a 64-bit name, for a server that shares its salt with another."""
     return server.id_hash << 32 | int.from_bytes(server.entry.id.encode(), "little") % PRIME & 0xFFFFFFFF
 
 
-class Names:
-    """The servers of a list by their names."""
+class ServerNames:
+    """The listed servers by their names."""
 
     def __init__(self) -> None:
-        self.servers: dict[int, list[Backend]] = {}  # by short name, and by old name + TAG
+        self.servers: dict[int, list[Backend]] = {}  # by short name, and by TAG_OFFSET + tag
 
     def add(self, server: Backend) -> None:
-        for name in (server.id_hash, TAG + (server.id_hash & 0xFFFF)):
+        for name in (server.id_hash, TAG_OFFSET + (server.id_hash & 0xFFFF)):
             sharing = self.servers.get(name)
             if sharing is None:
                 self.servers[name] = [server]
             elif server not in sharing:
                 sharing.append(server)
-                sharing.sort(key=id_of)
+                sharing.sort(key=server_id)
 
-    def drop(self, server: Backend) -> None:
-        for name in (server.id_hash, TAG + (server.id_hash & 0xFFFF)):
-            left = [other for other in self.servers.get(name, []) if other is not server]
-            if left:
-                self.servers[name] = left
+    def remove(self, server: Backend) -> None:
+        for name in (server.id_hash, TAG_OFFSET + (server.id_hash & 0xFFFF)):
+            remaining = [other for other in self.servers.get(name, []) if other is not server]
+            if remaining:
+                self.servers[name] = remaining
             else:
                 self.servers.pop(name, None)
 
-    def alone(self, server: Backend) -> bool:
-        """Whether its salt names it and no other."""
+    def is_unique(self, server: Backend) -> bool:
+        """Return whether the short name of a server refers to no other."""
         return len(self.servers.get(server.id_hash, [])) <= 1
 
-    def meant(self, name: int) -> list[Backend]:
-        """The servers that a name means, of any kind."""
-        if name < LONG:
+    def servers_named(self, name: int) -> list[Backend]:
+        """Return the servers that a name of any kind refers to."""
+        if name < LONG_OFFSET:
             return self.servers.get(name, [])
-        return [s for s in self.servers.get(name - LONG >> 32, []) if long_name(s) == name - LONG]
+        return [
+            s for s in self.servers.get(name - LONG_OFFSET >> 32, []) if long_name(s) == name - LONG_OFFSET
+        ]
 
-    def of(self, server: Backend) -> list[int]:
-        """All names that may mean a server."""
-        return [server.id_hash, TAG + (server.id_hash & 0xFFFF), LONG + long_name(server)]
+    def names_of(self, server: Backend) -> list[int]:
+        """Return all names that may refer to a server."""
+        return [server.id_hash, TAG_OFFSET + (server.id_hash & 0xFFFF), LONG_OFFSET + long_name(server)]
 
 
-def id_of(server: Backend) -> str:
+def server_id(server: Backend) -> str:
     return server.entry.id
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -26,7 +26,7 @@
 from firvane.proxy.recovery.recovery import Recovery
 from firvane.proxy.routing.hash_ring import Ring
 from firvane.proxy.routing.large_slices import IndexValues, LargeSlices
-from firvane.proxy.routing.server_list import Listing, merge
+from firvane.proxy.routing.server_list import UpServers, merge
 
 MIN_ROW_INTERVAL_WINDOWS = 2  # from row to row (the design's r)
 PEER_TIMEOUT_ROWS = 3  # row intervals until a silent peer drops out
@@ -68,7 +68,7 @@
         self.settings = settings
         self.rng = random.Random(seed)
         self.servers: dict[str, Backend] = {}
-        self.listing = Listing()
+        self.listing = UpServers()
         self.large = LargeSlices(self.index_figures, self.rng)
         self.up = self.listing.up
         self.open_requests = dict[int, OpenRequest]()
@@ -116,7 +116,7 @@
 
     def apply_list_change(self, touched: Iterable[Backend]) -> None:
         """After a change of the list: count the peers' attempts, renew the key ring, deal the slices."""
-        removed, added, tags = self.listing.change(touched, self.is_listed)
+        removed, added, tags = self.listing.update(touched, self.is_listed)
         for server in removed:
             self.ring.drop(server)
         for server in [*added, *filter(self.is_listed, self.resized_servers)]:
@@ -200,7 +200,7 @@
             if self.estimates.on_peer_message(message.sender, message.payload):
                 return
             if self.recovery and message.payload[:1] == messages.MESSAGE_PREFIX:
-                self.actions += self.recovery.heard(message, self.up, self.listing.meant, now)
+                self.actions += self.recovery.heard(message, self.up, self.listing.by_tag, now)
                 return
             row = decode_row(message.payload, now)
         except (ValueError, struct.error):
@@ -222,7 +222,7 @@
             self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != sender}
             self.update_shares(now)
         elif self.settings.me in self.offloads:  # overloaded: offload far above an even part draws a flag
-            offload = sum(n for tag, n in row.in_flight if self.listing.meant(tag) in self.own_slice)
+            offload = sum(n for tag, n in row.in_flight if self.listing.by_tag(tag) in self.own_slice)
             even = (1 + sum(n for _, n in row.in_flight)) / len(self.slices)
             if offload > UNEXPECTED_OFFLOAD_FACTOR * even + UNEXPECTED_OFFLOAD_MARGIN:
                 self.announce(now, FLAG_UNEXPECTED_OFFLOAD, sender)
@@ -230,7 +230,7 @@
     def count_row(self, row: Row, sign: int, among: Collection[int] | None = None) -> None:
         """Add the attempts of a row to its servers' counts, or subtract them; `among` are tags, None: all."""
         for tag, attempts in row.in_flight:
-            if (among is None or tag in among) and (server := self.listing.meant(tag)):
+            if (among is None or tag in among) and (server := self.listing.by_tag(tag)):
                 server.peers_in_flight += sign * attempts
                 self.large.mark_changed(server)
 
--- a/tests/proxy/routing/test_load_index.py
+++ b/tests/proxy/routing/test_load_index.py
@@ -26,7 +26,8 @@
     steps: list[tuple[tuple[int, int, float, float, float, float], str]], kinds: set[int] | None, limit: float
 ) -> None:
     index, now, servers = LoadIndex(), 100.0, [box(n, kind=n % 3) for n in range(12)]
-    expected: dict[Backend, tuple[int, int, float, float, float]] = {}  # load, weight, utilization, ready_at, check_at
+    # By server: load, weight, utilization, ready_at, check_at.
+    expected: dict[Backend, tuple[int, int, float, float, float]] = {}
 
     def mean(candidates: list[Backend]) -> float:
         return (
--- a/tests/proxy/routing/test_row_codec.py
+++ b/tests/proxy/routing/test_row_codec.py
@@ -1,4 +1,4 @@
-"""Rows of both versions, what is made of them, and who hears them."""
+"""Tests of rows of both versions, the peers' loads from them, and the schedule of sending them."""
 
 from __future__ import annotations
 
@@ -11,18 +11,34 @@
 from hypothesis import strategies as st
 
 from firvane.core.balancing.records import Backend
-from firvane.proxy.routing.peer_load import FORGOTTEN, MOST, Heard
-from firvane.proxy.routing.row_codec import ASK, KNOWS, LARGEST, Head, Teller, pack_new, pack_old, unpack
-from firvane.proxy.routing.send_schedule import ALL, FAR, NEAR, ROUND, SILENT, SendSchedule
-from firvane.proxy.routing.server_names import Names, long_name
+from firvane.proxy.routing.peer_load import EXPIRY_ROWS, MAX_NAMES, PeerLoads
+from firvane.proxy.routing.row_codec import (
+    FLAG_ASK_ROWS,
+    FLAG_READS_V2,
+    MAX_ROW_BYTES,
+    RowEncoder,
+    RowHeader,
+    pack_v1,
+    pack_v2,
+    unpack,
+)
+from firvane.proxy.routing.send_schedule import (
+    FAR_PEERS_PER_WINDOW,
+    MAX_FULL_MESH,
+    NEAR_PEERS,
+    ROUND_WINDOWS,
+    SILENT_ROUNDS,
+    SendSchedule,
+)
+from firvane.proxy.routing.server_names import ServerNames, long_name
 from tests.proxy.net.helpers import garbage, seeded
 from tests.proxy.routing.samples import box, fleet, operations
 
-HEAD = Head(ASK, 2, 1_700_000_000_123, 70_000, 12.5, 30.0, 31.0, 99.0, 41)
+HEADER = RowHeader(FLAG_ASK_ROWS, 2, 1_700_000_000_123, 70_000, 12.5, 30.0, 31.0, 99.0, 41)
 
 
-def read_as_before(payload: bytes) -> tuple[float | int, list[tuple[int, int]]]:
-    """What proxies made of a row before there was a second version: its flags and its entries."""
+def decode_v1_only(payload: bytes) -> tuple[float | int, list[tuple[int, int]]]:
+    """Decode a row as proxies did before version 2: return its flags and its entries."""
     _, flags, *_, count = (fields := struct.Struct("<BBBQHffffB")).unpack_from(payload)
     out = list(struct.Struct("<HB").iter_unpack(payload[fields.size :]))
     if payload[0] != 1 or len(out) != count:
@@ -30,144 +46,160 @@
     return flags, out
 
 
-def heard(servers: list[Backend]) -> Heard:
-    made = Heard()
+def peer_loads(servers: list[Backend]) -> PeerLoads:
+    made = PeerLoads()
     for server in servers:
-        made.join(server)
+        made.add_server(server)
     return made
 
 
-def test_rows_come_back_as_sent_and_old_proxies_read_what_is_written_for_them() -> None:
-    row = pack_new(HEAD, True, [(5, 3), (1 << 31, 999)], [(1 << 63, 7)])
-    assert unpack(row, 8.0)[1:] == (ASK | 8, 2, HEAD.sequence, 0xFFFF, 12.5, 30.0, 31.0, 99.0, 8.0, 41, True,
-                                    [(5, 3), (1 << 31, 255)], [(1 << 63, 7)])  # fmt: skip
+def test_rows_are_decoded_as_sent_and_old_proxies_read_version_1() -> None:
+    row = pack_v2(HEADER, True, [(5, 3), (1 << 31, 999)], [(1 << 63, 7)])
+    assert unpack(row, 8.0)[1:] == (FLAG_ASK_ROWS | 8, 2, HEADER.sequence, 0xFFFF, 12.5, 30.0, 31.0, 99.0,
+                                    8.0, 41, True, [(5, 3), (1 << 31, 255)], [(1 << 63, 7)])  # fmt: skip
     with pytest.raises((ValueError, struct.error)):
-        read_as_before(row)
-    flags, entries = read_as_before(old := pack_old(HEAD, [(n << 16 | n % 75, 3) for n in range(150)]))
-    assert len(old) <= LARGEST and flags == ASK | KNOWS and entries == [(n, 6) for n in range(70)]
-    news = unpack(old, 8.0)
-    assert news.out == entries and news.knows and news.whole and news.held == -1
-    schedule = SendSchedule(0, 3)  # the new version goes only to those who showed that they read it
-    schedule.hear(1, news.knows)
-    schedule.hear(2, unpack(row, 1.0).knows)
-    assert schedule.all_read([1, 2]) and not schedule.all_read([1, 3])
-    schedule.hear(2, unpack(old[:1] + bytes([ASK]) + old[2:], 8.0).knows)  # went back to the old program
-    assert not schedule.all_read([1, 2]) and schedule.all_read([1])
+        decode_v1_only(row)
+    flags, entries = decode_v1_only(old := pack_v1(HEADER, [(n << 16 | n % 75, 3) for n in range(150)]))
+    assert (
+        len(old) <= MAX_ROW_BYTES
+        and flags == FLAG_ASK_ROWS | FLAG_READS_V2
+        and entries == [(n, 6) for n in range(70)]
+    )
+    decoded = unpack(old, 8.0)
+    assert (
+        decoded.in_flight == entries
+        and decoded.reads_v2
+        and decoded.is_full
+        and decoded.slice_in_flight == -1
+    )
+    schedule = SendSchedule(0, 3)  # version 2 goes only to peers that have shown that they read it
+    schedule.record_version(1, decoded.reads_v2)
+    schedule.record_version(2, unpack(row, 1.0).reads_v2)
+    assert schedule.all_read_v2([1, 2]) and not schedule.all_read_v2([1, 3])
+    # Rolled back to the old program.
+    schedule.record_version(2, unpack(old[:1] + bytes([FLAG_ASK_ROWS]) + old[2:], 8.0).reads_v2)
+    assert not schedule.all_read_v2([1, 2]) and schedule.all_read_v2([1])
 
 
 @seeded
 @given(garbage)
-def test_what_is_no_row_is_refused_and_what_is_cut_too(data: bytes) -> None:
-    reader, row = Heard(), pack_new(HEAD, True, [(5, 3)], [(7, 1)])
+def test_invalid_and_truncated_rows_are_rejected(data: bytes) -> None:
+    loads, row = PeerLoads(), pack_v2(HEADER, True, [(5, 3)], [(7, 1)])
     for payload in (data, b"\x01" + data, b"\x02" + data, row[: len(data) % len(row)]):
         try:
-            reader.hear(3, unpack(payload, 1.0))
+            loads.apply_row(3, unpack(payload, 1.0))
         except (ValueError, struct.error):
             continue
-        assert len(payload) <= LARGEST
-    for number in range(30):  # and who names ever more boxes is kept small
-        reader.hear(1, unpack(pack_new(HEAD, False, [(number * 40 + i, 1) for i in range(40)], []), 1.0))
-    assert len(reader.senders[1].counts) <= MOST
-
-
-def test_two_boxes_with_one_name_are_told_apart_and_an_old_row_is_divided() -> None:
-    twins, other = [box(1, salt=77), box(2, salt=77)], box(3, salt=78)
-    assert long_name(twins[0]) != long_name(twins[1])
-    reader = heard([*twins, other])
-    twins[0].in_flight, twins[1].in_flight, other.in_flight = 9, 2, 4
-    reader.hear(1, unpack(Teller().row(HEAD, [*twins, other], reader.names, {1}), 1.0))
-    assert [s.peers_in_flight for s in (*twins, other)] == [9, 2, 4]
-    # A sender that knows one of the two calls it by the short name: nobody can tell whom it means.
-    reader.hear(1, unpack(Teller().row(HEAD, twins[:1], Names(), {1}), 2.0))
-    assert sorted(s.peers_in_flight for s in twins) == [4, 5] and other.peers_in_flight == 0
-    reader.hear(2, unpack(pack_old(HEAD, [(78, 6), (77, 4)]), 1.0))
-    assert sorted(s.peers_in_flight for s in twins) == [6, 7] and other.peers_in_flight == 6
-    reader.leave(twins[1])
-    assert twins[0].peers_in_flight == 13 and twins[1].peers_in_flight == 0
+        assert len(payload) <= MAX_ROW_BYTES
+    for number in range(30):  # the names kept for one sender are bounded
+        loads.apply_row(1, unpack(pack_v2(HEADER, False, [(number * 40 + i, 1) for i in range(40)], []), 1.0))
+    assert len(loads.senders[1].counts) <= MAX_NAMES
+
+
+def test_servers_with_the_same_name_are_distinguished_and_a_shared_name_is_divided() -> None:
+    sharing, other = [box(1, salt=77), box(2, salt=77)], box(3, salt=78)
+    assert long_name(sharing[0]) != long_name(sharing[1])
+    loads = peer_loads([*sharing, other])
+    sharing[0].in_flight, sharing[1].in_flight, other.in_flight = 9, 2, 4
+    loads.apply_row(1, unpack(RowEncoder().row(HEADER, [*sharing, other], loads.names, {1}), 1.0))
+    assert [s.peers_in_flight for s in (*sharing, other)] == [9, 2, 4]
+    # A sender that knows only one of the two uses its short name, which is ambiguous here.
+    loads.apply_row(1, unpack(RowEncoder().row(HEADER, sharing[:1], ServerNames(), {1}), 2.0))
+    assert sorted(s.peers_in_flight for s in sharing) == [4, 5] and other.peers_in_flight == 0
+    loads.apply_row(2, unpack(pack_v1(HEADER, [(78, 6), (77, 4)]), 1.0))
+    assert sorted(s.peers_in_flight for s in sharing) == [6, 7] and other.peers_in_flight == 6
+    loads.remove_server(sharing[1])
+    assert sharing[0].peers_in_flight == 13 and sharing[1].peers_in_flight == 0
 
 
 @pytest.mark.parametrize("busy", [30, 45, 46, 300])
-def test_however_many_are_busy_a_row_keeps_within_its_bytes_and_all_is_told_in_turn(busy: int) -> None:
-    random, boxes, teller, wrong, out, size = Random(5), fleet(400), Teller(), 0, 0, 0
-    reader = heard(boxes)
+def test_a_row_keeps_within_its_size_and_all_counts_are_sent_in_turn(busy: int) -> None:
+    random, servers, encoder, error, out, size = Random(5), fleet(400), RowEncoder(), 0, 0, 0
+    loads = peer_loads(servers)
     for number in range(120):
-        for server in random.sample(boxes[:busy], 8):
+        for server in random.sample(servers[:busy], 8):
             server.in_flight = random.choice([0, 1, 2, 5])
-        row = teller.row(HEAD, boxes, reader.names, {1})
-        assert len(row) <= LARGEST
+        row = encoder.row(HEADER, servers, loads.names, {1})
+        assert len(row) <= MAX_ROW_BYTES
         if random.random() > 0.05:
-            reader.hear(1, unpack(row, 1.0))
+            loads.apply_row(1, unpack(row, 1.0))
         if number > 60:
-            wrong, out, size = (wrong + sum(abs(s.peers_in_flight - s.in_flight) for s in boxes),
-                                out + sum(s.in_flight for s in boxes), size + len(row))  # fmt: skip
-    assert wrong < 0.05 * out  # as many rows are lost
-    assert busy != 30 or size / 59 < 100  # changes, where whole rows have 150
-    assert unpack(teller.row(HEAD, boxes[:20], reader.names, {1, 2}), 1.0).whole  # for whoever is new
-    for server in boxes:
+            error, out, size = (error + sum(abs(s.peers_in_flight - s.in_flight) for s in servers),
+                                out + sum(s.in_flight for s in servers), size + len(row))  # fmt: skip
+    assert error < 0.05 * out  # 5% of the rows are lost
+    assert busy != 30 or size / 59 < 100  # delta rows, where full ones have 150 bytes
+    assert unpack(encoder.row(HEADER, servers[:20], loads.names, {1, 2}), 1.0).is_full  # for new receivers
+    for server in servers:
         server.in_flight = 0
-    for _ in range(FORGOTTEN + 10):
-        reader.hear(1, unpack(teller.row(HEAD, boxes, reader.names, {1, 2}), 1.0))
-    assert not any(s.peers_in_flight for s in boxes) and not reader.sums
+    for _ in range(EXPIRY_ROWS + 10):
+        loads.apply_row(1, unpack(encoder.row(HEADER, servers, loads.names, {1, 2}), 1.0))
+    assert not any(s.peers_in_flight for s in servers) and not loads.sums
 
 
 @seeded
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 9), st.integers(0, 3)), max_size=60))
-def test_after_any_history_loads_are_what_the_last_rows_say(steps: list[tuple[int, int, int]]) -> None:
-    """Boxes come and go, peers too; one of these writes the old rows."""
-    boxes = [box(n, salt=n if n % 4 else 1 << 16) for n in range(10)]
-    reader, here, said = Heard(), set[Backend](), dict[int, Counter[int]]()
-    for what, number, count in steps:
-        server, peer = boxes[number], number % 3
-        if what == 0:
-            here.add(server)
-            reader.join(server)
-        elif what == 1:
-            here.discard(server)
-            reader.leave(server)
-        elif what == 2:
-            said.pop(peer, None)
-            reader.forget(peer)
+def test_after_any_history_loads_are_those_of_the_last_rows(steps: list[tuple[int, int, int]]) -> None:
+    """Servers and peers come and go; one peer sends rows of version 1."""
+    servers = [box(n, salt=n if n % 4 else 1 << 16) for n in range(10)]
+    loads, listed, expected = PeerLoads(), set[Backend](), dict[int, Counter[int]]()
+    for step, number, count in steps:
+        server, peer = servers[number], number % 3
+        if step == 0:
+            listed.add(server)
+            loads.add_server(server)
+        elif step == 1:
+            listed.discard(server)
+            loads.remove_server(server)
+        elif step == 2:
+            expected.pop(peer, None)
+            loads.remove_peer(peer)
         else:
-            out = {s.id_hash: count for s in boxes[number : number + 4] if count}
-            pairs, said[peer] = list(out.items()), Counter()
+            out = {s.id_hash: count for s in servers[number : number + 4] if count}
+            pairs, expected[peer] = list(out.items()), Counter()
             for salt, each in pairs:
-                said[peer][salt if peer else -1 - (salt & 0xFFFF)] += each
-            reader.hear(peer, unpack(pack_new(HEAD, True, pairs, []) if peer else pack_old(HEAD, pairs), 1.0))
-    loads = Counter[Backend]()
-    for name, total in sum(said.values(), Counter[int]()).items():
-        meant = [s for s in here if (s.id_hash == name if name >= 0 else s.id_hash & 0xFFFF == -1 - name)]
-        for i, server in enumerate(sorted(meant, key=lambda s: s.entry.id)):
-            loads[server] += total // len(meant) + (i < total % len(meant))
-    assert {s: s.peers_in_flight for s in boxes if s.peers_in_flight} == +loads
-
-
-def test_a_row_costs_by_its_entries_not_by_the_fleet() -> None:
+                expected[peer][salt if peer else -1 - (salt & 0xFFFF)] += each
+            loads.apply_row(
+                peer, unpack(pack_v2(HEADER, True, pairs, []) if peer else pack_v1(HEADER, pairs), 1.0)
+            )
+    expected_loads = Counter[Backend]()
+    for name, total in sum(expected.values(), Counter[int]()).items():
+        servers_named = [
+            s for s in listed if (s.id_hash == name if name >= 0 else s.id_hash & 0xFFFF == -1 - name)
+        ]
+        for i, server in enumerate(sorted(servers_named, key=lambda s: s.entry.id)):
+            expected_loads[server] += total // len(servers_named) + (i < total % len(servers_named))
+    assert {s: s.peers_in_flight for s in servers if s.peers_in_flight} == +expected_loads
+
+
+def test_the_cost_of_a_row_depends_on_its_entries_and_not_on_the_fleet() -> None:
     costs = []
     for count in (100, 5000):
-        reader = heard(boxes := fleet(count))
-        row = pack_new(HEAD, True, [(s.id_hash, 3) for s in boxes[:45]], [])
-        costs.append(operations(lambda row=row, reader=reader: reader.hear(1, unpack(row, 1.0))))
+        loads = peer_loads(servers := fleet(count))
+        row = pack_v2(HEADER, True, [(s.id_hash, 3) for s in servers[:45]], [])
+        costs.append(operations(lambda row=row, loads=loads: loads.apply_row(1, unpack(row, 1.0))))
     assert costs[1] == costs[0] < 45 * 120
 
 
-@pytest.mark.parametrize("proxies", [3, ALL, 30, 60, 500])
-def test_each_hears_and_sends_a_bounded_number_of_rows_and_all_hear_all(proxies: int) -> None:
+@pytest.mark.parametrize("proxies", [3, MAX_FULL_MESH, 30, 60, 500])
+def test_each_proxy_sends_and_receives_a_bounded_number_of_rows_and_all_reach_all(proxies: int) -> None:
     zones = {number: number % 3 for number in range(proxies) if number % 7 or number < 7}
     schedule = {number: SendSchedule(number, proxies) for number in zones}
     last, worst = dict[tuple[int, int], int](), 0
-    for one in schedule.values():
-        one.arrange(zones)
-        assert one.everyone == (proxies <= ALL)
-    for window in range(0 if proxies <= ALL else 60):
-        hears = Counter[int]()
-        for me, one in schedule.items():
-            sent = [*one.near_now(window), *one.far_now(window)]
+    for sender in schedule.values():
+        sender.update_near_peers(zones)
+        assert sender.is_full_mesh == (proxies <= MAX_FULL_MESH)
+    for window in range(0 if proxies <= MAX_FULL_MESH else 60):
+        received = Counter[int]()
+        for me, sender in schedule.items():
+            sent = [*sender.near_peers_at(window), *sender.far_peers_at(window)]
             assert len(sent) == len(set(sent)) and me not in sent
-            hears.update(sent)
+            received.update(sent)
             for peer in sent:
                 gap = window - last.get((me, peer), 0)
-                assert peer not in schedule or SILENT * (gap - 1) <= schedule[peer].silent_after(me)
+                assert peer not in schedule or SILENT_ROUNDS * (gap - 1) <= schedule[peer].timeout_windows(me)
                 last[me, peer] = window
-        worst = max(worst, *hears.values())
-    assert worst <= NEAR + FAR and NEAR / ROUND + FAR <= 28
-    assert proxies <= ALL or all((me, n) in last for me in zones for n in range(proxies) if me != n)
+        worst = max(worst, *received.values())
+    assert (
+        worst <= NEAR_PEERS + FAR_PEERS_PER_WINDOW and NEAR_PEERS / ROUND_WINDOWS + FAR_PEERS_PER_WINDOW <= 28
+    )
+    assert proxies <= MAX_FULL_MESH or all((me, n) in last for me in zones for n in range(proxies) if me != n)
--- a/tests/proxy/routing/test_wiring.py
+++ b/tests/proxy/routing/test_wiring.py
@@ -47,7 +47,7 @@
     up = [s for _, s in sorted(balancer.servers.items()) if s.entry.state is api.ServerState.UP]
     assert balancer.up == up
     tags = {s.id_hash & 0xFFFF: s for s in up}
-    assert {tag: balancer.listing.meant(tag) for tag in balancer.listing.tags} == tags
+    assert {tag: balancer.listing.by_tag(tag) for tag in balancer.listing.tags} == tags
     peers = dict.fromkeys(up, 0)
     for n, row in balancer.rows.items():
         for tag, out in row.in_flight if n != balancer.settings.me else ():
--- a/tests/simulation/runner/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -86,8 +86,8 @@
 @pytest.mark.parametrize("new", [False, True])
 def test_rows_that_are_misread_are_rows_still(new: bool) -> None:
     # Guards against a fault that harms nobody, as peers throw away what cannot be.
-    head = row_codec.Head(0, 1, 7, 3, 1.0, 2.0, 3.0, 4.0, 5)
-    row = row_codec.pack_new(head, True, [(9, 2)], []) if new else row_codec.pack_old(head, [(9, 2)])
+    head = row_codec.RowHeader(0, 1, 7, 3, 1.0, 2.0, 3.0, 4.0, 5)
+    row = row_codec.pack_v2(head, True, [(9, 2)], []) if new else row_codec.pack_v1(head, [(9, 2)])
     told: list[bytes] = []
     proxy = SimpleNamespace(
         loop=SimpleNamespace(time=lambda: 0.0),
@@ -99,7 +99,7 @@
     proxy.peers.tell(None, row)
     right, wrong = row_codec.unpack(row, 0.0), row_codec.unpack(told[0], 0.0)
     assert (wrong.zone, wrong.sequence, wrong.arrivals) == (right.zone, right.sequence, 40 * right.arrivals)
-    assert right.out == [(9, 2)] and wrong.out == [(9, 80)]
+    assert right.in_flight == [(9, 2)] and wrong.in_flight == [(9, 80)]
 
 
 def test_a_roll_is_played_in_virtual_time_alone() -> None:
--- a/tests/wire_formats/test_datagrams.py
+++ b/tests/wire_formats/test_datagrams.py
@@ -36,10 +36,10 @@
 def encode_proxy_row(row: Any) -> bytes:
     """A decoded row as it was sent; its fields are taken by position, in the order of their declaration."""
     version, *head, _, in_flight, is_complete, short, long = row
-    made = row_codec.Head(*head, in_flight)
-    if version == row_codec.OLD:
-        return row_codec.pack_old(made, short)
-    return row_codec.pack_new(made, is_complete, short, long)
+    made = row_codec.RowHeader(*head, in_flight)
+    if version == row_codec.VERSION_1:
+        return row_codec.pack_v1(made, short)
+    return row_codec.pack_v2(made, is_complete, short, long)
 
 
 def encode_tenancy(record: Any) -> bytes:
