--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -34,7 +34,7 @@
 from firvane.proxy.routing.load_index import LoadIndex
 from firvane.proxy.routing.peer_load import PeerLoads
 from firvane.proxy.routing.row_codec import RowHeader, pack_v1, pack_v2, unpack
-from firvane.proxy.routing.subset import Deal, Dealer, reach
+from firvane.proxy.routing.subset import Assignment, SliceAssigner, reachable_fractions
 from firvane.proxy.routing.timer_wheel import Wheel
 
 ZONES, LIMIT, NOW, OUT = 3, 128, 1000.0, 16  # OUT: attempts out at a time
@@ -103,10 +103,10 @@
     return sent
 
 
-def model(boxes: int, proxies: int) -> tuple[Model, Deal]:
+def model(boxes: int, proxies: int) -> tuple[Model, Assignment]:
     zones = {number: number % ZONES for number in range(proxies)}
-    dealt = Dealer(proxies, ZONES).deal([backend(entry(number)) for number in range(boxes)], zones)
-    return Model(dealt.slices, reach(0, dealt, LIMIT), NOW), dealt
+    dealt = SliceAssigner(proxies, ZONES).assign([backend(entry(number)) for number in range(boxes)], zones)
+    return Model(dealt.slices, reachable_fractions(0, dealt, LIMIT), NOW), dealt
 
 
 def route(made: Model, count: int) -> None:
@@ -153,9 +153,12 @@
 
     def fresh(count: int) -> None:
         backends = [backend(e) for e in entries]
-        state["balancer"], state["dealer"] = tier(count, proxies), Dealer(proxies, ZONES)
-        dealt = state["dealer"].deal(backends[:count], zones)
-        state["backends"], state["model"] = backends, Model(dealt.slices, reach(0, dealt, LIMIT), NOW)
+        state["balancer"], state["dealer"] = tier(count, proxies), SliceAssigner(proxies, ZONES)
+        dealt = state["dealer"].assign(backends[:count], zones)
+        state["backends"], state["model"] = (
+            backends,
+            Model(dealt.slices, reachable_fractions(0, dealt, LIMIT), NOW),
+        )
 
     def told(news: list[api.Server]) -> None:
         state["balancer"].handle(api.ServerList(api.ListKind.INCREMENTAL, 2, tuple(news)), NOW + 1.0)
@@ -167,11 +170,11 @@
         state["model"].ring.settle()
 
     def come() -> None:
-        dealt = state["dealer"].deal(state["backends"], zones)
-        Model(dealt.slices, reach(0, dealt, LIMIT), NOW)
+        dealt = state["dealer"].assign(state["backends"], zones)
+        Model(dealt.slices, reachable_fractions(0, dealt, LIMIT), NOW)
 
     def deal(count: int) -> None:
-        state["dealer"].deal(state["backends"][count:], zones)
+        state["dealer"].assign(state["backends"][count:], zones)
 
     times = 2 if quick else 3
     for count, name in ((1, "one leaves"), (gone, f"{gone} leave")):
@@ -258,10 +261,10 @@
         zones = {number: number % ZONES for number in range(proxies)}
 
         def view(servers: list[Backend], zones: dict[int, int], proxies: int = proxies) -> dict[str, Any]:
-            dealt, owners, connections = Dealer(proxies, ZONES).deal(servers, zones), {}, 0
+            dealt, owners, connections = SliceAssigner(proxies, ZONES).assign(servers, zones), {}, 0
             by_team: dict[int, list[Backend | None]] = {}  # a team reaches the same
-            for proxy, team in dealt.teams.items():
-                parts = reach(proxy, dealt, LIMIT)
+            for proxy, team in dealt.groups.items():
+                parts = reachable_fractions(proxy, dealt, LIMIT)
                 connections += len(parts)
                 if team[0] not in by_team:
                     ring = Ring()
