--- a/benchmarks/routing.py
+++ b/benchmarks/routing.py
@@ -35,7 +35,7 @@
 from firvane.proxy.routing.peer_load import PeerLoads
 from firvane.proxy.routing.row_codec import RowHeader, pack_v1, pack_v2, unpack
 from firvane.proxy.routing.subset import Assignment, SliceAssigner, reachable_fractions
-from firvane.proxy.routing.timer_wheel import Wheel
+from firvane.proxy.routing.timer_wheel import TimerWheel
 
 ZONES, LIMIT, NOW, OUT = 3, 128, 1000.0, 16  # OUT: attempts out at a time
 FLEETS, TIERS = (10, 32, 128, 512, 2048, 10_000), (1, 50, 500)
@@ -111,11 +111,11 @@
 
 def route(made: Model, count: int) -> None:
     """The same requests with the structures alone, with the timers of each set and cancelled."""
-    out, now, wheel = deque[tuple[Backend, int, int]](), NOW + 1.0, Wheel()
+    out, now, wheel = deque[tuple[Backend, int, int]](), NOW + 1.0, TimerWheel()
     for number in range(count):
         now += 0.00025
         key = crc32(KEYS[number * 7919 % len(KEYS)].encode())
-        wheel.due(now)
+        wheel.expire(now)
         if server := made.choose(key, now, 1.0):
             made.send(server, now)
             out.append((server, wheel.set(now, now + 2.4, number), wheel.set(now, now + 0.2, number)))
@@ -341,11 +341,11 @@
         for server in servers:
             made.add_server(server)
 
-    def wheel(made: Wheel) -> None:
+    def wheel(made: TimerWheel) -> None:
         for number in range(len(servers)):
             made.set(NOW, NOW + number / 4000, number)
 
-    for made, fill in ((Ring(), ring), (LoadIndex(), index), (PeerLoads(), heard), (Wheel(), wheel)):
+    for made, fill in ((Ring(), ring), (LoadIndex(), index), (PeerLoads(), heard), (TimerWheel(), wheel)):
         tracemalloc.start()
         fill(made)
         yield {"of": type(made).__name__, "bytes": tracemalloc.get_traced_memory()[0] / len(servers)}
--- a/firvane/proxy/routing/timer_wheel.py
+++ b/firvane/proxy/routing/timer_wheel.py
@@ -1,14 +1,14 @@
-"""Timers that mostly never fire: one structure in place of a loop timer for each.
+"""A timer wheel for timers that mostly never fire, in place of one event loop timer for each.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. Time goes in steps of `resolution`. A timer falls due at the first step at or after its time: never early,
-   and late by less than one step, and by what its owner lets pass before it asks.
-2. All timers of a step lie in one list, and a heap holds the steps that have a list. To set one costs O(1)
-   where its step has others, and O(log steps) where not: 2.5 s are 500 steps of 5 ms, however many timers.
-3. A cancelled timer is forgotten at once; its number stays in its step's list until that is due, or until
-   more than half of all numbers are of cancelled ones.
-4. Timers fall due in the order of their steps, within a step in the order in which they were set.
+1. Time advances in steps of `resolution`. A timer expires at the first step at or after its time: never
+   early, and late by less than one step, plus the time until its owner calls `expire`.
+2. All timers of a step are in one list, and a heap holds the steps that have a list. Setting a timer costs
+   O(1) if its step has others, else O(log steps): 2.5 s are 500 steps of 5 ms, however many timers there are.
+3. A cancelled timer is forgotten at once; its id stays in its step's list until the step expires, or until
+   more than half of all ids are of cancelled timers.
+4. Timers expire in the order of their steps, and within a step in the order in which they were set.
 """
 
 from __future__ import annotations
@@ -16,56 +16,63 @@
 from heapq import heapify, heappop, heappush
 from math import ceil, inf
 
-FEWEST = 1024  # numbers of cancelled timers that are not worth a look
-LONGEST = 1e9  # s
+MIN_CANCELLED = 1024  # ids of cancelled timers, above which they may be compacted
+MAX_DELAY_S = 1e9
 
 
-class Wheel:
-    """Timers by number. Times are seconds on the caller's clock."""
+class TimerWheel:
+    """Timers by id. Times are seconds on the caller's clock."""
 
     def __init__(self, resolution: float = 0.005) -> None:
-        """`resolution` in seconds; `ValueError` where it is not above 0."""
+        """Create a wheel.
+
+        Args:
+            resolution: length of a step in seconds.
+
+        Raises:
+            ValueError: the resolution is not above 0.
+        """
         if not resolution > 0.0:
-            raise ValueError(f"a resolution of {resolution} s")
+            raise ValueError(f"a resolution of {resolution} s is not above 0")
         self.resolution = resolution
-        self.tokens: dict[int, int] = {}  # by number: what stands
-        self.steps: dict[int, list[int]] = {}  # numbers of timers by step, cancelled ones among them
-        self.order: list[int] = []  # the steps, as a heap
-        self.cancelled = 0  # numbers in the steps whose timers were cancelled
-        self.number = 0
+        self.tokens: dict[int, int] = {}  # by id, of pending timers
+        self.steps: dict[int, list[int]] = {}  # ids by step, of cancelled timers too
+        self.step_heap: list[int] = []
+        self.cancelled = 0  # ids of cancelled timers in the steps
+        self.last_id = 0
 
     def __len__(self) -> int:
         return len(self.tokens)
 
     def set(self, now: float, at: float, token: int) -> int:
-        """Have `token` fall due at `at`, or at once where that is past; the number is for `cancel`."""
-        at = min(max(at, now), now + LONGEST)
+        """Set a timer that yields `token` at `at`, or at once if that is past; return its id."""
+        at = min(max(at, now), now + MAX_DELAY_S)
         step = ceil(at / self.resolution)
-        if step * self.resolution < at:  # the division was rounded
+        if step * self.resolution < at:  # the quotient was rounded down
             step += 1
-        self.number += 1
-        self.tokens[self.number] = token
-        numbers = self.steps.get(step)
-        if numbers is None:
-            self.steps[step] = [self.number]
-            heappush(self.order, step)
+        self.last_id += 1
+        self.tokens[self.last_id] = token
+        timer_ids = self.steps.get(step)
+        if timer_ids is None:
+            self.steps[step] = [self.last_id]
+            heappush(self.step_heap, step)
         else:
-            numbers.append(self.number)
-        return self.number
+            timer_ids.append(self.last_id)
+        return self.last_id
 
-    def cancel(self, number: int) -> None:
-        """Forget a timer; harmless where it fell due or was cancelled before."""
-        if self.tokens.pop(number, None) is not None:
+    def cancel(self, timer_id: int) -> None:
+        """Cancel a timer; no effect if it has expired or been cancelled."""
+        if self.tokens.pop(timer_id, None) is not None:
             self.cancelled += 1
-            if self.cancelled > FEWEST and self.cancelled > len(self.tokens):
-                self.tidy()
+            if self.cancelled > MIN_CANCELLED and self.cancelled > len(self.tokens):
+                self.compact()
 
-    def due(self, now: float) -> list[int]:
-        """The tokens of all timers that are due, each once."""
+    def expire(self, now: float) -> list[int]:
+        """Remove the expired timers and return their tokens."""
         found: list[int] = []
-        while self.order and self.order[0] * self.resolution <= now:
-            for number in self.steps.pop(heappop(self.order)):
-                token = self.tokens.pop(number, None)
+        while self.step_heap and self.step_heap[0] * self.resolution <= now:
+            for timer_id in self.steps.pop(heappop(self.step_heap)):
+                token = self.tokens.pop(timer_id, None)
                 if token is None:
                     self.cancelled -= 1
                 else:
@@ -73,22 +80,22 @@
         return found
 
     def next_at(self) -> float:
-        """When a timer next falls due; inf where none stands."""
-        while self.order:
-            numbers = self.steps[self.order[0]]
-            while numbers and numbers[-1] not in self.tokens:
-                numbers.pop()
+        """Return when the next timer expires; inf if there is none."""
+        while self.step_heap:
+            timer_ids = self.steps[self.step_heap[0]]
+            while timer_ids and timer_ids[-1] not in self.tokens:
+                timer_ids.pop()
                 self.cancelled -= 1
-            if numbers:
-                return self.order[0] * self.resolution
-            del self.steps[heappop(self.order)]
+            if timer_ids:
+                return self.step_heap[0] * self.resolution
+            del self.steps[heappop(self.step_heap)]
         return inf
 
-    def tidy(self) -> None:
-        """Rid the steps of cancelled timers."""
+    def compact(self) -> None:
+        """Remove the ids of cancelled timers from the steps."""
         steps: dict[int, list[int]] = {}
-        for step, numbers in self.steps.items():
-            if kept := [number for number in numbers if number in self.tokens]:
-                steps[step] = kept
-        self.steps, self.order, self.cancelled = steps, list(steps), 0
-        heapify(self.order)
+        for step, timer_ids in self.steps.items():
+            if pending := [timer_id for timer_id in timer_ids if timer_id in self.tokens]:
+                steps[step] = pending
+        self.steps, self.step_heap, self.cancelled = steps, list(steps), 0
+        heapify(self.step_heap)
