--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -119,14 +119,14 @@
         "firvane/proxy/routing/large_slices.py",
         "in self.rng.sample(servers, len(servers)):",
         "in servers:",
-        "tests/proxy/routing/test_wiring.py::test_proxies_that_hear_no_peer_do_not_go_through_the_list_together",
+        "tests/proxy/routing/test_wiring.py::test_proxies_without_peer_rows_do_not_go_through_the_list_together",
     ),
     Mutant(
         "a cold box has its turn among its equals",
         "firvane/proxy/routing/load_index.py",
         "same = is_recheck and record.usable",
         "same = False and record.usable",
-        "tests/proxy/routing/test_wiring.py::test_a_cold_box_has_its_turn_among_many_where_no_peer_is_heard",
+        "tests/proxy/routing/test_wiring.py::test_cold_servers_get_requests_among_many_without_peer_rows",
     ),
     Mutant(
         "a usual answer is no silence",
--- a/tests/proxy/routing/test_bounded_load.py
+++ b/tests/proxy/routing/test_bounded_load.py
@@ -8,7 +8,7 @@
 from firvane.core.balancing.records import Backend, mix
 from firvane.proxy.routing.bounded_load import MAX_SORTED_SERVERS, MEAN_WALK_LENGTH, walk
 from firvane.proxy.routing.hash_ring import Ring
-from tests.proxy.routing.samples import KEYS, box, fleet, operations
+from tests.proxy.routing.samples import KEYS, count_operations, fleet, make_server
 
 
 def ring_of(servers: list[Backend]) -> Ring:
@@ -50,8 +50,8 @@
 def test_the_cost_of_a_walk_does_not_grow_with_the_slice_and_its_first_step_is_cheap() -> None:
     costs = []
     for count in (100, 1000, 10_000):
-        ring, members = ring_of(servers := [box(n) for n in range(count)]), dict.fromkeys(servers)
+        ring, members = ring_of(servers := [make_server(n) for n in range(count)]), dict.fromkeys(servers)
         ring.settle()
-        assert operations(lambda: next(walk(ring, members, 5, servers[0]))) < 40  # noqa: B023
-        costs.append(max(operations(lambda: list(walk(ring, members, key))) for key in KEYS[:20]))  # noqa: B023
+        assert count_operations(lambda: next(walk(ring, members, 5, servers[0]))) < 40  # noqa: B023
+        costs.append(max(count_operations(lambda: list(walk(ring, members, key))) for key in KEYS[:20]))  # noqa: B023
     assert max(costs) < 1.25 * costs[0]
--- a/tests/proxy/routing/test_load_index.py
+++ b/tests/proxy/routing/test_load_index.py
@@ -11,7 +11,7 @@
 from firvane.core.balancing.records import Backend
 from firvane.proxy.routing.load_index import WEIGHT_UNIT, LoadIndex
 from tests.proxy.net.helpers import seeded
-from tests.proxy.routing.samples import KEYS, box, operations
+from tests.proxy.routing.samples import KEYS, count_operations, make_server
 
 delays = st.sampled_from([0.0, 0.0, 0.0, 0.05, 0.4, inf])
 updates = st.tuples(
@@ -25,7 +25,7 @@
 def test_after_any_history_the_index_equals_a_recomputed_one(
     steps: list[tuple[tuple[int, int, float, float, float, float], str]], kinds: set[int] | None, limit: float
 ) -> None:
-    index, now, servers = LoadIndex(), 100.0, [box(n, kind=n % 3) for n in range(12)]
+    index, now, servers = LoadIndex(), 100.0, [make_server(n, kind=n % 3) for n in range(12)]
     # By server: load, weight, utilization, ready_at, check_at.
     expected: dict[Backend, tuple[int, int, float, float, float]] = {}
 
@@ -74,18 +74,18 @@
 
 
 def test_the_only_server_with_capacity_is_found_whatever_its_load() -> None:
-    index, servers = LoadIndex(), [box(n) for n in range(500)]
+    index, servers = LoadIndex(), [make_server(n) for n in range(500)]
     for n, server in enumerate(servers):
         index.update(server, 0.0, 3 if n != 77 else 90, 4.0, 0.9 if n != 77 else 0.1)
     assert index.least_loaded(0.5, lambda s: True) is servers[77]
     assert index.least_loaded(1.0, lambda s: True) is servers[0]  # of equals the one updated longest ago
     assert index.least_loaded(1.0, lambda s: False) is None
-    assert operations(lambda: index.least_loaded(0.05, lambda s: True)) < 150
+    assert count_operations(lambda: index.least_loaded(0.05, lambda s: True)) < 150
 
 
 def test_a_recheck_without_a_change_keeps_the_place_among_equals() -> None:
     # Guards against a cold server that, rechecked four times a second, is always the last of its equals.
-    index, servers = LoadIndex(), [box(n) for n in range(3)]
+    index, servers = LoadIndex(), [make_server(n) for n in range(3)]
 
     def next_index() -> int:
         found = index.least_loaded(1.0, lambda s: True)
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize("count", [10, 1000, 10_000])
 def test_the_cost_of_a_request_does_not_grow_with_the_slice(count: int) -> None:
     """A send or a response, each with the mean, the least loaded server and an expired time."""
-    index, servers, now, total = LoadIndex(), [box(n) for n in range(count)], 0.01 * count, 0
+    index, servers, now, total = LoadIndex(), [make_server(n) for n in range(count)], 0.01 * count, 0
     for n, server in enumerate(servers):
         index.update(server, 0.0, n % 5, 4.0, 0.1 * (n % 5), check_at=0.01 * n)
     index.least_loaded(1.0, lambda s: True)
@@ -123,7 +123,7 @@
             index.mean()
             index.least_loaded(1.0, lambda s: True)
 
-        cost = operations(request)
+        cost = count_operations(request)
         total += cost
         assert cost < 4000 + 60 * count  # an order is rebuilt once in as many changes
     assert total / 2000 < 900
--- a/tests/proxy/routing/test_row_codec.py
+++ b/tests/proxy/routing/test_row_codec.py
@@ -32,7 +32,7 @@
 )
 from firvane.proxy.routing.server_names import ServerNames, long_name
 from tests.proxy.net.helpers import garbage, seeded
-from tests.proxy.routing.samples import box, fleet, operations
+from tests.proxy.routing.samples import count_operations, fleet, make_server
 
 HEADER = RowHeader(FLAG_ASK_ROWS, 2, 1_700_000_000_123, 70_000, 12.5, 30.0, 31.0, 99.0, 41)
 
@@ -97,7 +97,7 @@
 
 
 def test_servers_with_the_same_name_are_distinguished_and_a_shared_name_is_divided() -> None:
-    sharing, other = [box(1, salt=77), box(2, salt=77)], box(3, salt=78)
+    sharing, other = [make_server(1, salt=77), make_server(2, salt=77)], make_server(3, salt=78)
     assert long_name(sharing[0]) != long_name(sharing[1])
     loads = peer_loads([*sharing, other])
     sharing[0].in_flight, sharing[1].in_flight, other.in_flight = 9, 2, 4
@@ -140,7 +140,7 @@
 @given(st.lists(st.tuples(st.integers(0, 4), st.integers(0, 9), st.integers(0, 3)), max_size=60))
 def test_after_any_history_loads_are_those_of_the_last_rows(steps: list[tuple[int, int, int]]) -> None:
     """Servers and peers come and go; one peer sends rows of version 1."""
-    servers = [box(n, salt=n if n % 4 else 1 << 16) for n in range(10)]
+    servers = [make_server(n, salt=n if n % 4 else 1 << 16) for n in range(10)]
     loads, listed, expected = PeerLoads(), set[Backend](), dict[int, Counter[int]]()
     for step, number, count in steps:
         server, peer = servers[number], number % 3
@@ -176,7 +176,7 @@
     for count in (100, 5000):
         loads = peer_loads(servers := fleet(count))
         row = pack_v2(HEADER, True, [(s.id_hash, 3) for s in servers[:45]], [])
-        costs.append(operations(lambda row=row, loads=loads: loads.apply_row(1, unpack(row, 1.0))))
+        costs.append(count_operations(lambda row=row, loads=loads: loads.apply_row(1, unpack(row, 1.0))))
     assert costs[1] == costs[0] < 45 * 120
 
 
--- a/tests/proxy/routing/test_subset.py
+++ b/tests/proxy/routing/test_subset.py
@@ -19,7 +19,7 @@
     sample_servers,
 )
 from tests.proxy.net.helpers import seeded
-from tests.proxy.routing.samples import KEYS, box, fleet, operations
+from tests.proxy.routing.samples import KEYS, count_operations, fleet, make_server
 
 LIMIT = 128
 
@@ -41,7 +41,9 @@
 def test_every_server_has_a_live_home_in_its_zone_and_all_proxies_assign_alike(
     kinds: list[tuple[int, int]], alive: set[int], seed: int
 ) -> None:
-    servers = [box(n, weight=1.0 + kind, kind=kind, zone=zone) for n, (zone, kind) in enumerate(kinds)]
+    servers = [
+        make_server(n, weight=1.0 + kind, kind=kind, zone=zone) for n, (zone, kind) in enumerate(kinds)
+    ]
     zones, assigner = {number: number % 3 for number in alive}, SliceAssigner(60, 3)
     assignment = SliceAssigner(60, 3).assign(servers, zones)
     for number in range(2):  # whatever was assigned before, in whatever order
@@ -63,7 +65,7 @@
 
 
 def test_heavier_servers_have_more_proxies_where_proxies_outnumber_servers() -> None:
-    servers = [box(n, weight=4.0 if n < 2 else 2.0, zone=0) for n in range(4)]
+    servers = [make_server(n, weight=4.0 if n < 2 else 2.0, zone=0) for n in range(4)]
     assignment = SliceAssigner(12, 1).assign(servers, dict.fromkeys(range(12), 0))
     assert Counter(s.weight for slice_ in assignment.slices.values() for s in slice_) == {4.0: 8, 2.0: 4}
 
@@ -140,6 +142,6 @@
 
 def test_an_assignment_after_one_change_costs_less_than_the_first() -> None:
     servers, zones, assigner = fleet(2000, 3), live(200), SliceAssigner(200, 3)
-    first = operations(lambda: assigner.assign(servers, zones))
-    again = operations(lambda: assigner.assign(servers[1:], zones))
+    first = count_operations(lambda: assigner.assign(servers, zones))
+    again = count_operations(lambda: assigner.assign(servers[1:], zones))
     assert first < 950_000 and again < 350_000  # some 15 ns each
