--- a/firvane/proxy/limits/admission_gate.py
+++ b/firvane/proxy/limits/admission_gate.py
@@ -25,7 +25,7 @@
         self.numbers = {name: i for i, name in enumerate(tenants)}
         self.is_queue_full = is_queue_full
         self.fractions = [0.0] * max(1, len(tenants))
-        # By tenant: sum of the fractions of its requests since its last rejection.
+        # By tenant: sum of the fractions of its requests, less the rejections by them.
         self.accumulated = [0.0] * len(self.fractions)
         self.rejected_by_tenant = [0] * len(self.fractions)  # since the last report
         self.rejects_retries = False  # whether marked retries are rejected
