--- a/firvane/fleet/replication/__init__.py
+++ b/firvane/fleet/replication/__init__.py
@@ -1,4 +1,5 @@
-"""Consensus replication (Raft) of one small state machine; a replica is itself a pure state machine.
+"""Consensus replication (Raft) of a small state machine.
 
-`docs/replication.md` states the protocol and its rules. Nothing here reads a clock, opens a socket or a file.
+A replica is itself a pure state machine: no module here reads a clock or opens a socket or a file.
+`docs/replication.md` specifies the protocol and its rules.
 """
--- a/firvane/fleet/replication/codec.py
+++ b/firvane/fleet/replication/codec.py
@@ -40,10 +40,10 @@
 VERSION = 1
 MAX_BODY_BYTES = 64_000_000
 _ENVELOPE_BYTES = 64  # estimate for a message without entries
-_SNAPSHOT_ENVELOPE_BYTES = 256  # estimate beside the state
-_ENTRY_HEAD_BYTES = 24  # estimate beside the payload
+_SNAPSHOT_ENVELOPE_BYTES = 256  # estimate, without the state
+_ENTRY_HEADER_BYTES = 24  # estimate, without the payload
 _VERSION_BYTE = bytes((VERSION,))
-_HEAD = struct.Struct("<HBQQI")  # group, type, incarnations of receiver and sender, length of the body
+_HEADER = struct.Struct("<HBQQI")  # group, type, incarnations of receiver and sender, length of the body
 _TERM = struct.Struct("<Q")
 _PRE_VOTE = struct.Struct("<QQQ")
 _PRE_VOTE_REPLY = struct.Struct("<QQ?6s")
@@ -51,7 +51,7 @@
 _VOTE_REPLY = struct.Struct("<Q?")
 _APPEND = struct.Struct("<QdQQQ")
 _APPEND_REPLY = struct.Struct("<Qd?QQ?")
-_TIMED = struct.Struct("<Qd")
+_TERM_AND_TIME = struct.Struct("<Qd")
 _READ_REQUEST = struct.Struct("<QQ")
 _READ_REPLY = struct.Struct("<QQQ")
 
@@ -63,7 +63,9 @@
         number, encode = _ENCODERS[type(envelope.message)]
         body = encode(envelope.message)
         parts.append(
-            _HEAD.pack(envelope.group, number, envelope.to_incarnation, envelope.from_incarnation, len(body))
+            _HEADER.pack(
+                envelope.group, number, envelope.to_incarnation, envelope.from_incarnation, len(body)
+            )
         )
         parts.append(body)
     return b"".join(parts)
@@ -73,26 +75,26 @@
     """Estimate the encoded size of an envelope in bytes."""
     message = envelope.message
     if isinstance(message, Append):
-        return _ENVELOPE_BYTES + sum(len(entry.payload) + _ENTRY_HEAD_BYTES for entry in message.entries)
+        return _ENVELOPE_BYTES + sum(len(entry.payload) + _ENTRY_HEADER_BYTES for entry in message.entries)
     if isinstance(message, InstallSnapshot):
         return _SNAPSHOT_ENVELOPE_BYTES + len(message.snapshot.state)
     return _ENVELOPE_BYTES
 
 
 def decode_payload(payload: bytes) -> list[Envelope]:
-    """Decode all envelopes of a payload; `DecodeError` if it is malformed."""
+    """Decode all envelopes of a payload; raises `DecodeError` if it is malformed."""
     if not payload or payload[0] != VERSION:
-        raise DecodeError("not a replication payload of this version")
+        raise DecodeError("empty payload or unsupported payload version")
     envelopes = []
     position = 1
     while position < len(payload):
-        if len(payload) - position < _HEAD.size:
-            raise DecodeError("a head is cut off")
-        group, number, to_incarnation, from_incarnation, length = _HEAD.unpack_from(payload, position)
-        position += _HEAD.size
+        if len(payload) - position < _HEADER.size:
+            raise DecodeError("truncated envelope header")
+        group, number, to_incarnation, from_incarnation, length = _HEADER.unpack_from(payload, position)
+        position += _HEADER.size
         decode = _DECODERS.get(number)
         if decode is None or length > MAX_BODY_BYTES or length > len(payload) - position:
-            raise DecodeError("an unknown type or a body that is cut off")
+            raise DecodeError("unknown message type, or body truncated or too long")
         body = payload[position : position + length]
         position += length
         envelopes.append(Envelope(group, to_incarnation, from_incarnation, _decode_body(decode, body)))
@@ -105,12 +107,12 @@
     except DecodeError:
         raise
     except (struct.error, ValueError, IndexError) as error:
-        raise DecodeError(f"a body that cannot be read: {error}") from error
+        raise DecodeError(f"unreadable message body: {error}") from error
 
 
 def _encode_append(m: Append) -> bytes:
-    head = _APPEND.pack(m.term, m.sent_at, m.previous_index, m.previous_term, m.commit_index)
-    return head + b"".join(map(encode_entry, m.entries)) if m.entries else head
+    header = _APPEND.pack(m.term, m.sent_at, m.previous_index, m.previous_term, m.commit_index)
+    return header + b"".join(map(encode_entry, m.entries)) if m.entries else header
 
 
 def _decode_append(body: bytes) -> Append:
@@ -118,7 +120,7 @@
     entries = decode_entries(body, _APPEND.size) if len(body) > _APPEND.size else ()
     for position, entry in enumerate(entries):
         if entry.index != previous + 1 + position:
-            raise DecodeError("entries that do not follow each other")
+            raise DecodeError("entry indexes are not consecutive")
     return Append(term, sent_at, previous, previous_term, commit, entries)
 
 
@@ -132,12 +134,12 @@
 
 
 def _encode_install(m: InstallSnapshot) -> bytes:
-    return _TIMED.pack(m.term, m.sent_at) + encode_snapshot(m.snapshot)
+    return _TERM_AND_TIME.pack(m.term, m.sent_at) + encode_snapshot(m.snapshot)
 
 
 def _decode_install(body: bytes) -> InstallSnapshot:
-    term, sent_at = _TIMED.unpack_from(body)
-    return InstallSnapshot(term, sent_at, decode_snapshot(body[_TIMED.size :]))
+    term, sent_at = _TERM_AND_TIME.unpack_from(body)
+    return InstallSnapshot(term, sent_at, decode_snapshot(body[_TERM_AND_TIME.size :]))
 
 
 class _MessageCodec(NamedTuple):
@@ -180,9 +182,17 @@
     ),
     _MessageCodec(InstallSnapshot, 7, _encode_install, _decode_install),
     _MessageCodec(TimeoutNow, 8, lambda m: _TERM.pack(m.term), lambda b: TimeoutNow(*_TERM.unpack(b))),
-    _MessageCodec(Beacon, 9, lambda m: _TIMED.pack(m.term, m.sent_at), lambda b: Beacon(*_TIMED.unpack(b))),
     _MessageCodec(
-        BeaconReply, 10, lambda m: _TIMED.pack(m.term, m.echo), lambda b: BeaconReply(*_TIMED.unpack(b))
+        Beacon,
+        9,
+        lambda m: _TERM_AND_TIME.pack(m.term, m.sent_at),
+        lambda b: Beacon(*_TERM_AND_TIME.unpack(b)),
+    ),
+    _MessageCodec(
+        BeaconReply,
+        10,
+        lambda m: _TERM_AND_TIME.pack(m.term, m.echo),
+        lambda b: BeaconReply(*_TERM_AND_TIME.unpack(b)),
     ),
     _MessageCodec(
         ReadRequest,
--- a/firvane/fleet/replication/entry_codec.py
+++ b/firvane/fleet/replication/entry_codec.py
@@ -1,4 +1,4 @@
-"""Codec of log entries and snapshots, the same in messages and on the disk."""
+"""Codec of log entries and snapshots, shared by messages and the journal."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from firvane.fleet.replication.types import Entry, EntryKind, Snapshot
 
 _ENTRY = struct.Struct("<QQBI")  # index, term, kind, length of the payload
-_SNAPSHOT = struct.Struct("<QQQBI")  # index, term, index of the members, length of the members, of the state
+_SNAPSHOT = struct.Struct("<QQQBI")  # index, term, members index, number of members, length of the state
 _KINDS = {int(kind): kind for kind in EntryKind}
 
 
@@ -19,16 +19,16 @@
 
 
 def decode_entries(data: bytes, position: int = 0) -> tuple[Entry, ...]:
-    """Decode all entries from `position` on; `DecodeError` if one is malformed or cut off."""
+    """Decode all entries from `position` on; raises `DecodeError` if one is malformed or truncated."""
     entries = []
     while position < len(data):
         if len(data) - position < _ENTRY.size:
-            raise DecodeError("the head of an entry is cut off")
-        index, term, number, length = _ENTRY.unpack_from(data, position)
+            raise DecodeError("truncated entry header")
+        index, term, kind_number, length = _ENTRY.unpack_from(data, position)
         position += _ENTRY.size
-        kind = _KINDS.get(number)
+        kind = _KINDS.get(kind_number)
         if kind is None or length > len(data) - position:
-            raise DecodeError("an entry of an unknown kind or cut off")
+            raise DecodeError("unknown entry kind or truncated entry")
         payload = data[position : position + length]
         if kind is EntryKind.MEMBERS:
             decode_members(payload)
@@ -40,19 +40,19 @@
 def encode_snapshot(snapshot: Snapshot) -> bytes:
     """Encode a snapshot with its voters and its state."""
     members = encode_members(snapshot.members)
-    head = _SNAPSHOT.pack(
+    header = _SNAPSHOT.pack(
         snapshot.index, snapshot.term, snapshot.members_index, members[0], len(snapshot.state)
     )
-    return head + members[1:] + snapshot.state
+    return header + members[1:] + snapshot.state
 
 
 def decode_snapshot(data: bytes) -> Snapshot:
-    """Decode a snapshot; `DecodeError` if it is malformed."""
+    """Decode a snapshot; raises `DecodeError` if it is malformed."""
     if len(data) < _SNAPSHOT.size:
-        raise DecodeError("a snapshot is cut off")
+        raise DecodeError("truncated snapshot header")
     index, term, members_index, count, length = _SNAPSHOT.unpack_from(data)
     start = _SNAPSHOT.size + MEMBER_SIZE * count
     if len(data) != start + length:
-        raise DecodeError("a snapshot of another length than it says")
+        raise DecodeError("snapshot length does not match its header")
     members = decode_members(bytes((count,)) + data[_SNAPSHOT.size : start])
     return Snapshot(index, term, members_index, members, data[start:])
--- a/firvane/fleet/replication/errors.py
+++ b/firvane/fleet/replication/errors.py
@@ -4,7 +4,7 @@
 
 
 class ReplicationError(Exception):
-    """Base of all errors of this package."""
+    """Base class of this package's errors."""
 
 
 class DecodeError(ReplicationError, ValueError):
@@ -12,7 +12,7 @@
 
 
 class UnsupportedRecordError(DecodeError):
-    """A complete record has a version that this program does not know."""
+    """A complete record has a version that this program does not support."""
 
 
 class ReplicationInvariantError(ReplicationError, RuntimeError):
--- a/firvane/fleet/replication/members_codec.py
+++ b/firvane/fleet/replication/members_codec.py
@@ -1,4 +1,4 @@
-"""Codec of addresses and of lists of voters."""
+"""Codec of addresses and member lists."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @lru_cache(maxsize=256)
 def encode_address(address: Address | None) -> bytes:
-    """Encode four bytes of IPv4 and two of the port; zeros for None."""
+    """Encode an address as four bytes of IPv4 and two of the port; zeros for None."""
     if address is None:
         return NO_ADDRESS
     return bytes(map(int, address[0].split("."))) + address[1].to_bytes(2, "little")
@@ -27,7 +27,7 @@
 
 @lru_cache(maxsize=256)
 def decode_address(data: bytes) -> Address | None:
-    """Decode an address of six bytes; None for zeros."""
+    """Decode an address of six bytes; returns None for zeros."""
     if data == NO_ADDRESS:
         return None
     return ".".join(map(str, data[:4])), int.from_bytes(data[4:6], "little")
@@ -40,13 +40,13 @@
 
 
 def decode_members(data: bytes) -> Members:
-    """Decode a list of members; `DecodeError` if it is malformed."""
+    """Decode a list of members; raises `DecodeError` if it is malformed."""
     if not data or data[0] > MAX_MEMBERS or len(data) != 1 + data[0] * _MEMBER.size:
-        raise DecodeError("not a list of members")
+        raise DecodeError("malformed member list")
     members = []
     for packed, incarnation in _MEMBER.iter_unpack(data[1:]):
         address = decode_address(packed)
         if address is None or incarnation == 0:
-            raise DecodeError("a member without address or incarnation")
+            raise DecodeError("member without an address or incarnation")
         members.append(Member(address, incarnation))
     return tuple(members)
--- a/firvane/fleet/replication/messages.py
+++ b/firvane/fleet/replication/messages.py
@@ -12,7 +12,7 @@
 
 
 class PreVote(Struct):
-    """Ask whether the receiver would vote for the sender in `term`; changes no state at either end."""
+    """A query whether the receiver would vote for the sender in `term`; changes no state at either end."""
 
     term: int
     last_index: int
@@ -20,7 +20,7 @@
 
 
 class PreVoteReply(Struct):
-    """The answer: the voter's own `term`, the `proposed` term it was asked about, and its current leader."""
+    """The reply to `PreVote`: the voter's `term` and leader, and the `proposed` term of the request."""
 
     term: int
     proposed: int
@@ -29,7 +29,7 @@
 
 
 class Vote(Struct):
-    """A request for a vote; `transfer` if the leader of the previous term resigned in the sender's favour."""
+    """A request for a vote; `transfer` if the previous term's leader resigned in the sender's favour."""
 
     term: int
     last_index: int
@@ -38,7 +38,7 @@
 
 
 class VoteReply(Struct):
-    """The answer to `Vote`, sent once the vote is synced."""
+    """The reply to `Vote`, sent once the vote is synced."""
 
     term: int
     granted: bool
@@ -56,14 +56,14 @@
 
 
 class AppendReply(Struct):
-    """The answer to `Append` and `InstallSnapshot`.
+    """The reply to `Append` and `InstallSnapshot`.
 
     If accepted, the log matches the leader's up to `received_index` and is synced up to `synced_index`. If
     rejected, `received_index` is a hint: the leader should resend what follows it.
     """
 
     term: int
-    echo: float  # `sent_at` of the message that is answered
+    echo: float  # `sent_at` of the message that this replies to
     accepted: bool
     received_index: int
     synced_index: int
@@ -71,7 +71,7 @@
 
 
 class InstallSnapshot(Struct):
-    """A snapshot for a replica that lacks entries that the leader has compacted."""
+    """A snapshot for a replica that lacks entries which the leader has compacted."""
 
     term: int
     sent_at: float
@@ -92,21 +92,24 @@
 
 
 class BeaconReply(Struct):
-    """Announces the sender's incarnation (in the envelope), also to a sender that assumed another one."""
+    """Announces the replying replica's incarnation (in the envelope).
+
+    It also replies to a leader's message that was addressed to another incarnation.
+    """
 
     term: int
     echo: float
 
 
 class ReadRequest(Struct):
-    """A follower asks which entry it must have applied before a read is linearizable (read index)."""
+    """A follower's request for the read index: the entry to apply before a read is linearizable."""
 
     term: int
     token: int
 
 
 class ReadReply(Struct):
-    """The answer to `ReadRequest`: the leader's commit index."""
+    """The reply to `ReadRequest`: the leader's commit index."""
 
     term: int
     token: int
@@ -120,7 +123,7 @@
 
 
 class Introduction(Struct):
-    """A replica without a group announces its incarnation to the seed that bootstraps the group."""
+    """A seed without a group announces its incarnation to the seed that bootstraps the group."""
 
     term: int
 
--- a/firvane/fleet/replication/proposals.py
+++ b/firvane/fleet/replication/proposals.py
@@ -1,4 +1,4 @@
-"""Proposals and reads: their outcomes, and those that are pending at a replica."""
+"""Proposals and reads: their results, and those pending at a replica."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
     COMMITTED = "committed"  # committed and applied here; a read now is linearizable
     NOT_OWNER = "not_owner"  # certainly not committed: another replica owns the group
     UNCLEAR = "unclear"  # appended, and may still be committed
-    UNAVAILABLE = "unavailable"  # certainly not committed: there was no owner in time
+    UNAVAILABLE = "unavailable"  # certainly not committed: no owner was available before the deadline
 
 
 class Proposal(Struct, frozen=True):
-    """The answer to a proposal or read: `result` is from `StateMachine.apply`, `owner` the known owner."""
+    """The result of a proposal or read: `result` is from `StateMachine.apply`, `owner` the known owner."""
 
     status: ProposalStatus
     result: bytes = b""
@@ -37,18 +37,18 @@
         """Return a snapshot of the state."""
 
     def load(self, snapshot: bytes) -> None:
-        """Replace the state by a snapshot from `save`, of this or another replica."""
+        """Replace the state with a snapshot from `save` of this or another replica."""
 
 
 class Resolved(Struct, frozen=True):
-    """The answer to the proposal or read with this token."""
+    """The result of the proposal or read with this token."""
 
     token: int
     proposal: Proposal
 
 
 class PendingProposal(Struct):
-    """A proposal without an answer; `index` is 0 until it is appended."""
+    """An unresolved proposal; `index` and `term` are 0 until the command is appended."""
 
     token: int
     payload: bytes
@@ -58,7 +58,7 @@
 
 
 class PendingRead(Struct):
-    """A read without an answer, linearizable once the entry `index` is applied; None: not known yet."""
+    """An unresolved read, linearizable once the read index `index` is applied; None until it is known."""
 
     token: int
     deadline: float
--- a/firvane/fleet/replication/records.py
+++ b/firvane/fleet/replication/records.py
@@ -13,30 +13,30 @@
 VERSION = 1
 _ORIGIN = struct.Struct("<BBB")  # version, type, may bootstrap
 _HARD_STATE = struct.Struct("<BBQQ")  # version, type, term, vote
-_HEAD = struct.Struct("<BB")  # version, type; an entry follows
+_HEADER = struct.Struct("<BB")  # version, type; an entry follows
 _TYPE_ORIGIN = 1
 _TYPE_HARD_STATE = 2
 _TYPE_ENTRY = 3
 
 
 def encode_origin(may_bootstrap: bool) -> bytes:
-    """The first record of a journal: whether its folder was new at the first start of the whole system."""
+    """Encode a journal's first record: whether its folder was created at the system's first start."""
     return _ORIGIN.pack(VERSION, _TYPE_ORIGIN, may_bootstrap)
 
 
 def encode_write(write: Write) -> list[bytes]:
-    """The records of a write, without its snapshot."""
+    """Encode a write as journal records, without its snapshot."""
     records = []
     if write.hard_state is not None:
         state = write.hard_state
         records.append(_HARD_STATE.pack(VERSION, _TYPE_HARD_STATE, state.term, state.vote))
-    head = _HEAD.pack(VERSION, _TYPE_ENTRY)
-    records += [head + encode_entry(entry) for entry in write.entries]
+    header = _HEADER.pack(VERSION, _TYPE_ENTRY)
+    records += [header + encode_entry(entry) for entry in write.entries]
     return records
 
 
 def decode_journal(snapshot: bytes | None, records: Iterable[bytes]) -> Recovered:
-    """The state that a replica recovers from its journal.
+    """Decode the state that a replica recovers from its journal.
 
     Args:
         snapshot: The encoded snapshot of the journal, if it has one.
@@ -51,34 +51,34 @@
     except DecodeError:
         raise
     except (struct.error, ValueError, IndexError) as error:
-        raise DecodeError(f"a record that cannot be read: {error}") from error
+        raise DecodeError(f"unreadable journal record: {error}") from error
 
 
 def _replay(snapshot: Snapshot | None, records: Iterable[bytes]) -> Recovered:
     may_bootstrap = False
     hard_state = HardState()
-    base = snapshot.index if snapshot else 0
+    base_index = snapshot.index if snapshot else 0
     entries: list[Entry] = []
     for record in records:
-        version, kind = _HEAD.unpack_from(record)
+        version, record_type = _HEADER.unpack_from(record)
         if version != VERSION:
-            raise UnsupportedRecordError(f"a record of version {version}")
-        if kind == _TYPE_ORIGIN:
+            raise UnsupportedRecordError(f"unsupported journal record version {version}")
+        if record_type == _TYPE_ORIGIN:
             may_bootstrap = _ORIGIN.unpack(record)[2] == 1
-        elif kind == _TYPE_HARD_STATE:
+        elif record_type == _TYPE_HARD_STATE:
             _, _, term, vote = _HARD_STATE.unpack(record)
             hard_state = HardState(term, vote)
-        elif kind == _TYPE_ENTRY:
-            _replace_tail(entries, base, decode_entries(record, _HEAD.size)[0])
+        elif record_type == _TYPE_ENTRY:
+            _replace_tail(entries, base_index, decode_entries(record, _HEADER.size)[0])
         else:
-            raise DecodeError(f"a record of unknown type {kind}")
+            raise DecodeError(f"unknown journal record type {record_type}")
     return Recovered(may_bootstrap, hard_state, snapshot, tuple(entries))
 
 
-def _replace_tail(entries: list[Entry], base: int, entry: Entry) -> None:
-    """Replace the entry of this index and all that follow it."""
-    position = entry.index - base - 1
+def _replace_tail(entries: list[Entry], base_index: int, entry: Entry) -> None:
+    """Replace the entry at this entry's index and all that follow."""
+    position = entry.index - base_index - 1
     if position < 0 or position > len(entries):
-        raise DecodeError(f"entry {entry.index} leaves a gap")
+        raise DecodeError(f"entries before entry {entry.index} are missing")
     del entries[position:]
     entries.append(entry)
--- a/firvane/fleet/replication/transfer.py
+++ b/firvane/fleet/replication/transfer.py
@@ -6,7 +6,7 @@
 
 
 class TransferStart(enum.Enum):
-    """Whether a leadership transfer has started, or why not."""
+    """Whether a leadership transfer has started, or why it has not."""
 
     STARTED = "started"
     NOT_LEADER = "not_leader"  # this replica does not lead, or has not committed anything in its term
--- a/firvane/fleet/replication/types.py
+++ b/firvane/fleet/replication/types.py
@@ -9,13 +9,13 @@
 from firvane.core.address import Address
 
 NOBODY = 0
-"""The incarnation that no replica has: no vote yet, or a message to any replica at an address."""
+"""A reserved incarnation: no vote cast yet, or a message for whichever replica is at an address."""
 
 
 class Member(Struct, frozen=True):
     """One replica, identified by its address and by the incarnation that its journal stores.
 
-    A machine that restarts with an empty disk draws another incarnation, and is another member.
+    A machine that restarts with an empty disk draws a new incarnation and counts as a new member.
     """
 
     address: Address
@@ -77,18 +77,18 @@
     pre_vote_timeout_max_s: float = 0.150
     vote_timeout_min_s: float = 0.150
     vote_timeout_max_s: float = 0.300
-    introduction_interval_s: float = 0.100  # between two introductions of a seed to the bootstrapping seed
+    introduction_interval_s: float = 0.100  # at which a seed repeats `Introduction` to the bootstrapping seed
     heartbeats_per_beacon: int = 3
     disk_stall_timeout_s: float = 0.300  # a write that is unsynced for longer counts as a disk fault
     transfer_timeout_s: float = 0.500  # a leadership transfer that takes longer is abandoned
     reachable_within_s: float = 0.300  # a replica that replied within this time counts as reachable
-    learner_start_after_s: float = 1.2  # of no reply from a voter before a replacement starts as a learner
-    voter_replace_after_s: float = 2.0  # of no reply from a voter before it is replaced
+    learner_start_after_s: float = 1.2  # without a reply from a voter before a learner starts to replace it
+    voter_replace_after_s: float = 2.0  # without a reply from a voter before it is replaced
     drain_notice_valid_s: float = 1.0  # a drain notice expires unless it is repeated
 
     @property
     def lease_duration_s(self) -> float:
-        """Seconds of a leader's lease, from the sending of the append that a majority acknowledged."""
+        """Length of a leader's lease, counted from when it sent an append that a majority acknowledged."""
         return self.election_timeout_min_s / self.clock_rate_bound
 
 
