--- a/firvane/fleet/replication/records.py
+++ b/firvane/fleet/replication/records.py
@@ -62,7 +62,7 @@
     for record in records:
         version, record_type = _HEADER.unpack_from(record)
         if version != VERSION:
-            raise UnsupportedRecordError(f"unsupported journal record version {version}")
+            raise UnsupportedRecordError(f"a record of version {version}")
         if record_type == _TYPE_ORIGIN:
             may_bootstrap = _ORIGIN.unpack(record)[2] == 1
         elif record_type == _TYPE_HARD_STATE:
