--- a/firvane/fleet/replication/membership_policy.py
+++ b/firvane/fleet/replication/membership_policy.py
@@ -1,17 +1,17 @@
-"""When the voters of a group change: a pure policy over the leader's view.
+"""Decides when the voters of a group change; a pure function of the leader's view of the group.
 
 1. A voter whose address replies with another incarnation has lost its disk: it is removed at once, since it
-   can never vote again. Of two voters it is removed only after a replacement has been added, since a single
-   voter would commit what only one disk has stored.
+   can never vote again. In a group of two it is removed only after a replacement has been added, since a
+   single remaining voter would commit entries that only one disk stores.
 2. A learner that has caught up becomes a voter if the group is smaller than the target size.
 3. A draining voter is replaced while it still runs: the learner is added first.
 4. A voter that is unresponsive beyond the timeout is replaced once a learner has caught up: it is removed
    first, since that does not raise the quorum.
-5. A group larger than the target size loses a voter: an unresponsive one, else a draining one, else any once
-   all are healthy. An additional voter tolerates no more failures, and raises the quorum.
+5. A group larger than the target size removes a voter: an unresponsive one, else a draining one, else any
+   once all are healthy. An additional voter raises the quorum without tolerating more failures.
 6. Without a learner no voter is removed for being unresponsive: a smaller group tolerates fewer failures.
 7. Voters are spread over the failure domains: a replacement comes from the domain with the fewest voters, and
-   while all are healthy a voter of a domain gives way to a spare of one with two voters fewer.
+   while all are healthy, a voter is replaced by a spare whose domain has at least two voters fewer.
 """
 
 from __future__ import annotations
@@ -25,18 +25,18 @@
 from firvane.fleet.replication.types import Member
 
 MAX_VOTERS_TO_ADD_FIRST = 2
-"""A group of so many voters or fewer loses none before another one has been added."""
+"""A group of at most this many voters adds a replacement before it removes a voter."""
 
 
 class ChangeKind(enum.Enum):
-    """The two changes of a group's voters."""
+    """The kinds of membership changes."""
 
     ADD = 1
     REMOVE = 2
 
 
 class Change(Struct, frozen=True):
-    """One membership change, to be made through the group's log."""
+    """One membership change, to be appended to the group's log."""
 
     kind: ChangeKind
     member: Member
@@ -63,7 +63,7 @@
     """Decides on membership changes.
 
     Attributes:
-        target_size: The wanted number of voters.
+        target_size: The intended number of voters.
         learner_start_after_s: Seconds without a reply after which a voter is suspect and a learner starts.
         voter_replace_after_s: Seconds without a reply after which a voter is replaced.
         healthy_within_s: Seconds since the last reply within which a voter is healthy.
@@ -77,27 +77,27 @@
     domain_of: DomainOf = one_domain_per_address
 
     def wanted_learners(self, voters: Sequence[VoterView], spares: Sequence[Member]) -> list[Member]:
-        """The controllers outside the group that should be learners; `spares` are in order of preference."""
+        """Return the spares that should be learners; `spares` are in order of preference."""
         suspects = [voter for voter in voters if self._is_suspect(voter)]
-        missing = max(0, self.target_size - len(voters)) + len(suspects)
-        spread = Spread(self.domain_of, self._healthy(voters))
-        if not missing:
-            better = spread.least_crowded(spares)
-            return [better] if better and spread.improves(better) else []
+        needed = max(0, self.target_size - len(voters)) + len(suspects)
+        spread = Spread(self.domain_of, self._healthy_members(voters))
+        if not needed:
+            preferred = spread.least_crowded(spares)
+            return [preferred] if preferred and spread.improves(preferred) else []
         superseded_addresses = {voter.member.address for voter in voters if voter.superseded}
-        wanted = [spare for spare in spares if spare.address in superseded_addresses][:missing]
+        wanted = [spare for spare in spares if spare.address in superseded_addresses][:needed]
         remaining = [spare for spare in spares if spare.address not in superseded_addresses]
         for spare in wanted:
             spread.add(spare)
-        while len(wanted) < missing and (best := spread.least_crowded(remaining)):
+        while len(wanted) < needed and (best := spread.least_crowded(remaining)):
             wanted.append(best)
             remaining.remove(best)
             spread.add(best)
         return wanted
 
     def decide(self, voters: Sequence[VoterView], learners: Sequence[LearnerView]) -> Change | None:
-        """The next change; None if none is due."""
-        spread = Spread(self.domain_of, self._healthy(voters))
+        """Return the next membership change; None if none is due."""
+        spread = Spread(self.domain_of, self._healthy_members(voters))
         ready = spread.least_crowded([learner.member for learner in learners if learner.caught_up])
         others = [voter for voter in voters if not voter.is_leader]
         superseded = next((voter for voter in others if voter.superseded), None)
@@ -136,11 +136,13 @@
             return Change(ChangeKind.REMOVE, (unresponsive or draining)[0].member)
         if max(voter.unresponsive_for_s for voter in others) > self.healthy_within_s:
             return None
-        spread = Spread(self.domain_of, self._healthy(voters))
-        surplus = max(others, key=lambda voter: (spread.count_beside(voter.member), voter.unresponsive_for_s))
+        spread = Spread(self.domain_of, self._healthy_members(voters))
+        surplus = max(
+            others, key=lambda voter: (spread.voters_in_domain_of(voter.member), voter.unresponsive_for_s)
+        )
         return Change(ChangeKind.REMOVE, surplus.member)
 
-    def _healthy(self, voters: Sequence[VoterView]) -> list[Member]:
+    def _healthy_members(self, voters: Sequence[VoterView]) -> list[Member]:
         return [voter.member for voter in voters if not self._is_suspect(voter)]
 
     def _is_suspect(self, voter: VoterView) -> bool:
--- a/firvane/fleet/replication/reads.py
+++ b/firvane/fleet/replication/reads.py
@@ -1,4 +1,7 @@
-"""Linearizable reads at the leader: answered at once under the lease, else once a majority has replied."""
+"""Linearizable reads at the leader: answered at once under the lease, else once a majority has replied.
+
+The answer to a read is its read index (Raft): the commit index of the leader.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
         self._pending: list[_PendingRead] = []
 
     def add(self, token: int, requester: Member | None, now: float) -> None:
-        """Add a read; `requester` is None for this replica itself."""
+        """Add a read; `requester` is None if this replica requested it. Drops it if too many are pending."""
         if len(self._pending) < MAX_PENDING_READS:
             self._pending.append(_PendingRead(token, now, requester))
 
@@ -35,7 +38,7 @@
         return bool(self._pending)
 
     def answer(self, confirmed_at: float, lease_until: float, now: float) -> None:
-        """Answer each read that the lease covers, or that was requested before `confirmed_at`."""
+        """Answer all reads if the lease is valid, else those requested no later than `confirmed_at`."""
         still_pending = []
         for read in self._pending:
             if now < lease_until or read.requested_at <= confirmed_at:
--- a/firvane/fleet/replication/status.py
+++ b/firvane/fleet/replication/status.py
@@ -16,7 +16,7 @@
 
     member: Member
     is_voter: bool
-    synced_index: int | None = None  # matches the leader's log and is synced up to here
+    synced_index: int | None = None  # the log matches the leader's and is synced up to this index
     unresponsive_for_s: float | None = None
     disk_fault: bool = False
     superseded: bool = False  # another incarnation has replied from its address
@@ -42,7 +42,7 @@
     replica = group.replica
     core = replica.core
     leadership = replica.leadership
-    replicas = _seen_by_leader(leadership, now) if leadership else _named_by_log(group)
+    replicas = _peers_of_leader(leadership, now) if leadership else _other_voters(group)
     own = ReplicaStatus(
         replica.identity, replica.is_voter, core.writes.synced_index, 0.0, core.disk_fault(now)
     )
@@ -59,7 +59,7 @@
     )
 
 
-def _seen_by_leader(leadership: Leadership, now: float) -> list[ReplicaStatus]:
+def _peers_of_leader(leadership: Leadership, now: float) -> list[ReplicaStatus]:
     return [
         ReplicaStatus(
             peer.member,
@@ -74,6 +74,6 @@
     ]
 
 
-def _named_by_log(group: ReplicatedGroup) -> list[ReplicaStatus]:
+def _other_voters(group: ReplicatedGroup) -> list[ReplicaStatus]:
     own = group.replica.identity
     return [ReplicaStatus(member, True) for member in group.replica.core.log.members if member != own]
