--- a/firvane/fleet/replication/candidacy.py
+++ b/firvane/fleet/replication/candidacy.py
@@ -17,7 +17,7 @@
 
 
 class Candidacy:
-    """One attempt to be elected; it is abandoned at `deadline`."""
+    """One attempt to be elected, abandoned at `deadline`."""
 
     def __init__(self, core: Core, phase: Phase, transfer: bool, now: float) -> None:
         self.core = core
@@ -58,7 +58,7 @@
 
     @property
     def won(self) -> bool:
-        """Whether a majority of the voters has granted it, this replica's own synced vote included."""
+        """Whether a majority of the voters has granted the vote, including this replica's own synced vote."""
         votes = sum(member.incarnation in self.granted for member in self.core.log.members)
-        own = self.core.identity.incarnation in self.granted
-        return own and votes >= self.core.quorum
+        has_own_vote = self.core.identity.incarnation in self.granted
+        return has_own_vote and votes >= self.core.quorum
--- a/firvane/fleet/replication/core.py
+++ b/firvane/fleet/replication/core.py
@@ -22,7 +22,7 @@
     quorum_of,
 )
 
-MAX_MESSAGES_AWAITING_SYNC = 256  # the oldest are dropped, as the network might
+MAX_MESSAGES_AWAITING_SYNC = 256  # beyond it the oldest are dropped; the protocol tolerates lost messages
 
 
 class Write(Struct):
@@ -47,7 +47,7 @@
 
 
 class LogEvent(NamedTuple):
-    """An event for the log, with its fields."""
+    """A structured log event: its name and fields."""
 
     name: str
     fields: dict[str, object]
@@ -60,7 +60,7 @@
     messages: list[Outgoing] = field(default_factory=list)
     reads: list[ReadReady] = field(default_factory=list)
     events: list[LogEvent] = field(default_factory=list)
-    installed: Snapshot | None = None  # must be loaded by the state machine before anything else
+    installed: Snapshot | None = None  # the state machine must load it before other outputs are handled
 
 
 class Recovered(Struct, frozen=True):
@@ -76,12 +76,12 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether this disk never stored a term, a vote or an entry: no message can have depended on it."""
+        """Whether the disk stores no term, vote or entry, so that no earlier message depended on it."""
         return not (self.entries or self.snapshot or self.hard_state.term)
 
 
 class Core:
-    """Identity, hard state, log, commit index and outputs; takes no decisions of the protocol."""
+    """Identity, hard state, log, commit index and outputs; makes no protocol decisions."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
     ) -> None:
         self.identity = identity
         self.timing = timing
-        self.uniform = uniform  # a random number between two bounds
+        self.uniform = uniform  # returns a random number between two bounds
         self.may_bootstrap = recovered.may_bootstrap
         self.hard_state = recovered.hard_state
         self.log = ReplicatedLog(recovered.snapshot, recovered.entries)
@@ -101,9 +101,9 @@
         self.writes = WriteTracker()
         self.disk_rejects_writes = False  # whether the last write failed
         self.outputs = Outputs()
-        self._awaiting_sync: list[tuple[int, Outgoing]] = []  # with the write that each waits for
+        self._awaiting_sync: list[tuple[int, Outgoing]] = []  # each with the sequence number it awaits
         self._written_hard_state = recovered.hard_state
-        self.persist(now)  # an empty write: once it is confirmed, the recovered state is synced
+        self.persist(now)  # an empty write: its confirmation proves that the recovered state is synced
 
     # State
 
@@ -118,23 +118,23 @@
         return quorum_of(len(self.log.members))
 
     def is_voter(self, incarnation: int) -> bool:
-        """Whether the log names a replica as a voter."""
+        """Whether the log names the replica with this incarnation as a voter."""
         return any(member.incarnation == incarnation for member in self.log.members)
 
     @property
-    def is_own_voter(self) -> bool:
+    def self_is_voter(self) -> bool:
         """Whether the log names this replica as a voter."""
         return self.is_voter(self.identity.incarnation)
 
-    def up_to_date(self, last_index: int, last_term: int) -> bool:
+    def is_up_to_date(self, last_index: int, last_term: int) -> bool:
         """Whether a log with this end is at least as up to date as this one (Raft, 5.4.1)."""
         return (last_term, last_index) >= (self.log.last_term, self.log.last_index)
 
     def disk_fault(self, now: float) -> bool:
-        """Whether the own disk rejects writes, or has left one unsynced beyond the stall timeout."""
-        since = self.writes.pending_since()
+        """Whether this replica's disk rejects writes, or has not synced one within the stall timeout."""
+        oldest_pending_at = self.writes.pending_since()
         return self.disk_rejects_writes or (
-            since is not None and now - since > self.timing.disk_stall_timeout_s
+            oldest_pending_at is not None and now - oldest_pending_at > self.timing.disk_stall_timeout_s
         )
 
     # Writing
@@ -149,7 +149,7 @@
         return sequence
 
     def adopt(self, term: int, vote: int, now: float) -> None:
-        """Adopt a term with a vote in it, and persist both."""
+        """Adopt a term and this replica's vote in it, and persist both."""
         self.hard_state = HardState(term, vote)
         self.persist(now)
 
@@ -161,18 +161,18 @@
     # Sending
 
     def send(self, to: Member, message: Message) -> None:
-        """Send once the current term and vote are synced, which they usually are already."""
+        """Send a message once the current term and vote are synced: at once if they are already."""
         if self.writes.synced_hard_state == self.hard_state:
             self.outputs.messages.append(Outgoing(to, message))
         else:
             self.send_when_synced(to, message)
 
     def send_to_address(self, address: Address, message: Message) -> None:
-        """Send to any replica at an address."""
+        """Send a message to whichever replica is at an address."""
         self.send(Member(address, NOBODY), message)
 
     def send_when_synced(self, to: Member, message: Message) -> None:
-        """Send once all writes issued so far are synced."""
+        """Send a message once all writes issued so far are synced."""
         if self.writes.synced_sequence >= self.writes.sequence:
             self.outputs.messages.append(Outgoing(to, message))
             return
@@ -180,7 +180,7 @@
         del self._awaiting_sync[:-MAX_MESSAGES_AWAITING_SYNC]
 
     def confirm(self, sequence: int, now: float) -> None:
-        """The disk has synced all writes up to `sequence`."""
+        """Record that all writes up to `sequence` are synced, and send the messages that awaited them."""
         self.disk_rejects_writes = False
         self.writes.confirm(sequence, now)
         if self._awaiting_sync:
--- a/firvane/fleet/replication/durability.py
+++ b/firvane/fleet/replication/durability.py
@@ -1,4 +1,4 @@
-"""Which of a replica's writes are synced to its disk, and how long the oldest unsynced one has waited."""
+"""Tracks which of a replica's writes are synced, and how long the oldest unsynced write has waited."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 class WriteTracker:
     """Numbers the writes of one replica; the driver syncs them in order and confirms each number.
 
-    State recovered at a start counts as unsynced until the first write is confirmed: a killed process may
-    have left bytes that are only in the page cache.
+    State recovered at a start counts as unsynced until the first write is confirmed: the previous process may
+    have been killed with bytes that are only in the page cache.
     """
 
     def __init__(self) -> None:
         self.sequence = 0
         self.synced_sequence = 0
-        self.synced_index = 0  # the last entry of the current log that is synced
+        self.synced_index = 0  # the index of the last synced entry of the current log
         self.synced_hard_state = HardState()
         self._pending: deque[_PendingWrite] = deque()
 
@@ -36,8 +36,8 @@
         self._pending.append(_PendingWrite(self.sequence, now, last_index, hard_state))
         return self.sequence
 
-    def truncated_from(self, index: int) -> None:
-        """The entries from `index` on are replaced: earlier writes of them no longer count as synced."""
+    def mark_unsynced_from(self, index: int) -> None:
+        """Count the entries from `index` on as unsynced, since they are about to be replaced."""
         self.synced_index = min(self.synced_index, index - 1)
         for write in self._pending:
             write.last_index = min(write.last_index, index - 1)
@@ -49,7 +49,7 @@
             self.synced_sequence = write.sequence
             self.synced_index = write.last_index
             self.synced_hard_state = write.hard_state
-        if self._pending:  # the disk made progress: the next write's wait counts from now
+        if self._pending:  # the disk made progress, so the next write's wait counts from now
             self._pending[0].issued_at = max(self._pending[0].issued_at, now)
 
     def pending_since(self) -> float | None:
--- a/firvane/fleet/replication/follower.py
+++ b/firvane/fleet/replication/follower.py
@@ -9,23 +9,23 @@
 
 
 class Follower:
-    """Replication from one leader in one term; each leader gets its own object."""
+    """Replication from one leader in one term; another leader or term gets a new object."""
 
     def __init__(self, core: Core, leader: Member) -> None:
         self.core = core
         self.leader = leader
         self.last_append_at = float("-inf")  # monotonic seconds of the last append, heartbeat or snapshot
-        self._matched_index = 0  # the log is known to match the leader's up to here
-        self._pending_echo: float | None = None  # of an acknowledgement that waits for the disk
-        self._pending_write = 0  # the sequence number that it waits for
+        self._matched_index = 0  # the log is known to match the leader's up to this index
+        self._pending_echo: float | None = None  # the echo of an acknowledgement that awaits a sync
+        self._pending_write = 0  # the sequence number of the write that the acknowledgement awaits
 
     def on_append(self, message: Append, now: float) -> None:
-        """Append the entries, or reject them with a hint where the leader should resume."""
+        """Append the entries, or reject them with a hint from which index the leader should resend."""
         self.last_append_at = now
         log = self.core.log
         entries = message.entries
         previous = message.previous_index
-        if previous < log.base_index:  # committed and compacted here, so it matches
+        if previous < log.base_index:  # committed and compacted, so the previous entry matches
             entries = entries[log.base_index - previous :]
             previous = log.base_index
         elif previous > log.last_index:
@@ -35,21 +35,21 @@
             self._reject(message.sent_at, min(self.core.commit_index, previous - 1), now)
             return
         self._append_new(entries, now)
-        end = message.previous_index + len(message.entries)
-        self._matched_index = max(self._matched_index, end)
-        self.core.commit_index = max(self.core.commit_index, min(message.commit_index, end))
+        end_index = message.previous_index + len(message.entries)
+        self._matched_index = max(self._matched_index, end_index)
+        self.core.commit_index = max(self.core.commit_index, min(message.commit_index, end_index))
         if entries:
             self._acknowledge_when_synced(message.sent_at, now)
         else:
             self._acknowledge(message.sent_at, now)
 
     def on_snapshot(self, message: InstallSnapshot, now: float) -> None:
-        """Replace what the snapshot covers, unless more is committed already."""
+        """Replace the entries that the snapshot covers, unless all of them are committed here already."""
         self.last_append_at = now
         core = self.core
         snapshot = message.snapshot
         if snapshot.index > core.commit_index:
-            core.writes.truncated_from(core.log.base_index + 1)
+            core.writes.mark_unsynced_from(core.log.base_index + 1)
             core.log.install(snapshot)
             core.commit_index = snapshot.index
             core.persist(now, core.log.after(snapshot.index), snapshot)
@@ -58,25 +58,25 @@
         self._acknowledge_when_synced(message.sent_at, now)
 
     def on_synced(self, now: float) -> None:
-        """Send the acknowledgement that waits for the disk, if its write is synced."""
+        """Send the pending acknowledgement, if the write that it awaits is synced."""
         if self._pending_echo is not None and self.core.writes.synced_sequence >= self._pending_write:
             self._acknowledge(self._pending_echo, now)
 
     def _append_new(self, entries: tuple[Entry, ...], now: float) -> None:
         log = self.core.log
-        known = 0
-        while known < len(entries) and log.term_at(entries[known].index) == entries[known].term:
-            known += 1
-        fresh = entries[known:]
-        if not fresh:
+        matching = 0
+        while matching < len(entries) and log.term_at(entries[matching].index) == entries[matching].term:
+            matching += 1
+        new_entries = entries[matching:]
+        if not new_entries:
             return
-        first = fresh[0].index
-        if first <= log.last_index:
-            if first <= self.core.commit_index:
-                raise ReplicationInvariantError(f"entry {first} is committed and would be replaced")
-            self.core.writes.truncated_from(first)
-            log.truncate_from(first)
-        self.core.append(fresh, now)
+        first_index = new_entries[0].index
+        if first_index <= log.last_index:
+            if first_index <= self.core.commit_index:
+                raise ReplicationInvariantError(f"leader would replace the committed entry {first_index}")
+            self.core.writes.mark_unsynced_from(first_index)
+            log.truncate_from(first_index)
+        self.core.append(new_entries, now)
 
     def _acknowledge_when_synced(self, echo: float, now: float) -> None:
         writes = self.core.writes
--- a/firvane/fleet/replication/freshness.py
+++ b/firvane/fleet/replication/freshness.py
@@ -1,7 +1,7 @@
-"""A bound on the staleness of a replica's state, by a linearizable read that is repeated periodically.
+"""A bound on the staleness of a replica's state, from a linearizable read that is repeated periodically.
 
-When such a read completes, the applied state is known to contain all that was committed when the read began.
-Neither another machine's clock nor the latency of messages enters the bound.
+When such a read completes, the applied state contains every entry that was committed when the read started.
+The bound depends neither on other machines' clocks nor on message latency.
 """
 
 from __future__ import annotations
@@ -13,25 +13,28 @@
 from firvane.fleet.replication.replica import Replica
 
 FRESHNESS_READ_INTERVAL_S = 0.3
-READ_TIMEOUT_S = 0.4  # then a new read replaces it
-REPLICATING_WITHIN_S = 1.0  # since the last append; then a replica counts as outside the group
+READ_TIMEOUT_S = 0.4  # of a pending read; after it a new read replaces the pending one
+REPLICATING_WITHIN_S = 1.0  # since the last append; after it a replica counts as outside the group
 
 
-class _Read(Struct):
+class _PendingRead(Struct):
     token: int
-    begun_at: float
-    index: int | None = None  # must be applied; None until the leader has answered
+    started_at: float
+    index: int | None = None  # the read index, which must be applied; None until the leader has replied
 
 
 class FreshnessTracker:
-    """The last proof of contact with a majority. Times are monotonic seconds of this machine."""
+    """Tracks contact with a majority and the age of the applied state.
+
+    Times are monotonic seconds of this machine.
+    """
 
     def __init__(self, replica: Replica, new_token: Callable[[], int]) -> None:
         self._replica = replica
         self._new_token = new_token
-        self._quorum_reached_at = float("-inf")  # a leader with a quorum has answered
-        self._current_at = float("-inf")  # and all that it had committed is applied
-        self._read: _Read | None = None
+        self._quorum_reached_at = float("-inf")  # start of the last read that a leader with a quorum answered
+        self._current_at = float("-inf")  # start of the last read whose read index is applied
+        self._read: _PendingRead | None = None
         self._next_read_at = float("-inf")
 
     def quorum_reached_at(self, now: float) -> float:
@@ -40,7 +43,7 @@
 
     def current_at(self, applied_index: int, now: float) -> float:
         """When the applied state was last known to contain every committed entry; -inf if never."""
-        if applied_index < self._replica.commit_index:  # a leader, too, may have more to apply
+        if applied_index < self._replica.commit_index:  # a leader, too, may lag behind its commit index
             return self._current_at
         return max(self._current_at, self._replica.confirmed_at(now))
 
@@ -49,7 +52,7 @@
         return now - self._replica.last_append_at(now) <= REPLICATING_WITHIN_S
 
     def on_read_ready(self, token: int, index: int) -> bool:
-        """Take the answer to a read; returns whether the read was begun by this object."""
+        """Record the read index of a read; returns whether this tracker started that read."""
         read = self._read
         if read is None or read.token != token:
             return False
@@ -57,24 +60,24 @@
         return True
 
     def advance(self, applied_index: int, now: float) -> None:
-        """Complete the current read if it can be, or begin one that is due.
+        """Complete the pending read if its read index is applied, or start a read that is due.
 
-        A replica outside the group applies nothing: its read completes with the answer.
+        A replica outside the group applies no entries: its read completes once the leader has replied.
         """
         read = self._read
         if read is not None and read.index is not None:
-            self._quorum_reached_at = max(self._quorum_reached_at, read.begun_at)
+            self._quorum_reached_at = max(self._quorum_reached_at, read.started_at)
             if applied_index >= read.index:
-                self._current_at = max(self._current_at, read.begun_at)
+                self._current_at = max(self._current_at, read.started_at)
             if applied_index >= read.index or not self.is_replicating(now):
                 self._read = None
         elif now >= self._next_read_at and self._replica.leader is not None:
-            self._begin(now)
+            self._start_read(now)
 
-    def _begin(self, now: float) -> None:
-        if self._replica.leadership is not None:  # its followers' acknowledgements prove the same
+    def _start_read(self, now: float) -> None:
+        if self._replica.leadership is not None:  # acknowledgements of the followers replace the reads
             self._read = None
             return
         self._next_read_at = now + (FRESHNESS_READ_INTERVAL_S if self._read is None else READ_TIMEOUT_S)
-        self._read = _Read(self._new_token(), now)
+        self._read = _PendingRead(self._new_token(), now)
         self._replica.read(self._read.token, now)
--- a/firvane/fleet/replication/group.py
+++ b/firvane/fleet/replication/group.py
@@ -1,10 +1,10 @@
-"""A replica with its state machine: applies committed entries and answers proposals and reads.
+"""A replica with its state machine: applies committed entries, and resolves proposals and reads.
 
 Invariants:
 
-1. A proposal is appended at most once; it is COMMITTED only when its own entry, of its own term, is applied.
-2. NOT_OWNER and UNAVAILABLE are only answered to proposals that were never appended, or whose index another
-   committed entry has.
+1. A proposal is appended at most once; it is COMMITTED only when the entry applied at its index has its term.
+2. NOT_OWNER and UNAVAILABLE are reported only for proposals that were never appended, or whose index was
+   taken by another committed entry.
 3. Ownership is reported once every earlier committed entry is applied, and withdrawn when leadership ends.
 """
 
@@ -32,12 +32,12 @@
 from firvane.fleet.replication.transfer import TransferStart
 from firvane.fleet.replication.types import EntryKind, Member
 
-COMPACTION_BYTES = 1_000_000  # applied since the last snapshot; twice its size if that is larger
+COMPACTION_BYTES = 1_000_000  # applied since the last snapshot; twice the snapshot's size if that is larger
 COMPACTION_ENTRIES = 64  # applied since the last snapshot: bounds the replay after a restart
 MAX_ENTRIES_PER_APPLY = 8  # so that a lagging replica still processes heartbeats in between
 RETAINED_LOG_BYTES = 200_000  # of entries before a snapshot, for followers that lag slightly
-LOST_LEADERSHIP_GRACE_S = 1.0  # within which an entry may still be found committed
-READ_RETRY_INTERVAL_S = 0.1  # of a follower's request to the leader
+LOST_LEADERSHIP_GRACE_S = 1.0  # after leadership ends, for pending entries to turn out committed
+READ_RETRY_INTERVAL_S = 0.1  # between a follower's read requests to the leader
 
 
 class OwnershipChange(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 class Actions(Struct):
-    """The work of the driver after an input, to be done in the order of the fields."""
+    """The work that an input leaves for the driver, to be done in the order of the fields."""
 
     writes: list[Write] = field(default_factory=list)
     messages: list[Outgoing] = field(default_factory=list)
@@ -58,14 +58,14 @@
 
 
 class Submission(NamedTuple):
-    """The token of a proposal or read, by which it is resolved, and the work of the driver."""
+    """The token of a proposal or read, under which `Actions.resolved` reports its result."""
 
     token: int
     actions: Actions
 
 
 class TransferAttempt(NamedTuple):
-    """Whether a leadership transfer has started, and the work of the driver."""
+    """Whether a leadership transfer has started, with the work for the driver."""
 
     start: TransferStart
     actions: Actions
@@ -74,9 +74,9 @@
 class ReplicatedGroup:
     """One replication group on one controller."""
 
-    def __init__(self, replica: Replica, machine: StateMachine, first_token: int) -> None:
+    def __init__(self, replica: Replica, state_machine: StateMachine, first_token: int) -> None:
         self.replica = replica
-        self.machine = machine
+        self.state_machine = state_machine
         self.applied_index = 0
         self._next_token = first_token
         self.freshness = FreshnessTracker(replica, self._new_token)
@@ -89,20 +89,20 @@
         self._applied_entries = 0
         snapshot = replica.core.log.snapshot
         if snapshot is not None:
-            machine.load(snapshot.state)
+            state_machine.load(snapshot.state)
             self.applied_index = snapshot.index
             self._last_snapshot_size = len(snapshot.state)
 
     # State
 
     def is_owner(self, now: float) -> bool:
-        """Whether this replica holds the lease, and has applied all that was committed before it."""
+        """Whether this replica holds the lease and has applied all entries committed before its term."""
         return bool(self._owned_term) and now < self.replica.lease_until(now)
 
     def has_quorum_contact(self, now: float, max_age_s: float) -> bool:
         """Whether a majority was reached, directly or through the owner, at most `max_age_s` seconds ago.
 
-        If the log is replicated to this controller, all that was committed by then is applied here.
+        On a replica that receives the log, every entry committed by then must also be applied.
         """
         if self.freshness.is_replicating(now):
             proven_at = self.freshness.current_at(self.applied_index, now)
@@ -111,11 +111,11 @@
         return now - proven_at <= max_age_s
 
     def is_current(self, now: float, max_age_s: float) -> bool:
-        """Whether the applied state held every committed entry at most `max_age_s` seconds ago."""
+        """Whether the applied state contained every committed entry at most `max_age_s` seconds ago."""
         return self.freshness.is_replicating(now) and self.has_quorum_contact(now, max_age_s)
 
     def state_age(self, now: float) -> float | None:
-        """Seconds since the applied state was known to hold every committed entry; None if not known."""
+        """Seconds since the applied state last provably contained every committed entry; None if unknown."""
         if not self.freshness.is_replicating(now):
             return None
         age = now - self.freshness.current_at(self.applied_index, now)
@@ -123,11 +123,11 @@
 
     @property
     def owner(self) -> Address | None:
-        """The address of the owner, as far as it is known here."""
+        """The address of the owner; None if this replica does not know it."""
         return self.replica.leader
 
     def unapplied(self) -> list[bytes]:
-        """The commands in the log that are not applied yet, in order; some may never be committed."""
+        """Return the commands in the log that are not applied yet, in order; some may never be committed."""
         log = self.replica.core.log
         indexes = range(self.applied_index + 1, log.last_index + 1)
         entries = (log.entry(index) for index in indexes)
@@ -137,57 +137,57 @@
         """When `tick` is due next."""
         if self.applied_index < self.replica.commit_index:
             return float("-inf")
-        due = self.replica.deadline()
+        due_at = self.replica.deadline()
         for pending in self._queued:
-            due = min(due, pending.deadline)
+            due_at = min(due_at, pending.deadline)
         for pending in self._appended.values():
-            due = min(due, pending.deadline)
+            due_at = min(due_at, pending.deadline)
         for read in self._reads.values():
-            due = min(due, read.deadline, read.retry_at if read.index is None else read.deadline)
-        return due
+            due_at = min(due_at, read.deadline, read.retry_at if read.index is None else read.deadline)
+        return due_at
 
-    # Inputs; each returns the work of the driver
+    # Inputs; each returns the work for the driver
 
     def receive(self, sender: Member, to_incarnation: int, message: Message, now: float) -> Actions:
         """Process a message."""
         self.replica.receive(sender, to_incarnation, message, now)
-        return self._act(now)
+        return self._collect_actions(now)
 
-    def tick(self, candidates: Sequence[Address], now: float) -> Actions:
-        """Perform what is due. `candidates`: the live controllers in order of preference."""
-        self.replica.candidates = candidates
+    def tick(self, live_controllers: Sequence[Address], now: float) -> Actions:
+        """Run the due timers. `live_controllers` are in order of preference as group members."""
+        self.replica.live_controllers = live_controllers
         self.replica.tick(now)
-        return self._act(now)
+        return self._collect_actions(now)
 
     def confirm(self, sequence: int, now: float) -> Actions:
         """Record that the disk has synced all writes up to `sequence`."""
         self.replica.confirm(sequence, now)
-        return self._act(now)
+        return self._collect_actions(now)
 
     def on_disk_error(self, now: float) -> Actions:
-        """Record that a write has failed."""
+        """Record that the disk has rejected a write."""
         self.replica.on_disk_error(now)
-        return self._act(now)
+        return self._collect_actions(now)
 
     def propose(self, payload: bytes, timeout_s: float, now: float) -> Submission:
-        """Propose a command; its answer is resolved by the token."""
+        """Propose a command; `Actions.resolved` reports the result under the returned token."""
         token = self._new_token()
         self._queued.append(PendingProposal(token, payload, now + timeout_s))
-        return Submission(token, self._act(now))
+        return Submission(token, self._collect_actions(now))
 
     def read(self, timeout_s: float, now: float) -> Submission:
-        """Request a linearizable read; its answer is resolved by the token."""
+        """Request a linearizable read; `Actions.resolved` reports the result under the returned token."""
         token = self._new_token()
         self._reads[token] = PendingRead(token, now + timeout_s, now)
-        return Submission(token, self._act(now))
+        return Submission(token, self._collect_actions(now))
 
     def start_draining(self, now: float) -> Actions:
         """Announce that this process is about to stop, and transfer leadership."""
         self.replica.start_draining(now)
-        return self._act(now)
+        return self._collect_actions(now)
 
     def transfer(self, successor: Address | None, now: float) -> TransferAttempt:
-        """Transfer leadership to `successor`, or to any healthy voter if None; stays a member."""
+        """Transfer leadership to `successor`, or to any healthy voter if None; this replica stays a voter."""
         leadership = self.replica.leadership
         if leadership is None:
             return TransferAttempt(TransferStart.NOT_LEADER, Actions())
@@ -196,30 +196,30 @@
             self.replica.core.log_event("leadership_transfer_started", draining=False)
             leadership.start_transfer(now, successor)
             self.replica.tick(now)
-        return TransferAttempt(start, self._act(now))
+        return TransferAttempt(start, self._collect_actions(now))
 
-    # Acting
+    # Collection of the driver's work
 
     def _new_token(self) -> int:
         self._next_token = (self._next_token + 1) % (1 << 64)
         return self._next_token
 
-    def _act(self, now: float) -> Actions:
+    def _collect_actions(self, now: float) -> Actions:
         actions = Actions()
         self._append_queued(now, actions)
         self._request_reads(now, actions)
-        self._collect(self.replica.take_outputs(), actions)
+        self._merge_outputs(self.replica.take_outputs(), actions)
         self._apply(now, actions)
         self._resolve_proposals(now, actions)
         self._resolve_reads(actions)
         self.freshness.advance(self.applied_index, now)
         self._update_ownership(actions)
-        self._collect(self.replica.take_outputs(), actions)
+        self._merge_outputs(self.replica.take_outputs(), actions)
         return actions
 
-    def _collect(self, outputs: Outputs, actions: Actions) -> None:
+    def _merge_outputs(self, outputs: Outputs, actions: Actions) -> None:
         if outputs.installed is not None:
-            self.machine.load(outputs.installed.state)
+            self.state_machine.load(outputs.installed.state)
             self.applied_index = outputs.installed.index
             self._last_snapshot_size = len(outputs.installed.state)
             self._applied_bytes = self._applied_entries = 0
@@ -263,7 +263,7 @@
             self._applied_entries += entry.kind is EntryKind.COMMAND
             result = b""
             if entry.kind is EntryKind.COMMAND:
-                result = self.machine.apply(entry.index, entry.payload)
+                result = self.state_machine.apply(entry.index, entry.payload)
             pending = self._appended.pop(entry.index, None)
             if pending is None:
                 continue
@@ -280,17 +280,20 @@
         if self.replica.core.disk_fault(now):
             return
         self._applied_bytes = self._applied_entries = 0
-        state = self.machine.save()
+        state = self.state_machine.save()
         self._last_snapshot_size = len(state)
         self.replica.compact(self.applied_index, state, RETAINED_LOG_BYTES, now)
 
     def _resolve_proposals(self, now: float, actions: Actions) -> None:
-        """Answer appended proposals that have expired, or whose outcome will not be known soon."""
+        """Resolve as UNCLEAR each appended proposal that expired, or that was not committed in time.
+
+        After leadership ends, a proposal has at most `LOST_LEADERSHIP_GRACE_S` left.
+        """
         if not self._appended:
             return
-        leads = self.replica.leadership is not None
+        is_leader = self.replica.leadership is not None
         for pending in list(self._appended.values()):
-            if not leads or self.replica.term != pending.term:
+            if not is_leader or self.replica.term != pending.term:
                 pending.deadline = min(pending.deadline, now + LOST_LEADERSHIP_GRACE_S)
             if now >= pending.deadline or pending.index <= self.applied_index:
                 del self._appended[pending.index]
@@ -300,8 +303,8 @@
 
     def _request_reads(self, now: float, actions: Actions) -> None:
         for read in list(self._reads.values()):
-            is_outside = not self.freshness.is_replicating(now) and self._other_owner() is not None
-            if now >= read.deadline or is_outside:  # outside the group no entry will be applied
+            is_outside_group = not self.freshness.is_replicating(now) and self._other_owner() is not None
+            if now >= read.deadline or is_outside_group:  # outside the group no entry is applied
                 del self._reads[read.token]
                 self._resolve(actions, read.token, self._rejection())
             elif read.index is None and now >= read.retry_at:
@@ -316,12 +319,12 @@
 
     def _update_ownership(self, actions: Actions) -> None:
         replica = self.replica
-        leads = replica.leadership is not None
-        if self._owned_term and (not leads or self._owned_term != replica.term):
+        is_leader = replica.leadership is not None
+        if self._owned_term and (not is_leader or self._owned_term != replica.term):
             actions.owner_changes.append(OwnershipChange(False, self._owned_term))
             self._owned_term = 0
         has_applied_all = replica.is_ready_leader() and self.applied_index >= replica.commit_index
-        if not self._owned_term and leads and has_applied_all:
+        if not self._owned_term and is_leader and has_applied_all:
             self._owned_term = replica.term
             actions.owner_changes.append(OwnershipChange(True, replica.term))
 
--- a/firvane/fleet/replication/leadership.py
+++ b/firvane/fleet/replication/leadership.py
@@ -15,7 +15,7 @@
 from firvane.fleet.replication.transfer import TransferStart
 from firvane.fleet.replication.types import Entry, EntryKind, Member, quorum_of
 
-MAX_APPEND_BYTES = 1_000_000  # of entries in one message; a single larger entry is sent alone
+MAX_APPEND_BYTES = 1_000_000  # of entries in one message; a larger entry is sent in a message of its own
 MAX_APPENDS_PER_ROUND = 8
 LOGGED_UNACKNOWLEDGED_SNAPSHOTS = (4, 16, 64)  # counts at which a warning is logged
 MIN_HEARTBEAT_GAP_S = 0.010  # between heartbeats for pending reads
@@ -37,18 +37,18 @@
         self._resign_pending = False
         self._requested_successor: Address | None = None  # None: any healthy voter
         self._track_members(now)
-        self.first_index = self._append(EntryKind.NOOP, b"", now)
+        self.noop_index = self._append(EntryKind.NOOP, b"", now)
 
     # State
 
     @property
     def is_ready(self) -> bool:
-        """Whether an entry of this term is committed, so that the commit index is known to be the latest."""
-        return self.core.commit_index >= self.first_index
+        """Whether an entry of this term is committed, so that the commit index covers all earlier terms."""
+        return self.core.commit_index >= self.noop_index
 
     def confirmed_at(self, now: float) -> float:
-        """The latest time (monotonic seconds) at which a majority is known to have followed this leader."""
-        return quorum_value(self._values_of_voters(now, lambda peer: peer.echoed_at), self.core.quorum)
+        """The latest monotonic time at which a majority is known to have followed this leader."""
+        return quorum_value(self._voter_values(now, lambda peer: peer.echoed_at), self.core.quorum)
 
     def lease_until(self, now: float) -> float:
         """The end of the lease: until then no other leader can be elected."""
@@ -56,10 +56,10 @@
 
     def has_lost_quorum(self, now: float) -> bool:
         """Whether no majority has replied for an election timeout."""
-        since = max(self.confirmed_at(now), self.elected_at)
-        return now - since > self.core.timing.election_timeout_max_s
+        quorum_contact_at = max(self.confirmed_at(now), self.elected_at)
+        return now - quorum_contact_at > self.core.timing.election_timeout_max_s
 
-    def transferring(self, now: float) -> bool:
+    def is_transferring(self, now: float) -> bool:
         """Whether a leadership transfer is in progress, so that proposals are not accepted."""
         return self._resign_pending and now < self._transfer_deadline
 
@@ -74,7 +74,13 @@
         return self._append(EntryKind.COMMAND, payload, now)
 
     def read(self, token: int, requester: Member | None, now: float) -> None:
-        """Answer a read with the commit index once it is linearizable; `requester` None: this replica."""
+        """Answer a read with the commit index once it is linearizable.
+
+        Args:
+            token: Identifies the read in its answer.
+            requester: The follower that requested the read; None if this replica did.
+            now: Monotonic seconds.
+        """
         if requester is not None and (peer := self.peers.get(requester.incarnation)):
             self._send_heartbeat(peer, now)
         self.reads.add(token, requester, now)
@@ -83,18 +89,21 @@
             self._send_heartbeats(now)
 
     def start_transfer(self, now: float, successor: Address | None = None) -> None:
-        """Resign in favour of `successor`, or of any healthy voter if None, once its log is complete."""
+        """Start a leadership transfer to `successor`, or to any healthy voter if None.
+
+        This leader resigns once the successor's log is complete.
+        """
         self._resign_pending = True
         self._requested_successor = successor
         self._transfer_deadline = now + self.core.timing.transfer_timeout_s
 
-    def tick(self, candidates: Sequence[Address], now: float) -> None:
-        """Send what is due."""
+    def tick(self, live_controllers: Sequence[Address], now: float) -> None:
+        """Send the heartbeats and beacons that are due, and start learners and membership changes."""
         if now < self.next_heartbeat_at:
             return
-        self.membership.candidates = candidates
+        self.membership.live_controllers = live_controllers
         interval = self.core.timing.heartbeat_interval_s
-        self.next_heartbeat_at = (now // interval + 1) * interval  # aligned for all groups of a process
+        self.next_heartbeat_at = (now // interval + 1) * interval  # the same for all groups of a process
         self._choose_learners(now)
         self._send_heartbeats(now)
         self._heartbeat_count += 1
@@ -104,7 +113,7 @@
         self._change_members(now)
 
     def on_append_reply(self, sender: Member, reply: AppendReply, now: float) -> None:
-        """Record a replica's progress, and send it the entries that it lacks."""
+        """Record a replica's progress, and send the entries that the replica lacks."""
         peer = self.peers.get(sender.incarnation)
         if peer is None:
             return
@@ -123,7 +132,7 @@
             self._change_members(now)
 
     def on_beacon_reply(self, sender: Member, echo: float, now: float) -> None:
-        """Record the incarnation of a controller, if `echo` is recent enough for it to be the current one."""
+        """Record the incarnation of a controller, unless `echo` shows that the reply may be outdated."""
         if now - echo > self.core.timing.reachable_within_s:
             return
         for peer in self.peers.values():
@@ -133,12 +142,12 @@
         self._choose_learners(now)
 
     def on_synced(self, now: float) -> None:
-        """Advance the commit index after a sync of the own disk."""
+        """Advance the commit index after this replica's disk has synced a write."""
         self.advance_commit()
         self._answer_reads(now)
 
     def advance_commit(self) -> None:
-        """Commit the entries of this term that a majority of the voters, this one included, has synced."""
+        """Advance the commit index to the last entry of this term that a majority of voters has synced."""
         core = self.core
         synced = [
             core.writes.synced_index
@@ -151,14 +160,19 @@
             core.commit_index = index
 
     def has_healthy_voter(self, now: float) -> bool:
-        """Whether another voter is healthy and could take over."""
+        """Whether any other voter is healthy, so that leadership can be transferred."""
         return bool(self._healthy_voters(now))
 
     def successor(self, now: float) -> Member | None:
-        """A healthy voter that has synced the whole log; None if there is none."""
-        last = self.core.log.last_index
+        """The eligible successor with the latest reply: a healthy voter that has synced the whole log.
+
+        None if there is none.
+        """
+        log_end = self.core.log.last_index
         eligible = [
-            peer for peer in self._healthy_voters(now) if peer.match_index == last and self._may_succeed(peer)
+            peer
+            for peer in self._healthy_voters(now)
+            if peer.match_index == log_end and self._is_requested_successor(peer)
         ]
         return max(eligible, key=lambda peer: peer.last_reply_at).member if eligible else None
 
@@ -166,17 +180,17 @@
         """Whether a transfer to `successor`, or to any healthy voter if None, can start now."""
         if not self.is_ready:
             return TransferStart.NOT_LEADER
-        if self.transferring(now):
+        if self.is_transferring(now):
             return TransferStart.IN_PROGRESS
-        others = {member.address for member in self.core.log.members if member != self.core.identity}
-        if successor is not None and successor not in others:
+        other_voters = {member.address for member in self.core.log.members if member != self.core.identity}
+        if successor is not None and successor not in other_voters:
             return TransferStart.UNKNOWN_VOTER
-        healthy = {peer.member.address for peer in self._healthy_voters(now)}
-        if not healthy or (successor is not None and successor not in healthy):
+        healthy_addresses = {peer.member.address for peer in self._healthy_voters(now)}
+        if not healthy_addresses or (successor is not None and successor not in healthy_addresses):
             return TransferStart.NO_HEALTHY_VOTER
         return TransferStart.STARTED
 
-    def _may_succeed(self, peer: Progress) -> bool:
+    def _is_requested_successor(self, peer: Progress) -> bool:
         return self._requested_successor in (None, peer.member.address)
 
     def _healthy_voters(self, now: float) -> list[Progress]:
@@ -217,7 +231,7 @@
     def _send_heartbeat(self, peer: Progress, now: float) -> None:
         previous = peer.next_index - 1
         term = self.core.log.term_at(previous)
-        if term is None:  # compacted, therefore committed: it matches every later leader's log
+        if term is None:  # compacted, so committed: the entry is in every later leader's log
             previous, term = self.core.log.base_index, self.core.log.base_term
         self._send_append(peer, previous, term, (), now)
 
@@ -249,7 +263,7 @@
             return
         if (
             now - peer.last_reply_at > self.core.timing.reachable_within_s
-        ):  # probe it before sending a large message
+        ):  # an unresponsive peer gets a heartbeat instead of a large message
             self._send_heartbeat(peer, now)
             return
         self.core.send(peer.member, InstallSnapshot(self.core.term, now, snapshot))
@@ -268,24 +282,24 @@
 
     def _track_members(self, now: float, learners: Sequence[Member] = ()) -> None:
         core = self.core
-        wanted = {member.incarnation: member for member in (*core.log.members, *learners)}
-        wanted.pop(core.identity.incarnation, None)
+        tracked = {member.incarnation: member for member in (*core.log.members, *learners)}
+        tracked.pop(core.identity.incarnation, None)
         self.peers = {
             incarnation: self.peers.get(incarnation) or Progress(member, core.log.last_index + 1, now)
-            for incarnation, member in wanted.items()
+            for incarnation, member in tracked.items()
         }
 
     def _choose_learners(self, now: float) -> None:
-        known = set(self.peers)
+        previous_peers = set(self.peers)
         learners = self.membership.wanted_learners(self.peers, now)
         self._track_members(now, learners)
         for incarnation, peer in self.peers.items():
-            if incarnation not in known:
+            if incarnation not in previous_peers:
                 self._send_heartbeat(peer, now)
 
     def _change_members(self, now: float) -> None:
         core = self.core
-        if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):
+        if not self.is_ready or core.log.members_index > core.commit_index or self.is_transferring(now):
             return
         change = self.membership.next_change(self.peers, now)
         if change is not None:
@@ -308,9 +322,9 @@
         learners = [peer.member for peer in self.peers.values() if peer.member != change.member]
         self._track_members(now, learners)
 
-    def _values_of_voters(self, own: float, value: Callable[[Progress], float]) -> list[float]:
+    def _voter_values(self, own_value: float, value_of: Callable[[Progress], float]) -> list[float]:
         identity = self.core.identity
         return [
-            own if member == identity else value(self.peers[member.incarnation])
+            own_value if member == identity else value_of(self.peers[member.incarnation])
             for member in self.core.log.members
         ]
--- a/firvane/fleet/replication/log.py
+++ b/firvane/fleet/replication/log.py
@@ -1,4 +1,4 @@
-"""The replicated log in memory: a snapshot, the entries after it, and the voters that they name."""
+"""The replicated log in memory: a snapshot, the entries after it, and the voters that the entries name."""
 
 from __future__ import annotations
 
@@ -37,33 +37,33 @@
         self.base_term = snapshot.term if snapshot else 0
         self.size = 0  # bytes of the entries in memory
         self._entries: list[Entry] = []
-        self._members = [MembersAt(snapshot.members_index, snapshot.members)] if snapshot else []
+        self._membership_history = [MembersAt(snapshot.members_index, snapshot.members)] if snapshot else []
         self.append(entries)
 
     @property
     def last_index(self) -> int:
-        """The index of the last entry; that of the snapshot if there is none after it."""
+        """The index of the last entry; that of the snapshot if no entry follows it."""
         return self.base_index + len(self._entries)
 
     @property
     def last_term(self) -> int:
-        """The term of the last entry; that of the snapshot if there is none after it."""
+        """The term of the last entry; that of the snapshot if no entry follows it."""
         return self._entries[-1].term if self._entries else self.base_term
 
     @property
     def members(self) -> Members:
-        """The voters in force: those of the last entry that names any, committed or not."""
-        return self._members[-1].members if self._members else ()
+        """The voters in force: those of the last MEMBERS entry, committed or not."""
+        return self._membership_history[-1].members if self._membership_history else ()
 
     @property
     def members_index(self) -> int:
         """The index of the entry that named the voters in force; 0 if there is none."""
-        return self._members[-1].entry_index if self._members else 0
+        return self._membership_history[-1].entry_index if self._membership_history else 0
 
     def members_at(self, index: int) -> MembersAt:
         """The voters that were in force after the entry `index`, and the entry that named them."""
-        position = bisect_right(self._members, index, key=lambda change: change.entry_index)
-        return self._members[position - 1] if position else NO_MEMBERS
+        position = bisect_right(self._membership_history, index, key=lambda change: change.entry_index)
+        return self._membership_history[position - 1] if position else NO_MEMBERS
 
     def term_at(self, index: int) -> int | None:
         """The term of an entry; None if the entry is compacted or beyond the end."""
@@ -74,11 +74,11 @@
         return None
 
     def entry(self, index: int) -> Entry:
-        """The entry of an index above `base_index`."""
+        """The entry at an index above `base_index`."""
         return self._entries[index - self.base_index - 1]
 
     def entries_from(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `index` on: at least one if there is one, and others up to `max_bytes` of them."""
+        """Entries from `index` on: the first one if it exists, and further ones while `max_bytes` suffice."""
         start = index - self.base_index - 1
         total = 0
         end = start
@@ -90,37 +90,37 @@
         return tuple(self._entries[start:end])
 
     def append(self, entries: Iterable[Entry]) -> None:
-        """Append entries; `ValueError` if one does not follow the last."""
+        """Append entries; raises `ValueError` if their indexes do not continue the log."""
         for entry in entries:
             if entry.index != self.last_index + 1:
-                raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
+                raise ValueError(f"entry {entry.index} does not follow entry {self.last_index}")
             self._entries.append(entry)
             self.size += len(entry.payload) + ENTRY_OVERHEAD
             if entry.kind is EntryKind.MEMBERS:
-                self._members.append(MembersAt(entry.index, decode_members(entry.payload)))
+                self._membership_history.append(MembersAt(entry.index, decode_members(entry.payload)))
 
     def truncate_from(self, index: int) -> None:
         """Remove the entry `index` and all that follow."""
-        keep = index - self.base_index - 1
-        self.size -= sum(len(entry.payload) + ENTRY_OVERHEAD for entry in self._entries[keep:])
-        del self._entries[keep:]
-        while self._members and self._members[-1].entry_index >= index:
-            self._members.pop()
+        keep_count = index - self.base_index - 1
+        self.size -= sum(len(entry.payload) + ENTRY_OVERHEAD for entry in self._entries[keep_count:])
+        del self._entries[keep_count:]
+        while self._membership_history and self._membership_history[-1].entry_index >= index:
+            self._membership_history.pop()
 
     def compact(self, snapshot: Snapshot, keep_bytes: int) -> None:
         """Adopt a snapshot of committed entries; retain up to `keep_bytes` of the entries that it covers."""
         self.snapshot = snapshot
-        drop = snapshot.index - self.base_index
+        drop_count = snapshot.index - self.base_index
         retained_bytes = 0
-        while drop > 0:
-            retained_bytes += len(self._entries[drop - 1].payload) + ENTRY_OVERHEAD
+        while drop_count > 0:
+            retained_bytes += len(self._entries[drop_count - 1].payload) + ENTRY_OVERHEAD
             if retained_bytes > keep_bytes:
                 break
-            drop -= 1
-        if drop > 0:
-            self._drop_first(drop)
-        self._members = [MembersAt(snapshot.members_index, snapshot.members)] + [
-            change for change in self._members if change.entry_index > snapshot.index
+            drop_count -= 1
+        if drop_count > 0:
+            self._drop_first(drop_count)
+        self._membership_history = [MembersAt(snapshot.members_index, snapshot.members)] + [
+            change for change in self._membership_history if change.entry_index > snapshot.index
         ]
 
     def install(self, snapshot: Snapshot) -> None:
--- a/firvane/fleet/replication/membership.py
+++ b/firvane/fleet/replication/membership.py
@@ -1,4 +1,4 @@
-"""The leader's view of replicas that could join the group, and of voters that are draining."""
+"""The leader's view of the spare controllers that could join the group, and of draining voters."""
 
 from __future__ import annotations
 
@@ -19,58 +19,58 @@
 
 
 class Membership:
-    """Controllers outside the group that reply to beacons, and voters that announced their drain."""
+    """Tracks controllers outside the group that reply to beacons, and voters that announced a drain."""
 
     def __init__(self, core: Core, policy: MembershipPolicy) -> None:
         self.core = core
         self.policy = policy
-        self.candidates: Sequence[Address] = ()  # live controllers, in order of preference
+        self.live_controllers: Sequence[Address] = ()  # in order of preference as group members
         self._spares: dict[Address, _Spare] = {}
-        self._draining: dict[int, float] = {}  # by incarnation: when the last notice came
+        self._drain_noticed_at: dict[int, float] = {}  # time of the last drain notice, by incarnation
 
     def on_beacon_reply(self, sender: Member, now: float) -> None:
-        """Record a controller's current incarnation."""
+        """Record the current incarnation of a controller that replied."""
         self._spares[sender.address] = _Spare(sender, now)
 
     def on_drain_notice(self, sender: Member, now: float) -> None:
-        """Record that a voter is about to stop."""
-        self._draining[sender.incarnation] = now
+        """Record that a voter announced its drain."""
+        self._drain_noticed_at[sender.incarnation] = now
 
     def is_draining(self, member: Member, now: float) -> bool:
-        """Whether a recent drain notice of this member exists."""
-        noticed_at = self._draining.get(member.incarnation, float("-inf"))
+        """Whether this member sent a drain notice that has not expired."""
+        noticed_at = self._drain_noticed_at.get(member.incarnation, float("-inf"))
         return now - noticed_at < self.core.timing.drain_notice_valid_s
 
     def beacon_targets(self) -> list[Address]:
-        """The addresses of candidates outside the group."""
+        """The addresses of the live controllers outside the group."""
         voters = {member.address for member in self.core.log.members}
-        return [address for address in self.candidates if address not in voters]
+        return [address for address in self.live_controllers if address not in voters]
 
     def wanted_learners(self, peers: dict[int, Progress], now: float) -> list[Member]:
-        """Spare controllers that should be learners now."""
+        """The spare controllers that should be learners now."""
         return self.policy.wanted_learners(self._voters(peers, now), self._live_spares(now))
 
     def next_change(self, peers: dict[int, Progress], now: float) -> Change | None:
-        """The change of voters that is due; None if there is none."""
+        """The membership change that is due; None if there is none."""
         learners = [
-            LearnerView(peer.member, self._caught_up(peer, now))
+            LearnerView(peer.member, self._has_caught_up(peer, now))
             for peer in peers.values()
             if not self.core.is_voter(peer.member.incarnation) and not self.is_draining(peer.member, now)
         ]
         return self.policy.decide(self._voters(peers, now), learners)
 
     def _live_spares(self, now: float) -> list[Member]:
-        patience = self.core.timing.learner_start_after_s
+        max_reply_age_s = self.core.timing.learner_start_after_s
         voters = {member.incarnation for member in self.core.log.members}
         live = [
             spare.member
             for spare in self._spares.values()
-            if now - spare.last_reply_at < patience
+            if now - spare.last_reply_at < max_reply_age_s
             and spare.member.incarnation not in voters
             and not self.is_draining(spare.member, now)
         ]
-        order = {address: position for position, address in enumerate(self.candidates)}
-        return sorted(live, key=lambda member: order.get(member.address, len(order)))
+        preference = {address: position for position, address in enumerate(self.live_controllers)}
+        return sorted(live, key=lambda member: preference.get(member.address, len(preference)))
 
     def _voters(self, peers: dict[int, Progress], now: float) -> list[VoterView]:
         views = []
@@ -83,6 +83,6 @@
             views.append(VoterView(member, now - peer.last_reply_at, peer.superseded, draining))
         return views
 
-    def _caught_up(self, peer: Progress, now: float) -> bool:
+    def _has_caught_up(self, peer: Progress, now: float) -> bool:
         recent = now - peer.last_reply_at < self.core.timing.reachable_within_s
         return recent and peer.match_index >= self.core.commit_index and not peer.disk_fault
--- a/firvane/fleet/replication/replica.py
+++ b/firvane/fleet/replication/replica.py
@@ -39,7 +39,7 @@
 from firvane.fleet.replication.types import DEFAULT_TIMING, NOBODY, Member, Snapshot, Timing
 from firvane.fleet.replication.voting import Voter
 
-WITHDRAWAL_RETRY_RANGE_S = (0.1, 0.2)  # after yielding to another candidate
+WITHDRAWAL_RETRY_RANGE_S = (0.1, 0.2)  # until the next pre-vote, after yielding to another candidate
 
 
 class Role(enum.Enum):
@@ -82,13 +82,13 @@
             timing.reachable_within_s,
             options.domain_of,
         )
-        abstain = now if recovered.is_empty else now + timing.election_timeout_min_s
-        self.voter = Voter(self.core, abstain)
+        abstain_until = now if recovered.is_empty else now + timing.election_timeout_min_s
+        self.voter = Voter(self.core, abstain_until)
         self.bootstrap = Bootstrap(self.core, options.seeds, now)
         self.role = Role.FOLLOWER
         self.leader: Address | None = None
         self.leadership: Leadership | None = None
-        self.candidates: Sequence[Address] = ()  # live controllers in order of preference, set by the driver
+        self.live_controllers: Sequence[Address] = ()  # in order of preference as members; set by the driver
         self._candidacy: Candidacy | None = None
         self._follower: Follower | None = None
         self._succession = Succession(self.core, now)
@@ -101,7 +101,7 @@
             AppendReply: self._on_append_reply,
             Beacon: self._on_beacon,
             BeaconReply: self._on_beacon_reply,
-            InstallSnapshot: self._on_install,
+            InstallSnapshot: self._on_install_snapshot,
             Introduction: self._on_introduction,
             DrainNotice: self._on_drain_notice,
             PreVote: self._on_pre_vote,
@@ -127,13 +127,13 @@
 
     @property
     def commit_index(self) -> int:
-        """The index of the last entry that is known to be committed."""
+        """The index of the last entry known to be committed."""
         return self.core.commit_index
 
     @property
     def is_voter(self) -> bool:
-        """Whether the own log names this replica as a voter."""
-        return self.core.is_own_voter
+        """Whether this replica's log names it as a voter."""
+        return self.core.self_is_voter
 
     def is_ready_leader(self) -> bool:
         """Whether this replica leads and has committed an entry of its term."""
@@ -146,21 +146,21 @@
         return self.leadership.lease_until(now)
 
     def confirmed_at(self, now: float) -> float:
-        """When a majority last followed this replica as its leader; -inf if it does not lead."""
+        """When a majority last acknowledged this replica as its leader; -inf if it does not lead."""
         if self.leadership is None or not self.leadership.is_ready:
             return float("-inf")
         return self.leadership.confirmed_at(now)
 
     def last_append_at(self, now: float) -> float:
-        """When the leader last sent an append or a snapshot; `now` on the leader itself, -inf if never."""
+        """When the last append or snapshot arrived from the leader; `now` on the leader, -inf if never."""
         if self.leadership is not None:
             return now
         return self._follower.last_append_at if self._follower is not None else float("-inf")
 
     def accepts_proposals(self, now: float) -> bool:
-        """Whether this replica leads, holds the lease and can write, so that it takes proposals."""
+        """Whether this replica accepts proposals: it leads, holds the lease and its disk accepts writes."""
         leadership = self.leadership
-        if leadership is None or leadership.transferring(now) or self.core.disk_fault(now):
+        if leadership is None or leadership.is_transferring(now) or self.core.disk_fault(now):
             return False
         return now < leadership.lease_until(now)
 
@@ -168,12 +168,12 @@
         """When `tick` is due next."""
         if self.leadership is not None:
             return self.leadership.deadline()
-        due = self._candidacy.deadline if self._candidacy else float("inf")
-        if self.core.is_own_voter and not self._candidacy:
-            due = self._election_deadline
+        due_at = self._candidacy.deadline if self._candidacy else float("inf")
+        if self.core.self_is_voter and not self._candidacy:
+            due_at = self._election_deadline
         if self.bootstrap.is_pending:
-            due = min(due, self.bootstrap.next_introduction_at)
-        return min(due, self._succession.deadline())
+            due_at = min(due_at, self.bootstrap.next_introduction_at)
+        return min(due_at, self._succession.deadline())
 
     def take_outputs(self) -> Outputs:
         """Return and clear the results of the inputs since the last call."""
@@ -192,7 +192,7 @@
         self._handlers[type(message)](sender, message, now)
 
     def tick(self, now: float) -> None:
-        """Perform what is due at `now`."""
+        """Run the timers that are due at `now`."""
         if self.leadership is not None:
             self._tick_leader(self.leadership, now)
             return
@@ -202,11 +202,11 @@
         if self._candidacy is not None:
             if now >= self._candidacy.deadline:
                 self._start_pre_vote(now)
-        elif self.core.is_own_voter and now >= self._election_deadline:
+        elif self.core.self_is_voter and now >= self._election_deadline:
             self._start_pre_vote(now)
 
     def confirm(self, sequence: int, now: float) -> None:
-        """The disk has synced all writes up to `sequence`."""
+        """Record that the disk has synced all writes up to `sequence`."""
         self.core.confirm(sequence, now)
         if self.leadership is not None:
             self.leadership.on_synced(now)
@@ -217,32 +217,38 @@
             self._follower.on_synced(now)
 
     def on_disk_error(self, now: float) -> None:
-        """The disk has refused a write; the driver tries it again until it is synced."""
+        """Record that the disk rejected a write; the driver retries the write until it is synced."""
         self.core.disk_rejects_writes = True
         if self.leadership is not None:
             self._tick_leader(self.leadership, now)
 
     def propose(self, payload: bytes, now: float) -> int:
-        """Append a command to the log of this leader; its index. The term is `term`."""
+        """Append a command to this leader's log in the current term; returns its index."""
         assert self.leadership is not None
         return self.leadership.propose(payload, now)
 
     def read(self, token: int, now: float) -> None:
-        """Ask for a linearizable read; `Outputs.reads` tells when, if it can be. Asked again after a loss."""
+        """Request a linearizable read; its read index is added to `Outputs.reads` once known.
+
+        Nothing is reported if no leader is known or a message is lost: the caller retries.
+        """
         if self.leadership is not None:
             self.leadership.read(token, None, now)
         elif self._follower is not None:
             self.core.send(self._follower.leader, ReadRequest(self.term, token))
 
     def start_draining(self, now: float) -> None:
-        """This process is about to stop: pass leadership on, and have a spare controller take its place."""
+        """Announce that this process is about to stop, to transfer leadership and be replaced by a spare."""
         self._succession.draining = True
         if self.leadership is not None:
             self.leadership.start_transfer(now)
             self._tick_leader(self.leadership, now)
 
     def compact(self, index: int, state: bytes, keep_bytes: int, now: float) -> None:
-        """Put a snapshot of the state machine after the committed entry `index` in the place of the log."""
+        """Replace the log up to the committed entry `index` with a snapshot of the state machine.
+
+        Does nothing if `index` is not committed or not in the log any more.
+        """
         log = self.core.log
         term = log.term_at(index)
         if term is None or index > self.core.commit_index:
@@ -261,13 +267,13 @@
             return
         if self._succession.draining or self.core.disk_fault(now):
             self._start_transfer_if_possible(leadership, now)
-        if leadership.transferring(now) and self._try_to_resign(leadership, now):
+        if leadership.is_transferring(now) and self._try_to_resign(leadership, now):
             return
-        leadership.tick(self.candidates, now)
+        leadership.tick(self.live_controllers, now)
         self._step_down_if_removed(now)
 
     def _start_transfer_if_possible(self, leadership: Leadership, now: float) -> None:
-        if not leadership.transferring(now) and leadership.has_healthy_voter(now):
+        if not leadership.is_transferring(now) and leadership.has_healthy_voter(now):
             self.core.log_event("leadership_transfer_started", draining=self._succession.draining)
             leadership.start_transfer(now)
 
@@ -282,7 +288,7 @@
 
     def _step_down_if_removed(self, now: float) -> None:
         core = self.core
-        if not core.is_own_voter and core.commit_index >= core.log.members_index:
+        if not core.self_is_voter and core.commit_index >= core.log.members_index:
             self._step_down("removed", now)
 
     def _step_down(self, reason: str, now: float) -> None:
@@ -365,8 +371,8 @@
         candidacy = self._candidacy
         if candidacy is not None and candidacy.phase is Phase.PRE_VOTE:
             log = self.core.log
-            theirs = (request.last_term, request.last_index, sender.incarnation)
-            if theirs > (log.last_term, log.last_index, self.identity.incarnation):
+            sender_rank = (request.last_term, request.last_index, sender.incarnation)
+            if sender_rank > (log.last_term, log.last_index, self.identity.incarnation):
                 self._withdraw(now)
         self.voter.on_pre_vote(sender, request, self.leader, now)
 
@@ -410,7 +416,7 @@
         else:
             self._follow_leader(sender, message.term, now).on_append(message, now)
 
-    def _on_install(self, sender: Member, message: InstallSnapshot, now: float) -> None:
+    def _on_install_snapshot(self, sender: Member, message: InstallSnapshot, now: float) -> None:
         if message.term >= self.term:
             self._follow_leader(sender, message.term, now).on_snapshot(message, now)
 
@@ -419,7 +425,7 @@
             self._adopt_term(reply.term, now)
         elif self.leadership is not None and reply.term == self.term:
             self.leadership.on_append_reply(sender, reply, now)
-            self._after_leader_input(now)
+            self._resign_if_transferring(now)
 
     def _on_beacon(self, sender: Member, message: Beacon, now: float) -> None:
         if message.term >= self.term:
@@ -442,8 +448,8 @@
             self.leadership.membership.on_drain_notice(sender, now)
 
     def _on_timeout_now(self, sender: Member, message: TimeoutNow, now: float) -> None:
-        follows = self._follower is not None and self._follower.leader == sender
-        if message.term == self.term and follows and self.is_voter and not self.core.disk_fault(now):
+        is_from_leader = self._follower is not None and self._follower.leader == sender
+        if message.term == self.term and is_from_leader and self.is_voter and not self.core.disk_fault(now):
             self._start_candidacy(Phase.VOTE, True, now)
 
     def _on_read_request(self, sender: Member, message: ReadRequest, now: float) -> None:
@@ -454,7 +460,7 @@
         if message.term == self.term:
             self.core.outputs.reads.append(ReadReady(message.token, message.index))
 
-    def _after_leader_input(self, now: float) -> None:
+    def _resign_if_transferring(self, now: float) -> None:
         leadership = self.leadership
-        if leadership is not None and leadership.transferring(now):
+        if leadership is not None and leadership.is_transferring(now):
             self._try_to_resign(leadership, now)
--- a/firvane/fleet/replication/voting.py
+++ b/firvane/fleet/replication/voting.py
@@ -7,11 +7,11 @@
 from firvane.fleet.replication.messages import PreVote, PreVoteReply, Vote, VoteReply
 from firvane.fleet.replication.types import NOBODY, Member
 
-PRE_VOTE_RESERVATION_S = 0.100  # pre-votes go to one candidate alone, against split votes
+PRE_VOTE_RESERVATION_S = 0.100  # for which pre-votes go to one candidate only, to avoid split votes
 
 
 class Voter:
-    """Answers requests for votes.
+    """Replies to pre-vote and vote requests.
 
     `abstain_until`: a restarted replica may have acknowledged a leader's lease in its previous process, and
     must not vote until that lease has expired.
@@ -20,7 +20,7 @@
     def __init__(self, core: Core, abstain_until: float) -> None:
         self.core = core
         self.abstain_until = abstain_until
-        self.leader_seen_at = float("-inf")  # when a leader last sent anything
+        self.leader_seen_at = float("-inf")  # the time of the last message from a leader
         self._reserved_for = NOBODY
         self._reserved_until = float("-inf")
 
@@ -32,7 +32,7 @@
         return now < lease_vote_until
 
     def reserve(self, incarnation: int, now: float) -> bool:
-        """Reserve the next pre-votes for one candidate; returns False if another has the reservation."""
+        """Reserve the next pre-votes for one candidate; returns False if they are reserved for another."""
         if now < self._reserved_until and self._reserved_for != incarnation:
             return False
         self._reserved_for = incarnation
@@ -40,27 +40,27 @@
         return True
 
     def release(self) -> None:
-        """Release the reservation of pre-votes."""
+        """End the reservation of pre-votes."""
         self._reserved_for = NOBODY
         self._reserved_until = float("-inf")
 
     def on_pre_vote(self, sender: Member, request: PreVote, leader: Address | None, now: float) -> None:
-        """Answer whether a vote would be granted."""
+        """Reply whether a vote would be granted."""
         core = self.core
         granted = (
             request.term > core.term
             and not self.follows_leader(now)
             and not core.disk_fault(now)
-            and core.up_to_date(request.last_index, request.last_term)
+            and core.is_up_to_date(request.last_index, request.last_term)
             and self.reserve(sender.incarnation, now)
         )
         core.send(sender, PreVoteReply(core.term, request.term, granted, leader))
 
     def on_vote(self, sender: Member, request: Vote, now: float) -> bool:
-        """Answer a request in the current term, once the vote is synced; returns whether it is granted."""
+        """Reply to a vote request of the current term once the vote is synced; returns whether granted."""
         core = self.core
-        free = core.hard_state.vote in (NOBODY, sender.incarnation)
-        granted = free and core.up_to_date(request.last_index, request.last_term)
+        may_grant = core.hard_state.vote in (NOBODY, sender.incarnation)
+        granted = may_grant and core.is_up_to_date(request.last_index, request.last_term)
         if granted and core.hard_state.vote == NOBODY:
             core.adopt(core.term, sender.incarnation, now)
         core.send_when_synced(sender, VoteReply(core.term, granted))
--- a/tests/fleet/replication/mutants_elections.py
+++ b/tests/fleet/replication/mutants_elections.py
@@ -32,7 +32,11 @@
         "elections",
         range(8),
         0,
-        ("replication.voting", "free = core.hard_state.vote in (NOBODY, sender.incarnation)", "free = True"),
+        (
+            "replication.voting",
+            "may_grant = core.hard_state.vote in (NOBODY, sender.incarnation)",
+            "may_grant = True",
+        ),
     ),
     mutant(
         "vote for any log",
@@ -99,8 +103,8 @@
         0,
         (
             "replication.candidacy",
-            "return own and votes >= self.core.quorum",
-            "return own and votes >= self.core.quorum - 1",
+            "return has_own_vote and votes >= self.core.quorum",
+            "return has_own_vote and votes >= self.core.quorum - 1",
         ),
     ),
     mutant(
@@ -111,13 +115,13 @@
         1,
         (
             "replication.bootstrap",
-            "if not core.may_bootstrap or len(self._known) < len(self.seeds):",
+            "if not core.may_bootstrap or len(self._members_by_seed) < len(self.seeds):",
             "if now < 0:",
         ),
         (
             "replication.bootstrap",
-            "members = [self._known[seed] for seed in self.seeds]",
-            "members = list(self._known.values())",
+            "members = [self._members_by_seed[seed] for seed in self.seeds]",
+            "members = list(self._members_by_seed.values())",
         ),
     ),
 )
@@ -171,8 +175,8 @@
         1,
         (
             "replication.replica",
-            "abstain = now if recovered.is_empty else now + timing.election_timeout_min_s",
-            "abstain = now",
+            "abstain_until = now if recovered.is_empty else now + timing.election_timeout_min_s",
+            "abstain_until = now",
         ),
     ),
     mutant(
@@ -201,7 +205,7 @@
         "power",
         range(8),
         0,
-        ("replication.leadership", "return self.core.commit_index >= self.first_index", "return True"),
+        ("replication.leadership", "return self.core.commit_index >= self.noop_index", "return True"),
     ),
     mutant(
         "successor asks first",
--- a/tests/fleet/replication/mutants_freshness.py
+++ b/tests/fleet/replication/mutants_freshness.py
@@ -25,7 +25,7 @@
         5,
         (
             "replication.freshness",
-            "self._current_at = max(self._current_at, read.begun_at)",
+            "self._current_at = max(self._current_at, read.started_at)",
             "self._current_at = max(self._current_at, now)",
         ),
     ),
@@ -74,8 +74,8 @@
         ),
         (
             "replication.leadership",
-            "return now - since > self.core.timing.election_timeout_max_s",
-            "return now - since > 1e9",
+            "return now - quorum_contact_at > self.core.timing.election_timeout_max_s",
+            "return now - quorum_contact_at > 1e9",
         ),
     ),
 )
--- a/tests/fleet/replication/mutants_log.py
+++ b/tests/fleet/replication/mutants_log.py
@@ -87,8 +87,8 @@
         0,
         (
             "replication.follower",
-            "while known < len(entries) and log.term_at(entries[known].index) == entries[known].term:",
-            "while known < len(entries) and log.term_at(entries[known].index) is not None:",
+            "log.term_at(entries[matching].index) == entries[matching].term:",
+            "log.term_at(entries[matching].index) is not None:",
         ),
     ),
     mutant(
@@ -97,8 +97,8 @@
         "leases",
         range(4),
         2,
-        ("replication.follower", "fresh = entries[known:]", "fresh = entries"),
-        ("replication.follower", "if first <= self.core.commit_index:", "if first <= 0:"),
+        ("replication.follower", "new_entries = entries[matching:]", "new_entries = entries"),
+        ("replication.follower", "if first_index <= self.core.commit_index:", "if first_index <= 0:"),
     ),
     mutant(
         "replaced entries count as synced",
@@ -106,7 +106,7 @@
         "one by one",
         range(8),
         1,
-        ("replication.follower", "self.core.writes.truncated_from(first)", "pass"),
+        ("replication.follower", "self.core.writes.mark_unsynced_from(first_index)", "pass"),
     ),
     mutant(
         "own tail acknowledged",
@@ -128,7 +128,7 @@
         10,
         (
             "replication.follower",
-            "min(message.commit_index, end)",
+            "min(message.commit_index, end_index)",
             "min(message.commit_index, log.last_index)",
         ),
     ),
@@ -140,8 +140,8 @@
         2,
         (
             "replication.leadership",
-            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
-            "if core.log.members_index > core.commit_index or self.transferring(now):",
+            "if not self.is_ready or core.log.members_index > core.commit_index",
+            "if core.log.members_index > core.commit_index",
         ),
     ),
     mutant(
@@ -152,8 +152,8 @@
         1,
         (
             "replication.leadership",
-            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
-            "if not self.is_ready or self.transferring(now):",
+            "core.log.members_index > core.commit_index or self.is_transferring(now):",
+            "self.is_transferring(now):",
         ),
     ),
     mutant(
@@ -164,8 +164,8 @@
         97,
         (
             "replication.log",
-            "while self._members and self._members[-1].entry_index >= index:",
-            "while self._members and self._members[-1].entry_index >= index + (1 << 60):",
+            "self._membership_history[-1].entry_index >= index:",
+            "self._membership_history[-1].entry_index >= index + (1 << 60):",
         ),
     ),
 )
@@ -177,7 +177,7 @@
         "power",
         range(4),
         0,
-        ("replication.group", "state = self.machine.save()", "state = self.machine.save()[:-8]"),
+        ("replication.group", "state = self.state_machine.save()", "state = self.state_machine.save()[:-8]"),
     ),
     mutant(
         "snapshot without members",
@@ -221,6 +221,6 @@
         "power",
         range(4),
         0,
-        ("replication.group", "self.machine.load(outputs.installed.state)", "pass"),
+        ("replication.group", "self.state_machine.load(outputs.installed.state)", "pass"),
     ),
 )
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -249,7 +249,9 @@
     def _check_change(self) -> None:
         replica = self.group.replica
         log, commit = replica.core.log, replica.commit_index
-        open_changes = [change.entry_index for change in log._members if change.entry_index > commit]
+        open_changes = [
+            change.entry_index for change in log._membership_history if change.entry_index > commit
+        ]
         require(len(open_changes) <= 1, Promise.CHANGES_APART, f"changes at {open_changes}")
         own = log.term_at(commit) == replica.term
         require(own, Promise.CHANGES_APART, f"a change before an entry of term {replica.term} is committed")
--- a/tests/fleet/replication/test_freshness.py
+++ b/tests/fleet/replication/test_freshness.py
@@ -95,7 +95,7 @@
 
 def count_turns(process: Process) -> list[int]:
     """How many commands each turn of a group applies from now on."""
-    act, ledger, turns = process.group._act, process.ledger, list[int]()
+    act, ledger, turns = process.group._collect_actions, process.ledger, list[int]()
 
     def counted(now: float) -> Actions:
         before = len(ledger.commands)
@@ -103,7 +103,7 @@
         turns.append(len(ledger.commands) - before)
         return actions
 
-    process.group._act = counted  # type: ignore[method-assign]
+    process.group._collect_actions = counted  # type: ignore[method-assign]
     return turns
 
 
--- a/tests/fleet/replication/world.py
+++ b/tests/fleet/replication/world.py
@@ -369,7 +369,9 @@
     """The voters after the commit index that this process knows, and after every later entry."""
     log = process.group.replica.core.log
     commit = process.group.replica.commit_index
-    groups = [log.members_at(commit)[1]] + [members for index, members in log._members if index > commit]
+    groups = [log.members_at(commit)[1]] + [
+        members for index, members in log._membership_history if index > commit
+    ]
     return [members for members in groups if members]
 
 
