--- a/firvane/fleet/replication/spread.py
+++ b/firvane/fleet/replication/spread.py
@@ -33,7 +33,7 @@
         return min(members, key=self.voters_in_domain_of, default=None)
 
     def improves(self, member: Member) -> bool:
-        """Whether replacing a voter of the most crowded domain with this member makes the spread more even."""
+        """Whether replacing a voter of the most crowded domain with this member evens the spread."""
         max_voters = max(self._voters_by_domain.values(), default=0)
         return max_voters - self.voters_in_domain_of(member) >= MIN_REBALANCE_DIFFERENCE
 
