--- a/firvane/fleet/controller/configuration_service.py
+++ b/firvane/fleet/controller/configuration_service.py
@@ -23,7 +23,7 @@
 from firvane.fleet.configuration.orders import Order, Problem, RecordError, Result
 from firvane.fleet.configuration.schema import ItemSchemas
 from firvane.fleet.configuration.state import ConfigurationState
-from firvane.fleet.controller.replication_host import Proposal, ProposalStatus
+from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.partitions import CONFIGURATION_PARTITION
 
 PROPOSE_TIMEOUT_S = 0.9  # operators wait a second for an answer, longer for a large body
@@ -35,10 +35,10 @@
 class Replication(Protocol):
     """The methods of the replication host that this service uses."""
 
-    async def propose(self, group: int, payload: bytes, timeout_s: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
         """Have a command committed."""
 
-    async def read(self, group: int, timeout_s: float) -> Proposal:
+    async def read(self, group: int, timeout_s: float) -> ProposalResult:
         """Wait until a linearizable read of the group is possible here."""
 
     def is_owner(self, group: int) -> bool:
@@ -128,7 +128,7 @@
         )
         return Outcome(result.code, result.version, result.problems)
 
-    def _undecided(self, proposal: Proposal) -> Outcome:
+    def _undecided(self, proposal: ProposalResult) -> Outcome:
         """The outcome if the proposal or read was not committed."""
         match proposal.status:
             case ProposalStatus.NOT_OWNER:
--- a/firvane/fleet/controller/record_replicator.py
+++ b/firvane/fleet/controller/record_replicator.py
@@ -18,7 +18,7 @@
 from firvane.core.logs import Log
 from firvane.fleet.cluster.agent import Item
 from firvane.fleet.controller.instance_records import item_key, service_of
-from firvane.fleet.controller.replication_host import Proposal, ProposalStatus
+from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.controller.service_partition import PartitionError, ServicePartition, ServiceRecord
 from firvane.fleet.partitions import partition_of
 
@@ -31,7 +31,7 @@
 class Replication(Protocol):
     """The methods of the replication host that are used here."""
 
-    async def propose(self, group: int, payload: bytes, timeout_s: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
         """Have a command committed."""
 
     def is_owner(self, group: int) -> bool:
--- a/firvane/fleet/controller/replication_host.py
+++ b/firvane/fleet/controller/replication_host.py
@@ -31,7 +31,7 @@
 from firvane.fleet.replication.errors import DecodeError
 from firvane.fleet.replication.group import Actions, ReplicatedGroup, Submission
 from firvane.fleet.replication.messages import Envelope
-from firvane.fleet.replication.proposals import Proposal, ProposalStatus, StateMachine
+from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus, StateMachine
 from firvane.fleet.replication.records import encode_origin, encode_write
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
 from firvane.fleet.replication.spread import DomainOf, one_domain_per_address
@@ -42,7 +42,7 @@
 
 __all__ = [
     "GroupStatus",
-    "Proposal",
+    "ProposalResult",
     "ProposalStatus",
     "ReplicationHost",
     "StateMachine",
@@ -101,7 +101,7 @@
         self._all_open = asyncio.Event()
         self._opening: set[int] = set()
         self._outbox: dict[Address, list[Envelope]] = {}
-        self._futures: dict[tuple[int, int], asyncio.Future[Proposal]] = {}
+        self._futures: dict[tuple[int, int], asyncio.Future[ProposalResult]] = {}
         self._turn_pending = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = float("inf")
@@ -137,11 +137,11 @@
                 actions = group.receive(member, envelope.to_incarnation, envelope.message, now)
                 self._perform(envelope.group, actions)
 
-    async def propose(self, group: int, payload: bytes, timeout_s: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
         """Have a command committed; the answer comes within `timeout_s` seconds."""
         return await self._submit(group, lambda known, now: known.propose(payload, timeout_s, now))
 
-    async def read(self, group: int, timeout_s: float) -> Proposal:
+    async def read(self, group: int, timeout_s: float) -> ProposalResult:
         """COMMITTED once the applied state holds all that was committed before the call."""
         return await self._submit(group, lambda known, now: known.read(timeout_s, now))
 
@@ -221,17 +221,19 @@
         self._writer.close()
         for future in self._futures.values():
             if not future.done():
-                future.set_result(Proposal(ProposalStatus.UNCLEAR))
+                future.set_result(ProposalResult(ProposalStatus.UNCLEAR))
         self._futures.clear()
 
     # Turns of the loop
 
-    async def _submit(self, group: int, submit: Callable[[ReplicatedGroup, float], Submission]) -> Proposal:
+    async def _submit(
+        self, group: int, submit: Callable[[ReplicatedGroup, float], Submission]
+    ) -> ProposalResult:
         known = self._groups.get(group)
         if known is None or self._closed:
-            return Proposal(ProposalStatus.UNAVAILABLE)
+            return ProposalResult(ProposalStatus.UNAVAILABLE)
         token, actions = submit(known, time.monotonic())
-        future: asyncio.Future[Proposal] = self._loop.create_future()
+        future: asyncio.Future[ProposalResult] = self._loop.create_future()
         self._futures[group, token] = future
         self._perform(group, actions)
         try:
@@ -249,7 +251,7 @@
         for resolved in actions.resolved:
             future = self._futures.get((number, resolved.token))
             if future is not None and not future.done():
-                future.set_result(resolved.proposal)
+                future.set_result(resolved.result)
         for event in actions.events:
             self._log.info(event.name, group=number, **_format_fields(event.fields))
         for owned, term in actions.owner_changes:
--- a/firvane/fleet/controller/tenant_service.py
+++ b/firvane/fleet/controller/tenant_service.py
@@ -19,7 +19,7 @@
 from firvane.core.logs import Log
 from firvane.fleet.configuration.routes import Tenant
 from firvane.fleet.partitions import CONFIGURATION_PARTITION
-from firvane.fleet.replication.proposals import Proposal
+from firvane.fleet.replication.proposals import ProposalResult
 from firvane.fleet.tenancy.floors import Floors, FloorsRecord
 from firvane.fleet.tenancy.messages import (
     FreshnessProof,
@@ -52,7 +52,7 @@
     def state_age(self, group: int) -> float | None:
         """Seconds since the applied state was known to hold every committed entry; None if not known."""
 
-    async def propose(self, group: int, payload: bytes, timeout_s: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
         """Have a command committed."""
 
 
@@ -98,7 +98,7 @@
         self._quotas = QuotaTable(rules)
         self._owned: set[int] = set()
         self._pending: list[_PendingRequest] = []
-        self._proposals: dict[int, asyncio.Task[Proposal]] = {}  # by partition, one at a time
+        self._proposals: dict[int, asyncio.Task[ProposalResult]] = {}  # by partition, one at a time
         self._proposal_number = random.getrandbits(62)
         self._timer: asyncio.TimerHandle | None = None
 
--- a/firvane/fleet/replication/group.py
+++ b/firvane/fleet/replication/group.py
@@ -23,7 +23,7 @@
 from firvane.fleet.replication.proposals import (
     PendingProposal,
     PendingRead,
-    Proposal,
+    ProposalResult,
     ProposalStatus,
     Resolved,
     StateMachine,
@@ -246,12 +246,12 @@
         owner = self.replica.leader
         if owner is not None and owner != self.replica.identity.address:
             for pending in self._queued:
-                self._resolve(actions, pending.token, Proposal(ProposalStatus.NOT_OWNER, owner=owner))
+                self._resolve(actions, pending.token, ProposalResult(ProposalStatus.NOT_OWNER, owner=owner))
             self._queued = []
             return
         expired = [pending for pending in self._queued if now >= pending.deadline]
         for pending in expired:
-            self._resolve(actions, pending.token, Proposal(ProposalStatus.UNAVAILABLE))
+            self._resolve(actions, pending.token, ProposalResult(ProposalStatus.UNAVAILABLE))
             self._queued.remove(pending)
 
     def _apply(self, now: float, actions: Actions) -> None:
@@ -261,17 +261,17 @@
             entry = log.entry(self.applied_index)
             self._applied_bytes += len(entry.payload) + ENTRY_OVERHEAD
             self._applied_entries += entry.kind is EntryKind.COMMAND
-            result = b""
+            output = b""
             if entry.kind is EntryKind.COMMAND:
-                result = self.state_machine.apply(entry.index, entry.payload)
+                output = self.state_machine.apply(entry.index, entry.payload)
             pending = self._appended.pop(entry.index, None)
             if pending is None:
                 continue
             if pending.term == entry.term:
-                proposal = Proposal(ProposalStatus.COMMITTED, result, self.owner)
+                result = ProposalResult(ProposalStatus.COMMITTED, output, self.owner)
             else:
-                proposal = self._rejection()
-            self._resolve(actions, pending.token, proposal)
+                result = self._rejection()
+            self._resolve(actions, pending.token, result)
         is_large = self._applied_bytes > max(COMPACTION_BYTES, 2 * self._last_snapshot_size)
         if is_large or self._applied_entries >= COMPACTION_ENTRIES:
             self._compact(now)
@@ -298,7 +298,7 @@
             if now >= pending.deadline or pending.index <= self.applied_index:
                 del self._appended[pending.index]
                 self._resolve(
-                    actions, pending.token, Proposal(ProposalStatus.UNCLEAR, owner=self._other_owner())
+                    actions, pending.token, ProposalResult(ProposalStatus.UNCLEAR, owner=self._other_owner())
                 )
 
     def _request_reads(self, now: float, actions: Actions) -> None:
@@ -315,7 +315,7 @@
         for read in list(self._reads.values()):
             if read.index is not None and read.index <= self.applied_index:
                 del self._reads[read.token]
-                self._resolve(actions, read.token, Proposal(ProposalStatus.COMMITTED, owner=self.owner))
+                self._resolve(actions, read.token, ProposalResult(ProposalStatus.COMMITTED, owner=self.owner))
 
     def _update_ownership(self, actions: Actions) -> None:
         replica = self.replica
@@ -332,12 +332,12 @@
         owner = self.replica.leader
         return owner if owner != self.replica.identity.address else None
 
-    def _rejection(self) -> Proposal:
+    def _rejection(self) -> ProposalResult:
         owner = self._other_owner()
         if owner is not None:
-            return Proposal(ProposalStatus.NOT_OWNER, owner=owner)
-        return Proposal(ProposalStatus.UNAVAILABLE)
+            return ProposalResult(ProposalStatus.NOT_OWNER, owner=owner)
+        return ProposalResult(ProposalStatus.UNAVAILABLE)
 
     @staticmethod
-    def _resolve(actions: Actions, token: int, proposal: Proposal) -> None:
-        actions.resolved.append(Resolved(token, proposal))
+    def _resolve(actions: Actions, token: int, result: ProposalResult) -> None:
+        actions.resolved.append(Resolved(token, result))
--- a/firvane/fleet/replication/proposals.py
+++ b/firvane/fleet/replication/proposals.py
@@ -19,7 +19,7 @@
     UNAVAILABLE = "unavailable"  # certainly not committed: no owner was available before the deadline
 
 
-class Proposal(Struct, frozen=True):
+class ProposalResult(Struct, frozen=True):
     """The result of a proposal or read: `result` is from `StateMachine.apply`, `owner` the known owner."""
 
     status: ProposalStatus
@@ -44,7 +44,7 @@
     """The result of the proposal or read with this token."""
 
     token: int
-    proposal: Proposal
+    result: ProposalResult
 
 
 class PendingProposal(Struct):
--- a/tests/fleet/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -17,7 +17,7 @@
 from firvane.fleet.configuration.state import ConfigurationState
 from firvane.fleet.controller.configuration_service import ConfigurationService
 from firvane.fleet.controller.operator_api import CALLS, OperatorApi
-from firvane.fleet.controller.replication_host import Proposal, ProposalStatus
+from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.controller.responses import Response
 from tests.fleet.controller.fleet_rig import OTHER_PARTITION, FleetRig
 
@@ -77,22 +77,22 @@
     def owner(self, group: int) -> Address | None:
         return self.owner_address
 
-    async def propose(self, group: int, payload: bytes, timeout: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout: float) -> ProposalResult:
         self.proposals += 1
         result = self.apply(payload) if self.takes else b""
         if self.ending:
-            return Proposal(self.ending, owner=self.owner_address)
-        return Proposal(ProposalStatus.COMMITTED, result)
+            return ProposalResult(self.ending, owner=self.owner_address)
+        return ProposalResult(ProposalStatus.COMMITTED, result)
 
-    async def read(self, group: int, timeout: float) -> Proposal:
+    async def read(self, group: int, timeout: float) -> ProposalResult:
         if self.owner_address != OWN:
-            return Proposal(ProposalStatus.NOT_OWNER, owner=self.owner_address)
+            return ProposalResult(ProposalStatus.NOT_OWNER, owner=self.owner_address)
         if not self.readable:
-            return Proposal(ProposalStatus.UNCLEAR)
+            return ProposalResult(ProposalStatus.UNCLEAR)
         for payload in self.behind:
             self.apply(payload)
         self.behind.clear()
-        return Proposal(ProposalStatus.COMMITTED)
+        return ProposalResult(ProposalStatus.COMMITTED)
 
     def apply(self, payload: bytes) -> bytes:
         self.index += 1
--- a/tests/fleet/controller/test_record_replicator.py
+++ b/tests/fleet/controller/test_record_replicator.py
@@ -10,7 +10,7 @@
 from firvane.fleet.cluster.agent import Item
 from firvane.fleet.controller.instance_records import item_key
 from firvane.fleet.controller.record_replicator import RecordReplicator
-from firvane.fleet.controller.replication_host import Proposal, ProposalStatus
+from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.controller.service_partition import ServicePartition, ServiceRecord
 from firvane.fleet.partitions import partition_of
 
@@ -55,12 +55,12 @@
     def is_current(self, group: int) -> bool:
         return self.current
 
-    async def propose(self, group: int, payload: bytes, timeout: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout: float) -> ProposalResult:
         self.proposals += 1
         await asyncio.sleep(0)
         if self.ending is ProposalStatus.COMMITTED:
             self.partitions[group].apply(self.proposals, payload)
-        return Proposal(self.ending)
+        return ProposalResult(self.ending)
 
     # the cluster agent
     def publish(self, item: Item) -> None:
--- a/tests/fleet/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -11,7 +11,7 @@
 from firvane.fleet.configuration.routes import Tenant
 from firvane.fleet.controller.tenant_service import MAX_PROOF_AGE_S, TenantService
 from firvane.fleet.partitions import CONFIGURATION_PARTITION, partition_of
-from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from firvane.fleet.tenancy.floors import Floors, FloorsRecord, unpack_floors
 from firvane.fleet.tenancy.messages import (
     FreshnessProof,
@@ -46,9 +46,9 @@
     def owner(self, group: int) -> Address | None:
         return self.leader
 
-    async def propose(self, group: int, payload: bytes, timeout: float) -> Proposal:
+    async def propose(self, group: int, payload: bytes, timeout: float) -> ProposalResult:
         self.proposed.append((group, unpack_floors(payload)))
-        return Proposal(ProposalStatus.UNCLEAR)
+        return ProposalResult(ProposalStatus.UNCLEAR)
 
     def state_age(self, group: int) -> float | None:
         return self.age if group == CONFIGURATION_PARTITION else None
--- a/tests/fleet/replication/mutants_storage.py
+++ b/tests/fleet/replication/mutants_storage.py
@@ -63,8 +63,8 @@
         0,
         (
             "replication.group",
-            "Proposal(ProposalStatus.UNCLEAR, owner=self._other_owner())",
-            "Proposal(ProposalStatus.UNAVAILABLE)",
+            "ProposalResult(ProposalStatus.UNCLEAR, owner=self._other_owner())",
+            "ProposalResult(ProposalStatus.UNAVAILABLE)",
         ),
     ),
     mutant(
--- a/tests/fleet/replication/oracle.py
+++ b/tests/fleet/replication/oracle.py
@@ -7,7 +7,7 @@
 from bisect import bisect_right
 from collections.abc import Callable, Iterable
 
-from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from firvane.fleet.replication.types import Members
 
 _COMMAND = struct.Struct("<Q")
@@ -106,7 +106,7 @@
         agrees = place == 0 or self.history[place - 1] == last
         require(agrees, Promise.ONE_HISTORY, f"a snapshot that ends with {last} at {place}")
 
-    def proposed(self, number: int, proposal: Proposal) -> None:
+    def proposed(self, number: int, proposal: ProposalResult) -> None:
         """A proposal has been answered."""
         if proposal.status is ProposalStatus.COMMITTED:
             has_result = proposal.result.isdigit()
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -17,7 +17,7 @@
 from firvane.fleet.replication.group import Actions, ReplicatedGroup
 from firvane.fleet.replication.members_codec import decode_members
 from firvane.fleet.replication.messages import AppendReply, Envelope, Outgoing, VoteReply
-from firvane.fleet.replication.proposals import Proposal
+from firvane.fleet.replication.proposals import ProposalResult
 from firvane.fleet.replication.records import encode_origin, encode_write
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
 from firvane.fleet.replication.types import NOBODY, EntryKind, Member, Members, quorum_of
@@ -90,7 +90,7 @@
         self.disk_busy = False
         self.alive = True
         self.voted = replica.core.hard_state.vote
-        self.waiting: dict[int, Callable[[Proposal], None]] = {}
+        self.waiting: dict[int, Callable[[ProposalResult], None]] = {}
         self.wake_at = float("inf")
 
     def _check_journal(self, identity: int) -> None:
@@ -119,7 +119,7 @@
         for resolved in actions.resolved:
             answer = self.waiting.pop(resolved.token, None)
             if answer is not None:
-                answer(resolved.proposal)
+                answer(resolved.result)
         for event, _ in actions.events:
             if event == "membership_changed":
                 self._check_change()
@@ -155,12 +155,12 @@
             raise ViolationError(Promise.COMMITTED_FINAL, str(error)) from error
         self.perform(actions)
 
-    def propose(self, payload: bytes, timeout: float, answer: Callable[[Proposal], None]) -> None:
+    def propose(self, payload: bytes, timeout: float, answer: Callable[[ProposalResult], None]) -> None:
         token, actions = self.group.propose(payload, timeout, self.now())
         self.waiting[token] = answer
         self.perform(actions)
 
-    def read(self, timeout: float, answer: Callable[[Proposal], None]) -> None:
+    def read(self, timeout: float, answer: Callable[[ProposalResult], None]) -> None:
         token, actions = self.group.read(timeout, self.now())
         self.waiting[token] = answer
         self.perform(actions)
--- a/tests/fleet/replication/test_freshness.py
+++ b/tests/fleet/replication/test_freshness.py
@@ -4,7 +4,7 @@
 
 from firvane.fleet.replication.freshness import FRESHNESS_READ_INTERVAL_S, REPLICATING_WITHIN_S
 from firvane.fleet.replication.group import COMPACTION_ENTRIES, MAX_ENTRIES_PER_APPLY, Actions
-from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from tests.fleet.replication.process import Process
 from tests.fleet.replication.scenarios import calm_world, owner_of
 from tests.fleet.replication.settings import Settings
@@ -75,7 +75,7 @@
 
 def test_a_read_outside_the_group_names_the_owner_at_once() -> None:
     world = calm_world(CALM, 7)
-    process, answers = outside(world), list[Proposal]()
+    process, answers = outside(world), list[ProposalResult]()
     process.read(1.0, answers.append)
     assert [answer.status for answer in answers] == [ProposalStatus.NOT_OWNER]
     assert answers[0].owner == owner_of(world).machine.address
--- a/tests/fleet/replication/world.py
+++ b/tests/fleet/replication/world.py
@@ -21,7 +21,7 @@
 from firvane.fleet.replication import voting as voting_module
 from firvane.fleet.replication.codec import decode_payload, encode_payload
 from firvane.fleet.replication.messages import Envelope
-from firvane.fleet.replication.proposals import Proposal, ProposalStatus
+from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from firvane.fleet.replication.types import Member, quorum_of
 from tests.fleet.replication.oracle import Oracle, Promise, ViolationError, command, require
 from tests.fleet.replication.process import Machine, Process
@@ -223,7 +223,7 @@
         if size > 16 and self.chance.random() < 0.5:
             size = 16
 
-        def answer(proposal: Proposal) -> None:
+        def answer(proposal: ProposalResult) -> None:
             self.oracle.proposed(number, proposal)
             self.oracle.note_floor(self.now)
             if proposal.status is ProposalStatus.COMMITTED:
@@ -233,7 +233,7 @@
 
     def read(self, process: Process, floor: int, timeout: float = 1.0) -> None:
 
-        def answer(proposal: Proposal) -> None:
+        def answer(proposal: ProposalResult) -> None:
             if proposal.status is ProposalStatus.COMMITTED:
                 self.oracle.read(floor, len(process.ledger.commands))
                 self.oracle.note_floor(self.now)
