--- a/tests/fleet/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -7,7 +7,7 @@
 from firvane.core.address import Address
 from tests.fleet.replication.process import Machine
 from tests.fleet.replication.settings import WeakMoment
-from tests.fleet.replication.world import World
+from tests.fleet.replication.simulated_cluster import SimulatedCluster
 
 BLOWS = (
     "power_cycle_here",
@@ -25,8 +25,8 @@
 class Faults:
     """Strikes again and again until it is stopped."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster) -> None:
+        self.cluster = cluster
         self.stopped = False
         self.kinds: list[Callable[[], None]] = [
             self.kill,
@@ -53,76 +53,76 @@
             self.wipe_oldest_in_the_dark,
             self.replace_in_a_cut,
         ]
-        chance = world.chance
-        if world.settings.kinds:
-            self.kinds = [getattr(self, kind) for kind in world.settings.kinds]
-        elif world.settings.fault_kinds < len(self.kinds):
-            self.kinds = chance.sample(self.kinds, world.settings.fault_kinds)
-        if world.settings.aimed:
-            world.on_weak_moment = self.aim
+        chance = cluster.chance
+        if cluster.settings.kinds:
+            self.kinds = [getattr(self, kind) for kind in cluster.settings.kinds]
+        elif cluster.settings.fault_kinds < len(self.kinds):
+            self.kinds = chance.sample(self.kinds, cluster.settings.fault_kinds)
+        if cluster.settings.aimed:
+            cluster.on_weak_moment = self.aim
 
     def strike(self) -> None:
         """One fault, and the next one later."""
         if self.stopped:
             return
-        world = self.world
-        if world.is_formed():
-            world.chance.choice(self.kinds)()
-        world.at(world.now + world.chance.expovariate(1 / world.settings.fault_gap), self.strike)
+        cluster = self.cluster
+        if cluster.is_formed():
+            cluster.chance.choice(self.kinds)()
+        cluster.at(cluster.now + cluster.chance.expovariate(1 / cluster.settings.fault_gap), self.strike)
 
     def stop(self) -> None:
         self.stopped = True
 
     def aim(self, moment: WeakMoment, machine: Machine) -> None:
         """Strike within milliseconds of a weak moment."""
-        world = self.world
-        settings = world.settings
-        if self.stopped or world.chance.random() > settings.aimed:
+        cluster = self.cluster
+        settings = cluster.settings
+        if self.stopped or cluster.chance.random() > settings.aimed:
             return
         if settings.moments and moment not in settings.moments:
             return
-        if moment is WeakMoment.WRITING and moment not in settings.moments and world.chance.random() < 0.8:
+        if moment is WeakMoment.WRITING and moment not in settings.moments and cluster.chance.random() < 0.8:
             return
         names = settings.blows or BLOWS
         if moment in (WeakMoment.COMPACTING, WeakMoment.VOTED) and not settings.blows:
             names = ("power_cycle_here",)
-        blow = getattr(self, world.chance.choice(names))
-        world.at(world.now + world.chance.uniform(0, 0.012), lambda: blow(machine))
+        blow = getattr(self, cluster.chance.choice(names))
+        cluster.at(cluster.now + cluster.chance.uniform(0, 0.012), lambda: blow(machine))
 
     def power_cycle_here(self, machine: Machine) -> None:
         self._power_cycle([machine])
 
     def power_cycle_all(self, _machine: Machine) -> None:
-        self._power_cycle([process.machine for process in self.world.running()])
+        self._power_cycle([process.machine for process in self.cluster.running()])
 
     def power_cycle_some(self, _machine: Machine) -> None:
-        everybody = [process.machine for process in self.world.running()]
+        everybody = [process.machine for process in self.cluster.running()]
         if everybody:
-            count = self.world.chance.randrange(1, len(everybody) + 1)
-            self._power_cycle(self.world.chance.sample(everybody, count))
+            count = self.cluster.chance.randrange(1, len(everybody) + 1)
+            self._power_cycle(self.cluster.chance.sample(everybody, count))
 
     def kill_then_power_cycle(self, machine: Machine) -> None:
         """The process ends, is there again at once, and then the power goes."""
-        world = self.world
-        world.kill(machine)
-        self._later(0.005, 0.02, lambda: world.boot(machine))
-        self._later(0.1, 0.3, lambda: self._power_cycle(list(world.machines.values())))
+        cluster = self.cluster
+        cluster.kill(machine)
+        self._later(0.005, 0.02, lambda: cluster.boot(machine))
+        self._later(0.1, 0.3, lambda: self._power_cycle(list(cluster.machines.values())))
 
     def freeze_here(self, machine: Machine) -> None:
-        self.world.freeze(machine)
-        self._later(0.2, 1.5, lambda: self.world.thaw(machine))
+        self.cluster.freeze(machine)
+        self._later(0.2, 1.5, lambda: self.cluster.thaw(machine))
 
     def cut_off_here(self, machine: Machine) -> None:
         """Nobody hears the machine, or it hears nobody, or both."""
-        world = self.world
-        held = world.chance.random() < 0.5
-        which = world.chance.randrange(3)
-        for other in world.machines:
+        cluster = self.cluster
+        held = cluster.chance.random() < 0.5
+        which = cluster.chance.randrange(3)
+        for other in cluster.machines:
             if which != 0:
-                world.cuts[machine.address, other] = held
+                cluster.cuts[machine.address, other] = held
             if which != 1:
-                world.cuts[other, machine.address] = held
-        self._later(0.3, 1.2, world.heal)
+                cluster.cuts[other, machine.address] = held
+        self._later(0.3, 1.2, cluster.heal)
 
     def cut_some_pairs(self, _machine: Machine) -> None:
         self.cut_pairs()
@@ -137,32 +137,32 @@
         for machine in machines:
             if not machine.present:
                 continue
-            self.world.lose_power(machine)
-            self._later(0.02, 0.4, lambda machine=machine: self.world.boot(machine))
+            self.cluster.lose_power(machine)
+            self._later(0.02, 0.4, lambda machine=machine: self.cluster.boot(machine))
 
     def cut_pairs(self) -> None:
         """Some links fail, each in a direction of its own."""
-        world = self.world
-        addresses = list(world.machines)
-        held = world.chance.random() < 0.5
+        cluster = self.cluster
+        addresses = list(cluster.machines)
+        held = cluster.chance.random() < 0.5
         for one in addresses:
             for other in addresses:
-                if one != other and world.chance.random() < 0.3:
-                    world.cuts[one, other] = held
-        self._later(0.2, 1.5, world.heal)
+                if one != other and cluster.chance.random() < 0.3:
+                    cluster.cuts[one, other] = held
+        self._later(0.2, 1.5, cluster.heal)
 
     def restart_quickly(self) -> None:
         """Processes end and are there again within less than a lease."""
-        world = self.world
-        for process in world.running():
-            if world.chance.random() < 0.5:
+        cluster = self.cluster
+        for process in cluster.running():
+            if cluster.chance.random() < 0.5:
                 machine = process.machine
-                world.kill(machine)
-                self._later(0.01, 0.1, lambda machine=machine: world.boot(machine))
+                cluster.kill(machine)
+                self._later(0.01, 0.1, lambda machine=machine: cluster.boot(machine))
 
     def final(self) -> None:
         """Perhaps one more blow to all, right after something was acknowledged."""
-        draw = self.world.chance.random()
+        draw = self.cluster.chance.random()
         if draw < 0.2:
             self.lose_power_all()
         elif draw < 0.3:
@@ -173,86 +173,86 @@
 
     def _one(self) -> Machine | None:
         """A machine with a process; often the leader."""
-        world = self.world
-        machines = [process.machine for process in world.running()]
+        cluster = self.cluster
+        machines = [process.machine for process in cluster.running()]
         if not machines:
             return None
-        owner = world.owner()
-        if owner is not None and world.chance.random() < 0.4:
+        owner = cluster.owner()
+        if owner is not None and cluster.chance.random() < 0.4:
             return owner.machine
-        return world.chance.choice(machines)
+        return cluster.chance.choice(machines)
 
     def _later(self, least: float, most: float, call: Callable[[], None]) -> None:
-        world = self.world
-        world.at(world.now + world.chance.uniform(least, most), call)
+        cluster = self.cluster
+        cluster.at(cluster.now + cluster.chance.uniform(least, most), call)
 
     def kill(self) -> None:
         if machine := self._one():
-            self.world.kill(machine)
-            self._later(0.05, 1.5, lambda: self.world.boot(machine))
+            self.cluster.kill(machine)
+            self._later(0.05, 1.5, lambda: self.cluster.boot(machine))
 
     def kill_all(self) -> None:
-        for process in self.world.running():
+        for process in self.cluster.running():
             machine = process.machine
-            self.world.kill(machine)
-            self._later(0.05, 1.0, lambda machine=machine: self.world.boot(machine))
+            self.cluster.kill(machine)
+            self._later(0.05, 1.0, lambda machine=machine: self.cluster.boot(machine))
 
     def lose_power(self) -> None:
         if machine := self._one():
-            self.world.lose_power(machine)
-            self._later(0.1, 2.0, lambda: self.world.boot(machine))
+            self.cluster.lose_power(machine)
+            self._later(0.1, 2.0, lambda: self.cluster.boot(machine))
 
     def lose_power_all(self) -> None:
-        for machine in self.world.machines.values():
+        for machine in self.cluster.machines.values():
             if machine.present:
-                self.world.lose_power(machine)
-                self._later(0.1, 1.0, lambda machine=machine: self.world.boot(machine))
+                self.cluster.lose_power(machine)
+                self._later(0.1, 1.0, lambda machine=machine: self.cluster.boot(machine))
 
     def freeze(self) -> None:
         if machine := self._one():
-            self.world.freeze(machine)
-            self._later(0.1, 3.0, lambda: self.world.thaw(machine))
+            self.cluster.freeze(machine)
+            self._later(0.1, 3.0, lambda: self.cluster.thaw(machine))
 
     def stall(self) -> None:
         """The process gets no processor for a moment."""
         if machine := self._one():
-            self.world.freeze(machine)
-            self._later(0.05, 0.5, lambda: self.world.thaw(machine))
+            self.cluster.freeze(machine)
+            self._later(0.05, 0.5, lambda: self.cluster.thaw(machine))
 
     def wipe(self) -> None:
         machine = self._one()
-        if machine is None or not self.world.may_wipe(machine):
+        if machine is None or not self.cluster.may_wipe(machine):
             return
         self._wipe(machine)
 
     def _wipe(self, machine: Machine) -> None:
-        self.world.kill(machine)
+        self.cluster.kill(machine)
         machine.disk.wipe()
-        machine.disk_since = self.world.now
+        machine.disk_since = self.cluster.now
         machine.incarnation = machine.journal = 0
-        self._later(0.1, 1.5, lambda: self.world.boot(machine))
+        self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
 
     def damage_disk(self) -> None:
         """A process ends, and something that was synced long ago is spoilt on its disk."""
         machine = self._one()
-        if machine is None or not self.world.may_wipe(machine):
+        if machine is None or not self.cluster.may_wipe(machine):
             return
-        self.world.kill(machine)
-        spoil = self.world.chance.choice((machine.disk.damage_segment, machine.disk.damage_snapshot))
+        self.cluster.kill(machine)
+        spoil = self.cluster.chance.choice((machine.disk.damage_segment, machine.disk.damage_snapshot))
         if spoil():
             machine.damaged = True
             machine.incarnation = 0
-        self._later(0.1, 1.5, lambda: self.world.boot(machine))
+        self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
 
     def replace(self) -> None:
-        world = self.world
+        cluster = self.cluster
         machine = self._one()
-        if machine is None or not world.may_wipe(machine) or len(world.machines) > 9:
+        if machine is None or not cluster.may_wipe(machine) or len(cluster.machines) > 9:
             return
-        world.kill(machine)
+        cluster.kill(machine)
         machine.present = False
-        new = world.add_machine(len(world.machines))
-        self._later(0.1, 1.5, lambda: world.boot(new))
+        new = cluster.add_machine(len(cluster.machines))
+        self._later(0.1, 1.5, lambda: cluster.boot(new))
 
     def cut(self) -> None:
         self._cut(True)
@@ -261,46 +261,46 @@
         self._cut(False)
 
     def _cut(self, both: bool) -> None:
-        world = self.world
-        addresses = list(world.machines)
-        world.chance.shuffle(addresses)
-        size = world.chance.randrange(1, len(addresses) + 1)
-        held = world.chance.random() < 0.5
+        cluster = self.cluster
+        addresses = list(cluster.machines)
+        cluster.chance.shuffle(addresses)
+        size = cluster.chance.randrange(1, len(addresses) + 1)
+        held = cluster.chance.random() < 0.5
         for one in addresses[:size]:
             for other in addresses[size:]:
-                world.cuts[one, other] = held
+                cluster.cuts[one, other] = held
                 if both:
-                    world.cuts[other, one] = held
-        self._later(0.2, 2.5, world.heal)
+                    cluster.cuts[other, one] = held
+        self._later(0.2, 2.5, cluster.heal)
 
     def cut_in_halves(self) -> None:
         """Two halves hear nothing of each other; one of them starts again meanwhile, or as the cut ends."""
-        world = self.world
-        addresses = list(world.machines)
-        world.chance.shuffle(addresses)
+        cluster = self.cluster
+        addresses = list(cluster.machines)
+        cluster.chance.shuffle(addresses)
         half = len(addresses) // 2
         for one in addresses[:half]:
             for other in addresses[half:]:
-                world.cuts[one, other] = world.cuts[other, one] = False
-        restarted = world.chance.choice((addresses[:half], addresses[half:], []))
-        lasts = world.chance.uniform(0.5, 2.5)
-        at = world.chance.choice((lasts / 2, lasts))
-        world.at(world.now + at, lambda: self._restart(restarted))
-        world.at(world.now + lasts, world.heal)
+                cluster.cuts[one, other] = cluster.cuts[other, one] = False
+        restarted = cluster.chance.choice((addresses[:half], addresses[half:], []))
+        lasts = cluster.chance.uniform(0.5, 2.5)
+        at = cluster.chance.choice((lasts / 2, lasts))
+        cluster.at(cluster.now + at, lambda: self._restart(restarted))
+        cluster.at(cluster.now + lasts, cluster.heal)
 
     def _restart(self, addresses: Sequence[Address]) -> None:
         for address in addresses:
-            machine = self.world.machines[address]
+            machine = self.cluster.machines[address]
             if machine.process is not None:
-                self.world.kill(machine)
-                self._later(0.05, 0.5, lambda machine=machine: self.world.boot(machine))
+                self.cluster.kill(machine)
+                self._later(0.05, 0.5, lambda machine=machine: self.cluster.boot(machine))
 
     def wipe_oldest_in_the_dark(self) -> None:
         """The disk that has lasted longest is lost, and all other machines lose power at that moment."""
-        world = self.world
-        present = [machine for machine in world.machines.values() if machine.present]
+        cluster = self.cluster
+        present = [machine for machine in cluster.machines.values() if machine.present]
         oldest = min(present, key=lambda machine: machine.disk_since)
-        if not world.may_wipe(oldest):
+        if not cluster.may_wipe(oldest):
             return
         self._wipe(oldest)
         self._power_cycle([machine for machine in present if machine is not oldest])
@@ -317,12 +317,12 @@
 
     def slow_disk(self) -> None:
         if machine := self._one():
-            machine.sync_time = self.world.chance.choice((0.05, 0.2, 0.5))
-            self._later(0.5, 3.0, lambda: setattr(machine, "sync_time", self.world.settings.sync_time))
+            machine.sync_time = self.cluster.chance.choice((0.05, 0.2, 0.5))
+            self._later(0.5, 3.0, lambda: setattr(machine, "sync_time", self.cluster.settings.sync_time))
 
     def hang_disk(self) -> None:
         if machine := self._one():
-            machine.hangs_until = self.world.now + self.world.chance.uniform(0.2, 3.0)
+            machine.hangs_until = self.cluster.now + self.cluster.chance.uniform(0.2, 3.0)
 
     def terminate(self) -> None:
         """A planned end: hand over first, then stop."""
@@ -334,7 +334,7 @@
 
         def stop() -> None:
             if machine.process is process:
-                self.world.kill(machine)
-                self._later(0.1, 1.0, lambda: self.world.boot(machine))
+                self.cluster.kill(machine)
+                self._later(0.1, 1.0, lambda: self.cluster.boot(machine))
 
         self._later(0.05, 1.0, stop)
--- a/tests/fleet/replication/histories.py
+++ b/tests/fleet/replication/histories.py
@@ -9,7 +9,7 @@
 from tests.fleet.replication.oracle import ViolationError
 from tests.fleet.replication.scenarios import SCENARIOS
 from tests.fleet.replication.settings import CROWDED, Settings, WeakMoment, settings_of
-from tests.fleet.replication.world import limits_of, play
+from tests.fleet.replication.simulated_cluster import limits_of, play
 
 
 class Ending(enum.Enum):
--- a/tests/fleet/replication/mutation.py
+++ b/tests/fleet/replication/mutation.py
@@ -26,7 +26,7 @@
     "tests.fleet.replication.settings",
     "tests.fleet.replication.simulated_disk",
     "tests.fleet.replication.synced_log",
-    "tests.fleet.replication.world",
+    "tests.fleet.replication.simulated_cluster",
 )
 HISTORIES = "tests.fleet.replication.histories"
 
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -28,7 +28,7 @@
 from tests.fleet.replication.synced_log import SyncedLog
 
 if TYPE_CHECKING:
-    from tests.fleet.replication.world import World
+    from tests.fleet.replication.simulated_cluster import SimulatedCluster
 
 FOLDER = "/data/group-0"
 CALLS_BEFORE_THE_END = (
@@ -64,23 +64,23 @@
 class Process:
     """One life of a controller: a thin driver as `firvane.fleet.controller.replication_host` is one."""
 
-    def __init__(self, world: World, machine: Machine, may_bootstrap: bool) -> None:
-        self.world = world
+    def __init__(self, cluster: SimulatedCluster, machine: Machine, may_bootstrap: bool) -> None:
+        self.cluster = cluster
         self.machine = machine
-        chance = world.chance
+        chance = cluster.chance
         opened = open_or_create(machine.disk, FOLDER, may_bootstrap, chance.getrandbits(63) + 1, QUIET)
         self._check_journal(opened.journal.identity)
         machine.journal = opened.journal.identity
         machine.damaged = False
         identity = Member(machine.address, opened.journal.identity)
-        options = ReplicaOptions(world.seeds, world.settings.target_size, world.settings.timing)
+        options = ReplicaOptions(cluster.seeds, cluster.settings.target_size, cluster.settings.timing)
         replica = Replica(identity, opened.recovered, options, chance.uniform, self.now())
         machine.incarnation = replica.identity.incarnation
         self.recovered = opened.recovered
-        self.synced = world.synced.setdefault(replica.identity.incarnation, SyncedLog())
+        self.synced = cluster.synced.setdefault(replica.identity.incarnation, SyncedLog())
         self.unsynced: deque[Write] = deque()
         self.shown_commit = 0  # the commit index that the oracle has seen
-        self.ledger = Ledger(world.oracle)
+        self.ledger = Ledger(cluster.oracle)
         self.ledger.before_save = self._show_commit  # afterwards the log lacks what the snapshot covers
         self.group = ReplicatedGroup(replica, self.ledger, chance.getrandbits(40))
         self.writer = JournalWriter(self._on_synced, self._on_error)
@@ -103,10 +103,10 @@
             require(kept, Promise.JOURNAL_KEPT, f"{machine.address} has given up its journal")
 
     def now(self) -> float:
-        return self.machine.offset + self.world.now * self.machine.rate
+        return self.machine.offset + self.cluster.now * self.machine.rate
 
     def start(self) -> None:
-        self.perform(self.group.tick(self.world.candidates_of(self.machine), self.now()))
+        self.perform(self.group.tick(self.cluster.candidates_of(self.machine), self.now()))
 
     def perform(self, actions: Actions) -> None:
         for write in actions.writes:
@@ -115,7 +115,7 @@
         for outgoing in actions.messages:
             self._check_said(outgoing)
             envelope = Envelope(0, outgoing.to.incarnation, identity, outgoing.message)
-            self.world.send(self.machine, outgoing.to.address, envelope)
+            self.cluster.send(self.machine, outgoing.to.address, envelope)
         for resolved in actions.resolved:
             answer = self.waiting.pop(resolved.token, None)
             if answer is not None:
@@ -125,25 +125,25 @@
                 self._check_change()
             elif event == "leader_elected":
                 self._check_election()
-                self.world.oracle.led(self.group.replica.term, identity)
+                self.cluster.oracle.led(self.group.replica.term, identity)
                 log = self.group.replica.core.log
                 if log.base_index == 0:
-                    self.world.oracle.founded(log.entry(1).payload)
-                self.world.weak_moment(WeakMoment.ELECTED, self.machine)
+                    self.cluster.oracle.founded(log.entry(1).payload)
+                self.cluster.weak_moment(WeakMoment.ELECTED, self.machine)
             elif event == "following_leader":
-                self.world.weak_moment(WeakMoment.FOLLOWING, self.machine)
+                self.cluster.weak_moment(WeakMoment.FOLLOWING, self.machine)
         self._show_commit()
         self._check_voters()
         if self.group.replica.leadership is not None:
-            self.world.oracle.led(self.group.replica.term, identity)
-            self.world.check_rivals()
+            self.cluster.oracle.led(self.group.replica.term, identity)
+            self.cluster.check_rivals()
         vote = self.group.replica.core.hard_state.vote
         if vote != self.voted:
             self.voted = vote
             if vote not in (NOBODY, identity):
-                self.world.weak_moment(WeakMoment.VOTED, self.machine)
+                self.cluster.weak_moment(WeakMoment.VOTED, self.machine)
         if any(change.owned for change in actions.owner_changes):
-            self.world.check_owners()
+            self.cluster.check_owners()
         self._poll_disk()
         self._set_timer()
 
@@ -169,17 +169,17 @@
         due = self.group.deadline()
         if due == float("inf"):
             return
-        at = max(self.world.now, (due - self.machine.offset) / self.machine.rate) + 1e-6
+        at = max(self.cluster.now, (due - self.machine.offset) / self.machine.rate) + 1e-6
         if at < self.wake_at:
             self.wake_at = at
-            self.world.at(at, self._wake, self)
+            self.cluster.at(at, self._wake, self)
 
     def _wake(self) -> None:
-        if self.world.now < self.wake_at - 1e-9 and self.wake_at != float("inf"):
+        if self.cluster.now < self.wake_at - 1e-9 and self.wake_at != float("inf"):
             return
         self.wake_at = float("inf")
         if self.group.deadline() <= self.now():
-            self.perform(self.group.tick(self.world.candidates_of(self.machine), self.now()))
+            self.perform(self.group.tick(self.cluster.candidates_of(self.machine), self.now()))
         else:
             self._set_timer()
 
@@ -196,7 +196,7 @@
             require(held, Promise.SAID_SYNCED, f"entry {message.synced_index} is not synced")
 
     def _show_commit(self) -> None:
-        replica, oracle = self.group.replica, self.world.oracle
+        replica, oracle = self.group.replica, self.cluster.oracle
         index, log = replica.commit_index, replica.core.log
         if index <= self.shown_commit:
             return
@@ -236,7 +236,7 @@
         require(synced, Promise.COMMITTED_SYNCED, f"entry {index} is committed without a majority's sync")
 
     def _check_election(self) -> None:
-        replica, oracle = self.group.replica, self.world.oracle
+        replica, oracle = self.group.replica, self.cluster.oracle
         term, log = replica.term, replica.core.log
         own = replica.identity.incarnation
         votes = self._count(log.members, lambda known: known.has_voted(term, own))
@@ -257,7 +257,7 @@
         require(own, Promise.CHANGES_APART, f"a change before an entry of term {replica.term} is committed")
 
     def _count(self, members: Members, holds: Callable[[SyncedLog], bool]) -> int:
-        synced = self.world.synced
+        synced = self.cluster.synced
         return sum(member.incarnation in synced and holds(synced[member.incarnation]) for member in members)
 
     # The disk
@@ -269,8 +269,8 @@
             snapshot = write.snapshot
             terms = [snapshot.term, *(entry.term for entry in write.entries)]
             require(terms == sorted(terms), Promise.TERMS_RISE, f"the log after a snapshot: {terms}")
-            self.world.oracle.snapshot_taken(snapshot.index, snapshot.members_index, snapshot.members)
-            self.world.weak_moment(WeakMoment.COMPACTING, self.machine)
+            self.cluster.oracle.snapshot_taken(snapshot.index, snapshot.members_index, snapshot.members)
+            self.cluster.weak_moment(WeakMoment.COMPACTING, self.machine)
             records.insert(0, encode_origin(self.group.replica.core.may_bootstrap))
             self.writer.compact(0, write.sequence, encode_snapshot(write.snapshot), records)
         elif write.sequence == 1:
@@ -278,7 +278,7 @@
         else:
             self.writer.append(0, write.sequence, records)
             if write.entries:
-                self.world.weak_moment(WeakMoment.WRITING, self.machine)
+                self.cluster.weak_moment(WeakMoment.WRITING, self.machine)
 
     def _on_synced(self, _key: int, sequence: int) -> None:
         durable = self.machine.disk.newest_segment_is_durable()
@@ -301,13 +301,13 @@
             return
         self.disk_busy = True
         machine = self.machine
-        takes = machine.sync_time * self.world.chance.uniform(0.6, 1.8)
-        at = max(self.world.now, machine.hangs_until) + takes + pause
-        self.world.at(at, self._disk_done, self)
+        takes = machine.sync_time * self.cluster.chance.uniform(0.6, 1.8)
+        at = max(self.cluster.now, machine.hangs_until) + takes + pause
+        self.cluster.at(at, self._disk_done, self)
 
     def _disk_done(self) -> None:
-        if self.machine.hangs_until > self.world.now:
-            self.world.at(self.machine.hangs_until, self._disk_done, self)
+        if self.machine.hangs_until > self.cluster.now:
+            self.cluster.at(self.machine.hangs_until, self._disk_done, self)
             return
         self.disk_busy = False
         succeeded = self.writer.write_pending()
@@ -325,7 +325,7 @@
         self.alive = False
         disk = self.machine.disk
         if self.disk_busy:
-            disk.budget = self.world.chance.choice(CALLS_BEFORE_THE_END)
+            disk.budget = self.cluster.chance.choice(CALLS_BEFORE_THE_END)
             with contextlib.suppress(PowerCut):
                 self.writer.write_pending()
             disk.budget = None
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -8,7 +8,7 @@
 from tests.fleet.replication.oracle import Promise, require
 from tests.fleet.replication.process import Machine, Process
 from tests.fleet.replication.settings import CROWDED, Settings
-from tests.fleet.replication.world import HAND_OUT_PATIENCE, World, limits_of
+from tests.fleet.replication.simulated_cluster import HAND_OUT_PATIENCE, SimulatedCluster, limits_of
 
 ROUNDS = 4  # how often the trouble comes in one history
 LONG_CUT = 20.0  # seconds
@@ -20,13 +20,13 @@
 PROMPT = 0.100  # seconds in which a successor must have acknowledged an order; an election takes 0.3 at least
 
 
-def calm_world(settings: Settings, seed: int) -> World:
+def stable_cluster(settings: Settings, seed: int) -> SimulatedCluster:
     """A world without faults whose group serves."""
-    world = World(seed, settings)
-    world.at(0.3, world.operate)
-    world.run_until(lambda: world.is_formed() and world.owner() is not None, 5.0)
-    world.run(world.now + 3.0)
-    return world
+    cluster = SimulatedCluster(seed, settings)
+    cluster.at(0.3, cluster.operate)
+    cluster.run_until(lambda: cluster.is_formed() and cluster.owner() is not None, 5.0)
+    cluster.run(cluster.now + 3.0)
+    return cluster
 
 
 def calm_settings(seed: int) -> Settings:
@@ -50,68 +50,70 @@
     )
 
 
-def owner_of(world: World) -> Process:
+def owner_of(cluster: SimulatedCluster) -> Process:
     """The owner, which there must be."""
-    owner = world.owner()
+    owner = cluster.owner()
     assert owner is not None
     return owner
 
 
 def rejoining(seed: int) -> None:
     """A follower is cut off from everybody for a while: the leader and its term stay."""
-    world = calm_world(calm_settings(seed), seed)
-    owner = owner_of(world)
+    cluster = stable_cluster(calm_settings(seed), seed)
+    owner = owner_of(cluster)
     term = owner.group.replica.term
-    others = [process.machine for process in world.running() if process is not owner]
-    lost = world.chance.choice(others)
-    for address in world.machines:
-        world.cuts[address, lost.address] = world.cuts[lost.address, address] = False
-    world.run(world.now + CUT_OFF)
-    world.heal()
-    world.run(world.now + 1.0)
-    after = world.owner()
+    others = [process.machine for process in cluster.running() if process is not owner]
+    lost = cluster.chance.choice(others)
+    for address in cluster.machines:
+        cluster.cuts[address, lost.address] = cluster.cuts[lost.address, address] = False
+    cluster.run(cluster.now + CUT_OFF)
+    cluster.heal()
+    cluster.run(cluster.now + 1.0)
+    after = cluster.owner()
     kept = after is owner and owner.group.replica.term == term
     require(
         kept, Promise.LEADER_UNDISTURBED, f"{lost.address} returned, and the leader of term {term} is none"
     )
-    world.finish()
+    cluster.finish()
 
 
 def processor_quota(seed: int) -> None:
     """All processes stand still for most of each tenth of a second: the leader and its term stay."""
-    world = calm_world(calm_settings(seed), seed)
-    owner = owner_of(world)
+    cluster = stable_cluster(calm_settings(seed), seed)
+    owner = owner_of(cluster)
     term = owner.group.replica.term
-    end = world.now + QUOTA_TIME
+    end = cluster.now + QUOTA_TIME
 
     def stand_still(machine: Machine) -> None:
-        world.freeze(machine)
-        world.at(world.now + QUOTA_STILL, lambda: go_on(machine))
+        cluster.freeze(machine)
+        cluster.at(cluster.now + QUOTA_STILL, lambda: go_on(machine))
 
     def go_on(machine: Machine) -> None:
-        world.thaw(machine)
-        if world.now < end:
-            world.at(world.now + QUOTA_PERIOD - QUOTA_STILL, lambda: stand_still(machine))
-
-    for machine in world.machines.values():
-        world.at(world.now + world.chance.uniform(0.0, QUOTA_PERIOD), lambda each=machine: stand_still(each))
+        cluster.thaw(machine)
+        if cluster.now < end:
+            cluster.at(cluster.now + QUOTA_PERIOD - QUOTA_STILL, lambda: stand_still(machine))
+
+    for machine in cluster.machines.values():
+        cluster.at(
+            cluster.now + cluster.chance.uniform(0.0, QUOTA_PERIOD), lambda each=machine: stand_still(each)
+        )
     acknowledged = len(owner.ledger.commands)
-    world.run(end + 1.0)
-    after = world.owner()
+    cluster.run(end + 1.0)
+    after = cluster.owner()
     kept = after is owner and owner.group.replica.term == term
     require(kept, Promise.LEADER_UNDISTURBED, f"under a processor quota the leader of term {term} was lost")
     require(
         len(owner.ledger.commands) > acknowledged, Promise.LEADER_UNDISTURBED, "no order was taken meanwhile"
     )
-    world.finish()
+    cluster.finish()
 
 
-def _cut_both_ways(world: World, one: Machine, other: Machine) -> None:
-    world.cuts[one.address, other.address] = world.cuts[other.address, one.address] = False
+def _cut_both_ways(cluster: SimulatedCluster, one: Machine, other: Machine) -> None:
+    cluster.cuts[one.address, other.address] = cluster.cuts[other.address, one.address] = False
 
 
-def _others(world: World, owner: Process) -> list[Machine]:
-    return [process.machine for process in world.running() if process is not owner]
+def _others(cluster: SimulatedCluster, owner: Process) -> list[Machine]:
+    return [process.machine for process in cluster.running() if process is not owner]
 
 
 def isolated_owner(seed: int) -> None:
@@ -119,39 +121,39 @@
     settings = tight_settings(seed)
     if seed % 2:
         settings.late, settings.late_by = 0.5, 0.29
-    world = calm_world(settings, seed)
-    world.quiet = bool(seed % 4 // 2)
+    cluster = stable_cluster(settings, seed)
+    cluster.quiet = bool(seed % 4 // 2)
     for _ in range(ROUNDS):
-        world.run_until(lambda: world.owner() is not None, 5.0)
-        owner = owner_of(world)
-        world.run(world.now + world.chance.uniform(0.1, 0.3))
-        for machine in _others(world, owner):
-            _cut_both_ways(world, owner.machine, machine)
+        cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+        owner = owner_of(cluster)
+        cluster.run(cluster.now + cluster.chance.uniform(0.1, 0.3))
+        for machine in _others(cluster, owner):
+            _cut_both_ways(cluster, owner.machine, machine)
         for _ in range(40):
-            world.run(world.now + 0.015)
-            world.call(owner)
-        world.heal()
-    world.finish()
+            cluster.run(cluster.now + 0.015)
+            cluster.call(owner)
+        cluster.heal()
+    cluster.finish()
 
 
 def half_cut_owner(seed: int) -> None:
     """One follower loses the owner, the others do not; these start again, or not. All logs are equal."""
-    world = calm_world(tight_settings(seed), seed)
-    world.quiet = True
-    world.run(world.now + 0.2)
+    cluster = stable_cluster(tight_settings(seed), seed)
+    cluster.quiet = True
+    cluster.run(cluster.now + 0.2)
     for _ in range(ROUNDS):
-        world.run_until(lambda: world.owner() is not None, 5.0)
-        owner = owner_of(world)
-        lost, *rest = world.chance.sample(_others(world, owner), 2)
-        _cut_both_ways(world, owner.machine, lost)
-        world.run(world.now + 0.25)
+        cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+        owner = owner_of(cluster)
+        lost, *rest = cluster.chance.sample(_others(cluster, owner), 2)
+        _cut_both_ways(cluster, owner.machine, lost)
+        cluster.run(cluster.now + 0.25)
         for _ in range(10):
             if seed % 2:
-                world.kill(rest[0])
-                world.boot(rest[0])
-            world.run(world.now + world.chance.uniform(0.02, 0.06))
-        world.heal()
-    world.finish()
+                cluster.kill(rest[0])
+                cluster.boot(rest[0])
+            cluster.run(cluster.now + cluster.chance.uniform(0.02, 0.06))
+        cluster.heal()
+    cluster.finish()
 
 
 def stalled_owner(seed: int) -> None:
@@ -163,43 +165,43 @@
     settings.late, settings.late_by = ((0.3, 0.02), (0.6, 0.12))[seed % 2]
     if seed % 2:
         settings.timing = DEFAULT_TIMING  # the owner has not yet given up when it returns
-    world = calm_world(settings, seed)
-    world.quiet = True
+    cluster = stable_cluster(settings, seed)
+    cluster.quiet = True
     for _ in range(3 * ROUNDS):
-        world.run_until(lambda: world.owner() is not None, 5.0)
-        owner = owner_of(world)
+        cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+        owner = owner_of(cluster)
         if seed % 2:
-            _cut_both_ways(world, owner.machine, _others(world, owner)[0])
-        world.freeze(owner.machine)
-        world.run(world.now + world.chance.uniform(0.25, 0.42))
-        world.thaw(owner.machine)
-        world.run(world.now + 0.25)
-        world.heal()
-        world.run(world.now + 0.2)
-    world.finish()
+            _cut_both_ways(cluster, owner.machine, _others(cluster, owner)[0])
+        cluster.freeze(owner.machine)
+        cluster.run(cluster.now + cluster.chance.uniform(0.25, 0.42))
+        cluster.thaw(owner.machine)
+        cluster.run(cluster.now + 0.25)
+        cluster.heal()
+        cluster.run(cluster.now + 0.2)
+    cluster.finish()
 
 
 def late_answers(seed: int) -> None:
     """Answers come to the owner late, when those who gave them may soon elect another."""
-    world = calm_world(tight_settings(seed), seed)
-    world.quiet = True
+    cluster = stable_cluster(tight_settings(seed), seed)
+    cluster.quiet = True
     for _ in range(ROUNDS):
-        world.run_until(lambda: world.owner() is not None, 5.0)
-        owner = owner_of(world)
-        others = _others(world, owner)
+        cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+        owner = owner_of(cluster)
+        others = _others(cluster, owner)
         for machine in others:
-            world.cuts[machine.address, owner.machine.address] = True
-        world.run(world.now + 0.1)
+            cluster.cuts[machine.address, owner.machine.address] = True
+        cluster.run(cluster.now + 0.1)
         for machine in others:
-            world.cuts[owner.machine.address, machine.address] = False
-        world.run(world.now + world.chance.uniform(0.18, 0.26))
-        world.heal()
+            cluster.cuts[owner.machine.address, machine.address] = False
+        cluster.run(cluster.now + cluster.chance.uniform(0.18, 0.26))
+        cluster.heal()
         for machine in others:
-            _cut_both_ways(world, owner.machine, machine)
-        world.run(world.now + 0.4)
-        world.heal()
-        world.run(world.now + 0.5)
-    world.finish()
+            _cut_both_ways(cluster, owner.machine, machine)
+        cluster.run(cluster.now + 0.4)
+        cluster.heal()
+        cluster.run(cluster.now + 0.5)
+    cluster.finish()
 
 
 def diverging_tail(seed: int) -> None:
@@ -207,82 +209,82 @@
     settings = calm_settings(seed)
     settings.compact_bytes, settings.keep_bytes = 300, 0
     with limits_of(settings):
-        world = calm_world(settings, seed)
-        world.quiet = True
+        cluster = stable_cluster(settings, seed)
+        cluster.quiet = True
         for _ in range(ROUNDS):
-            world.run_until(lambda: world.owner() is not None, 5.0)
-            owner = owner_of(world)
-            for machine in _others(world, owner):
-                _cut_both_ways(world, owner.machine, machine)
+            cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+            owner = owner_of(cluster)
+            for machine in _others(cluster, owner):
+                _cut_both_ways(cluster, owner.machine, machine)
             for _ in range(20):
-                world.propose(owner, 0.1)
-            world.run_until(lambda owner=owner: world.owner() not in (None, owner), 5.0)
-            for _ in range(world.chance.randrange(4, 14)):
-                world.propose(owner_of(world))
-                world.run(world.now + 0.02)
-            world.heal()
-            world.run(world.now + 1.0)
-        world.finish()
+                cluster.propose(owner, 0.1)
+            cluster.run_until(lambda owner=owner: cluster.owner() not in (None, owner), 5.0)
+            for _ in range(cluster.chance.randrange(4, 14)):
+                cluster.propose(owner_of(cluster))
+                cluster.run(cluster.now + 0.02)
+            cluster.heal()
+            cluster.run(cluster.now + 1.0)
+        cluster.finish()
 
 
 def parting_owner(seed: int) -> None:
     """An owner names its successor, and hears nothing of the election."""
-    world = calm_world(calm_settings(seed), seed)
-    world.quiet = True
+    cluster = stable_cluster(calm_settings(seed), seed)
+    cluster.quiet = True
     for _ in range(ROUNDS):
-        world.run_until(lambda: world.owner() is not None, 5.0)
-        world.run(world.now + 0.3)
-        owner = owner_of(world)
+        cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+        cluster.run(cluster.now + 0.3)
+        owner = owner_of(cluster)
         owner.perform(owner.group.start_draining(owner.now()))
-        for machine in _others(world, owner):
-            world.cuts[machine.address, owner.machine.address] = False
-        world.run(world.now + 0.2)
-        world.kill(owner.machine)
-        world.heal()
-        world.boot(owner.machine)
-        world.run(world.now + 1.0)
-    world.finish()
+        for machine in _others(cluster, owner):
+            cluster.cuts[machine.address, owner.machine.address] = False
+        cluster.run(cluster.now + 0.2)
+        cluster.kill(owner.machine)
+        cluster.heal()
+        cluster.boot(owner.machine)
+        cluster.run(cluster.now + 1.0)
+    cluster.finish()
 
 
 def planned_end(seed: int) -> None:
     """An owner is told to stop: another one acknowledges an order without an election timeout."""
-    world = calm_world(calm_settings(seed), seed)
+    cluster = stable_cluster(calm_settings(seed), seed)
     for _ in range(ROUNDS):
-        took = hand_over_time(world)
+        took = hand_over_time(cluster)
         require(took < PROMPT, Promise.PROMPT_SUCCESSOR, f"the next acknowledgement after {took:.3f} s")
-        world.run(world.now + 1.5)
-    world.finish()
+        cluster.run(cluster.now + 1.5)
+    cluster.finish()
 
 
-def hand_over_time(world: World) -> float:
+def hand_over_time(cluster: SimulatedCluster) -> float:
     """Seconds from the owner's SIGTERM to the first acknowledgement of another; the process starts again."""
-    world.run_until(lambda: world.owner() is not None, 5.0)
-    owner = owner_of(world)
-    started = world.now
-    known = len(world.oracle.committed)
+    cluster.run_until(lambda: cluster.owner() is not None, 5.0)
+    owner = owner_of(cluster)
+    started = cluster.now
+    known = len(cluster.oracle.committed)
     owner.perform(owner.group.start_draining(owner.now()))
 
     def acknowledged() -> bool:
-        successor = world.owner()
+        successor = cluster.owner()
         if successor is None or successor is owner:
             return False
-        world.propose(successor)
-        return len(world.oracle.committed) > known and successor.group.applied_index > 0
+        cluster.propose(successor)
+        return len(cluster.oracle.committed) > known and successor.group.applied_index > 0
 
-    took = world.run_until(acknowledged, 5.0)
-    assert took == world.now - started
-    world.kill(owner.machine)
-    world.at(world.now + 0.2, lambda: world.boot(owner.machine))
+    took = cluster.run_until(acknowledged, 5.0)
+    assert took == cluster.now - started
+    cluster.kill(owner.machine)
+    cluster.at(cluster.now + 0.2, lambda: cluster.boot(owner.machine))
     return took
 
 
-def _cut_from(world: World, machine: Machine, others: Sequence[Machine], how: int) -> None:
+def _cut_from(cluster: SimulatedCluster, machine: Machine, others: Sequence[Machine], how: int) -> None:
     """Cut a machine off: both ways, only what it sends, or only what it is sent."""
     for other in others:
         if how != 1:
-            world.cuts[other.address, machine.address] = False
+            cluster.cuts[other.address, machine.address] = False
         if how != 2:
-            world.cuts[machine.address, other.address] = False
+            cluster.cuts[machine.address, other.address] = False
 
 
 def long_cut(seed: int) -> None:
@@ -293,42 +295,44 @@
     """
     settings = calm_settings(seed)
     settings.compact_bytes, settings.keep_bytes = 2_000, 400
-    world = calm_world(settings, seed)
-    owner = owner_of(world)
-    lost = owner.machine if seed % 2 else world.chance.choice(_others(world, owner))
-    others = [machine for machine in world.machines.values() if machine is not lost]
-    _cut_from(world, lost, others, seed // 2 % 3)
-    heard_until = world.now + SILENT_AFTER
-    while world.now < heard_until + LONG_CUT:
+    cluster = stable_cluster(settings, seed)
+    owner = owner_of(cluster)
+    lost = owner.machine if seed % 2 else cluster.chance.choice(_others(cluster, owner))
+    others = [machine for machine in cluster.machines.values() if machine is not lost]
+    _cut_from(cluster, lost, others, seed // 2 % 3)
+    heard_until = cluster.now + SILENT_AFTER
+    while cluster.now < heard_until + LONG_CUT:
         if lost.process is None:
-            world.boot(lost)
-        elif seed % 5 == 4 and world.chance.random() < 0.05:
-            world.kill(lost)
+            cluster.boot(lost)
+        elif seed % 5 == 4 and cluster.chance.random() < 0.05:
+            cluster.kill(lost)
             continue
         if lost.process is not None:
-            world.call(lost.process)
-        world.run(world.now + 0.1)
-        _check_silence(world, lost, heard_until)
+            cluster.call(lost.process)
+        cluster.run(cluster.now + 0.1)
+        _check_silence(cluster, lost, heard_until)
     if seed % 3 == 2:
         for machine in others:
-            world.kill(machine)
-            world.at(world.now + 0.5, lambda machine=machine: world.boot(machine))
-    world.heal()
-    world.run_until(lambda: _hands_out(world), HANDS_OUT_AGAIN)
-    world.finish()
+            cluster.kill(machine)
+            cluster.at(cluster.now + 0.5, lambda machine=machine: cluster.boot(machine))
+    cluster.heal()
+    cluster.run_until(lambda: _hands_out(cluster), HANDS_OUT_AGAIN)
+    cluster.finish()
 
 
-def _check_silence(world: World, lost: Machine, since: float) -> None:
+def _check_silence(cluster: SimulatedCluster, lost: Machine, since: float) -> None:
     """Whoever hears nothing, or is heard by nobody, soon has nothing to hand out."""
     process = lost.process
-    if process is not None and world.now >= since:
+    if process is not None and cluster.now >= since:
         contact = process.group.has_quorum_contact(process.now(), HAND_OUT_PATIENCE)
-        require(not contact, Promise.HANDED_OUT_RECENT, f"{lost.address} claims contact at {world.now:.2f} s")
+        require(
+            not contact, Promise.HANDED_OUT_RECENT, f"{lost.address} claims contact at {cluster.now:.2f} s"
+        )
 
 
-def _hands_out(world: World) -> bool:
+def _hands_out(cluster: SimulatedCluster) -> bool:
     """Whether every voter may hand its state out."""
-    return all(process.group.is_current(process.now(), HAND_OUT_PATIENCE) for process in world.running())
+    return all(process.group.is_current(process.now(), HAND_OUT_PATIENCE) for process in cluster.running())
 
 
 SCENARIOS: dict[str, Callable[[int], None]] = {
--- a/tests/fleet/replication/world.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -1,7 +1,8 @@
-"""A simulated world for one replication group: machines, disks, clocks, a network, faults, clients.
+"""A simulated cluster for one replication group: machines, disks, clocks, a network, faults and clients.
 
-The replicas, the journals and the writer are the real ones; time is simulated, and all else is drawn from the
-seed. `python -m tests.fleet.replication.world 5000` plays so many seeds and prints those that fail.
+The replicas, the journals and the journal writer are the real code. Time is simulated, and all random choices
+come from the seed. `python -m tests.fleet.replication.simulated_cluster COUNT [FIRST]` runs COUNT seeds from
+FIRST on and prints those that fail.
 """
 
 from __future__ import annotations
@@ -39,11 +40,11 @@
 MAXIMUM_EVENTS = 300_000  # no drawn history comes near
 
 
-class RunawayWorldError(Exception):
+class RunawaySimulationError(Exception):
     """Events come without end."""
 
 
-class World:
+class SimulatedCluster:
     """Machines, network, clients and faults of one seed."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
@@ -74,7 +75,7 @@
         """Call at a time; for a process only while it lives, and later if it is frozen then."""
         self._count += 1
         if self._count > MAXIMUM_EVENTS:
-            raise RunawayWorldError(f"{self._count} events until {self.now:.1f} s")
+            raise RunawaySimulationError(f"{self._count} events until {self.now:.1f} s")
         heapq.heappush(self._events, (when, self._count, call, process))
 
     def run(self, until: float) -> None:
@@ -394,21 +395,21 @@
         yield
 
 
-def play(seed: int, settings: Settings | None = None) -> World:
+def play(seed: int, settings: Settings | None = None) -> SimulatedCluster:
     """Play one seed to its end."""
     from tests.fleet.replication.faults import Faults
 
     settings = settings or settings_of(seed)
     with limits_of(settings):
-        world = World(seed, settings)
-        faults = Faults(world)
-        world.at(0.3, world.operate)
-        world.at(settings.first_fault, faults.strike)
-        world.run(settings.first_fault + settings.duration)
+        cluster = SimulatedCluster(seed, settings)
+        faults = Faults(cluster)
+        cluster.at(0.3, cluster.operate)
+        cluster.at(settings.first_fault, faults.strike)
+        cluster.run(settings.first_fault + settings.duration)
         faults.stop()
         faults.final()
-        world.finish()
-        return world
+        cluster.finish()
+        return cluster
 
 
 def main(arguments: Sequence[str]) -> int:
--- a/tests/fleet/replication/test_freshness.py
+++ b/tests/fleet/replication/test_freshness.py
@@ -6,35 +6,35 @@
 from firvane.fleet.replication.group import COMPACTION_ENTRIES, MAX_ENTRIES_PER_APPLY, Actions
 from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from tests.fleet.replication.process import Process
-from tests.fleet.replication.scenarios import calm_world, owner_of
+from tests.fleet.replication.scenarios import owner_of, stable_cluster
 from tests.fleet.replication.settings import Settings
-from tests.fleet.replication.world import World, limits_of
+from tests.fleet.replication.simulated_cluster import SimulatedCluster, limits_of
 
 PATIENCE = 1.0  # seconds
 CALM = Settings(machines=4, loss=0.0, doubled=0.0, late=0.0, sync_time=0.001)
 
 
-def outside(world: World) -> Process:
-    members = owner_of(world).group.replica.core.log.members
-    return next(each for each in world.running() if each.group.replica.identity not in members)
+def outside(cluster: SimulatedCluster) -> Process:
+    members = owner_of(cluster).group.replica.core.log.members
+    return next(each for each in cluster.running() if each.group.replica.identity not in members)
 
 
-def follower(world: World) -> Process:
-    owner = owner_of(world)
-    return next(each for each in world.running() if each is not owner and each.group.replica.is_voter)
+def follower(cluster: SimulatedCluster) -> Process:
+    owner = owner_of(cluster)
+    return next(each for each in cluster.running() if each is not owner and each.group.replica.is_voter)
 
 
-def cut_off(world: World, process: Process) -> None:
+def cut_off(cluster: SimulatedCluster, process: Process) -> None:
     own = process.machine.address
-    for other in world.machines:
-        world.cuts[own, other] = world.cuts[other, own] = False
+    for other in cluster.machines:
+        cluster.cuts[own, other] = cluster.cuts[other, own] = False
 
 
 def test_in_calm_all_are_in_contact_and_members_are_current() -> None:
-    world = calm_world(CALM, 3)
+    cluster = stable_cluster(CALM, 3)
     for _ in range(20):
-        world.run(world.now + 0.1)
-        for process in world.running():
+        cluster.run(cluster.now + 0.1)
+        for process in cluster.running():
             now = process.now()
             assert process.group.has_quorum_contact(now, PATIENCE)
             assert process.group.is_current(now, PATIENCE) is process.group.replica.is_voter
@@ -42,53 +42,53 @@
 
 def test_a_cut_ends_contact_within_the_patience_and_its_end_brings_it_back() -> None:
     for choose in (owner_of, follower, outside):
-        world = calm_world(CALM, 4)
-        process = choose(world)
-        cut_off(world, process)
-        world.run(world.now + PATIENCE * 1.1 + 0.05)
+        cluster = stable_cluster(CALM, 4)
+        process = choose(cluster)
+        cut_off(cluster, process)
+        cluster.run(cluster.now + PATIENCE * 1.1 + 0.05)
         assert not process.group.has_quorum_contact(process.now(), PATIENCE)
         assert not process.group.is_current(process.now(), PATIENCE)
-        world.heal()
-        world.run(world.now + 1.0)
+        cluster.heal()
+        cluster.run(cluster.now + 1.0)
         assert process.group.has_quorum_contact(process.now(), PATIENCE)
 
 
 def test_a_process_that_starts_claims_nothing_until_it_has_asked() -> None:
-    world = calm_world(CALM, 5)
-    machine = follower(world).machine
-    world.kill(machine)
-    world.boot(machine)
+    cluster = stable_cluster(CALM, 5)
+    machine = follower(cluster).machine
+    cluster.kill(machine)
+    cluster.boot(machine)
     process = machine.process
     assert process is not None
     assert not process.group.has_quorum_contact(process.now(), PATIENCE)
-    world.run(world.now + 1.0)
+    cluster.run(cluster.now + 1.0)
     assert process.group.is_current(process.now(), PATIENCE)
 
 
 def test_a_frozen_process_is_out_of_contact_in_the_moment_in_which_it_wakes() -> None:
-    world = calm_world(CALM, 6)
-    process = follower(world)
-    world.freeze(process.machine)
-    world.run(world.now + 5.0)
+    cluster = stable_cluster(CALM, 6)
+    process = follower(cluster)
+    cluster.freeze(process.machine)
+    cluster.run(cluster.now + 5.0)
     assert not process.group.has_quorum_contact(process.now(), PATIENCE)
 
 
 def test_a_read_outside_the_group_names_the_owner_at_once() -> None:
-    world = calm_world(CALM, 7)
-    process, answers = outside(world), list[ProposalResult]()
+    cluster = stable_cluster(CALM, 7)
+    process, answers = outside(cluster), list[ProposalResult]()
     process.read(1.0, answers.append)
     assert [answer.status for answer in answers] == [ProposalStatus.NOT_OWNER]
-    assert answers[0].owner == owner_of(world).machine.address
+    assert answers[0].owner == owner_of(cluster).machine.address
 
 
 def test_contact_costs_three_questions_a_second() -> None:
-    world = calm_world(CALM, 8)
-    process = follower(world)
+    cluster = stable_cluster(CALM, 8)
+    process = follower(cluster)
     asked: list[float] = []
     read = process.group.replica.read
     process.group.replica.read = lambda token, now: (asked.append(now), read(token, now))[1]  # type: ignore
-    world.quiet = True
-    world.run(world.now + 10.0)
+    cluster.quiet = True
+    cluster.run(cluster.now + 10.0)
     assert 10.0 / FRESHNESS_READ_INTERVAL_S * 0.7 < len(asked) <= 10.0 / FRESHNESS_READ_INTERVAL_S * 1.1
     assert REPLICATING_WITHIN_S >= 3 * FRESHNESS_READ_INTERVAL_S
 
@@ -110,21 +110,21 @@
 def test_what_is_far_behind_is_applied_in_turns_and_then_compacted() -> None:
     settings = Settings(compact_entries=COMPACTION_ENTRIES, compact_bytes=1_000_000, keep_bytes=1_000_000)
     with limits_of(settings):
-        world = calm_world(CALM, 9)
-        process = follower(world)
+        cluster = stable_cluster(CALM, 9)
+        process = follower(cluster)
         machine = process.machine
-        world.kill(machine)
+        cluster.kill(machine)
         for _ in range(3 * COMPACTION_ENTRIES):
-            world.propose(owner_of(world))
-            world.run(world.now + 0.004)
-        world.boot(machine)
+            cluster.propose(owner_of(cluster))
+            cluster.run(cluster.now + 0.004)
+        cluster.boot(machine)
         late = machine.process
         assert late is not None
         turns = count_turns(late)
-        world.run_until(lambda: late.group.applied_index == owner_of(world).group.applied_index, 2.0)
+        cluster.run_until(lambda: late.group.applied_index == owner_of(cluster).group.applied_index, 2.0)
         assert max(turns) == MAX_ENTRIES_PER_APPLY
         assert sum(turns) >= 2 * COMPACTION_ENTRIES
-        owner = owner_of(world).group.replica.core.log
+        owner = owner_of(cluster).group.replica.core.log
         assert owner.snapshot is not None
         assert owner.last_index - owner.snapshot.index <= COMPACTION_ENTRIES + 20
-        world.finish()
+        cluster.finish()
--- a/tests/fleet/replication/test_world.py
+++ b/tests/fleet/replication/test_simulated_cluster.py
@@ -1,6 +1,6 @@
 """Groups of replicas through drawn troubles: no promise is broken in any of a fixed set of histories.
 
-Thousands more are played by `python -m tests.fleet.replication.world COUNT FIRST`.
+Thousands more are played by `python -m tests.fleet.replication.simulated_cluster COUNT FIRST`.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.fleet.replication.histories import KINDS
-from tests.fleet.replication.world import play
+from tests.fleet.replication.simulated_cluster import play
 
 HISTORIES = 30
 LATE_ELECTION = 9001294  # a leader elected 2 s before the end has yet to wait for a voter that is no more
@@ -28,9 +28,9 @@
 
 def test_a_departure_is_over_when_its_process_is_back() -> None:
     """Two voters that had announced their ends, and were back, took each other's place 25 times a second."""
-    world = play(17, KINDS["planned ends"](17))
-    owner = world.owner()
+    cluster = play(17, KINDS["planned ends"](17))
+    owner = cluster.owner()
     assert owner is not None
     before = owner.group.replica.core.log.members_index
-    world.run(world.now + 2.0)
+    cluster.run(cluster.now + 2.0)
     assert owner.group.replica.core.log.members_index == before
