--- a/tests/fleet/replication/histories.py
+++ b/tests/fleet/replication/histories.py
@@ -8,8 +8,8 @@
 
 from tests.fleet.replication.oracle import ViolationError
 from tests.fleet.replication.scenarios import SCENARIOS
-from tests.fleet.replication.settings import CROWDED, Settings, WeakMoment, settings_of
-from tests.fleet.replication.simulated_cluster import limits_of, play
+from tests.fleet.replication.settings import COLLIDING_ELECTIONS, FaultTrigger, Settings, settings_of
+from tests.fleet.replication.simulated_cluster import patched_limits, run_seed
 
 
 class Ending(enum.Enum):
@@ -22,10 +22,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The end of one history; `promise` is the one that was broken, `reason` the error's text."""
+    """The end of one history; `invariant` is the one that was broken, `reason` the error's text."""
 
     ending: Ending
-    promise: str = ""
+    invariant: str = ""
     reason: str = ""
 
 
@@ -35,12 +35,17 @@
         machines=(3, 5, 7)[seed % 3],
         target_size=(3, 5, 7)[seed % 3],
         duration=4.0,
-        fault_gap=0.4,
-        operation_gap=0.02,
-        kinds=("lose_power", "lose_power_all", "kill", "cut"),
-        aimed=0.2,
-        blows=("power_cycle_here", "power_cycle_all", "power_cycle_some", "kill_then_power_cycle"),
-        compact_bytes=(500, 2_000)[seed % 2],
+        mean_fault_interval=0.4,
+        mean_request_interval=0.02,
+        fault_kinds=("lose_power", "lose_power_all", "kill", "partition"),
+        targeted_rate=0.2,
+        targeted_faults=(
+            "power_cycle_machine",
+            "power_cycle_all",
+            "power_cycle_some",
+            "kill_then_power_cycle",
+        ),
+        compaction_bytes=(500, 2_000)[seed % 2],
         command_size=(16, 200)[seed % 2],
     )
 
@@ -51,14 +56,14 @@
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
         duration=5.0,
-        fault_gap=0.2,
-        operation_gap=0.03,
-        kinds=("restart_quickly", "cut_pairs", "cut", "kill"),
-        aimed=0.3,
-        moments=(WeakMoment.VOTED, WeakMoment.ELECTED),
-        loss=0.05,
+        mean_fault_interval=0.2,
+        mean_request_interval=0.03,
+        fault_kinds=("restart_quickly", "cut_links", "partition", "kill"),
+        targeted_rate=0.3,
+        triggers=(FaultTrigger.VOTED, FaultTrigger.ELECTED),
+        loss_rate=0.05,
         contention=True,
-        timing=CROWDED,
+        timing=COLLIDING_ELECTIONS,
         sync_time=0.02,
     )
 
@@ -69,13 +74,13 @@
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
         duration=6.0,
-        fault_gap=0.3,
-        operation_gap=0.01,
-        kinds=("cut", "cut_one_way", "cut_pairs", "freeze", "stall", "restart_quickly"),
-        aimed=0.1,
-        blows=("cut_off_here", "freeze_here", "restart_some"),
-        late=0.1,
-        late_by=0.3,
+        mean_fault_interval=0.3,
+        mean_request_interval=0.01,
+        fault_kinds=("partition", "partition_one_way", "cut_links", "freeze", "stall", "restart_quickly"),
+        targeted_rate=0.1,
+        targeted_faults=("isolate_machine", "freeze_machine", "restart_some"),
+        delay_rate=0.1,
+        max_delay=0.3,
     )
 
 
@@ -85,11 +90,11 @@
         machines=(3, 5)[seed % 2],
         target_size=3,
         duration=6.0,
-        fault_gap=0.3,
-        operation_gap=0.01,
-        kinds=("terminate", "terminate", "slow_disk", "cut_one_way"),
-        late=0.3,
-        late_by=0.1,
+        mean_fault_interval=0.3,
+        mean_request_interval=0.01,
+        fault_kinds=("terminate", "terminate", "slow_disk", "partition_one_way"),
+        delay_rate=0.3,
+        max_delay=0.1,
     )
 
 
@@ -99,12 +104,12 @@
         machines=(4, 5, 6)[seed % 3],
         target_size=(3, 5, 5)[seed % 3],
         duration=8.0,
-        fault_gap=0.3,
-        operation_gap=0.03,
-        kinds=("wipe", "wipe", "replace", "cut", "cut_pairs", "kill", "lose_power"),
-        aimed=0.1,
-        blows=("wipe_one", "cut_off_here", "cut_some_pairs", "power_cycle_here"),
-        append_bytes=(1, 1_000_000)[seed % 2],
+        mean_fault_interval=0.3,
+        mean_request_interval=0.03,
+        fault_kinds=("wipe", "wipe", "replace", "partition", "cut_links", "kill", "lose_power"),
+        targeted_rate=0.1,
+        targeted_faults=("wipe_one", "isolate_machine", "cut_some_links", "power_cycle_machine"),
+        max_append_bytes=(1, 1_000_000)[seed % 2],
     )
 
 
@@ -114,18 +119,18 @@
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
         duration=6.0,
-        fault_gap=0.25,
-        operation_gap=0.02,
-        kinds=("cut", "cut_pairs", "restart_quickly"),
-        aimed=0.4,
-        moments=(WeakMoment.ELECTED, WeakMoment.FOLLOWING, WeakMoment.WRITING),
-        blows=("cut_off_here", "cut_some_pairs", "power_cycle_here", "freeze_here"),
-        append_bytes=1,
-        compact_bytes=(300, 2_000)[seed // 2 % 2],
-        keep_bytes=100,
-        loss=0.05,
-        late=0.1,
-        late_by=0.05,
+        mean_fault_interval=0.25,
+        mean_request_interval=0.02,
+        fault_kinds=("partition", "cut_links", "restart_quickly"),
+        targeted_rate=0.4,
+        triggers=(FaultTrigger.ELECTED, FaultTrigger.FOLLOWING, FaultTrigger.WRITING),
+        targeted_faults=("isolate_machine", "cut_some_links", "power_cycle_machine", "freeze_machine"),
+        max_append_bytes=1,
+        compaction_bytes=(300, 2_000)[seed // 2 % 2],
+        retained_log_bytes=100,
+        loss_rate=0.05,
+        delay_rate=0.1,
+        max_delay=0.05,
     )
 
 
@@ -135,10 +140,10 @@
         machines=3,
         target_size=3,
         duration=6.0,
-        fault_gap=0.4,
-        operation_gap=0.02,
-        kinds=("damage_disk", "damage_disk", "kill", "lose_power"),
-        compact_bytes=(1_000, 4_000)[seed % 2],
+        mean_fault_interval=0.4,
+        mean_request_interval=0.02,
+        fault_kinds=("damage_disk", "damage_disk", "kill", "lose_power"),
+        compaction_bytes=(1_000, 4_000)[seed % 2],
         command_size=200,
     )
 
@@ -149,10 +154,10 @@
         machines=3,
         target_size=3,
         duration=6.0,
-        fault_gap=0.2,
-        operation_gap=0.02,
-        kinds=("fill_disk", "fill_disk", "lose_power", "lose_power_all", "kill_all", "slow_disk"),
-        compact_bytes=(500, 2_000)[seed % 2],
+        mean_fault_interval=0.2,
+        mean_request_interval=0.02,
+        fault_kinds=("fill_disk", "fill_disk", "lose_power", "lose_power_all", "kill_all", "slow_disk"),
+        compaction_bytes=(500, 2_000)[seed % 2],
         command_size=200,
     )
 
@@ -164,12 +169,12 @@
         machines=machines,
         target_size=(3, 3, 5, 5)[seed % 4],
         duration=8.0,
-        fault_gap=0.8,
-        operation_gap=0.015,
-        kinds=("cut_in_halves", "cut_in_halves", "cut_one_way", "kill_all", "freeze"),
-        aimed=0.05,
-        blows=("cut_off_here", "freeze_here", "power_cycle_here"),
-        compact_bytes=(500, 2_000)[seed // 4 % 2],
+        mean_fault_interval=0.8,
+        mean_request_interval=0.015,
+        fault_kinds=("partition_in_halves", "partition_in_halves", "partition_one_way", "kill_all", "freeze"),
+        targeted_rate=0.05,
+        targeted_faults=("isolate_machine", "freeze_machine", "power_cycle_machine"),
+        compaction_bytes=(500, 2_000)[seed // 4 % 2],
     )
 
 
@@ -180,12 +185,18 @@
         machines=machines,
         target_size=(3, 3, 5, 5)[seed % 4],
         duration=10.0,
-        fault_gap=0.6,
-        operation_gap=0.02,
-        kinds=("wipe_oldest_in_the_dark", "wipe_oldest_in_the_dark", "replace_in_a_cut", "replace", "wipe"),
-        aimed=0.05,
-        blows=("power_cycle_all", "wipe_one"),
-        compact_bytes=(500, 1_000_000)[seed // 4 % 2],
+        mean_fault_interval=0.6,
+        mean_request_interval=0.02,
+        fault_kinds=(
+            "wipe_oldest_during_power_loss",
+            "wipe_oldest_during_power_loss",
+            "replace_during_link_cuts",
+            "replace",
+            "wipe",
+        ),
+        targeted_rate=0.05,
+        targeted_faults=("power_cycle_all", "wipe_one"),
+        compaction_bytes=(500, 1_000_000)[seed // 4 % 2],
     )
 
 
@@ -196,15 +207,15 @@
         machines=machines,
         target_size=machines,
         duration=8.0,
-        fault_gap=1.2,
-        operation_gap=0.004,
-        kinds=("cut", "cut_in_halves", "kill", "lose_power", "freeze", "wipe"),
-        aimed=0.02,
-        moments=(WeakMoment.COMPACTING, WeakMoment.ELECTED),
-        compact_bytes=(300, 1_500)[seed // 2 % 2],
-        keep_bytes=(0, 400)[seed // 4 % 2],
-        append_bytes=(200, 1_000_000)[seed // 2 % 2],
-        loss=0.05,
+        mean_fault_interval=1.2,
+        mean_request_interval=0.004,
+        fault_kinds=("partition", "partition_in_halves", "kill", "lose_power", "freeze", "wipe"),
+        targeted_rate=0.02,
+        triggers=(FaultTrigger.COMPACTING, FaultTrigger.ELECTED),
+        compaction_bytes=(300, 1_500)[seed // 2 % 2],
+        retained_log_bytes=(0, 400)[seed // 4 % 2],
+        max_append_bytes=(200, 1_000_000)[seed // 2 % 2],
+        loss_rate=0.05,
     )
 
 
@@ -233,12 +244,12 @@
     """Play one history to its end, whatever that is."""
     try:
         if kind in SCENARIOS:
-            with limits_of(Settings()):
+            with patched_limits(Settings()):
                 SCENARIOS[kind](seed)
         else:
-            play(seed, KINDS[kind](seed))
+            run_seed(seed, KINDS[kind](seed))
     except ViolationError as error:
-        return Outcome(Ending.VIOLATED, error.promise.value, str(error))
+        return Outcome(Ending.VIOLATED, error.invariant.value, str(error))
     except Exception as error:
         return Outcome(Ending.CRASHED, "", f"{type(error).__name__}: {error}")
     return Outcome(Ending.PASSED)
--- a/tests/fleet/replication/membership_model.py
+++ b/tests/fleet/replication/membership_model.py
@@ -215,12 +215,12 @@
     def commits(self, state: State, leader: int) -> Iterator[State]:
         log = state.machines[leader].log
         voters = voters_of(log)
-        held = sorted((self.held(state, log, voter) for voter in voters), reverse=True)
-        index = held[quorum_of(len(voters)) - 1]
+        lengths = sorted((self.replicated_length(state, log, voter) for voter in voters), reverse=True)
+        index = lengths[quorum_of(len(voters)) - 1]
         if index > len(state.committed) and log[index - 1].term == state.term:
             yield self.repaired(replace(state, committed=log[:index]), leader)
 
-    def held(self, state: State, log: tuple[LogEntry, ...], voter: tuple[int, int]) -> int:
+    def replicated_length(self, state: State, log: tuple[LogEntry, ...], voter: tuple[int, int]) -> int:
         machine = state.machines[voter[0]]
         same = machine.running and machine.incarnation == voter[1]
         return _agreement(machine.log, log) if same else 0
@@ -229,7 +229,8 @@
         """Losses no longer count once the group is whole: all its voters run and hold what is committed."""
         voters = voters_of(state.committed)
         whole = len(voters) >= self.bounds.voters and all(
-            self.held(state, state.machines[leader].log, voter) >= len(state.committed) for voter in voters
+            self.replicated_length(state, state.machines[leader].log, voter) >= len(state.committed)
+            for voter in voters
         )
         if not whole:
             return state
--- a/tests/fleet/replication/mutant.py
+++ b/tests/fleet/replication/mutant.py
@@ -12,14 +12,14 @@
 class Mutant:
     """A named change of the real code, and the histories that are played with it: a kind and its seeds.
 
-    `shown_by` is one of the seeds, in whose history the change shows; None where it is not expected to.
+    `revealing_seed` is one of the seeds, in whose history the change shows; None where it is not expected to.
     """
 
     name: str
     breaks: str
     kind: str
     seeds: tuple[int, ...]
-    shown_by: int | None
+    revealing_seed: int | None
     edits: tuple[Edit, ...]
 
 
@@ -28,9 +28,9 @@
     breaks: str,
     kind: str,
     seeds: Sequence[int],
-    shown_by: int | None,
+    revealing_seed: int | None,
     *edits: tuple[str, str, str],
 ) -> Mutant:
     """A mutant; an edit is a module of `firvane`, the old text and the new one."""
     changes = tuple(Edit(f"firvane.fleet.{module}", old, new) for module, old, new in edits)
-    return Mutant(name, breaks, kind, tuple(seeds), shown_by, changes)
+    return Mutant(name, breaks, kind, tuple(seeds), revealing_seed, changes)
--- a/tests/fleet/replication/mutants_storage.py
+++ b/tests/fleet/replication/mutants_storage.py
@@ -4,7 +4,7 @@
 
 from tests.fleet.replication.mutant import mutant
 
-ANSWERS = (
+RESPONSES = (
     mutant(
         "read without a majority",
         "a leader answers a read though its lease is over and nobody has confirmed it",
@@ -218,7 +218,7 @@
     ),
 )
 
-SUPERFLUOUS = (
+UNDETECTED = (
     mutant(
         "hole kept",
         "what a refused write has left stays behind the last frame, and the next frame is written over it",
--- a/tests/fleet/replication/oracle.py
+++ b/tests/fleet/replication/oracle.py
@@ -1,4 +1,4 @@
-"""What must hold in every simulated world; a breach is a `ViolationError` that names the `Promise`."""
+"""The invariants of every simulated cluster; a `ViolationError` names the violated `Invariant`."""
 
 from __future__ import annotations
 
@@ -13,52 +13,60 @@
 _COMMAND = struct.Struct("<Q")
 
 
-class Promise(enum.Enum):
-    """The promises of a group, by the names under which their violations are reported."""
+class Invariant(enum.Enum):
+    """The invariants of a group, with the names under which violations are reported."""
 
-    ONE_HISTORY = "one history"  # no two replicas apply different entries at one index
-    TAKEN_ONCE = "taken once"  # no command is applied twice
-    ACKNOWLEDGED_KEPT = "acknowledged, kept"  # COMMITTED is in the one history, with the result that was told
-    REFUSED_NOT_TAKEN = "refused, not taken"  # NOT_OWNER and UNAVAILABLE are not in it
-    CURRENT_READS = "current reads"  # a COMMITTED read saw all that was known when it was asked for
-    ONE_LEADER = "one leader of a term"
+    SAME_COMMANDS = "state machine safety"  # no two replicas apply different entries at one index
+    APPLIED_ONCE = "applied once"  # no command is applied twice
+    ACKNOWLEDGED_APPLIED = (
+        "acknowledged is applied"  # a COMMITTED proposal is applied with the returned result
+    )
+    REJECTED_NOT_APPLIED = "rejected is not applied"  # NOT_OWNER and UNAVAILABLE proposals are never applied
+    LINEARIZABLE_READS = "linearizable reads"  # a read sees all commands known as committed at its request
+    ONE_LEADER_PER_TERM = "one leader per term"
     ONE_OWNER = "one owner"  # at any moment
-    FOUNDED_ONCE = "founded once"
-    COMMITTED_FINAL = "committed is final"  # no replica is made to replace an entry that it knows committed
-    JOURNAL_KEPT = "journal kept"  # what no fault has damaged is read back after any stop
-    DAMAGE_FOUND = "damage found"  # a replica whose synced journal was damaged does not go on with it
-    SAID_SYNCED = "said is synced"  # votes and acknowledgements are on the sender's disk
-    COMMITTED_SYNCED = "committed is synced"  # by a majority of the voters
-    ELECTED_SYNCED = "elected by synced votes"  # of a majority of the voters
-    OWN_TERM = "commits by its own term"  # a leader counts replicas for entries of its own term only
-    TERMS_RISE = "terms rise"  # from one entry of a log to the next they never fall
-    LEADER_COMPLETE = "leader is complete"  # it has what was committed in earlier terms
-    CONFIRMED_DURABLE = "confirmed is durable"  # what the journal's writer confirms bears a loss of power
-    CHANGES_APART = "changes apart"  # one change of the voters at a time, after an entry of the leader's term
-    LOG_VOTERS = "voters of the log"  # the voters in force are those that the log names last
-    SNAPSHOT_VOTERS = "snapshot's voters"  # a snapshot names the voters of its place in the log
-    SERVES_AGAIN = "serves again"  # once all faults are over: an owner, all voters, equal replicas
-    LEADER_UNDISTURBED = "leader undisturbed"  # a leader that a majority follows is not deposed by a minority
-    HANDED_OUT_RECENT = "handed out is recent"  # a state that may be handed out is no older than is promised
-    PROMPT_SUCCESSOR = "prompt successor"  # a planned end does not cost an election timeout
+    BOOTSTRAPPED_ONCE = "bootstrapped once"
+    COMMITTED_FINAL = "committed is final"  # no leader replaces an entry that the replica knows as committed
+    JOURNAL_RECOVERED = "journal recovered"  # an uncorrupted journal is recovered after any stop
+    CORRUPTION_DETECTED = "corruption detected"  # a replica does not continue with a corrupted synced journal
+    SENT_AFTER_SYNC = "sent after sync"  # votes and acknowledgements are sent once the sender's disk has them
+    COMMITTED_BY_MAJORITY = (
+        "committed by a majority"  # a majority of the voters has synced each committed entry
+    )
+    ELECTED_BY_MAJORITY = (
+        "elected by a majority"  # a majority of the voters has synced its vote for the leader
+    )
+    COMMIT_OWN_TERM = "commit of its own term"  # a leader counts replicas only for entries of its own term
+    TERMS_INCREASE = "terms increase"  # terms never decrease from one entry of a log to the next
+    LEADER_COMPLETENESS = "leader completeness"  # a leader's log has all entries committed in earlier terms
+    CONFIRMED_DURABLE = (
+        "confirmed is durable"  # a write that the journal writer confirms survives a power loss
+    )
+    ONE_MEMBERSHIP_CHANGE = "one membership change"  # at a time, and after a commit in the leader's term
+    LOG_VOTERS = "voters of the log"  # the voters in force are those of the last MEMBERS entry of the log
+    SNAPSHOT_VOTERS = "voters of the snapshot"  # a snapshot names the voters in force at its index
+    RECOVERS = "recovers"  # after all faults: an owner, all voters, equal replicas
+    LEADER_KEPT = "leader kept"  # a minority does not depose a leader that a majority follows
+    STATE_AGE_BOUNDED = "state age bounded"  # a state that counts as current is no older than the limit
+    FAST_TRANSFER = "fast transfer"  # a planned stop of the owner takes less than an election timeout
 
 
 class ViolationError(AssertionError):
-    """A promise does not hold."""
+    """An invariant is violated."""
 
-    def __init__(self, promise: Promise, what: str) -> None:
-        super().__init__(f"{promise.value}: {what}")
-        self.promise = promise
+    def __init__(self, invariant: Invariant, reason: str) -> None:
+        super().__init__(f"{invariant.value}: {reason}")
+        self.invariant = invariant
 
 
-def require(holds: bool, promise: Promise, what: str) -> None:
-    """Raise a `ViolationError` where something does not hold."""
+def require(holds: bool, invariant: Invariant, reason: str) -> None:
+    """Raise a `ViolationError` unless the condition `holds`."""
     if not holds:
-        raise ViolationError(promise, what)
+        raise ViolationError(invariant, reason)
 
 
 def command(number: int, size: int) -> bytes:
-    """A command of its own, padded to a size."""
+    """A unique command with this number, padded to `size` bytes."""
     return _COMMAND.pack(number).ljust(size, b".")
 
 
@@ -69,127 +77,147 @@
 
 
 class Oracle:
-    """The one history, as the replicas show it."""
+    """Checks the invariants against what the replicas of a cluster apply, commit and answer."""
 
     def __init__(self) -> None:
-        self.history: list[int] = []  # commands in the order in which they were applied anywhere
-        self.places: dict[int, int] = {}  # by command: its place from 1 on
-        self.entries: dict[int, int] = {}  # by index: the command
-        self.committed: dict[int, int] = {}  # by command: the place that was told
-        self.refused: set[int] = set()
-        self.floor = 0  # what every later read must see
-        self.leaders: dict[int, int] = {}  # by term: the incarnation
-        self.founders = b""
-        self.terms: dict[int, int] = {}  # by index: the term of the committed entry, as the replicas show it
-        self.commits: dict[int, int] = {}  # by a leader's term: the last index that it has committed
-        self.voters: dict[int, Members] = {}  # by index: the voters that a committed entry names
+        self.history: list[int] = []  # commands in the order in which any replica first applied them
+        self.positions: dict[int, int] = {}  # position in the history, from 1 on, by command
+        self.entries: dict[int, int] = {}  # command by log index
+        self.committed: dict[int, int] = {}  # position that was returned to the client, by command
+        self.rejected: set[int] = set()
+        self.known_committed = 0  # the number of commands that every later read must see
+        self.leaders: dict[int, int] = {}  # incarnation by term
+        self.bootstrap_members = b""
+        self.terms: dict[int, int] = {}  # term of the committed entry by log index
+        self.commits: dict[int, int] = {}  # last index that the leader has committed, by the leader's term
+        self.voters: dict[int, Members] = {}  # voters that a committed entry names, by log index
         self.reads = 0
-        self._floors: list[tuple[float, int]] = [(float("-inf"), 0)]  # when the floor rose, and to what
+        self._watermarks: list[tuple[float, int]] = [(float("-inf"), 0)]  # time and new value
 
-    def applied(self, place: int, index: int, number: int) -> None:
-        """A replica applies a command as its `place`-th."""
-        if place > len(self.history):
+    def on_applied(self, position: int, index: int, number: int) -> None:
+        """Check a command that a replica applies at a position."""
+        if position > len(self.history):
             following = len(self.history) + 1
-            require(place == following, Promise.ONE_HISTORY, f"place {place} applied before {following}")
-            require(number not in self.places, Promise.TAKEN_ONCE, f"command {number} committed twice")
+            require(
+                position == following,
+                Invariant.SAME_COMMANDS,
+                f"position {position} applied before {following}",
+            )
+            require(number not in self.positions, Invariant.APPLIED_ONCE, f"command {number} committed twice")
             self.history.append(number)
-            self.places[number] = place
-        known = self.history[place - 1]
-        require(known == number, Promise.ONE_HISTORY, f"place {place}: {known} and {number}")
+            self.positions[number] = position
+        known = self.history[position - 1]
+        require(known == number, Invariant.SAME_COMMANDS, f"position {position}: {known} and {number}")
         known = self.entries.setdefault(index, number)
-        require(known == number, Promise.ONE_HISTORY, f"two commands at index {index}")
+        require(known == number, Invariant.SAME_COMMANDS, f"two commands at index {index}")
 
-    def loaded(self, place: int, last: int) -> None:
-        """A replica takes a snapshot after the `place`-th command."""
+    def on_snapshot_loaded(self, position: int, last: int) -> None:
+        """Check a snapshot that a replica loads: its number of commands and its last command."""
         known = len(self.history)
-        require(place <= known, Promise.ONE_HISTORY, f"a snapshot of {place} commands of {known}")
-        agrees = place == 0 or self.history[place - 1] == last
-        require(agrees, Promise.ONE_HISTORY, f"a snapshot that ends with {last} at {place}")
+        require(position <= known, Invariant.SAME_COMMANDS, f"a snapshot of {position} commands of {known}")
+        agrees = position == 0 or self.history[position - 1] == last
+        require(agrees, Invariant.SAME_COMMANDS, f"a snapshot that ends with {last} at {position}")
 
-    def proposed(self, number: int, proposal: ProposalResult) -> None:
-        """A proposal has been answered."""
+    def on_proposal_result(self, number: int, proposal: ProposalResult) -> None:
+        """Check the result of a proposal."""
         if proposal.status is ProposalStatus.COMMITTED:
-            has_result = proposal.result.isdigit()
-            require(has_result, Promise.ACKNOWLEDGED_KEPT, f"command {number} committed without its result")
-            place = int(proposal.result)
-            told = self.places.get(number) == place
-            require(told, Promise.ACKNOWLEDGED_KEPT, f"command {number} said to be at {place}")
-            require(number not in self.refused, Promise.REFUSED_NOT_TAKEN, f"command {number}")
-            self.committed[number] = place
-            self.floor = max(self.floor, place)
+            is_result_valid = proposal.result.isdigit()
+            require(
+                is_result_valid,
+                Invariant.ACKNOWLEDGED_APPLIED,
+                f"command {number} committed without its result",
+            )
+            position = int(proposal.result)
+            matches = self.positions.get(number) == position
+            require(
+                matches, Invariant.ACKNOWLEDGED_APPLIED, f"command {number} is not at position {position}"
+            )
+            require(number not in self.rejected, Invariant.REJECTED_NOT_APPLIED, f"command {number}")
+            self.committed[number] = position
+            self.known_committed = max(self.known_committed, position)
         elif proposal.status is not ProposalStatus.UNCLEAR:
-            self.refused.add(number)
+            self.rejected.add(number)
 
-    def read(self, floor: int, seen: int) -> None:
-        """A read has been answered; `floor` was that of the moment in which it was asked for."""
-        saw = f"a read saw {seen} commands where {floor} were known"
-        require(seen >= floor, Promise.CURRENT_READS, saw)
-        self.floor = max(self.floor, seen)
+    def on_read(self, known_committed: int, seen: int) -> None:
+        """Check a completed read; `known_committed` is the value at the time of the request."""
+        reason = f"a read saw {seen} commands, {known_committed} were known as committed"
+        require(seen >= known_committed, Invariant.LINEARIZABLE_READS, reason)
+        self.known_committed = max(self.known_committed, seen)
         self.reads += 1
 
-    def note_floor(self, now: float) -> None:
-        """Something was answered now: what was known by then must be in each state that is recent."""
-        if self.floor > self._floors[-1][1]:
-            self._floors.append((now, self.floor))
+    def record_known_committed(self, now: float) -> None:
+        """Record when the number of commands known as committed increased."""
+        if self.known_committed > self._watermarks[-1][1]:
+            self._watermarks.append((now, self.known_committed))
 
-    def floor_at(self, when: float) -> int:
-        """How many commands were known to be committed at a moment."""
-        return self._floors[bisect_right(self._floors, when, key=lambda item: item[0]) - 1][1]
+    def known_committed_at(self, when: float) -> int:
+        """The number of commands that were known as committed at a time."""
+        return self._watermarks[bisect_right(self._watermarks, when, key=lambda item: item[0]) - 1][1]
 
-    def handed_out(self, when: float, seen: int) -> None:
-        """A state may be handed out that is claimed to be no older than `when`."""
-        floor = self.floor_at(when)
-        told = f"a state of {seen} commands where {floor} were known at {when:.2f} s"
-        require(seen >= floor, Promise.HANDED_OUT_RECENT, told)
+    def on_state_served(self, when: float, seen: int) -> None:
+        """Check a state that counts as current and is claimed to be no older than `when`."""
+        known_committed = self.known_committed_at(when)
+        reason = f"a state of {seen} commands, {known_committed} were known as committed at {when:.2f} s"
+        require(seen >= known_committed, Invariant.STATE_AGE_BOUNDED, reason)
 
-    def led(self, term: int, incarnation: int) -> None:
-        """A replica leads a term."""
+    def on_leader(self, term: int, incarnation: int) -> None:
+        """Check that no other replica was the leader of this term."""
         other = self.leaders.setdefault(term, incarnation)
-        require(other == incarnation, Promise.ONE_LEADER, f"two leaders of term {term}")
+        require(other == incarnation, Invariant.ONE_LEADER_PER_TERM, f"two leaders of term {term}")
 
-    def owners(self, owners: Iterable[int]) -> None:
-        """Whoever takes itself for the owner now."""
-        found = list(owners)
-        require(len(found) <= 1, Promise.ONE_OWNER, f"owners at one moment: {found}")
+    def on_owners(self, owners: Iterable[int]) -> None:
+        """Check the incarnations that consider themselves the owner now."""
+        incarnations = list(owners)
+        require(len(incarnations) <= 1, Invariant.ONE_OWNER, f"owners at one moment: {incarnations}")
 
-    def committed_at(self, index: int, term: int | None) -> None:
-        """A replica takes an entry for committed."""
+    def on_entry_committed(self, index: int, term: int | None) -> None:
+        """Check the term of an entry that a replica considers committed."""
         known = self.terms.setdefault(index, term or 0)
         require(
-            known == term, Promise.ONE_HISTORY, f"index {index} is committed with terms {known} and {term}"
+            known == term,
+            Invariant.SAME_COMMANDS,
+            f"index {index} is committed with terms {known} and {term}",
         )
 
-    def committed_by_leader(self, term: int, index: int) -> None:
-        """A leader has committed entries up to one."""
+    def on_leader_commit(self, term: int, index: int) -> None:
+        """Record up to which index the leader of a term has committed entries."""
         self.commits[term] = max(self.commits.get(term, 0), index)
 
     def last_commit_before(self, term: int) -> tuple[int, int]:
-        """Index and term of the last entry that was committed in an earlier term; zeros for none."""
+        """The index and term of the last entry committed in an earlier term; zeros if there is none."""
         index = max((last for known, last in self.commits.items() if known < term), default=0)
         return index, self.terms.get(index, 0)
 
-    def snapshot_taken(self, index: int, members_index: int, members: Members) -> None:
-        """A replica puts a snapshot after an entry."""
-        named = max((known for known in self.voters if known <= index), default=0)
-        right = (members_index, members) == (named, self.voters.get(named, ()))
-        require(right, Promise.SNAPSHOT_VOTERS, f"a snapshot at {index} names {members} of {members_index}")
+    def on_snapshot_taken(self, index: int, members_index: int, members: Members) -> None:
+        """Check the voters that a replica stores in a snapshot."""
+        members_at = max((known for known in self.voters if known <= index), default=0)
+        is_correct = (members_index, members) == (members_at, self.voters.get(members_at, ()))
+        require(
+            is_correct, Invariant.SNAPSHOT_VOTERS, f"a snapshot at {index} names {members} of {members_index}"
+        )
 
-    def founded(self, members: bytes) -> None:
-        """A leader's log begins with these founders."""
-        self.founders = self.founders or members
-        require(members == self.founders, Promise.FOUNDED_ONCE, "the group was founded twice")
+    def on_bootstrap(self, members: bytes) -> None:
+        """Check the voters that the first entry of a leader's log names."""
+        self.bootstrap_members = self.bootstrap_members or members
+        require(
+            members == self.bootstrap_members, Invariant.BOOTSTRAPPED_ONCE, "the group was bootstrapped twice"
+        )
 
-    def finish(self, final: Iterable[int]) -> None:
-        """The commands that a replica holds at the end, when all faults are over."""
-        held = set(final)
-        lost = set(self.committed) - held
-        require(not lost, Promise.ACKNOWLEDGED_KEPT, f"acknowledged and lost: {sorted(lost)}")
-        taken = self.refused & set(self.places)
-        require(not taken, Promise.REFUSED_NOT_TAKEN, f"refused and yet taken: {sorted(taken)}")
+    def check_final_commands(self, final: Iterable[int]) -> None:
+        """Check the commands that a replica has applied at the end, after all faults."""
+        applied = set(final)
+        lost = set(self.committed) - applied
+        require(not lost, Invariant.ACKNOWLEDGED_APPLIED, f"acknowledged and lost: {sorted(lost)}")
+        wrongly_applied = self.rejected & set(self.positions)
+        require(
+            not wrongly_applied,
+            Invariant.REJECTED_NOT_APPLIED,
+            f"rejected and applied: {sorted(wrongly_applied)}",
+        )
 
 
-class Ledger:
-    """The replicated state machine of the worlds: the commands in order. Tells the oracle what it does."""
+class RecordingStateMachine:
+    """The replicated state machine of the simulation: a list of commands, reported to the oracle."""
 
     def __init__(self, oracle: Oracle) -> None:
         self.oracle = oracle
@@ -199,7 +227,7 @@
     def apply(self, index: int, payload: bytes) -> bytes:
         number = number_of(payload)
         self.commands.append(number)
-        self.oracle.applied(len(self.commands), index, number)
+        self.oracle.on_applied(len(self.commands), index, number)
         return str(len(self.commands)).encode()
 
     def save(self) -> bytes:
@@ -208,4 +236,4 @@
 
     def load(self, snapshot: bytes) -> None:
         self.commands = list(struct.unpack(f"<{len(snapshot) // 8}Q", snapshot))
-        self.oracle.loaded(len(self.commands), self.commands[-1] if self.commands else 0)
+        self.oracle.on_snapshot_loaded(len(self.commands), self.commands[-1] if self.commands else 0)
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 
 from firvane.fleet.replication.types import DEFAULT_TIMING
-from tests.fleet.replication.oracle import Promise, require
+from tests.fleet.replication.oracle import Invariant, require
 from tests.fleet.replication.process import Machine, Process
-from tests.fleet.replication.settings import CROWDED, Settings
-from tests.fleet.replication.simulated_cluster import HAND_OUT_PATIENCE, SimulatedCluster, limits_of
+from tests.fleet.replication.settings import COLLIDING_ELECTIONS, Settings
+from tests.fleet.replication.simulated_cluster import MAX_SERVED_STATE_AGE, SimulatedCluster, patched_limits
 
 ROUNDS = 4  # how often the trouble comes in one history
 LONG_CUT = 20.0  # seconds
@@ -23,8 +23,8 @@
 def stable_cluster(settings: Settings, seed: int) -> SimulatedCluster:
     """A world without faults whose group serves."""
     cluster = SimulatedCluster(seed, settings)
-    cluster.at(0.3, cluster.operate)
-    cluster.run_until(lambda: cluster.is_formed() and cluster.owner() is not None, 5.0)
+    cluster.schedule(0.3, cluster.run_client)
+    cluster.run_until(lambda: cluster.is_bootstrapped() and cluster.owner() is not None, 5.0)
     cluster.run(cluster.now + 3.0)
     return cluster
 
@@ -32,7 +32,9 @@
 def calm_settings(seed: int) -> Settings:
     """No message is lost or late."""
     machines = (3, 5, 7)[seed % 3]
-    return Settings(machines=machines, target_size=machines, loss=0.0, doubled=0.0, late=0.0)
+    return Settings(
+        machines=machines, target_size=machines, loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0
+    )
 
 
 def tight_settings(seed: int) -> Settings:
@@ -40,13 +42,13 @@
     return Settings(
         machines=3,
         target_size=3,
-        operation_gap=0.012,
-        loss=0.0,
-        doubled=0.0,
-        late=0.0,
+        mean_request_interval=0.012,
+        loss_rate=0.0,
+        duplicate_rate=0.0,
+        delay_rate=0.0,
         sync_time=0.0003,
         extreme_clocks=True,
-        timing=CROWDED,
+        timing=COLLIDING_ELECTIONS,
     )
 
 
@@ -63,17 +65,15 @@
     owner = owner_of(cluster)
     term = owner.group.replica.term
     others = [process.machine for process in cluster.running() if process is not owner]
-    lost = cluster.chance.choice(others)
+    lost = cluster.rng.choice(others)
     for address in cluster.machines:
-        cluster.cuts[address, lost.address] = cluster.cuts[lost.address, address] = False
+        cluster.link_cuts[address, lost.address] = cluster.link_cuts[lost.address, address] = False
     cluster.run(cluster.now + CUT_OFF)
     cluster.heal()
     cluster.run(cluster.now + 1.0)
     after = cluster.owner()
     kept = after is owner and owner.group.replica.term == term
-    require(
-        kept, Promise.LEADER_UNDISTURBED, f"{lost.address} returned, and the leader of term {term} is none"
-    )
+    require(kept, Invariant.LEADER_KEPT, f"{lost.address} returned, and the leader of term {term} is none")
     cluster.finish()
 
 
@@ -86,30 +86,32 @@
 
     def stand_still(machine: Machine) -> None:
         cluster.freeze(machine)
-        cluster.at(cluster.now + QUOTA_STILL, lambda: go_on(machine))
+        cluster.schedule(cluster.now + QUOTA_STILL, lambda: go_on(machine))
 
     def go_on(machine: Machine) -> None:
-        cluster.thaw(machine)
+        cluster.unfreeze(machine)
         if cluster.now < end:
-            cluster.at(cluster.now + QUOTA_PERIOD - QUOTA_STILL, lambda: stand_still(machine))
+            cluster.schedule(cluster.now + QUOTA_PERIOD - QUOTA_STILL, lambda: stand_still(machine))
 
     for machine in cluster.machines.values():
-        cluster.at(
-            cluster.now + cluster.chance.uniform(0.0, QUOTA_PERIOD), lambda each=machine: stand_still(each)
+        cluster.schedule(
+            cluster.now + cluster.rng.uniform(0.0, QUOTA_PERIOD), lambda each=machine: stand_still(each)
         )
-    acknowledged = len(owner.ledger.commands)
+    acknowledged = len(owner.state_machine.commands)
     cluster.run(end + 1.0)
     after = cluster.owner()
     kept = after is owner and owner.group.replica.term == term
-    require(kept, Promise.LEADER_UNDISTURBED, f"under a processor quota the leader of term {term} was lost")
+    require(kept, Invariant.LEADER_KEPT, f"under a processor quota the leader of term {term} was lost")
     require(
-        len(owner.ledger.commands) > acknowledged, Promise.LEADER_UNDISTURBED, "no order was taken meanwhile"
+        len(owner.state_machine.commands) > acknowledged,
+        Invariant.LEADER_KEPT,
+        "no order was taken meanwhile",
     )
     cluster.finish()
 
 
 def _cut_both_ways(cluster: SimulatedCluster, one: Machine, other: Machine) -> None:
-    cluster.cuts[one.address, other.address] = cluster.cuts[other.address, one.address] = False
+    cluster.link_cuts[one.address, other.address] = cluster.link_cuts[other.address, one.address] = False
 
 
 def _others(cluster: SimulatedCluster, owner: Process) -> list[Machine]:
@@ -120,13 +122,13 @@
     """The owner is cut off from all others, again and again, and clients still ask it."""
     settings = tight_settings(seed)
     if seed % 2:
-        settings.late, settings.late_by = 0.5, 0.29
+        settings.delay_rate, settings.max_delay = 0.5, 0.29
     cluster = stable_cluster(settings, seed)
-    cluster.quiet = bool(seed % 4 // 2)
+    cluster.clients_stopped = bool(seed % 4 // 2)
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
-        cluster.run(cluster.now + cluster.chance.uniform(0.1, 0.3))
+        cluster.run(cluster.now + cluster.rng.uniform(0.1, 0.3))
         for machine in _others(cluster, owner):
             _cut_both_ways(cluster, owner.machine, machine)
         for _ in range(40):
@@ -139,19 +141,19 @@
 def half_cut_owner(seed: int) -> None:
     """One follower loses the owner, the others do not; these start again, or not. All logs are equal."""
     cluster = stable_cluster(tight_settings(seed), seed)
-    cluster.quiet = True
+    cluster.clients_stopped = True
     cluster.run(cluster.now + 0.2)
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
-        lost, *rest = cluster.chance.sample(_others(cluster, owner), 2)
+        lost, *rest = cluster.rng.sample(_others(cluster, owner), 2)
         _cut_both_ways(cluster, owner.machine, lost)
         cluster.run(cluster.now + 0.25)
         for _ in range(10):
             if seed % 2:
                 cluster.kill(rest[0])
                 cluster.boot(rest[0])
-            cluster.run(cluster.now + cluster.chance.uniform(0.02, 0.06))
+            cluster.run(cluster.now + cluster.rng.uniform(0.02, 0.06))
         cluster.heal()
     cluster.finish()
 
@@ -162,19 +164,19 @@
     In every other history one of the others does not hear of its return at once.
     """
     settings = tight_settings(seed)
-    settings.late, settings.late_by = ((0.3, 0.02), (0.6, 0.12))[seed % 2]
+    settings.delay_rate, settings.max_delay = ((0.3, 0.02), (0.6, 0.12))[seed % 2]
     if seed % 2:
         settings.timing = DEFAULT_TIMING  # the owner has not yet given up when it returns
     cluster = stable_cluster(settings, seed)
-    cluster.quiet = True
+    cluster.clients_stopped = True
     for _ in range(3 * ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
         if seed % 2:
             _cut_both_ways(cluster, owner.machine, _others(cluster, owner)[0])
         cluster.freeze(owner.machine)
-        cluster.run(cluster.now + cluster.chance.uniform(0.25, 0.42))
-        cluster.thaw(owner.machine)
+        cluster.run(cluster.now + cluster.rng.uniform(0.25, 0.42))
+        cluster.unfreeze(owner.machine)
         cluster.run(cluster.now + 0.25)
         cluster.heal()
         cluster.run(cluster.now + 0.2)
@@ -184,17 +186,17 @@
 def late_answers(seed: int) -> None:
     """Answers come to the owner late, when those who gave them may soon elect another."""
     cluster = stable_cluster(tight_settings(seed), seed)
-    cluster.quiet = True
+    cluster.clients_stopped = True
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
         others = _others(cluster, owner)
         for machine in others:
-            cluster.cuts[machine.address, owner.machine.address] = True
+            cluster.link_cuts[machine.address, owner.machine.address] = True
         cluster.run(cluster.now + 0.1)
         for machine in others:
-            cluster.cuts[owner.machine.address, machine.address] = False
-        cluster.run(cluster.now + cluster.chance.uniform(0.18, 0.26))
+            cluster.link_cuts[owner.machine.address, machine.address] = False
+        cluster.run(cluster.now + cluster.rng.uniform(0.18, 0.26))
         cluster.heal()
         for machine in others:
             _cut_both_ways(cluster, owner.machine, machine)
@@ -207,10 +209,10 @@
 def diverging_tail(seed: int) -> None:
     """An owner that is cut off appends more than the others commit, and is sent a snapshot of theirs."""
     settings = calm_settings(seed)
-    settings.compact_bytes, settings.keep_bytes = 300, 0
-    with limits_of(settings):
+    settings.compaction_bytes, settings.retained_log_bytes = 300, 0
+    with patched_limits(settings):
         cluster = stable_cluster(settings, seed)
-        cluster.quiet = True
+        cluster.clients_stopped = True
         for _ in range(ROUNDS):
             cluster.run_until(lambda: cluster.owner() is not None, 5.0)
             owner = owner_of(cluster)
@@ -219,7 +221,7 @@
             for _ in range(20):
                 cluster.propose(owner, 0.1)
             cluster.run_until(lambda owner=owner: cluster.owner() not in (None, owner), 5.0)
-            for _ in range(cluster.chance.randrange(4, 14)):
+            for _ in range(cluster.rng.randrange(4, 14)):
                 cluster.propose(owner_of(cluster))
                 cluster.run(cluster.now + 0.02)
             cluster.heal()
@@ -230,14 +232,14 @@
 def parting_owner(seed: int) -> None:
     """An owner names its successor, and hears nothing of the election."""
     cluster = stable_cluster(calm_settings(seed), seed)
-    cluster.quiet = True
+    cluster.clients_stopped = True
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         cluster.run(cluster.now + 0.3)
         owner = owner_of(cluster)
         owner.perform(owner.group.start_draining(owner.now()))
         for machine in _others(cluster, owner):
-            cluster.cuts[machine.address, owner.machine.address] = False
+            cluster.link_cuts[machine.address, owner.machine.address] = False
         cluster.run(cluster.now + 0.2)
         cluster.kill(owner.machine)
         cluster.heal()
@@ -251,7 +253,7 @@
     cluster = stable_cluster(calm_settings(seed), seed)
     for _ in range(ROUNDS):
         took = hand_over_time(cluster)
-        require(took < PROMPT, Promise.PROMPT_SUCCESSOR, f"the next acknowledgement after {took:.3f} s")
+        require(took < PROMPT, Invariant.FAST_TRANSFER, f"the next acknowledgement after {took:.3f} s")
         cluster.run(cluster.now + 1.5)
     cluster.finish()
 
@@ -274,7 +276,7 @@
     took = cluster.run_until(acknowledged, 5.0)
     assert took == cluster.now - started
     cluster.kill(owner.machine)
-    cluster.at(cluster.now + 0.2, lambda: cluster.boot(owner.machine))
+    cluster.schedule(cluster.now + 0.2, lambda: cluster.boot(owner.machine))
     return took
 
 
@@ -282,9 +284,9 @@
     """Cut a machine off: both ways, only what it sends, or only what it is sent."""
     for other in others:
         if how != 1:
-            cluster.cuts[other.address, machine.address] = False
+            cluster.link_cuts[other.address, machine.address] = False
         if how != 2:
-            cluster.cuts[machine.address, other.address] = False
+            cluster.link_cuts[machine.address, other.address] = False
 
 
 def long_cut(seed: int) -> None:
@@ -294,17 +296,17 @@
     off; at the end of the cut every process of the other side is killed.
     """
     settings = calm_settings(seed)
-    settings.compact_bytes, settings.keep_bytes = 2_000, 400
+    settings.compaction_bytes, settings.retained_log_bytes = 2_000, 400
     cluster = stable_cluster(settings, seed)
     owner = owner_of(cluster)
-    lost = owner.machine if seed % 2 else cluster.chance.choice(_others(cluster, owner))
+    lost = owner.machine if seed % 2 else cluster.rng.choice(_others(cluster, owner))
     others = [machine for machine in cluster.machines.values() if machine is not lost]
     _cut_from(cluster, lost, others, seed // 2 % 3)
     heard_until = cluster.now + SILENT_AFTER
     while cluster.now < heard_until + LONG_CUT:
         if lost.process is None:
             cluster.boot(lost)
-        elif seed % 5 == 4 and cluster.chance.random() < 0.05:
+        elif seed % 5 == 4 and cluster.rng.random() < 0.05:
             cluster.kill(lost)
             continue
         if lost.process is not None:
@@ -314,7 +316,7 @@
     if seed % 3 == 2:
         for machine in others:
             cluster.kill(machine)
-            cluster.at(cluster.now + 0.5, lambda machine=machine: cluster.boot(machine))
+            cluster.schedule(cluster.now + 0.5, lambda machine=machine: cluster.boot(machine))
     cluster.heal()
     cluster.run_until(lambda: _hands_out(cluster), HANDS_OUT_AGAIN)
     cluster.finish()
@@ -324,15 +326,15 @@
     """Whoever hears nothing, or is heard by nobody, soon has nothing to hand out."""
     process = lost.process
     if process is not None and cluster.now >= since:
-        contact = process.group.has_quorum_contact(process.now(), HAND_OUT_PATIENCE)
+        contact = process.group.has_quorum_contact(process.now(), MAX_SERVED_STATE_AGE)
         require(
-            not contact, Promise.HANDED_OUT_RECENT, f"{lost.address} claims contact at {cluster.now:.2f} s"
+            not contact, Invariant.STATE_AGE_BOUNDED, f"{lost.address} claims contact at {cluster.now:.2f} s"
         )
 
 
 def _hands_out(cluster: SimulatedCluster) -> bool:
     """Whether every voter may hand its state out."""
-    return all(process.group.is_current(process.now(), HAND_OUT_PATIENCE) for process in cluster.running())
+    return all(process.group.is_current(process.now(), MAX_SERVED_STATE_AGE) for process in cluster.running())
 
 
 SCENARIOS: dict[str, Callable[[int], None]] = {
--- a/tests/fleet/replication/settings.py
+++ b/tests/fleet/replication/settings.py
@@ -1,4 +1,4 @@
-"""What a simulated world is like, drawn from its seed or stated."""
+"""Settings of a simulated cluster, stated or drawn at random from a seed."""
 
 from __future__ import annotations
 
@@ -8,83 +8,83 @@
 
 from firvane.fleet.replication.types import DEFAULT_TIMING, Timing
 
-SYNC = 0.005  # seconds
-CROWDED = Timing(
+SYNC_TIME = 0.005  # seconds
+COLLIDING_ELECTIONS = Timing(
     election_timeout_max_s=0.303, pre_vote_timeout_min_s=0.050, pre_vote_timeout_max_s=0.052
 )  # elections collide
 
 
-class WeakMoment(enum.Enum):
-    """Moments at which a fault is aimed."""
+class FaultTrigger(enum.Enum):
+    """Events of the protocol after which a targeted fault may be injected."""
 
     ELECTED = 1
     COMMITTED = 2
     COMPACTING = 3
-    VOTED = 4  # for another
-    FOLLOWING = 5
-    WRITING = 6  # entries
+    VOTED = 4  # for another replica
+    FOLLOWING = 5  # another leader
+    WRITING = 6  # log entries
 
 
 @dataclass
 class Settings:
-    """What a world is like."""
+    """Size, load, network, disks and faults of a simulated cluster."""
 
     machines: int = 3
     target_size: int = 3
     duration: float = 8.0  # seconds with faults
-    calm: float = 4.0  # seconds without, at the end
-    fault_gap: float = 0.7  # seconds between two faults, on average
-    operation_gap: float = 0.06  # seconds between two calls of clients, on average
-    loss: float = 0.01
-    doubled: float = 0.01
-    late: float = 0.02  # messages that are late, by up to `late_by`
-    late_by: float = 0.3
+    recovery_time: float = 4.0  # seconds without faults at the end
+    mean_fault_interval: float = 0.7  # seconds
+    mean_request_interval: float = 0.06  # seconds between two requests of clients
+    loss_rate: float = 0.01
+    duplicate_rate: float = 0.01
+    delay_rate: float = 0.02  # the share of messages that are delayed, by up to `max_delay`
+    max_delay: float = 0.3  # seconds
     command_size: int = 16
     through_codec: bool = False
-    compact_bytes: int = 2_000
-    keep_bytes: int = 400
-    compact_entries: int = 1_000_000
-    append_bytes: int = 1_000_000  # entries in one message
-    sync_time: float = SYNC
-    contention: bool = False  # elections collide: hardly any spread, no reservation of pre-votes
+    compaction_bytes: int = 2_000
+    retained_log_bytes: int = 400
+    compaction_entries: int = 1_000_000
+    max_append_bytes: int = 1_000_000  # of entries in one message
+    sync_time: float = SYNC_TIME
+    contention: bool = False  # elections collide: similar timeouts, no reservation of pre-votes
     timing: Timing = DEFAULT_TIMING
-    fault_kinds: int = 23  # how many kinds of faults strike in this world
-    aimed: float = 0.0  # the share of weak moments at which a fault strikes
-    first_fault: float = 1.0
-    extreme_clocks: bool = False  # as fast or as slow as is assumed
-    kinds: tuple[str, ...] = ()  # the kinds of faults; drawn where none is named
-    moments: tuple[WeakMoment, ...] = ()  # the weak moments that are aimed at; all where none is named
-    blows: tuple[str, ...] = ()  # what strikes at them; drawn where none is named
+    fault_kind_count: int = 23  # how many kinds of faults are drawn
+    targeted_rate: float = 0.0  # the share of trigger events after which a fault is injected
+    first_fault_at: float = 1.0
+    extreme_clocks: bool = False  # each clock is as fast or as slow as the bound allows
+    fault_kinds: tuple[str, ...] = ()  # method names of `Faults`; drawn at random if empty
+    triggers: tuple[FaultTrigger, ...] = ()  # events that may trigger a targeted fault; all if empty
+    targeted_faults: tuple[str, ...] = ()  # method names of `Faults`; the default ones if empty
 
 
 def settings_of(seed: int) -> Settings:
-    """The kind of world that a seed stands for."""
+    """Draw the settings of a cluster from a seed."""
     draw = random.Random(seed * 7 + 1)
-    sizes = (
+    machines_and_targets = (
         *((3, 3), (3, 3), (3, 3), (3, 3), (3, 3), (4, 3), (5, 5), (5, 5), (5, 3)),
         *((7, 7), (7, 5), (1, 1), (2, 2)),
     )
-    machines, target = draw.choice(sizes)
+    machines, target = draw.choice(machines_and_targets)
     settings = Settings(
         machines=machines,
         target_size=target,
         duration=draw.choice((3.0, 5.0, 8.0)),
-        fault_gap=draw.choice((0.15, 0.4, 0.7, 1.5)),
-        operation_gap=draw.choice((0.02, 0.06)),
-        loss=draw.choice((0.0, 0.01, 0.1)),
-        late=draw.choice((0.0, 0.02, 0.1, 0.2)),
-        late_by=draw.choice((0.05, 0.3, 1.0)),
+        mean_fault_interval=draw.choice((0.15, 0.4, 0.7, 1.5)),
+        mean_request_interval=draw.choice((0.02, 0.06)),
+        loss_rate=draw.choice((0.0, 0.01, 0.1)),
+        delay_rate=draw.choice((0.0, 0.02, 0.1, 0.2)),
+        max_delay=draw.choice((0.05, 0.3, 1.0)),
         command_size=draw.choice((16, 200)),
-        compact_bytes=draw.choice((500, 2_000, 1_000_000)),
-        append_bytes=draw.choice((1, 200, 1_000_000)),
-        sync_time=draw.choice((SYNC, SYNC, 0.02, 0.08)),
+        compaction_bytes=draw.choice((500, 2_000, 1_000_000)),
+        max_append_bytes=draw.choice((1, 200, 1_000_000)),
+        sync_time=draw.choice((SYNC_TIME, SYNC_TIME, 0.02, 0.08)),
         through_codec=draw.random() < 0.15,
         contention=draw.random() < 0.3,
-        fault_kinds=draw.choice((2, 3, 5, 23)),
-        aimed=draw.choice((0.0, 0.02, 0.1, 0.3)),
-        first_fault=draw.choice((1.0, 2.0)),
+        fault_kind_count=draw.choice((2, 3, 5, 23)),
+        targeted_rate=draw.choice((0.0, 0.02, 0.1, 0.3)),
+        first_fault_at=draw.choice((1.0, 2.0)),
     )
     if settings.contention:
-        settings.timing = CROWDED
-    settings.compact_entries = draw.choice((10, 64, 1_000_000))
+        settings.timing = COLLIDING_ELECTIONS
+    settings.compaction_entries = draw.choice((10, 64, 1_000_000))
     return settings
--- a/tests/fleet/replication/simulated_cluster.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -24,20 +24,20 @@
 from firvane.fleet.replication.messages import Envelope
 from firvane.fleet.replication.proposals import ProposalResult, ProposalStatus
 from firvane.fleet.replication.types import Member, quorum_of
-from tests.fleet.replication.oracle import Oracle, Promise, ViolationError, command, require
+from tests.fleet.replication.oracle import Invariant, Oracle, ViolationError, command, require
 from tests.fleet.replication.process import Machine, Process
-from tests.fleet.replication.settings import SYNC, Settings, WeakMoment, settings_of
+from tests.fleet.replication.settings import SYNC_TIME, FaultTrigger, Settings, settings_of
 from tests.fleet.replication.simulated_disk import SimulatedDisk
 from tests.fleet.replication.synced_log import SyncedLog
 
-LINK = 0.0014  # seconds one way
+LINK_DELAY = 0.0014  # seconds one way
 CLOCK_SKEW = 0.045  # rates between 1 - and 1 + this: a ratio below the bound of 1.1
 
-HAND_OUT_PATIENCE = 0.5  # seconds of a process for which its state may be handed out after a proof
-REPAIR = 0.5  # seconds in which a voter is exchanged once its silence has lasted long enough
-MAXIMUM_DISK = 100_000  # bytes
-MAXIMUM_RECORD = 250  # bytes of an entry of 200 bytes in a frame of its own
-MAXIMUM_EVENTS = 300_000  # no drawn history comes near
+MAX_SERVED_STATE_AGE = 0.5  # seconds of a process for which its state may be handed out after a proof
+REPAIR_TIME = 0.5  # seconds in which a voter is exchanged once its silence has lasted long enough
+MAX_DISK_BYTES = 100_000  # bytes
+MAX_RECORD_BYTES = 250  # bytes of an entry of 200 bytes in a frame of its own
+MAX_EVENTS = 300_000  # no drawn history comes near
 
 
 class RunawaySimulationError(Exception):
@@ -48,33 +48,33 @@
     """Machines, network, clients and faults of one seed."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.settings = settings
         self.oracle = Oracle()
         self.now = 0.0
         self._events: list[tuple[float, int, Callable[[], None], Process | None]] = []
         self._count = 0
         self._commands = 0
-        self.cuts: dict[tuple[Address, Address], bool] = {}  # True: what is sent is held, not lost
-        self.held: list[tuple[Address, Address, Envelope]] = []
+        self.link_cuts: dict[tuple[Address, Address], bool] = {}  # True: what is sent is held, not lost
+        self.held_messages: list[tuple[Address, Address, Envelope]] = []
         self.machines: dict[Address, Machine] = {}
         self.synced: dict[int, SyncedLog] = {}  # by incarnation, also of those whose disk was lost
-        self.faulty = True
-        self.quiet = False  # no more calls of clients
-        self.formed = False
-        self.on_weak_moment: Callable[[WeakMoment, Machine], None] | None = None
+        self.faults_active = True
+        self.clients_stopped = False  # no more calls of clients
+        self.bootstrapped = False
+        self.fault_trigger_hook: Callable[[FaultTrigger, Machine], None] | None = None
         for number in range(settings.machines):
             self.add_machine(number)
         self.seeds = tuple(list(self.machines)[:3])
         for machine in self.machines.values():
-            self.at(self.chance.uniform(0, 0.3), lambda machine=machine: self.boot(machine, True))
+            self.schedule(self.rng.uniform(0, 0.3), lambda machine=machine: self.boot(machine, True))
 
     # Time
 
-    def at(self, when: float, call: Callable[[], None], process: Process | None = None) -> None:
+    def schedule(self, when: float, call: Callable[[], None], process: Process | None = None) -> None:
         """Call at a time; for a process only while it lives, and later if it is frozen then."""
         self._count += 1
-        if self._count > MAXIMUM_EVENTS:
+        if self._count > MAX_EVENTS:
             raise RunawaySimulationError(f"{self._count} events until {self.now:.1f} s")
         heapq.heappush(self._events, (when, self._count, call, process))
 
@@ -95,7 +95,7 @@
         """Run until something holds; how long it took. An assertion where it takes too long."""
         start = self.now
         while not condition():
-            require(self.now - start < patience, Promise.SERVES_AGAIN, f"not within {patience} s")
+            require(self.now - start < patience, Invariant.RECOVERS, f"not within {patience} s")
             self.run(self.now + 0.002)
         return self.now - start
 
@@ -103,10 +103,10 @@
 
     def add_machine(self, number: int) -> Machine:
         address = (f"10.0.0.{number + 1}", 7300)
-        rate = 1 + self.chance.uniform(-CLOCK_SKEW, CLOCK_SKEW)
+        rate = 1 + self.rng.uniform(-CLOCK_SKEW, CLOCK_SKEW)
         if self.settings.extreme_clocks:
-            rate = 1 + self.chance.choice((-CLOCK_SKEW, CLOCK_SKEW))
-        machine = Machine(address, SimulatedDisk(self.chance), rate, self.chance.uniform(0, 1e5))
+            rate = 1 + self.rng.choice((-CLOCK_SKEW, CLOCK_SKEW))
+        machine = Machine(address, SimulatedDisk(self.rng), rate, self.rng.uniform(0, 1e5))
         machine.sync_time = self.settings.sync_time
         machine.disk_since = self.now
         self.machines[address] = machine
@@ -119,13 +119,13 @@
         try:
             machine.process = Process(self, machine, first_start and machine.address in self.seeds)
         except OSError:
-            self.at(self.now + 0.25, lambda: self.boot(machine, first_start))
+            self.schedule(self.now + 0.25, lambda: self.boot(machine, first_start))
             return
         machine.process.start()
 
     def kill(self, machine: Machine) -> None:
         if machine.process is not None:
-            machine.process.end()
+            machine.process.kill()
             machine.process = None
         machine.deferred.clear()
         machine.frozen = False
@@ -138,14 +138,14 @@
         if machine.process is not None:
             machine.frozen = True
 
-    def thaw(self, machine: Machine) -> None:
+    def unfreeze(self, machine: Machine) -> None:
         if not machine.frozen:
             return
         machine.frozen = False
         deferred, machine.deferred = machine.deferred, []
-        self.chance.shuffle(deferred)
+        self.rng.shuffle(deferred)
         for call in deferred:
-            self.at(self.now, call, machine.process)
+            self.schedule(self.now, call, machine.process)
 
     def running(self) -> list[Process]:
         return [machine.process for machine in self.machines.values() if machine.process is not None]
@@ -153,42 +153,42 @@
     def candidates_of(self, machine: Machine) -> Sequence[Address]:
         return [address for address, other in self.machines.items() if other.process is not None]
 
-    def is_formed(self) -> bool:
+    def is_bootstrapped(self) -> bool:
         """Whether every founder has the group's first entry on its disk: nothing strikes before."""
-        if not self.formed:
+        if not self.bootstrapped:
             founders = [self.machines[seed].process for seed in self.seeds]
-            self.formed = all(
+            self.bootstrapped = all(
                 p is not None and p.group.replica.core.writes.synced_index > 0 for p in founders
             )
-        return self.formed
+        return self.bootstrapped
 
-    def weak_moment(self, moment: WeakMoment, machine: Machine) -> None:
-        if self.on_weak_moment is not None and self.faulty and self.is_formed():
-            self.on_weak_moment(moment, machine)
+    def on_fault_trigger(self, moment: FaultTrigger, machine: Machine) -> None:
+        if self.fault_trigger_hook is not None and self.faults_active and self.is_bootstrapped():
+            self.fault_trigger_hook(moment, machine)
 
     # Network
 
     def send(self, source: Machine, target: Address, envelope: Envelope) -> None:
-        chance, settings = self.chance, self.settings
+        rng, settings = self.rng, self.settings
         if settings.through_codec:
             envelope = decode_payload(encode_payload([envelope]))[0]
-        held = self.cuts.get((source.address, target))
+        held = self.link_cuts.get((source.address, target))
         if held is not None:
             if held:
-                self.held.append((source.address, target, envelope))
+                self.held_messages.append((source.address, target, envelope))
             return
-        draw = chance.random() if self.faulty else 1.0
-        if draw < settings.loss:
+        draw = rng.random() if self.faults_active else 1.0
+        if draw < settings.loss_rate:
             return
-        if draw < settings.loss + settings.doubled:
-            self._deliver_after(chance.uniform(0, settings.late_by), source.address, target, envelope)
-        delay = LINK * chance.uniform(1.0, 1.3)
-        if 1 - settings.late < draw < 1.0:
-            delay += chance.uniform(0, settings.late_by)
-        self._deliver_after(delay, source.address, target, envelope)
+        if draw < settings.loss_rate + settings.duplicate_rate:
+            self._schedule_delivery(rng.uniform(0, settings.max_delay), source.address, target, envelope)
+        delay = LINK_DELAY * rng.uniform(1.0, 1.3)
+        if 1 - settings.delay_rate < draw < 1.0:
+            delay += rng.uniform(0, settings.max_delay)
+        self._schedule_delivery(delay, source.address, target, envelope)
 
-    def _deliver_after(self, delay: float, source: Address, target: Address, envelope: Envelope) -> None:
-        self.at(self.now + delay, lambda: self._deliver(source, target, envelope))
+    def _schedule_delivery(self, delay: float, source: Address, target: Address, envelope: Envelope) -> None:
+        self.schedule(self.now + delay, lambda: self._deliver(source, target, envelope))
 
     def _deliver(self, source: Address, target: Address, envelope: Envelope) -> None:
         machine = self.machines.get(target)
@@ -202,11 +202,11 @@
 
     def heal(self) -> None:
         """Join all that was cut; what was held arrives."""
-        self.cuts.clear()
-        held, self.held = self.held, []
+        self.link_cuts.clear()
+        held, self.held_messages = self.held_messages, []
         for source, target, envelope in held:
-            if self.chance.random() < 0.5:
-                self._deliver_after(LINK, source, target, envelope)
+            if self.rng.random() < 0.5:
+                self._schedule_delivery(LINK_DELAY, source, target, envelope)
 
     # Clients
 
@@ -221,53 +221,55 @@
     def propose(self, process: Process, timeout: float = 1.0) -> None:
         number = self.next_command()
         size = self.settings.command_size
-        if size > 16 and self.chance.random() < 0.5:
+        if size > 16 and self.rng.random() < 0.5:
             size = 16
 
         def answer(proposal: ProposalResult) -> None:
-            self.oracle.proposed(number, proposal)
-            self.oracle.note_floor(self.now)
+            self.oracle.on_proposal_result(number, proposal)
+            self.oracle.record_known_committed(self.now)
             if proposal.status is ProposalStatus.COMMITTED:
-                self.weak_moment(WeakMoment.COMMITTED, process.machine)
+                self.on_fault_trigger(FaultTrigger.COMMITTED, process.machine)
 
         process.propose(command(number, size), timeout, answer)
 
-    def read(self, process: Process, floor: int, timeout: float = 1.0) -> None:
+    def read(self, process: Process, known_committed: int, timeout: float = 1.0) -> None:
 
         def answer(proposal: ProposalResult) -> None:
             if proposal.status is ProposalStatus.COMMITTED:
-                self.oracle.read(floor, len(process.ledger.commands))
-                self.oracle.note_floor(self.now)
+                self.oracle.on_read(known_committed, len(process.state_machine.commands))
+                self.oracle.record_known_committed(self.now)
 
         process.read(timeout, answer)
 
-    def operate(self) -> None:
+    def run_client(self) -> None:
         """A client's call, at the owner as a rule, and the next one."""
-        if self.quiet:
+        if self.clients_stopped:
             return
         self.check_owners()
-        self.check_handed_out()
+        self.check_served_states()
         processes = self.running()
         if processes:
-            process = self.chance.choice(processes)
+            process = self.rng.choice(processes)
             owner = process.group.owner
-            if self.chance.random() < 0.7 and owner in self.machines:
+            if self.rng.random() < 0.7 and owner in self.machines:
                 known = self.machines[owner].process
                 process = known if known in processes else process
-            for _ in range(self.chance.choice((1, 1, 1, 1, 1, 1, 1, 8))):
+            for _ in range(self.rng.choice((1, 1, 1, 1, 1, 1, 1, 8))):
                 self.call(process)
-        self.at(self.now + self.chance.expovariate(1 / self.settings.operation_gap), self.operate)
+        self.schedule(
+            self.now + self.rng.expovariate(1 / self.settings.mean_request_interval), self.run_client
+        )
 
     def call(self, process: Process) -> None:
         """A call that waits in the socket of a frozen process."""
-        floor = self.oracle.floor
-        propose = self.chance.random() < 0.5
+        known_committed = self.oracle.known_committed
+        propose = self.rng.random() < 0.5
 
         def arrive() -> None:
             if propose:
                 self.propose(process)
             else:
-                self.read(process, floor)
+                self.read(process, known_committed)
 
         if process.machine.frozen:
             process.machine.deferred.append(arrive)
@@ -275,28 +277,28 @@
             arrive()
 
     def check_owners(self) -> None:
-        self.oracle.owners(
+        self.oracle.on_owners(
             process.group.replica.identity.incarnation
             for process in self.running()
             if process.group.is_owner(process.now())
         )
 
-    def check_handed_out(self) -> None:
+    def check_served_states(self) -> None:
         """No controller takes its state for a recent one that lacks what was known by then."""
         for process in self.running():
-            if process.machine.frozen or not process.group.is_current(process.now(), HAND_OUT_PATIENCE):
+            if process.machine.frozen or not process.group.is_current(process.now(), MAX_SERVED_STATE_AGE):
                 continue
-            since = self.now - HAND_OUT_PATIENCE / process.machine.rate
-            self.oracle.handed_out(since, len(process.ledger.commands))
+            since = self.now - MAX_SERVED_STATE_AGE / process.machine.rate
+            self.oracle.on_state_served(since, len(process.state_machine.commands))
 
-    def check_rivals(self) -> None:
+    def check_concurrent_leaders(self) -> None:
         """Check the owners where more than one replica leads, as it may in different terms."""
         if sum(process.group.replica.leadership is not None for process in self.running()) > 1:
             self.check_owners()
 
     # What the faults must respect
 
-    def may_wipe(self, machine: Machine) -> bool:
+    def can_lose_disk(self, machine: Machine) -> bool:
         """Whether every group of voters that may be in force keeps a majority without this disk."""
         alive = {
             other.incarnation for other in self.machines.values() if other.present and other is not machine
@@ -313,16 +315,16 @@
 
     def finish(self) -> None:
         """End all faults; the group must serve again, with all its voters, and hold what it must."""
-        self.faulty = False
+        self.faults_active = False
         self.heal()
         for machine in self.machines.values():
-            self.thaw(machine)
-            machine.sync_time, machine.disk.full = SYNC, False
+            self.unfreeze(machine)
+            machine.sync_time, machine.disk.full = SYNC_TIME, False
             if machine.present and machine.process is None:
-                self.at(self.now + self.chance.uniform(0, 1.0), lambda machine=machine: self.boot(machine))
+                self.schedule(self.now + self.rng.uniform(0, 1.0), lambda machine=machine: self.boot(machine))
         calm_from = max([self.now, *(machine.hangs_until for machine in self.machines.values())])
-        self.run(calm_from + self.settings.calm - 1.0)
-        self.quiet = True
+        self.run(calm_from + self.settings.recovery_time - 1.0)
+        self.clients_stopped = True
         self.run(self.now + 1.0)
         self.check_final()
 
@@ -336,34 +338,34 @@
     def check_final(self) -> None:
         owner = self.owner()
         if owner is None:
-            raise ViolationError(Promise.SERVES_AGAIN, "no owner at the end")
+            raise ViolationError(Invariant.RECOVERS, "no owner at the end")
         before = len(self.oracle.committed)
         self.propose(owner)
         self.run(self.now + 0.5)
         committed = len(self.oracle.committed) > before
-        require(committed, Promise.SERVES_AGAIN, "nothing is committed at the end")
+        require(committed, Invariant.RECOVERS, "nothing is committed at the end")
         present = [machine for machine in self.machines.values() if machine.present]
         self.run_until(
-            lambda: self.is_whole(owner, present), self.settings.timing.voter_replace_after_s + REPAIR
+            lambda: self.is_whole(owner, present), self.settings.timing.voter_replace_after_s + REPAIR_TIME
         )
         members = owner.group.replica.core.log.members
         self.run(self.now + 0.3)
         for process in self.running():
             if process.group.replica.identity in members:
-                equal = process.ledger.commands == owner.ledger.commands
-                require(equal, Promise.SERVES_AGAIN, "replicas differ at the end")
-                self.oracle.finish(process.ledger.commands)
+                equal = process.state_machine.commands == owner.state_machine.commands
+                require(equal, Invariant.RECOVERS, "replicas differ at the end")
+                self.oracle.check_final_commands(process.state_machine.commands)
         for machine in present:
             size = machine.disk.size()
-            require(size < _most_bytes(machine), Promise.SERVES_AGAIN, f"{size} bytes on a disk")
+            require(size < _most_bytes(machine), Invariant.RECOVERS, f"{size} bytes on a disk")
 
 
 def _most_bytes(machine: Machine) -> int:
     """How much a disk may hold: a bound for all, but for a log without a snapshot each entry once."""
     if machine.process is None:
-        return MAXIMUM_DISK
+        return MAX_DISK_BYTES
     log = machine.process.group.replica.core.log
-    return MAXIMUM_DISK if log.snapshot else max(MAXIMUM_DISK, log.last_index * MAXIMUM_RECORD)
+    return MAX_DISK_BYTES if log.snapshot else max(MAX_DISK_BYTES, log.last_index * MAX_RECORD_BYTES)
 
 
 def _groups_in_force(process: Process) -> list[tuple[Member, ...]]:
@@ -377,14 +379,14 @@
 
 
 @contextlib.contextmanager
-def limits_of(settings: Settings) -> Iterator[None]:
+def patched_limits(settings: Settings) -> Iterator[None]:
     """Put a world's sizes and times in the place of those in the code."""
     with contextlib.ExitStack() as patches:
         for module, name, value in (
-            (group_module, "COMPACTION_BYTES", settings.compact_bytes),
-            (group_module, "RETAINED_LOG_BYTES", settings.keep_bytes),
-            (group_module, "COMPACTION_ENTRIES", settings.compact_entries),
-            (leadership_module, "MAX_APPEND_BYTES", settings.append_bytes),
+            (group_module, "COMPACTION_BYTES", settings.compaction_bytes),
+            (group_module, "RETAINED_LOG_BYTES", settings.retained_log_bytes),
+            (group_module, "COMPACTION_ENTRIES", settings.compaction_entries),
+            (leadership_module, "MAX_APPEND_BYTES", settings.max_append_bytes),
             (
                 voting_module,
                 "PRE_VOTE_RESERVATION_S",
@@ -395,19 +397,19 @@
         yield
 
 
-def play(seed: int, settings: Settings | None = None) -> SimulatedCluster:
+def run_seed(seed: int, settings: Settings | None = None) -> SimulatedCluster:
     """Play one seed to its end."""
     from tests.fleet.replication.faults import Faults
 
     settings = settings or settings_of(seed)
-    with limits_of(settings):
+    with patched_limits(settings):
         cluster = SimulatedCluster(seed, settings)
         faults = Faults(cluster)
-        cluster.at(0.3, cluster.operate)
-        cluster.at(settings.first_fault, faults.strike)
-        cluster.run(settings.first_fault + settings.duration)
+        cluster.schedule(0.3, cluster.run_client)
+        cluster.schedule(settings.first_fault_at, faults.inject)
+        cluster.run(settings.first_fault_at + settings.duration)
         faults.stop()
-        faults.final()
+        faults.inject_final()
         cluster.finish()
         return cluster
 
@@ -420,7 +422,7 @@
     started = time.monotonic()
     for seed in range(first, first + count):
         try:
-            play(seed)
+            run_seed(seed)
         except Exception as error:
             failed.append(seed)
             place = traceback.extract_tb(error.__traceback__)[-1]
--- a/tests/fleet/replication/synced_log.py
+++ b/tests/fleet/replication/synced_log.py
@@ -1,4 +1,4 @@
-"""What the replicas of a world have synced, kept apart from what they say of it."""
+"""The synced state of each replica, recorded independently of what the replica reports."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 @dataclass
 class SyncedLog:
-    """Term, vote and entries that one incarnation has on its disk for certain."""
+    """The term, vote and entries that one incarnation has synced to its disk."""
 
     hard_state: HardState = NO_HARD_STATE
     base_index: int = 0
     terms: dict[int, int] = field(default_factory=dict)  # by index
 
-    def start(self, recovered: Recovered) -> None:
-        """What was found at a start has been synced."""
+    def on_recovered(self, recovered: Recovered) -> None:
+        """Record that the state recovered at a start is synced."""
         self.hard_state = recovered.hard_state
         self._replace(recovered.snapshot, recovered.entries)
 
-    def take(self, write: Write) -> None:
-        """A write has been synced."""
+    def on_write_synced(self, write: Write) -> None:
+        """Record that a write is synced."""
         if write.hard_state is not None:
             self.hard_state = write.hard_state
         if write.snapshot is not None:
@@ -30,14 +30,14 @@
         else:
             self._append(write.entries)
 
-    def holds(self, index: int, term: int | None) -> bool:
-        """Whether an entry is synced, or covered by a snapshot that is; of any term for None."""
+    def has_entry(self, index: int, term: int | None) -> bool:
+        """Whether an entry is synced, or covered by a synced snapshot; `term` None matches any term."""
         if index <= self.base_index:
             return True
         return index in self.terms and term in (None, self.terms[index])
 
     def has_voted(self, term: int, incarnation: int) -> bool:
-        """Whether a vote is synced, or a later term, which rules out another vote in this one."""
+        """Whether a vote is synced, or a later term, which rules out another vote in this term."""
         state = self.hard_state
         return state.term > term or (state.term, state.vote) == (term, incarnation)
 
--- a/tests/fleet/replication/test_freshness.py
+++ b/tests/fleet/replication/test_freshness.py
@@ -8,10 +8,10 @@
 from tests.fleet.replication.process import Process
 from tests.fleet.replication.scenarios import owner_of, stable_cluster
 from tests.fleet.replication.settings import Settings
-from tests.fleet.replication.simulated_cluster import SimulatedCluster, limits_of
+from tests.fleet.replication.simulated_cluster import SimulatedCluster, patched_limits
 
 PATIENCE = 1.0  # seconds
-CALM = Settings(machines=4, loss=0.0, doubled=0.0, late=0.0, sync_time=0.001)
+CALM = Settings(machines=4, loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0, sync_time=0.001)
 
 
 def outside(cluster: SimulatedCluster) -> Process:
@@ -27,7 +27,7 @@
 def cut_off(cluster: SimulatedCluster, process: Process) -> None:
     own = process.machine.address
     for other in cluster.machines:
-        cluster.cuts[own, other] = cluster.cuts[other, own] = False
+        cluster.link_cuts[own, other] = cluster.link_cuts[other, own] = False
 
 
 def test_in_calm_all_are_in_contact_and_members_are_current() -> None:
@@ -87,7 +87,7 @@
     asked: list[float] = []
     read = process.group.replica.read
     process.group.replica.read = lambda token, now: (asked.append(now), read(token, now))[1]  # type: ignore
-    cluster.quiet = True
+    cluster.clients_stopped = True
     cluster.run(cluster.now + 10.0)
     assert 10.0 / FRESHNESS_READ_INTERVAL_S * 0.7 < len(asked) <= 10.0 / FRESHNESS_READ_INTERVAL_S * 1.1
     assert REPLICATING_WITHIN_S >= 3 * FRESHNESS_READ_INTERVAL_S
@@ -95,12 +95,12 @@
 
 def count_turns(process: Process) -> list[int]:
     """How many commands each turn of a group applies from now on."""
-    act, ledger, turns = process.group._collect_actions, process.ledger, list[int]()
+    act, state_machine, turns = process.group._collect_actions, process.state_machine, list[int]()
 
     def counted(now: float) -> Actions:
-        before = len(ledger.commands)
+        before = len(state_machine.commands)
         actions = act(now)
-        turns.append(len(ledger.commands) - before)
+        turns.append(len(state_machine.commands) - before)
         return actions
 
     process.group._collect_actions = counted  # type: ignore[method-assign]
@@ -108,8 +108,10 @@
 
 
 def test_what_is_far_behind_is_applied_in_turns_and_then_compacted() -> None:
-    settings = Settings(compact_entries=COMPACTION_ENTRIES, compact_bytes=1_000_000, keep_bytes=1_000_000)
-    with limits_of(settings):
+    settings = Settings(
+        compaction_entries=COMPACTION_ENTRIES, compaction_bytes=1_000_000, retained_log_bytes=1_000_000
+    )
+    with patched_limits(settings):
         cluster = stable_cluster(CALM, 9)
         process = follower(cluster)
         machine = process.machine
@@ -118,10 +120,10 @@
             cluster.propose(owner_of(cluster))
             cluster.run(cluster.now + 0.004)
         cluster.boot(machine)
-        late = machine.process
-        assert late is not None
-        turns = count_turns(late)
-        cluster.run_until(lambda: late.group.applied_index == owner_of(cluster).group.applied_index, 2.0)
+        restarted = machine.process
+        assert restarted is not None
+        turns = count_turns(restarted)
+        cluster.run_until(lambda: restarted.group.applied_index == owner_of(cluster).group.applied_index, 2.0)
         assert max(turns) == MAX_ENTRIES_PER_APPLY
         assert sum(turns) >= 2 * COMPACTION_ENTRIES
         owner = owner_of(cluster).group.replica.core.log
--- a/tests/fleet/replication/test_membership_model.py
+++ b/tests/fleet/replication/test_membership_model.py
@@ -65,8 +65,8 @@
     def commits(self, state: State, leader: int) -> Iterator[State]:
         log = state.machines[leader].log
         voters = voters_of(log)
-        held = sorted((self.held(state, log, voter) for voter in voters), reverse=True)
-        index = held[quorum_of(len(voters)) - 2]
+        lengths = sorted((self.replicated_length(state, log, voter) for voter in voters), reverse=True)
+        index = lengths[quorum_of(len(voters)) - 2]
         if index > len(state.committed) and log[index - 1].term == state.term:
             yield self.repaired(replace(state, committed=log[:index]), leader)
 
--- a/tests/fleet/replication/test_membership_policy.py
+++ b/tests/fleet/replication/test_membership_policy.py
@@ -207,11 +207,13 @@
         lost = sum(condition in GONE for condition in group.conditions.values())
         draining = sum(condition is Condition.LEAVING for condition in group.conditions.values())
         missing = 3 - len(group.voters)
-        late = any(group.conditions[voter] in (Condition.LATE, Condition.IN_DOUBT) for voter in group.voters)
+        delayed = any(
+            group.conditions[voter] in (Condition.LATE, Condition.IN_DOUBT) for voter in group.voters
+        )
         group.settle()
         left = [group.conditions[voter] for voter in group.voters]
         assert Condition.SUPERSEDED not in left or len(left) <= 2
-        if late or draining:
+        if delayed or draining:
             continue
         if spares < missing + lost:
             continue
--- a/tests/fleet/replication/test_mutants.py
+++ b/tests/fleet/replication/test_mutants.py
@@ -8,18 +8,18 @@
 
 from firvane.fleet.replication import core
 from tests.fleet.replication.mutant import Mutant, mutant
-from tests.fleet.replication.mutants import MUTANTS, SUPERFLUOUS, Trial
+from tests.fleet.replication.mutants import MUTANTS, UNDETECTED, MutantRunner
 from tests.fleet.replication.mutation import Edit, SourceMismatchError, edited_source
 
 READS = "firvane.fleet.replication.reads"
-TRIAL = Trial()  # plays each history of the unchanged code once for all tests
+RUNNER = MutantRunner()  # plays each history of the unchanged code once for all tests
 
 
 def _name(known: Mutant) -> str:
     return known.name
 
 
-@pytest.mark.parametrize("known", (*MUTANTS, *SUPERFLUOUS), ids=_name)
+@pytest.mark.parametrize("known", (*MUTANTS, *UNDETECTED), ids=_name)
 def test_a_mutant_still_matches_the_code(known: Mutant) -> None:
     for module in {edit.module for edit in known.edits}:
         edits = [edit for edit in known.edits if edit.module == module]
@@ -28,14 +28,14 @@
 
 @pytest.mark.parametrize("known", MUTANTS, ids=_name)
 def test_a_mutant_is_caught_by_a_broken_promise(known: Mutant) -> None:
-    assert known.shown_by in known.seeds
-    verdict = TRIAL.judge(known, (known.shown_by,))
-    assert verdict.unchanged_fails == ()
-    assert verdict.caught, verdict.crashes
+    assert known.revealing_seed in known.seeds
+    result = RUNNER.run(known, (known.revealing_seed,))
+    assert result.baseline_failures == ()
+    assert result.caught, result.crashes
 
 
 def test_names_are_unique() -> None:
-    names = [known.name for known in (*MUTANTS, *SUPERFLUOUS)]
+    names = [known.name for known in (*MUTANTS, *UNDETECTED)]
     assert len(set(names)) == len(names)
 
 
@@ -52,14 +52,14 @@
             "raise KeyError",
         ),
     )
-    verdict = TRIAL.judge(crashing)
-    assert verdict.crashes == ("KeyError: ",)
-    assert not verdict.caught
+    result = RUNNER.run(crashing)
+    assert result.crashes == ("KeyError: ",)
+    assert not result.caught
 
 
 def test_the_unchanged_code_is_no_mutant() -> None:
     same = mutant("same", "nothing", "rejoining", (0, 1), None)
-    assert not TRIAL.judge(same).caught
+    assert not RUNNER.run(same).caught
 
 
 def test_a_text_that_is_not_there_once_fails_loudly() -> None:
@@ -77,7 +77,7 @@
     before = {
         name: module for name, module in sys.modules.items() if "replication" in name or "storage" in name
     }
-    TRIAL.judge(MUTANTS[0], (MUTANTS[0].seeds[0],))
+    RUNNER.run(MUTANTS[0], (MUTANTS[0].seeds[0],))
     after = {
         name: module for name, module in sys.modules.items() if "replication" in name or "storage" in name
     }
--- a/tests/fleet/replication/test_transfer.py
+++ b/tests/fleet/replication/test_transfer.py
@@ -12,12 +12,12 @@
 from tests.fleet.replication.simulated_cluster import Process, Settings, SimulatedCluster
 
 HANDED_OVER = 0.2  # seconds, less than the shortest election takes
-CALM = Settings(loss=0.0, doubled=0.0, late=0.0)
+CALM = Settings(loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0)
 
 
 def make_cluster(seed: int = 1, settings: Settings = CALM) -> SimulatedCluster:
     cluster = SimulatedCluster(seed, settings)
-    cluster.run_until(lambda: cluster.is_formed() and has_all(cluster), 5.0)
+    cluster.run_until(lambda: cluster.is_bootstrapped() and has_all(cluster), 5.0)
     return cluster
 
 
@@ -99,24 +99,26 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_no_promise_is_broken_by_transfers_among_troubles(seed: int) -> None:
-    cluster = SimulatedCluster(seed, Settings(duration=5.0, fault_gap=0.7, loss=0.02, late=0.05))
+    cluster = SimulatedCluster(
+        seed, Settings(duration=5.0, mean_fault_interval=0.7, loss_rate=0.02, delay_rate=0.05)
+    )
     faults = Faults(cluster)
     begun = []
 
     def transfer_ownership() -> None:
         owner = cluster.owner()
         if owner is not None:
-            named = cluster.chance.choice([None, *cluster.machines])
+            named = cluster.rng.choice([None, *cluster.machines])
             begun.append(transfer(owner, named) is TransferStart.STARTED)
-        if cluster.faulty:
-            cluster.at(cluster.now + cluster.chance.expovariate(4.0), transfer_ownership)
+        if cluster.faults_active:
+            cluster.schedule(cluster.now + cluster.rng.expovariate(4.0), transfer_ownership)
 
-    cluster.at(0.3, cluster.operate)
-    cluster.at(1.0, transfer_ownership)
-    cluster.at(1.5, faults.strike)
+    cluster.schedule(0.3, cluster.run_client)
+    cluster.schedule(1.0, transfer_ownership)
+    cluster.schedule(1.5, faults.inject)
     cluster.run(6.5)
     faults.stop()
-    faults.final()
+    faults.inject_final()
     cluster.finish()
     assert sum(begun) > 3
 
@@ -153,7 +155,9 @@
 
 
 def test_a_learner_is_told_from_a_voter() -> None:
-    cluster = make_cluster(settings=Settings(machines=4, target_size=3, loss=0.0, doubled=0.0, late=0.0))
+    cluster = make_cluster(
+        settings=Settings(machines=4, target_size=3, loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0)
+    )
     owner = owner_of(cluster)
     victim = next(p for p in others(cluster) if p.group.replica.is_voter)
     spare = next(p for p in others(cluster) if not p.group.replica.is_voter)
