--- a/tests/fleet/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a simulated world, drawn from its seed."""
+"""Faults of a simulated cluster, chosen at random from its seed."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Faults:
-    """Strikes again and again until it is stopped."""
+    """Injects faults repeatedly until stopped."""
 
     def __init__(self, cluster: SimulatedCluster) -> None:
         self.cluster = cluster
@@ -62,7 +62,7 @@
             cluster.fault_trigger_hook = self.inject_at_trigger
 
     def inject(self) -> None:
-        """One fault, and the next one later."""
+        """Inject one fault, and schedule the next one."""
         if self.stopped:
             return
         cluster = self.cluster
@@ -76,7 +76,7 @@
         self.stopped = True
 
     def inject_at_trigger(self, moment: FaultTrigger, machine: Machine) -> None:
-        """Strike within milliseconds of a weak moment."""
+        """Inject a targeted fault within milliseconds of a trigger event."""
         cluster = self.cluster
         settings = cluster.settings
         if self.stopped or cluster.rng.random() > settings.targeted_rate:
@@ -98,13 +98,13 @@
         self._power_cycle_machines([process.machine for process in self.cluster.running()])
 
     def power_cycle_some(self, _machine: Machine) -> None:
-        everybody = [process.machine for process in self.cluster.running()]
-        if everybody:
-            count = self.cluster.rng.randrange(1, len(everybody) + 1)
-            self._power_cycle_machines(self.cluster.rng.sample(everybody, count))
+        running_machines = [process.machine for process in self.cluster.running()]
+        if running_machines:
+            count = self.cluster.rng.randrange(1, len(running_machines) + 1)
+            self._power_cycle_machines(self.cluster.rng.sample(running_machines, count))
 
     def kill_then_power_cycle(self, machine: Machine) -> None:
-        """The process ends, is there again at once, and then the power goes."""
+        """Kill a process, restart it at once, and power-cycle all machines after that."""
         cluster = self.cluster
         cluster.kill(machine)
         self._later(0.005, 0.02, lambda: cluster.boot(machine))
@@ -115,15 +115,15 @@
         self._later(0.2, 1.5, lambda: self.cluster.unfreeze(machine))
 
     def isolate_machine(self, machine: Machine) -> None:
-        """Nobody hears the machine, or it hears nobody, or both."""
+        """Cut off all messages from a machine, all messages to it, or both."""
         cluster = self.cluster
-        held = cluster.rng.random() < 0.5
-        which = cluster.rng.randrange(3)
+        delayed = cluster.rng.random() < 0.5
+        direction = cluster.rng.randrange(3)
         for other in cluster.machines:
-            if which != 0:
-                cluster.link_cuts[machine.address, other] = held
-            if which != 1:
-                cluster.link_cuts[other, machine.address] = held
+            if direction != 0:
+                cluster.link_cuts[machine.address, other] = delayed
+            if direction != 1:
+                cluster.link_cuts[other, machine.address] = delayed
         self._later(0.3, 1.2, cluster.heal)
 
     def cut_some_links(self, _machine: Machine) -> None:
@@ -143,18 +143,18 @@
             self._later(0.02, 0.4, lambda machine=machine: self.cluster.boot(machine))
 
     def cut_links(self) -> None:
-        """Some links fail, each in a direction of its own."""
+        """Cut random links, each in one direction."""
         cluster = self.cluster
         addresses = list(cluster.machines)
-        held = cluster.rng.random() < 0.5
+        delayed = cluster.rng.random() < 0.5
         for one in addresses:
             for other in addresses:
                 if one != other and cluster.rng.random() < 0.3:
-                    cluster.link_cuts[one, other] = held
+                    cluster.link_cuts[one, other] = delayed
         self._later(0.2, 1.5, cluster.heal)
 
     def restart_quickly(self) -> None:
-        """Processes end and are there again within less than a lease."""
+        """Kill about half of the processes, and restart each within less than a lease."""
         cluster = self.cluster
         for process in cluster.running():
             if cluster.rng.random() < 0.5:
@@ -163,18 +163,18 @@
                 self._later(0.01, 0.1, lambda machine=machine: cluster.boot(machine))
 
     def inject_final(self) -> None:
-        """Perhaps one more blow to all, right after something was acknowledged."""
-        draw = self.cluster.rng.random()
-        if draw < 0.2:
+        """Possibly inject one last fault on all machines, right after the last acknowledgements."""
+        probability = self.cluster.rng.random()
+        if probability < 0.2:
             self.lose_power_all()
-        elif draw < 0.3:
+        elif probability < 0.3:
             self.wipe()
             self.lose_power_all()
-        elif draw < 0.4:
+        elif probability < 0.4:
             self.kill_all()
 
     def _random_machine(self) -> Machine | None:
-        """A machine with a process; often the leader."""
+        """Choose a machine with a running process, with 40 % extra probability for the owner."""
         cluster = self.cluster
         machines = [process.machine for process in cluster.running()]
         if not machines:
@@ -184,9 +184,9 @@
             return owner.machine
         return cluster.rng.choice(machines)
 
-    def _later(self, least: float, most: float, call: Callable[[], None]) -> None:
+    def _later(self, minimum: float, maximum: float, call: Callable[[], None]) -> None:
         cluster = self.cluster
-        cluster.schedule(cluster.now + cluster.rng.uniform(least, most), call)
+        cluster.schedule(cluster.now + cluster.rng.uniform(minimum, maximum), call)
 
     def kill(self) -> None:
         if machine := self._random_machine():
@@ -216,7 +216,7 @@
             self._later(0.1, 3.0, lambda: self.cluster.unfreeze(machine))
 
     def stall(self) -> None:
-        """The process gets no processor for a moment."""
+        """Freeze a process briefly, as if it got no CPU time."""
         if machine := self._random_machine():
             self.cluster.freeze(machine)
             self._later(0.05, 0.5, lambda: self.cluster.unfreeze(machine))
@@ -235,13 +235,13 @@
         self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
 
     def damage_disk(self) -> None:
-        """A process ends, and something that was synced long ago is spoilt on its disk."""
+        """Kill a process, and corrupt bytes on its disk that were synced earlier."""
         machine = self._random_machine()
         if machine is None or not self.cluster.can_lose_disk(machine):
             return
         self.cluster.kill(machine)
-        spoil = self.cluster.rng.choice((machine.disk.damage_segment, machine.disk.damage_snapshot))
-        if spoil():
+        corrupt = self.cluster.rng.choice((machine.disk.damage_segment, machine.disk.damage_snapshot))
+        if corrupt():
             machine.damaged = True
             machine.incarnation = 0
         self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
@@ -253,8 +253,8 @@
             return
         cluster.kill(machine)
         machine.present = False
-        new = cluster.add_machine(len(cluster.machines))
-        self._later(0.1, 1.5, lambda: cluster.boot(new))
+        replacement = cluster.add_machine(len(cluster.machines))
+        self._later(0.1, 1.5, lambda: cluster.boot(replacement))
 
     def partition(self) -> None:
         self._partition(True)
@@ -262,21 +262,21 @@
     def partition_one_way(self) -> None:
         self._partition(False)
 
-    def _partition(self, both: bool) -> None:
+    def _partition(self, both_ways: bool) -> None:
         cluster = self.cluster
         addresses = list(cluster.machines)
         cluster.rng.shuffle(addresses)
         size = cluster.rng.randrange(1, len(addresses) + 1)
-        held = cluster.rng.random() < 0.5
+        delayed = cluster.rng.random() < 0.5
         for one in addresses[:size]:
             for other in addresses[size:]:
-                cluster.link_cuts[one, other] = held
-                if both:
-                    cluster.link_cuts[other, one] = held
+                cluster.link_cuts[one, other] = delayed
+                if both_ways:
+                    cluster.link_cuts[other, one] = delayed
         self._later(0.2, 2.5, cluster.heal)
 
     def partition_in_halves(self) -> None:
-        """Two halves hear nothing of each other; one of them starts again meanwhile, or as the cut ends."""
+        """Partition the machines in two halves, and restart one half or none, midway or at the end."""
         cluster = self.cluster
         addresses = list(cluster.machines)
         cluster.rng.shuffle(addresses)
@@ -285,10 +285,10 @@
             for other in addresses[half:]:
                 cluster.link_cuts[one, other] = cluster.link_cuts[other, one] = False
         restarted = cluster.rng.choice((addresses[:half], addresses[half:], []))
-        lasts = cluster.rng.uniform(0.5, 2.5)
-        at = cluster.rng.choice((lasts / 2, lasts))
-        cluster.schedule(cluster.now + at, lambda: self._restart(restarted))
-        cluster.schedule(cluster.now + lasts, cluster.heal)
+        duration = cluster.rng.uniform(0.5, 2.5)
+        restart_after = cluster.rng.choice((duration / 2, duration))
+        cluster.schedule(cluster.now + restart_after, lambda: self._restart(restarted))
+        cluster.schedule(cluster.now + duration, cluster.heal)
 
     def _restart(self, addresses: Sequence[Address]) -> None:
         for address in addresses:
@@ -298,7 +298,7 @@
                 self._later(0.05, 0.5, lambda machine=machine: self.cluster.boot(machine))
 
     def wipe_oldest_during_power_loss(self) -> None:
-        """The disk that has lasted longest is lost, and all other machines lose power at that moment."""
+        """Wipe the oldest disk, and power-cycle all other machines at the same time."""
         cluster = self.cluster
         present = [machine for machine in cluster.machines.values() if machine.present]
         oldest = min(present, key=lambda machine: machine.disk_since)
@@ -308,7 +308,7 @@
         self._power_cycle_machines([machine for machine in present if machine is not oldest])
 
     def replace_during_link_cuts(self) -> None:
-        """A machine is replaced by an empty one while some links fail."""
+        """Replace a machine with an empty one while some links are cut."""
         self.cut_links()
         self.replace()
 
@@ -327,7 +327,7 @@
             machine.hangs_until = self.cluster.now + self.cluster.rng.uniform(0.2, 3.0)
 
     def terminate(self) -> None:
-        """A planned end: hand over first, then stop."""
+        """Stop a process as planned: it transfers leadership before it is killed."""
         machine = self._random_machine()
         if machine is None or machine.frozen or machine.process is None:
             return
--- a/tests/fleet/replication/histories.py
+++ b/tests/fleet/replication/histories.py
@@ -1,4 +1,4 @@
-"""Kinds of histories in which deliberate faults of the code show: worlds of one temper, by name and seed."""
+"""Kinds of simulation runs that reveal deliberate faults of the code, by name and seed."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Ending(enum.Enum):
-    """How a history ends."""
+    """How a run ends."""
 
     PASSED = "passed"
-    VIOLATED = "violated"  # a promise was broken
+    VIOLATED = "violated"  # an invariant was violated
     CRASHED = "crashed"  # anything else was raised
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The end of one history; `invariant` is the one that was broken, `reason` the error's text."""
+    """The end of one run; `invariant` is the violated one, `reason` the error's text."""
 
     ending: Ending
     invariant: str = ""
     reason: str = ""
 
 
-def _power(seed: int) -> Settings:
-    """The power goes, here and everywhere, often while something is written."""
+def _power_losses(seed: int) -> Settings:
+    """One or all machines lose power, often during a write."""
     return Settings(
         machines=(3, 5, 7)[seed % 3],
         target_size=(3, 5, 7)[seed % 3],
@@ -51,7 +51,7 @@
 
 
 def _elections(seed: int) -> Settings:
-    """Elections collide, and processes start again at once."""
+    """Elections collide, and processes restart at once."""
     return Settings(
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
@@ -69,7 +69,7 @@
 
 
 def _leases(seed: int) -> Settings:
-    """Leaders are cut off or frozen; messages are late."""
+    """Leaders are isolated or frozen; messages are delayed."""
     return Settings(
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
@@ -84,8 +84,8 @@
     )
 
 
-def _planned_ends(seed: int) -> Settings:
-    """Owners hand over, also while machines are cut off."""
+def _planned_stops(seed: int) -> Settings:
+    """Owners stop as planned, also during partitions."""
     return Settings(
         machines=(3, 5)[seed % 2],
         target_size=3,
@@ -98,8 +98,8 @@
     )
 
 
-def _members(seed: int) -> Settings:
-    """Disks are lost, machines replaced, while links fail."""
+def _membership_changes(seed: int) -> Settings:
+    """Disks are lost and machines replaced while links are cut."""
     return Settings(
         machines=(4, 5, 6)[seed % 3],
         target_size=(3, 5, 5)[seed % 3],
@@ -113,8 +113,8 @@
     )
 
 
-def _one_by_one(seed: int) -> Settings:
-    """One entry a message, leaders lost right after their election: old terms' entries spread slowly."""
+def _single_entry_appends(seed: int) -> Settings:
+    """Each message has one entry, and leaders fail after their election: old entries replicate slowly."""
     return Settings(
         machines=(3, 5)[seed % 2],
         target_size=(3, 5)[seed % 2],
@@ -134,8 +134,8 @@
     )
 
 
-def _spoilt(seed: int) -> Settings:
-    """Bytes that were synced are spoilt; processes end in the middle of writes."""
+def _corrupted_disks(seed: int) -> Settings:
+    """Synced bytes are corrupted; processes are killed during writes."""
     return Settings(
         machines=3,
         target_size=3,
@@ -148,8 +148,8 @@
     )
 
 
-def _full(seed: int) -> Settings:
-    """Disks are full, slow or hang, and machines lose their power meanwhile."""
+def _full_disks(seed: int) -> Settings:
+    """Disks are full or slow, and machines lose power at the same time."""
     return Settings(
         machines=3,
         target_size=3,
@@ -163,7 +163,7 @@
 
 
 def _halves(seed: int) -> Settings:
-    """The machines are cut in two again and again, and one side starts again."""
+    """The machines are repeatedly partitioned in two halves, and one half restarts."""
     machines = (3, 4, 5, 7)[seed % 4]
     return Settings(
         machines=machines,
@@ -178,8 +178,8 @@
     )
 
 
-def _dark(seed: int) -> Settings:
-    """Disks are lost, the oldest first, while all other machines lose their power; machines are replaced."""
+def _power_off_wipes(seed: int) -> Settings:
+    """Disks are lost, the oldest first, while all other machines lose power; machines are replaced."""
     machines = (3, 4, 5, 6)[seed % 4]
     return Settings(
         machines=machines,
@@ -200,8 +200,8 @@
     )
 
 
-def _many_changes(seed: int) -> Settings:
-    """Hundreds of orders and a snapshot every few of them, while members are away for a long time."""
+def _frequent_snapshots(seed: int) -> Settings:
+    """Hundreds of commands with frequent snapshots, while members are unreachable for a long time."""
     machines = (3, 5)[seed % 2]
     return Settings(
         machines=machines,
@@ -219,29 +219,29 @@
     )
 
 
-def _drawn(seed: int) -> Settings:
-    """What the seed stands for in the test command."""
+def _random_settings(seed: int) -> Settings:
+    """Settings drawn at random, as in `test_simulated_cluster`."""
     return settings_of(seed)
 
 
 KINDS: dict[str, Callable[[int], Settings]] = {
-    "drawn": _drawn,
-    "power": _power,
+    "drawn": _random_settings,
+    "power": _power_losses,
     "elections": _elections,
     "leases": _leases,
-    "planned ends": _planned_ends,
-    "members": _members,
-    "one by one": _one_by_one,
-    "spoilt": _spoilt,
-    "full": _full,
+    "planned stops": _planned_stops,
+    "members": _membership_changes,
+    "single-entry appends": _single_entry_appends,
+    "corruption": _corrupted_disks,
+    "full": _full_disks,
     "halves": _halves,
-    "in the dark": _dark,
-    "many changes": _many_changes,
+    "power-off wipes": _power_off_wipes,
+    "frequent snapshots": _frequent_snapshots,
 }
 
 
-def outcome(kind: str, seed: int) -> Outcome:
-    """Play one history to its end, whatever that is."""
+def run_history(kind: str, seed: int) -> Outcome:
+    """Run the simulation of a kind and seed, and return how it ended."""
     try:
         if kind in SCENARIOS:
             with patched_limits(Settings()):
@@ -255,6 +255,6 @@
     return Outcome(Ending.PASSED)
 
 
-def outcomes(kind: str, seeds: Sequence[int]) -> list[Outcome]:
-    """The ends of several histories of one kind."""
-    return [outcome(kind, seed) for seed in seeds]
+def run_histories(kind: str, seeds: Sequence[int]) -> list[Outcome]:
+    """Run the simulation of a kind for several seeds, and return how each ended."""
+    return [run_history(kind, seed) for seed in seeds]
--- a/tests/fleet/replication/mutant.py
+++ b/tests/fleet/replication/mutant.py
@@ -1,4 +1,4 @@
-"""A deliberate fault of the code, and where the simulated worlds find it."""
+"""A mutant: a deliberate fault of the code, and the simulation runs that reveal it."""
 
 from __future__ import annotations
 
@@ -10,9 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A named change of the real code, and the histories that are played with it: a kind and its seeds.
+    """A named change of the real code, and the simulation runs for it: a kind and its seeds.
 
-    `revealing_seed` is one of the seeds, in whose history the change shows; None where it is not expected to.
+    `breaks` describes the changed behaviour. `revealing_seed` is one of the seeds whose run violates an
+    invariant; None if no violation is expected.
     """
 
     name: str
@@ -31,6 +32,6 @@
     revealing_seed: int | None,
     *edits: tuple[str, str, str],
 ) -> Mutant:
-    """A mutant; an edit is a module of `firvane`, the old text and the new one."""
+    """Make a mutant; an edit is a module below `firvane.fleet`, the old text and the new text."""
     changes = tuple(Edit(f"firvane.fleet.{module}", old, new) for module, old, new in edits)
     return Mutant(name, breaks, kind, tuple(seeds), revealing_seed, changes)
--- a/tests/fleet/replication/mutants.py
+++ b/tests/fleet/replication/mutants.py
@@ -1,7 +1,7 @@
-"""Deliberate faults against the simulated worlds: `python -m tests.fleet.replication.mutants` plays all.
+"""Mutation testing of the replication code: `python -m tests.fleet.replication.mutants` runs all mutants.
 
-A mutant is caught where the unchanged code passes all its histories, and one of them at least ends with a
-broken promise. A crash of the changed code, or of the worlds, catches nothing.
+A mutant is caught if the unchanged code passes all its simulation runs, and the changed code violates an
+invariant in at least one of them. A crash of the changed code or of the simulation does not count.
 """
 
 from __future__ import annotations
@@ -24,55 +24,57 @@
 
 @dataclass(frozen=True, slots=True)
 class MutantResult:
-    """How a mutant fared: its histories, those with a broken promise by promise, and those that crashed."""
+    """The result of a mutant's runs: violations by invariant, crashes, and failures of the unchanged code."""
 
     mutant: Mutant
     violations: Counter[str]
     caught_by: tuple[int, ...]  # seeds
     crashes: tuple[str, ...]
-    baseline_failures: tuple[str, ...]  # what the unchanged code does in the same histories, where it fails
+    baseline_failures: tuple[str, ...]  # failures of the unchanged code in the same runs
 
     @property
     def caught(self) -> bool:
-        """Whether the worlds have found the fault."""
+        """Whether the simulation has revealed the fault."""
         return bool(self.violations) and not self.baseline_failures
 
 
 class MutantRunner:
-    """Plays mutants; each history of the unchanged code is played once."""
+    """Runs mutants; each run of the unchanged code is done once and reused."""
 
     def __init__(self) -> None:
         self._baseline: dict[tuple[str, int], str] = {}
 
     def run(self, mutant: Mutant, seeds: Sequence[int] = ()) -> MutantResult:
-        """Play a mutant's histories, or those of some of its seeds."""
-        played = tuple(seeds) or mutant.seeds
-        self._run_baseline(mutant.kind, played)
-        ends = _ends(mutant.edits, mutant.kind, played)
-        violations = Counter(invariant for ending, invariant, _ in ends if ending == "violated")
-        caught_by = tuple(seed for seed, end in zip(played, ends, strict=True) if end[0] == "violated")
-        crashes = tuple(reason for ending, _, reason in ends if ending == "crashed")
-        fails = [self._baseline[mutant.kind, seed] for seed in played]
+        """Run a mutant with all its seeds, or with some of them."""
+        chosen_seeds = tuple(seeds) or mutant.seeds
+        self._run_baseline(mutant.kind, chosen_seeds)
+        outcomes = _run_edited(mutant.edits, mutant.kind, chosen_seeds)
+        violations = Counter(invariant for ending, invariant, _ in outcomes if ending == "violated")
+        caught_by = tuple(
+            seed for seed, outcome in zip(chosen_seeds, outcomes, strict=True) if outcome[0] == "violated"
+        )
+        crashes = tuple(reason for ending, _, reason in outcomes if ending == "crashed")
+        failures = [self._baseline[mutant.kind, seed] for seed in chosen_seeds]
         return MutantResult(
-            mutant, violations, caught_by, crashes, tuple(reason for reason in fails if reason)
+            mutant, violations, caught_by, crashes, tuple(reason for reason in failures if reason)
         )
 
     def _run_baseline(self, kind: str, seeds: Sequence[int]) -> None:
         missing = [seed for seed in seeds if (kind, seed) not in self._baseline]
         if missing:
-            for seed, end in zip(missing, _ends((), kind, missing), strict=True):
-                self._baseline[kind, seed] = "" if end[0] == "passed" else f"{end[0]}: {end[2]}"
+            for seed, outcome in zip(missing, _run_edited((), kind, missing), strict=True):
+                self._baseline[kind, seed] = "" if outcome[0] == "passed" else f"{outcome[0]}: {outcome[2]}"
 
 
-def _ends(edits: Sequence[Edit], kind: str, seeds: Sequence[int]) -> list[tuple[str, str, str]]:
-    """Of each history how it ended, the broken promise and the reason."""
+def _run_edited(edits: Sequence[Edit], kind: str, seeds: Sequence[int]) -> list[tuple[str, str, str]]:
+    """Run the edited code; returns for each seed the ending, the violated invariant and the reason."""
     with loaded_histories(edits) as histories:
-        outcomes = histories.outcomes(kind, seeds)
+        outcomes = histories.run_histories(kind, seeds)
     return [(outcome.ending.value, outcome.invariant, outcome.reason) for outcome in outcomes]
 
 
-def row(result: MutantResult) -> str:
-    """One row of the table."""
+def table_row(result: MutantResult) -> str:
+    """Format one row of the result table."""
     mutant = result.mutant
     if result.baseline_failures:
         found = f"nothing: the unchanged code fails ({result.baseline_failures[0]})"
@@ -83,25 +85,25 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play all mutants, or those whose names hold one of the arguments; 1 where one is not caught."""
+    """Run all mutants, or those whose names contain an argument; returns 1 if one is not caught."""
     started = time.monotonic()
-    trial = MutantRunner()
-    print("| mutant | what it breaks | histories | caught by | in |\n| --- | --- | --- | --- | --- |")
-    survivors = _play(trial, MUTANTS, arguments)
-    print("Superfluous lines, whose loss the worlds are expected to bear:")
-    _play(trial, UNDETECTED, arguments)
+    runner = MutantRunner()
+    print("| mutant | changed behaviour | runs | caught by | in |\n| --- | --- | --- | --- | --- |")
+    survivors = _run_and_print(runner, MUTANTS, arguments)
+    print("Mutants that the simulation is expected not to reveal:")
+    _run_and_print(runner, UNDETECTED, arguments)
     print(f"{time.monotonic() - started:.1f} s; survivors: {survivors}")
     return 1 if survivors else 0
 
 
-def _play(trial: MutantRunner, mutants: Sequence[Mutant], parts: Sequence[str]) -> list[str]:
-    """Play and print mutants; the names of those that are not caught."""
+def _run_and_print(runner: MutantRunner, mutants: Sequence[Mutant], parts: Sequence[str]) -> list[str]:
+    """Run mutants and print their results; returns the names of those that are not caught."""
     survivors = []
     for mutant in mutants:
         if parts and not any(part in mutant.name for part in parts):
             continue
-        result = trial.run(mutant)
-        print(row(result), flush=True)
+        result = runner.run(mutant)
+        print(table_row(result), flush=True)
         for crash in result.crashes[:1]:
             print(f"  crashed in {len(result.crashes)}: {crash}")
         if not result.caught:
--- a/tests/fleet/replication/mutants_elections.py
+++ b/tests/fleet/replication/mutants_elections.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of elections, leases and hand-overs."""
+"""Mutants of elections, leases and leadership transfers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 ELECTIONS = (
     mutant(
         "vote before sync",
-        "a term, a vote and what follows from them are said before they are synced",
+        "messages that depend on a term or a vote are sent before it is synced",
         "elections",
         range(8),
         0,
@@ -16,7 +16,7 @@
     ),
     mutant(
         "term not persisted",
-        "a new term and vote are not handed to the disk",
+        "a new term and vote are not written to the disk",
         "elections",
         range(8),
         0,
@@ -28,7 +28,7 @@
     ),
     mutant(
         "two votes in a term",
-        "a voter forgets whom it has voted for",
+        "a voter votes for several candidates in one term",
         "elections",
         range(8),
         0,
@@ -40,7 +40,7 @@
     ),
     mutant(
         "vote for any log",
-        "a candidate is elected that lacks entries",
+        "a voter votes for a candidate whose log lacks entries",
         "power",
         (2, 7, 13, 14, 16, 17),
         2,
@@ -51,9 +51,9 @@
         ),
     ),
     mutant(
-        "vote by length",
-        "logs are compared by their length, not by the term of their last entry first",
-        "one by one",
+        "vote by log length",
+        "logs are compared by length, without the term of the last entry",
+        "single-entry appends",
         (0, 1, 20),
         20,
         (
@@ -63,8 +63,8 @@
         ),
     ),
     mutant(
-        "amnesiac votes",
-        "a machine that has lost its disk returns as the same member, and votes",
+        "incarnation survives disk loss",
+        "a machine that has lost its disk returns as the same member and votes",
         "members",
         (0, 1, 3, 12),
         3,
@@ -77,7 +77,7 @@
     ),
     mutant(
         "no pre-vote",
-        "a member that was cut off deposes the leader when it returns",
+        "a member that was isolated deposes the leader when it rejoins",
         "rejoining",
         range(4),
         0,
@@ -89,7 +89,7 @@
     ),
     mutant(
         "higher term ignored",
-        "a leader that hears of a higher term takes the term and goes on leading",
+        "a leader that receives a higher term adopts the term but does not step down",
         "stalled owner",
         range(6),
         0,
@@ -97,7 +97,7 @@
     ),
     mutant(
         "minority elects",
-        "one vote less than a majority is enough",
+        "a candidate wins with one vote less than a majority",
         "elections",
         range(6),
         0,
@@ -108,8 +108,8 @@
         ),
     ),
     mutant(
-        "founded again",
-        "whoever has the lowest address founds the group, also on a disk that was lost",
+        "bootstrapped again",
+        "the seed with the lowest address bootstraps the group even after it has lost its disk",
         "members",
         range(8),
         1,
@@ -128,8 +128,8 @@
 
 LEASES = (
     mutant(
-        "lease without bound",
-        "a lease does not end",
+        "unbounded lease",
+        "a lease does not expire",
         "isolated owner",
         range(4),
         0,
@@ -140,9 +140,9 @@
         ),
     ),
     mutant(
-        "lease from the answer",
-        "a lease counts from the coming of an answer, not from the sending of what it answers",
-        "late answers",
+        "lease counted from the reply",
+        "a lease counts from the arrival of a reply, not from the sending of the append",
+        "delayed replies",
         range(8),
         2,
         (
@@ -152,25 +152,25 @@
         ),
     ),
     mutant(
-        "promise to a leader ignored",
-        "a voter elects another leader while the present one may count on it",
-        "half-cut owner",
+        "pre-vote during a lease",
+        "a voter ignores that the current leader's lease may depend on it",
+        "half-isolated owner",
         range(4),
         0,
         ("replication.voting", "return now < lease_vote_until", "return False"),
     ),
     mutant(
-        "vote within a promise",
-        "a request for a vote is heeded while a leader may count on the voter",
+        "vote during a lease",
+        "a voter handles a vote request while a leader's lease may depend on the voter",
         "stalled owner",
         (0, 1, 5, 25),
         5,
         ("replication.replica", "if not request.transfer and self.voter.follows_leader(now):", "if now < 0:"),
     ),
     mutant(
-        "promise forgotten by a restart",
-        "a replica that starts again votes at once, though it may have promised a lease",
-        "half-cut owner",
+        "no abstention after a restart",
+        "a restarted replica votes at once, though a lease may depend on its previous process",
+        "half-isolated owner",
         (1, 3, 5, 7),
         1,
         (
@@ -180,8 +180,8 @@
         ),
     ),
     mutant(
-        "clocks taken for equal",
-        "a lease ends no earlier than the followers' promise, though clocks differ",
+        "clock rate bound ignored",
+        "a lease lasts as long as the followers' election timeout, though clock rates differ",
         "isolated owner",
         (16, 20, 22, 30, 34, 38),
         16,
@@ -192,15 +192,15 @@
         ),
     ),
     mutant(
-        "lease survives a hand-over",
-        "a leader that has named its successor goes on under its lease",
-        "parting owner",
+        "lease survives a transfer",
+        "a leader that has sent TimeoutNow keeps its lease",
+        "resigning owner",
         range(4),
         0,
         ("replication.replica", 'self._step_down("transferred", now)', "pass"),
     ),
     mutant(
-        "owner before its own entry",
+        "owner before its first commit",
         "a leader is ready before an entry of its term is committed",
         "power",
         range(8),
@@ -208,9 +208,9 @@
         ("replication.leadership", "return self.core.commit_index >= self.noop_index", "return True"),
     ),
     mutant(
-        "successor asks first",
-        "a named successor stands for election like any other",
-        "planned end",
+        "successor starts a pre-vote",
+        "the successor of a transfer starts with a pre-vote like any other candidate",
+        "planned stop",
         range(4),
         0,
         (
@@ -220,9 +220,9 @@
         ),
     ),
     mutant(
-        "named successor refused",
-        "voters refuse a successor whom their leader has named, since they follow that leader",
-        "planned end",
+        "successor rejected",
+        "voters ignore the vote request of a transfer's successor, since they follow the old leader",
+        "planned stop",
         range(4),
         0,
         (
--- a/tests/fleet/replication/mutants_freshness.py
+++ b/tests/fleet/replication/mutants_freshness.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of what a replica claims of the age of its state."""
+"""Mutants of the bound on the age of a replica's state."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 FRESHNESS = (
     mutant(
         "leader current before it has applied",
-        "a leader's state counts as current while entries that are committed wait to be applied",
-        "many changes",
+        "a leader's state counts as current while committed entries are not applied yet",
+        "frequent snapshots",
         (1, 32),
         32,
         (
@@ -18,8 +18,8 @@
         ),
     ),
     mutant(
-        "contact from the answer",
-        "the age of a state counts from the coming of an answer, not from the question",
+        "state age from the reply",
+        "the age of a state counts from the reply to a read, not from its start",
         "leases",
         (5, 11, 15),
         5,
@@ -30,9 +30,9 @@
         ),
     ),
     mutant(
-        "contact before it is applied",
-        "a state counts as current once a leader has answered, applied or not",
-        "many changes",
+        "current before it is applied",
+        "a state counts as current once the leader has replied, before the read index is applied",
+        "frequent snapshots",
         range(8),
         0,
         (
@@ -42,16 +42,16 @@
         ),
     ),
     mutant(
-        "contact for good",
-        "a replica that was once in contact remains so",
-        "long cut",
+        "contact does not expire",
+        "a replica that reached a quorum once reports quorum contact for ever",
+        "long isolation",
         range(6),
         0,
         ("replication.group", "return now - proven_at <= max_age_s", "return proven_at > 0.0"),
     ),
     mutant(
-        "outsider's contact is a state",
-        "what a replica has reached before the log was sent to it counts as its state",
+        "contact without the log",
+        "quorum contact from before a replica received the log makes its state current",
         "members",
         range(8),
         0,
@@ -63,8 +63,8 @@
     ),
     mutant(
         "leader in contact without a majority",
-        "a leader takes its own word for a majority's, and leads on without one",
-        "long cut",
+        "a leader reports quorum contact and keeps leading without a majority",
+        "long isolation",
         range(6),
         1,
         (
--- a/tests/fleet/replication/mutants_log.py
+++ b/tests/fleet/replication/mutants_log.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of the replicated log, its commits, members and snapshots."""
+"""Mutants of the replicated log, its commits, membership changes and snapshots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ),
     mutant(
         "leader counts itself unsynced",
-        "a leader counts its own entries before its disk has them",
+        "a leader counts its own entries before its disk has synced them",
         "power",
         range(8),
         0,
@@ -31,7 +31,7 @@
     ),
     mutant(
         "commit by a minority",
-        "an entry is committed once one replica less than a majority has it",
+        "an entry is committed once one voter less than a majority has synced it",
         "power",
         range(6),
         0,
@@ -44,7 +44,7 @@
     mutant(
         "commit of an older term",
         "an entry of an older term is committed by counting replicas",
-        "one by one",
+        "single-entry appends",
         range(4),
         0,
         (
@@ -55,7 +55,7 @@
     ),
     mutant(
         "learner counted",
-        "a replica that is no voter counts for a majority",
+        "a learner counts towards the majority",
         "members",
         range(8),
         0,
@@ -69,7 +69,7 @@
     ),
     mutant(
         "terms not compared",
-        "entries are appended after an entry of another term than the leader's",
+        "entries are appended after an entry whose term differs from the leader's",
         "diverging tail",
         range(4),
         0,
@@ -80,8 +80,8 @@
         ),
     ),
     mutant(
-        "conflict kept",
-        "an entry that stands at an index is taken for the leader's, whatever its term",
+        "conflicting entry kept",
+        "an existing entry counts as the leader's, whatever its term",
         "diverging tail",
         range(4),
         0,
@@ -92,8 +92,8 @@
         ),
     ),
     mutant(
-        "late message shortens the log",
-        "entries that are there are replaced, with all that follows them, also committed ones",
+        "delayed message truncates the log",
+        "matching entries are replaced, and later ones removed, even if committed",
         "leases",
         range(4),
         2,
@@ -102,16 +102,16 @@
     ),
     mutant(
         "replaced entries count as synced",
-        "after a truncation what was synced before still counts",
-        "one by one",
+        "after a truncation, the removed entries still count as synced",
+        "single-entry appends",
         range(8),
         1,
         ("replication.follower", "self.core.writes.mark_unsynced_from(first_index)", "pass"),
     ),
     mutant(
         "own tail acknowledged",
-        "a follower acknowledges entries of its own beyond what the leader has sent",
-        "one by one",
+        "a follower acknowledges entries beyond those that the leader has sent",
+        "single-entry appends",
         (0, 1, 3, 17),
         3,
         (
@@ -121,8 +121,8 @@
         ),
     ),
     mutant(
-        "commit beyond the agreed log",
-        "a follower commits what the leader has, also where its own log is not known to agree",
+        "commit beyond the matching log",
+        "a follower commits up to the leader's commit index even where its log may not match",
         "members",
         (0, 1, 10, 34),
         10,
@@ -133,7 +133,7 @@
         ),
     ),
     mutant(
-        "change before an own entry",
+        "membership change before a commit",
         "a leader changes the members before an entry of its term is committed",
         "members",
         range(8),
@@ -145,8 +145,8 @@
         ),
     ),
     mutant(
-        "two changes at once",
-        "a change of the members begins before the one before it is committed",
+        "two membership changes at once",
+        "a membership change starts before the previous one is committed",
         "members",
         range(4),
         1,
@@ -157,9 +157,9 @@
         ),
     ),
     mutant(
-        "change keeps the old majority",
-        "a truncated change of the members stays in force",
-        "planned ends",
+        "truncated membership change",
+        "a membership change stays in force after its entry was truncated",
+        "planned stops",
         (0, 97, 145, 151),
         97,
         (
@@ -181,7 +181,7 @@
     ),
     mutant(
         "snapshot without members",
-        "a snapshot forgets who the voters are",
+        "a snapshot lacks the voters",
         "power",
         range(4),
         0,
@@ -193,7 +193,7 @@
     ),
     mutant(
         "entry after a snapshot lost",
-        "the first entry after a snapshot is not written behind it",
+        "the first entry after a snapshot is not written with it",
         "power",
         range(4),
         0,
@@ -205,7 +205,7 @@
     ),
     mutant(
         "installed snapshot keeps any tail",
-        "entries after an installed snapshot stay, whether the log agrees with it or not",
+        "entries after an installed snapshot are kept even if the log does not match it",
         "diverging tail",
         range(4),
         0,
@@ -217,7 +217,7 @@
     ),
     mutant(
         "installed snapshot not loaded",
-        "the state machine goes on without the snapshot that was installed",
+        "the state machine does not load an installed snapshot",
         "power",
         range(4),
         0,
--- a/tests/fleet/replication/mutants_storage.py
+++ b/tests/fleet/replication/mutants_storage.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of answers to callers and of the storage, and lines that the worlds bear the loss of."""
+"""Mutants of responses to callers and of the storage, and mutants that the simulation does not reveal."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 RESPONSES = (
     mutant(
         "read without a majority",
-        "a leader answers a read though its lease is over and nobody has confirmed it",
+        "a leader answers a read after its lease, without an acknowledgement by a majority",
         "isolated owner",
         (8, 12, 16, 20),
         12,
         ("replication.reads", "if now < lease_until or read.requested_at <= confirmed_at:", "if read:"),
     ),
     mutant(
-        "read before an own entry",
+        "read before the first commit",
         "a leader answers a read before an entry of its term is committed",
         "leases",
         range(3),
@@ -27,7 +27,7 @@
     ),
     mutant(
         "read before it is applied",
-        "a replica answers a read before it has applied what the read must see",
+        "a replica answers a read before it has applied the read index",
         "leases",
         range(3),
         0,
@@ -38,8 +38,8 @@
         ),
     ),
     mutant(
-        "order taken twice",
-        "an order that waited is appended again",
+        "proposal appended twice",
+        "a queued proposal is appended twice",
         "leases",
         range(3),
         0,
@@ -56,8 +56,8 @@
         ),
     ),
     mutant(
-        "unclear order refused",
-        "an order that was appended, and may yet be committed, is said to be refused",
+        "unclear proposal rejected",
+        "a proposal that was appended, and may still be committed, is reported as rejected",
         "leases",
         range(4),
         0,
@@ -68,8 +68,8 @@
         ),
     ),
     mutant(
-        "another's entry taken for one's own",
-        "an order is acknowledged when another entry is committed in its place",
+        "acknowledged by another entry",
+        "a proposal is acknowledged when another entry is committed at its index",
         "leases",
         (0, 1, 19, 29),
         19,
@@ -87,8 +87,8 @@
         ("storage.journal", "        self._segment.sync()\n", ""),
     ),
     mutant(
-        "found bytes not synced",
-        "what a killed process had written counts as synced by the next one",
+        "recovered state not synced",
+        "state written by a killed process counts as synced in the next process",
         "elections",
         range(8),
         3,
@@ -96,7 +96,7 @@
     ),
     mutant(
         "confirmed before the sync",
-        "an acknowledgement passes the sync that it waits for",
+        "a write is confirmed before the sync that it awaits",
         "power",
         range(6),
         0,
@@ -134,8 +134,8 @@
         ),
     ),
     mutant(
-        "names not synced",
-        "a compaction does not sync the folder before it removes what is older",
+        "directory not synced",
+        "a compaction does not sync the folder before it removes older files",
         "power",
         range(6),
         0,
@@ -147,8 +147,8 @@
     ),
     mutant(
         "checksum not verified",
-        "a frame is taken whatever its checksum says",
-        "spoilt",
+        "a frame is accepted whatever its checksum",
+        "corruption",
         (0, 1, 11, 13),
         11,
         (
@@ -159,7 +159,7 @@
     ),
     mutant(
         "torn tail accepted",
-        "a frame that is cut off is taken as far as it goes",
+        "the existing part of a truncated frame is accepted",
         "power",
         (0, 1, 11),
         1,
@@ -176,9 +176,9 @@
         ),
     ),
     mutant(
-        "damaged middle skipped",
-        "a segment is read up to a frame that cannot be read, though later ones can",
-        "spoilt",
+        "corruption taken for a torn tail",
+        "a segment is read up to a corrupted frame even if a valid frame follows it",
+        "corruption",
         range(8),
         0,
         (
@@ -188,9 +188,9 @@
         ),
     ),
     mutant(
-        "snapshot's checksum not verified",
-        "a snapshot is taken whatever its checksum says",
-        "spoilt",
+        "snapshot checksum not verified",
+        "a snapshot is accepted whatever its checksum",
+        "corruption",
         range(6),
         1,
         (
@@ -200,8 +200,8 @@
         ),
     ),
     mutant(
-        "frames after a hole",
-        "a frame is written behind one that was refused, at the end of what that has left",
+        "frames after a failed write",
+        "a frame is written after the bytes that a rejected write left",
         "full",
         range(8),
         5,
@@ -220,8 +220,8 @@
 
 UNDETECTED = (
     mutant(
-        "hole kept",
-        "what a refused write has left stays behind the last frame, and the next frame is written over it",
+        "bytes of a failed write kept",
+        "the bytes that a rejected write left are not truncated, and the next frame overwrites them",
         "full",
         range(8),
         None,
--- a/tests/fleet/replication/mutation.py
+++ b/tests/fleet/replication/mutation.py
@@ -1,4 +1,4 @@
-"""Loading the replication anew with small changes of its source, in this process and without a trace."""
+"""Reloads the replication code with small edits of its source in this process, and restores it afterwards."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 
 
 class SourceMismatchError(Exception):
-    """The text that an edit replaces is not in the source exactly once."""
+    """The text that an edit replaces does not occur exactly once in the source."""
 
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A change of one module's source; `old` must be in it exactly once."""
+    """An edit of one module's source; `old` must occur in it exactly once."""
 
     module: str
     old: str
@@ -45,12 +45,12 @@
 
 
 def path_of(module: str) -> Path:
-    """The file of a module."""
+    """The source file of a module."""
     return ROOT.joinpath(*module.split(".")).with_suffix(".py")
 
 
 def edited_source(module: str, edits: Sequence[Edit]) -> str:
-    """The source of a module with its edits."""
+    """The source of a module with the edits applied."""
     source = path_of(module).read_text()
     for edit in edits:
         count = source.count(edit.old)
@@ -61,7 +61,7 @@
 
 
 class _EditedLoader(importlib.machinery.SourceFileLoader):
-    """Compiles the edited source, and neither reads nor writes compiled files."""
+    """Compiles the edited source; neither reads nor writes bytecode files."""
 
     def __init__(self, module: str, edits: Sequence[Edit]) -> None:
         super().__init__(module, str(path_of(module)))
@@ -90,23 +90,23 @@
 
 @contextlib.contextmanager
 def loaded_histories(edits: Sequence[Edit]) -> Iterator[types.ModuleType]:
-    """`tests.fleet.replication.histories` over freshly loaded code with these edits; undone afterwards."""
+    """Import `tests.fleet.replication.histories` over freshly loaded, edited code; undone afterwards."""
     unknown = [edit.module for edit in edits if not _is_reloaded(edit.module)]
     if unknown:
-        raise SourceMismatchError(f"modules that are not loaded anew: {unknown}")
+        raise SourceMismatchError(f"edited modules are not reloaded: {unknown}")
     before = {name: module for name, module in sys.modules.items() if _is_reloaded(name)}
     finder = _EditedFinder(edits)
-    _forget(before)
+    _unload(before)
     sys.meta_path.insert(0, finder)
     try:
         yield importlib.import_module(HISTORIES)
     finally:
         sys.meta_path.remove(finder)
-        _forget([name for name in sys.modules if _is_reloaded(name)])
+        _unload([name for name in sys.modules if _is_reloaded(name)])
         _restore(before)
 
 
-def _forget(names: Sequence[str] | dict[str, types.ModuleType]) -> None:
+def _unload(names: Sequence[str] | dict[str, types.ModuleType]) -> None:
     for name in list(names):
         module = sys.modules.pop(name)
         parent, _, child = name.rpartition(".")
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -1,4 +1,4 @@
-"""Histories that are told, not drawn: one trouble in a calm world, and what it must not cost."""
+"""Scripted scenarios: one kind of fault in an otherwise fault-free cluster, and the invariants under it."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 from tests.fleet.replication.settings import COLLIDING_ELECTIONS, Settings
 from tests.fleet.replication.simulated_cluster import MAX_SERVED_STATE_AGE, SimulatedCluster, patched_limits
 
-ROUNDS = 4  # how often the trouble comes in one history
-LONG_CUT = 20.0  # seconds
-SILENT_AFTER = 1.2  # seconds of a cut after which the machine must not claim to be in contact
-HANDS_OUT_AGAIN = 4.0  # seconds after a cut in which all must hand out again, also after a restart of most
-QUOTA_PERIOD, QUOTA_STILL = 0.1, 0.07  # seconds: what a quota leaves of each period
-QUOTA_TIME = 10.0  # seconds
-CUT_OFF = 2.0  # seconds, several election timeouts
-PROMPT = 0.100  # seconds in which a successor must have acknowledged an order; an election takes 0.3 at least
+ROUNDS = 4  # the number of times that a fault is injected in one run
+LONG_ISOLATION = 20.0  # seconds
+CONTACT_TIMEOUT = 1.2  # seconds after which an isolated machine must not report quorum contact
+CURRENT_WITHIN = 4.0  # seconds after a partition within which all states are current, even after restarts
+QUOTA_PERIOD, QUOTA_FROZEN = 0.1, 0.07  # seconds: the period of a CPU quota, and the frozen part of it
+QUOTA_DURATION = 10.0  # seconds
+ISOLATION = 2.0  # seconds, several election timeouts
+MAX_TRANSFER_TIME = (
+    0.100  # seconds until a successor must acknowledge a command; an election takes at least 0.3
+)
 
 
 def stable_cluster(settings: Settings, seed: int) -> SimulatedCluster:
-    """A world without faults whose group serves."""
+    """A cluster without faults whose group has an owner."""
     cluster = SimulatedCluster(seed, settings)
     cluster.schedule(0.3, cluster.run_client)
     cluster.run_until(lambda: cluster.is_bootstrapped() and cluster.owner() is not None, 5.0)
@@ -29,16 +31,19 @@
     return cluster
 
 
-def calm_settings(seed: int) -> Settings:
-    """No message is lost or late."""
+def fault_free_settings(seed: int) -> Settings:
+    """Settings under which no message is lost, duplicated or delayed."""
     machines = (3, 5, 7)[seed % 3]
     return Settings(
         machines=machines, target_size=machines, loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0
     )
 
 
-def tight_settings(seed: int) -> Settings:
-    """What shortens the time between the end of a lease and the next owner: quick disks, extreme clocks."""
+def tight_lease_settings(seed: int) -> Settings:
+    """Settings that minimise the time between the end of a lease and the next owner.
+
+    Disks are fast, clock rates extreme, and election timeouts almost equal.
+    """
     return Settings(
         machines=3,
         target_size=3,
@@ -53,64 +58,68 @@
 
 
 def owner_of(cluster: SimulatedCluster) -> Process:
-    """The owner, which there must be."""
+    """The owner; asserts that there is one."""
     owner = cluster.owner()
     assert owner is not None
     return owner
 
 
 def rejoining(seed: int) -> None:
-    """A follower is cut off from everybody for a while: the leader and its term stay."""
-    cluster = stable_cluster(calm_settings(seed), seed)
+    """Isolate a follower for several election timeouts: the leader and its term must not change."""
+    cluster = stable_cluster(fault_free_settings(seed), seed)
     owner = owner_of(cluster)
     term = owner.group.replica.term
     others = [process.machine for process in cluster.running() if process is not owner]
-    lost = cluster.rng.choice(others)
+    isolated = cluster.rng.choice(others)
     for address in cluster.machines:
-        cluster.link_cuts[address, lost.address] = cluster.link_cuts[lost.address, address] = False
-    cluster.run(cluster.now + CUT_OFF)
+        cluster.link_cuts[address, isolated.address] = cluster.link_cuts[isolated.address, address] = False
+    cluster.run(cluster.now + ISOLATION)
     cluster.heal()
     cluster.run(cluster.now + 1.0)
     after = cluster.owner()
-    kept = after is owner and owner.group.replica.term == term
-    require(kept, Invariant.LEADER_KEPT, f"{lost.address} returned, and the leader of term {term} is none")
+    is_unchanged = after is owner and owner.group.replica.term == term
+    require(
+        is_unchanged,
+        Invariant.LEADER_KEPT,
+        f"{isolated.address} rejoined, and the leader of term {term} changed",
+    )
     cluster.finish()
 
 
-def processor_quota(seed: int) -> None:
-    """All processes stand still for most of each tenth of a second: the leader and its term stay."""
-    cluster = stable_cluster(calm_settings(seed), seed)
+def cpu_quota(seed: int) -> None:
+    """Freeze all processes for most of each 0.1 s, as a CPU quota does: the leader must not change."""
+    cluster = stable_cluster(fault_free_settings(seed), seed)
     owner = owner_of(cluster)
     term = owner.group.replica.term
-    end = cluster.now + QUOTA_TIME
+    end = cluster.now + QUOTA_DURATION
 
-    def stand_still(machine: Machine) -> None:
+    def freeze(machine: Machine) -> None:
         cluster.freeze(machine)
-        cluster.schedule(cluster.now + QUOTA_STILL, lambda: go_on(machine))
+        cluster.schedule(cluster.now + QUOTA_FROZEN, lambda: resume(machine))
 
-    def go_on(machine: Machine) -> None:
+    def resume(machine: Machine) -> None:
         cluster.unfreeze(machine)
         if cluster.now < end:
-            cluster.schedule(cluster.now + QUOTA_PERIOD - QUOTA_STILL, lambda: stand_still(machine))
+            cluster.schedule(cluster.now + QUOTA_PERIOD - QUOTA_FROZEN, lambda: freeze(machine))
 
     for machine in cluster.machines.values():
         cluster.schedule(
-            cluster.now + cluster.rng.uniform(0.0, QUOTA_PERIOD), lambda each=machine: stand_still(each)
+            cluster.now + cluster.rng.uniform(0.0, QUOTA_PERIOD), lambda each=machine: freeze(each)
         )
     acknowledged = len(owner.state_machine.commands)
     cluster.run(end + 1.0)
     after = cluster.owner()
-    kept = after is owner and owner.group.replica.term == term
-    require(kept, Invariant.LEADER_KEPT, f"under a processor quota the leader of term {term} was lost")
+    is_unchanged = after is owner and owner.group.replica.term == term
+    require(is_unchanged, Invariant.LEADER_KEPT, f"under a CPU quota the leader of term {term} changed")
     require(
         len(owner.state_machine.commands) > acknowledged,
         Invariant.LEADER_KEPT,
-        "no order was taken meanwhile",
+        "no command was committed under the quota",
     )
     cluster.finish()
 
 
-def _cut_both_ways(cluster: SimulatedCluster, one: Machine, other: Machine) -> None:
+def _cut_link(cluster: SimulatedCluster, one: Machine, other: Machine) -> None:
     cluster.link_cuts[one.address, other.address] = cluster.link_cuts[other.address, one.address] = False
 
 
@@ -119,8 +128,8 @@
 
 
 def isolated_owner(seed: int) -> None:
-    """The owner is cut off from all others, again and again, and clients still ask it."""
-    settings = tight_settings(seed)
+    """Isolate the owner repeatedly while clients still send requests to it."""
+    settings = tight_lease_settings(seed)
     if seed % 2:
         settings.delay_rate, settings.max_delay = 0.5, 0.29
     cluster = stable_cluster(settings, seed)
@@ -130,7 +139,7 @@
         owner = owner_of(cluster)
         cluster.run(cluster.now + cluster.rng.uniform(0.1, 0.3))
         for machine in _others(cluster, owner):
-            _cut_both_ways(cluster, owner.machine, machine)
+            _cut_link(cluster, owner.machine, machine)
         for _ in range(40):
             cluster.run(cluster.now + 0.015)
             cluster.call(owner)
@@ -138,16 +147,19 @@
     cluster.finish()
 
 
-def half_cut_owner(seed: int) -> None:
-    """One follower loses the owner, the others do not; these start again, or not. All logs are equal."""
-    cluster = stable_cluster(tight_settings(seed), seed)
+def half_isolated_owner(seed: int) -> None:
+    """Cut the links between the owner and one follower, with or without restarts of another follower.
+
+    All logs are equal, so that the cut-off follower could be elected.
+    """
+    cluster = stable_cluster(tight_lease_settings(seed), seed)
     cluster.clients_stopped = True
     cluster.run(cluster.now + 0.2)
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
-        lost, *rest = cluster.rng.sample(_others(cluster, owner), 2)
-        _cut_both_ways(cluster, owner.machine, lost)
+        isolated, *rest = cluster.rng.sample(_others(cluster, owner), 2)
+        _cut_link(cluster, owner.machine, isolated)
         cluster.run(cluster.now + 0.25)
         for _ in range(10):
             if seed % 2:
@@ -159,21 +171,21 @@
 
 
 def stalled_owner(seed: int) -> None:
-    """The owner gets no processor for an election timeout, and goes on while others ask for votes.
+    """Freeze the owner for about an election timeout, so that it resumes while others request votes.
 
-    In every other history one of the others does not hear of its return at once.
+    With every other seed, one of the others does not receive the owner's messages at first.
     """
-    settings = tight_settings(seed)
+    settings = tight_lease_settings(seed)
     settings.delay_rate, settings.max_delay = ((0.3, 0.02), (0.6, 0.12))[seed % 2]
     if seed % 2:
-        settings.timing = DEFAULT_TIMING  # the owner has not yet given up when it returns
+        settings.timing = DEFAULT_TIMING  # the owner has not stepped down yet when it resumes
     cluster = stable_cluster(settings, seed)
     cluster.clients_stopped = True
     for _ in range(3 * ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
         owner = owner_of(cluster)
         if seed % 2:
-            _cut_both_ways(cluster, owner.machine, _others(cluster, owner)[0])
+            _cut_link(cluster, owner.machine, _others(cluster, owner)[0])
         cluster.freeze(owner.machine)
         cluster.run(cluster.now + cluster.rng.uniform(0.25, 0.42))
         cluster.unfreeze(owner.machine)
@@ -183,9 +195,9 @@
     cluster.finish()
 
 
-def late_answers(seed: int) -> None:
-    """Answers come to the owner late, when those who gave them may soon elect another."""
-    cluster = stable_cluster(tight_settings(seed), seed)
+def delayed_replies(seed: int) -> None:
+    """Delay replies to the owner until shortly before the replying voters may elect another leader."""
+    cluster = stable_cluster(tight_lease_settings(seed), seed)
     cluster.clients_stopped = True
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
@@ -199,7 +211,7 @@
         cluster.run(cluster.now + cluster.rng.uniform(0.18, 0.26))
         cluster.heal()
         for machine in others:
-            _cut_both_ways(cluster, owner.machine, machine)
+            _cut_link(cluster, owner.machine, machine)
         cluster.run(cluster.now + 0.4)
         cluster.heal()
         cluster.run(cluster.now + 0.5)
@@ -207,8 +219,8 @@
 
 
 def diverging_tail(seed: int) -> None:
-    """An owner that is cut off appends more than the others commit, and is sent a snapshot of theirs."""
-    settings = calm_settings(seed)
+    """Let an isolated owner append more entries than the others commit; it then receives their snapshot."""
+    settings = fault_free_settings(seed)
     settings.compaction_bytes, settings.retained_log_bytes = 300, 0
     with patched_limits(settings):
         cluster = stable_cluster(settings, seed)
@@ -217,7 +229,7 @@
             cluster.run_until(lambda: cluster.owner() is not None, 5.0)
             owner = owner_of(cluster)
             for machine in _others(cluster, owner):
-                _cut_both_ways(cluster, owner.machine, machine)
+                _cut_link(cluster, owner.machine, machine)
             for _ in range(20):
                 cluster.propose(owner, 0.1)
             cluster.run_until(lambda owner=owner: cluster.owner() not in (None, owner), 5.0)
@@ -229,9 +241,9 @@
         cluster.finish()
 
 
-def parting_owner(seed: int) -> None:
-    """An owner names its successor, and hears nothing of the election."""
-    cluster = stable_cluster(calm_settings(seed), seed)
+def resigning_owner(seed: int) -> None:
+    """Isolate an owner on the receiving side while it transfers leadership to a successor."""
+    cluster = stable_cluster(fault_free_settings(seed), seed)
     cluster.clients_stopped = True
     for _ in range(ROUNDS):
         cluster.run_until(lambda: cluster.owner() is not None, 5.0)
@@ -248,18 +260,22 @@
     cluster.finish()
 
 
-def planned_end(seed: int) -> None:
-    """An owner is told to stop: another one acknowledges an order without an election timeout."""
-    cluster = stable_cluster(calm_settings(seed), seed)
+def planned_stop(seed: int) -> None:
+    """Stop an owner as planned: another one must acknowledge a command without an election timeout."""
+    cluster = stable_cluster(fault_free_settings(seed), seed)
     for _ in range(ROUNDS):
-        took = hand_over_time(cluster)
-        require(took < PROMPT, Invariant.FAST_TRANSFER, f"the next acknowledgement after {took:.3f} s")
+        duration = transfer_time(cluster)
+        require(
+            duration < MAX_TRANSFER_TIME,
+            Invariant.FAST_TRANSFER,
+            f"the next acknowledgement after {duration:.3f} s",
+        )
         cluster.run(cluster.now + 1.5)
     cluster.finish()
 
 
-def hand_over_time(cluster: SimulatedCluster) -> float:
-    """Seconds from the owner's SIGTERM to the first acknowledgement of another; the process starts again."""
+def transfer_time(cluster: SimulatedCluster) -> float:
+    """Seconds from the owner's drain to the successor's first acknowledgement; restarts the old owner."""
     cluster.run_until(lambda: cluster.owner() is not None, 5.0)
     owner = owner_of(cluster)
     started = cluster.now
@@ -273,79 +289,83 @@
         cluster.propose(successor)
         return len(cluster.oracle.committed) > known and successor.group.applied_index > 0
 
-    took = cluster.run_until(acknowledged, 5.0)
-    assert took == cluster.now - started
+    duration = cluster.run_until(acknowledged, 5.0)
+    assert duration == cluster.now - started
     cluster.kill(owner.machine)
     cluster.schedule(cluster.now + 0.2, lambda: cluster.boot(owner.machine))
-    return took
+    return duration
 
 
-def _cut_from(cluster: SimulatedCluster, machine: Machine, others: Sequence[Machine], how: int) -> None:
-    """Cut a machine off: both ways, only what it sends, or only what it is sent."""
+def _cut_links_of(
+    cluster: SimulatedCluster, machine: Machine, others: Sequence[Machine], direction: int
+) -> None:
+    """Cut the links of a machine: both directions (0), only from it (1) or only to it (2)."""
     for other in others:
-        if how != 1:
+        if direction != 1:
             cluster.link_cuts[other.address, machine.address] = False
-        if how != 2:
+        if direction != 2:
             cluster.link_cuts[machine.address, other.address] = False
 
 
-def long_cut(seed: int) -> None:
-    """A machine is cut off for twenty seconds while orders are taken; it is asked for everything meanwhile.
+def long_isolation(seed: int) -> None:
+    """Isolate a machine for 20 s while commands are committed and clients send requests to it.
 
-    In other histories only one direction is cut, the machine is the owner, or it starts again while it is cut
-    off; at the end of the cut every process of the other side is killed.
+    Depending on the seed, only one direction is cut, the machine is the owner, it restarts while isolated, or
+    all processes of the other side are killed when the isolation ends.
     """
-    settings = calm_settings(seed)
+    settings = fault_free_settings(seed)
     settings.compaction_bytes, settings.retained_log_bytes = 2_000, 400
     cluster = stable_cluster(settings, seed)
     owner = owner_of(cluster)
-    lost = owner.machine if seed % 2 else cluster.rng.choice(_others(cluster, owner))
-    others = [machine for machine in cluster.machines.values() if machine is not lost]
-    _cut_from(cluster, lost, others, seed // 2 % 3)
-    heard_until = cluster.now + SILENT_AFTER
-    while cluster.now < heard_until + LONG_CUT:
-        if lost.process is None:
-            cluster.boot(lost)
+    isolated = owner.machine if seed % 2 else cluster.rng.choice(_others(cluster, owner))
+    others = [machine for machine in cluster.machines.values() if machine is not isolated]
+    _cut_links_of(cluster, isolated, others, seed // 2 % 3)
+    contact_ends_at = cluster.now + CONTACT_TIMEOUT
+    while cluster.now < contact_ends_at + LONG_ISOLATION:
+        if isolated.process is None:
+            cluster.boot(isolated)
         elif seed % 5 == 4 and cluster.rng.random() < 0.05:
-            cluster.kill(lost)
+            cluster.kill(isolated)
             continue
-        if lost.process is not None:
-            cluster.call(lost.process)
+        if isolated.process is not None:
+            cluster.call(isolated.process)
         cluster.run(cluster.now + 0.1)
-        _check_silence(cluster, lost, heard_until)
+        _check_no_contact(cluster, isolated, contact_ends_at)
     if seed % 3 == 2:
         for machine in others:
             cluster.kill(machine)
             cluster.schedule(cluster.now + 0.5, lambda machine=machine: cluster.boot(machine))
     cluster.heal()
-    cluster.run_until(lambda: _hands_out(cluster), HANDS_OUT_AGAIN)
+    cluster.run_until(lambda: _all_states_current(cluster), CURRENT_WITHIN)
     cluster.finish()
 
 
-def _check_silence(cluster: SimulatedCluster, lost: Machine, since: float) -> None:
-    """Whoever hears nothing, or is heard by nobody, soon has nothing to hand out."""
-    process = lost.process
+def _check_no_contact(cluster: SimulatedCluster, isolated: Machine, since: float) -> None:
+    """Check that a machine that is isolated in any direction soon reports no quorum contact."""
+    process = isolated.process
     if process is not None and cluster.now >= since:
         contact = process.group.has_quorum_contact(process.now(), MAX_SERVED_STATE_AGE)
         require(
-            not contact, Invariant.STATE_AGE_BOUNDED, f"{lost.address} claims contact at {cluster.now:.2f} s"
+            not contact,
+            Invariant.STATE_AGE_BOUNDED,
+            f"{isolated.address} claims contact at {cluster.now:.2f} s",
         )
 
 
-def _hands_out(cluster: SimulatedCluster) -> bool:
-    """Whether every voter may hand its state out."""
+def _all_states_current(cluster: SimulatedCluster) -> bool:
+    """Whether every running process considers its state current."""
     return all(process.group.is_current(process.now(), MAX_SERVED_STATE_AGE) for process in cluster.running())
 
 
 SCENARIOS: dict[str, Callable[[int], None]] = {
     "rejoining": rejoining,
     "isolated owner": isolated_owner,
-    "half-cut owner": half_cut_owner,
+    "half-isolated owner": half_isolated_owner,
     "stalled owner": stalled_owner,
-    "late answers": late_answers,
+    "delayed replies": delayed_replies,
     "diverging tail": diverging_tail,
-    "parting owner": parting_owner,
-    "planned end": planned_end,
-    "long cut": long_cut,
-    "processor quota": processor_quota,
+    "resigning owner": resigning_owner,
+    "planned stop": planned_stop,
+    "long isolation": long_isolation,
+    "CPU quota": cpu_quota,
 }
--- a/tests/fleet/replication/simulated_cluster.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -33,19 +33,19 @@
 LINK_DELAY = 0.0014  # seconds one way
 CLOCK_SKEW = 0.045  # rates between 1 - and 1 + this: a ratio below the bound of 1.1
 
-MAX_SERVED_STATE_AGE = 0.5  # seconds of a process for which its state may be handed out after a proof
-REPAIR_TIME = 0.5  # seconds in which a voter is exchanged once its silence has lasted long enough
-MAX_DISK_BYTES = 100_000  # bytes
-MAX_RECORD_BYTES = 250  # bytes of an entry of 200 bytes in a frame of its own
-MAX_EVENTS = 300_000  # no drawn history comes near
+MAX_SERVED_STATE_AGE = 0.5  # seconds of the process's clock for which a state counts as current
+REPAIR_TIME = 0.5  # seconds within which a voter is replaced once it counts as lost
+MAX_DISK_BYTES = 100_000
+MAX_RECORD_BYTES = 250  # of an entry of 200 bytes in a frame of its own
+MAX_EVENTS = 300_000  # far above the number of events of any seed
 
 
 class RunawaySimulationError(Exception):
-    """Events come without end."""
+    """The simulation exceeds `MAX_EVENTS`."""
 
 
 class SimulatedCluster:
-    """Machines, network, clients and faults of one seed."""
+    """Machines, network and clients of one seed."""
 
     def __init__(self, seed: int, settings: Settings) -> None:
         self.rng = random.Random(seed)
@@ -55,12 +55,12 @@
         self._events: list[tuple[float, int, Callable[[], None], Process | None]] = []
         self._count = 0
         self._commands = 0
-        self.link_cuts: dict[tuple[Address, Address], bool] = {}  # True: what is sent is held, not lost
+        self.link_cuts: dict[tuple[Address, Address], bool] = {}  # True: messages are held, not lost
         self.held_messages: list[tuple[Address, Address, Envelope]] = []
         self.machines: dict[Address, Machine] = {}
-        self.synced: dict[int, SyncedLog] = {}  # by incarnation, also of those whose disk was lost
+        self.synced: dict[int, SyncedLog] = {}  # by incarnation, lost disks included
         self.faults_active = True
-        self.clients_stopped = False  # no more calls of clients
+        self.clients_stopped = False
         self.bootstrapped = False
         self.fault_trigger_hook: Callable[[FaultTrigger, Machine], None] | None = None
         for number in range(settings.machines):
@@ -72,7 +72,7 @@
     # Time
 
     def schedule(self, when: float, call: Callable[[], None], process: Process | None = None) -> None:
-        """Call at a time; for a process only while it lives, and later if it is frozen then."""
+        """Schedule a call; one for a process is dropped if it is dead, and deferred while it is frozen."""
         self._count += 1
         if self._count > MAX_EVENTS:
             raise RunawaySimulationError(f"{self._count} events until {self.now:.1f} s")
@@ -91,11 +91,11 @@
                     call()
         self.now = until
 
-    def run_until(self, condition: Callable[[], bool], patience: float) -> float:
-        """Run until something holds; how long it took. An assertion where it takes too long."""
+    def run_until(self, condition: Callable[[], bool], timeout: float) -> float:
+        """Run until a condition holds and return how long it took; a `ViolationError` after the timeout."""
         start = self.now
         while not condition():
-            require(self.now - start < patience, Invariant.RECOVERS, f"not within {patience} s")
+            require(self.now - start < timeout, Invariant.RECOVERS, f"not within {timeout} s")
             self.run(self.now + 0.002)
         return self.now - start
 
@@ -154,7 +154,7 @@
         return [address for address, other in self.machines.items() if other.process is not None]
 
     def is_bootstrapped(self) -> bool:
-        """Whether every founder has the group's first entry on its disk: nothing strikes before."""
+        """Whether every seed has synced the group's first entry; no faults are injected before."""
         if not self.bootstrapped:
             founders = [self.machines[seed].process for seed in self.seeds]
             self.bootstrapped = all(
@@ -201,7 +201,7 @@
             machine.process.receive(source, envelope)
 
     def heal(self) -> None:
-        """Join all that was cut; what was held arrives."""
+        """Restore all links, and deliver about half of the held messages."""
         self.link_cuts.clear()
         held, self.held_messages = self.held_messages, []
         for source, target, envelope in held:
@@ -215,7 +215,7 @@
         return self._commands
 
     def owner(self) -> Process | None:
-        """Whoever owns the group now."""
+        """The process that owns the group now; None if there is none."""
         return next((p for p in self.running() if p.group.is_owner(p.now()) and not p.machine.frozen), None)
 
     def propose(self, process: Process, timeout: float = 1.0) -> None:
@@ -242,7 +242,7 @@
         process.read(timeout, answer)
 
     def run_client(self) -> None:
-        """A client's call, at the owner as a rule, and the next one."""
+        """Send client requests to one process, usually the owner, and schedule the next ones."""
         if self.clients_stopped:
             return
         self.check_owners()
@@ -261,7 +261,7 @@
         )
 
     def call(self, process: Process) -> None:
-        """A call that waits in the socket of a frozen process."""
+        """Send a proposal or a read to a process; a frozen process handles it once it resumes."""
         known_committed = self.oracle.known_committed
         propose = self.rng.random() < 0.5
 
@@ -284,7 +284,7 @@
         )
 
     def check_served_states(self) -> None:
-        """No controller takes its state for a recent one that lacks what was known by then."""
+        """Check that each current state has all commands that were known as committed at its age limit."""
         for process in self.running():
             if process.machine.frozen or not process.group.is_current(process.now(), MAX_SERVED_STATE_AGE):
                 continue
@@ -292,18 +292,18 @@
             self.oracle.on_state_served(since, len(process.state_machine.commands))
 
     def check_concurrent_leaders(self) -> None:
-        """Check the owners where more than one replica leads, as it may in different terms."""
+        """Check the owners if more than one replica leads, which is allowed in different terms."""
         if sum(process.group.replica.leadership is not None for process in self.running()) > 1:
             self.check_owners()
 
-    # What the faults must respect
+    # Limits of the faults
 
     def can_lose_disk(self, machine: Machine) -> bool:
-        """Whether every group of voters that may be in force keeps a majority without this disk."""
+        """Whether every set of voters that may be in force keeps a majority without this machine's disk."""
         alive = {
             other.incarnation for other in self.machines.values() if other.present and other is not machine
         }
-        groups = {members for process in self.running() for members in _groups_in_force(process)}
+        groups = {members for process in self.running() for members in _voters_in_force(process)}
         if not groups or any(other.process is None and other.present for other in self.machines.values()):
             return False
         return all(
@@ -311,10 +311,10 @@
             for members in groups
         )
 
-    # The end
+    # Final checks
 
     def finish(self) -> None:
-        """End all faults; the group must serve again, with all its voters, and hold what it must."""
+        """End all faults, and check that the group recovers with all voters and all acknowledged commands."""
         self.faults_active = False
         self.heal()
         for machine in self.machines.values():
@@ -322,14 +322,14 @@
             machine.sync_time, machine.disk.full = SYNC_TIME, False
             if machine.present and machine.process is None:
                 self.schedule(self.now + self.rng.uniform(0, 1.0), lambda machine=machine: self.boot(machine))
-        calm_from = max([self.now, *(machine.hangs_until for machine in self.machines.values())])
-        self.run(calm_from + self.settings.recovery_time - 1.0)
+        faults_over_at = max([self.now, *(machine.hangs_until for machine in self.machines.values())])
+        self.run(faults_over_at + self.settings.recovery_time - 1.0)
         self.clients_stopped = True
         self.run(self.now + 1.0)
         self.check_final()
 
     def is_whole(self, owner: Process, present: Sequence[Machine]) -> bool:
-        """Whether the group has all the voters that it can have, each one a machine that is there."""
+        """Whether the group has as many voters as possible, each on a machine that is present."""
         members = owner.group.replica.core.log.members
         alive = {machine.incarnation for machine in present}
         wanted = min(self.settings.target_size, len(present))
@@ -357,19 +357,19 @@
                 self.oracle.check_final_commands(process.state_machine.commands)
         for machine in present:
             size = machine.disk.size()
-            require(size < _most_bytes(machine), Invariant.RECOVERS, f"{size} bytes on a disk")
+            require(size < _max_bytes(machine), Invariant.RECOVERS, f"{size} bytes on a disk")
 
 
-def _most_bytes(machine: Machine) -> int:
-    """How much a disk may hold: a bound for all, but for a log without a snapshot each entry once."""
+def _max_bytes(machine: Machine) -> int:
+    """The allowed bytes on a disk: a fixed bound, or each entry once if the log has no snapshot."""
     if machine.process is None:
         return MAX_DISK_BYTES
     log = machine.process.group.replica.core.log
     return MAX_DISK_BYTES if log.snapshot else max(MAX_DISK_BYTES, log.last_index * MAX_RECORD_BYTES)
 
 
-def _groups_in_force(process: Process) -> list[tuple[Member, ...]]:
-    """The voters after the commit index that this process knows, and after every later entry."""
+def _voters_in_force(process: Process) -> list[tuple[Member, ...]]:
+    """The voters at the commit index that this process knows, and those of every later MEMBERS entry."""
     log = process.group.replica.core.log
     commit = process.group.replica.commit_index
     groups = [log.members_at(commit)[1]] + [
@@ -380,7 +380,7 @@
 
 @contextlib.contextmanager
 def patched_limits(settings: Settings) -> Iterator[None]:
-    """Put a world's sizes and times in the place of those in the code."""
+    """Patch the limits of the code with those of a cluster's settings."""
     with contextlib.ExitStack() as patches:
         for module, name, value in (
             (group_module, "COMPACTION_BYTES", settings.compaction_bytes),
@@ -398,7 +398,7 @@
 
 
 def run_seed(seed: int, settings: Settings | None = None) -> SimulatedCluster:
-    """Play one seed to its end."""
+    """Run the simulation of one seed to its end."""
     from tests.fleet.replication.faults import Faults
 
     settings = settings or settings_of(seed)
@@ -415,7 +415,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Play seeds from the command line: how many, and from which on."""
+    """Run the seeds of the command line: their number, and the first one."""
     count = int(arguments[0]) if arguments else 1000
     first = int(arguments[1]) if len(arguments) > 1 else 0
     failed = []
--- a/tests/fleet/replication/test_simulated_cluster.py
+++ b/tests/fleet/replication/test_simulated_cluster.py
@@ -23,12 +23,12 @@
 
 def test_a_leader_with_entries_yet_to_apply_does_not_take_its_state_for_current() -> None:
     """It did, from the answers of its followers alone, once entries were applied in turns."""
-    run_seed(32, KINDS["many changes"](32))
+    run_seed(32, KINDS["frequent snapshots"](32))
 
 
 def test_a_departure_is_over_when_its_process_is_back() -> None:
     """Two voters that had announced their ends, and were back, took each other's place 25 times a second."""
-    cluster = run_seed(17, KINDS["planned ends"](17))
+    cluster = run_seed(17, KINDS["planned stops"](17))
     owner = cluster.owner()
     assert owner is not None
     before = owner.group.replica.core.log.members_index
