--- a/tests/fleet/replication/test_codec.py
+++ b/tests/fleet/replication/test_codec.py
@@ -1,4 +1,4 @@
-"""Fixed bytes of each message between two replicas."""
+"""The encoding of each message between replicas: fixed bytes that every version must read and write."""
 
 from __future__ import annotations
 
@@ -76,7 +76,7 @@
 
 
 @pytest.mark.parametrize(("message", "payload_hex"), MESSAGES)
-def test_a_message_has_the_fixed_bytes(message: Message, payload_hex: str) -> None:
+def test_message_encoding_is_fixed(message: Message, payload_hex: str) -> None:
     envelope = Envelope(5, 102, 101, message)
     assert encode_payload([envelope]).hex() == payload_hex
     assert decode_payload(bytes.fromhex(payload_hex)) == [envelope]
--- a/tests/fleet/replication/test_membership_model.py
+++ b/tests/fleet/replication/test_membership_model.py
@@ -1,6 +1,6 @@
-"""The voters of a group as a model that is explored whole, and the deliberate faults that it finds.
+"""Exhaustive exploration of a model of a group's voters, and deliberate faults that the model reveals.
 
-More by `python -m tests.fleet.replication.test_membership_model`.
+`python -m tests.fleet.replication.test_membership_model` explores larger models.
 """
 
 from __future__ import annotations
@@ -22,37 +22,40 @@
     voters_of,
 )
 
-EXPLORED = {
-    "three, two disks one after the other": (Bounds(machines=3, commands=1, losses=2, terms=2), 18_544),
-    "three, a disk or an absence": (Bounds(machines=3, commands=1, losses=1, terms=2, absences=True), 4_393),
-    "three and a spare, one loss": (
-        Bounds(machines=4, commands=0, losses=1, terms=2, absences=True),
+SMALL_MODELS = {
+    "three machines, two disk losses in turn": (Bounds(machines=3, commands=1, losses=2, terms=2), 18_544),
+    "three machines, one disk loss or stop": (
+        Bounds(machines=3, commands=1, losses=1, terms=2, stops=True),
+        4_393,
+    ),
+    "three machines and a spare, one loss": (
+        Bounds(machines=4, commands=0, losses=1, terms=2, stops=True),
         5_639,
     ),
 }
-DEEP = (
-    Bounds(machines=4, commands=1, losses=1, terms=2, absences=True),
+LARGE_MODELS = (
+    Bounds(machines=4, commands=1, losses=1, terms=2, stops=True),
     Bounds(machines=4, commands=1, losses=2, terms=2),
     Bounds(machines=3, commands=2, losses=2, terms=3),
 )
-MOST = 60_000  # states in which a fault must have shown
+MAX_STATES = 60_000  # states within which a fault must be revealed
 
 
-@pytest.mark.parametrize("name", EXPLORED)
-def test_no_state_loses_what_is_committed_or_the_majority(name: str) -> None:
-    bounds, states = EXPLORED[name]
+@pytest.mark.parametrize("name", SMALL_MODELS)
+def test_every_state_keeps_committed_entries_and_an_electable_machine(name: str) -> None:
+    bounds, states = SMALL_MODELS[name]
     assert Model(bounds).explore() == states
 
 
 class SameIncarnation(Model):
-    """A disk that was lost comes back as the replica that it was."""
+    """A machine keeps its incarnation when its disk is lost."""
 
     def next_incarnation(self, machine: Machine) -> int:
         return machine.incarnation
 
 
 class SeveralChanges(Model):
-    """A change of the voters begins before the one before it is committed."""
+    """A membership change starts before the previous one is committed."""
 
     def may_change(self, state: State, log: tuple[LogEntry, ...]) -> bool:
         changes = sum(1 for entry in log if entry.voters)
@@ -60,7 +63,7 @@
 
 
 class MinorityCommits(Model):
-    """An entry is committed once one voter less than a majority has it."""
+    """An entry is committed once one voter less than a majority has the entry."""
 
     def commits(self, state: State, leader: int) -> Iterator[State]:
         log = state.machines[leader].log
@@ -72,7 +75,10 @@
 
 
 class RepairedTooEarly(Model):
-    """A loss stops counting while the group is not whole: the promise that `catch_up_s` is long enough."""
+    """A loss stops counting before the group is fully replicated again.
+
+    This breaks the assumption that the time between losses (`catch_up_s`) suffices for the repair.
+    """
 
     def repaired(self, state: State, leader: int) -> State:
         machines = tuple(replace(machine, counted_lost=False) for machine in state.machines)
@@ -83,18 +89,18 @@
     ("fault", "bounds"),
     [
         (SameIncarnation, Bounds(machines=3, commands=1, losses=1, terms=2)),
-        (SeveralChanges, Bounds(machines=4, commands=0, losses=1, terms=3, absences=True)),
+        (SeveralChanges, Bounds(machines=4, commands=0, losses=1, terms=3, stops=True)),
         (MinorityCommits, Bounds(machines=3, commands=1, losses=1, terms=2)),
         (RepairedTooEarly, Bounds(machines=3, commands=1, losses=2, terms=2)),
     ],
 )
-def test_a_fault_of_the_model_is_found(fault: type[Model], bounds: Bounds) -> None:
+def test_a_faulty_model_is_detected(fault: type[Model], bounds: Bounds) -> None:
     Model(bounds).explore(1_000)
     with pytest.raises(BrokenModelError):
-        fault(bounds).explore(MOST)
+        fault(bounds).explore(MAX_STATES)
 
 
 if __name__ == "__main__":
-    for deep in DEEP:
-        began = time.monotonic()
-        print(f"{deep}: {Model(deep).explore()} states, {time.monotonic() - began:.0f} s", flush=True)
+    for bounds in LARGE_MODELS:
+        started = time.monotonic()
+        print(f"{bounds}: {Model(bounds).explore()} states, {time.monotonic() - started:.0f} s", flush=True)
--- a/tests/fleet/replication/test_stored_formats.py
+++ b/tests/fleet/replication/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Fixed bytes of the records in a replica's journal, which every later version must read and write."""
+"""The encoding of journal records and snapshots: fixed bytes that every version must read and write."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 )
 
 
-def test_a_write_is_stored_in_the_fixed_records() -> None:
+def test_write_encoding_is_fixed() -> None:
     write = Write(1, HardState(7, 101), ENTRIES)
     assert tuple(record.hex() for record in encode_write(write)) == WRITE_HEX
     assert encode_members(MEMBERS).hex() == MEMBERS_HEX
 
 
-@pytest.mark.parametrize(("founder", "first_hex"), [(True, "010101"), (False, "010100")])
-def test_a_journal_is_recovered_from_the_fixed_records(founder: bool, first_hex: str) -> None:
-    assert encode_origin(founder).hex() == first_hex
-    records = [bytes.fromhex(text) for text in (first_hex, *WRITE_HEX)]
-    assert decode_journal(None, records) == Recovered(founder, HardState(7, 101), None, ENTRIES)
+@pytest.mark.parametrize(("may_bootstrap", "origin_hex"), [(True, "010101"), (False, "010100")])
+def test_journal_is_recovered_from_fixed_records(may_bootstrap: bool, origin_hex: str) -> None:
+    assert encode_origin(may_bootstrap).hex() == origin_hex
+    records = [bytes.fromhex(text) for text in (origin_hex, *WRITE_HEX)]
+    assert decode_journal(None, records) == Recovered(may_bootstrap, HardState(7, 101), None, ENTRIES)
 
 
-def test_a_snapshot_is_stored_in_the_fixed_bytes_and_read_from_them() -> None:
+def test_snapshot_encoding_is_fixed() -> None:
     assert encode_snapshot(SNAPSHOT).hex() == SNAPSHOT_HEX
     assert decode_snapshot(bytes.fromhex(SNAPSHOT_HEX)) == SNAPSHOT
     following = bytes.fromhex("01030400000000000000080000000000000000000000" + "00")
--- a/tests/fleet/replication/test_transfer.py
+++ b/tests/fleet/replication/test_transfer.py
@@ -1,4 +1,4 @@
-"""Leadership handed over on an operator's wish, and what a replica tells of its group."""
+"""Leadership transfers requested by an operator, and the status that a replica reports of its group."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from tests.fleet.replication.faults import Faults
 from tests.fleet.replication.simulated_cluster import Process, Settings, SimulatedCluster
 
-HANDED_OVER = 0.2  # seconds, less than the shortest election takes
-CALM = Settings(loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0)
+MAX_TRANSFER_TIME = 0.2  # seconds, less than the shortest election takes
+FAULT_FREE = Settings(loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0)
 
 
-def make_cluster(seed: int = 1, settings: Settings = CALM) -> SimulatedCluster:
+def make_cluster(seed: int = 1, settings: Settings = FAULT_FREE) -> SimulatedCluster:
     cluster = SimulatedCluster(seed, settings)
-    cluster.run_until(lambda: cluster.is_bootstrapped() and has_all(cluster), 5.0)
+    cluster.run_until(lambda: cluster.is_bootstrapped() and has_all_voters(cluster), 5.0)
     return cluster
 
 
-def has_all(cluster: SimulatedCluster) -> bool:
+def has_all_voters(cluster: SimulatedCluster) -> bool:
     owner = cluster.owner()
     return owner is not None and len(owner.group.replica.core.log.members) == cluster.settings.target_size
 
@@ -42,18 +42,18 @@
     return group_status(process.group, process.now())
 
 
-def others(cluster: SimulatedCluster) -> list[Process]:
+def other_processes(cluster: SimulatedCluster) -> list[Process]:
     owner = owner_of(cluster)
     return [process for process in cluster.running() if process is not owner]
 
 
 @pytest.mark.parametrize("choice", [0, 1])
-def test_the_named_voter_takes_over_and_the_old_owner_stays(choice: int) -> None:
+def test_the_requested_voter_becomes_owner_and_the_old_owner_stays_a_voter(choice: int) -> None:
     cluster = make_cluster()
-    before, successor = owner_of(cluster), others(cluster)[choice]
+    before, successor = owner_of(cluster), other_processes(cluster)[choice]
     term = before.group.replica.term
     assert transfer(before, successor.machine.address) is TransferStart.STARTED
-    assert cluster.run_until(lambda: cluster.owner() is successor, 2.0) < HANDED_OVER
+    assert cluster.run_until(lambda: cluster.owner() is successor, 2.0) < MAX_TRANSFER_TIME
     assert successor.group.replica.term > term
     cluster.run(cluster.now + 3.0)
     assert cluster.owner() is successor
@@ -61,16 +61,16 @@
     assert before.group.replica.identity in members and len(members) == 3
 
 
-def test_any_fit_voter_takes_over_where_none_is_named() -> None:
+def test_any_healthy_voter_becomes_owner_if_no_successor_is_requested() -> None:
     cluster = make_cluster()
     before = owner_of(cluster)
     assert transfer(before, None) is TransferStart.STARTED
-    assert cluster.run_until(lambda: cluster.owner() not in (None, before), 2.0) < HANDED_OVER
+    assert cluster.run_until(lambda: cluster.owner() not in (None, before), 2.0) < MAX_TRANSFER_TIME
 
 
-def test_what_cannot_be_handed_over_changes_nothing() -> None:
+def test_a_rejected_transfer_changes_nothing() -> None:
     cluster = make_cluster()
-    owner, (first, second) = owner_of(cluster), others(cluster)
+    owner, (first, second) = owner_of(cluster), other_processes(cluster)
     term = owner.group.replica.term
     assert transfer(first, None) is TransferStart.NOT_LEADER
     assert transfer(owner, ("10.9.9.9", 7300)) is TransferStart.UNKNOWN_VOTER
@@ -84,11 +84,11 @@
     assert second.group.replica.term > term
 
 
-def test_a_successor_that_falls_silent_is_given_up_and_the_owner_goes_on() -> None:
+def test_a_transfer_to_an_unresponsive_successor_is_abandoned() -> None:
     cluster = make_cluster()
-    owner, (first, _) = owner_of(cluster), others(cluster)
+    owner, (first, _) = owner_of(cluster), other_processes(cluster)
     cluster.freeze(first.machine)
-    cluster.propose(owner)  # the named one lacks it for now
+    cluster.propose(owner)  # the frozen successor lacks the entry
     assert transfer(owner, first.machine.address) is TransferStart.STARTED
     assert transfer(owner, first.machine.address) is TransferStart.IN_PROGRESS
     assert not owner.group.replica.accepts_proposals(owner.now())
@@ -98,18 +98,18 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_no_promise_is_broken_by_transfers_among_troubles(seed: int) -> None:
+def test_transfers_under_random_faults_violate_no_invariant(seed: int) -> None:
     cluster = SimulatedCluster(
         seed, Settings(duration=5.0, mean_fault_interval=0.7, loss_rate=0.02, delay_rate=0.05)
     )
     faults = Faults(cluster)
-    begun = []
+    started = []
 
     def transfer_ownership() -> None:
         owner = cluster.owner()
         if owner is not None:
-            named = cluster.rng.choice([None, *cluster.machines])
-            begun.append(transfer(owner, named) is TransferStart.STARTED)
+            successor = cluster.rng.choice([None, *cluster.machines])
+            started.append(transfer(owner, successor) is TransferStart.STARTED)
         if cluster.faults_active:
             cluster.schedule(cluster.now + cluster.rng.expovariate(4.0), transfer_ownership)
 
@@ -120,12 +120,12 @@
     faults.stop()
     faults.inject_final()
     cluster.finish()
-    assert sum(begun) > 3
+    assert sum(started) > 3
 
 
-def test_an_owner_knows_the_lag_of_each_replica() -> None:
+def test_the_status_of_an_owner_has_the_lag_of_each_replica() -> None:
     cluster = make_cluster()
-    owner, (first, second) = owner_of(cluster), others(cluster)
+    owner, (first, second) = owner_of(cluster), other_processes(cluster)
     cluster.run(cluster.now + 0.5)
     cluster.kill(first.machine)
     for _ in range(4):
@@ -134,37 +134,37 @@
     status = status_of(owner)
     assert (status.role, status.owned, status.owner) == (Role.LEADER, True, owner.machine.address)
     assert status.commit_index == status.applied_index == status.last_index
-    replicas = {each.member.address: each for each in status.replicas}
+    replicas = {replica.member.address: replica for replica in status.replicas}
     assert len(replicas) == len(status.replicas) == 3
-    assert all(each.is_voter for each in status.replicas)
+    assert all(replica.is_voter for replica in status.replicas)
     assert replicas[owner.machine.address].synced_index == status.last_index
     assert replicas[second.machine.address].synced_index == status.last_index
-    silent = replicas[first.machine.address]
-    assert silent.synced_index == status.last_index - 4
-    assert silent.unresponsive_for_s is not None and 0.4 < silent.unresponsive_for_s < 0.7
+    unresponsive = replicas[first.machine.address]
+    assert unresponsive.synced_index == status.last_index - 4
+    assert unresponsive.unresponsive_for_s is not None and 0.4 < unresponsive.unresponsive_for_s < 0.7
 
 
-def test_a_follower_knows_the_owner_and_who_votes() -> None:
+def test_the_status_of_a_follower_has_the_owner_and_the_voters() -> None:
     cluster = make_cluster()
-    owner, (first, _) = owner_of(cluster), others(cluster)
+    owner, (first, _) = owner_of(cluster), other_processes(cluster)
     status = status_of(first)
     assert (status.role, status.owned, status.owner) == (Role.FOLLOWER, False, owner.machine.address)
     assert status.own == status.replicas[0].member == first.group.replica.identity
-    assert [each.synced_index for each in status.replicas[1:]] == [None, None]
-    assert {each.member.address for each in status.replicas} == set(cluster.machines)
+    assert [replica.synced_index for replica in status.replicas[1:]] == [None, None]
+    assert {replica.member.address for replica in status.replicas} == set(cluster.machines)
 
 
-def test_a_learner_is_told_from_a_voter() -> None:
+def test_the_status_distinguishes_learners_from_voters() -> None:
     cluster = make_cluster(
         settings=Settings(machines=4, target_size=3, loss_rate=0.0, duplicate_rate=0.0, delay_rate=0.0)
     )
     owner = owner_of(cluster)
-    victim = next(p for p in others(cluster) if p.group.replica.is_voter)
-    spare = next(p for p in others(cluster) if not p.group.replica.is_voter)
+    victim = next(p for p in other_processes(cluster) if p.group.replica.is_voter)
+    spare = next(p for p in other_processes(cluster) if not p.group.replica.is_voter)
     cluster.freeze(victim.machine)
 
     def learner() -> bool:
-        found = [each for each in status_of(owner).replicas if not each.is_voter]
-        return [each.member.address for each in found] == [spare.machine.address]
+        learners = [replica for replica in status_of(owner).replicas if not replica.is_voter]
+        return [replica.member.address for replica in learners] == [spare.machine.address]
 
     cluster.run_until(learner, 4.0)
