--- a/firvane/fleet/replication/core.py
+++ b/firvane/fleet/replication/core.py
@@ -22,15 +22,15 @@
     quorum_of,
 )
 
-MAX_MESSAGES_AWAITING_SYNC = 256  # beyond it the oldest are dropped; the protocol tolerates lost messages
+MAX_MESSAGES_AWAITING_SYNC = 256  # the oldest are dropped above it; the protocol tolerates lost messages
 
 
 class Write(Struct):
     """A write that the driver must sync, in the order of `sequence`.
 
-    With a `snapshot` the journal is rewritten: the snapshot, the hard state, and the entries that follow it.
-    Without one, the write holds the hard state if it has changed, and entries that replace all stored ones
-    from the index of the first on.
+    A write with a `snapshot` replaces the journal by the snapshot, the hard state and the later entries. Any
+    other write has the hard state if it has changed, and entries; these replace all stored entries from the
+    index of the first one on.
     """
 
     sequence: int
--- a/firvane/fleet/replication/leadership.py
+++ b/firvane/fleet/replication/leadership.py
@@ -103,7 +103,7 @@
             return
         self.membership.live_controllers = live_controllers
         interval = self.core.timing.heartbeat_interval_s
-        self.next_heartbeat_at = (now // interval + 1) * interval  # the same for all groups of a process
+        self.next_heartbeat_at = (now // interval + 1) * interval  # aligned across the groups of a process
         self._choose_learners(now)
         self._send_heartbeats(now)
         self._heartbeat_count += 1
--- a/firvane/fleet/replication/log.py
+++ b/firvane/fleet/replication/log.py
@@ -9,7 +9,7 @@
 from firvane.fleet.replication.members_codec import decode_members
 from firvane.fleet.replication.types import Entry, EntryKind, Members, Snapshot
 
-ENTRY_OVERHEAD = 40  # bytes counted for an entry beside its payload
+ENTRY_OVERHEAD = 40  # bytes counted for an entry in addition to its payload
 
 
 class MembersAt(NamedTuple):
--- a/tests/fleet/replication/oracle.py
+++ b/tests/fleet/replication/oracle.py
@@ -70,7 +70,7 @@
     return _COMMAND.pack(number).ljust(size, b".")
 
 
-def number_of(payload: bytes) -> int:
+def command_number(payload: bytes) -> int:
     """The number of a command."""
     number: int = _COMMAND.unpack_from(payload)[0]
     return number
@@ -225,7 +225,7 @@
         self.before_save: Callable[[], None] = lambda: None
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        number = number_of(payload)
+        number = command_number(payload)
         self.commands.append(number)
         self.oracle.on_applied(len(self.commands), index, number)
         return str(len(self.commands)).encode()
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -142,7 +142,7 @@
             _cut_link(cluster, owner.machine, machine)
         for _ in range(40):
             cluster.run(cluster.now + 0.015)
-            cluster.call(owner)
+            cluster.send_request(owner)
         cluster.heal()
     cluster.finish()
 
@@ -328,7 +328,7 @@
             cluster.kill(isolated)
             continue
         if isolated.process is not None:
-            cluster.call(isolated.process)
+            cluster.send_request(isolated.process)
         cluster.run(cluster.now + 0.1)
         _check_no_contact(cluster, isolated, contact_ends_at)
     if seed % 3 == 2:
--- a/tests/fleet/replication/simulated_cluster.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -72,7 +72,7 @@
     # Time
 
     def schedule(self, when: float, call: Callable[[], None], process: Process | None = None) -> None:
-        """Schedule a call; one for a process is dropped if it is dead, and deferred while it is frozen."""
+        """Schedule a call; a call for a process is dropped if it is dead, and deferred while it is frozen."""
         self._count += 1
         if self._count > MAX_EVENTS:
             raise RunawaySimulationError(f"{self._count} events until {self.now:.1f} s")
@@ -255,12 +255,12 @@
                 known = self.machines[owner].process
                 process = known if known in processes else process
             for _ in range(self.rng.choice((1, 1, 1, 1, 1, 1, 1, 8))):
-                self.call(process)
+                self.send_request(process)
         self.schedule(
             self.now + self.rng.expovariate(1 / self.settings.mean_request_interval), self.run_client
         )
 
-    def call(self, process: Process) -> None:
+    def send_request(self, process: Process) -> None:
         """Send a proposal or a read to a process; a frozen process handles it once it resumes."""
         known_committed = self.oracle.known_committed
         propose = self.rng.random() < 0.5
@@ -328,7 +328,7 @@
         self.run(self.now + 1.0)
         self.check_final()
 
-    def is_whole(self, owner: Process, present: Sequence[Machine]) -> bool:
+    def has_full_membership(self, owner: Process, present: Sequence[Machine]) -> bool:
         """Whether the group has as many voters as possible, each on a machine that is present."""
         members = owner.group.replica.core.log.members
         alive = {machine.incarnation for machine in present}
@@ -346,7 +346,8 @@
         require(committed, Invariant.RECOVERS, "nothing is committed at the end")
         present = [machine for machine in self.machines.values() if machine.present]
         self.run_until(
-            lambda: self.is_whole(owner, present), self.settings.timing.voter_replace_after_s + REPAIR_TIME
+            lambda: self.has_full_membership(owner, present),
+            self.settings.timing.voter_replace_after_s + REPAIR_TIME,
         )
         members = owner.group.replica.core.log.members
         self.run(self.now + 0.3)
