--- a/firvane/fleet/controller/journal_opener.py
+++ b/firvane/fleet/controller/journal_opener.py
@@ -15,7 +15,7 @@
 from firvane.fleet.replication.core import Recovered
 from firvane.fleet.replication.errors import DecodeError, UnsupportedRecordError
 from firvane.fleet.replication.records import decode_journal, encode_origin
-from firvane.fleet.replication.types import NOBODY
+from firvane.fleet.replication.types import NO_INCARNATION
 from firvane.fleet.storage.errors import CorruptJournalError, UnsupportedFormatError
 from firvane.fleet.storage.filesystem import FileSystem, SystemFileSystem
 from firvane.fleet.storage.journal import Journal, create_journal, open_journal
@@ -33,7 +33,7 @@
 
 def new_incarnation() -> int:
     """Draw a random incarnation of 64 bits."""
-    while (incarnation := int.from_bytes(os.urandom(8), "little")) == NOBODY:
+    while (incarnation := int.from_bytes(os.urandom(8), "little")) == NO_INCARNATION:
         pass
     return incarnation
 
--- a/firvane/fleet/replication/core.py
+++ b/firvane/fleet/replication/core.py
@@ -13,7 +13,7 @@
 from firvane.fleet.replication.messages import Message, Outgoing
 from firvane.fleet.replication.types import (
     NO_HARD_STATE,
-    NOBODY,
+    NO_INCARNATION,
     Entry,
     HardState,
     Member,
@@ -169,7 +169,7 @@
 
     def send_to_address(self, address: Address, message: Message) -> None:
         """Send a message to whichever replica is at an address."""
-        self.send(Member(address, NOBODY), message)
+        self.send(Member(address, NO_INCARNATION), message)
 
     def send_when_synced(self, to: Member, message: Message) -> None:
         """Send a message once all writes issued so far are synced."""
--- a/firvane/fleet/replication/messages.py
+++ b/firvane/fleet/replication/messages.py
@@ -147,7 +147,7 @@
 
 
 class Outgoing(Struct):
-    """A message and its receiver; incarnation `NOBODY` addresses any replica at the address."""
+    """A message and its receiver; incarnation `NO_INCARNATION` addresses any replica at the address."""
 
     to: Member
     message: Message
--- a/firvane/fleet/replication/replica.py
+++ b/firvane/fleet/replication/replica.py
@@ -36,7 +36,7 @@
 )
 from firvane.fleet.replication.spread import DomainOf, one_domain_per_address
 from firvane.fleet.replication.succession import Succession
-from firvane.fleet.replication.types import DEFAULT_TIMING, NOBODY, Member, Snapshot, Timing
+from firvane.fleet.replication.types import DEFAULT_TIMING, NO_INCARNATION, Member, Snapshot, Timing
 from firvane.fleet.replication.voting import Voter
 
 WITHDRAWAL_RETRY_RANGE_S = (0.1, 0.2)  # until the next pre-vote, after yielding to another candidate
@@ -185,7 +185,7 @@
         """Process a message that was addressed to `to_incarnation`."""
         if sender == self.identity:
             return
-        if to_incarnation not in (NOBODY, self.identity.incarnation):
+        if to_incarnation not in (NO_INCARNATION, self.identity.incarnation):
             if isinstance(message, Append | InstallSnapshot | Beacon):
                 self.core.send(sender, BeaconReply(self.term, message.sent_at))
             return
@@ -305,7 +305,7 @@
     def _adopt_term(self, term: int, now: float) -> None:
         self._step_down("higher_term", now)
         self._succession.clear_successor()
-        self.core.adopt(term, NOBODY, now)
+        self.core.adopt(term, NO_INCARNATION, now)
 
     def _follow_leader(self, leader: Member, term: int, now: float) -> Follower:
         if term > self.term:
--- a/firvane/fleet/replication/types.py
+++ b/firvane/fleet/replication/types.py
@@ -8,7 +8,7 @@
 
 from firvane.core.address import Address
 
-NOBODY = 0
+NO_INCARNATION = 0
 """A reserved incarnation: no vote cast yet, or a message for whichever replica is at an address."""
 
 
@@ -19,7 +19,7 @@
     """
 
     address: Address
-    incarnation: int  # 64 bits, random, never 0 (`NOBODY`)
+    incarnation: int  # 64 bits, random, never 0 (`NO_INCARNATION`)
 
 
 Members = tuple[Member, ...]
@@ -46,7 +46,7 @@
     """The durable election state: the current term, and the incarnation voted for in that term."""
 
     term: int = 0
-    vote: int = NOBODY
+    vote: int = NO_INCARNATION
 
 
 NO_HARD_STATE = HardState()
--- a/firvane/fleet/replication/voting.py
+++ b/firvane/fleet/replication/voting.py
@@ -5,7 +5,7 @@
 from firvane.core.address import Address
 from firvane.fleet.replication.core import Core
 from firvane.fleet.replication.messages import PreVote, PreVoteReply, Vote, VoteReply
-from firvane.fleet.replication.types import NOBODY, Member
+from firvane.fleet.replication.types import NO_INCARNATION, Member
 
 PRE_VOTE_RESERVATION_S = 0.100  # for which pre-votes go to one candidate only, to avoid split votes
 
@@ -21,7 +21,7 @@
         self.core = core
         self.abstain_until = abstain_until
         self.leader_seen_at = float("-inf")  # the time of the last message from a leader
-        self._reserved_for = NOBODY
+        self._reserved_for = NO_INCARNATION
         self._reserved_until = float("-inf")
 
     def follows_leader(self, now: float) -> bool:
@@ -41,7 +41,7 @@
 
     def release(self) -> None:
         """End the reservation of pre-votes."""
-        self._reserved_for = NOBODY
+        self._reserved_for = NO_INCARNATION
         self._reserved_until = float("-inf")
 
     def on_pre_vote(self, sender: Member, request: PreVote, leader: Address | None, now: float) -> None:
@@ -59,9 +59,9 @@
     def on_vote(self, sender: Member, request: Vote, now: float) -> bool:
         """Reply to a vote request of the current term once the vote is synced; returns whether granted."""
         core = self.core
-        may_grant = core.hard_state.vote in (NOBODY, sender.incarnation)
+        may_grant = core.hard_state.vote in (NO_INCARNATION, sender.incarnation)
         granted = may_grant and core.is_up_to_date(request.last_index, request.last_term)
-        if granted and core.hard_state.vote == NOBODY:
+        if granted and core.hard_state.vote == NO_INCARNATION:
             core.adopt(core.term, sender.incarnation, now)
         core.send_when_synced(sender, VoteReply(core.term, granted))
         return granted
--- a/tests/fleet/replication/mutants_elections.py
+++ b/tests/fleet/replication/mutants_elections.py
@@ -34,7 +34,7 @@
         0,
         (
             "replication.voting",
-            "may_grant = core.hard_state.vote in (NOBODY, sender.incarnation)",
+            "may_grant = core.hard_state.vote in (NO_INCARNATION, sender.incarnation)",
             "may_grant = True",
         ),
     ),
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -20,7 +20,7 @@
 from firvane.fleet.replication.proposals import ProposalResult
 from firvane.fleet.replication.records import encode_origin, encode_write
 from firvane.fleet.replication.replica import Replica, ReplicaOptions
-from firvane.fleet.replication.types import NOBODY, EntryKind, Member, Members, quorum_of
+from firvane.fleet.replication.types import NO_INCARNATION, EntryKind, Member, Members, quorum_of
 from firvane.fleet.storage.writer import JournalWriter
 from tests.fleet.replication.oracle import Invariant, RecordingStateMachine, ViolationError, require
 from tests.fleet.replication.settings import SYNC_TIME, FaultTrigger
@@ -142,7 +142,7 @@
         vote = self.group.replica.core.hard_state.vote
         if vote != self.last_vote:
             self.last_vote = vote
-            if vote not in (NOBODY, identity):
+            if vote not in (NO_INCARNATION, identity):
                 self.cluster.on_fault_trigger(FaultTrigger.VOTED, self.machine)
         if any(change.owned for change in actions.owner_changes):
             self.cluster.check_owners()
