--- a/tests/fleet/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -75,18 +75,22 @@
     def stop(self) -> None:
         self.stopped = True
 
-    def inject_at_trigger(self, moment: FaultTrigger, machine: Machine) -> None:
+    def inject_at_trigger(self, trigger: FaultTrigger, machine: Machine) -> None:
         """Inject a targeted fault within milliseconds of a trigger event."""
         cluster = self.cluster
         settings = cluster.settings
         if self.stopped or cluster.rng.random() > settings.targeted_rate:
             return
-        if settings.triggers and moment not in settings.triggers:
+        if settings.triggers and trigger not in settings.triggers:
             return
-        if moment is FaultTrigger.WRITING and moment not in settings.triggers and cluster.rng.random() < 0.8:
+        if (
+            trigger is FaultTrigger.WRITING
+            and trigger not in settings.triggers
+            and cluster.rng.random() < 0.8
+        ):
             return
         names = settings.targeted_faults or TARGETED_FAULTS
-        if moment in (FaultTrigger.COMPACTING, FaultTrigger.VOTED) and not settings.targeted_faults:
+        if trigger in (FaultTrigger.COMPACTING, FaultTrigger.VOTED) and not settings.targeted_faults:
             names = ("power_cycle_machine",)
         fault = getattr(self, cluster.rng.choice(names))
         cluster.schedule(cluster.now + cluster.rng.uniform(0, 0.012), lambda: fault(machine))
@@ -107,12 +111,12 @@
         """Kill a process, restart it at once, and power-cycle all machines after that."""
         cluster = self.cluster
         cluster.kill(machine)
-        self._later(0.005, 0.02, lambda: cluster.boot(machine))
-        self._later(0.1, 0.3, lambda: self._power_cycle_machines(list(cluster.machines.values())))
+        self._schedule_after(0.005, 0.02, lambda: cluster.boot(machine))
+        self._schedule_after(0.1, 0.3, lambda: self._power_cycle_machines(list(cluster.machines.values())))
 
     def freeze_machine(self, machine: Machine) -> None:
         self.cluster.freeze(machine)
-        self._later(0.2, 1.5, lambda: self.cluster.unfreeze(machine))
+        self._schedule_after(0.2, 1.5, lambda: self.cluster.unfreeze(machine))
 
     def isolate_machine(self, machine: Machine) -> None:
         """Cut off all messages from a machine, all messages to it, or both."""
@@ -124,7 +128,7 @@
                 cluster.link_cuts[machine.address, other] = delayed
             if direction != 1:
                 cluster.link_cuts[other, machine.address] = delayed
-        self._later(0.3, 1.2, cluster.heal)
+        self._schedule_after(0.3, 1.2, cluster.heal)
 
     def cut_some_links(self, _machine: Machine) -> None:
         self.cut_links()
@@ -140,7 +144,7 @@
             if not machine.present:
                 continue
             self.cluster.lose_power(machine)
-            self._later(0.02, 0.4, lambda machine=machine: self.cluster.boot(machine))
+            self._schedule_after(0.02, 0.4, lambda machine=machine: self.cluster.boot(machine))
 
     def cut_links(self) -> None:
         """Cut random links, each in one direction."""
@@ -151,7 +155,7 @@
             for other in addresses:
                 if one != other and cluster.rng.random() < 0.3:
                     cluster.link_cuts[one, other] = delayed
-        self._later(0.2, 1.5, cluster.heal)
+        self._schedule_after(0.2, 1.5, cluster.heal)
 
     def restart_quickly(self) -> None:
         """Kill about half of the processes, and restart each within less than a lease."""
@@ -160,21 +164,21 @@
             if cluster.rng.random() < 0.5:
                 machine = process.machine
                 cluster.kill(machine)
-                self._later(0.01, 0.1, lambda machine=machine: cluster.boot(machine))
+                self._schedule_after(0.01, 0.1, lambda machine=machine: cluster.boot(machine))
 
     def inject_final(self) -> None:
         """Possibly inject one last fault on all machines, right after the last acknowledgements."""
-        probability = self.cluster.rng.random()
-        if probability < 0.2:
+        draw = self.cluster.rng.random()
+        if draw < 0.2:
             self.lose_power_all()
-        elif probability < 0.3:
+        elif draw < 0.3:
             self.wipe()
             self.lose_power_all()
-        elif probability < 0.4:
+        elif draw < 0.4:
             self.kill_all()
 
     def _random_machine(self) -> Machine | None:
-        """Choose a machine with a running process; the owner's with a probability above 0.4."""
+        """Choose a machine with a running process; the owner's with a draw above 0.4."""
         cluster = self.cluster
         machines = [process.machine for process in cluster.running()]
         if not machines:
@@ -184,42 +188,42 @@
             return owner.machine
         return cluster.rng.choice(machines)
 
-    def _later(self, minimum: float, maximum: float, call: Callable[[], None]) -> None:
+    def _schedule_after(self, minimum: float, maximum: float, call: Callable[[], None]) -> None:
         cluster = self.cluster
         cluster.schedule(cluster.now + cluster.rng.uniform(minimum, maximum), call)
 
     def kill(self) -> None:
         if machine := self._random_machine():
             self.cluster.kill(machine)
-            self._later(0.05, 1.5, lambda: self.cluster.boot(machine))
+            self._schedule_after(0.05, 1.5, lambda: self.cluster.boot(machine))
 
     def kill_all(self) -> None:
         for process in self.cluster.running():
             machine = process.machine
             self.cluster.kill(machine)
-            self._later(0.05, 1.0, lambda machine=machine: self.cluster.boot(machine))
+            self._schedule_after(0.05, 1.0, lambda machine=machine: self.cluster.boot(machine))
 
     def lose_power(self) -> None:
         if machine := self._random_machine():
             self.cluster.lose_power(machine)
-            self._later(0.1, 2.0, lambda: self.cluster.boot(machine))
+            self._schedule_after(0.1, 2.0, lambda: self.cluster.boot(machine))
 
     def lose_power_all(self) -> None:
         for machine in self.cluster.machines.values():
             if machine.present:
                 self.cluster.lose_power(machine)
-                self._later(0.1, 1.0, lambda machine=machine: self.cluster.boot(machine))
+                self._schedule_after(0.1, 1.0, lambda machine=machine: self.cluster.boot(machine))
 
     def freeze(self) -> None:
         if machine := self._random_machine():
             self.cluster.freeze(machine)
-            self._later(0.1, 3.0, lambda: self.cluster.unfreeze(machine))
+            self._schedule_after(0.1, 3.0, lambda: self.cluster.unfreeze(machine))
 
     def stall(self) -> None:
         """Freeze a process briefly, as if it got no CPU time."""
         if machine := self._random_machine():
             self.cluster.freeze(machine)
-            self._later(0.05, 0.5, lambda: self.cluster.unfreeze(machine))
+            self._schedule_after(0.05, 0.5, lambda: self.cluster.unfreeze(machine))
 
     def wipe(self) -> None:
         machine = self._random_machine()
@@ -232,7 +236,7 @@
         machine.disk.wipe()
         machine.disk_since = self.cluster.now
         machine.incarnation = machine.journal = 0
-        self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
+        self._schedule_after(0.1, 1.5, lambda: self.cluster.boot(machine))
 
     def damage_disk(self) -> None:
         """Kill a process, and corrupt bytes on its disk that were synced earlier."""
@@ -244,7 +248,7 @@
         if corrupt():
             machine.damaged = True
             machine.incarnation = 0
-        self._later(0.1, 1.5, lambda: self.cluster.boot(machine))
+        self._schedule_after(0.1, 1.5, lambda: self.cluster.boot(machine))
 
     def replace(self) -> None:
         cluster = self.cluster
@@ -254,7 +258,7 @@
         cluster.kill(machine)
         machine.present = False
         replacement = cluster.add_machine(len(cluster.machines))
-        self._later(0.1, 1.5, lambda: cluster.boot(replacement))
+        self._schedule_after(0.1, 1.5, lambda: cluster.boot(replacement))
 
     def partition(self) -> None:
         self._partition(True)
@@ -273,7 +277,7 @@
                 cluster.link_cuts[one, other] = delayed
                 if both_ways:
                     cluster.link_cuts[other, one] = delayed
-        self._later(0.2, 2.5, cluster.heal)
+        self._schedule_after(0.2, 2.5, cluster.heal)
 
     def partition_in_halves(self) -> None:
         """Partition the machines in two halves, and restart one half or none, midway or at the end."""
@@ -295,7 +299,7 @@
             machine = self.cluster.machines[address]
             if machine.process is not None:
                 self.cluster.kill(machine)
-                self._later(0.05, 0.5, lambda machine=machine: self.cluster.boot(machine))
+                self._schedule_after(0.05, 0.5, lambda machine=machine: self.cluster.boot(machine))
 
     def wipe_oldest_during_power_loss(self) -> None:
         """Wipe the oldest disk, and power-cycle all other machines at the same time."""
@@ -315,12 +319,14 @@
     def fill_disk(self) -> None:
         if machine := self._random_machine():
             machine.disk.full = True
-            self._later(0.2, 3.0, lambda: setattr(machine.disk, "full", False))
+            self._schedule_after(0.2, 3.0, lambda: setattr(machine.disk, "full", False))
 
     def slow_disk(self) -> None:
         if machine := self._random_machine():
             machine.sync_time = self.cluster.rng.choice((0.05, 0.2, 0.5))
-            self._later(0.5, 3.0, lambda: setattr(machine, "sync_time", self.cluster.settings.sync_time))
+            self._schedule_after(
+                0.5, 3.0, lambda: setattr(machine, "sync_time", self.cluster.settings.sync_time)
+            )
 
     def hang_disk(self) -> None:
         if machine := self._random_machine():
@@ -337,6 +343,6 @@
         def stop() -> None:
             if machine.process is process:
                 self.cluster.kill(machine)
-                self._later(0.1, 1.0, lambda: self.cluster.boot(machine))
+                self._schedule_after(0.1, 1.0, lambda: self.cluster.boot(machine))
 
-        self._later(0.05, 1.0, stop)
+        self._schedule_after(0.05, 1.0, stop)
--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -31,13 +31,13 @@
     from tests.fleet.replication.simulated_cluster import SimulatedCluster
 
 FOLDER = "/data/group-0"
-DISK_CALLS_BEFORE_END = (
+DISK_CALLS_BEFORE_KILL = (
     0,
     1,
     1,
     1,
     *range(2, 10),
-)  # disk calls before a process is killed; after one call, a frame is written and not synced
+)  # disk calls that precede the kill of a process; with one call, a frame is written but not synced
 
 
 @dataclass
@@ -108,7 +108,7 @@
         return self.machine.offset + self.cluster.now * self.machine.rate
 
     def start(self) -> None:
-        self.perform(self.group.tick(self.cluster.candidates_of(self.machine), self.now()))
+        self.perform(self.group.tick(self.cluster.live_controllers(self.machine), self.now()))
 
     def perform(self, actions: Actions) -> None:
         for write in actions.writes:
@@ -181,7 +181,7 @@
             return
         self.wake_at = float("inf")
         if self.group.deadline() <= self.now():
-            self.perform(self.group.tick(self.cluster.candidates_of(self.machine), self.now()))
+            self.perform(self.group.tick(self.cluster.live_controllers(self.machine), self.now()))
         else:
             self._set_timer()
 
@@ -209,9 +209,9 @@
                 oracle.voters[index] = decode_members(entry.payload)
         self.reported_commit_index = commit_index
         if replica.leadership is not None:
-            own = log.term_at(commit_index) == replica.term
+            is_own = log.term_at(commit_index) == replica.term
             require(
-                own, Invariant.COMMIT_OWN_TERM, f"entry {commit_index} is committed in term {replica.term}"
+                is_own, Invariant.COMMIT_OWN_TERM, f"entry {commit_index} is committed in term {replica.term}"
             )
             self._check_majority(commit_index)
             oracle.on_leader_commit(replica.term, commit_index)
@@ -228,7 +228,7 @@
     def _check_majority(self, index: int) -> None:
         log = self.group.replica.core.log
         term = log.term_at(index)
-        groups = (
+        voter_sets = (
             log.members,
             log.members_at(log.members_index - 1).members,
         )  # after and before a membership change that was just appended
@@ -236,7 +236,7 @@
             members
             and self._count(members, lambda synced_log: synced_log.has_entry(index, term))
             >= quorum_of(len(members))
-            for members in groups
+            for members in voter_sets
         )
         require(
             synced, Invariant.COMMITTED_BY_MAJORITY, f"entry {index} is committed without a majority's sync"
@@ -245,8 +245,8 @@
     def _check_election(self) -> None:
         replica, oracle = self.group.replica, self.cluster.oracle
         term, log = replica.term, replica.core.log
-        own = replica.identity.incarnation
-        votes = self._count(log.members, lambda synced_log: synced_log.has_voted(term, own))
+        own_incarnation = replica.identity.incarnation
+        votes = self._count(log.members, lambda synced_log: synced_log.has_voted(term, own_incarnation))
         elected = votes >= quorum_of(len(log.members))
         require(elected, Invariant.ELECTED_BY_MAJORITY, f"{votes} synced votes in term {term}")
         index, entry_term = oracle.last_commit_before(term)
@@ -260,16 +260,18 @@
             change.entry_index for change in log._membership_history if change.entry_index > commit
         ]
         require(len(open_changes) <= 1, Invariant.ONE_MEMBERSHIP_CHANGE, f"changes at {open_changes}")
-        own = log.term_at(commit) == replica.term
+        is_own = log.term_at(commit) == replica.term
         require(
-            own,
+            is_own,
             Invariant.ONE_MEMBERSHIP_CHANGE,
             f"a change before an entry of term {replica.term} is committed",
         )
 
-    def _count(self, members: Members, holds: Callable[[SyncedLog], bool]) -> int:
+    def _count(self, members: Members, predicate: Callable[[SyncedLog], bool]) -> int:
         synced = self.cluster.synced
-        return sum(member.incarnation in synced and holds(synced[member.incarnation]) for member in members)
+        return sum(
+            member.incarnation in synced and predicate(synced[member.incarnation]) for member in members
+        )
 
     # The disk
 
@@ -336,7 +338,7 @@
         self.alive = False
         disk = self.machine.disk
         if self.disk_busy:
-            disk.remaining_calls = self.cluster.rng.choice(DISK_CALLS_BEFORE_END)
+            disk.remaining_calls = self.cluster.rng.choice(DISK_CALLS_BEFORE_KILL)
             with contextlib.suppress(ProcessKilledError):
                 self.writer.write_pending()
             disk.remaining_calls = None
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -17,9 +17,7 @@
 QUOTA_PERIOD, QUOTA_FROZEN = 0.1, 0.07  # seconds: the period of a CPU quota, and the frozen part of it
 QUOTA_DURATION = 10.0  # seconds
 ISOLATION = 2.0  # seconds, several election timeouts
-MAX_TRANSFER_TIME = (
-    0.100  # seconds until a successor must acknowledge a command; an election takes at least 0.3
-)
+MAX_TRANSFER_TIME = 0.100  # seconds until a successor acknowledges a command; an election takes 0.3 or more
 
 
 def stable_cluster(settings: Settings, seed: int) -> SimulatedCluster:
--- a/tests/fleet/replication/simulated_cluster.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -150,21 +150,21 @@
     def running(self) -> list[Process]:
         return [machine.process for machine in self.machines.values() if machine.process is not None]
 
-    def candidates_of(self, machine: Machine) -> Sequence[Address]:
+    def live_controllers(self, machine: Machine) -> Sequence[Address]:
         return [address for address, other in self.machines.items() if other.process is not None]
 
     def is_bootstrapped(self) -> bool:
         """Whether every seed has synced the group's first entry; no faults are injected before."""
         if not self.bootstrapped:
-            founders = [self.machines[seed].process for seed in self.seeds]
+            seed_processes = [self.machines[seed].process for seed in self.seeds]
             self.bootstrapped = all(
-                p is not None and p.group.replica.core.writes.synced_index > 0 for p in founders
+                p is not None and p.group.replica.core.writes.synced_index > 0 for p in seed_processes
             )
         return self.bootstrapped
 
-    def on_fault_trigger(self, moment: FaultTrigger, machine: Machine) -> None:
+    def on_fault_trigger(self, trigger: FaultTrigger, machine: Machine) -> None:
         if self.fault_trigger_hook is not None and self.faults_active and self.is_bootstrapped():
-            self.fault_trigger_hook(moment, machine)
+            self.fault_trigger_hook(trigger, machine)
 
     # Network
 
@@ -252,8 +252,8 @@
             process = self.rng.choice(processes)
             owner = process.group.owner
             if self.rng.random() < 0.7 and owner in self.machines:
-                known = self.machines[owner].process
-                process = known if known in processes else process
+                owner_process = self.machines[owner].process
+                process = owner_process if owner_process in processes else process
             for _ in range(self.rng.choice((1, 1, 1, 1, 1, 1, 1, 8))):
                 self.send_request(process)
         self.schedule(
@@ -332,8 +332,8 @@
         """Whether the group has as many voters as possible, each on a machine that is present."""
         members = owner.group.replica.core.log.members
         alive = {machine.incarnation for machine in present}
-        wanted = min(self.settings.target_size, len(present))
-        return len(members) == wanted and all(member.incarnation in alive for member in members)
+        expected_voters = min(self.settings.target_size, len(present))
+        return len(members) == expected_voters and all(member.incarnation in alive for member in members)
 
     def check_final(self) -> None:
         owner = self.owner()
