--- a/firvane/fleet/replication/group.py
+++ b/firvane/fleet/replication/group.py
@@ -285,9 +285,9 @@
         self.replica.compact(self.applied_index, state, RETAINED_LOG_BYTES, now)
 
     def _resolve_proposals(self, now: float, actions: Actions) -> None:
-        """Resolve as UNCLEAR each appended proposal that expired, or that was not committed in time.
+        """Resolve as UNCLEAR each appended proposal that expired or whose index a snapshot has covered.
 
-        After leadership ends, a proposal has at most `LOST_LEADERSHIP_GRACE_S` left.
+        After leadership ends, a proposal expires within `LOST_LEADERSHIP_GRACE_S`.
         """
         if not self._appended:
             return
--- a/tests/fleet/replication/faults.py
+++ b/tests/fleet/replication/faults.py
@@ -178,7 +178,7 @@
             self.kill_all()
 
     def _random_machine(self) -> Machine | None:
-        """Choose a machine with a running process; the owner's with a draw above 0.4."""
+        """Choose a machine with a running process; the owner's with a probability above 0.4."""
         cluster = self.cluster
         machines = [process.machine for process in cluster.running()]
         if not machines:
