--- a/tests/fleet/replication/mutants_log.py
+++ b/tests/fleet/replication/mutants_log.py
@@ -1,4 +1,4 @@
-"""Deliberate faults of the replicated log, its commits, members and snapshots."""
+"""Mutants of the replicated log, its commits, membership changes and snapshots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ),
     mutant(
         "leader counts itself unsynced",
-        "a leader counts its own entries before its disk has them",
+        "a leader counts its own entries before its disk has synced them",
         "power",
         range(8),
         0,
@@ -31,7 +31,7 @@
     ),
     mutant(
         "commit by a minority",
-        "an entry is committed once one replica less than a majority has it",
+        "an entry is committed once one voter less than a majority has synced it",
         "power",
         range(6),
         0,
@@ -44,7 +44,7 @@
     mutant(
         "commit of an older term",
         "an entry of an older term is committed by counting replicas",
-        "one by one",
+        "single-entry appends",
         range(4),
         0,
         (
@@ -55,7 +55,7 @@
     ),
     mutant(
         "learner counted",
-        "a replica that is no voter counts for a majority",
+        "a learner counts towards the majority",
         "members",
         range(8),
         0,
@@ -69,7 +69,7 @@
     ),
     mutant(
         "terms not compared",
-        "entries are appended after an entry of another term than the leader's",
+        "entries are appended after an entry whose term differs from the leader's",
         "diverging tail",
         range(4),
         0,
@@ -80,38 +80,38 @@
         ),
     ),
     mutant(
-        "conflict kept",
-        "an entry that stands at an index is taken for the leader's, whatever its term",
+        "conflicting entry kept",
+        "an existing entry counts as the leader's, whatever its term",
         "diverging tail",
         range(4),
         0,
         (
             "replication.follower",
-            "while known < len(entries) and log.term_at(entries[known].index) == entries[known].term:",
-            "while known < len(entries) and log.term_at(entries[known].index) is not None:",
+            "log.term_at(entries[matching].index) == entries[matching].term:",
+            "log.term_at(entries[matching].index) is not None:",
         ),
     ),
     mutant(
-        "late message shortens the log",
-        "entries that are there are replaced, with all that follows them, also committed ones",
+        "delayed message truncates the log",
+        "matching entries are replaced, and later ones removed, even if committed",
         "leases",
         range(4),
         2,
-        ("replication.follower", "fresh = entries[known:]", "fresh = entries"),
-        ("replication.follower", "if first <= self.core.commit_index:", "if first <= 0:"),
+        ("replication.follower", "new_entries = entries[matching:]", "new_entries = entries"),
+        ("replication.follower", "if first_index <= self.core.commit_index:", "if first_index <= 0:"),
     ),
     mutant(
         "replaced entries count as synced",
-        "after a truncation what was synced before still counts",
-        "one by one",
+        "after a truncation, the removed entries still count as synced",
+        "single-entry appends",
         range(8),
         1,
-        ("replication.follower", "self.core.writes.truncated_from(first)", "pass"),
+        ("replication.follower", "self.core.writes.mark_unsynced_from(first_index)", "pass"),
     ),
     mutant(
         "own tail acknowledged",
-        "a follower acknowledges entries of its own beyond what the leader has sent",
-        "one by one",
+        "a follower acknowledges entries beyond those that the leader has sent",
+        "single-entry appends",
         (0, 1, 3, 17),
         3,
         (
@@ -121,51 +121,51 @@
         ),
     ),
     mutant(
-        "commit beyond the agreed log",
-        "a follower commits what the leader has, also where its own log is not known to agree",
+        "commit beyond the matching log",
+        "a follower commits up to the leader's commit index even where its log may not match",
         "members",
         (0, 1, 10, 34),
         10,
         (
             "replication.follower",
-            "min(message.commit_index, end)",
+            "min(message.commit_index, end_index)",
             "min(message.commit_index, log.last_index)",
         ),
     ),
     mutant(
-        "change before an own entry",
+        "membership change before a commit",
         "a leader changes the members before an entry of its term is committed",
         "members",
         range(8),
         2,
         (
             "replication.leadership",
-            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
-            "if core.log.members_index > core.commit_index or self.transferring(now):",
+            "if not self.is_ready or core.log.members_index > core.commit_index",
+            "if core.log.members_index > core.commit_index",
         ),
     ),
     mutant(
-        "two changes at once",
-        "a change of the members begins before the one before it is committed",
+        "two membership changes at once",
+        "a membership change starts before the previous one is committed",
         "members",
         range(4),
         1,
         (
             "replication.leadership",
-            "if not self.is_ready or core.log.members_index > core.commit_index or self.transferring(now):",
-            "if not self.is_ready or self.transferring(now):",
+            "core.log.members_index > core.commit_index or self.is_transferring(now):",
+            "self.is_transferring(now):",
         ),
     ),
     mutant(
-        "change keeps the old majority",
-        "a truncated change of the members stays in force",
-        "planned ends",
+        "truncated membership change",
+        "a membership change stays in force after its entry was truncated",
+        "planned stops",
         (0, 97, 145, 151),
         97,
         (
             "replication.log",
-            "while self._members and self._members[-1].entry_index >= index:",
-            "while self._members and self._members[-1].entry_index >= index + (1 << 60):",
+            "self._membership_history[-1].entry_index >= index:",
+            "self._membership_history[-1].entry_index >= index + (1 << 60):",
         ),
     ),
 )
@@ -177,11 +177,11 @@
         "power",
         range(4),
         0,
-        ("replication.group", "state = self.machine.save()", "state = self.machine.save()[:-8]"),
+        ("replication.group", "state = self.state_machine.save()", "state = self.state_machine.save()[:-8]"),
     ),
     mutant(
         "snapshot without members",
-        "a snapshot forgets who the voters are",
+        "a snapshot lacks the voters",
         "power",
         range(4),
         0,
@@ -193,7 +193,7 @@
     ),
     mutant(
         "entry after a snapshot lost",
-        "the first entry after a snapshot is not written behind it",
+        "the first entry after a snapshot is not written with it",
         "power",
         range(4),
         0,
@@ -205,7 +205,7 @@
     ),
     mutant(
         "installed snapshot keeps any tail",
-        "entries after an installed snapshot stay, whether the log agrees with it or not",
+        "entries after an installed snapshot are kept even if the log does not match it",
         "diverging tail",
         range(4),
         0,
@@ -217,10 +217,10 @@
     ),
     mutant(
         "installed snapshot not loaded",
-        "the state machine goes on without the snapshot that was installed",
+        "the state machine does not load an installed snapshot",
         "power",
         range(4),
         0,
-        ("replication.group", "self.machine.load(outputs.installed.state)", "pass"),
+        ("replication.group", "self.state_machine.load(outputs.installed.state)", "pass"),
     ),
 )
