--- a/tests/fleet/replication/process.py
+++ b/tests/fleet/replication/process.py
@@ -194,27 +194,29 @@
             voted = self.synced.has_voted(message.term, outgoing.to.incarnation)
             require(voted, Invariant.SENT_AFTER_SYNC, f"a vote in term {message.term} is not synced")
         elif isinstance(message, AppendReply) and message.accepted and message.term == core.term:
-            synced = self.synced.has_entry(message.synced_index, core.log.term_at(message.synced_index))
-            require(synced, Invariant.SENT_AFTER_SYNC, f"entry {message.synced_index} is not synced")
+            is_synced = self.synced.has_entry(message.synced_index, core.log.term_at(message.synced_index))
+            require(is_synced, Invariant.SENT_AFTER_SYNC, f"entry {message.synced_index} is not synced")
 
     def _report_commits(self) -> None:
         replica, oracle = self.group.replica, self.cluster.oracle
-        commit_index, log = replica.commit_index, replica.core.log
-        if commit_index <= self.reported_commit_index:
+        last_committed, log = replica.commit_index, replica.core.log
+        if last_committed <= self.reported_commit_index:
             return
-        for index in range(max(self.reported_commit_index, log.base_index) + 1, commit_index + 1):
+        for index in range(max(self.reported_commit_index, log.base_index) + 1, last_committed + 1):
             entry = log.entry(index)
             oracle.on_entry_committed(index, entry.term)
             if entry.kind is EntryKind.MEMBERS:
                 oracle.voters[index] = decode_members(entry.payload)
-        self.reported_commit_index = commit_index
+        self.reported_commit_index = last_committed
         if replica.leadership is not None:
-            is_own = log.term_at(commit_index) == replica.term
+            is_own = log.term_at(last_committed) == replica.term
             require(
-                is_own, Invariant.COMMIT_OWN_TERM, f"entry {commit_index} is committed in term {replica.term}"
+                is_own,
+                Invariant.COMMIT_OWN_TERM,
+                f"entry {last_committed} is committed in term {replica.term}",
             )
-            self._check_majority(commit_index)
-            oracle.on_leader_commit(replica.term, commit_index)
+            self._check_majority(last_committed)
+            oracle.on_leader_commit(replica.term, last_committed)
 
     def _check_voters(self) -> None:
         """Check that the voters in force are named by an entry of the log or by its snapshot."""
@@ -333,7 +335,7 @@
             self.perform(self.group.on_disk_error(self.now()))
         self._poll_disk(0.0 if succeeded else 0.1)
 
-    def kill(self) -> None:
+    def crash(self) -> None:
         """Kill the process, possibly in the middle of a write."""
         self.alive = False
         disk = self.machine.disk
--- a/tests/fleet/replication/scenarios.py
+++ b/tests/fleet/replication/scenarios.py
@@ -91,18 +91,18 @@
     term = owner.group.replica.term
     end = cluster.now + QUOTA_DURATION
 
-    def freeze(machine: Machine) -> None:
+    def freeze_machine(machine: Machine) -> None:
         cluster.freeze(machine)
         cluster.schedule(cluster.now + QUOTA_FROZEN, lambda: resume(machine))
 
     def resume(machine: Machine) -> None:
         cluster.unfreeze(machine)
         if cluster.now < end:
-            cluster.schedule(cluster.now + QUOTA_PERIOD - QUOTA_FROZEN, lambda: freeze(machine))
+            cluster.schedule(cluster.now + QUOTA_PERIOD - QUOTA_FROZEN, lambda: freeze_machine(machine))
 
     for machine in cluster.machines.values():
         cluster.schedule(
-            cluster.now + cluster.rng.uniform(0.0, QUOTA_PERIOD), lambda each=machine: freeze(each)
+            cluster.now + cluster.rng.uniform(0.0, QUOTA_PERIOD), lambda each=machine: freeze_machine(each)
         )
     acknowledged = len(owner.state_machine.commands)
     cluster.run(end + 1.0)
--- a/tests/fleet/replication/simulated_cluster.py
+++ b/tests/fleet/replication/simulated_cluster.py
@@ -125,7 +125,7 @@
 
     def kill(self, machine: Machine) -> None:
         if machine.process is not None:
-            machine.process.kill()
+            machine.process.crash()
             machine.process = None
         machine.deferred.clear()
         machine.frozen = False
--- a/tests/fleet/replication/test_transfer.py
+++ b/tests/fleet/replication/test_transfer.py
@@ -134,9 +134,9 @@
     status = status_of(owner)
     assert (status.role, status.owned, status.owner) == (Role.LEADER, True, owner.machine.address)
     assert status.commit_index == status.applied_index == status.last_index
-    replicas = {replica.member.address: replica for replica in status.replicas}
+    replicas = {replica_status.member.address: replica_status for replica_status in status.replicas}
     assert len(replicas) == len(status.replicas) == 3
-    assert all(replica.is_voter for replica in status.replicas)
+    assert all(replica_status.is_voter for replica_status in status.replicas)
     assert replicas[owner.machine.address].synced_index == status.last_index
     assert replicas[second.machine.address].synced_index == status.last_index
     unresponsive = replicas[first.machine.address]
@@ -150,8 +150,8 @@
     status = status_of(first)
     assert (status.role, status.owned, status.owner) == (Role.FOLLOWER, False, owner.machine.address)
     assert status.own == status.replicas[0].member == first.group.replica.identity
-    assert [replica.synced_index for replica in status.replicas[1:]] == [None, None]
-    assert {replica.member.address for replica in status.replicas} == set(cluster.machines)
+    assert [replica_status.synced_index for replica_status in status.replicas[1:]] == [None, None]
+    assert {replica_status.member.address for replica_status in status.replicas} == set(cluster.machines)
 
 
 def test_the_status_distinguishes_learners_from_voters() -> None:
@@ -164,7 +164,9 @@
     cluster.freeze(victim.machine)
 
     def learner() -> bool:
-        learners = [replica for replica in status_of(owner).replicas if not replica.is_voter]
-        return [replica.member.address for replica in learners] == [spare.machine.address]
+        learners = [
+            replica_status for replica_status in status_of(owner).replicas if not replica_status.is_voter
+        ]
+        return [replica_status.member.address for replica_status in learners] == [spare.machine.address]
 
     cluster.run_until(learner, 4.0)
