--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -1,11 +1,12 @@
-"""All decisions for prompts: `PromptBalancer` takes an event and returns the actions that it calls for.
-
-1. A request that is not retryable is never sent again unless its earlier attempts surely did not run. It is
-   rejected only in that case; otherwise it fails.
-2. A request reaches at most `max_attempts` backends, and each after its first is paid from the retry budget.
-   A failed connection reached no backend, and the next backend follows at once.
-3. Nothing is rejected while a backend has capacity. What finds none is queued briefly, by priority.
-4. A time-out of a backend counts only while others respond (`attempt_timeouts.py`).
+"""Load balancing of prompt requests: `PromptBalancer` maps each event to the actions of the router.
+
+1. A request that is not retryable is sent again only if none of its earlier attempts can have run. A request
+   is rejected only if none of its attempts can have run; otherwise it fails.
+2. A request reaches at most `max_attempts` backends, and each backend after the first costs a token of the
+   retry budget. A failed connection reaches no backend; the next backend is tried at once.
+3. No request is rejected while a backend has capacity. While none has, requests are queued for a short time
+   and dispatched by priority.
+4. A time-out ejects a backend only while other backends respond (`attempt_timeouts.py`).
 """
 
 from __future__ import annotations
@@ -34,31 +35,32 @@
 from firvane.fleet.placement.service import Service
 from firvane.fleet.placement.services import RetryLimits, Services
 
-WINDOW_TOKEN = 0  # of the timer that ends a window; those of requests are above
-MAX_ATTEMPTS = 8  # of one request, those that reached no backend included
-QUEUE_TIME_RATIO = 0.2  # of the latency target
+WINDOW_TOKEN = 0  # token of the timer that ends a window; tokens of request timers are larger
+MAX_ATTEMPTS = 8  # attempts of one request, including those that reached no backend
+QUEUE_TIME_RATIO = 0.2  # longest time in the queue, as a ratio of the latency target
 MAX_QUEUE_TIME_S = 0.25
-QUEUE_TIME_DEADLINE_PART = 4  # a request is queued for at most a fourth of its time
+QUEUE_TIME_DEADLINE_DIVISOR = 4  # a request is queued for at most a quarter of the time to its deadline
 NO_BACKEND_RETRY_AFTER_S = 0.3
 NO_INSTANCES_RETRY_AFTER_S = 1.0  # longer, since a client retries only a few times
 MIN_RETRY_AFTER_JITTER = 0.8
 MAX_RETRY_AFTER_JITTER = 1.2
-ANNOUNCED_PREFILL_TOKENS = 1000  # attempts that prefill as much are announced at once
+ANNOUNCED_PREFILL_TOKENS = 1000  # an attempt that prefills at least this many is announced at once
 MIN_TIMER_S = 0.001
-TIMER_TOLERANCE_S = 0.001  # a timer may fire early by this
-EXPIRY_CHECK_WINDOWS = 8
+TIMER_TOLERANCE_S = 0.001  # a timer may fire this much early
+EXPIRY_CHECK_WINDOWS = 8  # from one check for expired attempts to the next
 
 
 class PromptBalancer:
-    """One router's decisions for prompts.
+    """The load balancer of one router for prompt requests.
 
     Attributes:
         services: All services by name.
-        pending_requests: Requests without a final answer, by id.
-        queue: Those of them that wait for capacity.
-        attempts: Open attempts by request id and number.
-        exchange: The exchange of rows with the other routers.
-        announcement_due: Whether a long prompt was sent or a trial failed since the last row.
+        pending_requests: Requests without a final response, by id.
+        queue: Pending requests that wait for a backend with capacity.
+        attempts: Open attempts by request id and attempt number.
+        exchange: The exchange of rows (load reports) with the other routers.
+        announcement_due: Whether a long prompt was sent or a trial failed since the last row, so that the
+            next window sends a row.
     """
 
     def __init__(
@@ -71,15 +73,15 @@
         retry_slack: float = 0.0,
         zone: str = "",
     ) -> None:
-        """Start without services and peers.
+        """Create a balancer without services and peers.
 
         Args:
-            settings: Settings of the decisions.
-            seed: Seed of the random draws.
+            settings: Settings of the balancer.
+            seed: Seed of the random number generator.
             now: The current time in monotonic seconds.
             retry_ratio: Retries per request that each service may have, over all routers.
-            retry_slack: Retries beyond that which each service may have in any window of the rule.
-            zone: Name of the own zone as instances give it; without it, zones do not matter.
+            retry_slack: Retries that each service may have in any window in addition to `retry_ratio`.
+            zone: Name of this router's zone, as in the instance records; zones are ignored if it is empty.
         """
         self.settings, self.random = settings, random.Random(seed)
         limits = RetryLimits(retry_ratio, retry_slack)
@@ -109,14 +111,14 @@
         }
 
     def start(self, now: float) -> list[api.Action]:
-        """Return the first actions: ask the peers for rows, and start the windows."""
+        """Return the initial actions: request rows from the peers, and start the window timer."""
         self.actions = []
         self._announce(RowFlags.ASK, now)
         self._on_window(now)
         return self.actions
 
     def handle(self, event: api.Event | PlacementEvent, now: float) -> list[api.Action]:
-        """Return the actions that an event calls for; `now` in monotonic seconds."""
+        """Return the actions that an event requires; `now` is in monotonic seconds."""
         self.actions = []
         if handler := self.handlers.get(type(event)):
             handler(event, now)
@@ -127,7 +129,7 @@
         self.settings = settings
 
     def take_budget_metrics(self, now: float) -> dict[str, RetryBudgetMetrics]:
-        """Return the metrics of each service's retry budget and reset their counts."""
+        """Return the metrics of each service's retry budget by service name, and reset their counts."""
         return {name: service.retry_budget.take_metrics(now) for name, service in self.services.items()}
 
     # Requests
@@ -137,7 +139,7 @@
         queue_time = min(
             QUEUE_TIME_RATIO * request.latency_target,
             MAX_QUEUE_TIME_S,
-            request.time_left / QUEUE_TIME_DEADLINE_PART,
+            request.time_left / QUEUE_TIME_DEADLINE_DIVISOR,
         )
         service = self.services.draw(request.services)
         pending = PendingRequest(request, prompt, service.name, now + request.time_left, now + queue_time)
@@ -149,7 +151,7 @@
             self._dispatch(pending, now)
 
     def _dispatch(self, pending: PendingRequest, now: float) -> None:
-        """Send, queue or end a request without an open attempt."""
+        """Send, queue or end a request that has no open attempt."""
         service = self.services[pending.service]
         over_budget = pending.attempts_reached > 0 and not service.retry_budget.allows(now)
         exhausted = not pending.has_attempts_left or pending.attempts_made >= MAX_ATTEMPTS
@@ -167,7 +169,7 @@
         self._set_timer(pending, pending.queue_until - now)
 
     def _dispatch_queued(self, now: float) -> None:
-        """Dispatch queued requests until one finds no capacity."""
+        """Dispatch queued requests until no backend has capacity for one of them."""
         for pending in self.queue.by_priority():
             self.queue.discard(pending)
             self._dispatch(pending, now)
@@ -190,7 +192,7 @@
                 self._announce(RowFlags.NONE, now)
 
     def _finish(self, pending: PendingRequest, now: float) -> None:
-        """Give the final answer: a rejection where nothing has run or may run, a failure otherwise."""
+        """End a request: reject it if none of its attempts can have run, fail it otherwise."""
         if pending.may_have_run or pending.response_started:
             self._close(pending)
             self.actions.append(api.Fail(pending.request.id))
@@ -205,17 +207,17 @@
         self.actions.append(api.Reject(pending.request.id, retry_after))
 
     def _close(self, pending: PendingRequest) -> None:
-        """Forget a request that needs no answer any more, and cancel its open attempts."""
+        """Remove a request that needs no further response, and cancel its open attempts."""
         self.pending_requests.pop(pending.request.id, None)
         self.queue.discard(pending)
         self.actions.extend(api.Cancel(pending.request.id, number) for number in pending.in_flight)
 
-    def _set_timer(self, pending: PendingRequest, span: float) -> None:
+    def _set_timer(self, pending: PendingRequest, delay: float) -> None:
         request_id = pending.request.id
-        self.actions.append(api.SetTimer(max(MIN_TIMER_S, span), request_id + 1, request_id))
+        self.actions.append(api.SetTimer(max(MIN_TIMER_S, delay), request_id + 1, request_id))
 
     def may_continue(self, request_id: int, now: float) -> bool:
-        """Return whether a started stream would be continued elsewhere if its attempt were given up now."""
+        """Return whether a started stream could continue at another server if its attempt ended now."""
         pending = self.pending_requests.get(request_id)
         if pending is None or not pending.request.retryable:
             return False
@@ -265,7 +267,7 @@
     def _end_attempt(
         self, pending: PendingRequest, attempt: Attempt, outcome: api.Outcome, now: float
     ) -> None:
-        """Apply the end of an attempt to its request."""
+        """Update a request after the end of one of its attempts, and dispatch it again if necessary."""
         if outcome.result.never_ran:
             pending.may_have_run -= 1
             pending.attempts_reached -= outcome.result is not api.Result.OVERLOADED
@@ -296,7 +298,7 @@
                 self._check_attempts(pending, now)
 
     def _check_attempts(self, pending: PendingRequest, now: float) -> None:
-        """Check the attempts of a request that has had no event for longer than expected."""
+        """Check the attempts of a request that has received no event within the expected time."""
         service = self.services[pending.service]
         for attempt in list(pending.in_flight.values()):
             backlog = attempt.server.prefill_backlog(service.throughput.prefill_rate.value, now)
@@ -306,13 +308,13 @@
                 self._set_timer(pending, attempt_timeouts.next_check_delay(attempt, now))
 
     def _eject_unresponsive(self, server: ServerView, now: float) -> None:
-        """Eject a server that does not respond, and announce it at once."""
+        """Eject an unresponsive server, and announce this to the peers at once."""
         if not health.is_ejected(server) or server.on_trial:
             health.eject_unresponsive(server, now)
             self._announce(RowFlags.NONE, now)
 
     def _reroute(self, pending: PendingRequest, attempt: Attempt, service: Service, now: float) -> bool:
-        """Replace a timed-out or late attempt by one at another server; False where that may not be."""
+        """Replace a timed-out or late attempt by one at another server; return whether this was done."""
         timed_out = attempt_timeouts.is_timed_out(attempt, now)
         request = pending.request
         allowed = request.retryable and pending.has_attempts_left and service.retry_budget.allows(now)
@@ -320,13 +322,13 @@
         if server is None:
             return False
         prefill_tokens = service.prefill_tokens(pending.prompt, server)
-        elsewhere = service.expected_first_event(server, prefill_tokens, now)
-        remaining = attempt.server.queueing_delay(service.throughput.prefill_rate.value, now)
+        expected_elsewhere = service.expected_first_event(server, prefill_tokens, now)
+        remaining_wait = attempt.server.queueing_delay(service.throughput.prefill_rate.value, now)
         if not timed_out and not attempt_timeouts.is_faster_elsewhere(
-            attempt, remaining, elsewhere, request.latency_target, now
+            attempt, remaining_wait, expected_elsewhere, request.latency_target, now
         ):
             return False
-        if now + elsewhere > pending.deadline:
+        if now + expected_elsewhere > pending.deadline:
             return False
         del pending.in_flight[attempt.number]
         self.actions.append(api.Cancel(request.id, attempt.number))
@@ -351,7 +353,7 @@
         self._dispatch_queued(now)
 
     def _expire_attempts(self, now: float) -> None:
-        """Drop attempts whose end was never reported, so that none counts for ever."""
+        """Drop attempts whose end was never reported, so that they do not stay open for ever."""
         for key, attempt in list(self.attempts.items()):
             if now > attempt.expires_at:
                 del self.attempts[key]
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -1,14 +1,15 @@
-"""Passive health checks: what responses, failures and time-outs tell of a server.
+"""Passive health checks: servers are ejected by the responses, failures and time-outs of requests.
 
 1. Consecutive failures, or time-outs of all open attempts, eject a server. After its ejection time it gets a
    single trial request; the ejection time doubles with each failure, and any response ends the ejection.
 2. At least half of the ready servers of a service stay in use.
-3. Rows tell which servers the sender itself found unresponsive, and when each server last responded to it.
-   A response to a peer counts here as well. Two peers' suspicions, or one beside a time-out here, make a
-   server suspect that has not responded to anyone lately; that is not announced in turn, so that no false
-   suspicion spreads.
-4. The routers whose slice contains a server send its trial first. The others learn the result from them, so
-   that no more requests than needed wait at an unresponsive server.
+3. A row (load report) names the servers that its sender itself found unresponsive, and when each server last
+   responded to the sender. A response to a peer counts as a response to this router. A server that has
+   responded to no router lately becomes suspect if two peers suspect it, or if one peer does and it times
+   out at this router too. Suspicions taken over from peers are not announced, so that a false suspicion does
+   not spread.
+4. The routers whose slice contains a server send its trial first. The other routers learn the result from
+   their rows, so that as few requests as possible wait at an unresponsive server.
 """
 
 from __future__ import annotations
@@ -22,21 +23,21 @@
 FIRST_EJECTION_S = 0.3
 MAX_EJECTION_S = 4.0
 MAX_DOUBLINGS = 8
-OTHER_SLICE_FACTOR = 3.0  # times the ejection time where another router's slice contains the server
-RESPONSE_AGE_ANNOUNCED_S = 0.6  # older responses are not announced
-PEER_LATENCY_S = 0.01  # of a row
-MAX_FAILURES_EXCUSED_BY_PEERS = 3  # beyond, a response to a peer only makes a trial due
-LOCAL_TIMEOUT_BESIDE_PEER_S = 0.25  # without an event here, beside which one peer's suspicion is enough
-STREAM_STALL_S = 0.35  # without progress of any stream
+OTHER_SLICE_FACTOR = 3.0  # factor of the ejection time if the server is not in this router's slice
+MAX_ANNOUNCED_RESPONSE_AGE_S = 0.6  # older responses are not announced
+PEER_LATENCY_S = 0.01  # assumed latency of a row
+MAX_FAILURES_EXCUSED_BY_PEERS = 3  # after more failures, a response to a peer only makes a trial due
+LOCAL_TIMEOUT_BESIDE_PEER_S = 0.25  # time without an event after which one peer's suspicion suffices
+STREAM_STALL_S = 0.35  # time without progress of any stream
 TRIAL_TIMEOUT_S = 1.0
-SATURATED_S = 0.1  # after a rejection for lack of capacity
-MIN_SUSPECTING_PEERS = 2  # whose suspicion makes a server suspect here as well
-MIN_PROGRESS_EVENTS = 3  # from which on their lack is a sign
-PEER_SUSPICION_AGE_S = 1.0  # for which a peer's suspicion counts
+SATURATED_S = 0.1  # time without requests after a rejection for lack of capacity
+MIN_SUSPECTING_PEERS = 2  # so many suspecting peers make a server suspect without a local time-out
+MIN_PROGRESS_EVENTS = 3  # stalls are detected only at servers with at least so many progress reports
+MAX_PEER_SUSPICION_AGE_S = 1.0  # older suspicions of peers are ignored
 
 
 class Signal(Enum):
-    """What the end of an attempt tells of its server; the value is how many in a row eject it."""
+    """Type of a failure; the value is the number of consecutive failures that ejects the server."""
 
     UNREACHABLE = 2
     BROKEN = 3
@@ -53,7 +54,7 @@
 
 
 def record_response(server: ServerView, now: float) -> None:
-    """Record that the server responded to a request: it is healthy."""
+    """Record that the server responded to a request, which ends an ejection."""
     server.last_response_at = server.last_local_response_at = now
     server.consecutive_failures = 0
     server.ejected_until = 0.0
@@ -61,7 +62,7 @@
 
 
 def record_progress(server: ServerView, now: float) -> None:
-    """Record progress of a stream: the server is not unresponsive, whatever it does with new requests."""
+    """Record progress of a stream: the server is responsive, even if new requests get no response."""
     server.last_response_at = server.last_local_response_at = now
     if server.ejected_as_unresponsive and not server.on_trial:
         server.ejected_until = 0.0
@@ -74,12 +75,12 @@
 
 
 def is_failure(result: api.Result, started: bool) -> bool:
-    """Return whether the end of an attempt is a failure of its server; `started`: after its first event."""
+    """Return whether an attempt's end is a failure of its server; `started`: it came after an event."""
     return result in SIGNALS and not (result is api.Result.TIMEOUT and started)
 
 
 def record_end(server: ServerView, result: api.Result, started: bool, now: float) -> None:
-    """Record the end of an attempt; `started`: after its first event."""
+    """Record the end of an attempt; `started`: it came after the first event."""
     if is_failure(result, started):
         server.outcomes.record(False, now)
     if result is api.Result.OK:
@@ -89,34 +90,34 @@
     elif result is api.Result.OVERLOADED:
         record_rejection(server, now)
     elif result is api.Result.TIMEOUT and started:
-        pass  # the client's deadline passed
+        pass  # the request's deadline expired, which is no fault of the server
     elif signal := SIGNALS.get(result):
         record_failure(server, signal, now)
     elif server.on_trial and not started:
-        server.on_trial = False  # its client left: the next request is the trial
+        server.on_trial = False  # the trial was cancelled by its client: the next request is the trial
         server.ejected_until = min(server.ejected_until, now)
 
 
 def record_failure(server: ServerView, signal: Signal, now: float) -> None:
-    """Record a failed attempt, and eject the server where it is one too many."""
+    """Record a failed attempt; eject the server if it has failed too often or during its trial."""
     server.consecutive_failures += 1
     if server.consecutive_failures >= signal.value or server.on_trial:
         eject(server, now)
 
 
 def record_rejection(server: ServerView, now: float) -> None:
-    """Record that the server rejected a request for lack of capacity: it is healthy."""
+    """Record that the server rejected a request for lack of capacity, which is a sign of health."""
     record_response(server, now)
     server.saturated_until = now + SATURATED_S
 
 
 def eject_unresponsive(server: ServerView, now: float, locally: bool = True) -> None:
-    """Eject a server at which all open attempts time out while other servers respond.
+    """Eject a server whose open attempts all time out while other servers respond.
 
     Args:
         server: The server.
         now: The current time in seconds.
-        locally: Whether this router saw it itself, and not its peers only.
+        locally: Whether this router's own attempts timed out, and not only those of peers.
     """
     server.suspected_at = now
     server.suspected_locally = locally
@@ -126,7 +127,7 @@
 
 
 def eject(server: ServerView, now: float) -> None:
-    """Send nothing to a server for its ejection time, which doubles with each failure."""
+    """Eject a server for its ejection time, which doubles with each failure."""
     doublings = min(MAX_DOUBLINGS, max(0, server.consecutive_failures - Signal.UNREACHABLE.value))
     duration = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**doublings)
     server.ejected_until = now + (duration if server.in_own_slice else OTHER_SLICE_FACTOR * duration)
@@ -134,69 +135,69 @@
 
 
 def start_trial(server: ServerView, now: float) -> None:
-    """Record that an ejected server's trial is sent; no other request follows before its end is known."""
+    """Record that an ejected server's trial is sent; no other request is sent until the trial ends."""
     server.on_trial = True
     server.ejected_until = now + TRIAL_TIMEOUT_S
 
 
 def is_ejected(server: ServerView) -> bool:
-    """Return whether the server was ejected and has not responded since."""
+    """Return whether the server is ejected, or its ejection time is over but it has not responded since."""
     return server.ejected_until > 0.0
 
 
 def is_suspect(server: ServerView) -> bool:
-    """Return whether the server is ejected for being unresponsive."""
+    """Return whether the server is ejected as unresponsive."""
     return is_ejected(server) and server.suspected_at > server.last_response_at
 
 
 def is_suspected_locally(server: ServerView) -> bool:
-    """Return whether this router itself found the server unresponsive, and nobody got a response since."""
+    """Return whether this router's own attempts timed out, and no router got a response since."""
     return is_suspect(server) and server.suspected_locally
 
 
 def response_age(server: ServerView, now: float) -> float | None:
-    """Return the seconds since the server responded to this router; None where that is long ago."""
+    """Return the seconds since the server's last response to this router, or None if it is too old."""
     age = now - server.last_local_response_at
-    return age if age < RESPONSE_AGE_ANNOUNCED_S else None
+    return age if age < MAX_ANNOUNCED_RESPONSE_AGE_S else None
 
 
 def usable(servers: Sequence[ServerView], now: float) -> list[ServerView]:
-    """Return the servers that may be sent to: at least half of them."""
-    found = [server for server in servers if server.ejected_until <= now and server.outlier_until <= now]
+    """Return the servers that may receive requests: those not ejected, but at least half of all."""
+    healthy = [server for server in servers if server.ejected_until <= now and server.outlier_until <= now]
     required = (len(servers) + 1) // 2
-    if len(found) < required:
-        rest = sorted((server for server in servers if server not in found), key=_ejection_end)
-        found += rest[: required - len(found)]
-    return found
+    if len(healthy) < required:
+        ejected = sorted((server for server in servers if server not in healthy), key=_ejection_end)
+        healthy += ejected[: required - len(healthy)]
+    return healthy
 
 
 def any_peer_suspects(server: ServerView) -> bool:
-    """Return whether the last row of any peer names the server as unresponsive."""
+    """Return whether the last row of any peer reports the server as unresponsive."""
     return any(load.suspect for load in server.peer_loads.values())
 
 
 def apply_peer_suspicion(server: ServerView, now: float) -> None:
-    """Act on a peer's suspicion, which `peer_loads` already contains."""
+    """Apply a peer's suspicion, which `peer_loads` already contains, to the server's state."""
     if is_suspect(server) and not (server.in_own_slice or server.on_trial):
         latest = server.suspected_at + OTHER_SLICE_FACTOR * MAX_EJECTION_S
-        server.ejected_until = max(server.ejected_until, min(now + PEER_SUSPICION_AGE_S, latest))
+        server.ejected_until = max(server.ejected_until, min(now + MAX_PEER_SUSPICION_AGE_S, latest))
     if is_ejected(server) or now - server.last_response_at < LOCAL_TIMEOUT_BESIDE_PEER_S:
         return
-    suspecting = [
+    suspicions = [
         load
         for load in server.peer_loads.values()
-        if load.suspect and now - load.received_at < PEER_SUSPICION_AGE_S
+        if load.suspect and now - load.received_at < MAX_PEER_SUSPICION_AGE_S
     ]
     locally = bool(server.pending_prefills) and now - server.no_event_since >= LOCAL_TIMEOUT_BESIDE_PEER_S
-    if len(suspecting) >= MIN_SUSPECTING_PEERS or locally:
+    if len(suspicions) >= MIN_SUSPECTING_PEERS or locally:
         eject_unresponsive(server, now, locally)
 
 
 def apply_peer_response(server: ServerView, responded_at: float, now: float) -> None:
-    """Act on a server's response to a peer: it is not unresponsive, only slow here.
+    """Apply a server's response to a peer: the server is responsive, even if it is slow for this router.
 
-    Where this router alone gets no response time and again, its own path to the server is at fault, and a
-    trial decides.
+    If only this router repeatedly gets no response, its own network path to the server is probably at fault;
+    then the ejection ends only after a successful trial.
     """
     responded_at -= PEER_LATENCY_S
     server.last_response_at = max(server.last_response_at, responded_at)
@@ -211,7 +212,7 @@
 
 
 def streams_are_stalled(server: ServerView, servers: Iterable[ServerView], now: float) -> bool:
-    """Return whether no started stream of the server makes progress while other servers respond."""
+    """Return whether the server's started streams all make no progress while other servers respond."""
     streaming = server.in_flight - len(server.pending_prefills)
     if streaming <= 0 or server.progress_events < MIN_PROGRESS_EVENTS:
         return False
--- a/firvane/fleet/placement/pending_request.py
+++ b/firvane/fleet/placement/pending_request.py
@@ -1,4 +1,4 @@
-"""Requests that have no final answer yet, and their attempts. All times are in seconds."""
+"""Requests that have no final response yet, and their attempts. All times are in seconds."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     Attributes:
         number: Index among the attempts of the request.
         service: Name of the service.
-        server: The server that it was sent to.
-        sequence: Number that is unique while this router process lives.
-        prefill_tokens: Tokens that the server is believed to prefill for it.
-        backlog: Seconds of prefill that were ahead of it.
-        sent_at: When it was sent.
-        expected: Seconds until its first event is expected.
-        expires_at: When it is forgotten although no end was reported.
-        is_retry: Whether it was paid from the retry budget.
-        started: Whether its first event has come.
+        server: The server that the attempt was sent to.
+        sequence: Sequence number, unique within this router process.
+        prefill_tokens: Estimated tokens that the server prefills for the attempt.
+        backlog: Seconds of prefill that were outstanding at the server when the attempt was sent.
+        sent_at: When the attempt was sent.
+        expected: Seconds from `sent_at` to the expected first event.
+        expires_at: When the attempt is dropped if its end was not reported.
+        is_retry: Whether the attempt was paid from the retry budget.
+        started: Whether the first event was received.
     """
 
     number: int
@@ -40,20 +40,20 @@
 
 
 class PendingRequest(Struct, eq=False):
-    """A request that has no final answer yet.
+    """A request that has no final response yet.
 
     Attributes:
-        request: The request as it came.
-        prompt: Its prompt.
-        service: Name of the service that was drawn for it.
-        deadline: When its final answer is due.
-        queue_until: When it leaves the queue at the latest.
-        attempts_made: All attempts, those that reached no backend included.
-        attempts_reached: Attempts that reached a backend or may have.
-        may_have_run: Attempts that may run or may have run.
-        response_started: Whether the client got the head of a response.
+        request: The request as received from the client.
+        prompt: The request's prompt.
+        service: Name of the service that was drawn for the request.
+        deadline: When the final response is due.
+        queue_until: When the request leaves the queue at the latest.
+        attempts_made: Number of attempts, including those that reached no backend.
+        attempts_reached: Number of attempts that reached a backend or may have done so.
+        may_have_run: Number of attempts that may be running or may have run.
+        response_started: Whether the client has received the head of a response.
         in_flight: Open attempts by number.
-        attempted_servers: Ids of the servers that were tried.
+        attempted_servers: Ids of the servers that attempts were sent to.
     """
 
     request: PromptRequest
@@ -70,10 +70,10 @@
 
     @property
     def may_retry(self) -> bool:
-        """Whether a further attempt does no harm, whatever the earlier ones did."""
+        """Whether another attempt is allowed in view of earlier attempts that may have run."""
         return self.may_have_run == 0 or self.request.retryable
 
     @property
     def has_attempts_left(self) -> bool:
-        """Whether the request may reach one more backend."""
+        """Whether another backend may be tried under `max_attempts`."""
         return self.attempts_reached < self.request.max_attempts
--- a/firvane/fleet/placement/retry_budget.py
+++ b/firvane/fleet/placement/retry_budget.py
@@ -1,52 +1,53 @@
 """The retry budget of one service: this router's quota of the retries that all routers together may make.
 
-The rule: in any window, the retries of all routers stay below `ratio` x requests + `slack`. A router may be
-killed at any moment and loses all counts, so no decision depends on what an earlier process spent:
-
-1. Each router keeps a token bucket. A request adds `ratio` tokens, a retry takes one, and the bucket holds no
-   more than the router's quota of the slack.
-2. A new process starts with an empty bucket. What its predecessor spent was paid for by the predecessor's own
-   requests, or by the tokens of its bucket.
+In any window, the retries of all routers must stay below `ratio` x requests + `slack`. A router process may
+be killed at any moment and then loses all counts, so that no decision depends on the retries of an earlier
+process:
+
+1. Each router keeps a token bucket. A request adds `ratio` tokens, a retry takes one, and the capacity of the
+   bucket is the router's quota of the slack.
+2. A new process starts with an empty bucket. The retries of its predecessor were paid for by the
+   predecessor's own requests, or by the tokens in its bucket.
 3. The slack is divided by the number of routers that may exist, reachable or not: the largest number known
    within the longest time that a network partition may last (`RouterCount`).
 
-Over any span, and whichever routers are killed in it, the retries are at most `ratio` x the span's requests
-plus the tokens in the buckets at its start: at most `CAPACITY_RATIO` x the slack.
+Over any period, and whichever routers are killed in it, the retries are at most `ratio` x the period's
+requests plus the tokens in the buckets at its start, which are at most `CAPACITY_RATIO` x the slack.
 """
 
 from __future__ import annotations
 
 from msgspec import Struct
 
-CAPACITY_RATIO = 0.8  # of the slack that is divided among the routers
+CAPACITY_RATIO = 0.8  # part of the slack that is divided among the routers
 MIN_CAPACITY_TOKENS = 1.0  # a smaller bucket never allows a retry
-TOKEN_TOLERANCE = 1e-9  # rounding of sums of tokens
-ROUTER_COUNT_WINDOW_S = 300.0  # a router that left the membership still counts for this long
+TOKEN_TOLERANCE = 1e-9  # for rounding errors in sums of tokens
+ROUTER_COUNT_WINDOW_S = 300.0  # a router that left the membership still counts for this time
 
 
 class RouterCount:
-    """How many routers may spend from one budget: the most that were known within the window."""
+    """The number of routers that may spend from one budget: the maximum known within the window."""
 
     def __init__(self) -> None:
         self._current = 1
-        self._former: list[tuple[int, float]] = []  # (larger count, until when it held), largest first
+        self._former: list[tuple[int, float]] = []  # (larger count, when it became outdated), largest first
 
     def record(self, count: int, now: float) -> None:
-        """Record that `count` routers are known from now on, this one included."""
+        """Record that `count` routers are known from now on, including this one."""
         if count < self._current:
             self._former = [each for each in self._former if each[0] > self._current]
             self._former.append((self._current, now))
         self._current = max(1, count)
 
     def count(self, now: float) -> int:
-        """Return the divisor of the slack."""
+        """Return the number of routers among which the slack is divided."""
         while self._former and self._former[0][1] < now - ROUTER_COUNT_WINDOW_S:
             del self._former[0]
         return max(self._current, self._former[0][0] if self._former else 1)
 
 
 class RetryBudgetMetrics(Struct, frozen=True):
-    """Metrics of one budget; the counts are those since the previous metrics."""
+    """Metrics of one budget; counts are since the previous metrics were taken."""
 
     tokens: float
     capacity: float
@@ -64,7 +65,7 @@
         self._requests = self._retries = self._denied = 0
 
     def capacity(self, now: float) -> float:
-        """Return the most tokens that the bucket holds."""
+        """Return the capacity of the bucket in tokens."""
         return max(MIN_CAPACITY_TOKENS, CAPACITY_RATIO * self.slack / self.routers.count(now))
 
     def record_request(self, now: float) -> None:
@@ -73,13 +74,13 @@
         self._add(self.ratio, now)
 
     def allows(self, now: float) -> bool:
-        """Return whether one more retry is within the budget, and count a denial."""
+        """Return whether the budget allows one more retry; a denial is counted."""
         allowed = self.has_token(now)
         self._denied += not allowed
         return allowed
 
     def has_token(self, now: float) -> bool:
-        """Return whether one more retry would be allowed."""
+        """Return whether the budget would allow one more retry, without counting a denial."""
         self._add(0.0, now)
         return self._tokens >= 1.0 - TOKEN_TOLERANCE
 
@@ -89,7 +90,7 @@
         self._tokens -= 1.0
 
     def refund(self, now: float) -> None:
-        """Give back the token of a retry that reached no backend."""
+        """Return the token of a retry that reached no backend to the bucket."""
         self._retries -= 1
         self._add(1.0, now)
 
--- a/firvane/fleet/placement/server_view.py
+++ b/firvane/fleet/placement/server_view.py
@@ -1,7 +1,7 @@
 """One router's view of one model server: its load, its health and its prefix cache.
 
-The server reports none of it. The view follows from what was sent there: by this router exactly, and by its
-peers as their rows tell. All times are in seconds.
+The server reports none of these. They are derived from the requests sent to the server: exactly for this
+router's own requests, and from the rows (load reports) of its peers for theirs. All times are in seconds.
 """
 
 from __future__ import annotations
@@ -14,26 +14,26 @@
 
 from firvane.fleet.placement.prefix_cache import PrefixCacheView
 
-STREAM_TOKENS = 64  # prompt tokens that weigh as much as one running stream
-OUTCOME_DECAY_S = 1.0  # counts of outcomes decay to 1/e
-LAG_DECAY = 2.0  # seconds of lag that decay per second
-NEVER = -1e9  # before the start of any clock
+STREAM_TOKENS = 64  # load of one running stream, in prompt tokens
+OUTCOME_DECAY_S = 1.0  # time in which outcome counts decay to 1/e
+LAG_DECAY = 2.0  # seconds by which a lag decreases per second
+NEVER = -1e9  # earlier than any clock reading
 
 
-def decay(span: float) -> float:
-    """Return the ratio of an outcome count that is left after `span` seconds."""
-    return math.exp(-max(0.0, span) / OUTCOME_DECAY_S)
+def decay(elapsed: float) -> float:
+    """Return the ratio of an outcome count that remains after `elapsed` seconds."""
+    return math.exp(-max(0.0, elapsed) / OUTCOME_DECAY_S)
 
 
 class PeerLoad(Struct):
-    """What a peer's row said of a server.
+    """The load and health of a server as reported by a peer's row.
 
     Attributes:
-        in_flight: Its open attempts there.
-        tokens: Tokens of prompts that were not prefilled yet.
-        received_at: When the row came.
-        suspect: Whether the peer itself found the server unresponsive.
-        failures: Decayed count of its failures there, as of `received_at`.
+        in_flight: The peer's open attempts at the server.
+        tokens: Tokens of the peer's prompts that were not prefilled yet.
+        received_at: When the row was received.
+        suspect: Whether the peer's own attempts found the server unresponsive.
+        failures: Decayed count of the peer's failed attempts at the server, as of `received_at`.
     """
 
     in_flight: int
@@ -48,7 +48,7 @@
 
 
 class Outcomes:
-    """Decaying counts of a server's successes and failures."""
+    """Exponentially decaying counts of a server's successes and failures."""
 
     __slots__ = ("_at", "_failures", "_successes")
 
@@ -56,7 +56,7 @@
         self._at = self._failures = self._successes = 0.0
 
     def record(self, success: bool, now: float) -> None:
-        """Count a request that has ended, or whose response has started."""
+        """Count a request that has failed, or whose response has started or completed."""
         remaining = decay(now - self._at)
         self._at = now
         self._failures = self._failures * remaining + (not success)
@@ -72,10 +72,10 @@
 
 
 class PendingPrefill(NamedTuple):
-    """An attempt without an event."""
+    """An attempt that has received no event yet."""
 
-    tokens: float  # to prefill
-    due: float  # when its first event is expected
+    tokens: float  # that the server has to prefill
+    due: float  # when the first event is expected
 
 
 class ServerView(Struct, eq=False):
@@ -83,35 +83,35 @@
 
     Attributes:
         id_hash: CRC-32 of the id, which names the server in rows.
-        ready: Whether it is neither draining nor gone.
-        in_own_slice: Whether this router's home slice contains it.
+        ready: Whether the server is neither draining nor gone.
+        in_own_slice: Whether this router's home slice contains the server.
         in_flight: Open attempts of this router.
-        pending_prefills: Attempts without an event by sequence, in the order in which they were sent.
-        pending_prefill_tokens: Sum of their tokens.
-        no_event_since: When the oldest of them was sent, or one before it had its event.
-        prefill_until: When they should all be prefilled.
-        lag: Seconds by which the last first event was later than expected, as of `lag_at`.
-        peer_loads: What each peer has in flight there.
-        prefilling_peers: Those of `peer_loads` that have prompts to prefill.
+        pending_prefills: This router's attempts without an event by sequence, in the order of sending.
+        pending_prefill_tokens: Sum of the tokens of `pending_prefills`.
+        no_event_since: When the last first event came, or when the oldest pending prefill was sent if later.
+        prefill_until: When all pending prefills are expected to be complete.
+        lag: Seconds by which the latest first event was later than expected, as of `lag_at`.
+        peer_loads: The last report of each peer about the server, by router number.
+        prefilling_peers: The entries of `peer_loads` with prompts to prefill.
         peers_in_flight: Open attempts of all peers.
-        slowdown: How many times longer than the other servers it takes.
-        announced_own_load: Load of this router there in prompt tokens, as its last row said.
-        last_response_at: When it last sent anything to any router.
-        last_local_response_at: When it last sent anything to this router.
-        progress_events: Reports of progress of its streams; without any, their lack means nothing.
+        slowdown: Time to the first event as a multiple of that of the other servers.
+        announced_own_load: This router's load on the server in prompt tokens, as of its last row.
+        last_response_at: When the server last sent anything to any router.
+        last_local_response_at: When the server last sent anything to this router.
+        progress_events: Number of progress reports for its streams; without any, stalls are not detected.
         consecutive_failures: Failures since its last response.
-        ejected_until: No requests go there before this, and a single trial after; 0 when not ejected.
-        on_trial: Whether its trial is in flight.
-        suspected_at: When it last became suspect by being unresponsive.
-        suspected_locally: Whether this router's own attempts were unresponsive then.
-        ejected_as_unresponsive: Whether it is ejected for that and not for failures.
+        ejected_until: Until when the server gets no requests; then it gets one trial. 0 if it is not ejected.
+        on_trial: Whether its trial request is in flight.
+        suspected_at: When it was last ejected as unresponsive.
+        suspected_locally: Whether that was because of this router's own attempts.
+        ejected_as_unresponsive: Whether the present ejection is for unresponsiveness and not for failures.
         outcomes: Outcomes of this router's requests.
-        outlier_until: It is ejected as an outlier until then.
-        outlier_ejections: Number of such ejections in a row.
-        outlier_ejected_at: Time of the last of them.
-        trial_starts_at: When its trial as an outlier starts.
+        outlier_until: Until when it is ejected as an outlier.
+        outlier_ejections: Number of consecutive ejections as an outlier.
+        outlier_ejected_at: When it was last ejected as an outlier.
+        trial_starts_at: When the trial after its ejection as an outlier starts.
         trial_failed_at: When a request of this router last failed in such a trial.
-        saturated_until: It rejected a request and is believed to be at capacity until then.
+        saturated_until: Until when it is believed to be at capacity, after it rejected a request.
     """
 
     id: str
@@ -157,11 +157,11 @@
     def start_attempt(
         self, sequence: int, tokens: float, expected: float, prefill_rate: float, now: float
     ) -> None:
-        """Record that an attempt is sent.
+        """Record that an attempt is sent to the server.
 
         Args:
-            sequence: The attempt's number.
-            tokens: Tokens of its prompt to prefill.
+            sequence: Sequence number of the attempt.
+            tokens: Tokens that the server has to prefill.
             expected: Seconds until its first event is expected.
             prefill_rate: Tokens per second.
             now: The current time.
@@ -174,11 +174,11 @@
         self.prefill_until = max(now, self.prefill_until) + tokens / prefill_rate
 
     def end_prefill(self, sequence: int, prefill_rate: float, now: float) -> None:
-        """Record the first event of an attempt, or its end before that."""
-        found = self.pending_prefills.pop(sequence, None)
-        if found is None:
+        """Record the first event of an attempt, or its end without an event."""
+        prefill = self.pending_prefills.pop(sequence, None)
+        if prefill is None:
             return
-        tokens = found.tokens
+        tokens = prefill.tokens
         self.no_event_since = now
         self.pending_prefill_tokens = self.pending_prefill_tokens - tokens if self.pending_prefills else 0.0
         self.prefill_until = min(self.prefill_until, now + self.pending_prefill_tokens / prefill_rate)
@@ -189,18 +189,18 @@
         self.in_flight = max(0, self.in_flight - 1)
 
     def remaining_prefill_tokens(self, prefill_rate: float, now: float) -> float:
-        """Return the tokens of this router's prompts that are believed to await prefill."""
+        """Return the estimated tokens of this router's prompts that are not prefilled yet."""
         return min(self.pending_prefill_tokens, max(0.0, self.prefill_until - now) * prefill_rate)
 
     def record_lag(self, lag: float, now: float) -> None:
-        """Record by how many seconds a first event was later than without a backlog."""
+        """Record by how many seconds a first event was later than expected without a backlog."""
         self.lag, self.lag_at = max(0.0, lag), now
 
     def queueing_delay(self, prefill_rate: float, now: float) -> float:
-        """Return the seconds until the server gets to a new prompt.
+        """Return the expected seconds until the server starts to prefill a new prompt.
 
-        It is the prefill backlog, or the lateness of this router's own attempts where that is longer, since
-        lateness shows work of other routers that is not known here.
+        This is the prefill backlog or the delay of this router's own attempts, whichever is longer: delays
+        reveal work of other routers that this router has no report of.
         """
         delay = self.prefill_backlog(prefill_rate, now)
         if self.pending_prefills:
@@ -210,7 +210,7 @@
         return delay
 
     def prefill_backlog(self, prefill_rate: float, now: float) -> float:
-        """Return the seconds of prefill that are known to be ahead, those of the peers included."""
+        """Return the seconds of outstanding prefill of all routers, as far as known."""
         backlog = max(0.0, self.prefill_until - now)
         if self.prefilling_peers:
             backlog += self._peers_backlog(prefill_rate, now)
@@ -219,9 +219,9 @@
     def _peers_backlog(self, prefill_rate: float, now: float) -> float:
         backlog = 0.0
         for number, peer in list(self.prefilling_peers.items()):
-            left = peer.tokens / prefill_rate - (now - peer.received_at)
-            if left > 0.0:
-                backlog += left
+            remaining = peer.tokens / prefill_rate - (now - peer.received_at)
+            if remaining > 0.0:
+                backlog += remaining
             else:
                 del self.prefilling_peers[number]
         return backlog
@@ -233,12 +233,12 @@
         )
 
     def announced_load(self) -> float:
-        """Return the load of all routers in prompt tokens as their rows said: the figure that all share."""
+        """Return the load of all routers in prompt tokens as of their last rows, the same at all routers."""
         peers = sum(peer.tokens + STREAM_TOKENS * peer.in_flight for peer in self.peer_loads.values())
         return self.announced_own_load + peers
 
     def update_peer_load(self, peer: int, load: PeerLoad | None) -> None:
-        """Replace what a peer has in flight there; None where it has nothing."""
+        """Replace a peer's report about the server; None if the peer has nothing to report."""
         old = self.peer_loads.pop(peer, None)
         self.prefilling_peers.pop(peer, None)
         if old:
--- a/tests/fleet/placement/test_health.py
+++ b/tests/fleet/placement/test_health.py
@@ -179,7 +179,7 @@
     assert health.response_age(one, NOW) is None
     health.record_response(one, NOW)
     assert health.response_age(one, NOW + 0.2) == pytest.approx(0.2)
-    assert health.response_age(one, NOW + health.RESPONSE_AGE_ANNOUNCED_S + 0.01) is None
+    assert health.response_age(one, NOW + health.MAX_ANNOUNCED_RESPONSE_AGE_S + 0.01) is None
 
 
 def test_stalled_streams_count_where_progress_is_reported_and_others_respond() -> None:
