--- a/firvane/fleet/placement/announcement.py
+++ b/firvane/fleet/placement/announcement.py
@@ -1,4 +1,4 @@
-"""Building this router's row, and applying the rows of its peers to the view of the servers."""
+"""Building this router's row (load report), and applying the rows of its peers to the server views."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from firvane.fleet.placement.service import Service
 from firvane.fleet.placement.slices import WORK_UNIT_TOKENS
 
-SERVED_RATE_WINDOWS = 3  # that the announced rate of service covers
-EJECTED_CAPACITY_RATIO = 0.5  # of an ejected server's capacity that counts
-UNEXPECTED_FACTOR = 2.0  # times its even part that a slice gets from a peer
-UNEXPECTED_MARGIN_TOKENS = 4 * WORK_UNIT_TOKENS  # and so many beyond that
+SERVED_RATE_WINDOWS = 3  # windows over which the announced service rate is averaged
+EJECTED_CAPACITY_RATIO = 0.5  # part of an ejected server's capacity that counts
+UNEXPECTED_FACTOR = 2.0  # an unexpected offload exceeds this multiple of an even share of the peer's load
+UNEXPECTED_MARGIN_TOKENS = 4 * WORK_UNIT_TOKENS  # and exceeds it by more than this
 
 
 def make_row(
     services: Iterable[Service], own_number: int, zone: int, queued: int, flags: RowFlags, now: float
 ) -> Row:
-    """Return the own row, and keep in the view what it says of the own load, since peers decide by that."""
+    """Return this router's row, and record its own load as announced, since peers decide by that load."""
     sections, entries = list[Section](), list[ServerEntry]()
     for service in services:
         sections.append(make_section(service, own_number))
@@ -51,7 +51,7 @@
 
 
 def take_unannounced_blocks(services: Iterable[Service], limit: int) -> tuple[CachedBlock, ...]:
-    """Return the shared blocks sent since the last row, the latest first; what exceeds `limit` is dropped."""
+    """Return the shared blocks sent since the last row, latest first; blocks beyond `limit` are dropped."""
     blocks = [block for service in services for block in reversed(service.unannounced_blocks)]
     for service in services:
         service.unannounced_blocks.clear()
@@ -59,7 +59,7 @@
 
 
 def recent_blocks(services: Iterable[Service], limit: int) -> tuple[CachedBlock, ...]:
-    """Return the shared blocks that servers are believed to cache, for a router that knows none."""
+    """Return shared blocks that the servers are believed to cache, for a router that has just started."""
     servers = [server for service in services for server in service.ready]
     per_server = limit // max(1, len(servers))
     return tuple(
@@ -70,7 +70,7 @@
 
 
 def make_section(service: Service, own_number: int) -> Section:
-    """Return the own slice's capacity and the own rates for a service."""
+    """Return the row's section for a service: the capacity of this router's slice, and its own rates."""
     slices, throughput = service.slices, service.throughput
     own_slice = slices.by_router.get(own_number, [])
     mu = sum(capacity(server) / len(slices.owners[server.id]) for server in own_slice)
@@ -89,25 +89,25 @@
 
 
 def forecast_work(arrived: list[float]) -> float:
-    """Return the work of the next window by linear extrapolation; `arrived` is in prompt tokens."""
+    """Return the work of the next window in work units, extrapolated from `arrived` (prompt tokens)."""
     return forecast([round(tokens) for tokens in arrived]) / WORK_UNIT_TOKENS
 
 
 def capacity(server: ServerView) -> float:
-    """Return a server's capacity relative to others: its slots by its slowdown, less while it is ejected."""
+    """Return a server's relative capacity: its slots divided by its slowdown, reduced while ejected."""
     ratio = EJECTED_CAPACITY_RATIO if health.is_ejected(server) else 1.0
     return server.slots / server.slowdown * ratio
 
 
 def apply_row(row: Row, previous: Row | None, sender: int, services: Iterable[Service], now: float) -> None:
-    """Apply what a peer has in flight to the view of the servers.
+    """Apply a peer's row to the views of the servers.
 
-    The cost follows the entries of the two rows, not the number of servers: in a large fleet a router
+    The cost depends on the entries of the two rows, not on the number of servers: in a large fleet a router
     receives a hundred rows per second, each of which names few servers.
 
     Args:
         row: The new row.
-        previous: The row that the peer sent before; None where there is none.
+        previous: The peer's previous row, or None if there is none.
         sender: Number of the peer.
         services: All services.
         now: The current time in seconds.
@@ -138,7 +138,7 @@
 
 
 def apply_cached_blocks(blocks: Iterable[CachedBlock], services: Iterable[Service]) -> list[CachedBlock]:
-    """Apply blocks to the views of the servers' caches, and return those whose server is not known."""
+    """Add blocks to the cache views of their servers, and return the blocks whose server is not known."""
     unmatched, known = list[CachedBlock](), [service.by_hash for service in services]
     for block in blocks:
         server = next((by_hash[block.server] for by_hash in known if block.server in by_hash), None)
@@ -150,7 +150,7 @@
 
 
 def forget_peer(sender: int, services: Iterable[Service]) -> None:
-    """Drop what a peer has in flight, since it is gone."""
+    """Remove the load reports of a peer that is no longer live."""
     for service in services:
         for server in service.servers.values():
             server.update_peer_load(sender, None)
@@ -159,29 +159,29 @@
 def sections_by_router(
     service: Service, own_row: Row | None, own_row_at: float, peers: Peers, now: float
 ) -> Mapping[int, tuple[Section, float]]:
-    """Return the rates of all routers for a service with their ages in seconds, by router."""
-    found = dict[int, tuple[Section, float]]()
+    """Return each router's section for a service with its age in seconds, by router number."""
+    sections = dict[int, tuple[Section, float]]()
     rows = [(number, peer.row, now - peer.last_row_at) for number, peer in peers.known.items() if peer.row]
     if own_row:
         rows.append((peers.own_number, own_row, now - own_row_at))
     for number, row, age in rows:
         for section in row.sections:
             if section.service == service.name_hash:
-                found[number] = (section, age)
-    return found
+                sections[number] = (section, age)
+    return sections
 
 
 def is_unexpected_offload(row: Row, service: Service, own_number: int) -> bool:
-    """Return whether a peer sends far more to the own slice than an even part of its load."""
+    """Return whether a peer sends far more than an even share of its load to this router's slice."""
     own_slice = {server.id_hash for server in service.slices.by_router.get(own_number, ())}
     if not own_slice or len(own_slice) == len(service.ready):
         return False
     load = [
         (entry.server in own_slice, entry.tokens + STREAM_TOKENS * entry.in_flight) for entry in row.entries
     ]
-    here, everywhere = sum(tokens for is_own, tokens in load if is_own), sum(tokens for _, tokens in load)
-    even = everywhere * len(own_slice) / max(1, len(service.ready))
-    return here > UNEXPECTED_FACTOR * even + UNEXPECTED_MARGIN_TOKENS
+    own_load, total_load = sum(tokens for is_own, tokens in load if is_own), sum(tokens for _, tokens in load)
+    even_share = total_load * len(own_slice) / max(1, len(service.ready))
+    return own_load > UNEXPECTED_FACTOR * even_share + UNEXPECTED_MARGIN_TOKENS
 
 
 def _most_load_first(entry: ServerEntry) -> tuple[int, int, int]:
--- a/firvane/fleet/placement/events.py
+++ b/firvane/fleet/placement/events.py
@@ -1,4 +1,4 @@
-"""Input events of placement, beside those of `firvane.core.interface`. All times are in seconds."""
+"""Input events of the prompt balancer besides those of `firvane.core.interface`. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class RequestKind(enum.Enum):
-    """How a request is answered, and what running it a second time does."""
+    """Type of a request: whether its response is a stream, and whether running it twice does harm."""
 
     STREAM = "stream"
     IDEMPOTENT = "idempotent"
@@ -24,17 +24,17 @@
     """A client's request with its prompt.
 
     Attributes:
-        services: Names of services with their weights.
-        chain: The prefix blocks of the prompt in order, each as (identity, tokens). The last block belongs to
-            this request or its session alone.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Tokens that the response may have.
+        services: Names of the services that may serve the request, with their weights.
+        chain: The prefix blocks of the prompt in order, each as (identity, tokens). The last block is used by
+            this request or its session only.
+        tokens_in: Number of tokens of the prompt.
+        tokens_out: Maximum number of tokens of the response.
         priority: 0 is the most urgent.
-        latency_target: Seconds to the first event up to which the request has its full value.
-        max_attempts: Most backends that may be reached.
-        kind: How the request is answered.
-        resumable: Whether another backend may continue a stream that was cut off.
-        event_gap_target: Most seconds between two events of the stream.
+        latency_target: Target for the seconds to the first event; a later response has a lower value.
+        max_attempts: Maximum number of backends that the request may reach.
+        kind: Type of the request.
+        resumable: Whether another backend may continue an interrupted stream.
+        event_gap_target: Target for the maximum seconds between two events of the stream.
     """
 
     services: tuple[tuple[str, float], ...] = ()
@@ -57,33 +57,33 @@
 
 
 class InstancesChanged(Struct):
-    """The complete list of a service's instances; those that are absent are gone."""
+    """The complete list of a service's instances; instances that are not in it are gone."""
 
     service: str
     instances: tuple[Instance, ...]
 
 
 class PeersChanged(Struct):
-    """The live routers, this one included, in ascending order, and the zone of each."""
+    """The numbers of the live routers, including this one, in ascending order, and the zone of each."""
 
     numbers: tuple[int, ...]
     zones: tuple[int, ...]
 
 
 class StreamProgress(Struct):
-    """A server sent bytes of a response that had started. Reported at intervals, not for each event."""
+    """A server sent bytes of a started response. Reported at intervals, not for each event."""
 
     server: str
 
 
 class ServiceInfo(Struct):
-    """The configured properties of a service's backends; 0 where the configuration names none."""
+    """The configured properties of a service's backends; 0 if a property is not configured."""
 
     service: str
     slots: int
     cache_tokens: int
     tokens_per_event: int
-    connection_limit: int  # per backend, over all callers
+    connection_limit: int  # connections per backend, over all its clients
 
 
 PlacementEvent = InstancesChanged | PeersChanged | StreamProgress | ServiceInfo
--- a/firvane/fleet/placement/exchange.py
+++ b/firvane/fleet/placement/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of rows with the peers: when the own row is sent, and what the peers' rows cause here."""
+"""The exchange of rows (load reports) with the peers: sending this router's row and applying theirs."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from firvane.fleet.placement.service import Service
 from firvane.fleet.placement.services import Services
 
-MAX_UNMATCHED_BLOCKS = 512  # kept until their servers are known
+MAX_UNMATCHED_BLOCKS = 512  # cached blocks kept until their servers are known
 
 
 class RowExchange:
@@ -30,8 +30,8 @@
     Attributes:
         peers: The other routers.
         live: Sorted numbers of the live routers.
-        own_row: The row as last sent, since peers decide by that.
-        own_row_at: When it was sent.
+        own_row: This router's row as last sent, since its peers decide by that row.
+        own_row_at: When `own_row` was sent.
     """
 
     def __init__(self, own_number: int, services: Services, now: float) -> None:
@@ -43,7 +43,7 @@
         self._unmatched_blocks: list[CachedBlock] = []
 
     def announce(self, flags: RowFlags, queued: int, now: float, peer: int | None = None) -> api.SendToPeer:
-        """Return the action that sends the own row to one peer, or to all where `peer` is None."""
+        """Return the action that sends this router's row to one peer, or to all if `peer` is None."""
         zone, services = self.peers.zones().get(self.own_number, 0), list(self.services.values())
         row = announcement.make_row(services, self.own_number, zone, queued, flags, now)
         self.own_row, self.own_row_at = row, now
@@ -52,51 +52,51 @@
         return api.SendToPeer(peer, encode_row(row._replace(cached_blocks=select(services, limit))))
 
     def may_announce(self, now: float) -> bool:
-        """Return whether a row out of turn is within the bound on received rows."""
+        """Return whether an unscheduled row is within the bound on the rows that peers receive."""
         return now >= self.own_row_at + self.peers.min_row_interval
 
     def receive(self, message: api.PeerMessage, queued: int, now: float) -> list[api.Action]:
-        """Apply a peer's row, and return the actions that answer it."""
+        """Apply a peer's row, and return the rows to send in reply."""
         try:
             row = decode_row(message.payload)
         except RowError:
-            return []  # truncated or foreign bytes are dropped
+            return []  # truncated or malformed datagrams are dropped
         previous = self.peers.last_row_of(message.sender)
         if not self.peers.record_row(message.sender, row, now):
             return []
         announcement.apply_row(row, previous, message.sender, self.services.values(), now)
         if row.cached_blocks:
             self._apply_cached_blocks(row.cached_blocks)
-        answers = list[api.Action]()
+        replies = list[api.Action]()
         if row.flags & RowFlags.ASK:
-            answers.append(self.announce(RowFlags.NONE, queued, now, message.sender))
+            replies.append(self.announce(RowFlags.NONE, queued, now, message.sender))
         if row.flags & RowFlags.RISK:
             for service in self.services.values():
                 service.slices.drop_moves_to(message.sender)
         elif self._count_unexpected_offloads(row):
-            answers.append(self.announce(RowFlags.RISK, queued, now, message.sender))
-        return answers
+            replies.append(self.announce(RowFlags.RISK, queued, now, message.sender))
+        return replies
 
     def _apply_cached_blocks(self, blocks: Iterable[CachedBlock]) -> None:
         unmatched = announcement.apply_cached_blocks(blocks, self.services.values())
         self._unmatched_blocks = (self._unmatched_blocks + unmatched)[-MAX_UNMATCHED_BLOCKS:]
 
     def apply_unmatched_blocks(self) -> None:
-        """Apply the blocks whose servers were not known so far, after servers have become known."""
+        """Apply again the blocks whose servers were unknown, after the list of servers has changed."""
         blocks, self._unmatched_blocks = self._unmatched_blocks, []
         self._apply_cached_blocks(blocks)
 
     def _count_unexpected_offloads(self, row: Row) -> bool:
-        """Count the services for which a row shows an unexpected offload; whether there is any."""
-        found = False
+        """Count the unexpected offloads that a row shows for each service; return whether there is any."""
+        any_unexpected = False
         for service in self.services.values():
             if announcement.is_unexpected_offload(row, service, self.own_number):
                 service.unexpected_offloads += 1
-                found = True
-        return found
+                any_unexpected = True
+        return any_unexpected
 
     def update(self, event: PeersChanged, now: float) -> bool:
-        """Apply a change of the membership; whether the first peers came, which are to be asked for rows."""
+        """Apply a membership change; return whether the first peers joined, which must be asked for rows."""
         was_alone = not self.peers.has_others()
         self.services.router_count.record(len(event.numbers), now)
         for number in self.peers.update(event.numbers, event.zones, now):
@@ -105,7 +105,7 @@
         return was_alone and self.peers.has_others()
 
     def refresh(self, now: float) -> None:
-        """Assign the slices anew where a peer has timed out or has returned."""
+        """Reassign the slices if a peer has timed out or is live again."""
         live = self.peers.live(now)
         if live == self.live:
             return
@@ -115,5 +115,5 @@
         self.services.assign(live)
 
     def sections(self, service: Service, now: float) -> Mapping[int, tuple[Section, float]]:
-        """Return the rates of all routers for a service with their ages in seconds, by router."""
+        """Return each router's section for a service with its age in seconds, by router number."""
         return announcement.sections_by_router(service, self.own_row, self.own_row_at, self.peers, now)
--- a/firvane/fleet/placement/request_queue.py
+++ b/firvane/fleet/placement/request_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait briefly until a backend has capacity."""
+"""A queue of requests that wait for a short time until a backend has capacity."""
 
 from __future__ import annotations
 
--- a/firvane/fleet/placement/service.py
+++ b/firvane/fleet/placement/service.py
@@ -1,4 +1,4 @@
-"""One service at this router: the view of its servers, the retry budget, and the accounting of attempts."""
+"""A service as seen by this router: its servers, the retry budget, and the accounting of attempts."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 RATE_HISTORY_WINDOWS = 6
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 1.0
-EXPIRY_MARGIN_S = 2.0  # after the deadline, within which the end of an attempt may still be reported
+EXPIRY_MARGIN_S = 2.0  # time after the deadline in which the end of an attempt may still be reported
 
 
 class Service(ServiceView):
-    """The view of a service's servers, and what this router sent to them.
+    """The view of a service's servers, and the accounting of this router's attempts.
 
     Attributes:
-        name_hash: CRC-32 of the name, which stands for the service in rows.
+        name_hash: CRC-32 of the name, which identifies the service in rows.
         retry_budget: This router's quota of the service's retries.
         unannounced_blocks: Large shared blocks sent to servers since the last row.
-        unexpected_offloads: Rows that showed far more load in the own slice than expected.
-        arrived: Work that arrived by window, in prompt tokens, the current window last.
-        served: Work that ended by window, in prompt tokens, the current window last.
+        unexpected_offloads: Number of rows that showed more load on this router's slice than expected.
+        arrived: Work that arrived in each of the last windows, in prompt tokens, the current window last.
+        served: Work that ended in each of the last windows, in prompt tokens, the current window last.
     """
 
     def __init__(self, name: str, own_number: int, retry_budget: RetryBudget, zone: str) -> None:
@@ -44,7 +44,7 @@
     def start_attempt(
         self, pending: PendingRequest, server: ServerView, sequence: int, now: float
     ) -> Attempt:
-        """Account for an attempt that is sent now; a retry is paid from the budget."""
+        """Account for an attempt that is sent now, and return it; a retry takes a token from the budget."""
         prefill_rate = self.throughput.prefill_rate.value
         tokens = self.prefill_tokens(pending.prompt, server)
         backlog = server.prefill_backlog(prefill_rate, now)
@@ -61,7 +61,7 @@
         if is_retry:
             self.retry_budget.spend()
         if pending.request.kind is not RequestKind.STREAM:
-            expected += self.throughput.duration  # nothing comes before the complete response
+            expected += self.throughput.duration  # the first event is the complete response
         return Attempt(
             number=pending.attempts_made,
             service=self.name,
@@ -75,14 +75,14 @@
             is_retry=is_retry,
         )
 
-    def record_first_event(self, attempt: Attempt, took: float, now: float) -> None:
-        """Account for the first event of an attempt, which took so many seconds."""
+    def record_first_event(self, attempt: Attempt, duration: float, now: float) -> None:
+        """Account for the first event of an attempt, `duration` seconds after it was sent."""
         attempt.started = True
         server, throughput = attempt.server, self.throughput
         server.end_prefill(attempt.sequence, throughput.prefill_rate.value, now)
         health.record_first_event(server, now)
-        throughput.record_first_event(server.id, attempt.prefill_tokens, attempt.backlog, took)
-        server.record_lag(took - throughput.expected(attempt.prefill_tokens), now)
+        throughput.record_first_event(server.id, attempt.prefill_tokens, attempt.backlog, duration)
+        server.record_lag(duration - throughput.expected(attempt.prefill_tokens), now)
         server.slowdown = throughput.slowdown(server.id)
 
     def record_completion(self, attempt: Attempt, now: float) -> None:
@@ -90,21 +90,21 @@
         self.throughput.record_duration(now - attempt.sent_at)
 
     def end_attempt(self, attempt: Attempt, now: float) -> None:
-        """Account for the end of an attempt, however it ended."""
+        """Account for the end of an attempt with any result."""
         attempt.server.end_attempt(attempt.sequence, self.throughput.prefill_rate.value, now)
         self.served[-1] += attempt.prefill_tokens + STREAM_TOKENS
 
     def retry_after(self, now: float) -> float:
-        """Return the seconds after which a server probably has capacity again."""
+        """Return the seconds after which a server is expected to have capacity."""
         soonest = min((server.saturated_until - now for server in self.ready), default=MIN_RETRY_AFTER_S)
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, soonest))
 
     def step(self, sections: Mapping[int, tuple[Section, float]], zones: Mapping[int, int]) -> None:
-        """End a window: compute the moves between slices, and start the counts of the next window.
+        """End a window: compute the moves between slices, and start counting the next window.
 
         Args:
-            sections: The routers' rates with their ages in seconds, by router.
-            zones: The zone of each router.
+            sections: Each router's section for this service with its age in seconds, by router number.
+            zones: The zone of each router by router number.
         """
         load = {server.id: server.announced_load() for server in self.ready}
         self.slices.step(load, sections, zones)
--- a/firvane/fleet/placement/service_view.py
+++ b/firvane/fleet/placement/service_view.py
@@ -1,4 +1,4 @@
-"""One router's view of the servers of one service: what a server selection is a function of."""
+"""One router's view of the servers of one service, the input of the server selection."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from firvane.fleet.placement.throughput import ThroughputEstimates
 
 MAX_CANDIDATES = 16  # servers that one selection compares
-CACHE_MEMORY_RATIO = 0.85  # of a server's memory is believed to hold prefix blocks
-MAX_CACHED_BLOCKS = 20_000  # remembered over all servers of a service
-MIN_CACHED_BLOCKS = 64  # remembered of one server in any case
+CACHE_MEMORY_RATIO = 0.85  # part of a server's configured cache assumed to contain prefix blocks
+MAX_CACHED_BLOCKS = 20_000  # modelled over all servers of a service
+MIN_CACHED_BLOCKS = 64  # modelled for each server at least
 DEFAULT_SLOTS = 16
 
 
@@ -25,16 +25,16 @@
     Attributes:
         name: The service's name.
         own_number: This router's number.
-        zone: Name of this router's zone; empty where zones do not matter.
-        info: What the configuration says of the backends.
+        zone: Name of this router's zone; empty if zones are ignored.
+        info: The configured properties of the backends.
         servers: Servers that are ready or draining, by id.
-        by_hash: The same, by id hash.
-        ready: The ready ones, in the order of their ids.
-        throughput: Estimates of their throughput.
-        homes: The home order of keys over the ready servers.
-        slices: The home slices over the ready servers.
+        by_hash: The servers in `servers`, by the hash of their id.
+        ready: The ready servers, in the order of their ids.
+        throughput: Estimates of the servers' throughput.
+        homes: The rendezvous orders of keys over the ready servers.
+        slices: The home slices of the ready servers.
         routers: Numbers of the live routers.
-        instances_known: Whether a list of instances has come.
+        instances_known: Whether a list of instances was received.
     """
 
     def __init__(self, name: str, own_number: int, zone: str) -> None:
@@ -50,7 +50,7 @@
         self.instances_known = False
 
     def configure(self, info: ServiceInfo) -> None:
-        """Apply what the configuration says of the backends."""
+        """Apply the configured properties of the backends."""
         self.info = info
         for server in self.servers.values():
             server.prefix_cache.capacity_tokens = self._cache_capacity()
@@ -94,16 +94,16 @@
         return CACHE_MEMORY_RATIO * self.info.cache_tokens
 
     def candidates_for(self, key: int) -> list[ServerView]:
-        """Return the ready servers that a selection for a key compares, in the key's order."""
+        """Return the ready servers that a selection for a key compares, in the key's rendezvous order."""
         servers = self.servers
         return [servers[name] for name in self.homes.ranked(key)]
 
     def prefill_tokens(self, prompt: Prompt, server: ServerView) -> int:
-        """Return the tokens of a prompt that a server would have to prefill."""
+        """Return how many tokens of a prompt a server would have to prefill."""
         return prompt.total_tokens - server.prefix_cache.cached_tokens(prompt, len(self.routers))
 
     def expected_first_event(self, server: ServerView, prefill_tokens: float, now: float) -> float:
-        """Return the expected seconds to the first event of a prompt with so many tokens to prefill."""
+        """Return the expected seconds to the first event of a prompt with `prefill_tokens` to prefill."""
         throughput, slots = self.throughput, server.slots
         prefill_rate = throughput.prefill_rate.value
         in_flight = server.in_flight + server.peers_in_flight
--- a/firvane/fleet/placement/services.py
+++ b/firvane/fleet/placement/services.py
@@ -1,4 +1,4 @@
-"""All services of a router by name, and the weighted draw among those that a request names."""
+"""All services of a router by name, and the weighted random choice among the services of a request."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class RetryLimits(Struct, frozen=True):
-    """The retry budget of each service over all routers: retries per request, and retries beyond that."""
+    """The limits of each service's retries over all routers: per request, and added to that per window."""
 
     ratio: float
     slack: float
 
 
 class Services(dict[str, Service]):
-    """Services by name; a lookup of an unknown name adds the service."""
+    """Services by name; the lookup of an unknown name adds a service."""
 
     def __init__(self, own_number: int, limits: RetryLimits, zone: str, random: Random) -> None:
         super().__init__()
@@ -29,9 +29,9 @@
 
     def __missing__(self, name: str) -> Service:
         retry_budget = RetryBudget(self.limits.ratio, self.limits.slack, self.router_count)
-        found = self[name] = Service(name, self.own_number, retry_budget, self.zone)
-        found.assign(self.routers)
-        return found
+        service = self[name] = Service(name, self.own_number, retry_budget, self.zone)
+        service.assign(self.routers)
+        return service
 
     def assign(self, routers: Sequence[int]) -> None:
         """Replace the set of live routers."""
@@ -40,11 +40,11 @@
             service.assign(routers)
 
     def draw(self, weights: Sequence[tuple[str, float]]) -> Service:
-        """Draw a service by weight, among those with a ready server where there is one."""
-        able = [(name, weight) for name, weight in weights if self[name].ready] or list(weights)
-        draw = self.random.random() * sum(weight for _, weight in able)
-        for name, weight in able:
+        """Draw a service by weight, preferably among those that have a ready server."""
+        candidates = [(name, weight) for name, weight in weights if self[name].ready] or list(weights)
+        draw = self.random.random() * sum(weight for _, weight in candidates)
+        for name, weight in candidates:
             draw -= weight
             if draw < 0:
                 return self[name]
-        return self[able[-1][0] if able else ""]
+        return self[candidates[-1][0] if candidates else ""]
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -1,8 +1,9 @@
-"""Home slices of one service, and the load that moves between them (the design's window step).
+"""Home slices of one service, and the moves of load between slices, which are computed once per window.
 
-Each router has a slice of the ready servers: their sorted ids are dealt by rank to the sorted live routers,
-wrapping so that each slice has at least one. Where routers outnumber servers, several slices share a server,
-each with an equal part of it. Loads and rates are in units of `WORK_UNIT_TOKENS` prompt tokens.
+Each router has a slice (subset) of the ready servers: the servers, sorted by id, are assigned in turn to the
+sorted live routers, wrapping around so that each slice has at least one server. If there are more routers
+than servers, several slices share a server, each with an equal part of it. Loads and rates are in units of
+`WORK_UNIT_TOKENS` prompt tokens.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from firvane.fleet.placement.server_view import ServerView, server_id
 
 WORK_UNIT_TOKENS = 1024.0
-MOVE_SALT = 77  # separates the draw of moves from the hash of homes
+MOVE_SALT = 77  # makes the hash that selects moved keys independent of the hash that selects homes
 HASH_RANGE = 2**32
-SMOOTHING = 0.1  # per window, of the shares that move long prompts
+SMOOTHING = 0.1  # smoothing factor per window of the shares that move long prompts
 MIN_SMOOTHED_SHARE = 0.001
-LONG_PROMPT_MARGIN = 0.1  # of a giver's keys: smaller shares are not worth a second prefill of long prompts
+LONG_PROMPT_MARGIN = 0.1  # part of a source's keys; smaller shares do not justify a second long prefill
 
-Moves = dict[int, list[tuple[int, float]]]  # by giver: takers and shares of the giver's keys
+Moves = dict[int, list[tuple[int, float]]]  # by source router: target routers and their shares of its keys
 
 
 class Slices:
-    """The home slices of all routers, and the moves of this window.
+    """The home slices of all routers, and the moves between them in this window.
 
     Attributes:
         by_router: The servers of each router's slice.
-        owners: The routers whose slices contain a server, by its id.
-        shares: Shares of (giver, taker) in this window.
-        smoothed_shares: The same, smoothed; long prompts follow these.
-        moves: What `shares` moves to whom.
-        long_prompt_moves: The same for long prompts.
+        owners: The routers whose slices contain a server, by server id.
+        shares: Part of a source's keys that moves to a target in this window, by (source, target).
+        smoothed_shares: `shares` smoothed over several windows, which apply to long prompts.
+        moves: The moves of short prompts, from `shares`.
+        long_prompt_moves: The moves of long prompts, from `smoothed_shares`.
     """
 
     def __init__(self) -> None:
@@ -47,7 +48,7 @@
         self.long_prompt_moves: Moves = {}
 
     def assign(self, servers: Sequence[ServerView], routers: Sequence[int]) -> None:
-        """Deal the ready servers to the live routers."""
+        """Assign the ready servers to the slices of the live routers."""
         self.by_router = {router: [] for router in sorted(routers)}
         self.owners = {}
         for router, server in deal(sorted(servers, key=server_id), list(self.by_router)):
@@ -70,14 +71,16 @@
         """Compute the moves of the next window.
 
         Args:
-            load_tokens: Load of each server in prompt tokens, by id.
-            sections: The routers' rates with their ages in seconds, by router.
-            zones: The zone of each router.
+            load_tokens: Load of each server in prompt tokens, by server id.
+            sections: Each router's section for the service with its age in seconds, by router number.
+            zones: The zone of each router by router number.
         """
-        per_owner = {
+        load_per_owner = {
             name: load_tokens[name] / (len(owners) * WORK_UNIT_TOKENS) for name, owners in self.owners.items()
         }
-        load = {n: total(per_owner[server.id] for server in servers) for n, servers in self.by_router.items()}
+        load = {
+            n: total(load_per_owner[server.id] for server in servers) for n, servers in self.by_router.items()
+        }
         if not load:
             return
         growth, mu = dict.fromkeys(load, 0.0), dict.fromkeys(load, 0.0)
@@ -104,32 +107,32 @@
         excess = {pair: share - LONG_PROMPT_MARGIN for pair, share in self.smoothed_shares.items()}
         self.long_prompt_moves = window.moves({pair: share for pair, share in excess.items() if share > 0.0})
 
-    def drop_moves_to(self, taker: int) -> None:
-        """Move nothing to a router until the next step, since it did not expect what came."""
-        self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != taker}
+    def drop_moves_to(self, target: int) -> None:
+        """Cancel the moves to a router until the next window, since it received more load than it expects."""
+        self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != target}
         self._update_moves()
 
     def moved_to(self, home: str, key: int, is_long: bool) -> str | None:
-        """Return the server to which a key moves in this window, the same on all routers.
+        """Return the server to which a key moves in this window; the result is the same on all routers.
 
         Args:
-            home: Id of the key's home.
+            home: Server id of the key's home.
             key: The home key of the prompt.
             is_long: Whether the prompt is long.
 
         Returns:
-            The server's id, or None where the key stays at home.
+            The server's id, or None if the key stays at its home.
         """
         owners = self.owners.get(home)
         moves = self.long_prompt_moves if is_long else self.moves
         if not owners or not moves:
             return None
-        giver = owners[mix(key, MOVE_SALT + 1) % len(owners)]
+        source = owners[mix(key, MOVE_SALT + 1) % len(owners)]
         draw = mix(key, MOVE_SALT) / HASH_RANGE
-        for taker, share in moves.get(giver, ()):
+        for target, share in moves.get(source, ()):
             draw -= share
             if draw < 0:
-                return self._server_of(taker, home, key)
+                return self._server_of(target, home, key)
         return None
 
     def _server_of(self, router: int, home: str, key: int) -> str | None:
