--- a/firvane/fleet/placement/services.py
+++ b/firvane/fleet/placement/services.py
@@ -12,7 +12,7 @@
 
 
 class RetryLimits(Struct, frozen=True):
-    """The limits of each service's retries over all routers: per request, and added to that per window."""
+    """The limits of a service's retries over all routers: `ratio` per request plus `slack` in any window."""
 
     ratio: float
     slack: float
--- a/firvane/fleet/tenancy/__init__.py
+++ b/firvane/fleet/tenancy/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: API keys, revocation by proofs of freshness, and quotas over all routers."""
+"""Tenants: API keys, timely revocation through freshness proofs, and quotas over all routers."""
--- a/firvane/fleet/tenancy/floors.py
+++ b/firvane/fleet/tenancy/floors.py
@@ -1,8 +1,9 @@
-"""Floors of tenants' buckets in a partition's replicated log: what a new owner may rely on.
+"""Floors (lower bounds) of the levels of tenants' token buckets, stored in a partition's replicated log.
 
-An owner never lets a bucket fall below its floor before a lower one is committed, and keeps to a higher one
-from its proposal on. So the next owner may start each bucket at its floor, whatever was granted before. A
-tenant without a floor was granted nothing since its bucket was full.
+The owner of a partition does not let a bucket fall below its floor before a lower floor is committed, and
+observes a higher floor as soon as it has proposed it. So the next owner may start each bucket at its floor,
+whatever the previous owner has granted. A tenant without a floor was granted nothing since its bucket was
+full.
 """
 
 from __future__ import annotations
@@ -14,20 +15,20 @@
 
 from firvane.fleet.tenancy.messages import TENANT_ID_BYTES
 
-FLOORS_VERSION = 2  # the first byte of a record; records of instances have another one
+FLOORS_VERSION = 2  # first byte of a record, different from that of instance records in the same log
 MAX_FLOORS = 65_536
-REMOVED = -(2**63)  # in place of a floor: the bucket is full and has none any more
+REMOVED = -(2**63)  # value instead of a floor: the floor is removed, since the bucket is full
 
-_HEAD = struct.Struct("!BQI")  # version, number of the proposal, count
+_HEADER = struct.Struct("!BQI")  # version, number of the proposal, number of floors
 _FLOOR = struct.Struct(f"!{TENANT_ID_BYTES}sq")
 
 
 class FloorsError(ValueError):
-    """A record of floors cannot be read or written."""
+    """A record of floors cannot be decoded or encoded."""
 
 
 class FloorsRecord(Struct, frozen=True):
-    """New floors of some tenants, in tokens or requests; `number` distinguishes an owner's proposals."""
+    """New floors by tenant id, in tokens or requests; `number` identifies the proposal of its owner."""
 
     number: int
     floors: Mapping[bytes, int]
@@ -40,7 +41,7 @@
         """
         if len(self.floors) > MAX_FLOORS:
             raise FloorsError("too many floors for one record")
-        head = _HEAD.pack(FLOORS_VERSION, self.number, len(self.floors))
+        head = _HEADER.pack(FLOORS_VERSION, self.number, len(self.floors))
         return head + b"".join(_FLOOR.pack(tenant, floor) for tenant, floor in self.floors.items())
 
 
@@ -48,14 +49,14 @@
     """Return the record that the bytes encode.
 
     Raises:
-        FloorsError: The bytes are no record of this version.
+        FloorsError: The bytes are not a valid record of this version.
     """
-    if len(record) < _HEAD.size:
+    if len(record) < _HEADER.size:
         raise FloorsError("the record is cut off")
-    version, number, count = _HEAD.unpack_from(record)
-    if version != FLOORS_VERSION or count > MAX_FLOORS or len(record) != _HEAD.size + count * _FLOOR.size:
+    version, number, count = _HEADER.unpack_from(record)
+    if version != FLOORS_VERSION or count > MAX_FLOORS or len(record) != _HEADER.size + count * _FLOOR.size:
         raise FloorsError("the record has a wrong version or length")
-    return FloorsRecord(number, dict(_FLOOR.iter_unpack(record[_HEAD.size :])))
+    return FloorsRecord(number, dict(_FLOOR.iter_unpack(record[_HEADER.size :])))
 
 
 class Floors(dict[bytes, int]):
--- a/firvane/fleet/tenancy/messages.py
+++ b/firvane/fleet/tenancy/messages.py
@@ -1,6 +1,6 @@
-"""The records between routers and controllers about tenants: proofs of freshness, and quota.
+"""The records that routers and controllers exchange about tenants: freshness proofs, and quota grants.
 
-Each record is a byte for its kind and a fixed `struct`. Bytes that are no record raise `TenancyError`.
+Each record is a byte for its kind and a fixed `struct`. Malformed bytes raise `TenancyError`.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class TenancyError(ValueError):
-    """The bytes are no record about tenants."""
+    """The bytes are not a valid record about tenants."""
 
 
 class Kind(enum.IntEnum):
@@ -41,21 +41,21 @@
     """The result of a quota request."""
 
     GRANTED = 1
-    DENIED = 2  # beyond the tenant's limit at this moment
+    DENIED = 2  # the tenant is over its limit at present
     NOT_OWNER = 3  # the sender does not own the tenant's partition, or does not know the tenant
     UNLIMITED = 4  # the tenant has no limit
 
 
 class FreshnessRequest(NamedTuple):
-    """Asks for the version of the configuration, and for how old that knowledge is."""
+    """Requests a proof of the newest acknowledged version of the configuration."""
 
     nonce: int
 
 
 class FreshnessProof(NamedTuple):
-    """Proves that `version` was the newest acknowledged one, `age` seconds before this was sent.
+    """Proves that `version` was the newest acknowledged version `age` seconds before this record was sent.
 
-    `age` is None where the sender cannot tell; `redirect` is then the process to ask, if it knows one.
+    `age` is None if the sender has no proof; `redirect` is then the address to send the request to, if known.
     """
 
     nonce: int
@@ -65,9 +65,9 @@
 
 
 class QuotaRequest(NamedTuple):
-    """Asks for the cost of one request, and for more in advance.
+    """Requests tokens for the cost of one client request, and `prefetch` more tokens in advance.
 
-    `spent` reports what the router has used beyond all grants since its last request.
+    `spent` reports the tokens that the router has used without a grant since its last quota request.
     """
 
     nonce: int
@@ -79,7 +79,7 @@
 
 
 class QuotaGrant(NamedTuple):
-    """The result: tokens that may be used, or the seconds after which there are enough."""
+    """The result of a quota request: tokens that may be used, or seconds until enough are available."""
 
     nonce: int
     status: GrantStatus
@@ -92,7 +92,7 @@
 
 
 def tenant_id(name: str) -> bytes:
-    """Return the id of a tenant in records."""
+    """Return the id that represents a tenant in records."""
     return digest(name.encode(), TENANT_ID_BYTES)
 
 
@@ -120,7 +120,7 @@
     """Return the record that the bytes encode.
 
     Raises:
-        TenancyError: The bytes are no record.
+        TenancyError: The bytes are not a valid record.
     """
     try:
         match data[:1]:
@@ -137,12 +137,12 @@
                 address = _decode_address(*redirect)
                 return QuotaGrant(nonce, GrantStatus(status), tokens, retry_after_ms / _MS_PER_S, address)
     except (struct.error, ValueError) as error:
-        raise TenancyError(f"a record cannot be read: {error}") from None
-    raise TenancyError("the kind of a record is not known")
+        raise TenancyError(f"record is malformed: {error}") from None
+    raise TenancyError("record is of an unknown kind")
 
 
 def _encode_age(age: float | None) -> int:
-    """Return an age in ms, rounded up, so that nothing seems more recent than it is."""
+    """Return an age in ms, rounded up so that no proof seems more recent than it is."""
     return _UNKNOWN_AGE if age is None else min(_UNKNOWN_AGE - 1, int(max(0.0, age) * _MS_PER_S) + 1)
 
 
--- a/firvane/fleet/tenancy/quota.py
+++ b/firvane/fleet/tenancy/quota.py
@@ -1,22 +1,23 @@
-"""The quotas of tenants, kept by the controller that owns the tenant's partition, as token buckets.
-
-A tenant's bucket fills at the tenant's rate, up to its burst and a ratio of what the deployment allows
-beyond. Rules that keep the sum over all routers within the limit, whatever is lost or partitioned:
-
-1. Ownership is under a lease, so that two owners never grant at the same time. A new owner starts each bucket
-   at its floor (`floors`), from which it fills from then on.
-2. Tokens are taken from the bucket before the grant is sent. A lost grant is lost.
-3. A request is granted once half of its cost is in the bucket, which may leave a debt. If all of the cost
-   were required, small requests would take nearly everything where a tenant asks for more than its limit;
-   if none were, large ones would (docs/decision-quality.md).
-4. A bucket may hold more than its usual size, for bursts of a tenant that uses little. It then fills more
-   slowly: by the excess of its highest level within the last window, spread over a window. So no window
-   sees more than rate x window + the usual size.
-5. What is granted in advance and may still be used is bounded. What routers used without a grant is deducted
-   afterwards.
-
-The ratios below are of what a deployment allows beyond rate x window + burst; the rest is for requests in
-flight and for retries.
+"""The quotas of tenants: token buckets at the controller that owns the tenant's partition.
+
+A tenant's bucket fills at the tenant's rate. Its size is the tenant's burst and part of the allowance, which
+is the use that the deployment allows beyond the limit. These rules keep the sum over all routers within the
+limit if messages are lost or the network is partitioned:
+
+1. The owner of a partition has a lease, so that two owners never grant at the same time. A new owner starts
+   each bucket at its floor (`floors`), and fills it from then on.
+2. Tokens are taken from the bucket before the grant is sent. If the grant is lost, so are its tokens.
+3. A request is granted once half of its cost is in the bucket, which may leave a debt. If the full cost were
+   required, small requests would get nearly all tokens of a tenant that requests more than its limit; if
+   none of it were required, large requests would (docs/decision-quality.md).
+4. A bucket may exceed its regular size, for bursts of a tenant with little use. It then fills more slowly:
+   the excess of its highest level within the last window is deducted over a window. So in no window does the
+   use exceed rate x window + the regular size.
+5. The tokens granted in advance that may still be used are limited. Tokens that routers used without a grant
+   are deducted afterwards.
+
+The ratios below are parts of the allowance, which is granted beyond rate x window + burst; the rest of the
+allowance is for requests in flight and for retries.
 """
 
 from __future__ import annotations
@@ -32,27 +33,27 @@
 from firvane.fleet.tenancy.floors import REMOVED, Floors, FloorsRecord
 from firvane.fleet.tenancy.messages import GrantStatus, QuotaGrant, QuotaRequest, tenant_id
 
-USUAL_SIZE_RATIO = 0.5  # of a bucket's usual size, beyond the burst
-MAX_DEBT_RATIO = 0.25  # below zero, after one request
-MIN_COVERED_RATIO = 0.5  # of a request's cost, that must be in the bucket
-PREFETCH_RATIO = 0.1  # granted in advance and not used yet
-PREFETCH_LIFETIME_S = 1.0  # for which tokens granted in advance may be used
-PREFETCH_FILL_RATIO = 0.5  # of a bucket, above which tokens are granted in advance
+REGULAR_SIZE_RATIO = 0.5  # part of the allowance that a bucket's regular size includes besides the burst
+MAX_DEBT_RATIO = 0.25  # part of the allowance that a bucket may be below zero after one request
+MIN_COVERED_RATIO = 0.5  # part of a request's cost that must be in the bucket
+PREFETCH_RATIO = 0.1  # part of the allowance that may be granted in advance and not used yet
+PREFETCH_LIFETIME_S = 1.0  # time in which tokens granted in advance may be used
+PREFETCH_FILL_RATIO = 0.5  # tokens are granted in advance only above this part of a bucket's capacity
 MIN_RETRY_AFTER_S = 0.05
 MAX_RETRY_AFTER_S = 5.0
-EXTRA_BURST_RATIO = 0.2  # of rate x window, that a bucket may hold beyond its usual size
-PEAK_SLOTS_PER_WINDOW = 4  # by which the highest levels are kept
-FLOOR_MARGIN_S = 0.75  # of a tenant's rate, that its floor lies below its bucket
-IDLE_TIME_S = 30.0  # after which a full bucket that is not used is dropped
+EXTRA_BURST_RATIO = 0.2  # part of rate x window by which a bucket may exceed its regular size
+PEAK_SLOTS_PER_WINDOW = 4  # slots of a window for each of which the highest level is stored
+FLOOR_MARGIN_S = 0.75  # a floor is below its bucket's level by the tenant's rate x this time
+IDLE_TIME_S = 30.0  # time after which a full, unused bucket is removed
 
 
 class QuotaRules(Struct, frozen=True):
-    """What the deployment allows in any window, beyond rate x window + burst.
+    """The use that the deployment allows in any window beyond rate x window + burst.
 
     Attributes:
-        window: Seconds.
-        overage: Ratio of rate x window + burst.
-        slack: Tokens or requests.
+        window: Length of the window in seconds.
+        overage: Allowed excess as a ratio of rate x window + burst.
+        slack: Allowed excess in addition to that, in tokens or requests.
     """
 
     window: float = 8.0
@@ -60,20 +61,20 @@
     slack: float = 0.0
 
     def allowance(self, tenant: Tenant) -> float:
-        """Return by how much a tenant's use may exceed its limit."""
+        """Return by how much a tenant's use may exceed its limit in any window."""
         return self.overage * (tenant.rate * self.window + tenant.burst) + self.slack
 
 
 class _Bounds:
-    """What follows from a tenant's limit and the rules, in tokens or requests; `window` in seconds."""
+    """Bounds derived from a tenant's limit and the rules, in tokens or requests; `window` in seconds."""
 
-    __slots__ = ("capacity", "debt", "margin", "prefetch", "rate", "usual", "window")
+    __slots__ = ("capacity", "debt", "margin", "prefetch", "rate", "regular_size", "window")
 
     def __init__(self, tenant: Tenant, rules: QuotaRules) -> None:
         allowance = rules.allowance(tenant)
         self.rate, self.window = tenant.rate, rules.window
-        self.usual = tenant.burst + USUAL_SIZE_RATIO * allowance
-        self.capacity = self.usual + EXTRA_BURST_RATIO * tenant.rate * rules.window
+        self.regular_size = tenant.burst + REGULAR_SIZE_RATIO * allowance
+        self.capacity = self.regular_size + EXTRA_BURST_RATIO * tenant.rate * rules.window
         self.debt = MAX_DEBT_RATIO * allowance
         self.prefetch = PREFETCH_RATIO * allowance
         self.margin = FLOOR_MARGIN_S * tenant.rate
@@ -83,12 +84,12 @@
     """The token bucket of one tenant.
 
     Attributes:
-        tokens: Its level; below zero a debt.
-        filled_at: Up to when it has been filled.
-        used_at: When it was last asked for.
-        prefetched: Tokens granted in advance, as (when, how many).
-        peaks: Its highest levels by slot, of a window and a slot more.
-        slot_ends: When the last slot ends.
+        tokens: The level; a negative level is a debt.
+        filled_at: Time up to which the bucket has been filled.
+        used_at: When tokens were last requested.
+        prefetched: Tokens granted in advance, as (time of the grant, tokens).
+        peaks: The highest level in each slot of the last window, and in the current slot.
+        slot_ends: When the current slot ends.
     """
 
     tokens: float
@@ -99,14 +100,14 @@
     slot_ends: float = 0.0
 
     def fill(self, bounds: _Bounds, now: float) -> None:
-        """Let it fill up to now, slot by slot."""
+        """Add the tokens gained up to now, slot by slot."""
         slot = bounds.window / PEAK_SLOTS_PER_WINDOW
         if now - self.filled_at > 2 * bounds.window + bounds.capacity / (
             bounds.rate * (1 - EXTRA_BURST_RATIO)
         ):
-            self.tokens, self.filled_at = bounds.capacity, now  # it has been full for longer than a window
+            self.tokens, self.filled_at = bounds.capacity, now  # full for longer than a window
         self.tokens = min(self.tokens, bounds.capacity)
-        if not self.peaks:  # the previous owner may have seen it full
+        if not self.peaks:  # new at this owner: it may have been full at the previous one
             self.peaks.extend([bounds.capacity] * (PEAK_SLOTS_PER_WINDOW + 1))
             self.slot_ends = self.filled_at + slot
         while self.filled_at < now:
@@ -121,8 +122,8 @@
                 self.slot_ends = until + slot
 
     def fill_rate(self, bounds: _Bounds) -> float:
-        """Return the tokens that it gains per second at present."""
-        excess = min(max(self.peaks), bounds.capacity) - bounds.usual
+        """Return the tokens that the bucket gains per second at present."""
+        excess = min(max(self.peaks), bounds.capacity) - bounds.regular_size
         return bounds.rate - max(0.0, excess) / bounds.window
 
     def unused_prefetch(self, now: float) -> float:
@@ -133,7 +134,7 @@
 
 
 class _OwnedPartition:
-    """The buckets of one partition, its committed floors, and those proposed since the last commit."""
+    """The buckets of one partition, its committed floors, and the floors proposed but not committed."""
 
     def __init__(self, floors: Floors, now: float) -> None:
         self.floors, self.acquired_at = floors, now
@@ -141,22 +142,22 @@
         self.proposed: list[FloorsRecord] = []
 
     def bucket(self, tenant: bytes, bounds: _Bounds, now: float) -> _Bucket:
-        """Return the bucket of a tenant, a new one at its floor."""
-        found = self.buckets.get(tenant)
-        if found is None:
+        """Return the bucket of a tenant; a new bucket starts at its floor, or full if it has none."""
+        bucket = self.buckets.get(tenant)
+        if bucket is None:
             floor = self.floors.get(tenant)
             start = bounds.capacity if floor is None else floor
-            found = self.buckets[tenant] = _Bucket(start, self.acquired_at, now)
-        return found
+            bucket = self.buckets[tenant] = _Bucket(start, self.acquired_at, now)
+        return bucket
 
     def floor(self, tenant: bytes) -> float:
-        """Return the level below which a bucket must not fall now; infinite where none is committed."""
-        committed: float = self.floors.get(tenant, float("inf"))
+        """Return the level below which a bucket must not fall now; infinite if none is committed."""
+        floor: float = self.floors.get(tenant, float("inf"))
         for record in self.proposed:
             proposed = record.floors.get(tenant)
             if proposed is not None:
-                committed = float("inf") if proposed == REMOVED else max(committed, proposed)
-        return committed
+                floor = float("inf") if proposed == REMOVED else max(floor, proposed)
+        return floor
 
 
 class QuotaTable:
@@ -176,7 +177,7 @@
         self._bounds.clear()
 
     def acquire(self, partition: int, floors: Floors, now: float) -> None:
-        """Start as the owner of a partition, whose floors are committed and applied."""
+        """Start as the owner of a partition; `floors` are its committed floors."""
         self._partitions[partition] = _OwnedPartition(floors, now)
 
     def release(self, partition: int) -> None:
@@ -184,13 +185,13 @@
         self._partitions.pop(partition, None)
 
     def grant(self, request: QuotaRequest, now: float) -> QuotaGrant | None:
-        """Return the answer to a quota request; None while it waits for a lower floor.
+        """Return the response to a quota request, or None if a lower floor must be committed first.
 
-        The caller has checked that it owns the partition now.
+        The caller has checked that this controller owns the partition now.
         """
         owned, tenant = self._partitions.get(request.partition), self._tenants.get(request.tenant)
         if owned is None or tenant is None or self._partition_of[request.tenant] != request.partition:
-            # not known here yet, or not the tenant's partition
+            # the tenant is not known here yet, or does not belong to the partition
             return QuotaGrant(request.nonce, GrantStatus.NOT_OWNER, 0, 0.0, None)
         if tenant.rate <= 0:
             return QuotaGrant(request.nonce, GrantStatus.UNLIMITED, 0, 0.0, None)
@@ -213,10 +214,10 @@
         return QuotaGrant(request.nonce, GrantStatus.GRANTED, request.cost + prefetched, 0.0, None)
 
     def _bounds_of(self, name: bytes, tenant: Tenant) -> _Bounds:
-        found = self._bounds.get(name)
-        if found is None:
-            found = self._bounds[name] = _Bounds(tenant, self._rules)
-        return found
+        bounds = self._bounds.get(name)
+        if bounds is None:
+            bounds = self._bounds[name] = _Bounds(tenant, self._rules)
+        return bounds
 
     @staticmethod
     def _deduct_spent(bucket: _Bucket, request: QuotaRequest, bounds: _Bounds) -> None:
@@ -226,9 +227,9 @@
     def _take_prefetch(
         bucket: _Bucket, request: QuotaRequest, bounds: _Bounds, floor: float, now: float
     ) -> int:
-        """Take what is granted beyond the cost: only from a well filled bucket, and within the bounds."""
-        spare = bucket.tokens - max(floor, PREFETCH_FILL_RATIO * bounds.capacity)
-        amount = int(min(request.prefetch, bounds.prefetch - bucket.unused_prefetch(now), spare))
+        """Take and return the tokens granted in advance, within the bounds; none if the bucket is low."""
+        available = bucket.tokens - max(floor, PREFETCH_FILL_RATIO * bounds.capacity)
+        amount = int(min(request.prefetch, bounds.prefetch - bucket.unused_prefetch(now), available))
         if amount <= 0:
             return 0
         bucket.tokens -= amount
@@ -238,7 +239,7 @@
     # Floors
 
     def due_floors(self, partition: int, now: float) -> Mapping[bytes, int]:
-        """Return the new floors that are to be proposed for a partition now, by tenant id."""
+        """Return the new floors to propose for a partition now, by tenant id."""
         owned = self._partitions.get(partition)
         due = dict[bytes, int]()
         if owned is None:
@@ -258,25 +259,25 @@
     def _due_floor(
         owned: _OwnedPartition, name: bytes, bucket: _Bucket, bounds: _Bounds, now: float
     ) -> int | None:
-        """Return the new floor of a bucket, None where it needs none; drop an idle one without a floor."""
-        wanted = math.floor(max(-bounds.debt, bucket.tokens - bounds.margin))
+        """Return the new floor of a bucket or None if it needs none; drop an idle bucket without a floor."""
+        new_floor = math.floor(max(-bounds.debt, bucket.tokens - bounds.margin))
         floor = owned.floor(name)
         if bucket.tokens >= bounds.capacity and now - bucket.used_at > IDLE_TIME_S:
             if name in owned.floors:
                 return REMOVED
             del owned.buckets[name]
             return None
-        if bucket.tokens - floor < bounds.margin / 2 and floor > wanted:
-            return wanted
-        return wanted if bucket.tokens - floor > 2 * bounds.margin else None
+        if bucket.tokens - floor < bounds.margin / 2 and floor > new_floor:
+            return new_floor
+        return new_floor if bucket.tokens - floor > 2 * bounds.margin else None
 
     def on_proposed(self, partition: int, record: FloorsRecord) -> None:
-        """Keep to the higher ones among proposed floors from now on."""
+        """Observe those of the proposed floors that are higher than the present ones from now on."""
         if partition in self._partitions:
             self._partitions[partition].proposed.append(record)
 
     def on_committed(self, partition: int, record: FloorsRecord) -> None:
-        """Drop the proposals up to a committed record: each of them is applied by now, or never will be."""
+        """Remove the proposals up to a committed record, since each is applied by now or never will be."""
         owned = self._partitions.get(partition)
         if owned is None:
             return
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -86,8 +86,8 @@
     Mutant(
         "a higher floor binds from its proposal on",
         "firvane/fleet/tenancy/quota.py",
-        'float("inf") if proposed == REMOVED else max(committed, proposed)',
-        'float("inf") if proposed == REMOVED else committed',
+        'float("inf") if proposed == REMOVED else max(floor, proposed)',
+        'float("inf") if proposed == REMOVED else floor',
         QUOTA,
     ),
     Mutant(
--- a/tests/fleet/tenancy/test_quota.py
+++ b/tests/fleet/tenancy/test_quota.py
@@ -24,7 +24,7 @@
     EXTRA_BURST_RATIO,
     MAX_DEBT_RATIO,
     PREFETCH_RATIO,
-    USUAL_SIZE_RATIO,
+    REGULAR_SIZE_RATIO,
     QuotaRules,
     QuotaTable,
 )
@@ -36,7 +36,7 @@
 
 BEYOND = RULES.allowance(TENANT)
 LIMIT = (TENANT.rate * RULES.window + TENANT.burst) * (1 + RULES.overage) + RULES.slack
-SIZE = int(TENANT.burst + USUAL_SIZE_RATIO * BEYOND + EXTRA_BURST_RATIO * TENANT.rate * RULES.window)
+SIZE = int(TENANT.burst + REGULAR_SIZE_RATIO * BEYOND + EXTRA_BURST_RATIO * TENANT.rate * RULES.window)
 DEBT = int(MAX_DEBT_RATIO * BEYOND)
 NAME = tenant_id(TENANT.name)
 LOW = -(10**12)
