--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -184,7 +184,7 @@
         if not self._freshness.is_fresh(now):
             self._wait_for_proof(pending, now)
             return
-        tenant = keys.holder(key) if key is not None else None
+        tenant = keys.tenant_of(key) if key is not None else None
         if tenant is not None:
             self._charge(pending, tenant, now)
         elif pending.route.anonymous:
--- a/firvane/fleet/tenancy/keys.py
+++ b/firvane/fleet/tenancy/keys.py
@@ -16,11 +16,11 @@
     """The tenants of one configuration by the digests of their API keys."""
 
     def __init__(self, tenants: Iterable[Tenant]) -> None:
-        self._holders = {digest: tenant for tenant in tenants for digest in tenant.key_digests}
+        self._tenants = {digest: tenant for tenant in tenants for digest in tenant.key_digests}
 
-    def holder(self, key: bytes) -> Tenant | None:
+    def tenant_of(self, key: bytes) -> Tenant | None:
         """Return the tenant to which a key belongs, or None if the key is unknown."""
-        return self._holders.get(key_digest(key))
+        return self._tenants.get(key_digest(key))
 
 
 def bearer_key(fields: Mapping[bytes, bytes]) -> bytes | None:
--- a/tests/fleet/tenancy/test_keys.py
+++ b/tests/fleet/tenancy/test_keys.py
@@ -33,8 +33,8 @@
 def test_a_key_is_known_by_its_digest_alone() -> None:
     one = Tenant("one", (key_digest(b"k1"), key_digest(b"k2")))
     ring = KeyRing((one, Tenant("two", (key_digest(b"k3"),)), Tenant("none")))
-    assert ring.holder(b"k1") is one
-    assert ring.holder(b"k2") is one
-    assert ring.holder(b"K1") is None
-    assert ring.holder(b"") is None
+    assert ring.tenant_of(b"k1") is one
+    assert ring.tenant_of(b"k2") is one
+    assert ring.tenant_of(b"K1") is None
+    assert ring.tenant_of(b"") is None
     assert b"k1" not in repr(one).encode()
