--- a/tests/fleet/placement/emulated_server.py
+++ b/tests/fleet/placement/emulated_server.py
@@ -1,6 +1,6 @@
-"""An emulated model server in simulated time: batches, prompts read in pieces, kept parts, a queue, failures.
+"""An emulated model server in simulated time, with batching, chunked prefill, a prefix cache and a queue.
 
-It stands on the other side and knows nothing of the decisions. Times are in seconds.
+It shares no code with the balancer under test. Times are in seconds.
 """
 
 from __future__ import annotations
@@ -12,194 +12,194 @@
 
 import simpy
 
-Parts = tuple[tuple[int, int], ...]
+Blocks = tuple[tuple[int, int], ...]
 
 
 @dataclass(frozen=True)
 class Profile:
-    """What a server can do."""
+    """Capacity and speed of a server."""
 
     slots: int = 64
-    queue: int = 192
-    memory: int = 440_000  # tokens
-    step: float = 0.005  # s of a batch step
-    step_by_run: float = 0.00003  # s more for each run that writes
-    read_speed: float = 51_000.0  # prompt tokens a second
-    piece: int = 1024  # prompt tokens of one step
-    setup: float = 0.047  # s before a run may enter
-    tokens_per_event: int = 4  # tokens of an event
-    urgent_first: bool = False  # the most urgent prompt is read first, even before one that is half read
+    queue_size: int = 192
+    memory_tokens: int = 440_000  # tokens of active requests and cached blocks
+    step_time: float = 0.005  # duration of a batch step
+    step_time_per_request: float = 0.00003  # added for each request that generates a token in the step
+    prefill_rate: float = 51_000.0  # prompt tokens per second
+    chunk_tokens: int = 1024  # prompt tokens prefilled in one step
+    setup_time: float = 0.047  # time from acceptance to the queue
+    tokens_per_event: int = 4
+    urgent_first: bool = False  # prefill the most urgent prompt first, even before a partly prefilled one
 
 
 @dataclass(eq=False)
-class Run:
-    """One request at one server. `on_event` hears each event, `on_end` whether the answer is whole."""
+class ServerRequest:
+    """One request at one server; `on_event` is called per event, `on_end` with whether it is complete."""
 
-    parts: Parts
+    blocks: Blocks
     tokens_out: int
     priority: int
     on_event: Callable[[], None]
     on_end: Callable[[bool], None]
-    order: int = 0
-    unread: int = -1  # tokens; -1: its reading has not begun
-    written: int = 0
-    passed: int = 0
-    over: bool = False
+    arrival_order: int = 0
+    remaining_prefill: int = -1  # tokens; -1 before the prefill starts
+    generated_tokens: int = 0
+    events_sent: int = 0
+    ended: bool = False
 
     @property
     def size(self) -> int:
-        return sum(tokens for _, tokens in self.parts) + self.tokens_out
+        return sum(tokens for _, tokens in self.blocks) + self.tokens_out
 
 
 @dataclass
-class ReadLog:
-    """Which shared parts have been read, over all servers."""
+class PrefillLog:
+    """Statistics of the prefills of all servers."""
 
-    once: set[int] = field(default_factory=set)
-    again: int = 0  # tokens of shared parts that were read again
-    wasted: int = 0  # tokens read for runs that were given up
-    total: int = 0
+    seen_blocks: set[int] = field(default_factory=set)  # shared blocks that were prefilled at any server
+    repeated_tokens: int = 0  # tokens of shared blocks that were prefilled before
+    wasted_tokens: int = 0  # tokens prefilled for requests that were cancelled
+    total_tokens: int = 0  # all prefilled tokens
 
 
 class EmulatedServer:
-    """One start of a server; `submit` takes a run or turns it away."""
+    """One server process."""
 
-    def __init__(self, env: simpy.Environment, name: str, profile: Profile, log: ReadLog) -> None:
+    def __init__(self, env: simpy.Environment, name: str, profile: Profile, log: PrefillLog) -> None:
         self.env, self.name, self.profile, self.log = env, name, profile, log
-        self.waiting: list[Run] = []
-        self.running: list[Run] = []
-        self.entering = 0
-        self.kept: dict[int, int] = {}
-        self.kept_tokens = 0
-        self.dark = False
+        self.waiting: list[ServerRequest] = []
+        self.active: list[ServerRequest] = []
+        self.arriving = 0
+        self.cached: dict[int, int] = {}
+        self.cached_tokens = 0
+        self.unresponsive = False
         self.crashed = False
-        self.wake = env.event()
-        self.orders = itertools.count()
-        self.process = env.process(self._work())
-
-    def submit(self, run: Run) -> bool:
-        """Take a run; False where the queue is full or the run is too large."""
-        count = len(self.waiting) + len(self.running) + self.entering
-        if count >= self.profile.slots + self.profile.queue or run.size > self.profile.memory:
+        self.wakeup = env.event()
+        self.arrival_orders = itertools.count()
+        self.process = env.process(self._run_batches())
+
+    def submit(self, request: ServerRequest) -> bool:
+        """Accept a request; return False if the queue is full or the request is too large."""
+        count = len(self.waiting) + len(self.active) + self.arriving
+        if count >= self.profile.slots + self.profile.queue_size or request.size > self.profile.memory_tokens:
             return False
-        run.order = next(self.orders)
-        self.entering += 1
-        self.env.process(self._enter(run))
+        request.arrival_order = next(self.arrival_orders)
+        self.arriving += 1
+        self.env.process(self._enter(request))
         return True
 
-    def cancel(self, run: Run) -> None:
-        if not run.over and run.unread > 0:
-            self.log.wasted += sum(tokens for _, tokens in run.parts) - run.unread
-        run.over = True
+    def cancel(self, request: ServerRequest) -> None:
+        if not request.ended and request.remaining_prefill > 0:
+            self.log.wasted_tokens += sum(tokens for _, tokens in request.blocks) - request.remaining_prefill
+        request.ended = True
 
     def crash(self) -> None:
-        """All runs break off."""
+        """End all requests incomplete, and stop."""
         self.crashed = True
-        for run in [*self.waiting, *self.running]:
-            self._end(run, False)
-        self.waiting, self.running = [], []
-
-    def set_dark(self, dark: bool) -> None:
-        """Nothing comes out any more, or it goes on."""
-        self.dark = dark
-        self._wake()
-
-    def _enter(self, run: Run) -> Generator[Any, Any, None]:
-        yield self.env.timeout(self.profile.setup)
-        self.entering -= 1
+        for request in [*self.waiting, *self.active]:
+            self._end(request, False)
+        self.waiting, self.active = [], []
+
+    def set_unresponsive(self, unresponsive: bool) -> None:
+        """Stop or resume sending any output."""
+        self.unresponsive = unresponsive
+        self._wake_up()
+
+    def _enter(self, request: ServerRequest) -> Generator[Any, Any, None]:
+        yield self.env.timeout(self.profile.setup_time)
+        self.arriving -= 1
         if self.crashed:
-            self._end(run, False)
-        elif not run.over:
-            self.waiting.append(run)
-            self.waiting.sort(key=lambda each: (each.priority, each.order))
-            self._wake()
+            self._end(request, False)
+        elif not request.ended:
+            self.waiting.append(request)
+            self.waiting.sort(key=lambda each: (each.priority, each.arrival_order))
+            self._wake_up()
 
-    def _wake(self) -> None:
-        if not self.wake.triggered:
-            self.wake.succeed()
+    def _wake_up(self) -> None:
+        if not self.wakeup.triggered:
+            self.wakeup.succeed()
 
-    def _work(self) -> Generator[Any, Any, None]:
+    def _run_batches(self) -> Generator[Any, Any, None]:
         while not self.crashed:
-            self._admit()
-            if self.dark or not self.running:
-                self.wake = self.env.event()
-                yield self.wake
+            self._start_waiting()
+            if self.unresponsive or not self.active:
+                self.wakeup = self.env.event()
+                yield self.wakeup
                 continue
-            reads = self._plan_reads()
-            writing = [run for run in self.running if run.unread == 0]
-            span = self.profile.step + self.profile.step_by_run * len(writing)
-            yield self.env.timeout(span + sum(reads.values()) / self.profile.read_speed)
-            while self.dark:
-                self.wake = self.env.event()
-                yield self.wake
+            prefills = self._plan_prefills()
+            generating = [request for request in self.active if request.remaining_prefill == 0]
+            span = self.profile.step_time + self.profile.step_time_per_request * len(generating)
+            yield self.env.timeout(span + sum(prefills.values()) / self.profile.prefill_rate)
+            while self.unresponsive:
+                self.wakeup = self.env.event()
+                yield self.wakeup
             if not self.crashed:
-                self._step(writing, reads)
+                self._step(generating, prefills)
 
-    def _admit(self) -> None:
-        self.waiting = [run for run in self.waiting if not run.over]
-        self.running = [run for run in self.running if not run.over]
-        used = sum(run.size for run in self.running)
-        while self.waiting and len(self.running) < self.profile.slots:
+    def _start_waiting(self) -> None:
+        self.waiting = [request for request in self.waiting if not request.ended]
+        self.active = [request for request in self.active if not request.ended]
+        used = sum(request.size for request in self.active)
+        while self.waiting and len(self.active) < self.profile.slots:
             used += self.waiting[0].size
-            if used > self.profile.memory:
+            if used > self.profile.memory_tokens:
                 break
-            self.running.append(self.waiting.pop(0))
+            self.active.append(self.waiting.pop(0))
 
-    def _plan_reads(self) -> dict[Run, int]:
-        left, reads = self.profile.piece, dict[Run, int]()
-        order = self.running
+    def _plan_prefills(self) -> dict[ServerRequest, int]:
+        remaining, prefills = self.profile.chunk_tokens, dict[ServerRequest, int]()
+        requests = self.active
         if self.profile.urgent_first:
-            order = sorted(order, key=lambda run: (run.priority, run.order))
-        for run in order:
-            if run.unread < 0 and left > 0:
-                run.unread = max(1, self._missing(run))
-            if run.unread > 0 and left > 0:
-                reads[run] = min(left, run.unread)
-                left -= reads[run]
-        return reads
-
-    def _missing(self, run: Run) -> int:
-        """Tokens that have to be read; notes what of it was read before by any server."""
-        total, kept = sum(tokens for _, tokens in run.parts), 0
-        for index, (part, tokens) in enumerate(run.parts):
-            if part not in self.kept:
-                for again, count in run.parts[index:-1]:
-                    self.log.again += count if again in self.log.once else 0
+            requests = sorted(requests, key=lambda request: (request.priority, request.arrival_order))
+        for request in requests:
+            if request.remaining_prefill < 0 and remaining > 0:
+                request.remaining_prefill = max(1, self._uncached_tokens(request))
+            if request.remaining_prefill > 0 and remaining > 0:
+                prefills[request] = min(remaining, request.remaining_prefill)
+                remaining -= prefills[request]
+        return prefills
+
+    def _uncached_tokens(self, request: ServerRequest) -> int:
+        """Return the tokens to prefill; log those of shared blocks that a server has prefilled before."""
+        prompt_tokens, cached = sum(tokens for _, tokens in request.blocks), 0
+        for index, (block, tokens) in enumerate(request.blocks):
+            if block not in self.cached:
+                for uncached, uncached_tokens in request.blocks[index:-1]:
+                    self.log.repeated_tokens += uncached_tokens if uncached in self.log.seen_blocks else 0
                 break
-            kept += tokens
-        self.log.once.update(part for part, _ in run.parts[:-1])
-        self.log.total += total - kept
-        return total - kept
-
-    def _step(self, writing: list[Run], reads: dict[Run, int]) -> None:
-        for run in writing:
-            self._write(run)
-        for run, tokens in reads.items():
-            run.unread -= tokens
-            if run.unread == 0 and not run.over:
-                self._keep(run.parts)
-                self._write(run)
-
-    def _write(self, run: Run) -> None:
-        if run.over:
+            cached += tokens
+        self.log.seen_blocks.update(block for block, _ in request.blocks[:-1])
+        self.log.total_tokens += prompt_tokens - cached
+        return prompt_tokens - cached
+
+    def _step(self, generating: list[ServerRequest], prefills: dict[ServerRequest, int]) -> None:
+        for request in generating:
+            self._generate(request)
+        for request, tokens in prefills.items():
+            request.remaining_prefill -= tokens
+            if request.remaining_prefill == 0 and not request.ended:
+                self._cache_blocks(request.blocks)
+                self._generate(request)
+
+    def _generate(self, request: ServerRequest) -> None:
+        if request.ended:
             return
-        run.written += 1
-        whole = run.written >= run.tokens_out
-        if whole or run.written % self.profile.tokens_per_event == 0:
-            run.passed += 1
-            run.on_event()
-        if whole:
-            self._end(run, True)
-
-    def _keep(self, parts: Parts) -> None:
-        for part, tokens in reversed(parts):
-            self.kept_tokens += tokens - self.kept.pop(part, 0)
-            self.kept[part] = tokens
-        room = self.profile.memory - sum(run.size for run in self.running)
-        while self.kept_tokens > room and self.kept:
-            self.kept_tokens -= self.kept.pop(next(iter(self.kept)))
-
-    def _end(self, run: Run, whole: bool) -> None:
-        if not run.over:
-            run.over = True
-            run.on_end(whole)
+        request.generated_tokens += 1
+        complete = request.generated_tokens >= request.tokens_out
+        if complete or request.generated_tokens % self.profile.tokens_per_event == 0:
+            request.events_sent += 1
+            request.on_event()
+        if complete:
+            self._end(request, True)
+
+    def _cache_blocks(self, blocks: Blocks) -> None:
+        for block, tokens in reversed(blocks):
+            self.cached_tokens += tokens - self.cached.pop(block, 0)
+            self.cached[block] = tokens
+        capacity = self.profile.memory_tokens - sum(request.size for request in self.active)
+        while self.cached_tokens > capacity and self.cached:
+            self.cached_tokens -= self.cached.pop(next(iter(self.cached)))
+
+    def _end(self, request: ServerRequest, complete: bool) -> None:
+        if not request.ended:
+            request.ended = True
+            request.on_end(complete)
