--- a/tests/fleet/placement/test_fuzz.py
+++ b/tests/fleet/placement/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Random histories of one balancer, against an oracle that knows the rules of requests and nothing else."""
+"""Random event sequences for one balancer, checked by an oracle against the rules of requests."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 )
 from tests.fleet.placement.helpers import SERVICE, Harness, instance, long_prompt, request
 
-ENDS = [api.Result.OK] * 6 + [
+RESULTS = [api.Result.OK] * 6 + [
     api.Result.ERROR,
     api.Result.OVERLOADED,
     api.Result.CONNECT_FAILED,
@@ -32,21 +32,21 @@
 
 @dataclass
 class TrackedRequest:
-    """One request as the oracle follows it."""
+    """The oracle's state of one request."""
 
     request: PromptRequest
     deadline: float
     sent: list[str] = field(default_factory=list)
-    out: set[int] = field(default_factory=set)
+    in_flight: set[int] = field(default_factory=set)
     reached: int = 0
     may_have_run: int = 0
-    begun: int = -1
-    head: bool = False
-    over: bool = False
+    started_attempt: int = -1
+    response_started: bool = False
+    ended: bool = False
 
 
 class Oracle:
-    """Plays an engine that obeys every action, and checks it against the rules."""
+    """Performs the balancer's actions as the router does, and checks each against the rules."""
 
     def __init__(self, seed: int) -> None:
         self.rng, self.harness = random.Random(seed), Harness(4, slack=SLACK)
@@ -54,14 +54,14 @@
         self.states = {f"i-{number:02}": InstanceState.READY for number in range(4)}
         self.next_server = 4
         self.timers: list[tuple[float, int]] = []
-        self.arrivals: list[tuple[float, bool]] = []  # when, and whether it is a repeat
-        self.asked: list[float] = []
+        self.arrivals: list[tuple[float, bool]] = []  # time of each attempt, and whether it is a retry
+        self.submitted: list[float] = []
 
     def handle(self, event: object) -> None:
         for action in self.harness.handle(event):
-            self.obey(action)
+            self.perform(action)
 
-    def obey(self, action: api.Action) -> None:
+    def perform(self, action: api.Action) -> None:
         if isinstance(action, api.Send):
             self.check_send(action)
         elif isinstance(action, api.SetTimer):
@@ -70,46 +70,48 @@
         elif isinstance(action, api.Cancel):
             self.cancel(action)
         elif isinstance(action, api.Reject):
-            one = self.requests[action.id]
-            assert not one.over and one.may_have_run == 0 and not one.head
+            tracked = self.requests[action.id]
+            assert not tracked.ended and tracked.may_have_run == 0 and not tracked.response_started
             assert 0.0 < action.retry_after <= 2.0
-            one.over = True
+            tracked.ended = True
         elif isinstance(action, api.Fail):
-            one = self.requests[action.id]
-            assert not one.over and (one.may_have_run or one.head)
-            one.over = True
+            tracked = self.requests[action.id]
+            assert not tracked.ended and (tracked.may_have_run or tracked.response_started)
+            tracked.ended = True
 
     def check_send(self, action: api.Send) -> None:
-        one = self.requests[action.id]
-        assert not one.over and not one.out, "one attempt at a time, and none after the answer"
-        assert self.harness.now < one.deadline
+        tracked = self.requests[action.id]
+        assert not tracked.ended and not tracked.in_flight, (
+            "one open attempt at a time, and none after the final response"
+        )
+        assert self.harness.now < tracked.deadline
         assert self.states[action.server] is InstanceState.READY
-        assert one.reached < one.request.max_attempts
-        assert one.may_have_run == 0 or one.request.retryable
-        self.arrivals.append((self.harness.now, one.reached > 0))
-        one.out.add(len(one.sent))
-        one.sent.append(action.server)
-        one.reached += 1
-        one.may_have_run += 1
+        assert tracked.reached < tracked.request.max_attempts
+        assert tracked.may_have_run == 0 or tracked.request.retryable
+        self.arrivals.append((self.harness.now, tracked.reached > 0))
+        tracked.in_flight.add(len(tracked.sent))
+        tracked.sent.append(action.server)
+        tracked.reached += 1
+        tracked.may_have_run += 1
 
     def cancel(self, action: api.Cancel) -> None:
-        one = self.requests[action.id]
-        if action.attempt in one.out:
-            assert one.over or one.request.retryable
+        tracked = self.requests[action.id]
+        if action.attempt in tracked.in_flight:
+            assert tracked.ended or tracked.request.retryable
             self.end(action.id, action.attempt, api.Result.CANCELLED)
 
     def end(self, number: int, attempt: int, result: api.Result) -> None:
-        one = self.requests[number]
-        one.out.discard(attempt)
+        tracked = self.requests[number]
+        tracked.in_flight.discard(attempt)
         if result.never_ran:
-            one.may_have_run -= 1
-            one.reached -= result is not api.Result.OVERLOADED
-        if result is api.Result.OK and not one.over:
-            one.over = True
-        elif one.begun == attempt and not one.over:
-            one.begun = -1
-            one.over = not one.request.retryable
-        event = api.Outcome(number, attempt, one.sent[attempt], result, 0.1, one.over)
+            tracked.may_have_run -= 1
+            tracked.reached -= result is not api.Result.OVERLOADED
+        if result is api.Result.OK and not tracked.ended:
+            tracked.ended = True
+        elif tracked.started_attempt == attempt and not tracked.ended:
+            tracked.started_attempt = -1
+            tracked.ended = not tracked.request.retryable
+        event = api.Outcome(number, attempt, tracked.sent[attempt], result, 0.1, tracked.ended)
         self.pending.append(event)
 
     def step(self) -> None:
@@ -123,13 +125,13 @@
         steps = [
             self.submit,
             self.submit,
-            self.begin,
+            self.start_stream,
             self.finish,
             self.finish,
-            self.leave,
-            self.hint,
-            self.change,
-            self.garbage,
+            self.disconnect,
+            self.report_progress,
+            self.change_membership,
+            self.send_invalid_events,
         ]
         self.rng.choice(steps)()
         self.flush()
@@ -149,42 +151,48 @@
         }
         if self.rng.random() < 0.2:
             fields = long_prompt(self.rng.randrange(9), self.harness.next_id, **{**fields, "time_left": 10.0})
-        asked = request(self.harness.next_id, **fields)
-        self.requests[asked.id] = TrackedRequest(asked, self.harness.now + asked.time_left)
-        self.asked.append(self.harness.now)
-        self.handle(asked)
-
-    def some(self) -> tuple[int, int] | None:
-        out = [(number, attempt) for number, one in self.requests.items() for attempt in one.out]
-        return self.rng.choice(out) if out else None
-
-    def begin(self) -> None:
-        if found := self.some():
-            number, attempt = found
-            one = self.requests[number]
-            if not one.over and one.begun < 0 and one.request.kind is RequestKind.STREAM:
-                one.begun, one.head = attempt, True
-                self.handle(api.StreamStarted(number, attempt, one.sent[attempt], 0.08))
+        submitted = request(self.harness.next_id, **fields)
+        self.requests[submitted.id] = TrackedRequest(submitted, self.harness.now + submitted.time_left)
+        self.submitted.append(self.harness.now)
+        self.handle(submitted)
+
+    def random_attempt(self) -> tuple[int, int] | None:
+        in_flight = [
+            (number, attempt) for number, tracked in self.requests.items() for attempt in tracked.in_flight
+        ]
+        return self.rng.choice(in_flight) if in_flight else None
+
+    def start_stream(self) -> None:
+        if in_flight_attempt := self.random_attempt():
+            number, attempt = in_flight_attempt
+            tracked = self.requests[number]
+            if (
+                not tracked.ended
+                and tracked.started_attempt < 0
+                and tracked.request.kind is RequestKind.STREAM
+            ):
+                tracked.started_attempt, tracked.response_started = attempt, True
+                self.handle(api.StreamStarted(number, attempt, tracked.sent[attempt], 0.08))
 
     def finish(self) -> None:
-        if found := self.some():
-            result = self.rng.choice(ENDS)
-            if self.requests[found[0]].begun == found[1]:
+        if in_flight_attempt := self.random_attempt():
+            result = self.rng.choice(RESULTS)
+            if self.requests[in_flight_attempt[0]].started_attempt == in_flight_attempt[1]:
                 result = self.rng.choice([api.Result.OK, api.Result.RESET, api.Result.TIMEOUT])
-            self.end(*found, result)
+            self.end(*in_flight_attempt, result)
 
-    def leave(self) -> None:
-        waiting = [number for number, one in self.requests.items() if not one.over]
+    def disconnect(self) -> None:
+        waiting = [number for number, tracked in self.requests.items() if not tracked.ended]
         if waiting and self.rng.random() < 0.3:
             number = self.rng.choice(waiting)
-            self.requests[number].over = True
+            self.requests[number].ended = True
             self.handle(api.ClientGone(number))
 
-    def hint(self) -> None:
-        if found := self.some():
-            self.handle(StreamProgress(self.requests[found[0]].sent[found[1]]))
+    def report_progress(self) -> None:
+        if in_flight_attempt := self.random_attempt():
+            self.handle(StreamProgress(self.requests[in_flight_attempt[0]].sent[in_flight_attempt[1]]))
 
-    def change(self) -> None:
+    def change_membership(self) -> None:
         if self.rng.random() < 0.5:
             count = self.rng.randint(1, 3)
             self.handle(PeersChanged(tuple(range(1, count + 1)), (0,) * count))
@@ -200,40 +208,40 @@
         listed = [instance(int(each[2:]), state) for each, state in self.states.items()]
         self.handle(InstancesChanged(SERVICE, tuple(listed)))
 
-    def garbage(self) -> None:
+    def send_invalid_events(self) -> None:
         self.handle(api.PeerMessage(2, self.rng.randbytes(self.rng.randrange(80))))
         self.handle(api.Outcome(10**6, 0, "i-00", api.Result.OK, 0.1, True))
         self.handle(api.StreamStarted(10**6, 0, "i-00", 0.1))
         self.handle(api.TimerFired(10**6))
 
-    def settle(self) -> None:
-        """All clients leave; nothing may be left of them."""
+    def end_all_requests(self) -> None:
+        """Disconnect all clients, and check that no state of their requests remains."""
         self.pending = []
-        for number, one in self.requests.items():
-            if not one.over:
-                one.over = True
+        for number, tracked in self.requests.items():
+            if not tracked.ended:
+                tracked.ended = True
                 self.handle(api.ClientGone(number))
                 self.flush()
-        assert not any(one.out for one in self.requests.values())
+        assert not any(tracked.in_flight for tracked in self.requests.values())
         balancer = self.harness.balancer
         assert not balancer.pending_requests and not balancer.attempts
         for server in balancer.services[SERVICE].servers.values():
             assert server.in_flight == 0 and not server.pending_prefills
 
     def check_budget(self) -> None:
-        repeats = [at for at, repeat in self.arrivals if repeat]
-        for end in repeats:
-            span = [at for at in repeats if end - WINDOW < at <= end]
-            asked = [at for at in self.asked if end - WINDOW <= at <= end]
-            assert len(span) <= RATIO * len(asked) + SLACK
+        retries = [at for at, is_retry in self.arrivals if is_retry]
+        for end in retries:
+            retries_in_window = [at for at in retries if end - WINDOW < at <= end]
+            submitted = [at for at in self.submitted if end - WINDOW <= at <= end]
+            assert len(retries_in_window) <= RATIO * len(submitted) + SLACK
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_random_histories_keep_the_rules(seed: int) -> None:
+def test_random_event_sequences_do_not_violate_the_rules(seed: int) -> None:
     oracle = Oracle(seed)
     oracle.pending = []
     for _ in range(500):
         oracle.step()
     oracle.check_budget()
-    oracle.settle()
+    oracle.end_all_requests()
     assert len(oracle.requests) > 60
