--- a/tests/fleet/placement/helpers.py
+++ b/tests/fleet/placement/helpers.py
@@ -1,4 +1,4 @@
-"""A balancer for prompts with plain events, and shorthand for what it answers."""
+"""A test harness around one prompt balancer, and factories of its events."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Harness:
-    """One balancer; `now` moves only by hand."""
+    """One balancer with a manual clock (`now`)."""
 
     def __init__(
         self, servers: int = 3, me: int = 1, peers: Sequence[int] = (1,), slack: float = 50.0
@@ -55,7 +55,7 @@
             self.fill_budget()
 
     def fill_budget(self) -> None:
-        """The router has run for a while: its retry budget is what earlier requests have paid for."""
+        """Fill the retry budget, as if the router had received many requests before."""
         for _ in range(1000):
             self.balancer.services[SERVICE].retry_budget.record_request(self.now)
 
@@ -78,7 +78,7 @@
         return self.handle(api.StreamStarted(send.id, attempt, send.server, after), after)
 
     def serve(self, **fields: object) -> str:
-        """A request that is answered quickly; the name of its server."""
+        """Serve a request quickly, and return the id of its server."""
         [send] = only(self.submit(**fields), api.Send)
         self.start_response(send)
         self.end_attempt(send, api.Result.OK, finished=True)
@@ -86,7 +86,7 @@
 
 
 def request(number: int, **fields: object) -> PromptRequest:
-    given: dict[str, object] = {
+    defaults: dict[str, object] = {
         "id": number,
         "class_id": 0,
         "time_left": 5.0,
@@ -101,21 +101,21 @@
         "resumable": True,
         "event_gap_target": 0.2,
     }
-    return PromptRequest(**{**given, **fields})  # type: ignore[arg-type]
+    return PromptRequest(**{**defaults, **fields})  # type: ignore[arg-type]
 
 
-def long_prompt(subject: int, own: int = 1, **fields: object) -> dict[str, object]:
-    """A long prompt with a large shared part, of a stream that may run once."""
-    given: dict[str, object] = {
+def long_prompt(shared_id: int, own_id: int = 1, **fields: object) -> dict[str, object]:
+    """Return the fields of a long prompt with a large shared block, for a stream that is not retryable."""
+    defaults: dict[str, object] = {
         "time_left": 10.0,
-        "chain": ((subject, 13_000), (0x5000 + own, 3_000)),
+        "chain": ((shared_id, 13_000), (0x5000 + own_id, 3_000)),
         "tokens_in": 16_000,
         "priority": 1,
         "latency_target": 0.8,
         "max_attempts": 1,
         "resumable": False,
     }
-    return {**given, **fields}
+    return {**defaults, **fields}
 
 
 def only(actions: Sequence[api.Action], kind: type[A]) -> list[A]:
--- a/tests/fleet/placement/test_balancer.py
+++ b/tests/fleet/placement/test_balancer.py
@@ -63,16 +63,18 @@
 
 def test_a_long_prompt_goes_to_its_home_and_all_routers_agree() -> None:
     routers = [Harness(5, me=me, peers=(1, 2, 3)) for me in (1, 2, 3)]
-    for subject in range(40):
-        prompt_homes = {only(router.submit(**long_prompt(subject)), api.Send)[0].server for router in routers}
+    for shared_id in range(40):
+        prompt_homes = {
+            only(router.submit(**long_prompt(shared_id)), api.Send)[0].server for router in routers
+        }
         assert len(prompt_homes) == 1
 
 
 def test_only_the_homes_of_a_removed_backend_move() -> None:
     router, other = Harness(6), Harness(6)
     other.handle(InstancesChanged(SERVICE, instances(5)))
-    before = [router.serve(**long_prompt(subject)) for subject in range(60)]
-    after = [other.serve(**long_prompt(subject)) for subject in range(60)]
+    before = [router.serve(**long_prompt(shared_id)) for shared_id in range(60)]
+    after = [other.serve(**long_prompt(shared_id)) for shared_id in range(60)]
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {"i-05"}
 
--- a/tests/fleet/placement/test_exchange.py
+++ b/tests/fleet/placement/test_exchange.py
@@ -142,20 +142,20 @@
 
 def test_keys_keep_the_server_that_caches_them_when_a_server_joins() -> None:
     router, peer = pair()
-    prompt_homes = {subject: router.serve(**long_prompt(subject)) for subject in range(40)}
+    prompt_homes = {shared_id: router.serve(**long_prompt(shared_id)) for shared_id in range(40)}
     peer.now = router.now
     request_for_rows = encode_row(Row(RowFlags.ASK, 0, int(peer.now * 1000), 0, (), (), ()))
     deliver(router.handle(api.PeerMessage(2, request_for_rows)), 1, peer)
     for each in (router, peer):
         each.handle(InstancesChanged(SERVICE, instances(4)))
-        assert {subject: each.serve(**long_prompt(subject)) for subject in range(40)} == prompt_homes
-        new = {each.serve(**long_prompt(subject)) for subject in range(40, 80)}
+        assert {shared_id: each.serve(**long_prompt(shared_id)) for shared_id in range(40)} == prompt_homes
+        new = {each.serve(**long_prompt(shared_id)) for shared_id in range(40, 80)}
         assert "i-03" in new
 
 
 def test_a_starting_router_gets_the_cached_blocks_from_its_peers() -> None:
     router = Harness(5, me=1, peers=(1, 2))
-    prompt_homes = {subject: router.serve(**long_prompt(subject)) for subject in range(40)}
+    prompt_homes = {shared_id: router.serve(**long_prompt(shared_id)) for shared_id in range(40)}
     router.handle(InstancesChanged(SERVICE, instances(6)))
     peer = Harness(0, me=2, peers=(2,))
     requested = peer.handle(PeersChanged((1, 2), (0, 0)), after=20.0)
@@ -164,7 +164,7 @@
     )
     deliver(deliver(requested, 2, router), 1, peer)
     peer.handle(InstancesChanged(SERVICE, instances(6)))  # the servers become known only after the rows
-    assert {subject: peer.serve(**long_prompt(subject)) for subject in range(40)} == prompt_homes
+    assert {shared_id: peer.serve(**long_prompt(shared_id)) for shared_id in range(40)} == prompt_homes
 
 
 def test_suspicions_are_announced_to_the_peers() -> None:
--- a/tests/fleet/placement/test_selection.py
+++ b/tests/fleet/placement/test_selection.py
@@ -15,7 +15,7 @@
 
 def test_a_long_prompt_waits_at_its_home_rather_than_being_prefilled_again() -> None:
     router = Harness(5)
-    assert len({sent(router, **long_prompt(1, own)) for own in range(4)}) == 1
+    assert len({sent(router, **long_prompt(1, own_id)) for own_id in range(4)}) == 1
 
 
 def test_a_long_prompt_leaves_a_home_with_a_long_backlog() -> None:
@@ -94,5 +94,5 @@
 
 def test_prompts_spread_over_more_backends_than_one_selection_compares() -> None:
     router = Harness(80)
-    used = {router.serve(**long_prompt(subject)) for subject in range(400)}
+    used = {router.serve(**long_prompt(shared_id)) for shared_id in range(400)}
     assert len(used) > 60
--- a/tests/fleet/placement/test_throughput.py
+++ b/tests/fleet/placement/test_throughput.py
@@ -1,4 +1,4 @@
-"""Speeds of model servers as learnt."""
+"""Estimates of the throughput of model servers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from firvane.fleet.placement.throughput import RunningMedian, ThroughputEstimates
 
 
-def test_a_median_follows_its_samples_and_no_outlier() -> None:
+def test_a_median_follows_its_samples_except_outliers() -> None:
     rng, median = random.Random(1), RunningMedian(1.0, 0.001, 1000.0)
     for _ in range(400):
         median.add(20.0 * rng.uniform(0.8, 1.25) if rng.random() < 0.9 else 0.0)
@@ -26,7 +26,7 @@
     assert throughput.expected(13_000) == pytest.approx(0.077 + 13_000 / 40_000, rel=0.15)
 
 
-def test_samples_behind_a_backlog_are_ignored() -> None:
+def test_samples_with_a_backlog_are_ignored() -> None:
     throughput = ThroughputEstimates()
     throughput.record_first_event("a", 300, 0.5, 3.0)
     assert throughput.first_event.samples == 0
@@ -44,11 +44,11 @@
     assert throughput.slowdown("slow") == 1.0
 
 
-@pytest.mark.parametrize("took", [0.0, -1.0, 1e-12, 1e9])
-def test_any_duration_keeps_the_estimates_in_bounds(took: float) -> None:
+@pytest.mark.parametrize("duration", [0.0, -1.0, 1e-12, 1e9])
+def test_any_duration_keeps_the_estimates_in_bounds(duration: float) -> None:
     throughput = ThroughputEstimates()
     for tokens in (0, 300, 1_000, 50_000):
-        throughput.record_first_event("a", tokens, 0.0, took)
+        throughput.record_first_event("a", tokens, 0.0, duration)
     assert 0.0 < throughput.expected(10_000) < 1e3
 
 
