--- a/tests/fleet/tenancy/test_allowance.py
+++ b/tests/fleet/tenancy/test_allowance.py
@@ -1,4 +1,4 @@
-"""What a router may use without asking, and what it asks for."""
+"""Tokens that a router may use without a quota request, and tokens that it prefetches."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 def test_nothing_is_prefetched_for_a_tenant_with_few_requests() -> None:
     allowances = Allowances()
-    for turn in range(5):
-        assert not allowances.take("t", 1_000, turn * 3.0)
+    for index in range(5):
+        assert not allowances.take("t", 1_000, index * 3.0)
         assert allowances.prefetch("t", 1_000) == 0
 
 
 def test_the_next_half_second_is_prefetched_for_a_busy_tenant() -> None:
     allowances = Allowances()
-    for turn in range(400):
-        allowances.take("t", 100, turn * 0.01)
+    for index in range(400):
+        allowances.take("t", 100, index * 0.01)
     prefetch = allowances.prefetch("t", 100)
     assert 0.7 * PREFETCH_TIME_S * 10_000 < prefetch < 1.1 * PREFETCH_TIME_S * 10_000
 
 
-def test_prefetched_tokens_expire_counted_from_the_request() -> None:
+def test_the_lifetime_of_prefetched_tokens_starts_at_the_quota_request() -> None:
     allowances = Allowances()
     allowances.take("t", 10, 0.0)
     allowances.record_grant("t", 30, 0, 0.0)
@@ -36,17 +36,17 @@
     assert not allowances.take("t", 10, PREFETCH_LIFETIME_S)
 
 
-def test_refunded_tokens_are_used_by_the_next_request_for_a_moment_only() -> None:
+def test_refunded_tokens_expire_after_a_short_time() -> None:
     allowances = Allowances()
     assert not allowances.take("t", 10, 0.0)
     allowances.refund("t", 10, 0.0)
     assert allowances.take("t", 10, REFUND_LIFETIME_S / 2)
     allowances.refund("t", 10, 1.0)
-    allowances.refund("t", 10, 1.0 + REFUND_LIFETIME_S / 2)  # which lengthens nothing
+    allowances.refund("t", 10, 1.0 + REFUND_LIFETIME_S / 2)  # does not extend the lifetime
     assert not allowances.take("t", 10, 1.0 + REFUND_LIFETIME_S)
 
 
-def test_a_retry_is_reported_until_a_quota_request_was_answered() -> None:
+def test_the_use_of_a_retry_is_reported_until_a_quota_request_is_answered() -> None:
     allowances = Allowances()
     allowances.charge("t", 70)
     assert allowances.spent("t") == 70
@@ -55,7 +55,7 @@
     assert allowances.spent("t") == 5
 
 
-def test_idle_tenants_are_forgotten_but_not_their_unreported_use() -> None:
+def test_idle_tenants_are_removed_unless_they_have_unreported_use() -> None:
     allowances = Allowances()
     allowances.take("idle", 10, 0.0)
     allowances.take("owes", 10, 0.0)
--- a/tests/fleet/tenancy/test_keys.py
+++ b/tests/fleet/tenancy/test_keys.py
@@ -1,4 +1,4 @@
-"""Keys are found by their digests, in whatever form a client sends them."""
+"""Extraction of API keys from requests, and the lookup of their tenants."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 def test_a_key_is_known_by_its_digest_alone() -> None:
-    one = Tenant("one", (key_digest(b"k1"), key_digest(b"k2")))
-    ring = KeyRing((one, Tenant("two", (key_digest(b"k3"),)), Tenant("none")))
-    assert ring.tenant_of(b"k1") is one
-    assert ring.tenant_of(b"k2") is one
+    tenant = Tenant("one", (key_digest(b"k1"), key_digest(b"k2")))
+    ring = KeyRing((tenant, Tenant("two", (key_digest(b"k3"),)), Tenant("none")))
+    assert ring.tenant_of(b"k1") is tenant
+    assert ring.tenant_of(b"k2") is tenant
     assert ring.tenant_of(b"K1") is None
     assert ring.tenant_of(b"") is None
-    assert b"k1" not in repr(one).encode()
+    assert b"k1" not in repr(tenant).encode()
--- a/tests/fleet/tenancy/test_messages.py
+++ b/tests/fleet/tenancy/test_messages.py
@@ -1,4 +1,4 @@
-"""Records about tenants come back as they were sent; what is no record raises `TenancyError`."""
+"""Encoding and decoding of records about tenants; malformed records raise `TenancyError`."""
 
 from __future__ import annotations
 
@@ -36,32 +36,32 @@
     assert decode(encode(record)) == record
 
 
-def test_an_age_is_never_decoded_smaller() -> None:
-    drawn = random.Random(1)
+def test_ages_are_rounded_up() -> None:
+    rng = random.Random(1)
     for _ in range(500):
-        age = drawn.uniform(0.0, 5.0)
-        came = decode(encode(FreshnessProof(1, 1, age, None)))
-        assert isinstance(came, FreshnessProof) and came.age is not None
-        assert age < came.age <= age + 0.0011
+        age = rng.uniform(0.0, 5.0)
+        decoded = decode(encode(FreshnessProof(1, 1, age, None)))
+        assert isinstance(decoded, FreshnessProof) and decoded.age is not None
+        assert age < decoded.age <= age + 0.0011
 
 
-def test_amounts_beyond_the_field_are_capped() -> None:
-    came = decode(encode(QuotaRequest(1, tenant_id("t"), 1, 10**12, -4, 3)))
-    assert came == QuotaRequest(1, tenant_id("t"), 1, MAX_TOKENS, 0, 3)
+def test_amounts_out_of_the_range_of_the_field_are_clamped() -> None:
+    decoded = decode(encode(QuotaRequest(1, tenant_id("t"), 1, 10**12, -4, 3)))
+    assert decoded == QuotaRequest(1, tenant_id("t"), 1, MAX_TOKENS, 0, 3)
 
 
-def test_bytes_that_are_no_record_are_rejected() -> None:
-    drawn = random.Random(2)
-    whole = [encode(record) for record in RECORDS]
+def test_malformed_records_are_rejected() -> None:
+    rng = random.Random(2)
+    encoded = [encode(record) for record in RECORDS]
     for _ in range(2_000):
-        data = bytearray(drawn.choice(whole))
-        match drawn.randrange(3):
+        data = bytearray(rng.choice(encoded))
+        match rng.randrange(3):
             case 0:
-                del data[drawn.randrange(len(data)) :]
+                del data[rng.randrange(len(data)) :]
             case 1:
-                data += drawn.randbytes(drawn.randrange(1, 5))
+                data += rng.randbytes(rng.randrange(1, 5))
             case 2:
-                data[0] = drawn.choice((0, 5, 9, 255))
+                data[0] = rng.choice((0, 5, 9, 255))
         with pytest.raises(TenancyError):
             decode(bytes(data))
     with pytest.raises(TenancyError):
