--- a/firvane/fleet/placement/announcement.py
+++ b/firvane/fleet/placement/announcement.py
@@ -160,15 +160,15 @@
     service: Service, own_row: Row | None, own_row_at: float, peers: Peers, now: float
 ) -> Mapping[int, tuple[Section, float]]:
     """Return each router's section for a service with its age in seconds, by router number."""
-    sections = dict[int, tuple[Section, float]]()
+    by_router = dict[int, tuple[Section, float]]()
     rows = [(number, peer.row, now - peer.last_row_at) for number, peer in peers.known.items() if peer.row]
     if own_row:
         rows.append((peers.own_number, own_row, now - own_row_at))
     for number, row, age in rows:
         for section in row.sections:
             if section.service == service.name_hash:
-                sections[number] = (section, age)
-    return sections
+                by_router[number] = (section, age)
+    return by_router
 
 
 def is_unexpected_offload(row: Row, service: Service, own_number: int) -> bool:
--- a/firvane/fleet/placement/health.py
+++ b/firvane/fleet/placement/health.py
@@ -31,8 +31,8 @@
 STREAM_STALL_S = 0.35  # time without progress of any stream
 TRIAL_TIMEOUT_S = 1.0
 SATURATED_S = 0.1  # time without requests after a rejection for lack of capacity
-MIN_SUSPECTING_PEERS = 2  # so many suspecting peers make a server suspect without a local time-out
-MIN_PROGRESS_EVENTS = 3  # stalls are detected only at servers with at least so many progress reports
+MIN_SUSPECTING_PEERS = 2  # the suspicions of this many peers suffice without a local time-out
+MIN_PROGRESS_EVENTS = 3  # stalls are detected only at servers with at least this many progress reports
 MAX_PEER_SUSPICION_AGE_S = 1.0  # older suspicions of peers are ignored
 
 
--- a/firvane/fleet/placement/peers.py
+++ b/firvane/fleet/placement/peers.py
@@ -60,8 +60,8 @@
     def live(self, now: float) -> list[int]:
         """Return the sorted numbers of the live routers, which always include this one."""
         oldest = now - PEER_TIMEOUT_ROWS * self.row_interval * WINDOW
-        live = {number for number, peer in self.known.items() if peer.last_row_at >= oldest}
-        return sorted(live | {self.own_number})
+        numbers = {number for number, peer in self.known.items() if peer.last_row_at >= oldest}
+        return sorted(numbers | {self.own_number})
 
     def record_row(self, sender: int, row: Row, now: float) -> bool:
         """Store a row unless it is outdated or its sender unknown; return whether it was stored."""
--- a/firvane/fleet/placement/prefix_cache.py
+++ b/firvane/fleet/placement/prefix_cache.py
@@ -49,7 +49,8 @@
         self.used_tokens += tokens - (old[0] if old else 0)
         self.prefilled_tokens += tokens
         self._own[key] = (tokens, self.prefilled_tokens)
-        for key, tokens in reversed(prompt.shared_blocks):  # most prompts share the first one
+        # in reverse, so that the first block, which most prompts share, is evicted last
+        for key, tokens in reversed(prompt.shared_blocks):
             self._put_shared(key, tokens)
         self._evict()
 
--- a/firvane/fleet/placement/selection.py
+++ b/firvane/fleet/placement/selection.py
@@ -61,7 +61,7 @@
     available = [server for server in usable if server.in_flight < limit and server.saturated_until <= now]
     candidates = [server for server in available if server.id not in pending.attempted_servers]
     if not candidates and len(view.ready) == 1:
-        return [server for server in available if not health.is_ejected(server)]  # try the only one again
+        return [server for server in available if not health.is_ejected(server)]  # retry at the only server
     if not pending.request.retryable:  # use it as the trial of an ejected server only if unavoidable
         candidates = [server for server in candidates if not health.is_ejected(server)] or candidates
     return candidates
--- a/firvane/fleet/placement/server_view.py
+++ b/firvane/fleet/placement/server_view.py
@@ -88,7 +88,7 @@
         in_flight: Open attempts of this router.
         pending_prefills: This router's attempts without an event by sequence, in the order of sending.
         pending_prefill_tokens: Sum of the tokens of `pending_prefills`.
-        no_event_since: When the last first event came, or when the oldest pending prefill was sent if later.
+        no_event_since: When a prefill last ended, or when the first of `pending_prefills` was sent, if later.
         prefill_until: When all pending prefills are expected to be complete.
         lag: Seconds by which the latest first event was later than expected, as of `lag_at`.
         peer_loads: The last report of each peer about the server, by router number.
--- a/firvane/fleet/placement/throughput.py
+++ b/firvane/fleet/placement/throughput.py
@@ -16,11 +16,11 @@
 SHORT_PREFILL_TOKENS = 500  # for shorter prompts the time to the first event does not depend on the length
 LONG_PREFILL_TOKENS = 2000  # samples of longer prompts are used to estimate the prefill rate
 MIN_PREFILL_TIME_RATIO = 0.25  # the prefill takes at least this part of the time to the first event
-IDLE_BACKLOG_S = 0.01  # a server with at most so many seconds of outstanding prefill counts as idle
+IDLE_BACKLOG_S = 0.01  # a server with at most this outstanding prefill counts as idle
 MIN_SLOWDOWN = 0.25
 MAX_SLOWDOWN = 8.0
 SLOWDOWN_STEP = 0.04  # maximum change of the slowdown's logarithm at the first sample
-SLOWDOWN_SAMPLES = 20  # with so many samples a server's measured slowdown has half of its full weight
+SLOWDOWN_SAMPLES = 20  # with this many samples a server's measured slowdown has half of its full weight
 INITIAL_DURATION_S = 1.0
 DURATION_GAIN = 0.05  # weight of a sample in the moving average of durations
 
@@ -101,9 +101,9 @@
             self.prefill_rate.adopt(prefill_rate, samples)
             self.first_event.adopt(first_event, samples)
 
-    def record_duration(self, duration: float) -> None:
+    def record_duration(self, sample: float) -> None:
         """Update the average duration with that of a complete response, in seconds."""
-        self.duration += DURATION_GAIN * (duration - self.duration)
+        self.duration += DURATION_GAIN * (sample - self.duration)
 
     def expected(self, tokens: float) -> float:
         """Return the expected seconds to the first event at an idle server that prefills `tokens`."""
--- a/firvane/fleet/tenancy/quota.py
+++ b/firvane/fleet/tenancy/quota.py
@@ -1,8 +1,8 @@
 """The quotas of tenants: token buckets at the controller that owns the tenant's partition.
 
-A tenant's bucket fills at the tenant's rate. Its size is the tenant's burst and part of the allowance, which
-is the use that the deployment allows beyond the limit. These rules keep the sum over all routers within the
-limit if messages are lost or the network is partitioned:
+A tenant's bucket fills at the tenant's rate up to its regular size: the tenant's burst plus part of the
+allowance, which is the use that the deployment allows beyond the limit. These rules keep the sum over all
+routers within the limit even if messages are lost or the network is partitioned:
 
 1. The owner of a partition has a lease, so that two owners never grant at the same time. A new owner starts
    each bucket at its floor (`floors`), and fills it from then on.
@@ -143,21 +143,21 @@
 
     def bucket(self, tenant: bytes, bounds: _Bounds, now: float) -> _Bucket:
         """Return the bucket of a tenant; a new bucket starts at its floor, or full if it has none."""
-        bucket = self.buckets.get(tenant)
-        if bucket is None:
+        existing = self.buckets.get(tenant)
+        if existing is None:
             floor = self.floors.get(tenant)
             start = bounds.capacity if floor is None else floor
-            bucket = self.buckets[tenant] = _Bucket(start, self.acquired_at, now)
-        return bucket
+            existing = self.buckets[tenant] = _Bucket(start, self.acquired_at, now)
+        return existing
 
     def floor(self, tenant: bytes) -> float:
         """Return the level below which a bucket must not fall now; infinite if none is committed."""
-        floor: float = self.floors.get(tenant, float("inf"))
+        min_level: float = self.floors.get(tenant, float("inf"))
         for record in self.proposed:
             proposed = record.floors.get(tenant)
             if proposed is not None:
-                floor = float("inf") if proposed == REMOVED else max(floor, proposed)
-        return floor
+                min_level = float("inf") if proposed == REMOVED else max(min_level, proposed)
+        return min_level
 
 
 class QuotaTable:
@@ -272,7 +272,7 @@
         return new_floor if bucket.tokens - floor > 2 * bounds.margin else None
 
     def on_proposed(self, partition: int, record: FloorsRecord) -> None:
-        """Observe those of the proposed floors that are higher than the present ones from now on."""
+        """Store proposed floors: those that are higher than the committed ones apply from now on."""
         if partition in self._partitions:
             self._partitions[partition].proposed.append(record)
 
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -86,8 +86,8 @@
     Mutant(
         "a higher floor binds from its proposal on",
         "firvane/fleet/tenancy/quota.py",
-        'float("inf") if proposed == REMOVED else max(floor, proposed)',
-        'float("inf") if proposed == REMOVED else floor',
+        'float("inf") if proposed == REMOVED else max(min_level, proposed)',
+        'float("inf") if proposed == REMOVED else min_level',
         QUOTA,
     ),
     Mutant(
