--- a/firvane/fleet/placement/attempt_timeouts.py
+++ b/firvane/fleet/placement/attempt_timeouts.py
@@ -77,7 +77,7 @@
     """
     server = attempt.server
     if attempt.sent_at < server.suspected_at and health.is_ejected(server):
-        return False  # ejected since the attempt was sent; its trial may time out in turn
+        return False  # already ejected; only a time-out of its trial may eject it again
     last_event_at = max(attempt.sent_at, server.last_response_at)
     if now - last_event_at < response_timeout(attempt) + backlog - TIMER_TOLERANCE_S:
         return False
