--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -291,8 +291,8 @@
             self.context.admission.refund(self.admission)
         self._send_rejection(STATUS_UNAVAILABLE, retry_after)
 
-    def rejected(self, status: int, retry_after: float) -> None:
-        """Reject a request that is not admitted; `retry_after` in seconds, 0 where a retry is useless."""
+    def reject_admission(self, status: int, retry_after: float) -> None:
+        """Reject a request that is not admitted; `retry_after` is in seconds, 0 if a retry is useless."""
         self.admission_request = None
         self._send_rejection(status, retry_after)
 
@@ -379,13 +379,13 @@
     def __init__(self, connection: ClientConnection, message: Message, route: Route) -> None:
         self._connection, self._message, self._route = connection, message, route
 
-    def admitted(self, admission: Admitted) -> None:
+    def on_admitted(self, admission: Admitted) -> None:
         connection = self._connection
         if connection.admission_request is self:
             connection.start_request(self._message, self._route, admission)
         elif connection.context.admission:
             connection.context.admission.refund(admission)
 
-    def rejected(self, status: int, retry_after: float) -> None:
+    def on_rejected(self, status: int, retry_after: float) -> None:
         if self._connection.admission_request is self:
-            self._connection.rejected(status, retry_after)
+            self._connection.reject_admission(status, retry_after)
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -341,7 +341,7 @@
         self.loop.call_later(METRICS_INTERVAL_S, self._report)
 
     def _report_admission(self) -> None:
-        self.admission.forget_idle()
+        self.admission.evict_idle()
         rejections = self.admission.take_rejections()
         if any(rejections.values()):
             self.log.info("admission_rejections", **rejections)
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -16,8 +16,8 @@
     Mutant(
         "a key that nobody holds is 401",
         "firvane/fleet/router/admission.py",
-        "            pending.client.rejected(STATUS_UNAUTHORIZED, 0.0)\n",
-        "            pending.client.admitted(ANONYMOUS)\n",
+        "            pending.client.on_rejected(STATUS_UNAUTHORIZED, 0.0)\n",
+        "            pending.client.on_admitted(ANONYMOUS)\n",
         ADMISSION,
     ),
     Mutant(
@@ -121,7 +121,7 @@
     Mutant(
         "a grant is used at once or not at all",
         "firvane/fleet/router/admission.py",
-        "        if now >= pending.until:  # the process",
+        "        if now >= pending.deadline:  # the process",
         "        if False:  # the process",
         ADMISSION,
     ),
