--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -21,7 +21,7 @@
 from firvane.fleet.cluster.agent import Member, Role
 from firvane.fleet.configuration.routes import Configuration, Route, Tenant
 from firvane.fleet.partitions import partition_of
-from firvane.fleet.router.requests import prompt_tokens
+from firvane.fleet.router.requests import total_tokens
 from firvane.fleet.tenancy.allowance import Allowances, request_cost
 from firvane.fleet.tenancy.freshness import NONCES, Freshness
 from firvane.fleet.tenancy.keys import AUTHORIZATION, KeyRing, bearer_key
@@ -227,7 +227,7 @@
     def _charge(self, pending: _PendingAdmission, tenant: Tenant, now: float) -> None:
         """Charge a request to its tenant's quota; request a grant if the prefetched tokens do not suffice."""
         pending.tenant = tenant
-        pending.cost = request_cost(tenant, prompt_tokens(pending.message))
+        pending.cost = request_cost(tenant, total_tokens(pending.message))
         if tenant.rate <= 0:
             pending.client.on_admitted(Admitted(True, tenant))
         elif self._allowances.take(tenant.name, pending.cost, now):
--- a/firvane/fleet/router/client_context.py
+++ b/firvane/fleet/router/client_context.py
@@ -14,7 +14,7 @@
 from firvane.fleet.placement.events import PromptRequest, RequestKind
 from firvane.fleet.router.admission import Admission, Admitted
 from firvane.fleet.router.drain import Drain
-from firvane.fleet.router.requests import ProxiedRequest, prompt_shape
+from firvane.fleet.router.requests import ProxiedRequest, parse_prompt_headers
 
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 DEFAULT_BODY_MEMORY_BYTES = 64 * 1024 * 1024
@@ -94,15 +94,15 @@
     def prompt_request(self, request: ProxiedRequest) -> PromptRequest:
         """Return the request as placement sees it; the engine adds its id and the time that is left."""
         route = request.route
-        shape = prompt_shape(request.message)
+        prompt = parse_prompt_headers(request.message)
         return PromptRequest(
             id=-1,
             class_id=0,
             time_left=0.0,
             services=tuple((target.service, target.weight) for target in route.targets),
-            chain=shape.chain,
-            tokens_in=shape.tokens_in,
-            tokens_out=shape.tokens_out,
+            chain=prompt.prefix_blocks,
+            tokens_in=prompt.prompt_tokens,
+            tokens_out=prompt.max_response_tokens,
             priority=request.priority,
             latency_target=route.target_latency_ms / 1000,
             max_attempts=route.max_attempts,
--- a/firvane/fleet/router/requests.py
+++ b/firvane/fleet/router/requests.py
@@ -1,4 +1,4 @@
-"""A client's request in the router, and what its headers tell of its prompt."""
+"""A client's request in the router, and the parsing of the headers that describe its prompt."""
 
 from __future__ import annotations
 
@@ -15,25 +15,25 @@
 TOKEN_COUNT = b"x-token-count"
 PROMPT_PREFIX = b"x-prompt-prefix"
 MAX_DEADLINE_DIGITS = 9
-MAX_BLOCKS = 64  # of a prompt that are read
+MAX_BLOCKS = 64  # prefix blocks parsed per prompt; the rest are ignored
 SINGLE_FIELDS = frozenset((REQUEST_ID, DEADLINE, b"host", b"content-length", b"transfer-encoding"))
 BAD_REQUEST = 400
 
 
 class ProxiedRequest(Struct):
-    """A client's request, its route, and how much of the response the client has.
+    """A client's request, its route, and how much of the response has been sent to the client.
 
     Attributes:
-        message: The request as it came.
-        route: Its route.
-        request_id: Its id, as the client gave it.
-        progress: How much of the response the client has.
-        flow_id: Id of the engine's flow.
+        message: The request as received.
+        route: Route of the request.
+        request_id: Value of the client's `X-Request-Id`.
+        progress: How much of the response has been sent to the client.
+        flow_id: Id of the engine's flow; -1 until the engine has accepted the request.
         tenant: Name of the tenant.
-        is_private: Whether the key, and what it tells of the tenant, are not forwarded.
-        priority: Rank; 0 is the highest.
-        runs: Attempts that a backend did not reject.
-        on_retry: Called at each run after the first.
+        is_private: Whether the key and tenant headers are removed before forwarding.
+        priority: Priority of the request; 0 is the highest.
+        runs: Attempts sent to a backend and not rejected by it.
+        on_retry: Called for each such attempt after the first.
     """
 
     message: Message
@@ -48,43 +48,43 @@
     on_retry: Callable[[], None] | None = None
 
     def resume_obstacle(self) -> ResumeObstacle | None:
-        """Return why another backend cannot continue the response that has begun; None where it can."""
+        """Return why another backend cannot resume the response that has begun; None if it can."""
         return self.progress.resume_obstacle(allowed=self.route.stream_resume)
 
     def can_resume(self) -> bool:
-        """Return whether another backend can continue the response that has begun."""
+        """Return whether another backend can resume the response that has begun."""
         return self.resume_obstacle() is None
 
     def record_sent(self) -> None:
-        """Count an attempt that is sent to a backend."""
+        """Count an attempt when it is sent to a backend."""
         self.runs += 1
         if self.runs > 1 and self.on_retry:
             self.on_retry()
 
     def record_rejected(self) -> None:
-        """Discount an attempt that the backend rejected without running it."""
+        """Subtract an attempt that the backend rejected without running it."""
         self.runs -= 1
 
 
-class PromptShape(Struct, frozen=True):
-    """What the headers tell of a prompt.
+class PromptHeaders(Struct, frozen=True):
+    """Description of a prompt by the request's headers.
 
     Attributes:
-        chain: (identity, tokens) of its prefix blocks in order.
-        tokens_in: Tokens of the prompt.
-        tokens_out: Most tokens of the response.
+        prefix_blocks: (identity, tokens) of each prefix block, in order.
+        prompt_tokens: Tokens in the prompt.
+        max_response_tokens: Maximum number of tokens in the response.
     """
 
-    chain: tuple[tuple[int, int], ...] = ()
-    tokens_in: int = 0
-    tokens_out: int = 0
+    prefix_blocks: tuple[tuple[int, int], ...] = ()
+    prompt_tokens: int = 0
+    max_response_tokens: int = 0
 
 
 def check_framing(message: Message) -> None:
-    """Check that a message can be read in one way only.
+    """Check that a message has unambiguous framing.
 
     Raises:
-        Fault: Its framing is ambiguous, or a field that must be single is repeated.
+        HttpError: The framing is ambiguous, or a field that must occur only once is repeated.
     """
     if not SINGLE_FIELDS.isdisjoint(message.repeated_fields):
         raise HttpError(BAD_REQUEST)
@@ -94,21 +94,23 @@
 
 
 def client_deadline_ms(message: Message) -> int | None:
-    """Return the milliseconds that the client will wait; None where it does not tell them legibly."""
-    given = message.fields.get(DEADLINE, b"")
-    if not given.isdigit() or len(given) > MAX_DEADLINE_DIGITS:
+    """Return the client's deadline in milliseconds; None if the header is absent or invalid."""
+    value = message.fields.get(DEADLINE, b"")
+    if not value.isdigit() or len(value) > MAX_DEADLINE_DIGITS:
         return None
-    return int(given)
+    return int(value)
 
 
-def prompt_shape(message: Message) -> PromptShape:
-    """Return the prompt as its headers describe it; what is illegible counts as absent."""
-    tokens_in, tokens_out = _parse_token_counts(message.fields.get(TOKEN_COUNT, b""))
-    return PromptShape(_parse_chain(message.fields.get(PROMPT_PREFIX, b"")), tokens_in, tokens_out)
+def parse_prompt_headers(message: Message) -> PromptHeaders:
+    """Return the prompt as described by the headers; invalid headers count as absent."""
+    prompt_tokens, max_response_tokens = _parse_token_counts(message.fields.get(TOKEN_COUNT, b""))
+    return PromptHeaders(
+        _parse_prefix_blocks(message.fields.get(PROMPT_PREFIX, b"")), prompt_tokens, max_response_tokens
+    )
 
 
-def prompt_tokens(message: Message) -> int | None:
-    """Return the tokens in and out together; None where the request tells no legible number."""
+def total_tokens(message: Message) -> int | None:
+    """Return the sum of prompt and response tokens; None if the header is absent, invalid or zero."""
     text = message.fields.get(TOKEN_COUNT)
     if text is None:
         return None
@@ -117,7 +119,7 @@
 
 
 def _parse_token_counts(text: bytes) -> tuple[int, int]:
-    """Return the tokens in and the tokens out."""
+    """Return the tokens of the prompt and the maximum tokens of the response; zeros if invalid."""
     first, _, second = text.partition(b",")
     try:
         return max(0, int(first)), max(0, int(second or b"0"))
@@ -125,8 +127,8 @@
         return 0, 0
 
 
-def _parse_chain(text: bytes) -> tuple[tuple[int, int], ...]:
-    """Return (identity, tokens) of each prefix block."""
+def _parse_prefix_blocks(text: bytes) -> tuple[tuple[int, int], ...]:
+    """Return (identity, tokens) of each prefix block; empty if any block is invalid."""
     if not text:
         return ()
     blocks: list[tuple[int, int]] = []
