--- a/firvane/fleet/router/admission.py
+++ b/firvane/fleet/router/admission.py
@@ -360,9 +360,9 @@
         self._authenticate_waiting(now)
         if not self._freshness.is_due(now):
             return
-        next_request = self._freshness.next_request(self._controllers(), self._other_routers(), now)
-        if next_request is not None:
-            self._send(next_request[0], encode_record(next_request[1]))
+        due_request = self._freshness.next_request(self._controllers(), self._other_routers(), now)
+        if due_request is not None:
+            self._send(due_request[0], encode_record(due_request[1]))
 
     def evict_idle(self) -> None:
         """Evict the allowances of tenants without recent requests."""
--- a/firvane/fleet/router/body_receiver.py
+++ b/firvane/fleet/router/body_receiver.py
@@ -1,4 +1,4 @@
-"""A connection that reads a long body on only once there is memory for all of it."""
+"""Memory bounds for long request bodies: a body is read only after memory for all of it is leased."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class BodyReceiver(BoundedReadProtocol):
-    """The part of a client's connection that bounds what long bodies hold together.
+    """The part of a client's connection that bounds the total memory of long request bodies.
 
-    A long body needs a lease (`firvane.core.body_leases`) until its request has ended. Without one the
-    connection is not read, so that the client is held up; the most urgent route goes on first.
+    A long body needs a lease (`firvane.core.body_leases`) until its request has ended. Without a lease the
+    connection is not read, so that TCP flow control stops the client. The most urgent route is served first.
 
     Attributes:
-        memory_timer: Ends the wait for memory; None where there is no wait.
+        memory_timer: Ends the wait for memory; None if the connection does not wait.
         reading_paused: Whether the transport's reading is paused.
         closing: Whether the connection is being closed.
     """
@@ -31,20 +31,20 @@
         self.closing = False
         self.transport: asyncio.Transport
 
-    def on_body_admitted(self, message: Message) -> None:
-        """The body of a request that has begun may come."""
+    def on_body_allowed(self, message: Message) -> None:
+        """Allow the client to send the body of the current request."""
         raise NotImplementedError
 
     def on_memory_granted(self) -> None:
-        """A body that waited may be read on."""
+        """Continue reading a body that waited for memory."""
         raise NotImplementedError
 
     def on_memory_denied(self) -> None:
-        """A body finds no memory in time, or is longer than all of it."""
+        """Reject a body that got no memory in time, or that exceeds the total memory."""
         raise NotImplementedError
 
     def has_memory(self) -> bool:
-        """Return whether the request that is being received may be read on; else the connection waits."""
+        """Return whether the current request may be read further; if not, the connection waits for memory."""
         message = self.reader.message
         if message is None or self.reader.in_head:
             return True
@@ -52,11 +52,11 @@
         is_long = message.size > LONG_BODY_BYTES or (length is not None and length > LONG_BODY_BYTES)
         if is_long and not self._lease(message, length):
             return False
-        self.on_body_admitted(message)
+        self.on_body_allowed(message)
         return True
 
     def _lease(self, message: Message, length: int | None) -> bool:
-        """Return whether there is memory for a long body; one in chunks may become as long as any."""
+        """Return whether memory for a long body is leased; a chunked body counts with the maximum size."""
         leases = self.context.leases
         if self in leases.holders:
             return True
@@ -66,7 +66,7 @@
             return False
         if leases.request(self, self._schedule_grant, size, self._priority(message)):
             return True
-        self.context.on_body_waits()
+        self.context.on_memory_wait()
         self.pause_reading()
         self.memory_timer = self.context.loop.call_later(MAX_MEMORY_WAIT_S, self.on_memory_denied)
         return False
@@ -77,7 +77,7 @@
         return route.priority if route else 0
 
     def _schedule_grant(self) -> None:
-        """Go on in a turn of its own: the lease comes from another connection's end."""
+        """Continue in the next turn of the loop, since the lease is granted while another request ends."""
         self.context.loop.call_soon(self._on_grant)
 
     def _on_grant(self) -> None:
@@ -93,18 +93,18 @@
             self.memory_timer = None
 
     def release_memory(self) -> None:
-        """Return the memory of a body, or give up the wait for it."""
+        """Release the lease of a body, or cancel the wait for one."""
         self._end_wait()
         self.context.leases.release(self)
 
     def pause_reading(self) -> None:
-        """Read nothing until `resume_reading`."""
+        """Pause the transport's reading."""
         if not self.reading_paused and not self.closing:
             self.reading_paused = True
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again, where reading is paused."""
+        """Resume the transport's reading if it is paused."""
         if self.reading_paused and not self.closing:
             self.reading_paused = False
             self.transport.resume_reading()
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -1,12 +1,12 @@
-"""One client's connection: requests in, one response each out.
+"""One client's connection: receives requests and sends one response to each.
 
 Invariants:
 
-1. A connection gets its responses in the order of its requests, one at a time; what follows a request waits
-   unread.
-2. A client that closes its connection has gone away: nothing of its request goes on.
-3. Once the head of a response is out, a failure ends the connection short of the response's end, so that no
-   truncated response passes for a complete one.
+1. Requests on a connection are handled one at a time, and responses are sent in the order of the requests.
+   Pipelined data is not parsed before the current response has been sent.
+2. When the client closes its connection, the request in progress is cancelled.
+3. If a response fails after its head has been sent, the connection is closed before the end of the response,
+   so that the client can't take a truncated response for a complete one.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
 from firvane.fleet.router.requests import REQUEST_ID, ProxiedRequest, check_framing, client_deadline_ms
 
 MEMORY_RETRY_AFTER_S = 1.0
-LINGER_S = 1.0  # for which what still comes of a rejected request is read
-CONFIGURATION_WAIT_S = 0.4  # of a request, for the first configuration of a new router
+LINGER_S = 1.0  # the rest of a rejected request is read for this time before the connection is closed
+CONFIGURATION_WAIT_S = 0.4  # a request waits this long for the first configuration of a new router
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0  # longer, since a client retries only a few times
-NOT_CONTINUED = "not continued in time"  # metric of responses that another backend could have continued
+NOT_RESUMED = "not continued in time"  # metric of truncated responses that were resumable
 STATUS_BAD_REQUEST = 400
 STATUS_NOT_FOUND = 404
 STATUS_REQUEST_TIMEOUT = 408
@@ -42,18 +42,18 @@
     """One client's connection.
 
     Attributes:
-        flow: The engine's flow of the request that is being answered.
+        flow: The engine's flow of the request in progress.
         unrouted: A complete request that waits for the first configuration.
-        configuration_timer: Ends that wait.
-        admission_request: A complete request that waits for its admission.
-        admission: The admission of the request that is being answered.
-        keep_alive: Whether the connection stays open after this response.
-        head_sent: Whether the head of the response is out.
-        chunked: Whether the response is sent in chunks.
-        close_delimited: Whether the end of the response is that of the connection.
-        body_source: The stream that the response's body comes from.
-        requests_received: Complete requests.
-        received_at: Loop time at which the newest request was complete.
+        configuration_timer: Rejects the unrouted request when its wait times out.
+        admission_request: A complete request that waits for its admission decision.
+        admission: The admission decision of the request in progress.
+        keep_alive: Whether the connection stays open after the current response.
+        head_sent: Whether the head of the response has been sent.
+        chunked: Whether the response uses the chunked transfer coding.
+        close_delimited: Whether the end of the response is marked by closing the connection.
+        body_source: The stream that provides the response's body.
+        requests_received: Number of complete requests received.
+        received_at: Loop time at which the latest request was completely received.
         connected_at: Loop time at which the connection was accepted.
     """
 
@@ -73,15 +73,15 @@
         self.received_at = 0.0
         self.connected_at = self.state_since
 
-    # Life of the connection
+    # Connection lifecycle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio)."""
+        """Store the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.context.connections[self] = None
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Abandon the request that is being answered (asyncio)."""
+        """Cancel the request in progress and release its resources (asyncio)."""
         self.context.connections.pop(self, None)
         self.closing = True
         self.buffered = b""
@@ -94,20 +94,20 @@
             self.context.engine.on_client_disconnected(flow)
 
     def is_idle(self) -> bool:
-        """Return whether no request is here, complete or partial."""
+        """Return whether the connection has no request, complete or partial."""
         return not (self.has_open_request() or self.buffered or self.receiving or self.closing)
 
     def has_open_request(self) -> bool:
-        """Return whether a complete request is here that has no response yet."""
+        """Return whether a complete request has been received whose response has not been sent."""
         return bool(self.flow or self.unrouted or self.admission_request)
 
     def close(self) -> None:
-        """Close the connection once what was written is out."""
+        """Close the connection after all written data has been sent."""
         self.closing = True
         self.transport.close()
 
-    def expire(self, now: float) -> None:
-        """Close a connection that has been idle, or has sent a request only in part, for too long."""
+    def check_timeout(self, now: float) -> None:
+        """Time out an incomplete request, or close the connection after the idle time-out."""
         if self.closing or self.has_open_request() or self.memory_timer or self.has_work:
             return
         if self.receiving and now > self.state_since + self.context.request_timeout:
@@ -119,21 +119,21 @@
     # Requests
 
     def on_memory_denied(self) -> None:
-        """Reject a request whose body finds no memory in time; nothing of it went to a backend."""
+        """Reject a request that got no memory for its body; nothing of it was sent to a backend."""
         self.context.engine.event_counts["long body rejected"] += 1
         self.keep_alive = False
         self._send_rejection(STATUS_UNAVAILABLE, MEMORY_RETRY_AFTER_S)
 
-    def receive_request(self, message: Message) -> None:
-        """Check a complete request, and route it or wait for the first configuration."""
+    def on_request(self, message: Message) -> None:
+        """Check a complete request, and route it or make it wait for the first configuration."""
         context = self.context
         self.keep_alive = message.keep_alive
         self.head_sent = False
         self.requests_received += 1
         try:
             check_framing(message)
-        except HttpError as fault:
-            self.reject_malformed(fault)
+        except HttpError as error:
+            self.reject_malformed(error)
             return
         request_id = message.fields.get(REQUEST_ID)
         if not request_id:
@@ -155,21 +155,21 @@
             self.on_rejected(NO_CONFIGURATION_RETRY_AFTER_S)
 
     def _take_unrouted(self) -> Message | None:
-        """Take the request that waits for the first configuration, and end its wait."""
+        """Remove and return the request that waits for the first configuration, and cancel its timer."""
         message, self.unrouted = self.unrouted, None
         if self.configuration_timer:
             self.configuration_timer.cancel()
             self.configuration_timer = None
         return message
 
-    def resume(self) -> None:
-        """Route the request that waits for the first configuration, which has come."""
+    def on_configured(self) -> None:
+        """Route the request that waited for the first configuration."""
         message = self._take_unrouted()
         if message and self.context.routes and not self.closing:
             self._route(message, self.context.routes)
 
     def _route(self, message: Message, routes: RouteTable) -> None:
-        """Find the route of a request, and ask for its admission."""
+        """Find the route of a request, and request its admission."""
         context = self.context
         route = routes.find(message.fields.get(b"host", b""), message.url)
         if route is None:
@@ -202,10 +202,10 @@
         context.engine.accept_request(flow, context.prompt_request(request))
         request.flow_id = flow.id
 
-    def reject_malformed(self, fault: HttpError) -> None:
-        """Answer what is no request, or exceeds a limit, and close the connection."""
+    def reject_malformed(self, error: HttpError) -> None:
+        """Reject data that is not a valid request or exceeds a limit, and close the connection."""
         self.keep_alive = False
-        self._send_status(fault.status)
+        self._send_status(error.status)
 
     # Responses: called by the engine (`firvane.core.engine.Client`)
 
@@ -215,7 +215,7 @@
         self._send_response(message.status, message.body, message.size, headers)
 
     def on_response_started(self, message: Message) -> None:
-        """Send the head of a response whose body is streamed; a resumed one has sent it already."""
+        """Send the head of a streamed response, unless an earlier attempt has sent it."""
         stream = message.stream
         if self.flow is None or stream is None:
             return
@@ -223,7 +223,7 @@
             self._write_head(message)
         self.body_source = stream
         stream.connect(self)
-        if self.writing_paused:  # one that continues another may begin while the client does not keep up
+        if self.writing_paused:  # a resumed response may start while the client's connection is congested
             stream.set_paused(True)
 
     def _write_head(self, message: Message) -> None:
@@ -233,13 +233,13 @@
             length is None and self.flow is not None and self.flow.request.message.version == b"1.1"
         )
         self.close_delimited = length is None and not self.chunked
-        self.keep_alive = self._stays_open() and not self.close_delimited
+        self.keep_alive = self._keeps_alive() and not self.close_delimited
         if self.close_delimited:
             reset_on_close(self.transport)
         self.transport.writelines(format_response_head(message, self.chunked, not self.keep_alive))
 
     def write_body(self, buffers: list[BytesLike]) -> None:
-        """Send a part of the body."""
+        """Send part of the body."""
         if self.flow and not self.transport.is_closing():
             self.transport.writelines(frame_chunk(buffers, self.chunked))
 
@@ -249,11 +249,11 @@
             self.transport.write(LAST_CHUNK)
 
     def on_response_finished(self) -> None:
-        """End a streamed response that is complete."""
+        """Finish a complete streamed response."""
         self._end_response()
 
     def on_response_aborted(self) -> None:
-        """End the connection short of the response's end."""
+        """Close the connection before the end of the response."""
         self._count_truncated()
         self._log_truncated()
         self.flow = self.body_source = None
@@ -265,14 +265,14 @@
             self.transport.close()
 
     def _count_truncated(self) -> None:
-        """Count a truncated response by what kept another backend from continuing it."""
+        """Count a truncated response by the reason why no other backend resumed it."""
         if self.flow:
             obstacle = self.flow.request.resume_obstacle()
-            reason = obstacle.value if obstacle else NOT_CONTINUED
+            reason = obstacle.value if obstacle else NOT_RESUMED
             self.context.engine.event_counts[f"truncated, {reason}"] += 1
 
     def _log_truncated(self) -> None:
-        """Log a response that is truncated while the router drains, and how its request came here."""
+        """Log a response truncated while draining, with the times of its request and its connection."""
         drain = self.context.drain
         if not drain.has_started or self.flow is None:
             return
@@ -286,7 +286,7 @@
         )
 
     def on_rejected(self, retry_after: float) -> None:
-        """Reject a request that never ran; `retry_after` in seconds."""
+        """Reject a request that did not run; `retry_after` is in seconds."""
         if self.flow and self.context.admission:
             self.context.admission.refund(self.admission)
         self._send_rejection(STATUS_UNAVAILABLE, retry_after)
@@ -301,15 +301,15 @@
         self._send_status(status, headers)
 
     def on_failed(self) -> None:
-        """Answer a request that may have run, and whose response did not come."""
+        """Respond with 502 to a request that may have run but has no response."""
         self._send_status(STATUS_BAD_GATEWAY)
 
     def on_bad_request(self) -> None:
-        """Answer a request that no backend can use."""
+        """Respond with 400 to a request that no backend accepts as valid."""
         self._send_status(STATUS_BAD_REQUEST)
 
     def _send_status(self, status: int, headers: list[bytes] | None = None) -> None:
-        """Send a response of the router's own, with its status as a short body."""
+        """Send a response of the router itself, with the status code as its body."""
         if self.head_sent:
             self.on_response_aborted()
             return
@@ -317,19 +317,20 @@
         self._send_response(status, [body], len(body), headers or [])
 
     def _send_response(self, status: int, body: list[BytesLike], size: int, headers: list[bytes]) -> None:
-        self.keep_alive = self._stays_open()
+        self.keep_alive = self._keeps_alive()
         self.transport.writelines(format_response(status, body, size, not self.keep_alive, headers))
         self._end_response()
 
-    def _stays_open(self) -> bool:
+    def _keeps_alive(self) -> bool:
         """Return whether the connection stays open after the response whose head is about to be written.
 
-        While the router drains only for requests that are here already: their client could not know of it.
+        While draining it stays open only if the client has already sent its next request: it could not know
+        that the connection would be closed.
         """
         return self.keep_alive and (not self.context.drain.has_started or self.has_unparsed())
 
     def _end_response(self) -> None:
-        """Close the connection after a response, or parse the next request."""
+        """Reset the state after a response, then close the connection or parse the next request."""
         self.flow = self.body_source = None
         self.release_memory()
         self.head_sent = False
@@ -344,9 +345,10 @@
             self.close()
 
     def _linger(self) -> None:
-        """Close the sending side, and read for a while what still comes of a request that was rejected.
+        """Close the sending side, and read the rest of a rejected request for up to `LINGER_S`.
 
-        Closed at once, the connection would be reset, and the reset overtakes the response (RFC 9112, 9.6).
+        Closing at once would reset the connection, and the client may see the reset before it has read the
+        response (RFC 9112, 9.6).
         """
         if self.transport.is_closing():
             return
@@ -359,7 +361,7 @@
     # Flow control
 
     def pause_writing(self) -> None:
-        """Pause the body's source, since the client does not keep up (asyncio)."""
+        """Pause the body's source while the client reads too slowly (asyncio)."""
         self.writing_paused = True
         if self.body_source:
             self.body_source.set_paused(True)
@@ -374,7 +376,7 @@
 
 
 class _AdmissionRequest:
-    """A request that waits for its admission; its connection may be gone by then."""
+    """A request that waits for its admission; its connection may be closed before the decision."""
 
     def __init__(self, connection: ClientConnection, message: Message, route: Route) -> None:
         self._connection, self._message, self._route = connection, message, route
--- a/firvane/fleet/router/client_context.py
+++ b/firvane/fleet/router/client_context.py
@@ -1,4 +1,4 @@
-"""What all client connections of one router share: routes, bounds and the engine."""
+"""State shared by all client connections of one router: routes, limits and the engine."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 DEFAULT_BODY_MEMORY_BYTES = 64 * 1024 * 1024
 DEFAULT_HEADER_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0  # between requests
-REQUEST_TIMEOUT_FACTOR = 2.0  # times the time-out of a head, since a body may take longer
+REQUEST_TIMEOUT_FACTOR = 2.0  # ratio to the header time-out, since the body takes time too
 REQUEST_KINDS = {
     RouteKind.IDEMPOTENT: RequestKind.IDEMPOTENT,
     RouteKind.NON_IDEMPOTENT: RequestKind.NON_IDEMPOTENT,
@@ -29,35 +29,35 @@
 
 
 class Connection(Protocol):
-    """A client's connection, as far as others act on it."""
+    """Interface of a client's connection for the listener."""
 
-    def resume(self) -> None:
-        """Route the request that waits for the first configuration."""
+    def on_configured(self) -> None:
+        """Route the request that waited for the first configuration."""
 
     def is_idle(self) -> bool:
-        """Return whether it has no request, complete or partial."""
+        """Return whether the connection has no request, complete or partial."""
 
-    def expire(self, now: float) -> None:
-        """Close it where it has timed out."""
+    def check_timeout(self, now: float) -> None:
+        """Time out an incomplete request, or close the connection after the idle time-out."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection after all written data has been sent."""
 
 
 class ClientContext:
-    """What the client connections of one router share.
+    """State shared by the client connections of one router.
 
     Attributes:
-        engine: The engine; set once, right after it is made.
-        routes: The routes in force; None while no configuration is known.
+        engine: The engine; set right after construction.
+        routes: The active routes; None before the first configuration.
         connections: All open connections.
-        max_body: Bytes that a request's body may have.
-        request_timeout: Seconds that a request may take from its first byte to its last.
-        idle_timeout: Seconds that a connection may be idle.
-        drain: The state of draining.
-        admission: Admits requests by their keys; None where none is needed.
-        leases: Memory for long bodies, in bytes.
-        turns: Bounds the payload that is handled in one turn of the loop.
+        max_body: Maximum size of a request body in bytes.
+        request_timeout: Maximum time in seconds from the first to the last byte of a request.
+        idle_timeout: Maximum idle time of a connection in seconds.
+        drain: The drain state.
+        admission: Admission control; None if every request is admitted.
+        leases: Leases of memory for long bodies, in bytes.
+        turns: Bounds the payload handled in one turn of the loop.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, log: Log = QUIET) -> None:
@@ -74,25 +74,25 @@
         self.turns = TurnBudget(loop.call_soon)
 
     def configure(self, routes: RouteTable, limits: Limits) -> None:
-        """Handle requests by these routes and limits from now on."""
+        """Apply new routes and limits to all requests from now on."""
         self.routes = routes
         self.max_body = limits.max_body_bytes
         self.request_timeout = REQUEST_TIMEOUT_FACTOR * limits.header_timeout_ms / 1000
         self.idle_timeout = limits.idle_timeout_ms / 1000
 
-    def on_body_waits(self) -> None:
-        """A long body waits for memory, and is not read on."""
+    def on_memory_wait(self) -> None:
+        """Count a long body that starts to wait for memory, and log the first of a queue."""
         self.engine.event_counts["long body waited"] += 1
         if len(self.leases.queue) == 1:
             self.log.info("long_bodies_wait", leased_bytes=self.leases.total - self.leases.free)
 
     def charge_retry(self, admission: Admitted) -> None:
-        """Charge the tenant for one more run of an admitted request."""
+        """Charge the tenant again for a retry of an admitted request."""
         if self.admission is not None:
             self.admission.charge_retry(admission)
 
     def prompt_request(self, request: ProxiedRequest) -> PromptRequest:
-        """Return the request as placement sees it; the engine adds its id and the time that is left."""
+        """Return the request as an event for placement; the engine sets its id and its remaining time."""
         route = request.route
         prompt = parse_prompt_headers(request.message)
         return PromptRequest(
--- a/firvane/fleet/router/client_listener.py
+++ b/firvane/fleet/router/client_listener.py
@@ -1,4 +1,4 @@
-"""All client connections of one router: accepted, timed out, and closed when it drains."""
+"""Client connections of one router: accepts them, times them out, and closes them when draining."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ClientListener(ClientContext):
-    """Makes and ends the client connections that share this context."""
+    """Accepts and closes the client connections that share this context."""
 
     async def listen(self, address: Address, backlog: int) -> asyncio.Server:
-        """Listen for clients; at most `backlog` connections wait to be accepted."""
+        """Listen for clients with the given accept backlog."""
         server = await self.loop.create_server(
             self.accept, address[0], address[1], backlog=backlog, reuse_address=True
         )
@@ -29,15 +29,15 @@
         return ClientConnection(self)
 
     def configure(self, routes: RouteTable, limits: Limits) -> None:
-        """Handle requests by these routes and limits from now on, also those that waited for them."""
+        """Apply new routes and limits, and route the requests that waited for them."""
         super().configure(routes, limits)
         for connection in list(self.connections):
-            connection.resume()
+            connection.on_configured()
 
     def sweep(self, now: float) -> None:
-        """Close connections that were idle, or sent a request only in part, for too long."""
+        """Check all connections for idle and request time-outs."""
         for connection in list(self.connections):
-            connection.expire(now)
+            connection.check_timeout(now)
 
     def close_idle(self) -> None:
         """Close all idle connections."""
--- a/firvane/fleet/router/request_receiver.py
+++ b/firvane/fleet/router/request_receiver.py
@@ -1,4 +1,4 @@
-"""A connection that parses requests from what its client sends, as far as turns and memory allow."""
+"""Receiving of requests on a client's connection, bounded by the turn budget and the memory for bodies."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from firvane.fleet.router.body_receiver import BodyReceiver
 from firvane.fleet.router.client_context import ClientContext
 
-READ_AHEAD_BYTES = 256 * 1024  # of what follows a request
-HEAD_PRIORITY = -1  # above all routes
+READ_AHEAD_BYTES = 256 * 1024  # maximum of unparsed data; reading is paused above it
+HEAD_PRIORITY = -1  # more urgent than any route
 
 
 class RequestReceiver(BodyReceiver):
     """The part of a client's connection that receives requests, one at a time.
 
-    What follows a request waits unread until it has its response, and what a turn of the loop has no time for
-    until a later one (`firvane.core.turn_budget`).
+    Data that follows a request is not parsed until the response to that request has been sent. Data in excess
+    of the budget of one turn of the loop is parsed in later turns (`firvane.core.turn_budget`).
 
     Attributes:
-        buffered: Bytes that came, of which those from `position` on are not parsed yet.
-        receiving: Whether a part of a request has come.
-        state_since: Loop time at which it was accepted, became idle, or began to send a request.
-        is_parsing: Whether requests are being parsed further up the stack.
-        writing_paused: Whether the client does not keep up.
+        buffered: Received bytes; those from `position` on are not parsed yet.
+        receiving: Whether a request has been received in part.
+        state_since: Loop time at which the connection was accepted, became idle or started a request.
+        is_parsing: Whether a caller further up the stack is parsing requests.
+        writing_paused: Whether writing is paused, since the client reads too slowly.
     """
 
     def __init__(self, context: ClientContext) -> None:
@@ -39,19 +39,19 @@
         self.writing_paused = False
 
     def has_open_request(self) -> bool:
-        """Return whether a complete request is here that has no response yet."""
+        """Return whether a complete request has been received whose response has not been sent."""
         raise NotImplementedError
 
-    def receive_request(self, message: Message) -> None:
-        """A request is complete."""
+    def on_request(self, message: Message) -> None:
+        """Handle a complete request."""
         raise NotImplementedError
 
-    def reject_malformed(self, fault: HttpError) -> None:
-        """What came is no request, or exceeds a limit."""
+    def reject_malformed(self, error: HttpError) -> None:
+        """Reject data that is not a valid request or exceeds a limit."""
         raise NotImplementedError
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come, unless a request is being answered (asyncio)."""
+        """Buffer received data, and parse it unless a request is in progress (asyncio)."""
         if self.closing:
             return
         self.buffered = self.buffered + data if self.buffered else data
@@ -60,19 +60,19 @@
             self.pause_reading()
 
     def parse_requests(self) -> None:
-        """Parse what has come, as far as this turn of the loop goes."""
+        """Parse buffered data within the budget of this turn of the loop."""
         if not self.is_parsing:
             self.context.turns.submit(self)
             self._trim_buffer()
 
     @property
     def has_work(self) -> bool:
-        """Whether bytes have come that may be parsed now."""
-        return self.has_unparsed() and self._takes_requests()
+        """Whether there is buffered data that may be parsed now."""
+        return self.has_unparsed() and self._can_parse()
 
     @property
     def priority(self) -> int:
-        """That of the request whose body is coming; a head goes before all bodies."""
+        """Priority of the request whose body is being received; heads take precedence over bodies."""
         message = self.reader.message
         return HEAD_PRIORITY if message is None or self.reader.in_head else self._priority(message)
 
@@ -90,40 +90,40 @@
     def _parse_next(self) -> None:
         try:
             self.position = self.reader.step(self.buffered, self.position)
-        except HttpError as fault:
+        except HttpError as error:
             self.position = len(self.buffered)
-            self.reject_malformed(fault)
+            self.reject_malformed(error)
             return
         self._track_receiving()
         if self.has_memory() and self.reader.completed:
             message = self.reader.completed.pop(0)
             self.receiving = False
-            self.receive_request(message)
+            self.on_request(message)
 
     def _trim_buffer(self) -> None:
-        """Drop what is parsed, and read on unless enough is here."""
+        """Drop parsed data from the buffer, and pause or resume reading."""
         if self.closing:
             self.buffered = b""
         elif self.position:
             self.buffered = self.buffered[self.position :]
         self.position = 0
-        if self.has_work:  # in a later turn
+        if self.has_work:  # it is parsed in a later turn
             self.pause_reading()
         elif len(self.buffered) <= READ_AHEAD_BYTES and not self.memory_timer:
             self.resume_reading()
 
-    def _takes_requests(self) -> bool:
-        """Return whether what has come may be parsed now."""
+    def _can_parse(self) -> bool:
+        """Return whether buffered data may be parsed now."""
         if self.has_open_request() or self.memory_timer:
             return False
         return not (self.closing or self.writing_paused)
 
     def has_unparsed(self) -> bool:
-        """Return whether bytes have come that are not parsed, such as the next request."""
+        """Return whether there is unparsed data, such as the next request."""
         return self.position < len(self.buffered)
 
     def _track_receiving(self) -> None:
-        """Start the time-out of a request that has begun."""
+        """Start the time-out of a request at its first byte."""
         message = self.reader.message
         if message is None:
             return
@@ -131,16 +131,16 @@
             self.receiving = True
             self.state_since = self.context.loop.time()
 
-    def on_body_admitted(self, message: Message) -> None:
-        """Send the interim response that a request asks for, once its body may come."""
+    def on_body_allowed(self, message: Message) -> None:
+        """Send `100 Continue` if the request expects it."""
         if not self.reader.in_head and b"expect" in message.fields and not message.continue_sent:
             message.continue_sent = True
             if not message.body:
                 self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_memory_granted(self) -> None:
-        """Read on: there is memory for the body. The time of the wait is not the client's."""
+        """Continue reading the body; the wait for memory does not count towards the request time-out."""
         self.state_since = self.context.loop.time()
         if message := self.reader.message:
-            self.on_body_admitted(message)
+            self.on_body_allowed(message)
         self.parse_requests()
--- a/tests/fleet/router/test_request_memory.py
+++ b/tests/fleet/router/test_request_memory.py
@@ -174,7 +174,7 @@
     await wait_until(lambda: any(each.unrouted for each in one.made.listener.connections))  # type: ignore[attr-defined]
     one.made.listener.routes = routes
     for connection in list(one.made.listener.connections):
-        connection.resume()
+        connection.on_configured()
     assert b" 200 " in await one.reader.readuntil(b"\r\n\r\n")
 
 
