--- a/firvane/fleet/router/responses.py
+++ b/firvane/fleet/router/responses.py
@@ -1,4 +1,4 @@
-"""What the head of a backend's response says of it."""
+"""Classification of a backend's response by its head."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def is_streamed(response: Message) -> bool:
-    """Return whether a response goes to the client as it comes, and not only once it is complete."""
+    """Return whether a response is streamed to the client instead of being buffered until complete."""
     length = response.content_length()
     return has_event_stream_type(response) or length is None or length > MAX_BUFFERED_RESPONSE_BYTES
 
@@ -23,8 +23,8 @@
     return STATUS_OK <= response.status < STATUS_MULTIPLE_CHOICES
 
 
-def response_ending(response: Message) -> Termination:
-    """Return how an attempt ended, by the head of its response."""
+def response_termination(response: Message) -> Termination:
+    """Return how an attempt ended, according to the head of its response."""
     if is_success(response):
         return Termination.SERVED
     if response.status == STATUS_MISDIRECTED or b"x-not-executed" in response.fields:
--- a/firvane/fleet/router/resumption.py
+++ b/firvane/fleet/router/resumption.py
@@ -1,11 +1,11 @@
-"""Whether a response that broke off may be continued by another backend's run of the same request.
+"""Conditions under which another backend may resume a response that broke off.
 
-It is the response that decides: a route only allows it (`stream_resume`). Invariants:
+The route must allow resumption (`stream_resume`), and the response must be resumable. Invariants:
 
-1. Only a stream of events is continued, from an event that the client has: its id goes to the next backend as
-   `Last-Event-Id`, which then sends what the client lacks.
-2. Only a stream of events continues another; any other response to the request ends the client's short.
-3. A response that announced its length is not continued: that of another run need not be the same.
+1. Only an event stream is resumed. The id of the last event sent to the client goes to the next backend as
+   `Last-Event-Id`; that backend then sends the events that follow.
+2. Only an event stream can resume another; any other response leaves the client's response truncated.
+3. A response with a `Content-Length` is not resumed: another run of the request may have another length.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ResumeObstacle(enum.Enum):
-    """Why a response that broke off is not continued; the values are names of metrics."""
+    """Why a response that broke off is not resumed; the values are part of metric names."""
 
     ROUTE = "not allowed by the route"
     NOT_EVENTS = "not a stream of events"
@@ -31,14 +31,14 @@
 
 
 class ResponseProgress(Struct):
-    """How much of a response the client has, whichever backends sent the parts.
+    """How much of a response has been sent to the client, over all attempts.
 
     Attributes:
-        has_started: Whether the client has its head.
-        is_event_stream: Whether its body is a stream of events.
-        has_length: Whether its head announces the length of its body.
-        last_event_id: Id of the last event with an id that the client has.
-        is_position_known: Whether the client has that event and nothing behind it.
+        has_started: Whether the head has been sent.
+        is_event_stream: Whether the body is an event stream.
+        has_length: Whether the head has a `Content-Length`.
+        last_event_id: Highest event id sent to the client.
+        is_position_known: Whether the event with `last_event_id` is the last event sent to the client.
     """
 
     has_started: bool = False
@@ -48,26 +48,26 @@
     is_position_known: bool = False
 
     def record_start(self, response: Message) -> None:
-        """The head of a response went to the client; of responses that continue it, only the body does."""
+        """Record that the head has been sent; calls for responses that resume the first have no effect."""
         if not self.has_started:
             self.has_started = True
             self.is_event_stream = is_event_stream(response)
             self.has_length = b"content-length" in response.fields
 
     def record_events(self, framer: EventFramer) -> None:
-        """All that a framer has passed on went to the client."""
+        """Record that all events forwarded by `framer` have been sent to the client."""
         self.last_event_id = framer.last_id
         self.is_position_known = framer.is_position_known
 
     def accepts(self, response: Message) -> bool:
-        """Return whether the client can be given a success, as a whole or as a continuation."""
+        """Return whether a 2xx response can be sent to the client, as the first one or to resume another."""
         return not self.has_started or is_event_stream(response)
 
     def resume_obstacle(self, *, allowed: bool) -> ResumeObstacle | None:
-        """Return why another backend cannot continue the response; None where it can.
+        """Return why another backend cannot resume the response; None if it can.
 
         Args:
-            allowed: Whether the route allows it.
+            allowed: Whether the route allows resumption.
         """
         if not allowed:
             return ResumeObstacle.ROUTE
@@ -81,12 +81,12 @@
 
 
 def has_event_stream_type(response: Message) -> bool:
-    """Return whether the media type of a response is that of event streams."""
+    """Return whether the media type of a response is `text/event-stream`."""
     media_type, _, _ = response.fields.get(b"content-type", b"").partition(b";")
     return media_type.strip().lower() == STREAM_TYPE
 
 
 def is_event_stream(response: Message) -> bool:
-    """Return whether the body of a response is a stream of events whose bytes can be read here."""
+    """Return whether a response is an event stream without content encoding, so that it can be parsed."""
     is_encoded = b"content-encoding" in response.fields
     return response.status == STATUS_OK and has_event_stream_type(response) and not is_encoded
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -149,7 +149,7 @@
         self.engine = self._make_engine()
         self.listener.engine = self.engine
         self.upstreams.on_progress = self._on_progress
-        self.upstreams.may_continue = self._may_continue
+        self.upstreams.may_resume = self._may_resume
         self.backends = Backends(self.upstreams, self.engine)
         self.members_endpoint = MembersEndpoint(loop, self._members_report)
         self.configuration: Configuration | None = None
@@ -289,7 +289,7 @@
     def _on_progress(self, backend: str) -> None:
         self.engine.dispatch(StreamProgress(backend))
 
-    def _may_continue(self, request: ProxiedRequest) -> bool:
+    def _may_resume(self, request: ProxiedRequest) -> bool:
         return self.balancer.may_continue(request.flow_id, self.loop.time())
 
     def _send_row(self, address: Address, payload: bytes) -> None:
--- a/firvane/fleet/router/upstream.py
+++ b/firvane/fleet/router/upstream.py
@@ -1,8 +1,8 @@
-"""Connections to the backends: a pool for each, connects, and which request gets which connection.
+"""Connections to the backends: one pool per backend, dialing, and the assignment of requests to connections.
 
-Before its first byte, each exchange passes `Upstreams._why_unsendable`: the backend must still be ready and
-the exchange's time not over. What it stops never ran. The invariants of a connection are in
-`upstream_connection`.
+Before the first byte of a request is written, `Upstreams._send_obstacle` checks that the backend is still
+ready and that the time for the attempt has not run out. A request stopped by this check has not run. The
+invariants of a connection are in `upstream_connection`.
 """
 
 from __future__ import annotations
@@ -22,16 +22,16 @@
 from firvane.fleet.router.upstream_connection import Pool, Run, UpstreamConnection
 
 CONNECT_TIMEOUT_S = 0.25
-KEEP_ALIVE_RATIO = 0.6  # of the time that the backend names in `Keep-Alive`
+KEEP_ALIVE_RATIO = 0.6  # idle time-out as a part of the time-out in the backend's `Keep-Alive`
 NO_ADDRESS = ("0.0.0.0", 0)
 
 
 def ignore_progress(backend: str) -> None:
-    """Ignore reports of progress."""
+    """Ignore a progress report."""
 
 
-def always_continued(request: ProxiedRequest) -> bool:
-    """Return True: any stream that is given up is continued elsewhere."""
+def always_resumable(request: ProxiedRequest) -> bool:
+    """Return True: another backend resumes any aborted stream."""
     return True
 
 
@@ -40,12 +40,12 @@
 
     Attributes:
         pools: Pools by backend.
-        streams: Connections whose responses are being streamed.
-        on_progress: Called with the backend at progress of its streams, at intervals.
-        turns: Bounds the payload that is handled in one turn of the loop.
-        may_continue: Returns whether another backend would continue a stalled stream.
-        connections: Open connections, those that are being made included.
-        dials: Connections ever made.
+        streams: Connections with a streamed response in progress.
+        on_progress: Called at intervals with the id of a backend whose streams make progress.
+        turns: Bounds the payload handled in one turn of the loop.
+        may_resume: Returns whether another backend would resume a stalled stream.
+        connections: Number of open connections, including those being dialed.
+        dials: Number of dials since the start.
     """
 
     def __init__(
@@ -55,18 +55,21 @@
         max_connections: int,
         turns: TurnBudget | None = None,
     ) -> None:
-        """Start without backends; at most `max_connections` may be open at once."""
+        """Start without backends.
+
+        When `max_connections` are open, a dial first closes the longest idle connection.
+        """
         self.loop, self.dialer, self.max_connections = loop, dialer, max_connections
         self.pools: dict[str, Pool] = {}
         self.streams: dict[UpstreamConnection, None] = {}
         self.turns = turns or TurnBudget(loop.call_soon)
         self.on_progress: Callable[[str], None] = ignore_progress
-        self.may_continue: Callable[[ProxiedRequest], bool] = always_continued
+        self.may_resume: Callable[[ProxiedRequest], bool] = always_resumable
         self.connections = 0
         self.dials = 0
 
     def set_backends(self, ready: dict[str, Address], draining: dict[str, Address]) -> None:
-        """Replace the backends: those that take requests, and those that only finish what they have."""
+        """Replace the backends; those in `draining` only finish the requests in progress."""
         for name in self.pools.keys() - ready.keys() - draining.keys():
             pool = self.pools.pop(name)
             pool.ready = False
@@ -79,17 +82,17 @@
                 draining_pool.ready = False
                 draining_pool.close_idle()
 
-    # The engine's targets
+    # Called by the engine
 
     def forward(self, request: ProxiedRequest, target: str, exchange: Exchange[Message]) -> Run:
-        """Send a request to a backend; the exchange reports what comes of it."""
+        """Send a request to a backend; events and the result are reported to `exchange`."""
         pool = self.pools.get(target) or Pool(target, NO_ADDRESS)
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
         if target not in self.pools:
             run.end(Termination.TARGET_DRAINED)
-        elif unsendable := self._why_unsendable(run, now):
-            run.end(unsendable)
+        elif obstacle := self._send_obstacle(run, now):
+            run.end(obstacle)
         elif connection := pool.take(request.request_id):
             connection.send(run, now)
         else:
@@ -97,7 +100,7 @@
         return run
 
     def probe(self, target: str, exchange: Exchange[Message]) -> Run:
-        """Not used: placement needs no probes of backends."""
+        """Raise NotImplementedError: placement does not probe backends."""
         raise NotImplementedError("backends are not probed")
 
     def close_idle(self, target: str) -> None:
@@ -107,8 +110,8 @@
 
     # Connections
 
-    def _why_unsendable(self, run: Run, now: float) -> Termination | None:
-        """Return what forbids a run's first byte now, if anything."""
+    def _send_obstacle(self, run: Run, now: float) -> Termination | None:
+        """Return why a run must not be sent now; None if it may."""
         if not run.pool.ready:
             return Termination.TARGET_DRAINED
         if now >= min(run.exchange.deadline, run.exchange.start_before):
@@ -132,22 +135,22 @@
         now = self.loop.time()
         run.on_dial_ended()
         if run.over:
-            self.park(connection)
+            self.return_to_pool(connection)
         elif connection.closed or connection.transport.is_closing():
             run.end(Termination.BROKEN_BEFORE_SENT)
-        elif unsendable := self._why_unsendable(run, now):
-            self.park(connection)
-            run.end(unsendable)
+        elif obstacle := self._send_obstacle(run, now):
+            self.return_to_pool(connection)
+            run.end(obstacle)
         else:
             connection.send(run, now)
 
-    def _on_connect_failed(self, run: Run, ending: Termination) -> None:
+    def _on_connect_failed(self, run: Run, termination: Termination) -> None:
         self.connections -= 1
         run.on_dial_ended()
-        run.end(ending)
+        run.end(termination)
 
-    def park(self, connection: UpstreamConnection, response: Message | None = None) -> None:
-        """Return an idle connection to its pool; `response` may name the time that the backend keeps it."""
+    def return_to_pool(self, connection: UpstreamConnection, response: Message | None = None) -> None:
+        """Return an idle connection to its pool, and apply the `Keep-Alive` time-out of `response`."""
         pool = connection.pool
         if not pool.ready or connection.closed or connection.transport.is_closing():
             connection.close()
@@ -164,7 +167,7 @@
             oldest.idle.pop(0).close()
 
     def sweep(self, now: float) -> None:
-        """Close connections well before the backend would, and give up stalled streams."""
+        """Close idle connections well before the backend would, and abort stalled streams."""
         for pool in self.pools.values():
             if pool.idle:
                 pool.close_idle(now - pool.idle_timeout)
@@ -173,7 +176,7 @@
 
 
 def keep_alive_seconds(response: Message) -> float | None:
-    """Return the time-out that a response's `Keep-Alive` names, in seconds; None where there is none."""
+    """Return the time-out in a response's `Keep-Alive` header in seconds; None if there is none."""
     for parameter in response.fields.get(b"keep-alive", b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.strip().lower() == b"timeout" and value.strip().isdigit():
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -1,21 +1,21 @@
-"""One connection to a backend: an exchange in flight, its response, and which exchange a response belongs to.
+"""One connection to a backend: sends a request, reads the response, and matches responses to requests.
 
 Invariants of an exchange and its connection:
 
-1. An exchange ends once. After a cancel nothing more of it is reported; its connection is closed with it,
-   which is how a backend learns that nobody waits.
-2. A request counts as written once its last byte is in the kernel. A break before that never ran; one after
-   it may have run.
-3. A response counts for the exchange only where it echoes the request's id. One with another id belongs to
-   an earlier exchange, and is read and dropped. One without any id belongs to no exchange: the request may
-   have run.
-4. A connection is reused only after an exchange in perfect order: the request written completely, one
-   response, framed and complete, and not a byte beside it. A request that was rejected on it never uses it
-   again: if the rejection came a second time, its id would match the second attempt.
-5. Of a stream only complete events are passed on (`firvane.fleet.router.events`), and its head goes with the
-   first: where no event has come, no response has begun.
-6. What continues a response that has begun is a stream of events (`firvane.fleet.router.resumption`), which
-   brings a new event and ends behind a whole one; else the exchange has failed.
+1. An exchange ends once. After a cancel nothing more is reported for it, and its connection is closed, which
+   tells the backend that the response is no longer wanted.
+2. A request counts as written once its last byte is in the kernel. If the connection breaks before that, the
+   request has not run; if it breaks later, the request may have run.
+3. A response belongs to the exchange only if it echoes the request's id. A response with another id belongs
+   to an earlier exchange; it is read and dropped. A response without an id fails the exchange, and the
+   request may have run.
+4. A connection is reused only after a clean exchange: the request was written completely, and exactly one
+   framed, complete response was received without any further bytes. A rejected request is never sent again
+   on the same connection: if the rejection were repeated, its id would match the second attempt.
+5. Only complete events of a stream are forwarded (`firvane.fleet.router.events`), and the head is forwarded
+   together with the first event: before an event has been received, no response has begun.
+6. A response that has begun can be resumed only by an event stream (`firvane.fleet.router.resumption`) that
+   has at least one new event and ends after a complete event; otherwise the exchange fails.
 """
 
 from __future__ import annotations
@@ -41,35 +41,35 @@
     STATUS_OK,
     is_streamed,
     is_success,
-    response_ending,
+    response_termination,
 )
 from firvane.fleet.router.resumption import is_event_stream
 from firvane.fleet.tenancy.keys import PRIVATE_FIELDS
 
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
-MAX_REJECTED_IDS = 256  # on one connection, before it is closed
-MAX_SKIPPED_RESPONSES = 8  # 1xx responses, or those to earlier requests
-DEFAULT_IDLE_TIMEOUT_S = 8.0  # where the backend names none
-STALL_TIMEOUT_FACTOR = 2.0  # times the route's longest gap between events
+MAX_REJECTED_IDS = 256  # a connection with more rejected requests is closed
+MAX_SKIPPED_RESPONSES = 8  # interim (1xx) responses and responses to earlier requests
+DEFAULT_IDLE_TIMEOUT_S = 8.0  # if the backend sends no `Keep-Alive` time-out
+STALL_TIMEOUT_FACTOR = 2.0  # ratio to the route's target gap between events
 MIN_STALL_TIMEOUT_S = 0.35
-PROGRESS_INTERVAL_S = 0.05  # between reports of a backend's progress
+PROGRESS_INTERVAL_S = 0.05  # minimum interval between progress reports of a backend
 LOWEST_PRIORITY = 9
 REPLACED_FIELDS = frozenset((DEADLINE, b"x-target-instance", b"priority", b"expect-version"))
 RESUMED_FIELDS = frozenset((b"last-event-id",))
 STATUS_SWITCHING_PROTOCOLS = 101
 
 
-class Connections(Protocol):
-    """What a connection needs of the pools that it belongs to (`Upstreams`)."""
+class ConnectionOwner(Protocol):
+    """Interface of `Upstreams` for its connections."""
 
     loop: asyncio.AbstractEventLoop
     connections: int
     streams: dict[UpstreamConnection, None]
     turns: TurnBudget
     on_progress: Callable[[str], None]
-    may_continue: Callable[[ProxiedRequest], bool]
+    may_resume: Callable[[ProxiedRequest], bool]
 
-    def park(self, connection: UpstreamConnection, response: Message | None = None) -> None:
+    def return_to_pool(self, connection: UpstreamConnection, response: Message | None = None) -> None:
         """Return an idle connection to its pool."""
 
 
@@ -78,11 +78,11 @@
 
     Attributes:
         backend: Id of the backend.
-        address: Its address.
-        ready: Whether it takes new requests.
-        idle: Idle connections, the newest last.
+        address: Address of the backend.
+        ready: Whether the backend accepts new requests.
+        idle: Idle connections, the most recently used last.
         idle_timeout: Seconds after which an idle connection is closed.
-        progress_at: Loop time at which progress of its streams was last reported.
+        progress_at: Loop time of the last progress report for the backend.
     """
 
     def __init__(self, backend: str, address: Address) -> None:
@@ -93,10 +93,10 @@
         self.progress_at = 0.0
 
     def take(self, request_id: bytes) -> UpstreamConnection | None:
-        """Take the newest idle connection that may carry this request, and close unusable ones."""
+        """Take the most recently used connection that may carry this request, and close unusable ones."""
         for position in range(len(self.idle) - 1, -1, -1):
             connection = self.idle[position]
-            if not connection.usable():
+            if not connection.is_usable():
                 del self.idle[position]
                 connection.close()
             elif request_id not in connection.rejected_ids:
@@ -105,35 +105,35 @@
         return None
 
     def close_idle(self, before: float = float("inf")) -> None:
-        """Close the connections that have been idle since before a loop time."""
+        """Close the connections that became idle before the loop time `before`."""
         close_idle(self.idle, before)
 
 
-# An exchange with a backend. The name is for types only: `UpstreamRun` itself is constructed.
+# An attempt on a backend. The alias is only for annotations; `UpstreamRun` itself is constructed.
 Run: TypeAlias = UpstreamRun[ProxiedRequest, "UpstreamConnection", Pool]
 
 
 class UpstreamConnection(BoundedReadProtocol):
-    """One connection to a backend; it is in its pool whenever it is idle.
+    """One connection to a backend; idle connections are in the pool.
 
     Attributes:
-        run: The exchange in flight.
-        written: Whether the last byte of its request is in the kernel.
-        skipped_responses: Responses dropped since the request was sent.
+        run: The run in progress.
+        written: Whether the last byte of the run's request is in the kernel.
+        skipped_responses: Number of responses dropped since the request was sent.
         rejected_ids: Ids of the requests that the backend rejected on this connection.
-        stream: The response that is being streamed, from when the client gets it.
-        framer: Splits it into events, where it is a stream of events.
-        idle_since: Loop time at which it became idle.
-        last_data_at: Loop time at which bytes of the response last came.
-        unparsed: Bytes that came, of which those from `position` on are not parsed yet.
-        paused: Whether the client does not keep up.
-        is_reading: Whether the transport's reading is not paused.
-        closed: Whether the connection is lost.
+        stream: Body of the streamed response, once its head has been forwarded.
+        framer: Splits the body into events if it is an event stream.
+        idle_since: Loop time at which the connection became idle.
+        last_data_at: Loop time at which response data was last received.
+        unparsed: Received bytes; those from `position` on are not parsed yet.
+        paused: Whether the stream is paused, since the client reads too slowly.
+        is_reading: Whether reading from the transport is active.
+        closed: Whether the connection is closed.
     """
 
-    def __init__(self, upstreams: Connections, pool: Pool, quiet: NoInputCheck) -> None:
-        """`quiet` returns whether nothing has come on the idle socket."""
-        self.upstreams, self.pool, self.quiet = upstreams, pool, quiet
+    def __init__(self, upstreams: ConnectionOwner, pool: Pool, has_no_input: NoInputCheck) -> None:
+        """`has_no_input` returns whether the socket has neither unread data nor an end of file."""
+        self.upstreams, self.pool, self.has_no_input = upstreams, pool, has_no_input
         self.reader = MessageReader(
             httptools.HttpResponseParser, MAX_BUFFERED_RESPONSE_BYTES, MAX_RESPONSE_BYTES
         )
@@ -152,15 +152,15 @@
         self.closed = False
         self.transport: asyncio.Transport
 
-    # Life of the connection
+    # Connection lifecycle
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio)."""
+        """Store the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(0)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the exchange in flight, and leave the pool (asyncio)."""
+        """End the run in progress, and remove the connection from its pool (asyncio)."""
         self.closed = True
         while self.has_work:
             self.step()
@@ -174,20 +174,20 @@
             run.end(Termination.BROKEN_AFTER_SENT if self.written else Termination.BROKEN_BEFORE_SENT)
 
     def eof_received(self) -> None:
-        """Complete a body that lasts until the end of the connection, or close (asyncio)."""
+        """Complete a body that is delimited by the end of the connection, or close (asyncio)."""
         message = self.reader.message
         if self.run is None or message is None or self.reader.in_head or message.is_framed:
             self.close()
-        elif self.framer and not self.framer.is_whole():
+        elif self.framer and not self.framer.may_end():
             self._fail(Termination.BAD_RESPONSE)
         elif self.stream or (self.framer and self._start_stream(message, self.run)):
             self._complete(message)
         else:
             self.close()
 
-    def usable(self) -> bool:
-        """Return whether nothing has come while it was idle, neither bytes nor its end."""
-        return not self.closed and not self.transport.is_closing() and self.quiet()
+    def is_usable(self) -> bool:
+        """Return whether an idle connection is open and has received neither data nor an end of file."""
+        return not self.closed and not self.transport.is_closing() and self.has_no_input()
 
     def close(self) -> None:
         """Abort the connection."""
@@ -197,32 +197,32 @@
     # Sending
 
     def send(self, run: Run, now: float) -> None:
-        """Write the request of a run, with the time that is left for it."""
+        """Write the request of a run, with its remaining time as the deadline."""
         request = run.request
-        left_ms = max(1, int((run.exchange.deadline - now) * 1000))
+        remaining_ms = max(1, int((run.exchange.deadline - now) * 1000))
         fields = [
-            b"X-Deadline-Ms: %d\r\n" % left_ms,
+            b"X-Deadline-Ms: %d\r\n" % remaining_ms,
             b"X-Target-Instance: %s\r\n" % self.pool.backend.encode(),
             b"Priority: %d\r\n" % min(LOWEST_PRIORITY, max(0, request.priority)),
         ]
-        without = REPLACED_FIELDS
+        removed_fields = REPLACED_FIELDS
         if request.is_private:
-            without |= PRIVATE_FIELDS
+            removed_fields |= PRIVATE_FIELDS
         if request.tenant is not None:
             fields.append(b"X-Tenant: %s\r\n" % request.tenant)
         if request.progress.last_event_id is not None:
-            without |= RESUMED_FIELDS
+            removed_fields |= RESUMED_FIELDS
             fields.append(b"Last-Event-Id: %d\r\n" % request.progress.last_event_id)
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1])
         self.run, run.connection = run, self
         request.record_sent()
         self.written, self.skipped_responses, self.last_data_at = False, 0, now
-        head = format_forwarded_head(request.message, host, without, fields)
+        head = format_forwarded_head(request.message, host, removed_fields, fields)
         self.transport.writelines([*head, *request.message.body])
         self._check_written()
 
     def resume_writing(self) -> None:
-        """Report that the request is written, where it is now (asyncio)."""
+        """Report the request as written if the write buffer is empty (asyncio)."""
         if self.run and not self.written:
             self._check_written()
 
@@ -235,7 +235,7 @@
     # Receiving
 
     def data_received(self, data: bytes) -> None:
-        """Read the response in flight (asyncio)."""
+        """Buffer response data, and parse it within the turn budget (asyncio)."""
         if self.run is None:
             self.close()  # unsolicited bytes
             return
@@ -250,16 +250,16 @@
 
     @property
     def has_work(self) -> bool:
-        """Whether bytes of a response in flight are not parsed yet."""
+        """Whether there is unparsed response data for a run in progress."""
         return self.position < len(self.unparsed) and self.run is not None
 
     @property
     def priority(self) -> int:
-        """That of the request in flight; the lowest number is the most urgent."""
+        """Priority of the request in progress; the lowest number is the most urgent."""
         return self.run.request.priority if self.run else 0
 
     def step(self) -> int:
-        """Parse the next part of the response in flight, and return its cost (see `TurnBudget`)."""
+        """Parse the next part of the response, and return its cost (see `TurnBudget`)."""
         start = self.position
         is_chunked = self.reader.in_unsized_body()
         try:
@@ -269,8 +269,8 @@
             self._drop_unparsed()
             return 1
         units = step_units(self.position - start, is_chunked)
-        goes_on = self._process_response(self.position < len(self.unparsed))
-        if not goes_on or self.position == len(self.unparsed):
+        is_active = self._process_response(self.position < len(self.unparsed))
+        if not is_active or self.position == len(self.unparsed):
             self._drop_unparsed()
         return units
 
@@ -279,45 +279,45 @@
         self._update_reading()
 
     def _update_reading(self) -> None:
-        """Read on where the client keeps up and all that came is parsed."""
-        reads = not (self.paused or self.unparsed)
-        if reads is not self.is_reading and not self.closed and not self.transport.is_closing():
-            self.is_reading = reads
-            (self.transport.resume_reading if reads else self.transport.pause_reading)()
+        """Pause reading while the stream is paused or there is unparsed data; resume it otherwise."""
+        should_read = not (self.paused or self.unparsed)
+        if should_read is not self.is_reading and not self.closed and not self.transport.is_closing():
+            self.is_reading = should_read
+            (self.transport.resume_reading if should_read else self.transport.pause_reading)()
 
-    def _process_response(self, followed: bool) -> bool:
-        """Act on what has been read; return whether the exchange goes on.
+    def _process_response(self, has_more_data: bool) -> bool:
+        """Handle the parsed part of a response, and return whether the run is still in progress.
 
-        `followed`: more bytes have come behind it.
+        `has_more_data`: whether bytes follow the parsed part.
         """
-        done = self.reader.completed
-        message = done[0] if done else self.reader.message
-        if message is None or (not done and self.reader.in_head):
+        completed = self.reader.completed
+        message = completed[0] if completed else self.reader.message
+        if message is None or (not completed and self.reader.in_head):
             return True
-        if self._is_other_response(message):
-            return self._skip(message, followed)
+        if self._is_unrelated_response(message):
+            return self._skip(message, has_more_data)
         if REQUEST_ID not in message.fields:
             self._fail(Termination.BAD_RESPONSE)
             return False
-        if is_success(message) and not self._pass_on(message):
+        if is_success(message) and not self._forward(message):
             return False
         if message.complete:
-            followed = followed or len(done) > 1 or self.reader.message is not None
-            done.clear()
-            self._complete(message, followed)
+            has_more_data = has_more_data or len(completed) > 1 or self.reader.message is not None
+            completed.clear()
+            self._complete(message, has_more_data)
             return False
         return True
 
-    def _is_other_response(self, message: Message) -> bool:
-        """Return whether a response is an interim one, or that of an earlier request."""
+    def _is_unrelated_response(self, message: Message) -> bool:
+        """Return whether a response is interim (1xx) or belongs to an earlier request."""
         run = self.run
         if message.status < STATUS_OK:
             return True
         echoed = message.fields.get(REQUEST_ID)
         return run is not None and echoed is not None and echoed != run.request.request_id
 
-    def _skip(self, message: Message, followed: bool) -> bool:
-        """Drop a response, and return whether the exchange goes on."""
+    def _skip(self, message: Message, has_more_data: bool) -> bool:
+        """Drop a response, and return whether the run is still in progress."""
         message.take_body()
         if not message.complete:
             return True
@@ -327,10 +327,13 @@
         if too_many or message.status == STATUS_SWITCHING_PROTOCOLS or not message.keep_alive:
             self._fail(Termination.BAD_RESPONSE)
             return False
-        return self._process_response(followed)
+        return self._process_response(has_more_data)
 
-    def _pass_on(self, message: Message) -> bool:
-        """Pass on what has come of a success that is streamed, and return whether the exchange goes on."""
+    def _forward(self, message: Message) -> bool:
+        """Forward the received part of a 2xx response if it is streamed.
+
+        Returns whether the run is still in progress.
+        """
         run = self.run
         if run is None or not (self.stream or self.framer or run.request.progress.accepts(message)):
             self._fail(Termination.BAD_RESPONSE)
@@ -340,34 +343,34 @@
                 return True
             self._prepare_stream(message, run)
         try:
-            pieces = self._take_pieces(message)
+            buffers = self._take_body(message)
         except UnknownPositionError:
             self._fail(Termination.BAD_RESPONSE)
             return False
-        is_short = message.complete and self.framer is not None and not self.framer.is_whole()
-        is_due = bool(pieces) or not self.framer or (message.complete and not is_short)
-        if not self.stream and is_due and not self._start_stream(message, run):
+        is_incomplete = message.complete and self.framer is not None and not self.framer.may_end()
+        should_start = bool(buffers) or not self.framer or (message.complete and not is_incomplete)
+        if not self.stream and should_start and not self._start_stream(message, run):
             return False
-        self._feed(pieces, run)
-        if is_short:
+        self._feed(buffers, run)
+        if is_incomplete:
             self._fail(Termination.BAD_RESPONSE)
-        return not is_short
+        return not is_incomplete
 
     def _prepare_stream(self, message: Message, run: Run) -> None:
         if is_event_stream(message):
             self.framer = EventFramer(run.request.progress.last_event_id)
         self.upstreams.streams[self] = None
 
-    def _take_pieces(self, message: Message) -> list[BytesLike]:
-        """Take the body that has come: complete events in a stream of events."""
-        pieces = message.take_body()
+    def _take_body(self, message: Message) -> list[BytesLike]:
+        """Take the received part of the body; only complete events if it is an event stream."""
+        buffers = message.take_body()
         if not self.framer:
-            return pieces
-        events = self.framer.feed(b"".join(pieces))
+            return buffers
+        events = self.framer.feed(b"".join(buffers))
         return [events] if events else []
 
     def _start_stream(self, message: Message, run: Run) -> bool:
-        """Start streaming a response, and return whether the exchange goes on."""
+        """Forward the head of a streamed response, and return whether the run is still in progress."""
         message.stream = self.stream = Stream(self)
         run.exchange.on_response_started(message)
         if self.run is not run:
@@ -375,39 +378,39 @@
         run.request.progress.record_start(message)
         return True
 
-    def _feed(self, pieces: list[BytesLike], run: Run) -> None:
-        if self.stream and pieces:
-            self.stream.feed(pieces)
+    def _feed(self, buffers: list[BytesLike], run: Run) -> None:
+        if self.stream and buffers:
+            self.stream.feed(buffers)
             if self.framer:
                 run.request.progress.record_events(self.framer)
 
-    def _complete(self, message: Message, followed: bool = False) -> None:
-        """End the exchange with a complete response, and reuse or close the connection."""
+    def _complete(self, message: Message, has_more_data: bool = False) -> None:
+        """End the run with a complete response, and reuse or close the connection."""
         if self.stream:
             rest = self.framer.finish() if self.framer else b""
             self.stream.feed([rest] if rest else [])
             self.stream.end()
         run, self.run = self.run, None
         self._end_stream()
-        ending = response_ending(message)
-        if run and ending is Termination.REJECTED:
+        termination = response_termination(message)
+        if run and termination is Termination.REJECTED:
             self.rejected_ids.add(run.request.request_id)
             run.request.record_rejected()
-        is_clean = message.is_framed and self.written and not (followed or self.skipped_responses)
+        is_clean = message.is_framed and self.written and not (has_more_data or self.skipped_responses)
         reusable = message.keep_alive and is_clean and len(self.rejected_ids) <= MAX_REJECTED_IDS
         if reusable and not self.closed and not self.transport.is_closing():
-            self.upstreams.park(self, message)
+            self.upstreams.return_to_pool(self, message)
         else:
             self.close()
         if run:
-            run.end(ending, message)
+            run.end(termination, message)
 
-    def _fail(self, ending: Termination) -> None:
+    def _fail(self, termination: Termination) -> None:
         run, self.run = self.run, None
         self._end_stream()
         self.close()
         if run:
-            run.end(ending)
+            run.end(termination)
 
     def _end_stream(self) -> None:
         self.stream = self.framer = None
@@ -416,19 +419,19 @@
         self._update_reading()
 
     def set_paused(self, paused: bool) -> None:
-        """Pause or resume reading, as the client keeps up with the stream or not."""
+        """Pause or resume reading from the backend, for flow control of the stream."""
         if paused is not self.paused and not self.closed and not self.transport.is_closing():
             self.paused, self.last_data_at = paused, self.upstreams.loop.time()
             self._update_reading()
 
     def check_stall(self, now: float) -> None:
-        """Give up a resumable stream that has stalled for far longer than its events should be apart.
+        """Abort a resumable stream that has stalled for much longer than the target gap between events.
 
-        Only where another backend would continue it: a stall alone is no reason to end a response sooner.
+        It is aborted only if another backend would resume it; a stall alone does not end a response early.
         """
         run = self.run
         if run is None or not self.is_reading or not run.request.can_resume():
             return
         timeout = max(MIN_STALL_TIMEOUT_S, STALL_TIMEOUT_FACTOR * run.request.route.gap_aim_ms / 1000)
-        if now > self.last_data_at + timeout and self.upstreams.may_continue(run.request):
+        if now > self.last_data_at + timeout and self.upstreams.may_resume(run.request):
             self._fail(Termination.DEADLINE_EXCEEDED)
--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -44,16 +44,16 @@
     Mutant(
         "a head goes out with the first event",
         UPSTREAM,
-        "is_due = bool(pieces) or not self.framer or (message.complete and not is_short)",
-        "is_due = True",
+        "should_start = bool(buffers) or not self.framer or (message.complete and not is_incomplete)",
+        "should_start = True",
         f"{RESUMED}::test_a_stream_that_breaks_off_before_its_first_event_leaves_the_whole_of_the_next",
     ),
     Mutant(
         "events are dropped only where a response continues another",
         "firvane/fleet/router/events.py",
-        "if self.is_catching_up and not rises:",
-        "if not rises:",
-        "tests/fleet/router/test_events.py::test_nothing_is_dropped_of_a_stream_that_continues_none",
+        "if self.is_catching_up and not is_higher:",
+        "if not is_higher:",
+        "tests/fleet/router/test_events.py::test_no_event_is_dropped_from_a_stream_that_is_not_resumed",
     ),
     Mutant(
         "one attempt alone decides once its answer has begun",
@@ -109,14 +109,14 @@
         "firvane/fleet/router/events.py",
         "        if self._is_single_event(data):",
         "        data = self.finish() + data\n        if self._is_single_event(data):",
-        f"{FRAMING}::test_each_byte_is_looked_at_a_bounded_number_of_times",
+        f"{FRAMING}::test_each_byte_is_visited_a_bounded_number_of_times",
     ),
     Mutant(
         "an LF behind a CR that was cut off belongs to the event before",
         "firvane/fleet/router/events.py",
-        "self._ends_with_cr = at + 1 == len(data)",
+        "self._ends_with_cr = offset + 1 == len(data)",
         "self._ends_with_cr = False",
-        f"{FRAMING}::test_the_lf_behind_a_cr_belongs_to_the_event_that_ended",
+        f"{FRAMING}::test_an_lf_after_a_split_crlf_belongs_to_the_event_before",
     ),
     Mutant(
         "a turn has a bound",
@@ -142,8 +142,8 @@
     Mutant(
         "what waits for a later turn is not read on",
         UPSTREAM,
-        "reads = not (self.paused or self.unparsed)",
-        "reads = not self.paused",
+        "should_read = not (self.paused or self.unparsed)",
+        "should_read = not self.paused",
         "tests/fleet/router/test_payload_turns.py -k not_read_on",
     ),
     Mutant(
@@ -163,15 +163,15 @@
     Mutant(
         "a continued stream is complete only behind a whole new event",
         UPSTREAM,
-        "is_short = message.complete and self.framer is not None and not self.framer.is_whole()",
-        "is_short = False",
+        "is_incomplete = message.complete and self.framer is not None and not self.framer.may_end()",
+        "is_incomplete = False",
         f"{RESUMED}::test_what_brings_no_whole_new_event_does_not_complete_a_stream",
     ),
     Mutant(
         "what follows the last whole event of a continued stream makes it short",
         "firvane/fleet/router/events.py",
-        "is_short = self.is_catching_up or self.is_inside_event or self.partial_bytes > 0",
-        "is_short = self.is_catching_up",
+        "is_incomplete = self.is_catching_up or self.is_inside_event or self.partial_bytes > 0",
+        "is_incomplete = self.is_catching_up",
         f"{RESUMED}::test_what_brings_no_whole_new_event_does_not_complete_a_stream",
     ),
     Mutant(
--- a/tests/fleet/router/regex_framer.py
+++ b/tests/fleet/router/regex_framer.py
@@ -1,6 +1,6 @@
-"""The oracle of `EventFramer`: all that has come is searched again with each piece, by regular expressions.
+"""A reference implementation of `EventFramer` that searches all buffered data again for each piece.
 
-It knows lines that end with LF or CRLF, and holds events of any size.
+It uses regular expressions, supports LF and CRLF line ends, and buffers events of any size.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class RegexFramer:
-    """Splits a body into events; `passed_on` is what its client has."""
+    """Splits a body into events; `forwarded` is the data sent to the client."""
 
     def __init__(self, last_id: int | None = None) -> None:
         self.last_id = last_id
         self.is_position_known = self.is_catching_up = last_id is not None
-        self.is_unknown = False  # an event has come of which it is not known whether the client has it
-        self.passed = 0
+        self.is_unknown = False  # whether an event was received that the client may already have
+        self.forwarded_events = 0
         self.partial = b""
-        self.passed_on = b""
+        self.forwarded = b""
 
     def feed(self, data: bytes) -> None:
         data, start = self.partial + data, 0
@@ -30,22 +30,22 @@
             event, start = data[start : match.end()], match.end()
             if self.is_unknown:
                 return
-            if self._is_new(event):
-                self.passed_on += event
+            if self._accept_event(event):
+                self.forwarded += event
         self.partial = data[start:]
 
-    def _is_new(self, event: bytes) -> bool:
+    def _accept_event(self, event: bytes) -> bool:
         fields = ID_FIELD.findall(event)
         if not fields or not NUMERIC_ID.fullmatch(fields[-1]):
             if not COMMENTS_ONLY.fullmatch(event):
                 self.is_unknown, self.is_position_known = self.is_catching_up, False
-            self.passed += not self.is_unknown
+            self.forwarded_events += not self.is_unknown
             return not self.is_unknown
-        rises = self.last_id is None or int(fields[-1]) > self.last_id
-        if self.is_catching_up and not rises:
+        is_higher = self.last_id is None or int(fields[-1]) > self.last_id
+        if self.is_catching_up and not is_higher:
             return False
-        self.passed += 1
-        self.is_position_known, self.is_catching_up = rises, False
-        if rises:
+        self.forwarded_events += 1
+        self.is_position_known, self.is_catching_up = is_higher, False
+        if is_higher:
             self.last_id = int(fields[-1])
         return True
--- a/tests/fleet/router/test_stalled_streams.py
+++ b/tests/fleet/router/test_stalled_streams.py
@@ -27,7 +27,7 @@
     async def scene() -> None:
         backends = [Backend("a", stalls), Backend("b", continues)]
         async with rig(backends, (route(stream_resume=True),)) as made:
-            made.upstreams.may_continue = lambda request: continued
+            made.upstreams.may_resume = lambda request: continued
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
@@ -51,7 +51,7 @@
 
     async def scene() -> None:
         async with rig([Backend("a", stalls)], (route(stream_resume=True),)) as made:
-            made.upstreams.may_continue = lambda request: bool(asked.append(request.flow_id))
+            made.upstreams.may_resume = lambda request: bool(asked.append(request.flow_id))
             reader, writer = await made.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
