--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -1,4 +1,4 @@
-"""The backends of all services, as dissemination brings them to the upstream connections and placement."""
+"""The backends of all services: passes disseminated lists on to the upstream connections and placement."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Backends:
-    """The backends that this router knows."""
+    """The backends known to this router."""
 
     def __init__(self, upstreams: Upstreams, engine: Engine[ProxiedRequest, Message]) -> None:
         self.upstreams, self.engine = upstreams, engine
@@ -21,7 +21,7 @@
         self.services: set[str] = set()
 
     def update(self, service: str, instances: Sequence[Instance]) -> None:
-        """Replace the list of a service's backends."""
+        """Replace the backends of a service."""
         changed = self.table.replace(service, instances, self.engine.now())
         if not changed and service in self.services:
             return
@@ -39,7 +39,9 @@
 
     def _update_upstreams(self) -> None:
         known = [instance for service in self.services for instance in self.table.of(service)]
-        ready = {one.id: one.address for one in known if one.state is InstanceState.READY}
-        draining = {one.id: one.address for one in known if one.state is InstanceState.DRAINING}
+        ready = {backend.id: backend.address for backend in known if backend.state is InstanceState.READY}
+        draining = {
+            backend.id: backend.address for backend in known if backend.state is InstanceState.DRAINING
+        }
         self.upstreams.set_backends(ready, draining)
         self.engine.set_known_targets(set(ready))
--- a/firvane/fleet/router/client.py
+++ b/firvane/fleet/router/client.py
@@ -280,8 +280,8 @@
         self.context.log.info(
             "drain_response_truncated",
             request=self.flow.request.request_id.decode("latin-1"),
-            received_s=drain.since(self.received_at),
-            connected_s=drain.since(self.connected_at),
+            received_s=drain.seconds_since_start(self.received_at),
+            connected_s=drain.seconds_since_start(self.connected_at),
             requests=self.requests_received,
         )
 
--- a/firvane/fleet/router/members_endpoint.py
+++ b/firvane/fleet/router/members_endpoint.py
@@ -1,8 +1,8 @@
 """The operators' endpoint of a router, on the readiness port: `GET /v1/fleet/members`.
 
-The response is that of the controllers' endpoint of the same name, as this router sees the fleet. It is
-built at most twice a second, a connection gets one response, and few responses may be unread at once, so
-that operators take little time from requests.
+The response has the format of the controllers' endpoint of the same path and lists the members known to this
+router. To limit the cost for request handling, the response is built at most twice a second, each connection
+gets one response, and the number of unread responses is bounded.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 import asyncio
 from collections.abc import Callable
 
-MAX_UNREAD_RESPONSES = 4  # that their clients have not read completely
-READ_TIMEOUT_S = 5.0  # until such a connection is aborted
+MAX_UNREAD_RESPONSES = 4  # responses that clients have not read completely
+READ_TIMEOUT_S = 5.0  # after it a connection with an unread response is aborted
 CACHE_LIFETIME_S = 0.5
 PATH = b"GET /v1/fleet/members "
 OVERLOADED = (
@@ -20,7 +20,7 @@
 
 
 class MembersEndpoint:
-    """Responds on connections that end with their response."""
+    """Writes responses, and closes each connection after its response."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, report: Callable[[], bytes]) -> None:
         """`report` builds the body of a response."""
@@ -30,7 +30,7 @@
         self._unread: dict[asyncio.Transport, asyncio.TimerHandle] = {}
 
     def respond(self, transport: asyncio.Transport) -> None:
-        """Write the response, and close the connection once it is read."""
+        """Write the response, and close the connection after the client has read it."""
         if len(self._unread) >= MAX_UNREAD_RESPONSES:
             transport.write(OVERLOADED)
         else:
@@ -39,7 +39,7 @@
         transport.close()
 
     def connection_lost(self, transport: asyncio.Transport) -> None:
-        """Forget a connection that has ended, whatever was asked on it."""
+        """Release the state of a closed connection, if it has any."""
         timer = self._unread.pop(transport, None)
         if timer is not None:
             timer.cancel()
--- a/firvane/fleet/router/peers.py
+++ b/firvane/fleet/router/peers.py
@@ -1,4 +1,4 @@
-"""The other routers as placement knows them: by numbers that all routers agree on."""
+"""The other routers, identified by numbers that are the same on all routers."""
 
 from __future__ import annotations
 
@@ -16,32 +16,34 @@
 
 
 class RouterPeers:
-    """Sends rows to the other routers."""
+    """Sends rows of load data to the other routers."""
 
-    def __init__(self, own: Address, zones: Sequence[str], send: Callable[[Address, bytes], None]) -> None:
+    def __init__(
+        self, own_address: Address, zones: Sequence[str], send: Callable[[Address, bytes], None]
+    ) -> None:
         """Start without peers.
 
         Args:
-            own: This router's internal address.
-            zones: Names of all zones, which are numbered in their sorted order.
+            own_address: This router's internal address.
+            zones: Names of all zones, which are numbered in sorted order.
             send: Sends a row to an address.
         """
-        self.own, self.send = own, send
+        self.own_address, self.send = own_address, send
         self.zones = {zone: number for number, zone in enumerate(sorted(zones))}
         self.addresses: dict[int, Address] = {}
 
     def update(self, routers: Sequence[Member]) -> PeersChanged:
-        """Replace the live routers, this one included, and return the event for placement."""
-        self.addresses = {peer_number(one.address): one.address for one in routers}
-        zones = {peer_number(one.address): self.zones.get(one.zone, 0) for one in routers}
+        """Replace the live routers, including this one, and return the event for placement."""
+        self.addresses = {peer_number(router.address): router.address for router in routers}
+        zones = {peer_number(router.address): self.zones.get(router.zone, 0) for router in routers}
         return PeersChanged(tuple(sorted(zones)), tuple(zones[number] for number in sorted(zones)))
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        """Send a row to one router, or to all others where `peer` is None."""
+        """Send a row to one router, or to all others if `peer` is None."""
         if peer is not None:
             if address := self.addresses.get(peer):
                 self.send(address, payload)
             return
         for address in self.addresses.values():
-            if address != self.own:
+            if address != self.own_address:
                 self.send(address, payload)
--- a/firvane/fleet/router/readiness.py
+++ b/firvane/fleet/router/readiness.py
@@ -1,6 +1,6 @@
-"""The platform's health check of a router: `GET /v1/readiness` returns whether it takes new connections.
+"""The platform's health check: `GET /v1/readiness` returns whether the router accepts new connections.
 
-Operators use the same port: `members_endpoint`.
+The same port serves operators (`members_endpoint`).
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class ReadinessConnection(asyncio.Protocol):
-    """One connection of the platform; each check gets the state of its moment."""
+    """One connection of the platform or of an operator."""
 
     def __init__(self, is_ready: Callable[[], bool], members: MembersEndpoint) -> None:
         self.is_ready, self.members = is_ready, members
@@ -29,11 +29,11 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport (asyncio)."""
+        """Store the transport (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Release the response in flight (asyncio)."""
+        """Release the state of an unread response (asyncio)."""
         self.members.connection_lost(self.transport)
 
     def data_received(self, data: bytes) -> None:
@@ -47,7 +47,7 @@
             self.transport.abort()
 
     def _respond(self, head: bytes) -> bool:
-        """Respond to a request, and return whether another may follow."""
+        """Respond to a request, and return whether the connection stays open."""
         if head.startswith(members_endpoint.PATH):
             self.members.respond(self.transport)
             return False
--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -1,4 +1,4 @@
-"""One router: cluster agent, client listener, engine, placement, upstream connections, and its draining."""
+"""One router: assembles the cluster agent, client listener, engine, placement and upstream connections."""
 
 from __future__ import annotations
 
@@ -37,17 +37,17 @@
 
 CONFIGURATION_KEY = b"configuration"
 INSTANCES_PREFIX = b"instances/"
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted
-MAX_ATTEMPTS = 16  # of one request, those that reached no backend included
+LISTEN_BACKLOG = 1024  # maximum number of connections that wait to be accepted
+MAX_ATTEMPTS = 16  # per request, including attempts that reached no backend
 MAX_OPEN_REQUESTS = 4096
 MIB = 1024 * 1024
-LONG_BODIES_RATIO = 0.4  # of the memory, for long bodies together; the rest is for all else
-RESERVED_DESCRIPTORS = 600  # for clients beyond their half, cluster links and files
+LONG_BODIES_RATIO = 0.4  # part of the memory available to all long bodies together
+RESERVED_DESCRIPTORS = 600  # not used upstream; for further clients, cluster links and files
 MIN_UPSTREAM_CONNECTIONS = 64
 SWEEP_INTERVAL_S = 0.05
-IDLE_SWEEP_INTERVAL = 10  # sweeps from one check of idle connections to the next
+IDLE_SWEEP_INTERVAL = 10  # idle connections are checked in every tenth sweep
 METRICS_INTERVAL_S = 5.0
-DRAIN_MARGIN_S = 0.8  # before the end of the grace period, by which all responses are complete
+DRAIN_MARGIN_S = 0.8  # all responses must be complete this long before the end of the grace period
 DRAIN_POLL_INTERVAL_S = 0.05
 
 
@@ -55,19 +55,19 @@
     """Settings of one router; times are in seconds.
 
     Attributes:
-        internal: Address for the other processes of the fleet.
-        client_address: Address that clients connect to.
-        readiness_address: Address of the readiness and the members endpoint.
+        internal: Listening address for the other processes of the fleet.
+        client_address: Listening address for clients.
+        readiness_address: Listening address of the readiness endpoint and the members endpoint.
         seeds: Internal addresses of controllers, for joining the cluster.
-        zone: Its zone.
+        zone: Zone of this router.
         zones: All zones.
-        incarnation: Number that grows with each start.
-        file_descriptors: Most file descriptors.
-        memory_mb: Most memory, in MiB.
-        grace: Time from SIGTERM to the end.
-        retry_ratio: Retries per request over all routers.
-        retry_slack: Retries beyond that, over all routers, in any window of the rule.
-        revoke: Time within which a removed key must be rejected; 0 where that needs no proof.
+        incarnation: Number that increases with each start.
+        file_descriptors: Maximum number of file descriptors.
+        memory_mb: Maximum memory, in MiB.
+        grace: Time from SIGTERM to the end of the process.
+        retry_ratio: Maximum number of retries per request, over all routers.
+        retry_slack: Additional retries allowed in a window of the retry budget, over all routers.
+        revoke: Time within which a removed key must be rejected; 0 disables freshness proofs.
     """
 
     internal: Address
@@ -86,24 +86,24 @@
 
     @property
     def seed(self) -> int:
-        """Seed of the random draws, which differs from start to start."""
+        """Seed of the random number generators, which differs between starts."""
         return random.Random(self.incarnation).getrandbits(32)
 
 
 class NoDirectory:
-    """Stands for the engine's directory: the lists of backends come by dissemination."""
+    """Empty implementation of the engine's directory: the cluster agent delivers the lists of backends."""
 
     def refresh(self) -> None:
         """Do nothing."""
 
 
 def cyclic_garbage_total() -> int:
-    """Return the objects that the collector of cycles has freed since the start of the process."""
+    """Return the number of objects freed by the garbage collector since the start of the process."""
     return sum(generation["collected"] for generation in gc.get_stats())
 
 
 def engine_settings(number: int) -> api.Settings:
-    """Return the engine's settings for the router of this number; limits of a request are on its route."""
+    """Return the engine's settings for a router's peer number; limits of requests are set by their routes."""
     prompts = api.RequestClass("prompt", latency_target=1.0, deadline=3600.0)
     rules = api.Rules(
         0.02, drain_grace=0.0, start_capacity=1.0, slow_start=0.0, fall_multiple=1.0, fall_window=1.0
@@ -121,15 +121,15 @@
 
 
 class Router:
-    """All parts of one router. `start` returns once it listens; `drain` ends it.
+    """One router. `start` returns once it accepts connections; `drain` stops it gracefully.
 
     Attributes:
-        configuration: The configuration in force; None before the first.
-        sweeps: Sweeps since the start.
-        delays: How late the sweeps were.
+        configuration: The active configuration; None before the first.
+        sweeps: Number of sweeps since the start.
+        delays: Histogram of the delays of the sweeps.
         sweep_due: Loop time of the next sweep; 0 before the first.
-        servers: All listening sockets.
-        client_server: That of the clients; set by `start`.
+        servers: All servers, each with its listening sockets.
+        client_server: The server for clients; set by `start`.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: RouterSettings, log: Log) -> None:
@@ -206,7 +206,7 @@
         )
 
     async def start(self) -> None:
-        """Join the cluster, and listen for clients and health checks."""
+        """Join the cluster, and start the servers for clients and health checks."""
         self.transports.start()
         await self.agent.start()
         self.client_server = await self.listener.listen(self.settings.client_address, LISTEN_BACKLOG)
@@ -230,19 +230,19 @@
         return ReadinessConnection(self.is_ready, self.members_endpoint)
 
     def _members_report(self) -> bytes:
-        """Return what this router knows of the fleet, for operators."""
+        """Return the fleet's members as known to this router, for operators."""
         published = self.agent.item(CONFIGURATION_KEY)
         return encode_members(
             self.settings.internal, published.version if published else 0, self.agent.known_members()
         )
 
     def is_ready(self) -> bool:
-        """Return whether the platform should send new connections here."""
+        """Return whether the platform should send new connections to this router."""
         if self.listener.drain.has_started or self.configuration is None:
             return False
         return self.backends.any_ready() and self.admission.is_ready()
 
-    # The cluster
+    # Callbacks of the cluster agent and the upstream connections
 
     def _on_item(self, item: Item) -> None:
         try:
@@ -300,7 +300,7 @@
     def _sweep(self) -> None:
         now = self.loop.time()
         if self.sweep_due and self.delays.record(max(0.0, now - self.sweep_due)):
-            self._log_held(now - self.sweep_due)
+            self._log_loop_delay(now - self.sweep_due)
         self.sweeps += 1
         self.admission.tick()
         if self.sweeps % IDLE_SWEEP_INTERVAL == 0 or self.upstreams.streams:
@@ -310,7 +310,7 @@
         self.sweep_due = self.loop.time() + SWEEP_INTERVAL_S
         self.loop.call_at(self.sweep_due, self._sweep)
 
-    def _log_held(self, delay: float) -> None:
+    def _log_loop_delay(self, delay: float) -> None:
         self.log.warning(
             "loop_held",
             delay_ms=round(1000 * delay),
@@ -320,8 +320,10 @@
         )
 
     def _report(self) -> None:
-        endings = self.engine.event_counts
-        counted = {name.replace(" ", "_").replace(",", ""): count for name, count in sorted(endings.items())}
+        event_counts = self.engine.event_counts
+        fields = {
+            name.replace(" ", "_").replace(",", ""): count for name, count in sorted(event_counts.items())
+        }
         self.log.info(
             "router_metrics",
             client_connections=len(self.listener.connections),
@@ -333,9 +335,9 @@
             cyclic_garbage=cyclic_garbage_total(),
             waiting_connections=self.listener.turns.waiting,
             **self.delays.take(),
-            **counted,
+            **fields,
         )
-        endings.clear()
+        event_counts.clear()
         self._report_admission()
         self._report_budgets()
         self.loop.call_later(METRICS_INTERVAL_S, self._report)
@@ -363,7 +365,7 @@
     # Draining
 
     async def drain(self) -> None:
-        """Finish the requests that are here and those that still come, and leave the cluster."""
+        """Finish open requests and those that still arrive, then close the servers and leave the cluster."""
         started_at, drain = self.loop.time(), self.listener.drain
         drain.start(started_at, started_at + self.settings.grace - DRAIN_MARGIN_S)
         self.engine.shorten_deadlines(drain.deadline)
--- a/firvane/fleet/router/upstream_connection.py
+++ b/firvane/fleet/router/upstream_connection.py
@@ -290,9 +290,9 @@
 
         `has_more_data`: whether bytes follow the parsed part.
         """
-        completed = self.reader.completed
-        message = completed[0] if completed else self.reader.message
-        if message is None or (not completed and self.reader.in_head):
+        complete_messages = self.reader.completed
+        message = complete_messages[0] if complete_messages else self.reader.message
+        if message is None or (not complete_messages and self.reader.in_head):
             return True
         if self._is_unrelated_response(message):
             return self._skip(message, has_more_data)
@@ -302,8 +302,8 @@
         if is_success(message) and not self._forward(message):
             return False
         if message.complete:
-            has_more_data = has_more_data or len(completed) > 1 or self.reader.message is not None
-            completed.clear()
+            has_more_data = has_more_data or len(complete_messages) > 1 or self.reader.message is not None
+            complete_messages.clear()
             self._complete(message, has_more_data)
             return False
         return True
