--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -320,10 +320,8 @@
         )
 
     def _report(self) -> None:
-        event_counts = self.engine.event_counts
-        fields = {
-            name.replace(" ", "_").replace(",", ""): count for name, count in sorted(event_counts.items())
-        }
+        counters = self.engine.event_counts
+        fields = {name.replace(" ", "_").replace(",", ""): count for name, count in sorted(counters.items())}
         self.log.info(
             "router_metrics",
             client_connections=len(self.listener.connections),
@@ -337,7 +335,7 @@
             **self.delays.take(),
             **fields,
         )
-        event_counts.clear()
+        counters.clear()
         self._report_admission()
         self._report_budgets()
         self.loop.call_later(METRICS_INTERVAL_S, self._report)
