--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -144,7 +144,7 @@
         UPSTREAM,
         "should_read = not (self.paused or self.unparsed)",
         "should_read = not self.paused",
-        "tests/fleet/router/test_payload_turns.py -k not_read_on",
+        "tests/fleet/router/test_payload_turns.py -k for_a_later_turn_is_not_read",
     ),
     Mutant(
         "a connection whose stream has ended is read again",
@@ -158,7 +158,7 @@
         "firvane/fleet/router/client_listener.py",
         "            limit_unsent(sock)",
         "            pass",
-        "tests/fleet/router/test_slow_clients.py -k draws",
+        "tests/fleet/router/test_slow_clients.py -k is_bounded",
     ),
     Mutant(
         "a continued stream is complete only behind a whole new event",
--- a/tests/fleet/router/test_proxying.py
+++ b/tests/fleet/router/test_proxying.py
@@ -1,4 +1,4 @@
-"""Requests through front, engine and upstream connections on loopback, with scripted backends."""
+"""Requests through a router on loopback, with scripted backends."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 )
 
 CLOSING = REQUEST.replace(b"Host:", b"Connection: close\r\nHost:")
-LAST = b"0\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
 
 
-async def whole_stream(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def complete_stream(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(STREAM_HEAD % request_id(request))
     for number in (1, 2, 3):
         writer.write(chunk(event(number)))
-    writer.write(LAST)
+    writer.write(LAST_CHUNK)
 
 
-def body_of(answer: bytes) -> bytes:
-    _, _, rest = answer.partition(b"\r\n\r\n")
+def decode_body(response: bytes) -> bytes:
+    _, _, rest = response.partition(b"\r\n\r\n")
     body = b""
     while rest:
         size, _, rest = rest.partition(b"\r\n")
@@ -41,39 +41,39 @@
     asyncio.run(asyncio.wait_for(coroutine, 10))  # type: ignore[arg-type]
 
 
-def test_a_stream_comes_through_with_its_seal_and_the_request_as_it_was() -> None:
+def test_the_response_and_the_request_are_forwarded_with_their_headers_and_bodies() -> None:
     async def scenario() -> None:
-        backend = Backend("a", whole_stream)
+        backend = Backend("a", complete_stream)
         async with start_router([backend]) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert answer.startswith(b"HTTP/1.1 200") and b"X-Server-Seal: s" in answer
-            assert body_of(answer) == b"".join(map(event, (1, 2, 3))) and answer.endswith(LAST)
+            response = await router.fetch(CLOSING % b"one")
+            assert response.startswith(b"HTTP/1.1 200") and b"X-Server-Seal: s" in response
+            assert decode_body(response) == b"".join(map(event, (1, 2, 3))) and response.endswith(LAST_CHUNK)
             (request,) = backend.requests
             assert request.startswith(b"POST /p/a HTTP/1.1\r\n") and request.endswith(b"\r\n\r\nbody")
             for line in (b"X-Target-Instance: a", b"Priority: 1", b"X-Request-Id: one", b"Host: h.example"):
                 assert line in request
-            left = next(line for line in request.split(b"\r\n") if line.startswith(b"X-Deadline-Ms"))
-            assert 4000 < int(left.split(b":")[1]) <= 5000
+            remaining = next(line for line in request.split(b"\r\n") if line.startswith(b"X-Deadline-Ms"))
+            assert 4000 < int(remaining.split(b":")[1]) <= 5000
             assert request.count(b"X-Deadline-Ms") == 1
 
     run(scenario())
 
 
-def test_connections_to_a_backend_are_kept_for_the_next_request() -> None:
+def test_connections_to_a_backend_are_reused() -> None:
     async def scenario() -> None:
-        backend = Backend("a", whole_stream)
+        backend = Backend("a", complete_stream)
         async with start_router([backend]) as router:
             reader, writer = await router.connect()
             for name in (b"one", b"two"):
                 writer.write(REQUEST % name)
-                assert (await reader.readuntil(LAST)).startswith(b"HTTP/1.1 200")
+                assert (await reader.readuntil(LAST_CHUNK)).startswith(b"HTTP/1.1 200")
             writer.close()
             assert len(backend.requests) == 2 and backend.connections == 1
 
     run(scenario())
 
 
-def test_a_resumable_stream_that_breaks_off_inside_an_event_goes_on_elsewhere_without_a_seam() -> None:
+def test_a_resumable_stream_that_breaks_inside_an_event_is_resumed_by_another_backend() -> None:
     async def breaks(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)) + chunk(event(2)[:5]))
         await writer.drain()
@@ -81,19 +81,19 @@
 
     async def resumes(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         assert b"Last-Event-Id: 1\r\n" in request
-        writer.write(STREAM_HEAD % request_id(request) + chunk(event(2)) + chunk(event(3)) + LAST)
+        writer.write(STREAM_HEAD % request_id(request) + chunk(event(2)) + chunk(event(3)) + LAST_CHUNK)
 
     async def scenario() -> None:
         backends = [Backend("a", breaks), Backend("b", resumes)]
         async with start_router(backends, (route(stream_resume=True),)) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert body_of(answer) == b"".join(map(event, (1, 2, 3)))
-            assert answer.count(b"HTTP/1.1") == 1 and len(backends[1].requests) == 1
+            response = await router.fetch(CLOSING % b"one")
+            assert decode_body(response) == b"".join(map(event, (1, 2, 3)))
+            assert response.count(b"HTTP/1.1") == 1 and len(backends[1].requests) == 1
 
     run(scenario())
 
 
-def test_progress_of_a_stream_is_reported_with_its_backend_but_not_for_each_event() -> None:
+def test_the_progress_of_a_stream_is_reported_at_intervals_not_for_each_event() -> None:
     async def scenario() -> None:
         reported, go_on = list[str](), asyncio.Event()
 
@@ -105,16 +105,16 @@
             for number in (2, 3):
                 writer.write(chunk(event(number)))
                 await writer.drain()
-            writer.write(LAST)
+            writer.write(LAST_CHUNK)
 
         async with start_router([Backend("a", in_two_parts)]) as router:
             router.upstreams.on_progress = reported.append
             reader, writer = await router.connect()
             writer.write(REQUEST % b"one")
             await reader.readuntil(b"data: 1\n\n")
-            assert not reported  # the beginning of an answer is reported as such
+            assert not reported  # the start of a response is reported separately
             go_on.set()
-            await reader.readuntil(LAST)
+            await reader.readuntil(LAST_CHUNK)
             assert reported == ["a"]
             writer.close()
 
@@ -128,23 +128,23 @@
         writer.transport.abort()
 
     async def scenario() -> None:
-        backends = [Backend("a", breaks), Backend("b", whole_stream)]
+        backends = [Backend("a", breaks), Backend("b", complete_stream)]
         async with start_router(backends) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert not answer.endswith(LAST) and not backends[1].requests
+            response = await router.fetch(CLOSING % b"one")
+            assert not response.endswith(LAST_CHUNK) and not backends[1].requests
 
     run(scenario())
 
 
 def test_a_response_to_an_earlier_request_is_dropped() -> None:
     async def late(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        writer.write(STREAM_HEAD % b"earlier" + chunk(event(9)) + LAST)
-        await whole_stream(request, reader, writer)
+        writer.write(STREAM_HEAD % b"earlier" + chunk(event(9)) + LAST_CHUNK)
+        await complete_stream(request, reader, writer)
 
     async def scenario() -> None:
         async with start_router([Backend("a", late)]) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert body_of(answer) == b"".join(map(event, (1, 2, 3))) and b"earlier" not in answer
+            response = await router.fetch(CLOSING % b"one")
+            assert decode_body(response) == b"".join(map(event, (1, 2, 3))) and b"earlier" not in response
 
     run(scenario())
 
@@ -158,8 +158,8 @@
 
     async def scenario() -> None:
         async with start_router([Backend("a", full)]) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.250" in answer
+            response = await router.fetch(CLOSING % b"one")
+            assert response.startswith(b"HTTP/1.1 503") and b"Retry-After: 0.250" in response
 
     run(scenario())
 
@@ -175,7 +175,7 @@
     run(scenario())
 
 
-def test_a_client_that_leaves_cancels_its_request_at_the_backend() -> None:
+def test_a_client_that_disconnects_cancels_its_request_at_the_backend() -> None:
     async def stalls(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.read(1)
         raise ConnectionResetError
@@ -194,35 +194,35 @@
     run(scenario())
 
 
-def test_a_route_s_time_limit_ends_a_stream_that_runs_on() -> None:
+def test_the_time_out_of_a_route_ends_an_endless_stream() -> None:
     async def endless(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)))
         await reader.read(1)
 
     async def scenario() -> None:
         async with start_router([Backend("a", endless)], (route(timeout_ms=60.0),)) as router:
-            answer = await router.fetch(CLOSING % b"one")
-            assert body_of(answer) == event(1) and not answer.endswith(LAST)
+            response = await router.fetch(CLOSING % b"one")
+            assert decode_body(response) == event(1) and not response.endswith(LAST_CHUNK)
 
     run(scenario())
 
 
-def test_a_request_without_a_route_is_not_found_and_one_before_any_configuration_is_rejected() -> None:
+def test_a_request_without_a_route_gets_404_and_one_without_a_configuration_gets_503() -> None:
     async def scenario() -> None:
-        async with start_router([Backend("a", whole_stream)]) as router:
+        async with start_router([Backend("a", complete_stream)]) as router:
             assert (await router.fetch(CLOSING.replace(b"/p/a", b"/q/a") % b"one")).startswith(
                 b"HTTP/1.1 404"
             )
             router.listener.routes = None
-            answer = await router.fetch(CLOSING % b"two")
-            assert answer.startswith(b"HTTP/1.1 503") and b"Retry-After" in answer
+            response = await router.fetch(CLOSING % b"two")
+            assert response.startswith(b"HTTP/1.1 503") and b"Retry-After" in response
 
     run(scenario())
 
 
-def test_a_request_before_any_configuration_waits_for_it_with_the_time_that_is_left() -> None:
+def test_waiting_for_the_first_configuration_reduces_the_remaining_time_of_a_request() -> None:
     async def scenario() -> None:
-        backend = Backend("a", whole_stream)
+        backend = Backend("a", complete_stream)
         async with start_router([backend]) as router:
             routes, router.listener.routes = router.listener.routes, None
             assert routes is not None
@@ -232,26 +232,26 @@
                 await asyncio.sleep(0)
             (connection,) = router.listener.connections
             assert not connection.is_idle()
-            connection.received_at -= 1.0  # it has waited for a second
+            connection.received_at -= 1.0  # as if it had waited for one second
             router.listener.configure(routes, Configuration(1).limits)
             for _ in range(2):
-                assert (await reader.readuntil(LAST)).startswith(b"HTTP/1.1 200")
-            assert [request_id(one) for one in backend.requests] == [b"one", b"two"]
-            left = [
+                assert (await reader.readuntil(LAST_CHUNK)).startswith(b"HTTP/1.1 200")
+            assert [request_id(request) for request in backend.requests] == [b"one", b"two"]
+            remaining = [
                 int(line.split(b":")[1])
-                for one in backend.requests
-                for line in one.split(b"\r\n")
+                for request in backend.requests
+                for line in request.split(b"\r\n")
                 if line.startswith(b"X-Deadline-Ms")
             ]
-            assert 3000 < left[0] <= 4000 < left[1] <= 5000
+            assert 3000 < remaining[0] <= 4000 < remaining[1] <= 5000
             writer.close()
 
     run(scenario())
 
 
-def test_a_client_that_leaves_before_any_configuration_is_forgotten() -> None:
+def test_a_client_that_disconnects_before_the_first_configuration_causes_no_request() -> None:
     async def scenario() -> None:
-        backend = Backend("a", whole_stream)
+        backend = Backend("a", complete_stream)
         async with start_router([backend]) as router:
             routes, router.listener.routes = router.listener.routes, None
             assert routes is not None
@@ -264,51 +264,51 @@
                 await asyncio.sleep(0)
             router.listener.configure(routes, Configuration(1).limits)
             assert (await router.fetch(CLOSING % b"two")).startswith(b"HTTP/1.1 200")
-            assert [request_id(one) for one in backend.requests] == [b"two"]
+            assert [request_id(request) for request in backend.requests] == [b"two"]
 
     run(scenario())
 
 
-def test_bodies_in_chunks_and_hostile_bytes() -> None:
+def test_chunked_bodies_are_forwarded_and_malformed_requests_are_rejected() -> None:
     async def scenario() -> None:
-        backend = Backend("a", whole_stream)
+        backend = Backend("a", complete_stream)
         async with start_router([backend]) as router:
             head = (CLOSING % b"one").replace(b"Content-Length: 4", b"Transfer-Encoding: chunked")
-            answer = await router.fetch(
-                head.replace(b"\r\n\r\nbody", b"\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n" + LAST)
+            response = await router.fetch(
+                head.replace(b"\r\n\r\nbody", b"\r\n\r\n2\r\nbo\r\n2\r\ndy\r\n" + LAST_CHUNK)
             )
-            assert answer.startswith(b"HTTP/1.1 200") and backend.requests[0].endswith(b"\r\n\r\nbody")
+            assert response.startswith(b"HTTP/1.1 200") and backend.requests[0].endswith(b"\r\n\r\nbody")
             assert (await router.fetch(b"\x00\xff nonsense\r\n\r\n")).startswith(b"HTTP/1.1 400")
-            twice = (CLOSING % b"one").replace(b"Host:", b"Content-Length: 4\r\nHost:")
-            assert (await router.fetch(twice)).startswith(b"HTTP/1.1 400")
+            two_lengths = (CLOSING % b"one").replace(b"Host:", b"Content-Length: 4\r\nHost:")
+            assert (await router.fetch(two_lengths)).startswith(b"HTTP/1.1 400")
             assert len(backend.requests) == 1
 
     run(scenario())
 
 
-def test_a_rejection_that_comes_twice_never_answers_the_next_attempt() -> None:
-    """Found by the model of connections: the second copy bears the very id of the next try."""
-    refusal = b"HTTP/1.1 503 Busy\r\nX-Request-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+def test_a_repeated_rejection_is_not_taken_for_the_response_to_the_next_attempt() -> None:
+    """The repeated rejection has the same request id as the next attempt on the same backend."""
+    rejection = b"HTTP/1.1 503 Busy\r\nX-Request-Id: %s\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
     first: list[asyncio.StreamWriter] = []
 
-    async def refuse_twice(
+    async def reject_twice(
         request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if not first:
             first.append(writer)
-            writer.write(refusal % request_id(request))
+            writer.write(rejection % request_id(request))
             return
-        first[0].write(refusal % request_id(request))  # the copy arrives before the answer
+        first[0].write(rejection % request_id(request))  # the repeated rejection arrives before the response
         await first[0].drain()
-        await whole_stream(request, reader, writer)
+        await complete_stream(request, reader, writer)
 
     async def scenario() -> None:
-        backend = Backend("a", refuse_twice)
+        backend = Backend("a", reject_twice)
         async with start_router([backend]) as router:
-            router.policy.backends.append("a")  # the next try goes to the same backend
-            answer = await router.fetch(CLOSING % b"one")
-            assert answer.startswith(b"HTTP/1.1 200")
-            assert body_of(answer) == b"".join(map(event, (1, 2, 3)))
+            router.policy.backends.append("a")  # the next attempt goes to the same backend
+            response = await router.fetch(CLOSING % b"one")
+            assert response.startswith(b"HTTP/1.1 200")
+            assert decode_body(response) == b"".join(map(event, (1, 2, 3)))
             assert len(backend.requests) == 2 and backend.connections == 2
 
     run(scenario())
--- a/tests/fleet/router/test_slow_clients.py
+++ b/tests/fleet/router/test_slow_clients.py
@@ -1,4 +1,4 @@
-"""Clients that do not keep up with what is sent to them."""
+"""Flow control for clients that read too slowly."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 __all__ = ["run"]
 
 
-def test_a_connection_is_read_again_after_a_stream_whose_client_did_not_keep_up(
+def test_a_backend_connection_is_read_again_after_a_stream_to_a_slow_client(
     run: Callable[[Scenario], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against: a stream whose client was slow at its end left the backend's connection unread for ever.
+    # Guards against: after a client was slow at the end of a stream, the backend's connection stayed paused.
     write_body = ClientConnection.write_body
 
     def write_and_pause(client: ClientConnection, buffers: list[Any]) -> None:
@@ -31,10 +31,12 @@
         client.pause_writing()
 
     async def scenario() -> None:
-        async def answers(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def responds(
+            request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+        ) -> None:
             writer.write(STREAM_HEAD % request_id(request) + chunk(event(1)) + LAST_CHUNK)
 
-        backend = Backend("a", answers)
+        backend = Backend("a", responds)
         async with start_router([backend]) as router:
             with monkeypatch.context() as patch:
                 patch.setattr(ClientConnection, "write_body", write_and_pause)
@@ -45,23 +47,23 @@
     run(scenario())
 
 
-RECEIVE_BUFFER_BYTES = 64 * 1024  # of the client; the kernel doubles it
-WRITE_BUFFER_BYTES = 64 * 1024  # of a transport, above which its protocol is paused
-DRAW_BOUND_BYTES = MAX_UNSENT_BYTES + WRITE_BUFFER_BYTES + 2 * RECEIVE_BUFFER_BYTES + 2 * MAX_READ_BYTES
+RECEIVE_BUFFER_BYTES = 64 * 1024  # requested for the client's socket; the kernel doubles it
+WRITE_BUFFER_BYTES = 64 * 1024  # high-water mark of a transport, above which its protocol is paused
+MAX_BUFFERED_BYTES = MAX_UNSENT_BYTES + WRITE_BUFFER_BYTES + 2 * RECEIVE_BUFFER_BYTES + 2 * MAX_READ_BYTES
 BIG_EVENT = b"data: " + b"x" * 40_000 + b"\n\n"
 BIG_EVENTS = 1_000
-DRAWING_S = 0.3  # in which a send buffer without a bound grows to its full size
+SETTLE_S = 0.3  # an unbounded send buffer grows to its full size within this time
 
 
-def test_a_client_that_reads_nothing_draws_no_more_than_a_bound(
+def test_the_data_buffered_for_a_client_that_reads_nothing_is_bounded(
     run: Callable[[Scenario], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against: the kernel's send buffer grew, and clients that read nothing drew megabytes each.
-    drawn: list[int] = []
+    # Guards against: the kernel's send buffer grew, and clients that read nothing took megabytes each.
+    received: list[int] = []
     data_received = UpstreamConnection.data_received
 
     def count(connection: UpstreamConnection, data: bytes) -> None:
-        drawn.append(len(data))
+        received.append(len(data))
         data_received(connection, data)
 
     async def streams(request: bytes, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -78,9 +80,9 @@
                 client.setblocking(False)
                 await loop.sock_connect(client, ("127.0.0.1", router.port))
                 await loop.sock_sendall(client, REQUEST % b"one")
-                await wait_until(lambda: any(not each.is_reading for each in router.upstreams.streams))
-                await asyncio.sleep(DRAWING_S)
-                assert sum(drawn) <= DRAW_BOUND_BYTES + len(BIG_EVENT)
+                await wait_until(lambda: any(not stream.is_reading for stream in router.upstreams.streams))
+                await asyncio.sleep(SETTLE_S)
+                assert sum(received) <= MAX_BUFFERED_BYTES + len(BIG_EVENT)
 
     with monkeypatch.context() as patch:
         patch.setattr(UpstreamConnection, "data_received", count)
