--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -1,4 +1,4 @@
-"""What is given to a client of an answer that breaks off, what requests hold, and what holds up others."""
+"""Mutants of response resumption, of the memory held by requests, and of fairness between connections."""
 
 from __future__ import annotations
 
--- a/tests/crossings/mutants/tenancy.py
+++ b/tests/crossings/mutants/tenancy.py
@@ -1,4 +1,4 @@
-"""Promises of docs/tenancy.md: keys, proofs of freshness, quotas and their floors."""
+"""Mutants of the promises in docs/tenancy.md: keys, freshness proofs, quotas and their floors."""
 
 from tests.crossings.mutants import Mutant
 
