--- a/firvane/fleet/router/router.py
+++ b/firvane/fleet/router/router.py
@@ -66,7 +66,7 @@
         memory_mb: Maximum memory, in MiB.
         grace: Time from SIGTERM to the end of the process.
         retry_ratio: Maximum number of retries per request, over all routers.
-        retry_slack: Additional retries allowed in a window of the retry budget, over all routers.
+        retry_slack: Additional retries in any window of the retry budget, over all routers.
         revoke: Time within which a removed key must be rejected; 0 disables freshness proofs.
     """
 
