--- a/tests/fleet/router/upstream_model.py
+++ b/tests/fleet/router/upstream_model.py
@@ -247,9 +247,8 @@
         units = self.rng.choice((1, 2, TURN_UNITS))
         turns = TurnBudget(self.call_soon, turn_units=units, connection_units=units)
         self.upstreams = Upstreams(self, self, 100, turns)  # type: ignore[arg-type]
-        self.backends = (
-            BACKENDS if seed % 2 else BACKENDS[:1]
-        )  # with a single backend, retries go to the same one
+        # With a single backend, retries go to the same backend.
+        self.backends = BACKENDS if seed % 2 else BACKENDS[:1]
         self.upstreams.set_backends({name: ("10.0.0.1", 80) for name in self.backends}, {})
         self.request_count = 0
 
