--- a/firvane/core/interface.py
+++ b/firvane/core/interface.py
@@ -1,6 +1,6 @@
-"""Settings, events and actions of the balancer. Times and spans are seconds on the caller's clock.
+"""Settings, events and actions of the balancer. Times and durations are seconds on the caller's clock.
 
-Settings are frozen. Events and actions are plain slotted records, since they are made by the thousand.
+Settings are frozen. Events and actions are slotted dataclasses that are not frozen, as many are created.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a second run of a request does harm: never, not within its deduplication, or always."""
+    """Whether a request may run twice: always, only if deduplicated by a key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -20,7 +20,7 @@
 
 
 class DedupScope(Enum):
-    """The servers that together drop the duplicates of a keyed request."""
+    """The group of servers that deduplicates a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,7 +28,7 @@
 
 
 class LoadReportSource(Enum):
-    """Where servers' load reports are found: in their responses or in those to health checks."""
+    """Which responses carry load reports: those to requests, those to health checks, or none."""
 
     RESPONSES = "answers"
     PROBES = "probes"
@@ -36,7 +36,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event holds: changes, the complete list, a cached copy, or a failed call."""
+    """The content of a server list event: changes, the complete list, a cached list, or a failed fetch."""
 
     INCREMENTAL = "changes"
     COMPLETE = "complete"
@@ -53,12 +53,12 @@
 
 
 class Result(Enum):
-    """How an attempt ended; UNKNOWN where nothing tells whether it ran."""
+    """How an attempt ended; UNKNOWN if it is not known whether the request ran."""
 
     OK = "ok"
     ERROR = "error"
     OVERLOADED = "full"
-    CONNECTIONS_FULL = "no_place"  # the server's table of connections is full: it rejected a new one
+    CONNECTIONS_FULL = "no_place"  # the server rejected a new connection: its connection table is full
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
@@ -77,15 +77,15 @@
     """A class of requests.
 
     Attributes:
-        latency_target: seconds within which an answer has its full value.
-        deadline: seconds after which its client gives up.
-        value: priority weight of an answer.
-        late_value_fraction: of the value, that a late answer keeps.
-        idempotency: whether a second run does harm.
-        dedup_scope: the servers that together drop duplicates.
-        dedup_window: seconds for which they do.
-        stream: whether answers are streamed.
-        latency_target_stretch: as the settings give it; unused.
+        latency_target: seconds within which a response has its full value.
+        deadline: seconds after which the client gives up.
+        value: priority weight of a response.
+        late_value_fraction: fraction of the value that a late response keeps.
+        idempotency: whether a request may run twice.
+        dedup_scope: the group of servers that drops duplicates.
+        dedup_window: seconds for which it does.
+        stream: whether responses are streamed.
+        latency_target_stretch: read from the settings; unused.
     """
 
     name: str
@@ -102,7 +102,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant: its quota share of the service, and that in requests a second over all proxies; 0: any."""
+    """A tenant and its quota: a share of the service, and requests a second over all proxies; 0: no quota."""
 
     name: str
     quota_share: float = 0.0
@@ -111,16 +111,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the four rules; durations in seconds.
+    """The parameters of the four rules; durations in seconds.
 
     Attributes:
-        answer_slack: kept free before a deadline.
-        drain_grace: after which a draining server is sent nothing.
-        start_capacity: part of its capacity that a server has at its start.
-        slow_start: after a start, until a server has all of it.
-        fall_multiple: of what it can do, that overloads a server in slow start within `fall_window`.
-        fall_window: see there.
-        ask_within: as the settings give it; unused.
+        answer_slack: time kept free before a deadline.
+        drain_grace: time after which nothing is sent to a draining server.
+        start_capacity: fraction of its capacity that a server has when it starts.
+        slow_start: time from the start of a server until it has its full capacity.
+        fall_multiple: a server in slow start breaks down when it receives more than this multiple of its
+            capacity within `fall_window`.
+        fall_window: duration over which `fall_multiple` is measured.
+        ask_within: read from the settings; unused.
     """
 
     answer_slack: float
@@ -134,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the deployment allows; durations in seconds."""
+    """Features and limits of the deployment; durations in seconds."""
 
     max_attempts: int
     cancel: bool = False
@@ -151,23 +152,23 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryOptions:
-    """The parts of the recovery from a power loss, each of which may be switched off."""
+    """Parts of the recovery from a power loss; each can be disabled."""
 
-    trials: bool = True  # a server is tried by the owner of its slice first
-    steps: bool = True  # a server's capacity is found by steps
-    first_tries: bool = True  # first attempts go before retries
-    ask: bool = True  # peers are asked for their state
+    trials: bool = True  # only the owner of a server's slice sends trial requests to it first
+    steps: bool = True  # a server's capacity is probed in steps
+    first_tries: bool = True  # first attempts have priority over retries
+    ask: bool = True  # the state of peers is requested
 
 
 @dataclass(slots=True, frozen=True)
 class RestoredEstimates:
-    """Estimates of an earlier incarnation, aged as they apply now."""
+    """Estimates of an earlier process, adjusted for their age."""
 
     age: float  # s since they were saved
-    scale: float = 0.0  # answers a second and weight of a warm server; 0: unknown
-    kinds: Mapping[str, float] = field(default_factory=dict)  # the same by kind, by its name
-    capacities: Mapping[str, float] = field(default_factory=dict)  # of servers, by id
-    start_times: Mapping[str, float] = field(default_factory=dict)  # their last starts, by id
+    scale: float = 0.0  # responses a second per unit of weight of a warm server; 0: unknown
+    kinds: Mapping[str, float] = field(default_factory=dict)  # `scale` by the name of the kind of server
+    capacities: Mapping[str, float] = field(default_factory=dict)  # by server id
+    start_times: Mapping[str, float] = field(default_factory=dict)  # last starts, by server id
 
 
 @dataclass(slots=True, frozen=True)
@@ -177,13 +178,13 @@
     Attributes:
         me: index of this proxy, from 0.
         proxies: number of proxies.
-        tick: seconds by which a batch of events may be late.
-        ask: whether the server list has to be asked for.
-        weighted: whether the list's weights count.
-        live_weights: whether these follow the servers' load.
-        over_quota_value: factor of the value of requests beyond a tenant's quota share.
-        key_affinity: whether servers answer a key they met lately with less work.
-        recovery: None: off.
+        tick: seconds by which events may be delivered late.
+        ask: whether the server list must be requested.
+        weighted: whether the weights in the list are used.
+        live_weights: whether these weights follow the servers' load.
+        over_quota_value: factor on the value of requests beyond a tenant's quota.
+        key_affinity: whether requests of a key are cheaper on a server that served the key recently.
+        recovery: options of the recovery from a power loss; None: disabled.
     """
 
     me: int
@@ -220,7 +221,7 @@
     zone: int = 0
 
     def dedup_group(self, scope: DedupScope) -> int:
-        """The group of servers that drop a keyed request's duplicates together with this one."""
+        """Return the id of the group that deduplicates keyed requests together with this server."""
         return 0 if scope is DedupScope.ALL else self.zone if scope is DedupScope.ZONE else self.cell
 
 
@@ -235,7 +236,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A client's request; its final answer is due within `time_left` seconds. `work` is a hint in seconds."""
+    """A client's request; its final answer is due in `time_left` seconds. `work` is a hint in seconds."""
 
     id: int
     class_id: int
@@ -249,7 +250,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """The end of one attempt; `finished` when the client has its final answer."""
+    """The end of an attempt; `finished` if the client has received its final answer."""
 
     id: int
     attempt: int
@@ -262,7 +263,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """The answer of a streamed request has begun; it belongs to the client from here on."""
+    """A streamed response has started; from now on it is passed to the client."""
 
     id: int
     attempt: int
@@ -272,7 +273,7 @@
 
 @dataclass(slots=True)
 class BodyConsumed:
-    """Part of a request's body was forwarded and released: it cannot be sent again."""
+    """Part of a request body was forwarded and released: the request cannot be sent again."""
 
     id: int
 
@@ -294,14 +295,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer fell due."""
+    """A timer has expired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class PeerMessage:
-    """Bytes from another proxy."""
+    """A datagram from another proxy."""
 
     sender: int
     payload: bytes
@@ -319,12 +320,12 @@
 
 @dataclass(slots=True)
 class OverloadSignal:
-    """What the proxy itself cannot carry; sent whenever that changes, and each period while it lasts."""
+    """Overload of the proxy itself; sent when it changes, and periodically while it lasts."""
 
-    excess_fraction: float  # of the requests that arrive, beyond what the event loop can serve
-    shed_over_quota: bool  # what exceeds a tenant's quota share is shed in any case
-    hedging_allowed: bool  # second attempts are affordable
-    rejected_unseen: tuple[int, ...] = ()  # requests shed unparsed since the last signal, by tenant
+    excess_fraction: float  # of the arriving requests, beyond the capacity of the event loop
+    shed_over_quota: bool  # requests beyond a tenant's quota are shed in any case
+    hedging_allowed: bool  # the load permits hedged attempts
+    rejected_unseen: tuple[int, ...] = ()  # requests rejected unparsed since the last signal, by tenant
 
 
 Event = (
@@ -344,9 +345,9 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start the next attempt of a request; given up after `timeout` where that is above 0.
+    """Start the next attempt of a request; it times out after `timeout` seconds if that is above 0.
 
-    Its first byte is sent before `start_before`, on the clock of the decisions, or never.
+    Its first byte must be sent before `start_before` on the decisions' clock, else the attempt is not sent.
     """
 
     id: int
@@ -357,7 +358,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: rejected, a retry is harmless, after `retry_after` seconds where above 0."""
+    """Final answer: rejected; the client may retry, after `retry_after` seconds if that is above 0."""
 
     id: int
     retry_after: float = 0.0
@@ -372,7 +373,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """End the wait for one attempt."""
+    """Cancel an attempt."""
 
     id: int
     attempt: int
@@ -380,7 +381,7 @@
 
 @dataclass(slots=True)
 class SendToPeer:
-    """Send bytes to one proxy, or to all where `peer` is None."""
+    """Send a datagram to one proxy, or to all if `peer` is None."""
 
     peer: int | None
     payload: bytes
@@ -388,7 +389,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a TimerFired after `delay` seconds; void once the request it is for has ended."""
+    """Schedule a TimerFired after `delay` seconds; cancelled when its `request`, if any, has ended."""
 
     delay: float
     token: int
@@ -418,12 +419,12 @@
 
 @dataclass(slots=True)
 class Fetch:
-    """Ask for the complete server list once."""
+    """Fetch the complete server list once."""
 
 
 @dataclass(slots=True)
 class Log:
-    """A log line for the operators: an event and its fields."""
+    """Write a log line: an event and its fields."""
 
     text: str = ""
     event: str = "decisions"
@@ -432,11 +433,11 @@
 
 @dataclass(slots=True)
 class ShedLoad:
-    """Reject these fractions of what arrives, until the next such action: by tenant, or one for all."""
+    """Reject fractions of the arriving requests until the next such action: one a tenant, or one for all."""
 
     fractions: tuple[float, ...]
     retry_after: float = 0.0
-    include_retries: bool = False  # all marked retries as well: they would return too late
+    include_retries: bool = False  # reject all requests marked as retries too: their responses would be late
 
 
 Action = (
