--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -1,9 +1,9 @@
-"""The slices of all proxies as one proxy knows them: the server list, the key ring, rows, and offload shares.
+"""One proxy's view of all slices: the server list, the hash ring of keys, peers' rows and offload shares.
 
-Each proxy owns a slice of the server list and announces a row: what its slice can do (mu), what it has in
-flight (phi), its arrivals and their forecast, and its attempts by server. From the rows every proxy computes
-the capacity-weighted target of each slice, and moves the excess of overloaded slices to underloaded ones for
-the next window. docs/design.md gives the reasons.
+Each proxy owns a slice of the server list and announces a row: the capacity of its slice (mu), its open
+requests (phi), its arrivals and their forecast, and its attempts by server. From the rows every proxy
+computes the capacity-weighted target load of each slice, and offloads the excess of overloaded slices to
+underloaded ones in the next window. docs/design.md gives the reasons.
 """
 
 from __future__ import annotations
@@ -28,40 +28,40 @@
 from firvane.proxy.routing.large_slices import Figures, Large
 from firvane.proxy.routing.server_list import Listing, merge
 
-MIN_ROW_INTERVAL_WINDOWS = 2  # from row to row (the design's r)
-PEER_TIMEOUT_ROWS = 3  # row intervals until a silent peer drops out
-MAX_ROWS_PER_WINDOW = 28  # that a proxy receives: the more proxies, the rarer their rows
-SERVED_RATE_WINDOWS = 3  # over which the announced rate of answers is taken
+MIN_ROW_INTERVAL_WINDOWS = 2  # between rows (r in the design)
+PEER_TIMEOUT_ROWS = 3  # row intervals without a row until a peer is removed
+MAX_ROWS_PER_WINDOW = 28  # received by a proxy: with more proxies each announces less often
+SERVED_RATE_WINDOWS = 3  # averaging time of the announced response rate
 MAX_ROW_ENTRIES = 70
 MAX_PHI = 0xFFFF
-FLAG_ASK_ROWS = 1  # of a row: its receiver answers with its own
-FLAG_UNEXPECTED_OFFLOAD = 2  # of a row: its receiver sends more here than was expected
-UNEXPECTED_OFFLOAD_FACTOR = 2  # times an even part
-UNEXPECTED_OFFLOAD_MARGIN = 2  # attempts
-RING_POINTS = 64  # of a server of mean size
-POWER_REFRESH_S = 0.1  # after which a slow server's power is computed anew
-SLOW_LATENCY = 1.5  # relative latency of a server whose power is refreshed
-LATENCY_MEMORY_FADES = 4  # half-lives after which a relative latency no longer matters
-SPARE_TOKENS = 2.0  # a server in slow start that has them takes any request
+FLAG_ASK_ROWS = 1  # row flag: requests the receiver's row
+FLAG_UNEXPECTED_OFFLOAD = 2  # row flag: the receiver offloads more to the sender than expected
+UNEXPECTED_OFFLOAD_FACTOR = 2  # times an even share of the peer's attempts
+UNEXPECTED_OFFLOAD_MARGIN = 2  # attempts beyond that
+RING_POINTS = 64  # ring points of a server of mean weight
+POWER_REFRESH_S = 0.1  # interval at which the power of a slow server is recomputed
+SLOW_LATENCY = 1.5  # servers above this relative latency count as slow
+LATENCY_MEMORY_FADES = 4  # half-lives after which a relative latency is ignored
+SPARE_TOKENS = 2.0  # a server in slow start with this many tokens is preferred for any request
 MIN_WATCH_BACKOFF_S = 0.5
 MAX_WATCH_BACKOFF_S = 4.0
 
 
 class SliceTable:
-    """The servers by slice, the proxies' rows, and what moves between the slices.
+    """The servers by slice, the rows of the proxies, and the offload shares between slices.
 
     Attributes:
-        rows: the last row of each live proxy, by its index, the own one included.
-        slices: the servers of each live proxy.
-        shares: the part of a slice's demand that goes to another slice, by giver and taker.
-        offloads: the takers of each slice with their shares.
+        rows: the latest row of each live proxy, by its index; includes the own row.
+        slices: the servers of each live proxy, by its index.
+        shares: the fraction of a slice's demand that goes to another, by (source, destination).
+        offloads: the destinations of each slice with their shares.
         own_slice: the servers of this proxy's slice.
-        resized_servers: servers whose part of the key ring changes with the next list.
-        kind_sizes: of the kinds of servers, as they stand on the ring.
-        arrivals: requests here, by window, the present one last.
-        served: answers here, by window, the present one last.
-        peers_known_at: when the rows of all live peers must have arrived.
-        actions: those of the event at hand.
+        resized_servers: servers whose part of the ring changes when the next list is applied.
+        kind_sizes: relative size of each kind of server, as used on the ring.
+        arrivals: requests received, by window; the current window is last.
+        served: successful responses, by window; the current window is last.
+        peers_known_at: time by which the rows of all live peers must have arrived.
+        actions: the actions for the event being handled.
     """
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
@@ -69,7 +69,7 @@
         self.rng = random.Random(seed)
         self.servers: dict[str, Backend] = {}
         self.listing = Listing()
-        self.large = Large(self.index_figures, self.rng)
+        self.large = Large(self.index_values, self.rng)
         self.up = self.listing.up
         self.open_requests = dict[int, OpenRequest]()
         self.rows = dict[int, Row]()
@@ -83,7 +83,7 @@
         options = settings.recovery
         self.recovery = Recovery(options, settings, self.estimates, self.rng, now) if options else None
         self.row_interval = max(MIN_ROW_INTERVAL_WINDOWS, round(settings.proxies / MAX_ROWS_PER_WINDOW))
-        # Where all proxies send to servers in slow start it does not matter which peers are known.
+        # If all proxies send to servers in slow start, their budgets don't depend on the known peers.
         self.peers_known_at = now if self.estimates.is_pooled else now + 2 * WINDOW * self.row_interval
         self.arrivals = [0]
         self.served = [0]
@@ -95,8 +95,8 @@
 
     # The server list
 
-    def on_list(self, update: api.ServerList, now: float) -> None:
-        """Take over an update of the server list."""
+    def on_server_list(self, update: api.ServerList, now: float) -> None:
+        """Apply an update of the server list."""
         if update.kind is api.ListKind.FAILED:
             self.watching = not self.settings.ask
             self.watch_backoff = min(MAX_WATCH_BACKOFF_S, max(MIN_WATCH_BACKOFF_S, self.watch_backoff * 2))
@@ -115,7 +115,7 @@
             self.recovery.listed(self.up, update, now)
 
     def apply_list_change(self, touched: Iterable[Backend]) -> None:
-        """After a change of the list: count the peers' attempts, renew the key ring, deal the slices."""
+        """Recount the peers' attempts, update the ring and reassign the slices after a list change."""
         removed, added, tags = self.listing.change(touched, self.is_listed)
         for server in removed:
             self.ring.drop(server)
@@ -124,27 +124,27 @@
         self.resized_servers.clear()
         for n in self.rows.keys() - {self.settings.me} if tags else ():
             self.count_row(self.rows[n], 1, tags)
-        self.deal_slices()
+        self.assign_slices()
 
     def is_listed(self, server: Backend) -> bool:
-        """Whether the list names the server as up."""
+        """Whether the server is in the current list and up."""
         return self.servers.get(server.entry.id) is server and server.entry.state is api.ServerState.UP
 
     def place_on_ring(self, server: Backend) -> None:
-        """Give a server its part of the key ring."""
-        weight = 1.0 if self.settings.live_weights else server.weight  # keys would move with live weights
+        """Place a server on the ring by its weight and the size of its kind."""
+        weight = 1.0 if self.settings.live_weights else server.weight  # live weights would move keys
         self.ring.put(server, weight, self.kind_sizes.get(server.entry.kind, 1.0))
 
     def resize_kinds(self) -> None:
-        """Take over the estimated sizes of the kinds of servers."""
+        """Apply the estimated sizes of the kinds of servers to the ring."""
         self.kind_sizes = dict(self.estimates.kind_sizes)
         for server in self.up:
             self.place_on_ring(server)
 
     # The slices
 
-    def deal_slices(self) -> None:
-        """Deal the servers of each zone to its live proxies by rank."""
+    def assign_slices(self) -> None:
+        """Assign the servers of each zone to the live proxies of the zone, by rank."""
         self.slices = {n: [] for n in sorted(self.rows)}
         self.offloads = {}
         zones = dict[int, list[Backend]]()
@@ -161,7 +161,7 @@
         self.own_slice = set(self.slices.get(self.settings.me, ()))
 
     def update_shares(self, now: float) -> None:
-        """Run the step over the rows as announced: what moves between slices in the next window."""
+        """Compute the offload shares of the next window from the announced rows."""
         load = {
             n: total((s.announced + s.peers_in_flight) / s.owner_count for s in servers)
             for n, servers in self.slices.items()
@@ -170,7 +170,7 @@
             n: window.growth(row.forecast, row.arrivals, row.served, now - row.received_at)
             for n, row in self.rows.items()
         }
-        load = window.ahead(load, growth, self.settings.key_affinity)  # keys spread all demand alike
+        load = window.ahead(load, growth, self.settings.key_affinity)  # keys spread demand evenly
         mu = {n: row.mu for n, row in self.rows.items()}
         zones = {n: row.zone for n, row in self.rows.items()}
         self.shares = window.step(load, mu, zones, self.shares)
@@ -179,7 +179,7 @@
     # Rows
 
     def announce(self, now: float, flags: int, peer: int | None = None) -> None:
-        """Send this proxy's row, and keep it as announced: the step reads what the peers read."""
+        """Send this proxy's row, and store it as encoded: all proxies must compute from equal rows."""
         busy = [s for s in self.servers.values() if s.in_flight]
         busy = sorted(busy, key=lambda s: (-s.in_flight, s.entry.id))[:MAX_ROW_ENTRIES]
         own_slice = self.slices.get(self.settings.me, [])
@@ -188,14 +188,14 @@
         served = sum(self.served[-SERVED_RATE_WINDOWS:]) / SERVED_RATE_WINDOWS / WINDOW
         for server in self.up:
             server.announced = server.in_flight
-        figures = phi, mu, self.arrivals[-1], forecast(self.arrivals), served
-        payload = encode_row(flags, self.settings.zone, now, figures, busy)
+        values = phi, mu, self.arrivals[-1], forecast(self.arrivals), served
+        payload = encode_row(flags, self.settings.zone, now, values, busy)
         self.rows[self.settings.me] = decode_row(payload, now)
         if self.settings.limits.peers and self.settings.proxies > 1:
             self.actions.append(api.SendToPeer(peer, payload))
 
     def on_peer_message(self, message: api.PeerMessage, now: float) -> None:
-        """Take over a peer's datagram: its counts, a message of its recovery, or its row."""
+        """Handle a peer's datagram: response counts, a recovery message, or a row."""
         try:
             if self.estimates.on_peer_message(message.sender, message.payload):
                 return
@@ -204,40 +204,40 @@
                 return
             row = decode_row(message.payload, now)
         except (ValueError, struct.error):
-            return  # malformed, truncated or foreign datagrams do no harm
-        known = self.rows.get(message.sender)
-        if message.sender == self.settings.me or (known and row.sequence <= known.sequence):
+            return  # malformed, truncated or foreign datagram
+        previous = self.rows.get(message.sender)
+        if message.sender == self.settings.me or (previous and row.sequence <= previous.sequence):
             return  # stale or repeated
-        self.on_row(message.sender, row, known, now)
+        self.on_row(message.sender, row, previous, now)
 
-    def on_row(self, sender: int, row: Row, known: Row | None, now: float) -> None:
-        """Take over a peer's row in place of the `known` one."""
+    def on_row(self, sender: int, row: Row, previous: Row | None, now: float) -> None:
+        """Store a peer's row in place of the `previous` one, and react to its flags."""
         self.rows[sender] = row
-        self.count_row(row, 1)  # a new peer's part in the slices comes at the next window
-        if known:
-            self.count_row(known, -1)
+        self.count_row(row, 1)  # a new peer gets a slice at the end of the window
+        if previous:
+            self.count_row(previous, -1)
         if row.flags & FLAG_ASK_ROWS:
             self.announce(now, 0, sender)
         if row.flags & FLAG_UNEXPECTED_OFFLOAD:
             self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != sender}
             self.update_shares(now)
-        elif self.settings.me in self.offloads:  # overloaded: offload far above an even part draws a flag
+        elif self.settings.me in self.offloads:  # overloaded: flag offload far above an even share
             offload = sum(n for tag, n in row.in_flight if self.listing.meant(tag) in self.own_slice)
-            even = (1 + sum(n for _, n in row.in_flight)) / len(self.slices)
-            if offload > UNEXPECTED_OFFLOAD_FACTOR * even + UNEXPECTED_OFFLOAD_MARGIN:
+            even_share = (1 + sum(n for _, n in row.in_flight)) / len(self.slices)
+            if offload > UNEXPECTED_OFFLOAD_FACTOR * even_share + UNEXPECTED_OFFLOAD_MARGIN:
                 self.announce(now, FLAG_UNEXPECTED_OFFLOAD, sender)
 
-    def count_row(self, row: Row, sign: int, among: Collection[int] | None = None) -> None:
-        """Add the attempts of a row to its servers' counts, or subtract them; `among` are tags, None: all."""
+    def count_row(self, row: Row, sign: int, tags: Collection[int] | None = None) -> None:
+        """Add (`sign` 1) or subtract (-1) a row's attempts at the servers with these tags (None: all)."""
         for tag, attempts in row.in_flight:
-            if (among is None or tag in among) and (server := self.listing.meant(tag)):
+            if (tags is None or tag in tags) and (server := self.listing.meant(tag)):
                 server.peers_in_flight += sign * attempts
                 self.large.mark(server)
 
     # Servers in slow start
 
-    def index_figures(self, server: Backend, now: float) -> Figures:
-        """What the index of a large slice is to know of a server."""
+    def index_values(self, server: Backend, now: float) -> Figures:
+        """Return what the index of a large slice stores of a server."""
         power = self.estimates.power(server, now)
         ready_at = server.retry_at
         is_slow = (
@@ -253,25 +253,25 @@
             return Figures(power, max(ready_at, warm_at), math.inf, min(warm_at, refresh_at))
         self.refill_budget(server, now)
         ready_at = max(ready_at, self.peers_known_at)
-        rate, most = slow_start.rate(self.estimates, server, senders, now)
+        rate, max_tokens = slow_start.rate(self.estimates, server, senders, now)
         one_at, spare_at = (
             max(ready_at, now + max(0.0, n - server.tokens) / rate) for n in (1.0, SPARE_TOKENS)
         )
-        spare_at = spare_at if most >= SPARE_TOKENS else math.inf
+        spare_at = spare_at if max_tokens >= SPARE_TOKENS else math.inf
         return Figures(power, one_at, spare_at, min(warm_at, refresh_at, now + WINDOW))
 
     def refill_budget(self, server: Backend, now: float) -> bool:
-        """Refill the budget of a server in slow start; whether it lets this proxy send there."""
+        """Refill the budget of a server in slow start; return whether it permits a send."""
         senders = self.slow_start_senders(server)
         if not senders or now < self.peers_known_at:
             return False
         return slow_start.refill(self.estimates, server, senders, now, self.rng)
 
     def slow_start_senders(self, server: Backend) -> int:
-        """How many proxies share the budget of a server in slow start; 0 where this one has no part."""
+        """Return how many proxies share a slow-start budget; 0 if this proxy gets none of it."""
         if self.estimates.is_pooled:
             return self.settings.proxies
         if server not in self.own_slice:
             return 0
-        # A partitioned peer deals this slice anew and may send as well: it is left its part.
+        # Missing peers may be partitioned and also own this server in their view: each keeps a share.
         return server.owner_count + self.settings.proxies - len(self.rows)
