--- a/firvane/core/balancing/records.py
+++ b/firvane/core/balancing/records.py
@@ -15,9 +15,7 @@
 if TYPE_CHECKING:
     from mypy_extensions import i64  # a 64-bit machine integer when compiled; a plain int when interpreted
 
-MIN_WEIGHT = (
-    2.0**-10
-)  # above 0, as weights are divisors; not tiny, as estimates outlive a weight change
+MIN_WEIGHT = 2.0**-10  # above 0, as weights are divisors; not tiny, as estimates outlive a weight change
 MAX_WEIGHT = 1e15
 INITIAL_CAPACITY = 4.0  # attempts
 
--- a/firvane/core/balancing/slices.py
+++ b/firvane/core/balancing/slices.py
@@ -12,7 +12,7 @@
 Server = TypeVar("Server")
 
 
-def deal(servers: Sequence[Server], owners: Sequence[int]) -> list[tuple[int, Server]]:
+def assign_round_robin(servers: Sequence[Server], owners: Sequence[int]) -> list[tuple[int, Server]]:
     """Return the pairs of owner and server, paired by rank; empty if either list is empty."""
     if not servers or not owners:
         return []
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -11,7 +11,7 @@
 
 from firvane.core.balancing import window
 from firvane.core.balancing.records import mix, total
-from firvane.core.balancing.slices import deal
+from firvane.core.balancing.slices import assign_round_robin
 from firvane.fleet.placement.prompt_homes import rank_servers
 from firvane.fleet.placement.rows import Section
 from firvane.fleet.placement.server_view import ServerView, server_id
@@ -50,7 +50,7 @@
         """Deal the ready servers to the live routers."""
         self.by_router = {router: [] for router in sorted(routers)}
         self.owners = {}
-        for router, server in deal(sorted(servers, key=server_id), list(self.by_router)):
+        for router, server in assign_round_robin(sorted(servers, key=server_id), list(self.by_router)):
             self.by_router[router].append(server)
             self.owners.setdefault(server.id, []).append(router)
         self.shares = self._between_live(self.shares)
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -18,7 +18,7 @@
 from firvane.core.balancing.greedy_pairing import forecast
 from firvane.core.balancing.records import Backend, OpenRequest, total
 from firvane.core.balancing.rows import Row, decode_row, encode_row
-from firvane.core.balancing.slices import deal
+from firvane.core.balancing.slices import assign_round_robin
 from firvane.core.balancing.window import WINDOW
 from firvane.proxy.capacity import slow_start
 from firvane.proxy.capacity.backend_estimates import LATENCY_HALF_LIFE_S, BackendEstimates
@@ -153,7 +153,7 @@
             zones.setdefault(server.entry.zone, []).append(server)
         for zone, servers in sorted(zones.items()):
             owners = [n for n in self.slices if self.rows[n].zone == zone] or list(self.slices)
-            for owner, server in deal(servers, owners):
+            for owner, server in assign_round_robin(servers, owners):
                 self.slices[owner].append(server)
                 server.owner = owner
                 server.owner_count += 1
