--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -188,8 +188,8 @@
         served = sum(self.served[-SERVED_RATE_WINDOWS:]) / SERVED_RATE_WINDOWS / WINDOW
         for server in self.up:
             server.announced = server.in_flight
-        values = phi, mu, self.arrivals[-1], forecast(self.arrivals), served
-        payload = encode_row(flags, self.settings.zone, now, values, busy)
+        totals = phi, mu, self.arrivals[-1], forecast(self.arrivals), served
+        payload = encode_row(flags, self.settings.zone, now, totals, busy)
         self.rows[self.settings.me] = decode_row(payload, now)
         if self.settings.limits.peers and self.settings.proxies > 1:
             self.actions.append(api.SendToPeer(peer, payload))
