--- a/firvane/core/engine.py
+++ b/firvane/core/engine.py
@@ -115,10 +115,10 @@
         self._perform(self.decisions.start(self.now()))
         self._drain()
 
-    def retune(self, settings: api.Settings) -> None:
-        """Take over other settings, in which indices in use keep their meaning."""
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Apply new settings; the indices of classes and tenants in use keep their meaning."""
         self.settings = settings
-        self.decisions.retune(settings)
+        self.decisions.apply_settings(settings)
 
     # Requests
 
--- a/firvane/core/engine_protocols.py
+++ b/firvane/core/engine_protocols.py
@@ -121,8 +121,8 @@
     def handle(self, event: Any, now: float) -> list[api.Action]:
         """The actions that an event calls for; it is one of `interface.Event`, or of the module's own."""
 
-    def retune(self, settings: api.Settings) -> None:
-        """Take over other settings, in which indices in use keep their meaning."""
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Apply new settings; the indices of classes and tenants in use keep their meaning."""
 
 
 class LoadShedder(Protocol):
--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -122,7 +122,7 @@
             handler(event, now)
         return self.actions
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Replace the settings."""
         self.settings = settings
 
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -87,12 +87,12 @@
             job.body_consumed = True
         return self.actions
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Apply new settings; the indices of classes and tenants in use keep their meaning."""
         self.settings = settings
         self.hedging_allowed = settings.limits.hedging
         self.tenant_requests = {i: self.tenant_requests.get(i, 0.0) for i in range(len(settings.tenants))}
-        self.estimates.retune(settings)
+        self.estimates.apply_settings(settings)
 
     def on_timer(self, timer: api.TimerFired, now: float) -> None:
         """End the window if the token is 0, else check the request whose id is `token - 1`."""
--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -126,7 +126,7 @@
         self.rejected_fraction = 0.0  # part of attempts that find no room
         self.loss_rate = 0.0  # part of attempts that are never answered though their box answers others
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Take over other settings, in which a known class keeps its index; the estimates are kept."""
         known = {
             cls.name: took for cls, took in zip(self.settings.classes, self.typical_duration, strict=True)
--- a/firvane/proxy/control/catalog.py
+++ b/firvane/proxy/control/catalog.py
@@ -60,9 +60,9 @@
         self._limits: dict[int, int] = {}
         self._fixed: dict[ResourceType, list[Resource]] = {}
         self._stale = True
-        self.retune(settings)
+        self.apply_settings(settings)
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Apply other settings; what depends on them is sent with the next snapshot."""
         self.settings = settings
         name = self.service
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -119,12 +119,12 @@
             engine.start()
         self.update()
 
-    def retune(self, settings: Sequence[api.Settings], control_settings: ControlSettings) -> None:
+    def apply_settings(self, settings: Sequence[api.Settings], control_settings: ControlSettings) -> None:
         """Apply other settings; the service's name, TLS files and intervals stay unchanged."""
         self.control_settings = control_settings
         for engine, own in zip(self.engines, settings, strict=True):
-            engine.retune(own)
-        self.catalog.retune(settings[0])
+            engine.apply_settings(own)
+        self.catalog.apply_settings(settings[0])
         self.debouncer = _make_debouncer(control_settings)
         self.panic.threshold = control_settings.panic
         self.panic.confirm_s = control_settings.confirm_s
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -210,7 +210,7 @@
         elif config.known and not self.config.discovery:
             self.group.learn(config.known)
         self.log.info("config_reloaded", targets=len(self.group.servers))
-        self.core.retune(places(config, control_settings), control_settings)
+        self.core.apply_settings(places(config, control_settings), control_settings)
 
     def _log_invalid(self, error: Exception) -> None:
         for line in str(error).splitlines():
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -304,7 +304,7 @@
         """Decide new requests by other settings, which are valid."""
         engine = self.engine
         engine_settings, self.classes = merged(engine.settings, self.classes, settings)
-        engine.retune(engine_settings)
+        engine.apply_settings(engine_settings)
         self.limiter.apply_settings(engine_settings, self.classes)
         self.upstream_pools.apply_settings(settings.limits, settings.rules)
         self.monitor.apply_settings(settings)
@@ -317,7 +317,7 @@
         """Accept no more requests by the settings before those of `since`."""
         if self.settings_changed_at == since:
             self.limiter.forget_previous_settings()
-            self.engine.retune(retired(self.engine.settings, self.classes))
+            self.engine.apply_settings(retired(self.engine.settings, self.classes))
 
     def _sweep(self, due: float) -> None:
         """Close what has timed out, every `SWEEP_INTERVAL_S`."""
--- a/tests/fleet/placement/baselines.py
+++ b/tests/fleet/placement/baselines.py
@@ -24,7 +24,7 @@
     def start(self, now: float) -> list[api.Action]:
         return []
 
-    def retune(self, settings: api.Settings) -> None: ...
+    def apply_settings(self, settings: api.Settings) -> None: ...
 
     def handle(self, event: api.Event | PlacementEvent, now: float) -> list[api.Action]:
         if isinstance(event, InstancesChanged):
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -68,7 +68,7 @@
     def start(self, now: float) -> list[api.Action]:
         return []
 
-    def retune(self, settings: api.Settings) -> None: ...
+    def apply_settings(self, settings: api.Settings) -> None: ...
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
         self.events.append(event)
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -250,7 +250,7 @@
     made = BackendEstimates(settings(proxies=40, limits=limits[0]), random.Random(1), 100.0)
     warm = Backend(server("a"), 1, 1.0, None)
     assert rate(made, 0) == pytest.approx(1600.0, rel=0.1)
-    made.retune(settings(proxies=40, limits=limits[1]))
+    made.apply_settings(settings(proxies=40, limits=limits[1]))
     assert rate(made, 100) == pytest.approx(1600.0, rel=0.1)
 
 
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -293,7 +293,7 @@
     told = differences(first.assignment, last.assignment, catalog.zones)
     assert [line[:8] for line in told if line[:3] in ("b0:", "b7:")] == ["b0: take", "b7: adde"]
     assert catalog.entry(0, "99") is None and catalog.entry(0, first.version) == first
-    catalog.retune(made_settings(key_affinity=False))
+    catalog.apply_settings(made_settings(key_affinity=False))
     assert catalog.make(later, {0: 10.0}, {}, 2, 4.0) and catalog.urgent == 1
 
 
