--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -380,7 +380,7 @@
             over_quota_value=load.over_share_worth,
         )  # fmt: skip
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         for other in self.world.tier:
             if other is not self and peer in (None, other.me):
                 late = self.world.links.datagram(self.world.clock.now, self.zone, other.zone)
--- a/firvane/core/engine.py
+++ b/firvane/core/engine.py
@@ -97,7 +97,7 @@
             api.Fail: self._fail,
             api.Cancel: self._cancel,
             api.SetTimer: self._set_timer,
-            api.SendToPeer: lambda action: self.peer_channel.tell(action.peer, action.payload),
+            api.SendToPeer: lambda action: self.peer_channel.send_datagram(action.peer, action.payload),
             api.Probe: self._probe,
             api.CloseIdle: lambda action: self.targets.close_idle(action.server),
             api.Watch: lambda action: self.discovery.refresh(),
--- a/firvane/core/engine_protocols.py
+++ b/firvane/core/engine_protocols.py
@@ -99,7 +99,7 @@
 class PeerChannel(Protocol):
     """The way to the other proxies."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a datagram to one peer, or to all where `peer` is None."""
 
 
--- a/firvane/fleet/router/peers.py
+++ b/firvane/fleet/router/peers.py
@@ -36,7 +36,7 @@
         zones = {peer_number(one.address): self.zones.get(one.zone, 0) for one in routers}
         return PeersChanged(tuple(sorted(zones)), tuple(zones[number] for number in sorted(zones)))
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a row to one router, or to all others where `peer` is None."""
         if peer is not None:
             if address := self.addresses.get(peer):
--- a/firvane/proxy/net/peer_datagrams.py
+++ b/firvane/proxy/net/peer_datagrams.py
@@ -60,7 +60,7 @@
             self.transport.close()
             self.transport = None
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a datagram to a peer, or to all of them for None."""
         if self.transport is None or len(payload) > MAX_DATAGRAM_BYTES:
             return  # the protocol allows no longer one
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -93,7 +93,7 @@
     def _make_action_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
         host = self.host
         return {
-            events.SendMessage: lambda action: host.peers.tell(action.peer, action.payload),
+            events.SendMessage: lambda action: host.peers.send_datagram(action.peer, action.payload),
             events.SaveState: self._save,
             events.FetchText: self._fetch,
             events.ActivatePolicy: lambda action: self._activate(action.value),
--- a/firvane/proxy/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -15,7 +15,7 @@
 class PeerTransport(Protocol):
     """Sends datagrams to the other proxies."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send the payload to that peer; None sends it to all."""
 
 
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -88,7 +88,7 @@
         self.since, self.taken = self.loop.time(), 0
         self.take, self.engine.accept_request = self.engine.accept_request, self._take
         if name == "misread":
-            self.tell, proxy.peers.tell = proxy.peers.tell, self._tell
+            self.tell, proxy.peers.send_datagram = proxy.peers.send_datagram, self._tell
         if name == "no-drains":
             self.read, proxy.target_group.reader.read = proxy.target_group.reader.read, self._read
         if proxy.limiter.metrics is not None:
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -154,7 +154,7 @@
 
 
 class NoPost:
-    def tell(self, peer: int | None, payload: bytes) -> None: ...
+    def send_datagram(self, peer: int | None, payload: bytes) -> None: ...
 
 
 @asynccontextmanager
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -187,7 +187,7 @@
 
     def refresh(self) -> None: ...
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         self.told.append((peer, payload))
 
     def on_response(self, answer: Any) -> None:
--- a/tests/proxy/net/test_target_group.py
+++ b/tests/proxy/net/test_target_group.py
@@ -215,8 +215,8 @@
             seat.peers, seat.numbers = addresses, {address: n for n, address in enumerate(addresses)}
         ends[2].sendto(b"foreign", addresses[1])
         ends[0].sendto(b"x" * 300, addresses[1])
-        seats[0].tell(1, b"y" * 257)  # one longer than the rules allow is never sent
-        seats[0].tell(None, b"row")
+        seats[0].send_datagram(1, b"y" * 257)  # one longer than the rules allow is never sent
+        seats[0].send_datagram(None, b"row")
         assert await heard.get() == (0, b"row") and heard.empty()
         for end in ends:
             end.close()
--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -227,5 +227,5 @@
     Mutant("a leak of sockets", Rule.LEAK, LONG, [(UpstreamPools, "park", keep(2))]),
     Mutant("an id that no client sent", Rule.UNKNOWN, CALM, [(upstream_pool, "format_request_head", forge)]),
     Mutant("an end that waits for nobody", Rule.LOST, RESTART, [(Proxy, "drain", end_at_once)]),
-    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(PeerDatagrams, "tell", pad)]),
+    Mutant("a datagram too long", Rule.DATAGRAM, CALM, [(PeerDatagrams, "send_datagram", pad)]),
 )  # fmt: skip
--- a/tests/simulation/runner/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -92,11 +92,11 @@
     proxy = SimpleNamespace(
         loop=SimpleNamespace(time=lambda: 0.0),
         engine=SimpleNamespace(accept_request=None),
-        peers=SimpleNamespace(tell=lambda peer, payload: told.append(payload)),
+        peers=SimpleNamespace(send_datagram=lambda peer, payload: told.append(payload)),
         limiter=SimpleNamespace(metrics=None),
     )
     versions.Fault(proxy, "misread", 1.0, 1, lambda: None)
-    proxy.peers.tell(None, row)
+    proxy.peers.send_datagram(None, row)
     right, wrong = row_codec.unpack(row, 0.0), row_codec.unpack(told[0], 0.0)
     assert (wrong.zone, wrong.sequence, wrong.arrivals) == (right.zone, right.sequence, 40 * right.arrivals)
     assert right.out == [(9, 2)] and wrong.out == [(9, 80)]
