--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -19,8 +19,8 @@
     Mutant(
         "and not before its end is told where two may not be out",
         "firvane/proxy/balancer.py",
-        "if other and limits.hedging:  # else",
-        "if other:  # else",
+        "if other and limits.hedging:  # without",
+        "if other:  # without",
         "tests/proxy/test_balancer.py -k lost_attempt",
     ),
     Mutant(
