--- a/firvane/core/engine.py
+++ b/firvane/core/engine.py
@@ -1,22 +1,22 @@
-"""Turns the decisions' actions into calls on a front, and the front's reports into the decisions' events.
+"""Executes the decisions' actions on a frontend, and passes its reports to the decisions as events.
 
-The engine knows no wire format: a front gives it flows whose requests and answers it never opens, so that
-several fronts share the same decisions and the same rules. It enforces the limits on attempts and on open
-flows, the deadlines, and exactly one final answer.
+The engine knows no wire format: requests and responses are opaque to it, so that several frontends share the
+same decisions and rules. It enforces the limits on attempts and open flows, the deadlines, and exactly one
+final answer per request.
 
 Invariants of a flow and its attempts:
 
-1. A flow has one final answer, or none where its client has disconnected (`_close`), and is forgotten once
-   none of its attempts is in flight (`_forget`).
-2. An attempt ends once (`on_attempt_ended`), whoever reports it and whatever is reported later.
-3. An attempt may have run from the moment its last byte was handed to the kernel (`request_sent`). Until
-   then its target cannot take it for a request, so that stopping it needs no permission of the settings.
-4. What is not completely sent when its flow ends is never sent (`_withdraw`): where the flow is answered, its
-   client has disconnected, a streamed answer has begun, or a long body has gone out on another attempt. So a
-   connection that is established late brings nobody's request to a target.
-5. What was stopped before it was sent never ran, and is reported so (`Attempt.stop`).
-6. Once an answer has begun, the answers of other attempts, which the settings may forbid to cancel, are
-   dropped; only a streamed one may continue it where it broke off.
+1. A flow gets one final answer, or none if its client has disconnected (`_close`), and is removed once none
+   of its attempts is in flight (`_forget`).
+2. An attempt ends exactly once (`on_attempt_ended`); later reports of it are ignored.
+3. An attempt may have run as soon as its last byte was passed to the kernel (`request_sent`). Before that the
+   target has no complete request, so that stopping the attempt does not need `limits.cancel`.
+4. An attempt that is not completely sent is stopped and never sent (`_withdraw`) when its flow is answered,
+   its client has disconnected, a streamed response has started, or another attempt has consumed the body. So
+   a connection that is established late never delivers an obsolete request to a target.
+5. An attempt that was stopped before it was sent never ran, and is reported as NOT_SENT (`Attempt.stop`).
+6. Once a response has started, the responses of other attempts, which the settings may not allow to cancel,
+   are dropped; only another streamed response may continue one that was truncated.
 """
 
 from __future__ import annotations
@@ -41,20 +41,20 @@
 from firvane.core.request_counters import RequestCounters
 from firvane.core.terminations import RESULTS, Termination
 
-MAX_ID = 0xFFFFFFFF  # ids of flows wrap after it
-MAX_LOGGED_FAULTS = 20  # of the decisions, in a process
+MAX_ID = 0xFFFFFFFF  # flow ids wrap around after this
+MAX_LOGGED_FAULTS = 20  # faults of the decisions that are logged per process
 
 
 class Engine(AttemptObserver[Q, A]):
     """Owns the decisions, the open flows, their ids, and the decisions' timers.
 
     Attributes:
-        offset: seconds from the loop's clock to the decisions'.
-        unanswered: flows whose final answer is due.
-        shutdown_deadline: when every flow must be answered, in seconds on the loop's clock.
-        known_targets: the servers that the list names.
-        event_counts: of the current period, for the log.
-        faults: events that the decisions failed to handle.
+        offset: seconds to add to the loop's clock for the decisions' clock.
+        unanswered: number of flows without a final answer.
+        shutdown_deadline: when all flows must have their final answer, in seconds on the loop's clock.
+        known_targets: ids of the servers in the list that are not gone.
+        event_counts: events of the current log period, by name.
+        faults: number of events for which the decisions raised an exception.
     """
 
     def __init__(
@@ -69,18 +69,19 @@
         log: Log = QUIET,
     ) -> None:
         self.log = log
-        self.tracing = log.is_enabled_for(LEVELS["debug"])  # each flow has a log of its own, and uses it
+        self.tracing = log.is_enabled_for(LEVELS["debug"])  # whether flows and attempts are logged
         self.settings = settings
         self.clock = clock
         self.targets = targets
         self.peer_channel = peer_channel
         self.discovery = discovery
-        # The decisions' clock reads Unix time but advances with the loop's: servers' starts are given in
-        # Unix time, peers drop a row whose stamp is older than the last (a reboot must not set it back), and
-        # a step of the system's clock must not move a deadline. Read once: a start always maps alike.
+        # The decisions' clock starts at Unix time and advances with the loop's clock: start times of servers
+        # are in Unix time, peers drop rows older than the last one (a reboot must not set the clock back),
+        # and a step of the system clock must not move deadlines. The offset is fixed, so that a start time
+        # always maps to the same value.
         self.offset = wall() - clock.time()
         self.decisions = decisions
-        self.load_shedder: LoadShedder | None = None  # a front that can shed load registers here
+        self.load_shedder: LoadShedder | None = None  # set by a frontend that can shed load
         self.flows: dict[int, Flow[Q, A]] = {}
         self.unanswered = 0
         self.shutdown_deadline = math.inf
@@ -107,13 +108,13 @@
         }
 
     def now(self) -> float:
-        """The time on the decisions' clock, in seconds."""
+        """Return the time on the decisions' clock, in seconds."""
         return self.clock.time() + self.offset
 
     def start(self) -> None:
-        """Start the decisions."""
-        self._perform(self.decisions.start(self.now()))
-        self._drain()
+        """Start the decisions and execute their first actions."""
+        self._execute(self.decisions.start(self.now()))
+        self._process_events()
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Apply new settings; the indices of classes and tenants in use keep their meaning."""
@@ -123,7 +124,7 @@
     # Requests
 
     def accept_request(self, flow: Flow[Q, A], request: api.Request) -> None:
-        """Accept a new flow: number it, set its deadline's timer, and let the decisions place it."""
+        """Accept a new flow: assign its id, set its deadline timer, and pass the request to the decisions."""
         flow.counters = self.request_counters.for_class(self.settings.classes[request.class_id].name)
         if self.unanswered >= self.settings.limits.max_open_requests:
             self.event_counts["over the cap on open flows"] += 1
@@ -142,7 +143,7 @@
         self.dispatch(request)
 
     def on_client_disconnected(self, flow: Flow[Q, A]) -> None:
-        """The client has disconnected: no answer is due any more."""
+        """Close a flow whose client has disconnected; it gets no answer."""
         if flow.open:
             self.event_counts["client left"] += 1
             self._close(flow)
@@ -153,7 +154,7 @@
             self._forget(flow)
 
     def shorten_deadlines(self, last: float) -> None:
-        """The proxy shuts down: all flows are answered by `last`, in seconds on the loop's clock."""
+        """Limit all deadlines to `last` (seconds on the loop's clock), as the proxy shuts down."""
         self.shutdown_deadline = last
         now = self.clock.time()
         for flow in list(self.flows.values()):
@@ -172,7 +173,7 @@
         flow.timer = self.clock.call_at(deadline, self._on_deadline, flow)
 
     def update_server_list(self, update: api.ServerList) -> None:
-        """Take over an update of the server list, and pass it to the decisions."""
+        """Apply an update of the server list, and pass it to the decisions."""
         if update.kind is api.ListKind.COMPLETE:
             self.known_targets.clear()
         for server in update.servers:
@@ -183,15 +184,15 @@
         self.dispatch(update)
 
     def set_known_targets(self, targets: set[str]) -> None:
-        """Allow attempts at these targets, and at no others."""
+        """Allow attempts to these targets only."""
         self.known_targets = targets
 
     def dispatch(self, event: Any) -> None:
-        """Pass an event to the decisions, in order of arrival, never from within an earlier one."""
+        """Pass an event to the decisions, in order of arrival; events raised by actions are queued."""
         self._events.append(event)
-        self._drain()
+        self._process_events()
 
-    def _drain(self) -> None:
+    def _process_events(self) -> None:
         if self._is_dispatching:
             return
         self._is_dispatching = True
@@ -201,17 +202,17 @@
                 try:
                     actions = self.decisions.handle(event, self.now())
                 except Exception:
-                    # A fault in one decision must not end the proxy: what was decided before it stands
-                    # (the window's timer above all), and each open flow still has its deadline.
+                    # A fault in one decision must not stop the proxy: the actions decided before it are
+                    # executed (above all the window's timer), and each open flow still has its deadline.
                     self.faults += 1
                     if self.faults <= MAX_LOGGED_FAULTS:
                         self.log.exception("decisions_failed", event_type=type(event).__name__)
                     actions = self.decisions.actions
-                self._perform(actions)
+                self._execute(actions)
         finally:
             self._is_dispatching = False
 
-    def _perform(self, actions: list[api.Action]) -> None:
+    def _execute(self, actions: list[api.Action]) -> None:
         for action in actions:
             self._handlers[type(action)](action)
 
@@ -235,7 +236,7 @@
         if deadline < flow.deadline:
             attempt.timer = self.clock.call_at(deadline, attempt.stop, Termination.DEADLINE_EXCEEDED)
         handle = self.targets.forward(flow.request, action.server, attempt)
-        if not attempt.over:
+        if not attempt.ended:
             attempt.handle = handle
 
     def _reject(self, action: api.Reject) -> None:
@@ -269,7 +270,7 @@
         event = api.TimerFired(action.token)
         timer = self.clock.call_at(self.clock.time() + max(0.0, action.delay), self.dispatch, event)
         if action.request is not None and (flow := self.flows.get(action.request)):
-            # Most requests end long before it: cancelled with the flow, it costs far less than fired.
+            # Most requests end long before the timer: cancelling it with the flow is cheaper than firing it.
             flow.decision_timers.append(timer)
 
     def _shed_load(self, action: api.ShedLoad) -> None:
@@ -285,7 +286,7 @@
     # Progress of attempts
 
     def on_body_consumed(self, attempt: Attempt[Q, A]) -> None:
-        """Part of the body was released: no other attempt can be made, nor one that is still connecting."""
+        """Withdraw the other attempts, as part of the body was released and cannot be sent again."""
         flow = attempt.flow
         if not flow.body_consumed:
             flow.body_consumed = True
@@ -293,21 +294,21 @@
             self._withdraw(flow, attempt)
 
     def on_request_sent(self, attempt: Attempt[Q, A]) -> None:
-        """The request's last byte was handed to the kernel: from here on the attempt may have run."""
+        """Record that the last byte was passed to the kernel: from now on the attempt may have run."""
         flow = attempt.flow
         now = self.clock.time()
         attempt.request_sent = True
         flow.counters.upstream_tries += 1
         if flow.response_time and flow.open and not flow.responding:
-            # A long request has its time from its last byte on, and so has the target.
+            # The time limit of a long request starts at its last byte, and so does the measured duration.
             attempt.started_at = now
             self._set_deadline(flow, min(now + flow.response_time, self.shutdown_deadline))
             flow.response_time = 0.0
 
-    def on_response_started(self, attempt: Attempt[Q, A], answer: A) -> None:
-        """A streamed answer belongs to the client from here on; only a lack of progress ends it."""
+    def on_response_started(self, attempt: Attempt[Q, A], response: A) -> None:
+        """Pass a streamed response to the client; only a lack of progress ends it from now on."""
         flow = attempt.flow
-        if attempt.over or not flow.open or flow.responding:
+        if attempt.ended or not flow.open or flow.responding:
             attempt.stop(Termination.CANCELLED)
             return
         flow.responding, flow.response_started = attempt, True
@@ -316,23 +317,23 @@
             if timer:
                 timer.cancel()
         self.event_counts["begun"] += 1
-        flow.client.on_response_started(answer)
+        flow.client.on_response_started(response)
         self.dispatch(api.StreamStarted(flow.id, attempt.number, attempt.target, attempt.time_to_response))
         self._withdraw(flow, attempt)
 
     # Ends
 
-    def on_attempt_ended(self, attempt: Attempt[Q, A], termination: Termination, answer: A | None) -> None:
-        """End an attempt; a second report of the same one changes nothing."""
-        if attempt.over:
+    def on_attempt_ended(self, attempt: Attempt[Q, A], termination: Termination, response: A | None) -> None:
+        """End an attempt; later reports of its end are ignored."""
+        if attempt.ended:
             return
-        attempt.over = True
-        attempt.handle = None  # breaks the cycle of the two
+        attempt.ended = True
+        attempt.handle = None  # breaks the reference cycle
         if attempt.timer:
             attempt.timer.cancel()
         flow = attempt.flow
         self.event_counts[termination.value] += 1
-        self._answer_client(flow, attempt, termination, answer)
+        self._respond_to_client(flow, attempt, termination, response)
         flow.release(attempt)
         duration = attempt.time_to_response or self.clock.time() - attempt.started_at
         if self.tracing:
@@ -352,10 +353,10 @@
         if flow.attempts_in_flight and not flow.open:
             self._withdraw(flow)
 
-    def _answer_client(
-        self, flow: Flow[Q, A], attempt: Attempt[Q, A], termination: Termination, answer: A | None
+    def _respond_to_client(
+        self, flow: Flow[Q, A], attempt: Attempt[Q, A], termination: Termination, response: A | None
     ) -> None:
-        """Give the client what the end of an attempt decides, if anything (rule 6)."""
+        """Send the client the response that the end of an attempt decides, if any (invariant 6)."""
         if flow.response_started and flow.responding is not attempt:
             return
         if flow.responding is attempt and flow.open:
@@ -364,7 +365,7 @@
                 flow.counters.passed += 1
                 flow.client.on_response_finished()
             elif self.clock.time() < flow.deadline and flow.can_resume():
-                # Its client waits: the decisions may continue it elsewhere, or fail it.
+                # The client still waits: the decisions may resume the response at another target, or fail it.
                 flow.responding = None
                 self.event_counts["broke off, may be resumed"] += 1
             else:
@@ -372,24 +373,24 @@
                 flow.counters.bad_gateway += 1
                 self.event_counts["cut"] += 1
                 flow.client.on_response_aborted()
-        elif termination is Termination.SERVED and flow.open and answer is not None:
+        elif termination is Termination.SERVED and flow.open and response is not None:
             flow.counters.passed += 1
             self._close(flow)
-            flow.client.on_response(answer)
+            flow.client.on_response(response)
         elif termination is Termination.BAD_REQUEST and flow.open:
             flow.counters.bad_gateway += 1
-            self._close(flow)  # another target would answer the same
+            self._close(flow)  # other targets would reject it as well
             flow.client.on_bad_request()
 
     def on_health_check_ended(self, check: HealthCheck[Q, A], termination: Termination) -> None:
-        """End a health check; a second report of the same one changes nothing."""
-        if not check.over:
-            check.over = True
+        """End a health check; later reports of its end are ignored."""
+        if not check.ended:
+            check.ended = True
             duration = self.clock.time() - check.started_at
             self.dispatch(api.ProbeResult(check.target, RESULTS[termination], duration))
 
     def _on_deadline(self, flow: Flow[Q, A]) -> None:
-        """Answer a flow by its deadline, whatever the decisions did."""
+        """Stop all attempts of a flow at its deadline, and fail it if the decisions gave no answer."""
         for attempt in list(flow.attempts):
             if attempt:
                 attempt.stop(Termination.DEADLINE_EXCEEDED)
@@ -402,14 +403,14 @@
             self._forget(flow)
 
     def _close(self, flow: Flow[Q, A]) -> None:
-        """No answer to the flow is due any more."""
+        """Mark a flow as answered or abandoned."""
         flow.open = False
         self.unanswered -= 1
 
     def _withdraw(self, flow: Flow[Q, A], keep: Attempt[Q, A] | None = None) -> None:
-        """Stop the attempts of an ended flow whose request is not completely sent (rule 4).
+        """Stop the attempts of a flow that are not completely sent, except `keep` (invariant 4).
 
-        Called after the decisions were notified of the end: what they cancelled is over by then.
+        Called after the decisions were notified, so that the attempts they cancel have already ended.
         """
         if flow.attempts_in_flight:
             for attempt in list(flow.attempts):
@@ -417,7 +418,7 @@
                     attempt.stop(Termination.CANCELLED)
 
     def _forget(self, flow: Flow[Q, A]) -> None:
-        """Drop a flow that is answered and has no attempt in flight; until then it may be cancelled by id."""
+        """Remove a flow that is closed and has no attempt in flight; until then attempts can be cancelled."""
         if not flow.open and not flow.attempts_in_flight:
             self.flows.pop(flow.id, None)
             if flow.timer:
--- a/firvane/core/engine_protocols.py
+++ b/firvane/core/engine_protocols.py
@@ -1,7 +1,7 @@
-"""What the engine expects of its surroundings: clock, clients, targets, peers, discovery and decisions.
+"""Interfaces that the engine depends on: clock, clients, targets, peers, discovery and decisions.
 
-A front implements these protocols. `Q` and `A` are the types in which it keeps a request and an answer; the
-engine never opens either.
+A frontend implements these protocols. `Q` and `A` are its types of requests and responses, which are opaque
+to the engine.
 """
 
 from __future__ import annotations
@@ -19,72 +19,72 @@
 
 
 class Clock(Protocol):
-    """The part of an event loop that keeps time. All deadlines are in seconds on its clock."""
+    """The clock and timers of an event loop. All deadlines are in seconds on this clock."""
 
     def time(self) -> float:
-        """The present time in seconds."""
+        """Return the current time in seconds."""
 
     def call_at(self, when: float, callback: Callable[..., Any], *args: Any) -> TimerHandle:
-        """Schedule a call for a time on this clock."""
+        """Schedule a call at the time `when`."""
 
 
 class Client(Protocol[A_contra]):
-    """The sender of a request; it is given exactly one final answer.
+    """The sender of a request; it gets exactly one final answer.
 
-    A streamed answer takes two calls: `on_response_started`, then either `on_response_finished` or
-    `on_response_aborted`. Any other answer takes one.
+    A streamed response takes two calls: `on_response_started`, then either `on_response_finished` or
+    `on_response_aborted`. Any other answer takes one call.
     """
 
-    def on_response(self, answer: A_contra) -> None:
-        """The complete answer of a target."""
+    def on_response(self, response: A_contra) -> None:
+        """Send the complete response of a target."""
 
-    def on_response_started(self, answer: A_contra) -> None:
-        """A streamed answer has begun; the rest arrives without the engine."""
+    def on_response_started(self, response: A_contra) -> None:
+        """Start a streamed response; the rest of it does not pass through the engine."""
 
     def on_response_finished(self) -> None:
-        """The streamed answer is complete."""
+        """Finish the streamed response, which is complete."""
 
     def on_response_aborted(self) -> None:
-        """The streamed answer broke off and will not be continued."""
+        """Abort the streamed response, which was truncated and cannot be resumed."""
 
     def on_rejected(self, retry_after: float) -> None:
-        """The request was rejected, and a retry is harmless, after `retry_after` seconds where above 0."""
+        """Reject the request; a retry is harmless, after `retry_after` seconds if that is above 0."""
 
     def on_failed(self) -> None:
-        """The request failed; it may have run."""
+        """Report a failure of the request, which may have run."""
 
     def on_bad_request(self) -> None:
-        """A target found the request itself invalid."""
+        """Report that a target found the request invalid."""
 
 
 class Handle(Protocol):
-    """An exchange under way."""
+    """An exchange in progress."""
 
     def cancel(self) -> None:
-        """Stop at once, without a report."""
+        """Stop the exchange at once, without a report of its end."""
 
 
 class Exchange(Protocol[A_contra]):
-    """One attempt or health check as a front sees it, with the callbacks that report its progress."""
+    """One attempt or health check, with the callbacks by which a frontend reports its progress."""
 
     deadline: float
-    start_before: float  # its first byte is sent before that, or never
+    start_before: float  # the first byte must be sent before this time, else not at all
 
     def on_request_sent(self) -> None:
-        """The last byte of the request was handed to the kernel."""
+        """Report that the last byte of the request was passed to the kernel."""
 
     def on_body_consumed(self) -> None:
-        """Part of the request's body was forwarded and released: it cannot be sent again."""
+        """Report that part of the request body was released: the request cannot be sent again."""
 
-    def on_response_started(self, answer: A_contra) -> None:
-        """A streamed answer has begun; the exchange ends when all of it has arrived."""
+    def on_response_started(self, response: A_contra) -> None:
+        """Report the start of a streamed response; the exchange ends when it is complete."""
 
-    def on_ended(self, termination: Termination, answer: A_contra | None = None) -> None:
-        """The exchange is over; `answer` where a target served it."""
+    def on_ended(self, termination: Termination, response: A_contra | None = None) -> None:
+        """Report the end of the exchange; `response` is set if the target served it."""
 
 
 class Targets(Protocol[Q_contra, A_co]):
-    """The connections to the targets. An exchange may end before the call returns."""
+    """The connections to the targets. An exchange may end before the call that starts it returns."""
 
     def forward(self, request: Q_contra, target: str, exchange: Exchange[A_co]) -> Handle:
         """Send a request to a target."""
@@ -97,42 +97,42 @@
 
 
 class PeerChannel(Protocol):
-    """The way to the other proxies."""
+    """Sends datagrams to the other proxies."""
 
     def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a datagram to one peer, or to all where `peer` is None."""
 
 
 class ServerDiscovery(Protocol):
-    """The way to the list of servers."""
+    """The source of the server list."""
 
     def refresh(self) -> None:
-        """Ask for the complete list."""
+        """Request the complete list."""
 
 
 class Decisions(Protocol):
-    """A decision module: it takes events and answers with actions. Times are in seconds on its own clock."""
+    """A decision module: maps events to actions. Times are in seconds on the decisions' clock."""
 
-    actions: list[api.Action]  # those of the event at hand, also where handling it raised
+    actions: list[api.Action]  # for the event being handled; kept if the handler raised
 
     def start(self, now: float) -> list[api.Action]:
-        """The actions of a proxy that starts."""
+        """Return the actions at the start of the proxy."""
 
     def handle(self, event: Any, now: float) -> list[api.Action]:
-        """The actions that an event calls for; it is one of `interface.Event`, or of the module's own."""
+        """Return the actions for an event: an `interface.Event`, or one specific to the module."""
 
     def apply_settings(self, settings: api.Settings) -> None:
         """Apply new settings; the indices of classes and tenants in use keep their meaning."""
 
 
 class LoadShedder(Protocol):
-    """Where requests arrive: it rejects unparsed what the decisions shed."""
+    """Rejects arriving requests unparsed, as the decisions demand."""
 
     def shed(self, fractions: Sequence[float], retry_after: float, include_retries: bool) -> None:
-        """Reject these fractions of what arrives from now on.
+        """Reject these fractions of the requests that arrive from now on.
 
         Args:
-            fractions: one a tenant, or a single one for all.
-            retry_after: seconds that the rejected clients are asked to stay away; 0: not said.
-            include_retries: reject all requests that are marked as retries as well.
+            fractions: one per tenant, or a single one for all requests.
+            retry_after: seconds after which rejected clients may retry; 0: no Retry-After is sent.
+            include_retries: also reject all requests marked as retries.
         """
--- a/firvane/core/flows.py
+++ b/firvane/core/flows.py
@@ -1,7 +1,4 @@
-"""A request on its way through the proxy, its attempts, and health checks.
-
-The records belong to the engine (`firvane.core.engine`), whose rules they follow.
-"""
+"""Requests in progress, their attempts, and health checks: the state that `firvane.core.engine` works on."""
 
 from __future__ import annotations
 
@@ -14,58 +11,58 @@
 from firvane.core.request_counters import ClassCounters
 from firvane.core.terminations import Termination
 
-Q = TypeVar("Q")  # a request as the front keeps it
-A = TypeVar("A")  # a target's answer as the front keeps it
+Q = TypeVar("Q")  # request type of the frontend
+A = TypeVar("A")  # response type of the frontend
 
-UNCOUNTED = ClassCounters()  # of a flow that has no class yet
+UNCOUNTED = ClassCounters()  # counters of flows before their class is known
 
 
 def never_resumed() -> bool:
-    """Return False: an answer that broke off stays short."""
+    """Return False: a truncated response is not resumed."""
     return False
 
 
 class AttemptObserver(Generic[Q, A]):
-    """What attempts and health checks report to: the engine."""
+    """Receives the reports of attempts and health checks; implemented by the engine."""
 
     def on_request_sent(self, attempt: Attempt[Q, A]) -> None:
-        """The request's last byte was handed to the kernel."""
+        """Handle that the last byte of the request was passed to the kernel."""
         raise NotImplementedError
 
     def on_body_consumed(self, attempt: Attempt[Q, A]) -> None:
-        """Part of the request's body was forwarded and released."""
+        """Handle that part of the request body was forwarded and released."""
         raise NotImplementedError
 
-    def on_response_started(self, attempt: Attempt[Q, A], answer: A) -> None:
-        """A streamed answer has begun."""
+    def on_response_started(self, attempt: Attempt[Q, A], response: A) -> None:
+        """Handle the start of a streamed response."""
         raise NotImplementedError
 
-    def on_attempt_ended(self, attempt: Attempt[Q, A], termination: Termination, answer: A | None) -> None:
-        """An attempt is over; `answer` where a target served it."""
+    def on_attempt_ended(self, attempt: Attempt[Q, A], termination: Termination, response: A | None) -> None:
+        """Handle the end of an attempt; `response` is set if the target served it."""
         raise NotImplementedError
 
     def on_health_check_ended(self, check: HealthCheck[Q, A], termination: Termination) -> None:
-        """A health check is over."""
+        """Handle the end of a health check."""
         raise NotImplementedError
 
 
 class Flow(Generic[Q, A]):
-    """A request on its way through: what it asks, its client, its deadline and its attempts.
+    """A request in progress, with its client, deadline and attempts.
 
     Attributes:
         deadline: when its final answer is due, in seconds on the loop's clock.
-        name: the client's id of the request, for the log.
-        open: whether its final answer is due.
-        counters: of its class, once it is accepted.
-        responding: the attempt whose streamed answer its client receives.
-        response_started: its client has received the beginning of a streamed answer.
-        body_consumed: part of its body was forwarded, so that it cannot be sent again.
-        is_bounded: its deadline also ends an answer that has begun.
-        can_resume: returns whether another attempt can continue the answer that has begun and broken off.
-        response_time: seconds that it has from its last byte on, where that is yet to come; else 0.
-        attempts: by number; None where one is over.
-        attempts_in_flight: attempts that are not over.
-        decision_timers: timers that the decisions set for it.
+        name: request id given by the client, for the log.
+        open: whether its final answer is still due.
+        counters: counters of its class, once it is accepted.
+        responding: the attempt whose streamed response the client is receiving.
+        response_started: whether the client has received the beginning of a streamed response.
+        body_consumed: whether part of its body was released, so that it cannot be sent again.
+        is_bounded: whether its deadline also ends a response that has started.
+        can_resume: returns whether another attempt can continue a response that was truncated.
+        response_time: seconds from its last byte to its deadline, while the last byte is not sent; else 0.
+        attempts: its attempts by number; None once an attempt has ended.
+        attempts_in_flight: number of attempts that have not ended.
+        decision_timers: timers that the decisions set for this request.
     """
 
     __slots__ = (
@@ -110,7 +107,7 @@
         self.log = QUIET
 
     def release(self, attempt: Attempt[Q, A]) -> None:
-        """Let go of an attempt that is over: the two know each other only until then."""
+        """Remove an attempt that has ended, which breaks the reference cycle between the two."""
         self.attempts[attempt.number] = None
         self.attempts_in_flight -= 1
         if self.responding is attempt:
@@ -118,21 +115,23 @@
 
 
 class Attempt(Generic[Q, A]):
-    """One attempt of a flow at a target; the `Exchange` that a front reports to.
+    """One attempt to send a flow's request to a target; the `Exchange` that a frontend reports to.
 
     Attributes:
-        started_at: when it was started, or its request's last byte was sent where the body was long.
-        request_sent: whether the request's last byte was handed to the kernel.
-        time_to_response: seconds until a streamed answer began; else 0.
+        started_at: when it was started, or, for a long body, when the last byte was sent.
+        ended: whether its end was reported.
+        request_sent: whether the last byte of the request was passed to the kernel.
+        start_before: the first byte must be sent before this time.
+        time_to_response: seconds until a streamed response started; 0 before.
     """
 
     __slots__ = (
         "deadline",
+        "ended",
         "flow",
         "handle",
         "number",
         "observer",
-        "over",
         "request_sent",
         "start_before",
         "started_at",
@@ -159,38 +158,38 @@
         self.number = len(flow.attempts)
         self.handle: Handle | None = None
         self.timer: TimerHandle | None = None
-        self.over = False
+        self.ended = False
         self.request_sent = False
         self.time_to_response = 0.0
 
     def on_request_sent(self) -> None:
-        """The request's last byte was handed to the kernel."""
+        """Report that the last byte of the request was passed to the kernel."""
         self.observer.on_request_sent(self)
 
     def on_body_consumed(self) -> None:
-        """Part of the request's body was forwarded and released."""
+        """Report that part of the request body was forwarded and released."""
         self.observer.on_body_consumed(self)
 
-    def on_response_started(self, answer: A) -> None:
-        """A streamed answer has begun."""
-        self.observer.on_response_started(self, answer)
+    def on_response_started(self, response: A) -> None:
+        """Report the start of a streamed response."""
+        self.observer.on_response_started(self, response)
 
-    def on_ended(self, termination: Termination, answer: A | None = None) -> None:
-        """The attempt is over."""
-        self.observer.on_attempt_ended(self, termination, answer)
+    def on_ended(self, termination: Termination, response: A | None = None) -> None:
+        """Report the end of the attempt."""
+        self.observer.on_attempt_ended(self, termination, response)
 
     def stop(self, termination: Termination) -> None:
-        """End it from this side."""
-        if not self.over:
+        """Stop the attempt and report its end, unless it has ended."""
+        if not self.ended:
             if self.handle:
                 self.handle.cancel()
-            # An unsafe request must not pass for one that may have run while it was still connecting.
+            # A cancelled attempt that was not completely sent must not count as one that may have run.
             unsent = termination is Termination.CANCELLED and not self.request_sent
             self.on_ended(Termination.NOT_SENT if unsent else termination)
 
 
 class HealthCheck(Generic[Q, A]):
-    """A health check under way; the `Exchange` that a front reports to."""
+    """A health check in progress; the `Exchange` that a frontend reports to."""
 
     def __init__(
         self, observer: AttemptObserver[Q, A], target: str, started_at: float, deadline: float
@@ -201,24 +200,24 @@
         self.deadline = deadline
         self.start_before = deadline
         self.handle: Handle | None = None
-        self.over = False
+        self.ended = False
 
     def on_request_sent(self) -> None:
-        """Nothing follows from it."""
+        """Ignore the report."""
 
     def on_body_consumed(self) -> None:
-        """Nothing follows from it."""
+        """Ignore the report."""
 
-    def on_response_started(self, answer: A) -> None:
-        """End the check: no valid answer to one is streamed."""
+    def on_response_started(self, response: A) -> None:
+        """End the check as timed out, as no valid response to it is streamed."""
         self.expire()
 
-    def on_ended(self, termination: Termination, answer: A | None = None) -> None:
-        """The check is over."""
+    def on_ended(self, termination: Termination, response: A | None = None) -> None:
+        """Report the end of the check."""
         self.observer.on_health_check_ended(self, termination)
 
     def expire(self) -> None:
-        """End it at its deadline."""
-        if not self.over and self.handle:
+        """Cancel the check and report that it has timed out."""
+        if not self.ended and self.handle:
             self.handle.cancel()
         self.on_ended(Termination.DEADLINE_EXCEEDED)
--- a/firvane/core/request_counters.py
+++ b/firvane/core/request_counters.py
@@ -1,11 +1,11 @@
-"""Counts of the requests of each class since the process began.
+"""Request counters of each class since the start of the process.
 
 Invariants:
 
-1. A request is counted once, when its final answer is given; an attempt when its last byte is handed to the
+1. A request is counted once, when its final answer is sent; an attempt when its last byte is passed to the
    kernel.
-2. No count decreases, also where the class has been removed since: a flow counts to the class under which it
-   was accepted.
+2. No count ever decreases, even if its class is removed: a flow is counted for the class with which it was
+   accepted.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ClassCounters:
-    """The counts of one class.
+    """The counters of one class.
 
     Attributes:
         passed: requests that were served.
@@ -32,18 +32,18 @@
         self.upstream_tries = 0
 
     def answer_counts(self) -> dict[str, int]:
-        """The final answers by kind, as `ANSWERS` names them."""
+        """Return the number of final answers of each kind in `ANSWERS`."""
         return {name: getattr(self, name) for name in ANSWERS}
 
 
 class RequestCounters:
-    """The counts of all classes."""
+    """The counters of all classes."""
 
     def __init__(self) -> None:
         self.by_class = dict[str, ClassCounters]()
 
     def for_class(self, name: str) -> ClassCounters:
-        """The counts of a class, created at 0 at its first use."""
+        """Return the counters of a class, created at first use."""
         counters = self.by_class.get(name)
         if counters is None:
             counters = self.by_class[name] = ClassCounters()
--- a/firvane/core/terminations.py
+++ b/firvane/core/terminations.py
@@ -1,4 +1,4 @@
-"""Every way in which an attempt or health check can end, and what each means to the decisions."""
+"""The ways in which an attempt or health check can end, and the result of each for the decisions."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Termination(Enum):
-    """How one attempt or health check ended; the values are names in the log."""
+    """How one attempt or health check ended; the values are written to the log."""
 
     SERVED = "served"
-    SERVER_ERROR = "server error"  # the target says that it failed
-    REJECTED = "turned away"  # the target says that it never started the request
-    CONNECTION_REJECTED = "no place for a connection"  # rejected on a new connection, which is closed
-    BAD_REQUEST = "request at fault"  # the target says that the request is invalid, as any other would
-    BAD_RESPONSE = "bad answer"  # what came back is no valid HTTP, too large, or of no agreed meaning
+    SERVER_ERROR = "server error"  # the target reports an error
+    REJECTED = "turned away"  # the target reports that it did not start the request
+    CONNECTION_REJECTED = "no place for a connection"  # rejected on a new connection, which the target closes
+    BAD_REQUEST = "request at fault"  # the target reports that the request is invalid; any other would, too
+    BAD_RESPONSE = "bad answer"  # the response is not valid HTTP, too large, or has an unknown status
     CONNECTION_REFUSED = "connection refused"
     CONNECT_TIMEOUT = "dial expired"
     BROKEN_BEFORE_SENT = "broke before the request was written"
@@ -24,12 +24,12 @@
     CANCELLED = "cancelled"
     NO_FREE_SOCKET = "no socket free"
     TARGET_DRAINED = "target drained before the send"
-    NOT_SENT = "given up before it was written"  # its client is gone, or its deadline is over
-    NOT_ALLOWED = "not allowed"  # over a cap, after the answer, or to a target that no list holds
+    NOT_SENT = "given up before it was written"  # its client has disconnected, or its deadline has passed
+    NOT_ALLOWED = "not allowed"  # above a limit, after the final answer, or to an unlisted target
 
 
-# What may have run must never pass for what never ran: an invalid answer of the target, or a connection that
-# broke after the last byte was sent, leaves that open.
+# An attempt that may have run must not map to a result that counts as never run: after an invalid response,
+# or when the connection broke after the last byte was sent, it is unknown whether the request ran.
 RESULTS: dict[Termination, Result] = {
     Termination.SERVED: Result.OK,
     Termination.SERVER_ERROR: Result.ERROR,
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -313,7 +313,7 @@
                 link, _ = await first(made)
             else:
                 await made.dialer.came.wait()
-            made.proxy.engine._perform([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
+            made.proxy.engine._execute([api.Cancel(next(iter(made.proxy.engine.flows)), 0)])
             if out:
                 assert await link.gone() and (await client.until(b"\r\n"))[9:12] == b"502"
             else:
