--- a/firvane/core/body_leases.py
+++ b/firvane/core/body_leases.py
@@ -1,7 +1,7 @@
-"""Memory for large bodies, leased before the rest of a body is read.
+"""Memory leases for large request bodies, acquired before the rest of a body is read.
 
-A lease is for the largest size that its body may reach. Holders of a lease can always finish, so those that
-wait always go on.
+A lease covers the maximum size of its body. So its holder can always finish and release it, and owners that
+wait never deadlock.
 """
 
 from __future__ import annotations
@@ -13,34 +13,36 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingBody:
-    """Who waits for a lease of `units`; of those who wait the lowest `priority` goes on first."""
+    """A queued request for a lease of `units`; the lowest `priority` is granted first."""
 
-    go_on: Callable[[], None]
+    on_granted: Callable[[], None]
     units: int
     priority: int
 
 
 class BodyLeases:
-    """Memory for large bodies in units of `size` bytes, and a queue of those that wait.
+    """Memory for large bodies in units of `size` bytes, and a queue of waiting owners.
 
     Attributes:
-        total: All units.
-        free: Units that nobody holds.
-        holders: The units that each owner holds.
-        queue: Owners that wait, in the order in which they came.
+        total: Number of all units.
+        free: Number of units that are not leased.
+        holders: Number of units leased by each owner.
+        queue: Waiting owners, in order of arrival.
     """
 
     def __init__(self, total: int, size: int = 1) -> None:
-        """`total` and `size` are in bytes; at least one unit is there."""
+        """Create the leases; `total` and `size` are in bytes, and there is at least one unit."""
         self.size, self.free = size, max(1, total // size)
         self.total = self.free
         self.holders: dict[Hashable, int] = {}
         self.queue: OrderedDict[Hashable, WaitingBody] = OrderedDict()
 
-    def request(self, owner: Hashable, go_on: Callable[[], None], units: int = 1, priority: int = 0) -> bool:
-        """Whether `owner` holds a lease now; else it is queued, and `go_on` is called once it does.
+    def request(
+        self, owner: Hashable, on_granted: Callable[[], None], units: int = 1, priority: int = 0
+    ) -> bool:
+        """Lease units to `owner` and return True, or queue it and call `on_granted` once it has its lease.
 
-        `units` is at most `total`; more would never be free.
+        Returns True as well if `owner` already holds a lease. `units` must not exceed `total`.
         """
         if owner in self.holders:
             return True
@@ -48,20 +50,20 @@
         if units <= self.free and is_next and owner not in self.queue:
             self._grant(owner, units)
             return True
-        self.queue.setdefault(owner, WaitingBody(go_on, units, priority))
+        self.queue.setdefault(owner, WaitingBody(on_granted, units, priority))
         return False
 
     def release(self, owner: Hashable) -> None:
-        """End the lease, or the wait for one; the next in the queue go on. No error if there is neither."""
+        """End the lease of `owner` or its wait for one, if any, and grant leases to waiting owners."""
         self.queue.pop(owner, None)
         self.free += self.holders.pop(owner, 0)
         while self.queue:
-            heir = min(self.queue, key=lambda waiting: self.queue[waiting].priority)
-            if self.queue[heir].units > self.free:
+            next_owner = min(self.queue, key=lambda waiting: self.queue[waiting].priority)
+            if self.queue[next_owner].units > self.free:
                 return
-            waiting = self.queue.pop(heir)
-            self._grant(heir, waiting.units)
-            waiting.go_on()
+            waiting = self.queue.pop(next_owner)
+            self._grant(next_owner, waiting.units)
+            waiting.on_granted()
 
     def _grant(self, owner: Hashable, units: int) -> None:
         self.free -= units
--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -93,8 +93,8 @@
     Mutant(
         "the most urgent body goes on first",
         "firvane/core/body_leases.py",
-        "heir = min(self.queue, key=lambda waiting: self.queue[waiting].priority)",
-        "heir = next(iter(self.queue))",
+        "next_owner = min(self.queue, key=lambda waiting: self.queue[waiting].priority)",
+        "next_owner = next(iter(self.queue))",
         f"{BODIES}::test_the_most_urgent_body_goes_on_first",
     ),
     Mutant(
@@ -121,15 +121,15 @@
     Mutant(
         "a turn has a bound",
         TURNS,
-        "            if share <= 0 or self._left <= 0:",
+        "            if share <= 0 or self._units_left <= 0:",
         "            if False:",
         "tests/core/test_turn_budget.py::test_all_work_is_done_and_a_turn_has_a_bound",
     ),
     Mutant(
         "a connection has a share of a round",
         TURNS,
-        "            if share <= 0 or self._left <= 0:",
-        "            if self._left <= 0:",
+        "            if share <= 0 or self._units_left <= 0:",
+        "            if self._units_left <= 0:",
         "tests/core/test_turn_budget.py::test_in_a_round_each_has_its_share_once",
     ),
     Mutant(
