--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -135,7 +135,7 @@
     Mutant(
         "who has had its share joins the next round",
         TURNS,
-        "queue = self._next_round if worker in self._served else self._round",
+        "queue = self._next_round if worker in self._served_this_round else self._round",
         "queue = self._round",
         "tests/core/test_turn_budget.py::test_urgent_ones_that_always_come_again_do_not_starve_others",
     ),
