--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -13,7 +13,7 @@
 from firvane.proxy.config.node import Config, PolicyTold
 from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS
 from firvane.proxy.limits.memory_costs import derive
-from firvane.proxy.settings import SHOWN, is_number, parse_settings, shape
+from firvane.proxy.settings import MAX_SHOWN_CHARS, is_number, parse_settings, shape
 
 DOOR = 20  # descriptors that the operators' door keeps, as in ops/desk.py
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # where the configuration says nothing
@@ -92,7 +92,7 @@
     try:
         seed = int(str(data.get("seed", "0")), 16)
     except ValueError:
-        raise ValueError(f"seed is {str(data['seed'])[:SHOWN]!r}, not hexadecimal digits") from None
+        raise ValueError(f"seed is {str(data['seed'])[:MAX_SHOWN_CHARS]!r}, not hexadecimal digits") from None
     try:
         tier = tuple(map(parse_address, peers))
     except ValueError as error:
--- a/firvane/proxy/simulator_adapter.py
+++ b/firvane/proxy/simulator_adapter.py
@@ -41,7 +41,7 @@
     Watch,
 )
 from firvane.proxy.balancer import Balancer
-from firvane.proxy.settings import NS, parse_settings
+from firvane.proxy.settings import NS_PER_S, parse_settings
 
 RESULTS = {
     200: Result.OK,
@@ -76,7 +76,7 @@
         kind=kind or 0,
         cell=cell or 0,
         state=STATES.get(state, ServerState.DRAINING),
-        up_since=up_since / NS if up_since else None,
+        up_since=up_since / NS_PER_S if up_since else None,
         weight=1.0 if size is None else size,
         zone=zone or 0,
     )
@@ -84,9 +84,9 @@
 
 def _request(v: list[Any]) -> Request:
     number, flags, cls, key, tenant, hint, left = (v + [None] * 7)[:7]
-    work = hint / NS if hint is not None and flags & 1 else None
+    work = hint / NS_PER_S if hint is not None and flags & 1 else None
     return Request(
-        number, cls, left / NS, key, tenant, work, bool(flags & RETRY_BIT), bool(flags & WRITE_BIT)
+        number, cls, left / NS_PER_S, key, tenant, work, bool(flags & RETRY_BIT), bool(flags & WRITE_BIT)
     )
 
 
@@ -97,7 +97,7 @@
         attempt,
         server,
         RESULTS.get(code, Result.UNKNOWN),
-        (took or 0) / NS,
+        (took or 0) / NS_PER_S,
         bool(finished),
         _load(load),
     )
@@ -105,7 +105,7 @@
 
 def _probed(v: list[Any]) -> ProbeResult:
     server, code, took, load = (v + [None] * 4)[:4]
-    return ProbeResult(server, RESULTS.get(code, Result.UNKNOWN), (took or 0) / NS, _load(load))
+    return ProbeResult(server, RESULTS.get(code, Result.UNKNOWN), (took or 0) / NS_PER_S, _load(load))
 
 
 def _server_list(v: list[Any]) -> ServerList:
@@ -116,7 +116,7 @@
     "membership": _server_list,
     "request": _request,
     "outcome": _outcome,
-    "begun": lambda v: StreamStarted(v[0], v[2], v[1], (v[3] or 0) / NS),
+    "begun": lambda v: StreamStarted(v[0], v[2], v[1], (v[3] or 0) / NS_PER_S),
     "timed-out-client": lambda v: ClientGone(v[0]),
     "deadline-hit": lambda v: TimerFired(v[0]),
     "inbox": lambda v: PeerMessage(v[0], bytes.fromhex(v[1])),
@@ -125,7 +125,7 @@
 
 
 def _ns(span: float) -> int:
-    return max(0, round(span * NS))
+    return max(0, round(span * NS_PER_S))
 
 
 ACTIONS: dict[type[Any], Callable[[str, Any], list[Any]]] = {
@@ -154,7 +154,7 @@
         """The reply to one batch; `ValueError` where the line is not one."""
         try:
             batch = json.loads(line)
-            now, news = batch["moment-ns"] / NS, batch["news"]
+            now, news = batch["moment-ns"] / NS_PER_S, batch["news"]
             if not isinstance(news, list):
                 raise TypeError
         except (TypeError, KeyError, json.JSONDecodeError) as error:
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -27,13 +27,13 @@
         "an aim of nothing is turned down",
         "firvane/proxy/settings.py",
         'latency_target=section.positive("slo-ns"),',
-        'latency_target=section.span("slo-ns"),',
+        'latency_target=section.duration("slo-ns"),',
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
         "two classes of one name are turned down",
         "firvane/proxy/settings.py",
-        '    _once("classes", [cls.name for cls in classes])\n',
+        '    _require_unique_names("classes", [cls.name for cls in classes])\n',
         "",
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
@@ -47,8 +47,8 @@
     Mutant(
         "a zone has its place in a row",
         "firvane/proxy/settings.py",
-        "    if zone > LAST_ZONE:",
-        "    if zone > 10 * LAST_ZONE:",
+        "    if zone > MAX_ZONE:",
+        "    if zone > 10 * MAX_ZONE:",
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -521,8 +521,8 @@
     "classes null": ("settings.classes", None, "settings: classes is missing or empty"),
     "a class a text": ("settings.classes.0", "x", "settings: classes[0] is not an object"),
     "no aim": ("settings.classes.0.slo-ns", GONE, "settings: classes[0].slo-ns is missing: give a number"),
-    "an aim of 0": ("settings.classes.0.slo-ns", 0, "settings: classes[0].slo-ns is 0, not above it: give"),
-    "a deadline of 0": ("settings.classes.1.give-up-ns", 0, "settings: classes[1].give-up-ns is 0, not"),
+    "an aim of 0": ("settings.classes.0.slo-ns", 0, "settings: classes[0].slo-ns is 0: give a number above"),
+    "a deadline of 0": ("settings.classes.1.give-up-ns", 0, "settings: classes[1].give-up-ns is 0: give a"),
     "a deadline in words": (
         "settings.classes.0.give-up-ns", "1s", "settings: classes[0].give-up-ns is not a number: '1s'; give",
     ),
@@ -532,17 +532,17 @@
     ),
     "two of a name": (
         "settings.classes.1.name", "read",
-        "settings: classes[1].name is 'read', as in classes[0]: give it its own",
+        "settings: classes[1].name is 'read', as in classes[0]: names must be unique",
     ),
     "a name a number": ("settings.classes.0.name", 5, "settings: classes[0].name is not a text: 5; put"),
-    "half a character": ("settings.classes.0.name", "\ud800", "settings: classes[0].name is '\\ud800': half"),
+    "half a character": ("settings.classes.0.name", "\ud800", "settings: classes[0].name is '\\ud800': it"),
     "tenants alike": (
-        "settings.tenants.1.name", "north", "settings: tenants[1].name is 'north', as in tenants[0]: give",
+        "settings.tenants.1.name", "north", "settings: tenants[1].name is 'north', as in tenants[0]: names",
     ),
     "cancel in words": ("settings.limits.cancel", "yes", "settings: limits.cancel is 'yes', not true or"),
     "send-cap 0": ("settings.limits.send-cap", 0, "settings: limits.send-cap is 0, below 1: give"),
     "a dial for no time": (
-        "settings.limits.dial-timeout-ns", 0, "settings: limits.dial-timeout-ns is 0, not above it: give",
+        "settings.limits.dial-timeout-ns", 0, "settings: limits.dial-timeout-ns is 0: give a number above 0",
     ),
     "limits null": ("settings.limits", None, "settings: limits is missing: give an object"),
     "no rules": ("settings.obligations", GONE, "settings: obligations is missing: give an object"),
