--- a/firvane/proxy/config/reload.py
+++ b/firvane/proxy/config/reload.py
@@ -4,7 +4,7 @@
 
 from firvane.core.interface import Settings
 from firvane.proxy.config.node import Config
-from firvane.proxy.settings_reload import waits
+from firvane.proxy.settings_reload import fields_needing_restart
 
 FIXED = ("listen", "peers", "ops")  # keys that a running proxy does not take over
 
@@ -17,7 +17,7 @@
 
 def waiting_for_start(settings: Settings, old: Config, new: Config) -> list[str]:
     """What differs and waits for the next start, by name; `settings` are those in force."""
-    waiting = waits(settings, new.settings)
+    waiting = fields_needing_restart(settings, new.settings)
     waiting += [name for name in FIXED if getattr(new, name) != getattr(old, name)]
     if (new.discovery is None) is not (old.discovery is None):
         waiting.append("kind of list")
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -23,7 +23,7 @@
 from firvane.proxy.metrics import Measures
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy_parts import ProxyParts
-from firvane.proxy.settings_reload import merged, retired
+from firvane.proxy.settings_reload import merge_settings, retire_classes
 from firvane.proxy.shutdown_timing import ShutdownTiming
 
 SNAPSHOT_LIST_TIMEOUT_S = 0.5  # at the start, in which discovery's own list is preferred to the stored one
@@ -303,7 +303,7 @@
     def _apply_settings(self, settings: api.Settings) -> None:
         """Decide new requests by other settings, which are valid."""
         engine = self.engine
-        engine_settings, self.classes = merged(engine.settings, self.classes, settings)
+        engine_settings, self.classes = merge_settings(engine.settings, self.classes, settings)
         engine.apply_settings(engine_settings)
         self.limiter.apply_settings(engine_settings, self.classes)
         self.upstream_pools.apply_settings(settings.limits, settings.rules)
@@ -317,7 +317,7 @@
         """Accept no more requests by the settings before those of `since`."""
         if self.settings_changed_at == since:
             self.limiter.forget_previous_settings()
-            self.engine.apply_settings(retired(self.engine.settings, self.classes))
+            self.engine.apply_settings(retire_classes(self.engine.settings, self.classes))
 
     def _sweep(self, due: float) -> None:
         """Close what has timed out, every `SWEEP_INTERVAL_S`."""
--- a/firvane/proxy/settings_reload.py
+++ b/firvane/proxy/settings_reload.py
@@ -1,12 +1,12 @@
-"""New settings in place of those in force: who keeps which number.
+"""Merges new settings into those in force, and keeps the indices of request classes and tenants.
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. A number stands for one class, or one tenant, as long as the process lives: what is open goes on by it.
-2. A class that is the same in both keeps its number. One that has changed gets a new one, and the old form
-   keeps its own, so that an open flow is held to the rules it was taken under.
-3. What a proxy is by its place (its number, its tier, its zone, how it hears of the list) waits for the next
-   start.
+1. An index stands for one class, or one tenant, for the lifetime of the process: open requests refer to it.
+2. A class that is equal in both settings keeps its index. A changed class gets a new index, and the old form
+   keeps its own, so that an open flow keeps the settings with which it was accepted.
+3. Settings of the proxy's place in the deployment (its index, the number of proxies, its zone, the kind of
+   discovery) change at the next start only.
 """
 
 from __future__ import annotations
@@ -17,37 +17,40 @@
 
 from firvane.core.interface import RequestClass, Settings
 
-PLACE = ("me", "proxies", "zone", "zones", "ask", "tick")
+RESTART_FIELDS = ("me", "proxies", "zone", "zones", "ask", "tick")
 
 
-def merged(old: Settings, current: Iterable[int], new: Settings) -> tuple[Settings, tuple[int, ...]]:
-    """Settings with the classes of both, and the numbers of the new ones; `current` are the old ones'."""
-    known = {old.classes[number].name: number for number in current}
-    classes, numbers = list(old.classes), list[int]()
+def merge_settings(old: Settings, current: Iterable[int], new: Settings) -> tuple[Settings, tuple[int, ...]]:
+    """Return settings with the classes of both, and the indices of the new settings' classes.
+
+    `current` are the indices of the classes of `old` that requests may name.
+    """
+    known_indices = {old.classes[index].name: index for index in current}
+    classes, indices = list(old.classes), list[int]()
     for cls in new.classes:
-        number = known.get(cls.name)
-        if number is None or classes[number] != cls:
-            number = len(classes)
+        index = known_indices.get(cls.name)
+        if index is None or classes[index] != cls:
+            index = len(classes)
             classes.append(cls)
-        numbers.append(number)
-    named = {tenant.name: tenant for tenant in new.tenants}
-    # One that is dropped keeps its number and has no share any more.
-    tenants = [named.pop(t.name, replace(t, quota_share=0.0, quota_rps=0.0)) for t in old.tenants]
-    tenants += named.values()
-    place: dict[str, Any] = {name: getattr(old, name) for name in PLACE}
-    return replace(new, classes=tuple(classes), tenants=tuple(tenants), **place), tuple(numbers)
+        indices.append(index)
+    new_tenants = {tenant.name: tenant for tenant in new.tenants}
+    # A removed tenant keeps its index and loses its quota.
+    tenants = [new_tenants.pop(t.name, replace(t, quota_share=0.0, quota_rps=0.0)) for t in old.tenants]
+    tenants += new_tenants.values()
+    fixed: dict[str, Any] = {name: getattr(old, name) for name in RESTART_FIELDS}
+    return replace(new, classes=tuple(classes), tenants=tuple(tenants), **fixed), tuple(indices)
 
 
-def waits(old: Settings, new: Settings) -> list[str]:
-    """What differs and has to wait for the next start."""
-    return [name for name in PLACE if getattr(old, name) != getattr(new, name)]
+def fields_needing_restart(old: Settings, new: Settings) -> list[str]:
+    """Return the names of the changed fields that take effect only at the next start."""
+    return [name for name in RESTART_FIELDS if getattr(old, name) != getattr(new, name)]
 
 
-def retired(settings: Settings, current: Iterable[int]) -> Settings:
-    """The same where classes that are gone have no worth beside those that are here."""
-    here = set(current)
+def retire_classes(settings: Settings, current: Iterable[int]) -> Settings:
+    """Return the settings with the value of all classes outside `current` set to 0."""
+    current_indices = set(current)
 
-    def of(number: int, cls: RequestClass) -> RequestClass:
-        return cls if number in here else replace(cls, value=0.0)
+    def retire(index: int, cls: RequestClass) -> RequestClass:
+        return cls if index in current_indices else replace(cls, value=0.0)
 
-    return replace(settings, classes=tuple(of(n, cls) for n, cls in enumerate(settings.classes)))
+    return replace(settings, classes=tuple(retire(n, cls) for n, cls in enumerate(settings.classes)))
--- a/firvane/proxy/simulator_adapter.py
+++ b/firvane/proxy/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""Translates the bench's wire (JSON lines) to the library's events and actions and back; decides nothing."""
+"""Translates the simulator's protocol (JSON lines) to the balancer's events and its actions back to JSON."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from firvane.proxy import native
 
 if __name__ == "__main__":
-    native.activate()  # before anything that is compiled is imported
+    native.activate()  # before any compiled module is imported
 
 from firvane.core.interface import (
     Action,
@@ -82,85 +82,99 @@
     )
 
 
-def _request(v: list[Any]) -> Request:
-    number, flags, cls, key, tenant, hint, left = (v + [None] * 7)[:7]
-    work = hint / NS_PER_S if hint is not None and flags & 1 else None
+def _request(values: list[Any]) -> Request:
+    number, flags, cls, key, tenant, work_ns, time_left_ns = (values + [None] * 7)[:7]
+    work = work_ns / NS_PER_S if work_ns is not None and flags & 1 else None
     return Request(
-        number, cls, left / NS_PER_S, key, tenant, work, bool(flags & RETRY_BIT), bool(flags & WRITE_BIT)
+        number,
+        cls,
+        time_left_ns / NS_PER_S,
+        key,
+        tenant,
+        work,
+        bool(flags & RETRY_BIT),
+        bool(flags & WRITE_BIT),
     )
 
 
-def _outcome(v: list[Any]) -> Outcome:
-    number, attempt, server, code, took, finished, load = (v + [None] * 7)[:7]
+def _outcome(values: list[Any]) -> Outcome:
+    number, attempt, server, code, duration_ns, finished, load = (values + [None] * 7)[:7]
     return Outcome(
         number,
         attempt,
         server,
         RESULTS.get(code, Result.UNKNOWN),
-        (took or 0) / NS_PER_S,
+        (duration_ns or 0) / NS_PER_S,
         bool(finished),
         _load(load),
     )
 
 
-def _probed(v: list[Any]) -> ProbeResult:
-    server, code, took, load = (v + [None] * 4)[:4]
-    return ProbeResult(server, RESULTS.get(code, Result.UNKNOWN), (took or 0) / NS_PER_S, _load(load))
+def _probe_result(values: list[Any]) -> ProbeResult:
+    server, code, duration_ns, load = (values + [None] * 4)[:4]
+    return ProbeResult(server, RESULTS.get(code, Result.UNKNOWN), (duration_ns or 0) / NS_PER_S, _load(load))
 
 
-def _server_list(v: list[Any]) -> ServerList:
-    return ServerList(LIST_KINDS[v[0]], v[1] or 0, tuple(_server(entry) for entry in v[2] or ()))
+def _server_list(values: list[Any]) -> ServerList:
+    return ServerList(
+        LIST_KINDS[values[0]], values[1] or 0, tuple(_server(entry) for entry in values[2] or ())
+    )
 
 
 EVENTS: dict[str, Callable[[list[Any]], Event]] = {
     "membership": _server_list,
     "request": _request,
     "outcome": _outcome,
-    "begun": lambda v: StreamStarted(v[0], v[2], v[1], (v[3] or 0) / NS_PER_S),
-    "timed-out-client": lambda v: ClientGone(v[0]),
-    "deadline-hit": lambda v: TimerFired(v[0]),
-    "inbox": lambda v: PeerMessage(v[0], bytes.fromhex(v[1])),
-    "checked": _probed,
+    "begun": lambda values: StreamStarted(values[0], values[2], values[1], (values[3] or 0) / NS_PER_S),
+    "timed-out-client": lambda values: ClientGone(values[0]),
+    "deadline-hit": lambda values: TimerFired(values[0]),
+    "inbox": lambda values: PeerMessage(values[0], bytes.fromhex(values[1])),
+    "checked": _probe_result,
 }
 
 
-def _ns(span: float) -> int:
-    return max(0, round(span * NS_PER_S))
+def _to_ns(seconds: float) -> int:
+    return max(0, round(seconds * NS_PER_S))
 
 
 ACTIONS: dict[type[Any], Callable[[str, Any], list[Any]]] = {
-    Send: lambda node, a: ["issue", node, a.id, a.server, _ns(a.timeout)],
-    Reject: lambda node, a: ["reject", node, a.id, _ns(a.retry_after)],
-    Fail: lambda node, a: ["report-failure", node, a.id],
-    Cancel: lambda node, a: ["cancel", node, a.id, a.attempt],
-    SendToPeer: lambda node, a: ["broadcast-to", node, "all" if a.peer is None else a.peer, a.payload.hex()],
-    SetTimer: lambda node, a: ["sleep", node, max(1, _ns(a.delay)), a.token],
-    Probe: lambda node, a: ["probe", node, a.server],
-    CloseIdle: lambda node, a: ["shut-idle", node, a.server],
-    Watch: lambda node, a: ["stream-changes", node, a.on],
-    Fetch: lambda node, a: ["query-all", node],
-    Log: lambda node, a: ["journal-line", node, a.text],
+    Send: lambda node, action: ["issue", node, action.id, action.server, _to_ns(action.timeout)],
+    Reject: lambda node, action: ["reject", node, action.id, _to_ns(action.retry_after)],
+    Fail: lambda node, action: ["report-failure", node, action.id],
+    Cancel: lambda node, action: ["cancel", node, action.id, action.attempt],
+    SendToPeer: lambda node, action: [
+        "broadcast-to",
+        node,
+        "all" if action.peer is None else action.peer,
+        action.payload.hex(),
+    ],
+    SetTimer: lambda node, action: ["sleep", node, max(1, _to_ns(action.delay)), action.token],
+    Probe: lambda node, action: ["probe", node, action.server],
+    CloseIdle: lambda node, action: ["shut-idle", node, action.server],
+    Watch: lambda node, action: ["stream-changes", node, action.on],
+    Fetch: lambda node, action: ["query-all", node],
+    Log: lambda node, action: ["journal-line", node, action.text],
 }
 
 
-class Link:
-    """Hosts the instances of one process. They share nothing but the wire."""
+class InstanceHost:
+    """Hosts the balancer instances of one process, which share only input and output."""
 
     def __init__(self, errors: TextIO) -> None:
         self._errors = errors
         self._running: dict[str, Balancer] = {}
 
     def reply(self, line: str) -> str:
-        """The reply to one batch; `ValueError` where the line is not one."""
+        """Return the reply to one batch; raises `ValueError` if the line is not a valid batch."""
         try:
             batch = json.loads(line)
-            now, news = batch["moment-ns"] / NS_PER_S, batch["news"]
-            if not isinstance(news, list):
+            now, events = batch["moment-ns"] / NS_PER_S, batch["news"]
+            if not isinstance(events, list):
                 raise TypeError
         except (TypeError, KeyError, json.JSONDecodeError) as error:
-            raise ValueError("not a batch") from error
+            raise ValueError("not an object with moment-ns and a list of news") from error
         actions: list[list[Any]] = []
-        for message in news:
+        for message in events:
             self._handle(message, now, actions)
         return json.dumps({"actions": actions}, separators=(",", ":"))
 
@@ -179,15 +193,15 @@
                 self._running.pop(node, None)
                 return
             elif name not in EVENTS:
-                print(f"firvane: unknown event {name!r}, passed over", file=self._errors)
+                print(f"firvane: unknown event {name!r}, ignored", file=self._errors)
                 return
             elif node not in self._running:
-                print(f"firvane: {name} for {node}, which is not running", file=self._errors)
+                print(f"firvane: event {name} for {node}, which is not running", file=self._errors)
                 return
             else:
                 answers = self._running[node].handle(EVENTS[name](values), now)
         except Exception as error:
-            # One instance's fault must not take its neighbours' replies along: it is reported as its own.
+            # A fault of one instance must not affect the replies of the others: it ends this instance only.
             traceback.print_exc(file=self._errors)
             text = str(error) if isinstance(error, ValueError) else f"{type(error).__name__}: {error}"
             actions.append(["bail-out", node, " ".join(text.split())])
@@ -198,13 +212,13 @@
 
 
 def serve(source: TextIO, sink: TextIO, errors: TextIO) -> int:
-    """Answer batches until the input ends; the exit status."""
-    link = Link(errors)
+    """Answer batches until the input ends; return the exit status."""
+    host = InstanceHost(errors)
     for number, line in enumerate(source, 1):
         try:
-            answer = link.reply(line)
+            answer = host.reply(line)
         except ValueError as error:
-            print(f"firvane: line {number} is {error}", file=errors)
+            print(f"firvane: line {number}: {error}", file=errors)
             return 2
         sink.write(answer + "\n")
         sink.flush()
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -181,8 +181,8 @@
     Mutant(
         "a class that is dropped keeps its number",
         "firvane/proxy/settings_reload.py",
-        "    classes, numbers = list(old.classes), list[int]()",
-        "    classes, numbers = [], list[int]()\n    known = {}",
+        "    classes, indices = list(old.classes), list[int]()",
+        "    classes, indices = [], list[int]()\n    known_indices = {}",
         f"{HANDS}test_a_class_that_is_dropped_keeps_what_is_open_and_what_is_being_read",
     ),
     Mutant(
--- a/tests/proxy/test_settings_reload.py
+++ b/tests/proxy/test_settings_reload.py
@@ -1,4 +1,4 @@
-"""Other settings while the proxy serves: who keeps which number, and that a useless file changes nothing."""
+"""Reload of settings in a running proxy: classes keep their indices, and an invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 from firvane.core.net.http_message import HttpError, Message
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.proxy import Proxy
-from firvane.proxy.settings_reload import merged, retired
+from firvane.proxy.settings_reload import merge_settings, retire_classes
 from tests.helpers import settings
 from tests.proxy.net.helpers import PAY, READ, run
 from tests.proxy.test_program import config
 
 
-def test_a_number_stands_for_one_class_as_long_as_the_process_lives() -> None:
-    # Guards against an open flow that is suddenly held to another class's rules.
+def test_a_class_keeps_its_index_for_the_lifetime_of_the_process() -> None:
+    # Guards against an open flow that is suddenly decided by the settings of another class.
     first = settings(classes=(READ, PAY))
     changed = replace(READ, deadline=1.0)
-    second, now = merged(first, (0, 1), settings(classes=(changed,)))
+    second, now = merge_settings(first, (0, 1), settings(classes=(changed,)))
     assert second.classes == (READ, PAY, changed) and now == (2,)
-    third, now = merged(second, now, settings(classes=(PAY, changed)))  # dropped, and there again
+    third, now = merge_settings(second, now, settings(classes=(PAY, changed)))  # removed, then added again
     assert third.classes == (READ, PAY, changed, PAY) and now == (3, 2)
-    assert [cls.value for cls in retired(third, now).classes] == [0.0, 0.0, 1.0, 1.0]
-    assert retired(third, now).classes[:2] == (replace(READ, value=0.0), replace(PAY, value=0.0))
+    assert [cls.value for cls in retire_classes(third, now).classes] == [0.0, 0.0, 1.0, 1.0]
+    assert retire_classes(third, now).classes[:2] == (replace(READ, value=0.0), replace(PAY, value=0.0))
 
 
-def test_tenants_keep_their_numbers_and_the_place_in_the_tier_is_the_same() -> None:
+def test_tenants_keep_their_indices_and_the_number_of_proxies_does_not_change() -> None:
     old = settings(tenants=(api.Tenant("a", 0.5, 9.0), api.Tenant("b")))
-    new, _ = merged(
+    new, _ = merge_settings(
         old, (0,), replace(settings(tenants=(api.Tenant("c"), api.Tenant("b", 0.1))), me=0, proxies=9)
     )
     assert new.tenants == (api.Tenant("a"), api.Tenant("b", 0.1), api.Tenant("c"))
@@ -50,8 +50,8 @@
     return message
 
 
-class Files:
-    """A proxy whose configuration is written anew."""
+class ReloadedProxy:
+    """A proxy, and its configuration file, which the test rewrites."""
 
     def __init__(self, folder: Path) -> None:
         self.environment = config(folder)
@@ -70,51 +70,54 @@
         return json.dumps({**self.data, "settings": {**self.data["settings"], **changes}})
 
 
-def test_a_class_is_added_and_another_dropped_while_both_are_asked_for(tmp_path: Path) -> None:
-    # Guards the swap: new requests by the new classes, and for a while those of before as they were.
+def test_requests_name_added_classes_and_for_a_while_removed_ones(tmp_path: Path) -> None:
+    # After a reload, requests name the new classes, and for a while also the previous ones, unchanged.
     async def work() -> None:
-        files = Files(tmp_path)
-        limiter, old = files.proxy.limiter, files.data["settings"]["classes"]
+        reloaded = ReloadedProxy(tmp_path)
+        limiter, old = reloaded.proxy.limiter, reloaded.data["settings"]["classes"]
         first = old[0]["name"].encode()
-        safe = b"GET" if files.start.classes[0].idempotency is api.Idempotency.SAFE else b"POST"
-        files.write(files.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
-        assert files.proxy.reload_counts.taken == 1
-        assert files.proxy.config.discovery is None  # where the list comes from waits for the next start
+        safe = b"GET" if reloaded.start.classes[0].idempotency is api.Idempotency.SAFE else b"POST"
+        reloaded.write(reloaded.settings(classes=[{**old[0], "name": "fresh"}, *old[1:]]))
+        assert reloaded.proxy.reload_counts.taken == 1
+        assert reloaded.proxy.config.discovery is None  # the kind of discovery changes at the next start only
         number = limiter.parse_request(request(b"/fresh/1", safe))[0].class_id
-        assert files.proxy.engine.settings.classes[number].name == "fresh"
+        assert reloaded.proxy.engine.settings.classes[number].name == "fresh"
         assert limiter.parse_request(request(b"/" + first, safe))[0].class_id == 0
-        files.proxy._retire_settings(files.proxy.settings_changed_at)
+        reloaded.proxy._retire_settings(reloaded.proxy.settings_changed_at)
         with pytest.raises(HttpError):
             limiter.parse_request(request(b"/" + first, safe))
 
     run(work())
 
 
-def test_a_useless_file_changes_nothing(tmp_path: Path) -> None:
-    # Guards against settings half old and half new, from a file cut at any place or short of any key.
+def test_an_invalid_file_changes_nothing(tmp_path: Path) -> None:
+    # Guards against partly applied settings from a file that is truncated or lacks a key.
     async def work() -> None:
-        files = Files(tmp_path)
-        proxy, given = files.proxy, files.data["settings"]
-        whole = files.settings()
-        useless = ["", "{}", "[]", "null", *(whole[:end] for end in range(0, len(whole) - 1, 97))]
-        for key in files.data["settings"]:
-            short = {name: value for name, value in given.items() if name != key}
-            useless.append(json.dumps({**files.data, "settings": short}))
+        reloaded = ReloadedProxy(tmp_path)
+        proxy, settings_data = reloaded.proxy, reloaded.data["settings"]
+        whole = reloaded.settings()
+        invalid = ["", "{}", "[]", "null", *(whole[:end] for end in range(0, len(whole) - 1, 97))]
+        for key in reloaded.data["settings"]:
+            short = {name: value for name, value in settings_data.items() if name != key}
+            invalid.append(json.dumps({**reloaded.data, "settings": short}))
         for part in ("limits", "obligations"):
-            for key in given[part]:
-                short = {name: value for name, value in given[part].items() if name != key}
-                useless.append(files.settings(**{part: short}))
-        for key in set.intersection(*map(set, given["classes"])):
-            classes = [{k: v for k, v in given["classes"][0].items() if k != key}, *given["classes"][1:]]
-            useless.append(files.settings(classes=classes))
+            for key in settings_data[part]:
+                short = {name: value for name, value in settings_data[part].items() if name != key}
+                invalid.append(reloaded.settings(**{part: short}))
+        for key in set.intersection(*map(set, settings_data["classes"])):
+            classes = [
+                {k: v for k, v in settings_data["classes"][0].items() if k != key},
+                *settings_data["classes"][1:],
+            ]
+            invalid.append(reloaded.settings(classes=classes))
         for bad in (0, -1, "1", None, float("nan"), True):
-            useless.append(files.settings(limits={**given["limits"], "send-cap": bad}))
-            useless.append(files.settings(classes=[{**given["classes"][0], "give-up-ns": bad}]))
-        for text in useless:
-            files.write(text)
-        assert (proxy.reload_counts.taken, proxy.reload_counts.errors) == (0, len(useless))
-        assert proxy.engine.settings is files.start and proxy.limiter.settings is files.start
-        files.write(whole)
+            invalid.append(reloaded.settings(limits={**settings_data["limits"], "send-cap": bad}))
+            invalid.append(reloaded.settings(classes=[{**settings_data["classes"][0], "give-up-ns": bad}]))
+        for text in invalid:
+            reloaded.write(text)
+        assert (proxy.reload_counts.taken, proxy.reload_counts.errors) == (0, len(invalid))
+        assert proxy.engine.settings is reloaded.start and proxy.limiter.settings is reloaded.start
+        reloaded.write(whole)
         assert proxy.reload_counts.taken == 1
 
     run(work())
