--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -29,19 +29,19 @@
 
     Attributes:
         epoch: The epoch of the policy in use, or 0 for none.
-        stamp: The header line of responses that names the policy, or b"".
+        epoch_header: The header line of responses that names the policy, or b"".
     """
 
     epoch: int
-    stamp: bytes
+    epoch_header: bytes
 
     async def start(self) -> None:
         """Start; returns once the policy in force is in use here."""
 
-    def heard(self, sender: int, payload: bytes) -> bool:
+    def on_datagram(self, sender: int, payload: bytes) -> bool:
         """Take in a peer's datagram; return whether it was for the agreement."""
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         """Whether a new request may be decided now."""
 
     def call(self, asked: AdminCall) -> bytes:
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -375,10 +375,10 @@
         # Asked at each request: the process may have been suspended since it was read.
         policy_lease = self.context.policy_lease
         if policy_lease is not None and self.context.ready:
-            if not policy_lease.may():
+            if not policy_lease.may_accept():
                 self.on_rejected(self.context.count_rejected(message))
                 return
-            self.policy_field = policy_lease.stamp
+            self.policy_field = policy_lease.epoch_header
         try:
             request, left = self.context.parse_request(message)
         except HttpError as error:
@@ -423,6 +423,6 @@
             up = (
                 context.ready
                 and not context.draining
-                and (context.policy_lease is None or context.policy_lease.may())
+                and (context.policy_lease is None or context.policy_lease.may_accept())
             )
             self._respond_status(200 if up else 503)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -34,9 +34,9 @@
 class PolicyLease(Protocol):
     """Whether requests may be decided now, and by which policy."""
 
-    stamp: bytes  # a header line that names the policy in each response, or b""
+    epoch_header: bytes  # a header line that names the policy in each response, or b""
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         """Whether a new request may be decided now."""
 
 
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -218,7 +218,7 @@
         state = self.lifecycle.state.value
         if not self.lifecycle.meaning().takes:
             return calls.format_error(f"{state}: no clients yet")
-        if self.policy_agreement and not self.policy_agreement.may():
+        if self.policy_agreement and not self.policy_agreement.may_accept():
             return calls.format_error(f"{state}, and refuses: it has no lease on the policy in force")
         return calls.format_ok(state)
 
@@ -290,12 +290,12 @@
         known = config.known if old.known else None
         self.config = replace(old, settings=config.settings, shape=config.shape, known=known)
 
-    def fits(self, settings: api.Settings) -> str:
+    def unfit_reason(self, settings: api.Settings) -> str:
         """Why a policy with these settings does not fit the limits of this proxy; "" where it does."""
         most = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW_BYTES)
         return check_open_flows(settings, most)
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_policy(self, settings: api.Settings) -> None:
         """Apply a policy that is in force: requests by the settings before are accepted no more."""
         self._apply_settings(settings)
         self.limiter.forget_previous_settings()
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -170,7 +170,7 @@
         self.engine.update_server_list(update)
 
     def _receive_datagram(self, sender: int, payload: bytes) -> None:
-        if self.policy_agreement and self.policy_agreement.heard(sender, payload):
+        if self.policy_agreement and self.policy_agreement.on_datagram(sender, payload):
             return
         self.engine.dispatch(api.PeerMessage(sender, payload))
 
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -2,7 +2,7 @@
 
 Invariants:
 
-1. Time is read where it counts, from a clock that nobody sets: at each event, and at each request in `may`.
+1. Time is read where it counts, from a clock that nobody sets: at each event, and at each request in `may_accept`.
    What is due by then is done before the request is decided, so that no request is decided by an epoch that
    is over, and a process that was suspended decides nothing by what it knew before.
 2. Events are handled one after the other; those that come while one is handled wait for their turn.
@@ -46,7 +46,7 @@
 
     Attributes:
         epoch: The epoch whose policy is in use; 0 before there is one.
-        stamp: The header line of that epoch that answers carry, or none.
+        epoch_header: The header line of that epoch that answers carry, or none.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self.admin: AdminCalls | None = None  # as soon as there is a member
         self.value: Value | None = None  # whose policy is in use
         self.epoch = 0
-        self.stamp = NO_HEADER
+        self.epoch_header = NO_HEADER
         self.first_lease = asyncio.Event()
         self.history: list[HistoryEntry] = []
         self.events: deque[Event] = deque()
@@ -170,7 +170,7 @@
             votes=status["votes"],
         )
 
-    def heard(self, sender: int, payload: bytes) -> bool:
+    def on_datagram(self, sender: int, payload: bytes) -> bool:
         """Handle a peer's datagram; return whether it was for the consensus."""
         if payload[:1] != MESSAGE_PREFIX:
             return False
@@ -178,7 +178,7 @@
             self._handle(events.MessageReceived(sender, payload))
         return True
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         """Whether a new request may be decided now, by the settings in use."""
         member = self.member
         if member is None or self.closed:
@@ -276,9 +276,9 @@
             self.log.error("policy_text_missing", epoch=value.epoch, digest=value.digest.hex())
             return
         if self.value is None or self.value.digest != value.digest:
-            self.host.adopt(settings)
+            self.host.apply_policy(settings)
         self.value, self.epoch = value, value.epoch
-        self.stamp = b"X-Policy-Epoch: %d\r\n" % value.epoch if self.config.tell else NO_HEADER
+        self.epoch_header = b"X-Policy-Epoch: %d\r\n" % value.epoch if self.config.tell else NO_HEADER
 
     # Texts
 
--- a/firvane/proxy/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -46,8 +46,8 @@
     def wall(self) -> Callable[[], float]:
         """Returns Unix time in seconds."""
 
-    def fits(self, settings: api.Settings) -> str:
+    def unfit_reason(self, settings: api.Settings) -> str:
         """Return why the proxy has no capacity for these settings; "" where it has."""
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_policy(self, settings: api.Settings) -> None:
         """Decide all requests that come from now on by these settings, which have been validated."""
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -101,7 +101,7 @@
             settings = policies.settings(policy, self.base_settings)
         except ValidationError as error:
             return PolicyCheck("; ".join(error.lines()))
-        reason = self.host.fits(settings)
+        reason = self.host.unfit_reason(settings)
         return PolicyCheck(reason) if reason else PolicyCheck("", settings, policy.voters)
 
     # Fetching
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -110,9 +110,9 @@
     """Lets answers tell which file a proxy's policy is from, where there is no agreement that would."""
 
     def __init__(self, epoch: int) -> None:
-        self.stamp = b"X-Policy-Epoch: %d\r\n" % epoch
+        self.epoch_header = b"X-Policy-Epoch: %d\r\n" % epoch
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         return True
 
 
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -80,9 +80,9 @@
 @pytest.mark.parametrize(
     ("whose", "name", "broken"),
     [
-        (Proxy, "adopt", Proxy._apply_settings),  # names of before may still be asked for
+        (Proxy, "apply_policy", Proxy._apply_settings),  # names of before may still be asked for
         (PolicyConsensus, "_activate", late),  # what decides is not what it says
-        (PolicyConsensus, "heard", lambda self, sender, payload: True),  # nobody is listened to
+        (PolicyConsensus, "on_datagram", lambda self, sender, payload: True),  # nobody is listened to
         (PolicyConsensus, "_fetch", lambda self, action: None),  # nor asked for the text
     ],
 )
@@ -121,7 +121,7 @@
 class TrustsItsTick(PolicyConsensus):
     """Goes by what was so when it last looked."""
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         assert self.member
         return self.has_lease
 
@@ -129,7 +129,7 @@
 class Lets(PolicyConsensus):
     """Decides without a lease."""
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         return self.value is not None
 
 
@@ -210,7 +210,7 @@
     # One proxy alone has no room for it, and its no ends the change.
     proxy = fleet.proxies[2].proxy
     assert proxy
-    proxy.fits = lambda settings: "limits.open_flows: lower it"  # type: ignore[method-assign]
+    proxy.unfit_reason = lambda settings: "limits.open_flows: lower it"  # type: ignore[method-assign]
     assert await fleet.propose(0, OTHER) == "+OK open\n"
     said = await fleet.outcome(0, OTHER)
     assert said == "+OK failed: proxy 2 says no: limits.open_flows: lower it\n"
@@ -298,7 +298,7 @@
         lines = [*calls.format_put_calls(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
         assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
         # A lease that a busy machine let lapse comes again, and the epoch in use is the new one then.
-        while agreement.epoch == 1 or not agreement.may():
+        while agreement.epoch == 1 or not agreement.may_accept():
             await asyncio.sleep(0.02)
         assert agreement.epoch == 2
         assert await ask(at, b"policy-outcome " + digest_of(OTHER).hex().encode() + b"\n") != b""
--- a/tests/simulation/runner/test_policies.py
+++ b/tests/simulation/runner/test_policies.py
@@ -115,7 +115,7 @@
 
     def respond(self: Any, *args: Any) -> None:
         if self.policy_field and self.context.policy_lease:
-            self.policy_field = self.context.policy_lease.stamp
+            self.policy_field = self.context.policy_lease.epoch_header
         whole(self, *args)
 
     monkeypatch.setattr(ClientConnection, "_respond", respond)
