--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -2,7 +2,7 @@
 
 Invariants:
 
-1. Time is read where it counts, from a clock that nobody sets: at each event, and at each request in `may_accept`.
+1. Time is read where it counts, from a clock that nobody sets: at each event, and at each `may_accept`.
    What is due by then is done before the request is decided, so that no request is decided by an epoch that
    is over, and a process that was suspended decides nothing by what it knew before.
 2. Events are handled one after the other; those that come while one is handled wait for their turn.
