--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -110,7 +110,7 @@
     def _abandon(self, flow: Flow[Message, Message]) -> None:
         """End a request whose client has gone."""
         if self.context.metrics is not None:
-            self.context.metrics.left(flow)
+            self.context.metrics.on_client_disconnected(flow)
         self.context.engine.on_client_disconnected(flow)
 
     def has_pending_work(self) -> bool:
@@ -411,7 +411,7 @@
         context.count_request(self)
         context.open_ids.add(message.fields[b"x-call-id"])
         if context.metrics is not None:
-            context.metrics.take(self.flow, request, context.settings)
+            context.metrics.on_request(self.flow, request, context.settings)
         context.engine.accept_request(self.flow, request)
 
     def _handle_ready(self, message: Message) -> None:
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -43,13 +43,13 @@
 class RequestMetrics(Protocol):
     """Counts of requests by class and tenant."""
 
-    def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
+    def on_request(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
         """A request is taken up."""
 
-    def left(self, flow: Flow[Message, Message]) -> None:
+    def on_client_disconnected(self, flow: Flow[Message, Message]) -> None:
         """The client of a request has gone."""
 
-    def unseen(self, cls: str, tenant: str | None) -> None:
+    def on_unparsed_rejection(self, cls: str, tenant: str | None) -> None:
         """A request was rejected before it was parsed."""
 
 
@@ -235,7 +235,7 @@
         """Count a request that is rejected before any decision, by its class and tenant on the wire."""
         if self.metrics is not None:
             known = tenant.decode("latin-1") if tenant in self.tenants else None
-            self.metrics.unseen(cls.decode("latin-1"), known)
+            self.metrics.on_unparsed_rejection(cls.decode("latin-1"), known)
 
     def pause_accepting(self) -> None:
         """All descriptors for client connections are in use."""
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -20,7 +20,7 @@
 from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_costs import FLOW_BYTES, MB
-from firvane.proxy.metrics import Measures
+from firvane.proxy.metrics import ProxyMeasurements
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy_parts import ProxyParts
 from firvane.proxy.settings_reload import merge_settings, retire_classes
@@ -196,7 +196,7 @@
         if call is Call.SHOW_STAT:
             return calls.format_block(self.figures().text())
         if call is Call.MEASURES:
-            if not isinstance(self.limiter.metrics, Measures):
+            if not isinstance(self.limiter.metrics, ProxyMeasurements):
                 return calls.format_error("nothing is measured here: measures is not set")
             return calls.format_block(self.limiter.metrics.text())
         if call is Call.READY:
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -28,7 +28,7 @@
 from firvane.proxy.limits.discovery_timing import DiscoveryBackoff
 from firvane.proxy.limits.memory_account import MemoryUse
 from firvane.proxy.limits.memory_costs import BACKEND_BYTES, MB
-from firvane.proxy.metrics import Errors, Measures, Used
+from firvane.proxy.metrics import ErrorCountingLog, ProxyMeasurements, ResourceUse
 from firvane.proxy.net.connection_limiter import ConnectionLimiter
 from firvane.proxy.net.endpoint_list import EndpointListReader
 from firvane.proxy.net.listening_socket import (
@@ -78,7 +78,7 @@
     ) -> None:
         """Make the parts (see `Proxy`); `has_policy` reserves descriptors for the agreement on one."""
         log = log or logs.make(config.log_level, config.log_format, wall=wall)
-        errors = Errors(log) if config.measures else None
+        errors = ErrorCountingLog(log) if config.measures else None
         self.log: logs.Log = (errors or log).bind(proxy=config.name)
         self.loop, self.config, self.wall = loop, config, wall
         self.is_virtual = dialer is not None
@@ -146,7 +146,7 @@
         )
         self.monitor.report_pressure = self.engine.dispatch
 
-    def _make_client_side(self, config: Config, errors: Errors | None) -> None:
+    def _make_client_side(self, config: Config, errors: ErrorCountingLog | None) -> None:
         """Make the client connections and their listening socket (`OSError` where none is inherited)."""
         loop = self.loop
         self.limiter = ConnectionLimiter(loop, self.engine, config.settings, self.monitor)
@@ -161,7 +161,9 @@
             version = config.version or __version__
             # The loop's own clock stands still within a turn, and on uvloop it counts whole milliseconds.
             clock = loop.time if self.is_virtual else time.monotonic
-            self.limiter.metrics = Measures(clock, self.used, errors.count, version, os.getpid())
+            self.limiter.metrics = ProxyMeasurements(
+                clock, self.resource_use, errors.count, version, os.getpid()
+            )
 
     def _listed(self, update: api.ServerList) -> None:
         tables = BACKEND_BYTES * len(self.target_group.servers)
@@ -187,8 +189,8 @@
             self.reload_counts,
         )
 
-    def used(self) -> Used:
+    def resource_use(self) -> ResourceUse:
         """CPU time, memory and descriptors that this process uses."""
         usage, held = self.monitor.usage(), sum(self.monitor.descriptors.open.values())
         opened = held if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
-        return Used(usage.cpu, usage.memory / MB, opened)
+        return ResourceUse(usage.cpu, usage.memory / MB, opened)
--- a/firvane/simulation/runner/versions.py
+++ b/firvane/simulation/runner/versions.py
@@ -17,7 +17,7 @@
 from struct import Struct
 from typing import Any, Literal
 
-from firvane.proxy.metrics import Used
+from firvane.proxy.metrics import ResourceUse
 
 VersionName = Literal[
     "same",  # the program as it is
@@ -92,10 +92,10 @@
         if name == "no-drains":
             self.read, proxy.target_group.reader.read = proxy.target_group.reader.read, self._read
         if proxy.limiter.metrics is not None:
-            proxy.limiter.metrics.used = self.used
+            proxy.limiter.metrics.resource_use = self.used
             proxy.limiter.metrics.pid = seed
 
-    def used(self) -> Used:
+    def used(self) -> ResourceUse:
         """What such a process would say: it grows to its size, its memory jitters, each request costs."""
         up = self.loop.time() - self.since
         held = 30.0 + 2.0 * (1 - exp(-up / 5)) + self.draw.uniform(-0.02, 0.02)
@@ -103,7 +103,7 @@
             held += self.size * up / 60
         counts = self.proxy.limiter.metrics.classes.values()
         cpu = sum(0.0005 * one.taken + 0.0002 * one.attempts for one in counts)
-        return Used(cpu, held, sum(self.proxy.monitor.descriptors.open.values()))
+        return ResourceUse(cpu, held, sum(self.proxy.monitor.descriptors.open.values()))
 
     def _take(self, flow: Any, request: Any) -> None:
         self.taken += 1
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""What `measures` tell is what clients saw, and nothing of a run changes by them."""
+"""The counts that `measures` returns equal what clients received, and counting changes nothing in a run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from firvane.simulation.emulation.scenario import Boxes, Load, Proxies, Scenario, Trouble
 from firvane.simulation.runner import run, tier, virtual_proxy
 
-# For a while more than the boxes can do, and connections that break: answers of all kinds.
+# An overload of the backends for a while, and broken connections, so that there are answers of all kinds.
 DAY = Scenario(
     name="measured",
     seconds=8.0,
@@ -34,32 +34,32 @@
 NAMES = ("taken", "in_time", "late", "refused", "failed", "attempts")
 
 
-def shut(proxy: Proxy) -> None:
-    """Part of what comes is turned away unseen from now on: virtual time itself is never short of turns."""
+def shed_part(proxy: Proxy) -> None:
+    """Reject part of the requests unparsed from now on; virtual time never overloads the event loop."""
     proxy.limiter.shed([0.2] * 9, 0.1)
-    proxy.engine.load_shedder = None  # the decisions, which see no need for it, say nothing else
+    proxy.engine.load_shedder = None  # the decisions see no overload, and must not undo it
 
 
-def played(patch: pytest.MonkeyPatch, on: bool = True, get: bool = True) -> tuple[bytes, list[Record]]:
-    """What the door says at the end, and all that was seen from outside."""
-    proxies, records, told = list[Proxy](), list[Record](), tier.configuration
+def run_day(patch: pytest.MonkeyPatch, on: bool = True, get: bool = True) -> tuple[bytes, list[Record]]:
+    """Return the answer to `measures` at the end of a run, and the records of the clients and backends."""
+    proxies, records, configuration = list[Proxy](), list[Record](), tier.configuration
 
     def make(*args: Any, **more: Any) -> Proxy:
         usage = lambda: Usage(0.1 * args[0].time(), 3 << 20)  # noqa: E731
         proxies.append(Proxy(*args, **{**more, "usage": usage}))
-        args[0].call_at(5.0, shut, proxies[-1])
+        args[0].call_at(5.0, shed_part, proxies[-1])
         return proxies[-1]
 
     with patch.context() as patched:
-        patched.setattr(tier, "configuration", lambda *args: {**told(*args), "measures": on})
+        patched.setattr(tier, "configuration", lambda *args: {**configuration(*args), "measures": on})
         patched.setattr(virtual_proxy, "Proxy", make)
         day = structs.replace(DAY, load=structs.replace(DAY.load, may_repeat=get))
         run.play_virtual(day, 3, records.append)
     return proxies[0]._answer(AdminCall(Call.MEASURES)), records
 
 
-def agrees(answer: bytes, records: list[Record]) -> bool:
-    """Whether the counts are those of the answers that clients had."""
+def counts_match(answer: bytes, records: list[Record]) -> bool:
+    """Whether the counts equal the answers that clients received."""
     said = json.loads(answer.split(b"\n")[0])
     seen = Counter(record.status for record in records if isinstance(record, Answered))
     (counts,) = said["classes"].values()
@@ -76,32 +76,38 @@
 
 
 @pytest.mark.parametrize("get", [True, False])
-def test_counts_are_what_clients_saw_and_change_nothing(monkeypatch: pytest.MonkeyPatch, get: bool) -> None:
-    answer, records = played(monkeypatch, get=get)
-    assert agrees(answer, records)
-    said, without = played(monkeypatch, False, get)
-    assert without == records
-    assert said == b"-ERR nothing is measured here: measures is not set\n"
-
-
-@pytest.mark.parametrize(("part", "get"), [("unseen", True), ("on_failed", False)])
-def test_a_count_that_is_left_out_is_found(monkeypatch: pytest.MonkeyPatch, part: str, get: bool) -> None:
-    where: Any = metrics.Measures if part == "unseen" else metrics.Counted
-    passed_on = (lambda *args: None) if part == "unseen" else (lambda counted: counted.client.on_failed())
-    monkeypatch.setattr(where, part, passed_on)
-    assert not agrees(*played(monkeypatch, get=get))
+def test_counts_equal_what_clients_received_and_change_nothing(
+    monkeypatch: pytest.MonkeyPatch, get: bool
+) -> None:
+    answer, records = run_day(monkeypatch, get=get)
+    assert counts_match(answer, records)
+    refusal, records_without = run_day(monkeypatch, False, get)
+    assert records_without == records
+    assert refusal == b"-ERR nothing is measured here: measures is not set\n"
+
+
+@pytest.mark.parametrize(("method", "get"), [("on_unparsed_rejection", True), ("on_failed", False)])
+def test_a_missing_count_is_detected(monkeypatch: pytest.MonkeyPatch, method: str, get: bool) -> None:
+    where: Any = metrics.ProxyMeasurements if method == "on_unparsed_rejection" else metrics.CountingClient
+    passed_on = (
+        (lambda *args: None)
+        if method == "on_unparsed_rejection"
+        else (lambda counted: counted.client.on_failed())
+    )
+    monkeypatch.setattr(where, method, passed_on)
+    assert not counts_match(*run_day(monkeypatch, get=get))
 
 
 @pytest.mark.parametrize(
     ("latency", "number"), [(0.0, 0), (1e-6, 0), (2e-6, 8), (0.0010239999, 79), (0.001024, 80), (2.5, 170)]
 )
-def test_buckets_are_eight_to_a_doubling(latency: float, number: int) -> None:
+def test_a_doubling_of_the_latency_has_eight_buckets(latency: float, number: int) -> None:
     assert metrics.bucket(latency) == number
 
 
-def test_errors_are_counted_whoever_the_log_is_bound_to() -> None:
+def test_errors_of_bound_logs_are_counted() -> None:
     lines: list[str] = []
-    log = metrics.Errors(logs.make("error", write=lines.append, wall=lambda: 0.0))
+    log = metrics.ErrorCountingLog(logs.make("error", write=lines.append, wall=lambda: 0.0))
     bound = log.bind(proxy="p").bind(flow=1)
     bound.warning("odd")
     bound.error("bad")
