--- a/firvane/proxy/native.py
+++ b/firvane/proxy/native.py
@@ -1,13 +1,14 @@
-"""Compiled modules in place of the interpreted ones, where they were made from these very sources.
+"""Imports compiled modules instead of the interpreted ones, if they were compiled from the same sources.
 
 `tools/build_native.py` compiles `MODULES` into `.native/<digest>/` beside the package (docs/native.md).
 
-Rules that hold here and nowhere else:
+Invariants:
 
-1. The digest covers the sources, this Python, and the recipe (the build's script and what it pins). What was
-   not compiled from exactly these is not used: there is no stale one.
-2. The compiled modules lie outside the package, so that only a program that calls `activate` gets them.
-3. All of them are used or none. Where they cannot be, the sources run as they are, and `state` says why.
+1. The digest covers the sources, the Python version, and the recipe (the build scripts and pinned
+   requirements). Modules compiled from anything else are not used, so that stale ones never are.
+2. The compiled modules are outside the package, so that only a program that calls `activate` uses them.
+3. Either all of them are used or none. If they cannot be used, the sources are interpreted, and `state`
+   returns the reason.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 from types import ModuleType
 from typing import NamedTuple
 
-# In the order of the floors; which ones pay was measured, see docs/native.md.
+# Lower layers first. Only modules that are measurably faster when compiled, see docs/native.md.
 MODULES = (
     "firvane.core.interface",
     "firvane.core.balancing.records",
@@ -59,41 +60,44 @@
 )
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 RECIPE = ("requirements-build.txt", "tools/build_native.py", "tools/compile_native.py")
-GROUP = "firvane_native"  # the library that holds the code of all of them is GROUP__mypyc
-SWITCH = "FIRVANE_NATIVE"  # 0 in the environment: as it is, interpreted
+GROUP = "firvane_native"  # name of the mypyc group; the shared library with the code is GROUP__mypyc
+SWITCH = "FIRVANE_NATIVE"  # environment variable; 0 disables the compiled modules
 SUFFIX = EXTENSION_SUFFIXES[0]
 
 
 class Native(NamedTuple):
-    """Whether compiled modules are in use, and why (where they are: which)."""
+    """Whether compiled modules are in use, and the reason if not, or else their digest."""
 
     on: bool
     why: str
 
 
-def source(module: str, root: str = ROOT) -> str:
-    """The path of a module's source."""
+def source_path(module: str, root: str = ROOT) -> str:
+    """Return the path of a module's source."""
     return os.path.join(root, *module.split(".")) + ".py"
 
 
 def digest(root: str = ROOT) -> str:
-    """What names the compiled form of the sources as they are now; `OSError` where one cannot be read."""
-    known = hashlib.blake2b(f"{sys.version} {SUFFIX}".encode(), digest_size=10)
-    for path in (*(os.path.join(root, name) for name in RECIPE), *(source(name, root) for name in MODULES)):
+    """Return the digest of the current sources and recipe; raises `OSError` if a file cannot be read."""
+    hasher = hashlib.blake2b(f"{sys.version} {SUFFIX}".encode(), digest_size=10)
+    for path in (
+        *(os.path.join(root, name) for name in RECIPE),
+        *(source_path(name, root) for name in MODULES),
+    ):
         with open(path, "rb") as file:
             content = file.read()
-        known.update(b"%d " % len(content))
-        known.update(content)
-    return known.hexdigest()
+        hasher.update(b"%d " % len(content))
+        hasher.update(content)
+    return hasher.hexdigest()
 
 
-def place(root: str = ROOT) -> str:
-    """Where compiled modules lie, a folder for each digest."""
+def compiled_folder(root: str = ROOT) -> str:
+    """Return the folder of compiled modules, which has a subfolder for each digest."""
     return os.path.join(root, ".native")
 
 
 class Finder:
-    """Finds the compiled modules before the interpreted ones; a finder of `sys.meta_path`."""
+    """A finder for `sys.meta_path` that finds the compiled modules."""
 
     def __init__(self, folder: str) -> None:
         names = (*MODULES, f"{GROUP}__mypyc")
@@ -107,40 +111,40 @@
         return None
 
 
-_state = Native(False, "never asked for")
+_state = Native(False, "activate was not called")
 
 
 def state() -> Native:
-    """What `activate` has come to in this process."""
+    """Return the outcome of `activate` in this process."""
     return _state
 
 
 def activate(environment: Mapping[str, str] = os.environ, root: str = ROOT) -> Native:
-    """Use the compiled modules from now on, where there are such for the sources as they are now.
+    """Use the compiled modules from now on, if there are any for the current sources.
 
-    To be called before any of them is imported. Never fails: what keeps them out is in `why`.
+    Must be called before any of them is imported. Never raises: the reason of a failure is in `why`.
     """
     global _state
     if not _state.on:
-        _state = _activated(environment, root)
+        _state = _try_activate(environment, root)
     return _state
 
 
-def _activated(environment: Mapping[str, str], root: str) -> Native:
+def _try_activate(environment: Mapping[str, str], root: str) -> Native:
     if environment.get(SWITCH) == "0":
         return Native(False, f"{SWITCH}=0")
     if early := [name for name in MODULES if name in sys.modules]:
         return Native(False, f"{early[0]} was imported before")
-    if not os.path.isdir(place(root)):
+    if not os.path.isdir(compiled_folder(root)):
         return Native(False, "nothing is compiled")
     try:
-        folder = os.path.join(place(root), digest(root))
+        folder = os.path.join(compiled_folder(root), digest(root))
         if not os.path.isdir(folder):
             return Native(False, "the sources are not those that were compiled")
         finder = Finder(folder)
         sys.meta_path.insert(0, finder)
         try:
-            __import__(f"{GROUP}__mypyc")  # what cannot be loaded shows here, before any module is half in
+            __import__(f"{GROUP}__mypyc")  # fails here, before any module is imported, if it cannot be loaded
         except BaseException:
             sys.meta_path.remove(finder)
             raise
--- a/tests/proxy/test_native.py
+++ b/tests/proxy/test_native.py
@@ -1,4 +1,4 @@
-"""The compiled modules: alike to the bit with the sources, never stale, and no harm where there are none."""
+"""The compiled modules: results bit-identical to the sources, never stale, and optional."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 from tests.proxy.test_simulator_adapter import PARAMS, batch
 
 ROOT = Path(native.ROOT)
-FORM = Path(native.place()) / native.digest()
+COMPILED = Path(native.compiled_folder()) / native.digest()
 compiled = pytest.mark.skipif(
-    not FORM.is_dir(), reason="nothing is compiled from the sources as they are: make native"
+    not COMPILED.is_dir(), reason="nothing is compiled from the sources as they are: make native"
 )
 
 
-def python(*arguments: str, root: Path = ROOT, told: str = "", **environment: str) -> tuple[str, str]:
-    """What a program of its own says on standard output and standard error."""
+def python(*arguments: str, root: Path = ROOT, stdin: str = "", **environment: str) -> tuple[str, str]:
+    """Run Python as a separate process, and return its standard output and standard error."""
     done = subprocess.run(
         [sys.executable, *arguments],
         cwd=root,
         env={**os.environ, "PYTHONPATH": str(ROOT), "PYTHONDONTWRITEBYTECODE": "1", **environment},
-        input=told,
+        input=stdin,
         capture_output=True,
         text=True,
         timeout=120,
@@ -39,33 +39,33 @@
     return done.stdout, done.stderr
 
 
-def histories() -> str:
-    """A digest of all that the decisions do over drawn events: exact to the last bit of each number."""
+def random_histories() -> str:
+    """Return a digest of all actions over random events, exact to the last bit of each number."""
     from tests.proxy.test_rules import CONFIGS, drive
 
-    seen = hashlib.sha256()
+    digest = hashlib.sha256()
     for seed in range(10):
         for config in CONFIGS:
-            seen.update("".join(drive(random.Random(seed), 400, config)).encode())
-    return seen.hexdigest()
+            digest.update("".join(drive(random.Random(seed), 400, config)).encode())
+    return digest.hexdigest()
 
 
-def bank() -> str:
-    """The same of a bank of proxies' decisions under an even load, where rows, keys and rooms count."""
+def proxies_under_load() -> str:
+    """Return the actions of several proxies under constant load, which uses rows, keys and capacities."""
     from benchmarks.decisions import measure
 
     return " ".join(str(measure(boxes, 0.05, 1)["actions"]) for boxes in (14, 120))
 
 
-def whole_run() -> str:
-    """The hash of a rehearsal with troubles of all kinds: every byte of real proxies in virtual time."""
+def rehearsal() -> str:
+    """Return the hash of a rehearsal with all kinds of faults: every byte of real proxies in virtual time."""
     from tests.simulation.runner.test_run import ROUGH, hashed
 
     return hashed(ROUGH, 3)
 
 
-def wire() -> str:
-    """What the simulator's wire answers."""
+def simulator_input() -> str:
+    """Return batches of the simulator's protocol."""
     request = ["request", "node/0", 9, 0, 0, "k", 0, None, 1_000_000_000]
     lists = ["membership", "node/0", "total", 3, [["s1", 0, 0, "U", None, 1, 0], ["s2", 0, 1, "U", 0, 2, 0]]]
     lines = [batch(["power-on", "node/0", 7, PARAMS], lists, request)]
@@ -73,7 +73,7 @@
     return "\n".join(lines) + "\n"
 
 
-ALONE = """
+SCRIPT = """
 from firvane.proxy import native
 on = native.activate().on
 from tests.proxy import test_native
@@ -82,25 +82,29 @@
 
 
 @compiled
-@pytest.mark.parametrize("play", [histories, bank, whole_run], ids=lambda play: play.__name__)
-def test_compiled_and_interpreted_act_alike_to_the_bit(play: Callable[[], str]) -> None:
-    code = ALONE.format(play.__name__)
-    on, there = python("-c", code)[0].split(maxsplit=1)
-    off, here = python("-c", code, FIRVANE_NATIVE="0")[0].split(maxsplit=1)
+@pytest.mark.parametrize(
+    "play", [random_histories, proxies_under_load, rehearsal], ids=lambda play: play.__name__
+)
+def test_compiled_and_interpreted_results_are_bit_identical(play: Callable[[], str]) -> None:
+    code = SCRIPT.format(play.__name__)
+    on, compiled_result = python("-c", code)[0].split(maxsplit=1)
+    off, interpreted_result = python("-c", code, FIRVANE_NATIVE="0")[0].split(maxsplit=1)
     assert (on, off) == ("True", "False")
-    assert there == here
+    assert compiled_result == interpreted_result
 
 
 @compiled
-def test_the_wire_says_the_same_compiled() -> None:
-    there, said = python("-m", "firvane.proxy.simulator_adapter", told=wire())
-    here, other = python("-m", "firvane.proxy.simulator_adapter", told=wire(), FIRVANE_NATIVE="0")
-    assert "native on=true" in said and "native on=false" in other
-    assert there == here and "issue" in there
+def test_the_simulator_adapter_replies_the_same_when_compiled() -> None:
+    compiled, log = python("-m", "firvane.proxy.simulator_adapter", stdin=simulator_input())
+    interpreted, other_log = python(
+        "-m", "firvane.proxy.simulator_adapter", stdin=simulator_input(), FIRVANE_NATIVE="0"
+    )
+    assert "native on=true" in log and "native on=false" in other_log
+    assert compiled == interpreted and "issue" in compiled
 
 
 @compiled
-def test_a_fault_in_compiled_code_is_told_with_its_lines() -> None:
+def test_a_traceback_of_compiled_code_has_source_lines() -> None:
     code = (
         "from firvane.proxy import native; assert native.activate().on\n"
         "from firvane.proxy.balancer import Balancer\n"
@@ -111,57 +115,64 @@
         "try: balancer.handle(api.Request(1, 99, 1.0), 0.0)\n"
         "except IndexError: traceback.print_exc()\n"
     )
-    told = python("-c", code)[1]
-    assert 'firvane/proxy/balancer.py", line ' in told and "in on_request" in told
-    assert "self.settings.classes[request.class_id]" in told
+    log = python("-c", code)[1]
+    assert 'firvane/proxy/balancer.py", line ' in log and "in on_request" in log
+    assert "self.settings.classes[request.class_id]" in log
 
 
 @pytest.fixture
 def checkout(tmp_path: Path) -> Path:
-    """A checkout of the sources, with something in the place of a compiled form of them."""
+    """A checkout of the sources, with an invalid file in place of their compiled modules."""
     shutil.copytree(ROOT / "firvane", tmp_path / "firvane", ignore=shutil.ignore_patterns("__pycache__"))
     for name in native.RECIPE:
         (tmp_path / name).parent.mkdir(exist_ok=True)
         shutil.copyfile(ROOT / name, tmp_path / name)
-    form = Path(native.place(str(tmp_path))) / native.digest(str(tmp_path))
-    form.mkdir(parents=True)
-    (form / f"{native.GROUP}__mypyc{native.SUFFIX}").write_bytes(b"cut short")
+    folder = Path(native.compiled_folder(str(tmp_path))) / native.digest(str(tmp_path))
+    folder.mkdir(parents=True)
+    (folder / f"{native.GROUP}__mypyc{native.SUFFIX}").write_bytes(b"cut short")
     return tmp_path
 
 
-def why(root: Path, **environment: str) -> str:
-    """What a program that starts there says, after a whole batch on the interpreted decisions."""
-    answers, said = python(
-        "-m", "firvane.proxy.simulator_adapter", root=root, told=wire(), PYTHONPATH=str(root), **environment
+def log_without_compiled(root: Path, **environment: str) -> str:
+    """Run the simulator's adapter in a checkout without usable compiled modules, and return its log."""
+    answers, log = python(
+        "-m",
+        "firvane.proxy.simulator_adapter",
+        root=root,
+        stdin=simulator_input(),
+        PYTHONPATH=str(root),
+        **environment,
     )
     assert all(json.loads(line)["actions"] for line in answers.splitlines()[:1])
-    assert "native on=false" in said
-    return said
+    assert "native on=false" in log
+    return log
 
 
-def test_what_cannot_be_loaded_is_left_and_said(checkout: Path) -> None:
-    assert "file too short" in why(checkout) or "invalid ELF" in why(checkout)
-    assert "FIRVANE_NATIVE=0" in why(checkout, FIRVANE_NATIVE="0")
+def test_modules_that_cannot_be_loaded_are_not_used_and_the_log_has_the_reason(checkout: Path) -> None:
+    assert "file too short" in log_without_compiled(checkout) or "invalid ELF" in log_without_compiled(
+        checkout
+    )
+    assert "FIRVANE_NATIVE=0" in log_without_compiled(checkout, FIRVANE_NATIVE="0")
 
 
 @pytest.mark.parametrize("name", [*native.RECIPE, "firvane/proxy/balancer.py"])
-def test_a_form_of_other_sources_is_never_used(checkout: Path, name: str) -> None:
+def test_modules_compiled_from_other_sources_are_never_used(checkout: Path, name: str) -> None:
     with open(checkout / name, "a") as file:
         file.write("\n")
-    assert "not those that were compiled" in why(checkout)
+    assert "not those that were compiled" in log_without_compiled(checkout)
 
 
-def test_where_nothing_is_compiled_or_can_be_the_sources_run(checkout: Path) -> None:
-    shutil.rmtree(native.place(str(checkout)))
-    assert "nothing is compiled" in why(checkout)
+def test_without_compiled_modules_or_a_compiler_the_sources_are_interpreted(checkout: Path) -> None:
+    shutil.rmtree(native.compiled_folder(str(checkout)))
+    assert "nothing is compiled" in log_without_compiled(checkout)
     (checkout / "bin").mkdir()
-    said = python("tools/build_native.py", root=checkout, PATH=str(checkout / "bin"))[0]
-    assert said.count("\n") == 1 and "no C compiler" in said
+    output = python("tools/build_native.py", root=checkout, PATH=str(checkout / "bin"))[0]
+    assert output.count("\n") == 1 and "no C compiler" in output
     os.remove(checkout / "requirements-build.txt")
     assert "not compiled" in python("tools/build_native.py", root=checkout)[0]
 
 
-def test_a_module_that_is_in_already_stays_as_it_is(request: pytest.FixtureRequest) -> None:
-    # The tests hold the interpreted ones: others beside them would make two classes of each name.
+def test_modules_already_imported_are_not_replaced(request: pytest.FixtureRequest) -> None:
+    # The tests have imported the interpreted modules: compiled ones would define each class a second time.
     assert native.activate({}).on is request.config.getoption("--native")
     assert any(finder.__class__ is native.Finder for finder in sys.meta_path) is native.state().on
--- a/tools/build_native.py
+++ b/tools/build_native.py
@@ -83,7 +83,7 @@
         run([sys.executable, "-m", "venv", str(work / "env")], until)
         python = str(work / "env/bin/python")
         run([python, "-m", "pip", "-q", "install", "-r", str(source / "requirements-build.txt")], until)
-    files = [os.path.relpath(native.source(name, str(source)), source) for name in native.MODULES]
+    files = [os.path.relpath(native.source_path(name, str(source)), source) for name in native.MODULES]
     environment = {**os.environ, "CFLAGS": FLAGS, "SETUPTOOLS_USE_DISTUTILS": "local"}
     run(
         [python, "tools/compile_native.py", native.GROUP, sys.executable, *files],
@@ -102,7 +102,7 @@
 
 def build() -> str:
     """Make what is not there yet; what has come of it, in a few words."""
-    place = Path(native.place(str(ROOT)))
+    place = Path(native.compiled_folder(str(ROOT)))
     if (place / native.digest(str(ROOT))).is_dir():
         return "up to date"
     began = time.monotonic()
