--- a/firvane/proxy/extensions.py
+++ b/firvane/proxy/extensions.py
@@ -1,4 +1,4 @@
-"""Optional parts of a proxy: the store of its snapshots, and its part in the agreement on a policy."""
+"""Interfaces of optional parts of a proxy: the snapshot store, and the agreement on a policy."""
 
 from __future__ import annotations
 
@@ -8,44 +8,44 @@
 from firvane.core import interface as api
 from firvane.proxy.admin_api.calls import AdminCall
 
-POLICY_DESCRIPTORS = 4  # for texts of policies that are fetched and served
+POLICY_DESCRIPTORS = 4  # file descriptors reserved for policy texts that are fetched and served
 
 
 class SnapshotStore(Protocol):
-    """Keeps learned estimates beyond the end of the process (`snapshots.file`)."""
+    """Stores learned estimates across restarts of the process (`snapshots.file`)."""
 
     def load(self, now: float) -> tuple[api.RestoredEstimates, Any] | None:
-        """The stored estimates and endpoint list, or None; `now` is Unix time in s."""
+        """Return the stored estimates and endpoint list, or None; `now` is Unix time in s."""
 
     def save(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
         """Store estimates and the endpoint list that `make_list` returns, possibly in another thread."""
 
     def close(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
-        """Store them for the last time, before this returns."""
+        """Store estimates and list for the last time; returns when they are stored."""
 
 
 class PolicyAgreement(Protocol):
-    """This proxy's part in the agreement on one policy for all proxies (`quorum.driver`).
+    """This proxy's member of the consensus on one policy for all proxies (`quorum.driver`).
 
     Attributes:
-        epoch: The epoch of the policy in use, or 0 for none.
-        epoch_header: The header line of responses that names the policy, or b"".
+        epoch: The epoch of the policy in use, or 0 if there is none.
+        epoch_header: The header line with the policy's epoch that is added to responses, or b"".
     """
 
     epoch: int
     epoch_header: bytes
 
     async def start(self) -> None:
-        """Start; returns once the policy in force is in use here."""
+        """Start; returns once this proxy uses the policy in force."""
 
     def on_datagram(self, sender: int, payload: bytes) -> bool:
-        """Take in a peer's datagram; return whether it was for the agreement."""
+        """Handle a peer's datagram if it belongs to the consensus; return whether it does."""
 
     def may_accept(self) -> bool:
-        """Whether a new request may be decided now."""
+        """Whether new requests may be accepted now."""
 
-    def call(self, asked: AdminCall) -> bytes:
-        """The response to an operators' call."""
+    def call(self, request: AdminCall) -> bytes:
+        """Return the response to an admin API call."""
 
     def close(self) -> None:
-        """Leave the agreement."""
+        """Leave the consensus."""
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy: its start, periodic work, operators' calls, reload and graceful shutdown."""
+"""A proxy: its start, periodic tasks, admin API, configuration reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 from firvane.proxy.settings_reload import merge_settings, retire_classes
 from firvane.proxy.shutdown_timing import ShutdownTiming
 
-SNAPSHOT_LIST_TIMEOUT_S = 0.5  # at the start, in which discovery's own list is preferred to the stored one
+SNAPSHOT_LIST_TIMEOUT_S = 0.5  # wait for discovery at the start, before the stored list is used
 SWEEP_INTERVAL_S = 0.1
-PREVIOUS_SETTINGS_S = 5.0  # after a reload, in which requests by the settings before are accepted
-REPORT_INTERVAL_S = 5.0  # between log lines of metrics
+PREVIOUS_SETTINGS_S = 5.0  # after a reload, requests by the previous settings are accepted for this time
+REPORT_INTERVAL_S = 5.0  # between log lines with metrics
 
 
 class Proxy(ProxyParts):
-    """One proxy: its start, periodic work, admin API, reload and shutdown."""
+    """A proxy: its start, periodic tasks, admin API, reload and shutdown."""
 
     def __init__(
         self,
@@ -47,17 +47,17 @@
         snapshot_store: Callable[[logs.Log], SnapshotStore] | None = None,
         policy_agreement: Callable[[Proxy], PolicyAgreement] | None = None,
     ) -> None:
-        """Create a proxy; raises `OSError` where it is to inherit a socket that is not there.
+        """Create a proxy; raises `OSError` if the socket that it should inherit does not exist.
 
         Args:
             loop: The event loop.
             config: The configuration.
-            wall: Unix time in s.
-            dialer: Makes connections to targets; by default on sockets.
-            usage: Samples the use of resources; by default that of this process.
-            log: By default one on standard error, as the configuration says.
-            snapshot_store: Makes the store of learned estimates, where they are kept.
-            policy_agreement: Makes this proxy's part in the agreement on one policy, where there is one.
+            wall: Returns Unix time in s.
+            dialer: Opens connections to targets; by default on sockets.
+            usage: Samples the use of resources; by default of this process.
+            log: The log; by default one on standard error, as configured.
+            snapshot_store: Creates the store of learned estimates, if they are stored.
+            policy_agreement: Creates this proxy's member of the policy consensus, if there is one.
         """
         super().__init__(
             loop,
@@ -73,7 +73,7 @@
             self.policy_agreement = self.limiter.policy_lease = policy_agreement(self)
 
     async def start(self) -> None:
-        """Start everything, and return once the proxy is ready; cancelled where it is shut down before."""
+        """Start the proxy and return once it is ready; cancelled if it is shut down before."""
         self.start_task = asyncio.current_task()
         try:
             await self._start()
@@ -85,7 +85,7 @@
         if config.ops:
             await self._open_admin_api(config.ops)
         if config.peer_listen:
-            # The process that this one replaces has the same address, and so has the one that comes after it.
+            # The predecessor process and the successor of this one use the same address.
             shared = True if config.inherited is not None else None
             await self.loop.create_datagram_endpoint(
                 lambda: self.peers, local_addr=config.peer_listen, reuse_port=shared
@@ -93,21 +93,21 @@
         self.transports.start()
         if config.inherited is None:
             await self.acceptor.open(config.listen, self.limiter.accept)
-        if self.policy_agreement:  # estimates are restored and requests served by the policy in force
+        if self.policy_agreement:  # first, as estimates and requests depend on the policy in force
             await self.policy_agreement.start()
         self.engine.start()
-        # The current configuration: a SIGHUP may have changed the settings since the start began.
+        # Read again: a SIGHUP may have changed the settings since the start began.
         config = self._restore_snapshot(self.config)
-        await self._await_list(config)
+        await self._wait_for_list(config)
         self.limiter.ready = True
-        if config.inherited is not None:  # until now its connections were for the other process
+        if config.inherited is not None:  # until now the predecessor accepted its connections
             await self.acceptor.open(config.listen, self.limiter.accept)
         self._apply_event(Event.STARTED)
         self.monitor.start()
         self._sweep(self.loop.time() + SWEEP_INTERVAL_S)
         due = self.loop.time() + REPORT_INTERVAL_S
         self.loop.call_at(due, self._report, due)
-        # Port 0 takes any that is free: only the socket knows which.
+        # With port 0 the kernel chooses a port, which only the socket knows.
         host, port = self.acceptor.address()
         self._log_limits(config)
         if self.snapshot_store:
@@ -120,16 +120,16 @@
         await self.admin_acceptor.open(address, lambda *kernel: self.admin_server.make_connection())
         self.log.info("ops", listen="{}:{}".format(*self.admin_acceptor.address()))
 
-    async def _await_list(self, config: Config) -> None:
-        """Take in the stored endpoint list, and wait for discovery's own where that may come soon."""
+    async def _wait_for_list(self, config: Config) -> None:
+        """Apply the stored endpoint list, and wait for a list from discovery if one may arrive soon."""
         if config.known:
             try:
                 self.target_group.learn(config.known, cached=config.discovery is not None)
             except ValueError as error:
                 self.log.warning("stored_list_rejected", why=str(error))
-            self.config = replace(config, known=None)  # the target group keeps it in a form of its own
+            self.config = replace(config, known=None)  # the target group has its own copy
         self.target_group.start()
-        # Where discovery serves the whole fleet its answer may come late: requests are served meanwhile.
+        # If all proxies request the list at the same time its response may be late: don't wait for it.
         timeout = 0.0 if config.settings.ask else SNAPSHOT_LIST_TIMEOUT_S
         if not self.target_group.servers:
             await self.target_group.list_received.wait()
@@ -152,7 +152,7 @@
     # Snapshots of learned estimates
 
     def _restore_snapshot(self, config: Config) -> Config:
-        """Restore the snapshot; return the configuration, with the stored list where it has none."""
+        """Restore the snapshot; return the configuration, with the stored list if it has none."""
         recovery = self.balancer.recovery
         store = self.snapshot_store
         restored = store.load(self.wall()) if store and recovery else None
@@ -169,9 +169,9 @@
         return config if config.known or config.discovery is None else replace(config, known=listed)
 
     def _snapshot(self) -> tuple[float, Callable[[], Any], api.RestoredEstimates]:
-        """The arguments of `SnapshotStore.save`."""
+        """Return the arguments of `SnapshotStore.save`."""
         recovery, balancer = self.balancer.recovery, self.balancer
-        assert recovery  # no store is made without it
+        assert recovery  # a store is created only with recovery
         return (
             self.wall(),
             self.target_group.listed(),
@@ -186,27 +186,27 @@
 
     # The admin API
 
-    def _answer(self, asked: AdminCall) -> bytes:
-        """The response to an operators' call."""
-        call = asked.call
+    def _handle_call(self, request: AdminCall) -> bytes:
+        """Return the response to an admin API call."""
+        call = request.call
         if call in calls.POLICY_CALLS:
             if self.policy_agreement is None:
                 return calls.format_error("no policy is agreed on here: [policy] is not set")
-            return self.policy_agreement.call(asked)
+            return self.policy_agreement.call(request)
         if call is Call.SHOW_STAT:
-            return calls.format_block(self.figures().text())
+            return calls.format_block(self.collect_metrics().text())
         if call is Call.MEASURES:
             if not isinstance(self.limiter.metrics, ProxyMeasurements):
                 return calls.format_error("nothing is measured here: measures is not set")
             return calls.format_block(self.limiter.metrics.text())
         if call is Call.READY:
-            return self._answer_ready()
+            return self._handle_ready_call()
         if call is Call.RECOVERY:
             recovery = self.balancer.recovery
             if recovery is None:
                 return calls.format_error("recovery is switched off")
-            told = recovery.status(self.engine.now())
-            return calls.format_block("\n".join(f"{name} {value}" for name, value in told.items()))
+            fields = recovery.status(self.engine.now())
+            return calls.format_block("\n".join(f"{name} {value}" for name, value in fields.items()))
         event = Event.DRAIN if call is Call.DRAIN else Event.RESUME
         if not self._apply_event(event):
             return calls.format_error(
@@ -214,7 +214,7 @@
             )
         return calls.format_ok(self.lifecycle.state.value)
 
-    def _answer_ready(self) -> bytes:
+    def _handle_ready_call(self) -> bytes:
         state = self.lifecycle.state.value
         if not self.lifecycle.meaning().takes:
             return calls.format_error(f"{state}: no clients yet")
@@ -223,13 +223,13 @@
         return calls.format_ok(state)
 
     def _apply_event(self, event: Event) -> bool:
-        """Change the state by an event; return False where the current state does not allow it."""
+        """Change the lifecycle state by an event; return False if the current state does not permit it."""
         before = self.lifecycle.state
         if not self.lifecycle.apply(event):
             return False
         state = self.lifecycle.state
         if state is not before:
-            if event is not Event.STARTED:  # which is logged as "ready"
+            if event is not Event.STARTED:  # logged as "ready"
                 self.log.info("state", now=state.value, was=before.value)
             limiter = self.limiter
             limiter.draining = not self.lifecycle.meaning().up
@@ -241,24 +241,24 @@
         return True
 
     def _close_drained(self, since: float) -> None:
-        """Close connections as they fall idle, unless the drain that began at `since` was revoked."""
+        """Close connections when they become idle, unless the drain that began at `since` was revoked."""
         if self.lifecycle.state is State.DRAINING and self.drain_started_at == since:
             self.limiter.closing = True
 
     def reload(self, read: Callable[[], Config]) -> None:
-        """Apply the configuration that `read` returns; one that is invalid changes nothing.
+        """Apply the configuration that `read` returns; an invalid one changes nothing.
 
-        Requests, connections and learned estimates are kept: the targets are the same machines.
+        Requests, connections and learned estimates are kept, as the targets stay the same.
         """
         try:
             config = read()
             check_shape(self.config, config)
             old, static = self.config, config.discovery is None
-            # The only step that can still fail comes first: an invalid list leaves all as it was.
+            # First, as it is the only step that can still fail: an invalid list changes nothing.
             if static and old.discovery is None:
-                self.target_group.learn(config.known)  # complete: targets that it no longer names are removed
+                self.target_group.learn(config.known)  # a complete list: missing targets are removed
         except (ValueError, OSError) as error:
-            self._refuse_config(error)
+            self._reject_config(error)
             return
         self.reload_counts.taken += 1
         if config.discovery and old.discovery:
@@ -267,41 +267,43 @@
         self.log.info("config_reloaded", discovery=at, targets=len(self.target_group.servers))
         if waiting := waiting_for_start(self.engine.settings, old, config):
             self.log.warning(
-                "config_needs_restart", text="the next start is needed for " + ", ".join(waiting)
+                "config_needs_restart", text="a restart is needed to apply " + ", ".join(waiting)
             )
-        self._take_over(old, config)
+        self._apply_config(old, config)
 
-    def _refuse_config(self, error: Exception) -> None:
+    def _reject_config(self, error: Exception) -> None:
         self.reload_counts.errors += 1
         for line in str(error).splitlines():
             self.log.error("config_rejected", why=line)
 
-    def _take_over(self, old: Config, config: Config) -> None:
-        """Use the settings of a configuration that was read anew, unless a policy decides them."""
+    def _apply_config(self, old: Config, config: Config) -> None:
+        """Apply the settings of a reloaded configuration, unless a policy determines them."""
         if self.policy_agreement:
             if config.settings != old.settings:
-                text = "what a policy may say was not taken over from the file: firvane policy propose"
+                text = (
+                    "settings of the file were not applied, as a policy is in force: firvane policy propose"
+                )
                 self.log.warning("policy_overrides_config", epoch=self.policy_agreement.epoch, text=text)
             self.config = replace(old, shape=config.shape)
             return
         if config.settings != old.settings:
             self._apply_settings(config.settings)
-        # Where the start has yet to take in the list that it was given it takes in this one.
+        # If the start has not yet applied the stored list, it applies the new one.
         known = config.known if old.known else None
         self.config = replace(old, settings=config.settings, shape=config.shape, known=known)
 
     def unfit_reason(self, settings: api.Settings) -> str:
-        """Why a policy with these settings does not fit the limits of this proxy; "" where it does."""
+        """Return why settings of a policy exceed the limits of this proxy; "" if they do not."""
         most = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW_BYTES)
         return check_open_flows(settings, most)
 
     def apply_policy(self, settings: api.Settings) -> None:
-        """Apply a policy that is in force: requests by the settings before are accepted no more."""
+        """Apply the settings of a policy in force; requests by the previous settings are rejected at once."""
         self._apply_settings(settings)
         self.limiter.forget_previous_settings()
 
     def _apply_settings(self, settings: api.Settings) -> None:
-        """Decide new requests by other settings, which are valid."""
+        """Apply valid settings to new requests."""
         engine = self.engine
         engine_settings, self.classes = merge_settings(engine.settings, self.classes, settings)
         engine.apply_settings(engine_settings)
@@ -314,13 +316,13 @@
         self.log.info("settings_applied", classes=",".join(cls.name for cls in settings.classes))
 
     def _retire_settings(self, since: float) -> None:
-        """Accept no more requests by the settings before those of `since`."""
+        """Reject requests by the settings before the change at `since`, unless there was a later change."""
         if self.settings_changed_at == since:
             self.limiter.forget_previous_settings()
             self.engine.apply_settings(retire_classes(self.engine.settings, self.classes))
 
     def _sweep(self, due: float) -> None:
-        """Close what has timed out, every `SWEEP_INTERVAL_S`."""
+        """Close connections that have timed out; runs every `SWEEP_INTERVAL_S`."""
         self.monitor.late_by(self.loop.time() - due)
         self.upstream_pools.sweep()
         self.limiter.sweep()
@@ -330,11 +332,11 @@
         self.loop.call_at(due + SWEEP_INTERVAL_S, self._sweep, due + SWEEP_INTERVAL_S)
 
     def _report(self, due: float) -> None:
-        """Log the metrics, every `REPORT_INTERVAL_S`."""
-        monitor, endings, gate = self.monitor, self.engine.event_counts, self.limiter.gate
+        """Log the metrics; runs every `REPORT_INTERVAL_S`."""
+        monitor, counts, gate = self.monitor, self.engine.event_counts, self.limiter.gate
         shed, overflowed = self.reported_rejections
-        endings["turned away unseen"] = gate.shed - shed
-        endings["found no turn"] = gate.overflowed - overflowed
+        counts["turned away unseen"] = gate.shed - shed
+        counts["found no turn"] = gate.overflowed - overflowed
         self.reported_rejections = gate.shed, gate.overflowed
         self.log.info(
             "figures",
@@ -345,8 +347,8 @@
             held_mb=round(monitor.account.used_bytes / MB, 1),
             lag_ms=round(1000 * monitor.worst_lag()),
             **({"epoch": self.policy_agreement.epoch} if self.policy_agreement else {}),
-            **self.figures().fields(),
-            **{name.replace(" ", "_"): n for name, n in sorted(endings.items()) if n},
+            **self.collect_metrics().fields(),
+            **{name.replace(" ", "_"): n for name, n in sorted(counts.items()) if n},
         )
         self.engine.event_counts.clear()
         self.loop.call_at(due + REPORT_INTERVAL_S, self._report, due + REPORT_INTERVAL_S)
@@ -354,15 +356,15 @@
     # Shutdown
 
     async def drain(self) -> None:
-        """Shut down gracefully: accept requests for a while, then finish those in flight.
+        """Shut down gracefully: accept requests for some time, then finish those in flight.
 
-        No new client comes after a while, but those that are connected may have no other proxy to go to yet,
-        where one before this has not come back. They are served on their connections for as long as leaves
-        time to finish before the platform kills the process.
+        New clients stop connecting, but connected ones may have no other proxy, if a proxy that was restarted
+        before this one is not back yet. They are served on their connections until the remaining time is
+        needed to finish before the platform kills the process.
         """
-        if self.start_task:  # a proxy that is not ready has no clients, and must not open its socket any more
+        if self.start_task:  # a proxy that is not ready has no clients, and must not start to listen
             self.start_task.cancel()
-        # By the settings in force: a class that a SIGHUP has dropped makes nobody wait longer with SIGKILL.
+        # Of the settings in force: the platform does not wait for a class that a SIGHUP has removed.
         classes = self.engine.settings.classes
         longest = max(classes[number].deadline for number in self.classes)
         timing = ShutdownTiming.begin(self.loop.time(), longest)
@@ -372,7 +374,7 @@
         limiter.drain_deadline = timing.request_deadline
         # Requests in flight may have far later deadlines.
         self.engine.shorten_deadlines(limiter.drain_deadline)
-        if successor:  # new connections, and the datagrams of peers, are for the successor from now on
+        if successor:  # new connections and peers' datagrams go to the successor from now on
             self.acceptor.close()
             self.peers.close()
         else:
@@ -381,9 +383,9 @@
         while self._has_clients() and self.loop.time() < timing.close_idle_until:
             limiter.close_idle()
             await asyncio.sleep(timing.check_interval)
-        # All requests have ended by now. The other connections are closed in order: at the exit of the
-        # process those with unread bytes would be reset, and responses in transit be lost.
-        while self._has_clients():  # once in any case, also where the loop is late
+        # All requests have ended by now. The other connections are closed explicitly: at the exit of the
+        # process those with unread input would be reset, and responses in transit would be lost.
+        while self._has_clients():  # at least once, even if the loop is late
             limiter.close_or_reject()
             await asyncio.sleep(timing.check_interval)
             if self.loop.time() >= timing.close_all_until:
@@ -391,16 +393,16 @@
         self._stop()
 
     async def _accept_until(self, timing: ShutdownTiming) -> None:
-        """Accept connections while clients may not know of the shutdown, then serve those that are here."""
+        """Accept connections while clients may not know of the shutdown, then serve the connected ones."""
         await asyncio.sleep(shutdown_timing.LAME_DUCK_S)
         while not self.acceptor.close() and self.loop.time() < timing.serve_until:
-            await asyncio.sleep(0)  # what is queued beyond a turn's limit is accepted first
-        self.acceptor.set_accepting(False)  # also where connections arrive without an end
+            await asyncio.sleep(0)  # connections queued beyond the limit of a turn are accepted first
+        self.acceptor.set_accepting(False)  # even if connections keep arriving
         while self._has_clients() and self.loop.time() < timing.serve_until:
             await asyncio.sleep(timing.check_interval)
 
     def _has_clients(self) -> bool:
-        """Whether a client is connected, or accepted and about to be."""
+        """Whether a client is connected, or its connection is being set up."""
         return bool(self.limiter.connections) or self.transports.has_work()
 
     def _stop(self) -> None:
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a proxy and how they are connected."""
+"""The components of a proxy and their connections."""
 
 from __future__ import annotations
 
@@ -46,22 +46,22 @@
 
 
 class ProxyParts:
-    """The parts of a proxy, which its start, reload and shutdown work on.
+    """Creates and connects the components of a proxy.
 
     Attributes:
-        limiter: The client connections.
-        upstream_pools: The connections to targets.
+        limiter: Accepts and limits client connections.
+        upstream_pools: The connections to the targets.
         target_group: The endpoint list.
-        monitor: The use of resources.
-        engine: Runs the decisions of `balancer`.
-        lifecycle: The state that operators and health checks see.
-        classes: The numbers of the request classes that clients may name.
-        settings_changed_at: Loop time in s of the last change of the settings.
-        drain_started_at: Loop time in s at which operators last asked for a drain.
-        reported_rejections: Requests rejected unparsed, and for want of a turn, as of the last report.
-        table_bytes: Bytes charged for the list and the estimates of each target.
-        is_virtual: It runs in virtual time, with others in one process.
-        start_task: The task that is starting the proxy.
+        monitor: Measures the use of resources.
+        engine: Executes the decisions of `balancer`.
+        lifecycle: The state shown to operators and health checks.
+        classes: The indices of the request classes that clients may name.
+        settings_changed_at: Time of the last change of the settings, in s on the loop's clock.
+        drain_started_at: Time at which an operator last started a drain, in s on the loop's clock.
+        reported_rejections: Requests rejected unparsed by shedding, and by a full queue, as of the last report.
+        table_bytes: Bytes charged to the memory account for the list and the estimates of all targets.
+        is_virtual: Whether the proxy runs in virtual time, with others in one process.
+        start_task: The task that is starting the proxy, if any.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         snapshot_store: Callable[[logs.Log], SnapshotStore] | None,
         has_policy: bool,
     ) -> None:
-        """Make the parts (see `Proxy`); `has_policy` reserves descriptors for the agreement on one."""
+        """Create the components (see `Proxy`); `has_policy` reserves descriptors for the policy agreement."""
         log = log or logs.make(config.log_level, config.log_format, wall=wall)
         errors = ErrorCountingLog(log) if config.measures else None
         self.log: logs.Log = (errors or log).bind(proxy=config.name)
@@ -102,37 +102,41 @@
         self.lifecycle, self.reload_counts = Lifecycle(), ReloadCounts()
         self.start_task: asyncio.Task[Any] | None = None
         self.policy_agreement: PolicyAgreement | None = None
-        self._make_upstream(config)
-        self._make_engine(config)
-        self._make_client_side(config, errors)
+        self._create_upstream(config)
+        self._create_engine(config)
+        self._create_client_side(config, errors)
         self.snapshot_store = snapshot_store(self.log) if snapshot_store else None
         if self.snapshot_store:
             self.target_group.addresses = {}
-        self.admin_server, self.admin_transports = AdminServer(loop, self._answer), TransportPool(loop)
+        self.admin_server, self.admin_transports = AdminServer(loop, self._handle_call), TransportPool(loop)
         self.admin_acceptor: Acceptor = (
             LoopAcceptor(loop) if dialer else SocketAcceptor(loop, self.admin_transports, self.log)
         )
 
-    def _answer(self, asked: AdminCall) -> bytes:
-        """The response to an operators' call."""
+    def _handle_call(self, request: AdminCall) -> bytes:
+        """Return the response to an admin API call."""
         raise NotImplementedError
 
-    def _make_upstream(self, config: Config) -> None:
-        """Make the endpoint list and the connections to the targets on it."""
+    def _create_upstream(self, config: Config) -> None:
+        """Create the endpoint list and the connection pools of its targets."""
         loop, settings, bounds = self.loop, config.settings, self.monitor.bounds
         self.upstream_pools = UpstreamPools(loop, settings.limits, settings.rules, self.monitor, self.dialer)
         reader = EndpointListReader(config.zones, config.kinds, bounds.boxes, bounds.line)
         backoff = DiscoveryBackoff(settings.proxies if settings.ask else 0, random.Random(config.seed))
         self.target_group = TargetGroup(
-            loop, config.discovery, reader, self.upstream_pools.listed, self._listed, self.log, backoff
+            loop,
+            config.discovery,
+            reader,
+            self.upstream_pools.listed,
+            self._on_server_list,
+            self.log,
+            backoff,
         )
 
-    def _make_engine(self, config: Config) -> None:
-        """Make the decisions, the engine that runs them, and the datagrams between proxies."""
+    def _create_engine(self, config: Config) -> None:
+        """Create the balancer, its engine, and the datagram channel to the peers."""
         loop, settings = self.loop, config.settings
-        self.peers = PeerDatagrams(
-            settings.me, config.peers, config.peers_all, self._receive_datagram, loop.time
-        )
+        self.peers = PeerDatagrams(settings.me, config.peers, config.peers_all, self._on_datagram, loop.time)
         self.balancer = Balancer(settings, config.seed, self.wall())
         self.engine: Engine[Message, Message] = Engine(
             settings,
@@ -146,8 +150,12 @@
         )
         self.monitor.report_pressure = self.engine.dispatch
 
-    def _make_client_side(self, config: Config, errors: ErrorCountingLog | None) -> None:
-        """Make the client connections and their listening socket (`OSError` where none is inherited)."""
+    def _create_client_side(self, config: Config, errors: ErrorCountingLog | None) -> None:
+        """Create the client side and its listening socket.
+
+        Raises:
+            OSError: the socket that should be inherited does not exist.
+        """
         loop = self.loop
         self.limiter = ConnectionLimiter(loop, self.engine, config.settings, self.monitor)
         inherited = None if config.inherited is None else adopt_listening_socket(config.inherited)
@@ -159,25 +167,25 @@
         self.limiter.set_accepting = self.acceptor.set_accepting
         if errors:
             version = config.version or __version__
-            # The loop's own clock stands still within a turn, and on uvloop it counts whole milliseconds.
+            # The loop's clock does not advance within a turn, and on uvloop it has a resolution of 1 ms.
             clock = loop.time if self.is_virtual else time.monotonic
             self.limiter.metrics = ProxyMeasurements(
                 clock, self.resource_use, errors.count, version, os.getpid()
             )
 
-    def _listed(self, update: api.ServerList) -> None:
+    def _on_server_list(self, update: api.ServerList) -> None:
         tables = BACKEND_BYTES * len(self.target_group.servers)
         self.monitor.account.charge(MemoryUse.TABLES, tables - self.table_bytes)
         self.table_bytes = tables
         self.engine.update_server_list(update)
 
-    def _receive_datagram(self, sender: int, payload: bytes) -> None:
+    def _on_datagram(self, sender: int, payload: bytes) -> None:
         if self.policy_agreement and self.policy_agreement.on_datagram(sender, payload):
             return
         self.engine.dispatch(api.PeerMessage(sender, payload))
 
-    def figures(self) -> Figures:
-        """The metrics of the admin API and of the log, as of now."""
+    def collect_metrics(self) -> Figures:
+        """Return the current metrics for the admin API and the log."""
         engine, loop_budget = self.engine, self.monitor.loop_budget
         waiting = len(loop_budget.queue) + len(loop_budget.low_priority) + len(loop_budget.rejections)
         return Figures(
@@ -190,7 +198,7 @@
         )
 
     def resource_use(self) -> ResourceUse:
-        """CPU time, memory and descriptors that this process uses."""
+        """Return the CPU time, memory and descriptors that this process uses."""
         usage, held = self.monitor.usage(), sum(self.monitor.descriptors.open.values())
-        opened = held if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
-        return ResourceUse(usage.cpu, usage.memory / MB, opened)
+        open_descriptors = held if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
+        return ResourceUse(usage.cpu, usage.memory / MB, open_descriptors)
--- a/firvane/proxy/shutdown_timing.py
+++ b/firvane/proxy/shutdown_timing.py
@@ -1,24 +1,24 @@
-"""The times of a graceful shutdown, by the platform's rules: it kills a process some time after SIGTERM."""
+"""The schedule of a graceful shutdown, which must end before the platform sends SIGKILL."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-LAME_DUCK_S = 0.7  # after SIGTERM, in which clients may still connect
-MAX_COUNTED_DEADLINE_S = 3.0  # of the longest deadline, which the platform waits after that before SIGKILL
-RESPONSE_MARGIN_S = 0.2  # before SIGKILL, kept for the last responses
-MAX_MARGIN_PART = 0.25  # of the longest deadline: short deadlines must not be used up by the margin
+LAME_DUCK_S = 0.7  # after SIGTERM, during which clients may still connect
+MAX_COUNTED_DEADLINE_S = 3.0  # SIGKILL follows after LAME_DUCK_S and the longest deadline, up to this
+RESPONSE_MARGIN_S = 0.2  # before SIGKILL, reserved for the last responses
+MAX_MARGIN_PART = 0.25  # of the longest deadline, so that the margin does not use up short deadlines
 MAX_CHECK_INTERVAL_S = 0.02
 
 
 class ShutdownTiming(NamedTuple):
-    """The times of a graceful shutdown, all in s of loop time but the interval.
+    """The times of a graceful shutdown, in seconds on the loop's clock, except the interval.
 
     Attributes:
-        serve_until: Connected clients are served as usual.
-        request_deadline: All requests must have ended.
-        close_idle_until: Connections are closed as they fall idle.
-        close_all_until: All connections are closed in order; the process exits then.
+        serve_until: Until then connected clients are served as usual.
+        request_deadline: All requests must have ended by then.
+        close_idle_until: Until then connections are closed when they become idle.
+        close_all_until: Until then all other connections are closed; then the process exits.
         check_interval: Seconds between checks of the connections.
     """
 
@@ -30,14 +30,14 @@
 
     @classmethod
     def begin(cls, now: float, longest_deadline: float) -> ShutdownTiming:
-        """The times of a shutdown that begins now, where requests may take up to a deadline in s."""
+        """Return the schedule of a shutdown that begins at `now`; `longest_deadline` is in seconds."""
         longest = min(MAX_COUNTED_DEADLINE_S, longest_deadline)
         margin = min(RESPONSE_MARGIN_S, MAX_MARGIN_PART * longest)
-        killed = now + LAME_DUCK_S + longest  # no sooner than that
+        sigkill_at = now + LAME_DUCK_S + longest  # at the earliest
         return cls(
             serve_until=now + LAME_DUCK_S + longest / 2,
-            request_deadline=killed - margin,
-            close_idle_until=killed - margin / 2,
-            close_all_until=killed - margin / 4,
+            request_deadline=sigkill_at - margin,
+            close_idle_until=sigkill_at - margin / 2,
+            close_all_until=sigkill_at - margin / 4,
             check_interval=min(MAX_CHECK_INTERVAL_S, margin / 10),
         )
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -76,7 +76,9 @@
 
     def counted(self) -> dict[str, dict[str, int]]:
         return {
-            k: v for k, v in json.loads(self.proxy.figures().text())["handled"].items() if any(v.values())
+            k: v
+            for k, v in json.loads(self.proxy.collect_metrics().text())["handled"].items()
+            if any(v.values())
         }
 
 
@@ -159,8 +161,8 @@
         data = chunks(BODY) if chunked else BODY
         reader = await stage.client(PUT + framing, data[: len(data) // 2])
         writer = stage.writers[0]
-        await until(lambda: stage.proxy.figures().in_progress == 1)
-        assert stage.proxy.figures().tries() == 0
+        await until(lambda: stage.proxy.collect_metrics().in_progress == 1)
+        assert stage.proxy.collect_metrics().tries() == 0
         last = asyncio.get_running_loop().time()
         writer.write(data[len(data) // 2 :])
         assert (await whole(reader))[1] == b"hi"
@@ -172,7 +174,7 @@
         # Of its time no more is gone than passed since its last byte was sent.
         left = int(stage.heads[0].split(b"X-Budget-Ms: ")[1].split(b"\r")[0])
         assert BUDGET - 1000 * took - 1 <= left <= BUDGET
-        assert stage.proxy.figures().tries() == 2
+        assert stage.proxy.collect_metrics().tries() == 2
         stage.close()
 
     run(work())
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -55,7 +55,7 @@
         patched.setattr(virtual_proxy, "Proxy", make)
         day = structs.replace(DAY, load=structs.replace(DAY.load, may_repeat=get))
         run.play_virtual(day, 3, records.append)
-    return proxies[0]._answer(AdminCall(Call.MEASURES)), records
+    return proxies[0]._handle_call(AdminCall(Call.MEASURES)), records
 
 
 def counts_match(answer: bytes, records: list[Record]) -> bool:
