--- a/firvane/proxy/metrics.py
+++ b/firvane/proxy/metrics.py
@@ -179,7 +179,7 @@
         tenant = None if request.tenant is None else settings.tenants[request.tenant].name
         flow.client = CountingClient(flow, cls.latency_target, self.counts_of(cls.name, tenant), self.now)
 
-    def on_client_disconnected(self, flow: Flow[Any, Any]) -> None:
+    def on_disconnect(self, flow: Flow[Any, Any]) -> None:
         """Count a flow whose client has disconnected."""
         if isinstance(flow.client, CountingClient):
             flow.client.record()
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -110,7 +110,7 @@
     def _abandon(self, flow: Flow[Message, Message]) -> None:
         """End a request whose client has gone."""
         if self.context.metrics is not None:
-            self.context.metrics.on_client_disconnected(flow)
+            self.context.metrics.on_disconnect(flow)
         self.context.engine.on_client_disconnected(flow)
 
     def has_pending_work(self) -> bool:
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -46,7 +46,7 @@
     def on_request(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
         """A request is taken up."""
 
-    def on_client_disconnected(self, flow: Flow[Message, Message]) -> None:
+    def on_disconnect(self, flow: Flow[Message, Message]) -> None:
         """The client of a request has gone."""
 
     def on_unparsed_rejection(self, cls: str, tenant: str | None) -> None:
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -58,7 +58,7 @@
         classes: The indices of the request classes that clients may name.
         settings_changed_at: Time of the last change of the settings, in s on the loop's clock.
         drain_started_at: Time at which an operator last started a drain, in s on the loop's clock.
-        reported_rejections: Requests rejected unparsed by shedding, and by a full queue, as of the last report.
+        reported_rejections: Requests rejected unparsed by shedding and by a full queue, at the last report.
         table_bytes: Bytes charged to the memory account for the list and the estimates of all targets.
         is_virtual: Whether the proxy runs in virtual time, with others in one process.
         start_task: The task that is starting the proxy, if any.
