--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -133,7 +133,7 @@
         "firvane/proxy/capacity/backend_estimates.py",
         "max(server.last_response_at, server.attempts[0].sent_at if server.attempts else mark.sent_at)",
         "server.last_response_at",
-        "tests/proxy/test_balancer.py::test_a_server_that_is_seldom_asked_is_not_silent_before_its_usual_time",
+        "tests/proxy/test_balancer.py::test_a_rarely_used_server_is_not_silent_before_its_usual_duration",
     ),
     Mutant(
         "one's own answers are not taken for those of all",
--- a/tests/proxy/test_rules.py
+++ b/tests/proxy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, checked on the actions alone over generated event sequences."""
+"""The four rules, checked on the actions of a balancer for random event sequences."""
 
 from __future__ import annotations
 
@@ -35,29 +35,29 @@
 
 
 @dataclass
-class Ledger:
-    """What one balancer was told and did, and the rules that it must not break."""
+class RuleChecker:
+    """Records the events and actions of one balancer, and asserts the four rules on each action."""
 
     config: api.Settings
-    told_down: dict[str, float] = field(default_factory=dict)
+    listed_down_at: dict[str, float] = field(default_factory=dict)
     entries: dict[str, api.Server] = field(default_factory=dict)
     requests: dict[int, api.Request] = field(default_factory=dict)
     deadline: dict[int, float] = field(default_factory=dict)
     attempts: dict[int, list[Attempt]] = field(default_factory=dict)
-    over: set[int] = field(default_factory=set)
+    answered: set[int] = field(default_factory=set)
     timers: list[tuple[float, int]] = field(default_factory=list)
     cold_sends: dict[str, list[float]] = field(default_factory=dict)
 
     def list_event(self, event: api.ServerList, now: float) -> None:
         if event.kind is api.ListKind.COMPLETE:
             for name in set(self.entries) - {entry.id for entry in event.servers}:
-                self.told_down.setdefault(name, now)
+                self.listed_down_at.setdefault(name, now)
         for entry in event.servers:
             self.entries[entry.id] = entry
             if entry.state is api.ServerState.UP:
-                self.told_down.pop(entry.id, None)
+                self.listed_down_at.pop(entry.id, None)
             else:
-                self.told_down.setdefault(entry.id, now)
+                self.listed_down_at.setdefault(entry.id, now)
 
     def group(self, cls: api.RequestClass, name: str) -> int:
         entry = self.entries[name]
@@ -72,25 +72,25 @@
             case api.Send():
                 self.send(action, now)
             case api.Reject() | api.Fail():
-                assert action.id not in self.over, "two final answers"
+                assert action.id not in self.answered, "two final answers"
                 assert now <= self.deadline[action.id] + self.config.rules.answer_slack
                 if isinstance(action, api.Reject):
-                    self.refusal(action)
-                self.over.add(action.id)
+                    self.check_rejection(action)
+                self.answered.add(action.id)
 
     def send(self, send: api.Send, now: float) -> None:
-        assert send.id not in self.over, "sent after the final answer"
+        assert send.id not in self.answered, "sent after the final answer"
         cls = self.config.classes[self.requests[send.id].class_id]
         earlier = self.attempts[send.id]
         assert len(earlier) < self.config.limits.max_attempts
-        out = [a for a in earlier if a.result is None]
-        assert not out or self.config.limits.hedging
-        maybe = [a for a in earlier if a.result not in NEVER_RAN]
-        if maybe and cls.idempotency is not api.Idempotency.SAFE:
+        in_flight = [a for a in earlier if a.result is None]
+        assert not in_flight or self.config.limits.hedging
+        maybe_ran = [a for a in earlier if a.result not in NEVER_RAN]
+        if maybe_ran and cls.idempotency is not api.Idempotency.SAFE:
             assert cls.idempotency is api.Idempotency.KEYED, "an unsafe request ran twice"
-            assert self.group(cls, send.server) == self.group(cls, maybe[0].server)
-            assert now <= maybe[0].sent_at + cls.dedup_window
-        down = self.told_down.get(send.server)
+            assert self.group(cls, send.server) == self.group(cls, maybe_ran[0].server)
+            assert now <= maybe_ran[0].sent_at + cls.dedup_window
+        down = self.listed_down_at.get(send.server)
         assert down is None or now <= down + self.config.rules.drain_grace, "sent to a drained server"
         entry = self.entries[send.server]
         age = now - (entry.up_since or -1e9)
@@ -98,80 +98,86 @@
             times = self.cold_sends.setdefault(send.server, [])
             times.append(now)
             recent = [t for t in times if t > now - self.config.rules.fall_window]
-            # The traffic here never goes past one request in 5 ms over at least two servers.
-            assert len(recent) <= 0.5 * self.config.rules.fall_window / 0.005, "a cold server was flooded"
+            # The traffic in these tests is at most one request in 5 ms over at least two servers.
+            assert len(recent) <= 0.5 * self.config.rules.fall_window / 0.005, (
+                "a server in slow start was overloaded"
+            )
         earlier.append(Attempt(send.server, now))
 
-    def refusal(self, refuse: api.Reject) -> None:
-        cls = self.config.classes[self.requests[refuse.id].class_id]
-        maybe = [a for a in self.attempts[refuse.id] if a.result not in NEVER_RAN]
-        if maybe and cls.idempotency is not api.Idempotency.SAFE:
+    def check_rejection(self, reject: api.Reject) -> None:
+        cls = self.config.classes[self.requests[reject.id].class_id]
+        maybe_ran = [a for a in self.attempts[reject.id] if a.result not in NEVER_RAN]
+        if maybe_ran and cls.idempotency is not api.Idempotency.SAFE:
             assert cls.idempotency is api.Idempotency.KEYED and cls.dedup_scope is api.DedupScope.ALL, (
-                "an untrue refusal"
+                "rejected although the request may have run"
             )
 
 
 def drive(rng: random.Random, steps: int, config: api.Settings) -> list[str]:
-    """Feed random events to a balancer, hold its actions against the rules, and return them."""
+    """Feed random events to a balancer, check the rules on its actions, and return the actions as text."""
     now = 1000.0
     balancer = Balancer(config, rng.randrange(1 << 30), now)
-    ledger = Ledger(config)
+    checker = RuleChecker(config)
     log: list[str] = []
     names = [f"s{i}" for i in range(6)]
 
-    def take(actions: list[api.Action]) -> None:
+    def record(actions: list[api.Action]) -> None:
         for action in actions:
             log.append(repr(action))
-            ledger.action(action, now)
+            checker.action(action, now)
 
-    def give(event: api.Event) -> None:
+    def feed(event: api.Event) -> None:
         if isinstance(event, api.ServerList):
-            ledger.list_event(event, now)
-        take(balancer.handle(event, now))
+            checker.list_event(event, now)
+        record(balancer.handle(event, now))
 
     def entry(name: str) -> api.Server:
         i = names.index(name)
         return server(name, zone=i % 2, cell=i % 3, weight=1.0 + i % 2)
 
-    def overdue() -> None:
-        while ledger.timers and ledger.timers[0][0] <= now:
-            _, token = heapq.heappop(ledger.timers)
-            give(api.TimerFired(token))
-        for number, end in ledger.deadline.items():
-            assert number in ledger.over or now <= end + config.rules.answer_slack, "no final answer"
+    def fire_timers() -> None:
+        while checker.timers and checker.timers[0][0] <= now:
+            _, token = heapq.heappop(checker.timers)
+            feed(api.TimerFired(token))
+        for number, deadline in checker.deadline.items():
+            assert number in checker.answered or now <= deadline + config.rules.answer_slack, (
+                "no final answer"
+            )
 
-    take(balancer.start(now))
-    give(full_list(*(entry(n) for n in names[: rng.randint(0, 6)])))
+    record(balancer.start(now))
+    feed(full_list(*(entry(n) for n in names[: rng.randint(0, 6)])))
     for number in range(steps):
         now += rng.choice((0.0, 0.005, 0.005, 0.01, config.tick))
-        overdue()
+        fire_timers()
         choice = rng.random()
-        out = [
+        in_flight = [
             (i, k)
-            for i, tries in ledger.attempts.items()
+            for i, tries in checker.attempts.items()
             for k, attempt in enumerate(tries)
             if attempt.result is None
         ]
         if choice < 0.4:
-            left = rng.choice((0.001, 0.05, 0.3, 2.0))
+            time_left = rng.choice((0.001, 0.05, 0.3, 2.0))
             key = rng.choice((None, "a", "b", "c"))
-            request = api.Request(number, rng.randrange(len(CLASSES)), left, key, is_retry=rng.random() < 0.2)
-            ledger.requests[number], ledger.deadline[number] = request, now + left
-            ledger.attempts[number] = []
-            give(request)
-        elif choice < 0.8 and out:
-            i, k = rng.choice(out)
-            attempt = ledger.attempts[i][k]
+            request = api.Request(
+                number, rng.randrange(len(CLASSES)), time_left, key, is_retry=rng.random() < 0.2
+            )
+            checker.requests[number], checker.deadline[number] = request, now + time_left
+            checker.attempts[number] = []
+            feed(request)
+        elif choice < 0.8 and in_flight:
+            i, k = rng.choice(in_flight)
+            attempt = checker.attempts[i][k]
             attempt.result = rng.choice(RESULTS)
             if attempt.result is api.Result.OK:
-                ledger.over.add(i)
-            done = i in ledger.over
-            give(api.Outcome(i, k, attempt.server, attempt.result, now - attempt.sent_at, done))
+                checker.answered.add(i)
+            done = i in checker.answered
+            feed(api.Outcome(i, k, attempt.server, attempt.result, now - attempt.sent_at, done))
         elif choice < 0.9:
             name = rng.choice(names)
             state = rng.choice(list(api.ServerState))
             since = rng.choice((None, now - 0.5, now - 3.0))
-            give(
+            feed(
                 api.ServerList(
                     api.ListKind.INCREMENTAL, number, (replace(entry(name), state=state, up_since=since),)
                 )
@@ -181,18 +187,18 @@
             some = (
                 () if kind is api.ListKind.FAILED else tuple(map(entry, rng.sample(names, rng.randint(0, 6))))
             )
-            give(api.ServerList(kind, number, some))
+            feed(api.ServerList(kind, number, some))
         elif choice < 0.97:
-            give(api.PeerMessage(rng.randrange(-1, 5), rng.randbytes(rng.choice((0, 3, 26, 80)))))
-        elif ledger.requests:
-            number = rng.choice(list(ledger.requests))
-            if number not in ledger.over:
-                ledger.over.add(number)
-                give(api.ClientGone(number))
+            feed(api.PeerMessage(rng.randrange(-1, 5), rng.randbytes(rng.choice((0, 3, 26, 80)))))
+        elif checker.requests:
+            number = rng.choice(list(checker.requests))
+            if number not in checker.answered:
+                checker.answered.add(number)
+                feed(api.ClientGone(number))
     for _ in range(500):
         now += 0.005
-        overdue()
-    assert ledger.over >= set(ledger.requests), "a request was lost"
+        fire_timers()
+    assert checker.answered >= set(checker.requests), "a request without a final answer"
     return log
 
 
