--- a/tests/core/test_body_leases.py
+++ b/tests/core/test_body_leases.py
@@ -1,4 +1,4 @@
-"""Leases of several units: nothing is lost, the most urgent goes first, and nobody waits beside room."""
+"""Body leases: no unit is lost, the most urgent owner is first, and none waits if its units are free."""
 
 from functools import partial
 
@@ -12,10 +12,10 @@
 
 
 @given(st.lists(CALLS, max_size=80))
-def test_units_are_neither_lost_nor_given_twice(calls: list[tuple[int, int, int, bool]]) -> None:
+def test_units_are_neither_lost_nor_leased_twice(calls: list[tuple[int, int, int, bool]]) -> None:
     leases, granted = BodyLeases(TOTAL), list[int]()
-    for owner, units, priority, asks in calls:
-        if asks:
+    for owner, units, priority, is_request in calls:
+        if is_request:
             leases.request(owner, partial(granted.append, owner), units, priority)
         else:
             leases.release(owner)
@@ -23,14 +23,14 @@
         assert not leases.holders.keys() & leases.queue.keys()
         if leases.queue:
             first = min(leases.queue.values(), key=lambda waiting: waiting.priority)
-            assert first.units > leases.free  # none that is next waits beside room
+            assert first.units > leases.free  # the next owner waits only if its units are not free
     for owner in range(10):
         leases.release(owner)
     assert leases.free == TOTAL and not leases.queue
 
 
-def test_who_is_next_is_not_overtaken_by_what_is_smaller() -> None:
-    # Guards against: a long body waits for ever behind short ones of its own rank.
+def test_a_waiting_owner_is_not_overtaken_by_a_smaller_request() -> None:
+    # Guards against starvation of a large body by smaller ones of the same priority.
     leases, granted = BodyLeases(10), list[str]()
     assert leases.request("first", lambda: None, 8)
     assert not leases.request("long", lambda: granted.append("long"), 10)
--- a/tests/core/test_turn_budget.py
+++ b/tests/core/test_turn_budget.py
@@ -1,4 +1,4 @@
-"""The budget of a turn: nobody takes more than its share or waits for ever, and the urgent go first."""
+"""The turn budget: no connection exceeds its share or starves, and urgent ones are served first."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 LARGEST_STEP = 3
 
 
-class Turns:
-    """A loop that runs what was called for a turn at a time."""
+class ManualLoop:
+    """An event loop that runs the scheduled callbacks of one turn at a time."""
 
     def __init__(self) -> None:
         self.calls: list[Callable[[], None]] = []
@@ -29,18 +29,18 @@
 
 
 class Worker:
-    """Has a number of steps to do, each of a cost."""
+    """A connection with a number of steps of equal cost."""
 
     def __init__(self, name: str, log: list[str], steps: int, cost: int = 1, priority: int = 0) -> None:
-        self.name, self.log, self.left = name, log, steps
+        self.name, self.log, self.steps_left = name, log, steps
         self.cost, self.priority = cost, priority
 
     @property
     def has_work(self) -> bool:
-        return self.left > 0
+        return self.steps_left > 0
 
     def step(self) -> int:
-        self.left -= 1
+        self.steps_left -= 1
         self.log.append(self.name)
         return self.cost
 
@@ -51,24 +51,24 @@
 
 
 @given(WORK)
-def test_all_work_is_done_and_a_turn_has_a_bound(work: list[tuple[int, int, int]]) -> None:
-    # Guards against: what came at once was handled at once, and held up all other connections.
-    turns, log = Turns(), list[str]()
+def test_all_work_is_done_and_the_work_of_a_turn_is_limited(work: list[tuple[int, int, int]]) -> None:
+    # Guards against data of any size that is processed in one turn, which delays all other connections.
+    turns, log = ManualLoop(), list[str]()
     workers = [Worker(str(place), log, *each) for place, each in enumerate(work)]
     cost = {worker.name: worker.cost for worker in workers}
     for worker in workers:
         turns.budget.submit(worker)
-    most = TURN + LARGEST_STEP - 1
-    assert sum(cost[name] for name in log) <= most
+    max_turn_cost = TURN + LARGEST_STEP - 1
+    assert sum(cost[name] for name in log) <= max_turn_cost
     for _ in range(sum(steps * units for steps, units, _ in work) + 1):
         del log[:]
         turns.run()
-        assert sum(cost[name] for name in log) <= most
-    assert not any(worker.left for worker in workers) and not turns.budget.waiting
+        assert sum(cost[name] for name in log) <= max_turn_cost
+    assert not any(worker.steps_left for worker in workers) and not turns.budget.waiting
 
 
-def test_in_a_round_each_has_its_share_once() -> None:
-    turns, log = Turns(), list[str]()
+def test_each_connection_has_one_share_per_round() -> None:
+    turns, log = ManualLoop(), list[str]()
     for name in "abcdefg":
         turns.budget.submit(Worker(name, log, 1000))
     for _ in range(70):
@@ -77,21 +77,21 @@
     assert max(counts.values()) - min(counts.values()) <= SHARE
 
 
-def test_urgent_ones_that_always_come_again_do_not_starve_others() -> None:
-    turns, log = Turns(), list[str]()
+def test_urgent_connections_with_constant_work_do_not_starve_others() -> None:
+    turns, log = ManualLoop(), list[str]()
     patient = Worker("patient", log, 40, priority=5)
     busy = [Worker("urgent", log, 0, priority=1) for _ in range(2 * TURN // SHARE)]
     for _ in range(100):
         for worker in busy:
-            worker.left = SHARE
+            worker.steps_left = SHARE
             turns.budget.submit(worker)
         turns.budget.submit(patient)
         turns.run()
-    assert not patient.left
+    assert not patient.steps_left
 
 
-def test_the_urgent_go_first_in_a_round_and_the_others_are_not_starved() -> None:
-    turns, log = Turns(), list[str]()
+def test_urgent_connections_are_first_in_a_round_and_others_are_not_starved() -> None:
+    turns, log = ManualLoop(), list[str]()
     turns.budget.submit(Worker("first", log, 100))
     patient, urgent = Worker("patient", log, 100, priority=5), Worker("urgent", log, 100, priority=1)
     turns.budget.submit(patient)
@@ -101,20 +101,20 @@
     assert log == SHARE * ["urgent"] + SHARE * ["patient"] + SHARE * ["first"]
 
 
-def test_who_has_nothing_left_when_its_turn_comes_costs_nothing() -> None:
-    turns, log = Turns(), list[str]()
+def test_a_queued_connection_without_work_costs_nothing() -> None:
+    turns, log = ManualLoop(), list[str]()
     turns.budget.submit(Worker("first", log, 100))
     gone = Worker("gone", log, 100)
     turns.budget.submit(gone)
-    gone.left = 0
+    gone.steps_left = 0
     del log[:]
     turns.run()
     assert "gone" not in log
 
 
-def test_a_fault_in_one_connection_leaves_none_waiting() -> None:
-    # Guards against: where a step raised, the connections behind it waited until others had work.
-    turns, log = Turns(), list[str]()
+def test_an_exception_in_one_connection_leaves_none_waiting() -> None:
+    # Guards against a step that raised, after which queued connections waited until others had work.
+    turns, log = ManualLoop(), list[str]()
 
     class Faulty(Worker):
         def step(self) -> int:
@@ -128,12 +128,12 @@
     with pytest.raises(ValueError, match="faulty"):
         turns.run()
     turns.run()
-    assert not patient.left
+    assert not patient.steps_left
 
 
-def test_little_work_wakes_nobody_up() -> None:
-    # Guards against: each piece of a usual stream cost a further turn of the loop.
-    turns, log = Turns(), list[str]()
+def test_little_work_schedules_no_further_turn() -> None:
+    # Guards against a further turn of the loop for each piece of a normal stream.
+    turns, log = ManualLoop(), list[str]()
     turns.budget = TurnBudget(turns.calls.append)
     for _ in range(FREE_UNITS):
         turns.budget.submit(Worker("usual", log, 1))
--- a/tests/proxy/test_decision_module.py
+++ b/tests/proxy/test_decision_module.py
@@ -1,4 +1,4 @@
-"""The limits on the decision module's size, and on what it may know."""
+"""Limits on the size of the decision module, and on what it may import and call."""
 
 from pathlib import Path
 
