--- a/tests/cli/test_running.py
+++ b/tests/cli/test_running.py
@@ -17,7 +17,7 @@
 from firvane.simulation.runner.plan import claim_net
 from tests.proxy.config.samples import CONFIG, SCENARIO
 from tests.proxy.net.helpers import run
-from tests.proxy.test_program import said, where
+from tests.proxy.test_program import listen_address, wait_for_log
 
 Reader = asyncio.StreamReader
 LOAD = "request_class = 'read'\ndeadline_s = 60.0"
@@ -68,18 +68,18 @@
         configure(ports[0], "[log]\nformat = 'json'\n")
         async with command("serve", str(file)) as proxy:
             assert proxy.stderr
-            ready = json.loads(await said(proxy.stderr, '"ready"'))
+            ready = json.loads(await wait_for_log(proxy.stderr, '"ready"'))
             assert ready["proxy"] == "edge" and ready["targets"] == 1
             host, port = ready["listen"].split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             assert await ask(reader, writer, 1) == b"1"
             configure(ports[1], "[oops]\n")
             proxy.send_signal(signal.SIGHUP)
-            assert "oops: unknown key" in await said(proxy.stderr, "config_rejected")
+            assert "oops: unknown key" in await wait_for_log(proxy.stderr, "config_rejected")
             assert await ask(reader, writer, 2) == b"1"
             configure(ports[1])
             proxy.send_signal(signal.SIGHUP)
-            await said(proxy.stderr, "config_reloaded")
+            await wait_for_log(proxy.stderr, "config_reloaded")
             assert await ask(reader, writer, 3) == b"2"
             proxy.terminate()
             writer.close()
@@ -99,11 +99,11 @@
         call = ("boxes", str(small), "--boxes", first, "--discovery", discovery, "--config", str(file))
         async with command(*call) as fleet:
             assert fleet.stdout
-            await said(fleet.stdout, "firvane serve")
+            await wait_for_log(fleet.stdout, "firvane serve")
             file.write_text(file.read_text().replace("127.0.0.1:8080", "127.0.0.1:0"))
             async with command("serve", str(file)) as proxy:
                 assert proxy.stderr
-                host, port = where(await said(proxy.stderr, "event=ready"))
+                host, port = listen_address(await wait_for_log(proxy.stderr, "event=ready"))
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(b"GET /read/x HTTP/1.1\r\nX-Call-Id: 7\r\nX-Budget-Ms: 60000\r\n\r\n")
                 assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
--- a/tests/proxy/admin_api/test_replace.py
+++ b/tests/proxy/admin_api/test_replace.py
@@ -12,7 +12,7 @@
 
 from tests.proxy.admin_api.test_server import ask
 from tests.proxy.net.helpers import run
-from tests.proxy.test_program import address, agent, config, said, where
+from tests.proxy.test_program import address, config, listen_address, start_discovery, wait_for_log
 
 CLIENTS, AFTER = 2, 50  # at once, which one target takes from the start; requests of each afterwards
 HEAD = b"GET /read/x HTTP/1.1\r\nX-Call-Id: %d-%d\r\nX-Budget-Ms: 60000\r\n\r\n"
@@ -72,22 +72,22 @@
             writer.close()
 
         targets = await asyncio.start_server(serve, "127.0.0.1", 0)
-        discovery = await agent(3, targets.sockets[0].getsockname()[1], [])
+        discovery = await start_discovery(3, targets.sockets[0].getsockname()[1], [])
         env = config(tmp_path, discovery=address(discovery), ops="127.0.0.1:0")
         with socket.create_server(("127.0.0.1", 0), backlog=256) as held:
             processes = [await start(env, held)]
             try:
-                await said(processes[0][1], "event=ready")
+                await wait_for_log(processes[0][1], "event=ready")
                 clients = [Client(n, held.getsockname()[1]) for n in range(CLIENTS)]
                 async with asyncio.TaskGroup() as tasks:
                     for client in clients:
                         tasks.create_task(client.work())
                     processes.append(await start(env, held))
-                    host, port = where(await said(processes[1][1], "event=ops"))
-                    await said(processes[1][1], "event=ready")
+                    host, port = listen_address(await wait_for_log(processes[1][1], "event=ops"))
+                    await wait_for_log(processes[1][1], "event=ready")
                     assert (await ask((host, int(port)), b"ready\n")).startswith(b"+OK")
                     processes[0][0].send_signal(signal.SIGTERM)
-                    assert "handing over" in await said(processes[0][1], "event=state")
+                    assert "handing over" in await wait_for_log(processes[0][1], "event=state")
                     assert await processes[0][0].wait() == 0
                     for client in clients:
                         client.more = AFTER
--- a/tests/proxy/config/test_platform.py
+++ b/tests/proxy/config/test_platform.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.proxy.net.helpers import run
-from tests.proxy.test_program import address, agent, config, said, where
+from tests.proxy.test_program import address, config, listen_address, start_discovery, wait_for_log
 
 ROOT = Path(__file__).resolve().parents[3]
 WATCH = """
@@ -81,7 +81,7 @@
             writer.close()
 
         targets = await asyncio.start_server(serve, "127.0.0.1", 0)
-        discovery = await agent(41, targets.sockets[0].getsockname()[1], [])
+        discovery = await start_discovery(41, targets.sockets[0].getsockname()[1], [])
         line = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
         line = line.replace(".venv/bin/python", sys.executable)  # which is that one in CI
         env = {**os.environ, **config(tmp_path, discovery=address(discovery)), **watched(tmp_path)}
@@ -90,7 +90,7 @@
         )
         assert proxy.stderr
         try:
-            host, port = where(await said(proxy.stderr, "event=ready"))
+            host, port = listen_address(await wait_for_log(proxy.stderr, "event=ready"))
             found = seen(proxy.pid)
             for _ in range(20):
                 reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -76,7 +76,7 @@
 BEAT = 1.0  # s from one empty line of discovery to the next: without them a watch is given up
 
 
-async def agent(index: int, port: int, asked: list[str]) -> asyncio.Server:
+async def start_discovery(index: int, port: int, asked: list[str]) -> asyncio.Server:
     """Discovery that tells of one target and then only that it lives."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -104,7 +104,7 @@
     return made, made.stderr
 
 
-async def said(log: asyncio.StreamReader, words: str) -> str:
+async def wait_for_log(log: asyncio.StreamReader, words: str) -> str:
     """The next line of the log that holds these words."""
     while words not in (line := (await log.readline()).decode()):
         assert line, f"it ended before it said {words!r}"
@@ -121,7 +121,7 @@
         writer.close()
 
 
-def where(line: str) -> list[str]:
+def listen_address(line: str) -> list[str]:
     """The host and the port at which a proxy is ready."""
     return line.partition("listen=")[2].split()[0].split(":")
 
@@ -145,21 +145,21 @@
         targets = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = targets.sockets[0].getsockname()[1]
         asked: list[list[str]] = [[], []]
-        agents = [await agent(n, port, asked[i]) for i, n in enumerate((41, 7))]
+        agents = [await start_discovery(n, port, asked[i]) for i, n in enumerate((41, 7))]
         # The environment names the first agent for as long as the process lives; a reload goes by the file.
         env = {**config(tmp_path, discovery=address(agents[0])), "NODE_DISCOVERY": address(agents[0])}
         proxy, log = await program(env)
         try:
-            host, number = where(await said(log, "event=ready"))
+            host, number = listen_address(await wait_for_log(log, "event=ready"))
             reader, writer = await asyncio.open_connection(host, int(number))
             writer.write(b"GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 60000\r\n\r\n")
             await came.wait()
             Path(env["NODE_CONFIG"]).write_text("{half a file")
             proxy.send_signal(signal.SIGHUP)
-            await said(log, "is not JSON")
+            await wait_for_log(log, "is not JSON")
             config(tmp_path, discovery=address(agents[1]))
             proxy.send_signal(signal.SIGHUP)
-            await said(log, f"discovery={address(agents[1])}")
+            await wait_for_log(log, f"discovery={address(agents[1])}")
             release.set()
             assert (await reader.readuntil(b"\r\n\r\nhi")).startswith(b"HTTP/1.1 200 ")
             proxy.terminate()
@@ -185,17 +185,17 @@
             writer.close()
 
         targets = await asyncio.start_server(target, "127.0.0.1", 0)
-        told = await agent(1, targets.sockets[0].getsockname()[1], [])
+        told = await start_discovery(1, targets.sockets[0].getsockname()[1], [])
         proxy, log = await program(config(tmp_path, discovery=address(told)))
         try:
-            host, port = where(await said(log, "event=ready"))
+            host, port = listen_address(await wait_for_log(log, "event=ready"))
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /up HTTP/1.1\r\n\r\n")
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n200\n")
             writer.write(b"GET /read/x?a=1 HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 60000\r\n\r\n")
             await came.wait()
             proxy.terminate()
-            await said(log, "event=ending")
+            await wait_for_log(log, "event=ending")
             # New connections are still taken, and what is out is still finished.
             late_reader, late_writer = await asyncio.open_connection(host, int(port))
             late_writer.write(b"GET /read/x?a=1 HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 60000\r\n\r\n")
