--- a/tests/proxy/test_program.py
+++ b/tests/proxy/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: its configuration, one request through it, and its end in order."""
+"""The proxy as a process: its configuration, requests through it, reload and graceful shutdown."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from tests.proxy.net.helpers import endpoint, run
 from tests.proxy.test_simulator_adapter import PARAMS
 
-# Classes whose requests a busy machine has time for: nothing is judged by how long an answer took.
-PATIENT = [{**cls, "give-up-ns": 60_000_000_000} for cls in PARAMS["classes"]]
+# Deadlines that a busy machine meets, as these tests do not measure response times.
+LONG_DEADLINES = [{**cls, "give-up-ns": 60_000_000_000} for cls in PARAMS["classes"]]
 
 
 def config(folder: Path, **changes: Any) -> dict[str, str]:
     settings = {**PARAMS, "discovery": "push", "siblings": 1, "dcs": ["a"], "machine-types": ["big"]}
-    settings["classes"] = PATIENT
+    settings["classes"] = LONG_DEADLINES
     data = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -51,7 +51,7 @@
         ({"log": {"level": "loud"}}, "log.level"),
     ],
 )
-def test_a_bad_configuration_is_one_plain_line(
+def test_an_invalid_configuration_is_one_line_on_standard_error(
     changes: dict[str, Any],
     word: str,
     tmp_path: Path,
@@ -73,21 +73,21 @@
     assert read.listen == ("127.0.0.1", 8) and read.name == "n7" and read.seed == 0x8C1F30D27A5BE964
 
 
-BEAT = 1.0  # s from one empty line of discovery to the next: without them a watch is given up
+HEARTBEAT_S = 1.0  # between empty lines from discovery, without which the proxy ends the watch
 
 
-async def start_discovery(index: int, port: int, asked: list[str]) -> asyncio.Server:
-    """Discovery that tells of one target and then only that it lives."""
+async def start_discovery(index: int, port: int, requests: list[str]) -> asyncio.Server:
+    """Start a discovery server that lists one target and then sends heartbeats only."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        asked.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
+        requests.append((await reader.readuntil(b"\r\n\r\n")).decode().split()[1])
         line = json.dumps({"index": index, "snapshot": True, "endpoints": [endpoint("s1", port)]}) + "\n"
         head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         writer.write(f"{head}{len(line):x}\r\n{line}\r\n".encode())
         with contextlib.suppress(OSError):
             while not reader.at_eof():
                 try:
-                    async with asyncio.timeout(BEAT):
+                    async with asyncio.timeout(HEARTBEAT_S):
                         await reader.read()
                 except TimeoutError:
                     writer.write(b"1\r\n\n\r\n")
@@ -96,7 +96,7 @@
     return await asyncio.start_server(serve, "127.0.0.1", 0)
 
 
-async def program(env: dict[str, str]) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
+async def start_program(env: dict[str, str]) -> tuple[asyncio.subprocess.Process, asyncio.StreamReader]:
     made = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "firvane", env={**os.environ, **env}, stderr=asyncio.subprocess.PIPE
     )
@@ -105,14 +105,14 @@
 
 
 async def wait_for_log(log: asyncio.StreamReader, words: str) -> str:
-    """The next line of the log that holds these words."""
+    """Return the next log line that contains these words."""
     while words not in (line := (await log.readline()).decode()):
-        assert line, f"it ended before it said {words!r}"
+        assert line, f"the log ended without {words!r}"
     return line
 
 
-async def answered(host: str, port: int) -> None:
-    """One more client, answered before it goes: unanswered ones in a row would hold up a busy proxy."""
+async def check_liveness(host: str, port: int) -> None:
+    """Connect one client and wait for its response, as many unanswered clients would delay a busy proxy."""
     reader, writer = await asyncio.open_connection(host, port)
     try:
         writer.write(b"GET /up HTTP/1.1\r\n\r\n")
@@ -122,7 +122,7 @@
 
 
 def listen_address(line: str) -> list[str]:
-    """The host and the port at which a proxy is ready."""
+    """Return the host and port in the log line of a proxy that is ready."""
     return line.partition("listen=")[2].split()[0].split(":")
 
 
@@ -130,41 +130,41 @@
     return "{}:{}".format(*server.sockets[0].getsockname()[:2])
 
 
-def test_a_reload_follows_discovery_and_keeps_what_is_out(tmp_path: Path) -> None:
-    # SIGHUP without a handler ends the process, and with it every request that it has taken.
+def test_a_reload_changes_discovery_and_keeps_requests_in_flight(tmp_path: Path) -> None:
+    # Guards against a SIGHUP without a handler, which ends the process and all its requests.
     async def work() -> None:
-        came, release = asyncio.Event(), asyncio.Event()
+        received, release = asyncio.Event(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while await reader.read(4096):
-                came.set()
+                received.set()
                 await release.wait()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
             writer.close()
 
         targets = await asyncio.start_server(serve, "127.0.0.1", 0)
         port = targets.sockets[0].getsockname()[1]
-        asked: list[list[str]] = [[], []]
-        agents = [await start_discovery(n, port, asked[i]) for i, n in enumerate((41, 7))]
-        # The environment names the first agent for as long as the process lives; a reload goes by the file.
-        env = {**config(tmp_path, discovery=address(agents[0])), "NODE_DISCOVERY": address(agents[0])}
-        proxy, log = await program(env)
+        requests: list[list[str]] = [[], []]
+        servers = [await start_discovery(n, port, requests[i]) for i, n in enumerate((41, 7))]
+        # The environment names the first server until the process ends; a reload uses the file.
+        env = {**config(tmp_path, discovery=address(servers[0])), "NODE_DISCOVERY": address(servers[0])}
+        proxy, log = await start_program(env)
         try:
             host, number = listen_address(await wait_for_log(log, "event=ready"))
             reader, writer = await asyncio.open_connection(host, int(number))
             writer.write(b"GET /read/x HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 60000\r\n\r\n")
-            await came.wait()
+            await received.wait()
             Path(env["NODE_CONFIG"]).write_text("{half a file")
             proxy.send_signal(signal.SIGHUP)
             await wait_for_log(log, "is not JSON")
-            config(tmp_path, discovery=address(agents[1]))
+            config(tmp_path, discovery=address(servers[1]))
             proxy.send_signal(signal.SIGHUP)
-            await wait_for_log(log, f"discovery={address(agents[1])}")
+            await wait_for_log(log, f"discovery={address(servers[1])}")
             release.set()
             assert (await reader.readuntil(b"\r\n\r\nhi")).startswith(b"HTTP/1.1 200 ")
             proxy.terminate()
             assert await proxy.wait() == 0
-            assert asked[0] == ["/discovery/hosts?watch=1&from=0"] == asked[1]
+            assert requests[0] == ["/discovery/hosts?watch=1&from=0"] == requests[1]
             writer.close()
         finally:
             if proxy.returncode is None:
@@ -173,39 +173,39 @@
     run(work())
 
 
-def test_a_request_goes_through_and_a_planned_end_loses_nothing(tmp_path: Path) -> None:
+def test_a_request_is_proxied_and_a_graceful_shutdown_loses_nothing(tmp_path: Path) -> None:
     async def work() -> None:
-        came, release = asyncio.Event(), asyncio.Event()
+        received, release = asyncio.Event(), asyncio.Event()
 
         async def target(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while (await reader.read(4096)).startswith(b"GET /read/x?a=1 "):
-                came.set()
+                received.set()
                 await release.wait()
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi")
             writer.close()
 
         targets = await asyncio.start_server(target, "127.0.0.1", 0)
-        told = await start_discovery(1, targets.sockets[0].getsockname()[1], [])
-        proxy, log = await program(config(tmp_path, discovery=address(told)))
+        discovery = await start_discovery(1, targets.sockets[0].getsockname()[1], [])
+        proxy, log = await start_program(config(tmp_path, discovery=address(discovery)))
         try:
             host, port = listen_address(await wait_for_log(log, "event=ready"))
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET /up HTTP/1.1\r\n\r\n")
             assert b" 200 " in await reader.readuntil(b"\r\n\r\n200\n")
             writer.write(b"GET /read/x?a=1 HTTP/1.1\r\nX-Call-Id: 1\r\nX-Budget-Ms: 60000\r\n\r\n")
-            await came.wait()
+            await received.wait()
             proxy.terminate()
             await wait_for_log(log, "event=ending")
-            # New connections are still taken, and what is out is still finished.
+            # New connections are still accepted, and requests in flight finished.
             late_reader, late_writer = await asyncio.open_connection(host, int(port))
             late_writer.write(b"GET /read/x?a=1 HTTP/1.1\r\nX-Call-Id: 2\r\nX-Budget-Ms: 60000\r\n\r\n")
             release.set()
             for stream in (reader, late_reader):
                 assert b" 200 OK" in await stream.readuntil(b"\r\n\r\nhi")
-            # Those that are here are served on for as long as they leave time to finish.
+            # Connected clients are served until the remaining time is needed to finish.
             with contextlib.suppress(ConnectionError, asyncio.IncompleteReadError):
-                while True:  # until no new ones are taken any more
-                    await answered(host, int(port))
+                while True:  # until new connections are refused
+                    await check_liveness(host, int(port))
             writer.write(b"GET /read/x?a=1 HTTP/1.1\r\nX-Call-Id: 3\r\nX-Budget-Ms: 60000\r\n\r\n")
             assert b" 200 OK" in await reader.readuntil(b"\r\n\r\nhi")
             assert not await late_reader.read()
