--- a/firvane/core/balancing/window.py
+++ b/firvane/core/balancing/window.py
@@ -33,7 +33,7 @@
     return forecast + age // WINDOW * (arrivals - served * WINDOW)
 
 
-def ahead(load: Mapping[int, float], grown: Mapping[int, float], spread: bool) -> dict[int, float]:
+def expected_load(load: Mapping[int, float], grown: Mapping[int, float], spread: bool) -> dict[int, float]:
     """Return the expected load of each slice; `spread`: keys spread demand, all grow by the same factor."""
     if not spread:
         return {n: max(0.0, load[n] + grown[n]) for n in load}
@@ -41,7 +41,7 @@
     return {n: max(0.0, load[n] * (1.0 + factor)) for n in load}
 
 
-def excess(load: Mapping[int, float], target: Mapping[int, float]) -> dict[int, float]:
+def imbalance(load: Mapping[int, float], target: Mapping[int, float]) -> dict[int, float]:
     """Return the free capacity (above 0) or excess load (below 0) of each slice.
 
     Differences within the random variation of a count are ignored: moving them only costs cache hits.
@@ -50,7 +50,7 @@
     return {n: math.copysign(max(0.0, abs(t) - math.sqrt(target[n])), t) for n, t in theta.items()}
 
 
-def step(
+def next_shares(
     load: Mapping[int, float], mu: Mapping[int, float], zones: Mapping[int, int], shares: Shares
 ) -> Shares:
     """Return the next shares: weighted targets (2, 3) and greedy pairing (4), within zones first.
@@ -59,7 +59,7 @@
     """
     scale = total(load.values()) / (total(mu.values()) or 1.0)
     target = {n: mu[n] * scale for n in load}
-    theta, flows = excess(load, target), list[tuple[int, int, float]]()
+    theta, flows = imbalance(load, target), list[tuple[int, int, float]]()
     by_zone = dict[int, dict[int, float]]()
     for n in load:
         by_zone.setdefault(zones[n], {})[n] = theta[n]
@@ -67,15 +67,15 @@
         flows += pair(by_zone[zone])
         theta.update(by_zone[zone])
     flows += pair({n: min(0.0, t + CROSS_ZONE_MARGIN * target[n]) if t < 0 else t for n, t in theta.items()})
-    next_shares = {k: share * SHARE_RETENTION for k, share in shares.items() if share > MIN_SHARE}
+    result = {k: share * SHARE_RETENTION for k, share in shares.items() if share > MIN_SHARE}
     for source, sink, moved in flows:
-        next_shares[source, sink] = next_shares.get((source, sink), 0.0) + SHARE_GAIN * moved / load[source]
-    return next_shares
+        result[source, sink] = result.get((source, sink), 0.0) + SHARE_GAIN * moved / load[source]
+    return result
 
 
-def moves(shares: Shares) -> dict[int, list[tuple[int, float]]]:
+def destinations(shares: Shares) -> dict[int, list[tuple[int, float]]]:
     """Return the destinations of each source slice with their shares, in index order."""
-    destinations = dict[int, list[tuple[int, float]]]()
+    result = dict[int, list[tuple[int, float]]]()
     for (source, sink), share in sorted(shares.items()):
-        destinations.setdefault(source, []).append((sink, share))
-    return destinations
+        result.setdefault(source, []).append((sink, share))
+    return result
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -85,8 +85,8 @@
             if router in load:
                 growth[router] = window.growth(section.forecast, section.arrivals, section.served, age)
                 mu[router] = section.mu
-        load = window.ahead(load, growth, spread=True)
-        self.shares = window.step(load, mu, {n: zones.get(n, 0) for n in load}, self.shares)
+        load = window.expected_load(load, growth, spread=True)
+        self.shares = window.next_shares(load, mu, {n: zones.get(n, 0) for n in load}, self.shares)
         self._smooth()
         self._update_moves()
 
@@ -100,9 +100,11 @@
         }
 
     def _update_moves(self) -> None:
-        self.moves = window.moves(self.shares)
+        self.moves = window.destinations(self.shares)
         excess = {pair: share - LONG_PROMPT_MARGIN for pair, share in self.smoothed_shares.items()}
-        self.long_prompt_moves = window.moves({pair: share for pair, share in excess.items() if share > 0.0})
+        self.long_prompt_moves = window.destinations(
+            {pair: share for pair, share in excess.items() if share > 0.0}
+        )
 
     def drop_moves_to(self, taker: int) -> None:
         """Move nothing to a router until the next step, since it did not expect what came."""
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -170,11 +170,11 @@
             n: window.growth(row.forecast, row.arrivals, row.served, now - row.received_at)
             for n, row in self.rows.items()
         }
-        load = window.ahead(load, growth, self.settings.key_affinity)  # keys spread demand evenly
+        load = window.expected_load(load, growth, self.settings.key_affinity)  # keys spread demand evenly
         mu = {n: row.mu for n, row in self.rows.items()}
         zones = {n: row.zone for n, row in self.rows.items()}
-        self.shares = window.step(load, mu, zones, self.shares)
-        self.offloads = window.moves(self.shares)
+        self.shares = window.next_shares(load, mu, zones, self.shares)
+        self.offloads = window.destinations(self.shares)
 
     # Rows
 
