--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -294,8 +294,8 @@
 
     def unfit_reason(self, settings: api.Settings) -> str:
         """Return why settings of a policy exceed the limits of this proxy; "" if they do not."""
-        most = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW_BYTES)
-        return check_open_flows(settings, most)
+        limit = max(self.config.settings.limits.max_open_requests, self.monitor.bounds.memory // FLOW_BYTES)
+        return check_open_flows(settings, limit)
 
     def apply_policy(self, settings: api.Settings) -> None:
         """Apply the settings of a policy in force; requests by the previous settings are rejected at once."""
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -199,6 +199,6 @@
 
     def resource_use(self) -> ResourceUse:
         """Return the CPU time, memory and descriptors that this process uses."""
-        usage, held = self.monitor.usage(), sum(self.monitor.descriptors.open.values())
-        open_descriptors = held if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
+        usage, counted = self.monitor.usage(), sum(self.monitor.descriptors.open.values())
+        open_descriptors = counted if self.is_virtual else len(list(OPEN_DESCRIPTORS.iterdir()))
         return ResourceUse(usage.cpu, usage.memory / MB, open_descriptors)
--- a/tests/proxy/test_balancer.py
+++ b/tests/proxy/test_balancer.py
@@ -130,7 +130,7 @@
 
 
 @pytest.mark.parametrize("weights", EXTREME, ids=str)
-@pytest.mark.parametrize("count", [2, 40], ids=["looked-through", "indexed"])
+@pytest.mark.parametrize("count", [2, 40], ids=["scanned", "indexed"])
 @pytest.mark.parametrize("live", [False, True])
 @pytest.mark.parametrize("proxies", [1, 20])
 def test_extreme_weights_do_not_break_the_decisions(
@@ -185,10 +185,10 @@
     one, two = proxy_group(2, "abcd")
     newer, newest = announced_row(one, 100.5), announced_row(one, 100.6)
     two.handle(api.PeerMessage(0, newest), 100.7)
-    kept = two.rows[0]
+    latest = two.rows[0]
     for payload in (newest, newer, bytes([99]) + newest[1:]):
         two.handle(api.PeerMessage(0, payload), 100.8)
-        assert two.rows[0] is kept
+        assert two.rows[0] is latest
 
 
 def test_silent_peers_are_removed_and_added_again() -> None:
@@ -328,19 +328,19 @@
 def test_the_capacity_of_a_server_is_estimated_within_a_few_responses() -> None:
     # A growth of 0.1 attempts a round kept a new proxy far below the capacity of its servers.
     balancer = started("a", classes=CLASSES[:1])
-    now, most = 100.0, 0
+    now, accepted = 100.0, 0
     for _ in range(6):
         out = []
         while found := sends(
-            balancer.handle(api.Request(len(balancer.open_requests) + 1000 * most, 0, 2.0), now)
+            balancer.handle(api.Request(len(balancer.open_requests) + 1000 * accepted, 0, 2.0), now)
         ):
             out += found
             assert len(out) < 100
-        most = len(out)
+        accepted = len(out)
         now += 0.1
         for send in out:
             balancer.handle(outcome(send, 0, api.Result.OK), now)
-    assert most >= 8
+    assert accepted >= 8
     # A server listed later is in slow start: its estimate grows slowly.
     late = Balancer(settings(classes=CLASSES[:1]), 7, 0.0)
     late.start(0.0)
@@ -368,12 +368,12 @@
     # connections that this required failed at the same rate, until no server was left.
     balancer = started("a")
     balancer.servers["a"].capacity = 20.0
-    held = attempt(balancer, 0, 100.0)
+    slow = attempt(balancer, 0, 100.0)
     for n in range(1, 8):
         lost = attempt(balancer, n, 100.0 + n)
         actions = balancer.handle(outcome(lost, 0, api.Result.CONNECT_FAILED, 0.0), 100.0 + n)
         assert api.CloseIdle("a") not in actions
-    assert api.CloseIdle("a") not in balancer.handle(outcome(held, 0, api.Result.OK), 108.0)
+    assert api.CloseIdle("a") not in balancer.handle(outcome(slow, 0, api.Result.OK), 108.0)
 
 
 def test_a_connect_timeout_excludes_the_server_for_a_while() -> None:
@@ -451,13 +451,13 @@
 def test_a_failed_watch_is_renewed_with_backoff() -> None:
     balancer = Balancer(settings(ask=True), 1, 100.0)
     assert api.Watch(True) in balancer.start(100.0)
-    asked = 0
+    watches = 0
     for i in range(1, 41):
         now = 100.0 + i * WINDOW
-        asked += api.Watch(True) in balancer.handle(api.TimerFired(0), now)
+        watches += api.Watch(True) in balancer.handle(api.TimerFired(0), now)
         if i % 8 == 0:
             balancer.handle(api.ServerList(api.ListKind.FAILED, 0), now)
-    assert 2 <= asked <= 8
+    assert 2 <= watches <= 8
     balancer.handle(api.ServerList(api.ListKind.INCREMENTAL, 1), 111.0)
     assert api.Watch(True) not in balancer.handle(api.TimerFired(0), 120.0)
 
