--- a/firvane/proxy/metrics.py
+++ b/firvane/proxy/metrics.py
@@ -83,13 +83,13 @@
         flow, self.flow = self.flow, None  # breaks the reference cycle
         if flow is None:
             return
-        latency = self.now() - self.started_at
+        elapsed = self.now() - self.started_at
         for counts in self.by:
             counts.taken += 1
             counts.attempts += len(flow.attempts)
             if outcome == "served":
-                counts.in_time += latency <= self.latency_target
-                index = bucket(latency)
+                counts.in_time += elapsed <= self.latency_target
+                index = bucket(elapsed)
                 counts.latency[index] = counts.latency.get(index, 0) + 1
             elif outcome == "refused":
                 counts.refused += 1
--- a/tests/simulation/runner/test_policies.py
+++ b/tests/simulation/runner/test_policies.py
@@ -91,7 +91,7 @@
 
 
 def requests_that_ask_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(PolicyConsensus, "may", lambda self: self.value is not None)
+    monkeypatch.setattr(PolicyConsensus, "may_accept", lambda self: self.value is not None)
 
 
 def votes_that_are_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
