--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -17,7 +17,7 @@
 from firvane.proxy.capacity import tenant_admission
 from firvane.proxy.capacity.backend_estimates import EJECTION_ERROR_RATE, LONG_DURATIONS, MAX_HEDGE_REJECTIONS
 from firvane.proxy.server_selection import TENANT_WINDOW_S, ServerSelection
-from firvane.proxy.slice_table import FLAG_ASK_ROWS, PEER_TIMEOUT_ROWS
+from firvane.proxy.slice_table import FLAG_REQUEST_ROW, PEER_TIMEOUT_ROWS
 
 HISTORY_WINDOWS = 6  # past windows used for the arrival forecast and the response rate
 QUEUE_TARGET_FRACTION = 0.3  # of the latency target: maximum time in the queue
@@ -67,7 +67,7 @@
 
     def start(self, now: float) -> list[api.Action]:
         """Announce this proxy to its peers, and request their rows and the server list."""
-        self.announce(now, FLAG_ASK_ROWS)
+        self.announce(now, FLAG_REQUEST_ROW)
         self.on_window(now)
         return self.actions
 
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -34,14 +34,14 @@
 SERVED_RATE_WINDOWS = 3  # averaging time of the announced response rate
 MAX_ROW_ENTRIES = 70
 MAX_PHI = 0xFFFF
-FLAG_ASK_ROWS = 1  # row flag: requests the receiver's row
+FLAG_REQUEST_ROW = 1  # row flag: requests the receiver's row
 FLAG_UNEXPECTED_OFFLOAD = 2  # row flag: the receiver offloads more to the sender than expected
 UNEXPECTED_OFFLOAD_FACTOR = 2  # times an even share of the peer's attempts
 UNEXPECTED_OFFLOAD_MARGIN = 2  # attempts beyond that
-RING_POINTS = 64  # ring points of a server of mean weight
+RING_POINTS = 64  # ring points of a server of mean weight and kind size
 POWER_REFRESH_S = 0.1  # interval at which the power of a slow server is recomputed
 SLOW_LATENCY = 1.5  # servers above this relative latency count as slow
-LATENCY_MEMORY_FADES = 4  # half-lives after which a relative latency is ignored
+LATENCY_MEMORY_HALF_LIVES = 4  # after which a relative latency is ignored
 SPARE_TOKENS = 2.0  # a server in slow start with this many tokens is preferred for any request
 MIN_WATCH_BACKOFF_S = 0.5
 MAX_WATCH_BACKOFF_S = 4.0
@@ -216,7 +216,7 @@
         self.count_row(row, 1)  # a new peer gets a slice at the end of the window
         if previous:
             self.count_row(previous, -1)
-        if row.flags & FLAG_ASK_ROWS:
+        if row.flags & FLAG_REQUEST_ROW:
             self.announce(now, 0, sender)
         if row.flags & FLAG_UNEXPECTED_OFFLOAD:
             self.shares = {pair: share for pair, share in self.shares.items() if pair[1] != sender}
@@ -242,7 +242,7 @@
         ready_at = server.retry_at
         is_slow = (
             server.relative_latency > SLOW_LATENCY
-            and server.relative_latency_at > now - LATENCY_MEMORY_FADES * LATENCY_HALF_LIFE_S
+            and server.relative_latency_at > now - LATENCY_MEMORY_HALF_LIVES * LATENCY_HALF_LIFE_S
         )
         refresh_at = now + POWER_REFRESH_S if is_slow else math.inf
         is_warm = not self.estimates.is_in_slow_start(server, now)
