--- a/firvane/fleet/placement/balancer.py
+++ b/firvane/fleet/placement/balancer.py
@@ -124,7 +124,7 @@
             handler(event, now)
         return self.actions
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Replace the settings."""
         self.settings = settings
 
--- a/firvane/fleet/placement/slices.py
+++ b/firvane/fleet/placement/slices.py
@@ -12,7 +12,7 @@
 
 from firvane.core.balancing import window
 from firvane.core.balancing.records import mix, total
-from firvane.core.balancing.slices import deal
+from firvane.core.balancing.slices import assign_round_robin
 from firvane.fleet.placement.prompt_homes import rank_servers
 from firvane.fleet.placement.rows import Section
 from firvane.fleet.placement.server_view import ServerView, server_id
@@ -51,7 +51,7 @@
         """Assign the ready servers to the slices of the live routers."""
         self.by_router = {router: [] for router in sorted(routers)}
         self.owners = {}
-        for router, server in deal(sorted(servers, key=server_id), list(self.by_router)):
+        for router, server in assign_round_robin(sorted(servers, key=server_id), list(self.by_router)):
             self.by_router[router].append(server)
             self.owners.setdefault(server.id, []).append(router)
         self.shares = self._between_live(self.shares)
@@ -88,8 +88,8 @@
             if router in load:
                 growth[router] = window.growth(section.forecast, section.arrivals, section.served, age)
                 mu[router] = section.mu
-        load = window.ahead(load, growth, spread=True)
-        self.shares = window.step(load, mu, {n: zones.get(n, 0) for n in load}, self.shares)
+        load = window.expected_load(load, growth, spread=True)
+        self.shares = window.next_shares(load, mu, {n: zones.get(n, 0) for n in load}, self.shares)
         self._smooth()
         self._update_moves()
 
@@ -103,9 +103,11 @@
         }
 
     def _update_moves(self) -> None:
-        self.moves = window.moves(self.shares)
+        self.moves = window.destinations(self.shares)
         excess = {pair: share - LONG_PROMPT_MARGIN for pair, share in self.smoothed_shares.items()}
-        self.long_prompt_moves = window.moves({pair: share for pair, share in excess.items() if share > 0.0})
+        self.long_prompt_moves = window.destinations(
+            {pair: share for pair, share in excess.items() if share > 0.0}
+        )
 
     def drop_moves_to(self, target: int) -> None:
         """Cancel the moves to a router until the next window, since it received more load than it expects."""
--- a/firvane/fleet/router/peers.py
+++ b/firvane/fleet/router/peers.py
@@ -38,7 +38,7 @@
         zones = {peer_number(router.address): self.zones.get(router.zone, 0) for router in routers}
         return PeersChanged(tuple(sorted(zones)), tuple(zones[number] for number in sorted(zones)))
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a row to one router, or to all others if `peer` is None."""
         if peer is not None:
             if address := self.addresses.get(peer):
--- a/firvane/proxy/capacity/backend_estimates.py
+++ b/firvane/proxy/capacity/backend_estimates.py
@@ -122,7 +122,7 @@
         self.rejected_fraction = 0.0  # of attempts, for lack of capacity
         self.loss_rate = 0.0  # fraction of attempts never answered though their server answers others
 
-    def retune(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Apply new settings, in which a known class keeps its index; the estimates are kept."""
         known = {
             cls.name: duration
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -110,7 +110,7 @@
     def _abandon(self, flow: Flow[Message, Message]) -> None:
         """End a request whose client has gone."""
         if self.context.metrics is not None:
-            self.context.metrics.left(flow)
+            self.context.metrics.on_disconnect(flow)
         self.context.engine.on_client_disconnected(flow)
 
     def has_pending_work(self) -> bool:
@@ -375,10 +375,10 @@
         # Asked at each request: the process may have been suspended since it was read.
         policy_lease = self.context.policy_lease
         if policy_lease is not None and self.context.ready:
-            if not policy_lease.may():
+            if not policy_lease.may_accept():
                 self.on_rejected(self.context.count_rejected(message))
                 return
-            self.policy_field = policy_lease.stamp
+            self.policy_field = policy_lease.epoch_header
         try:
             request, left = self.context.parse_request(message)
         except HttpError as error:
@@ -411,7 +411,7 @@
         context.count_request(self)
         context.open_ids.add(message.fields[b"x-call-id"])
         if context.metrics is not None:
-            context.metrics.take(self.flow, request, context.settings)
+            context.metrics.on_request(self.flow, request, context.settings)
         context.engine.accept_request(self.flow, request)
 
     def _handle_ready(self, message: Message) -> None:
@@ -423,6 +423,6 @@
             up = (
                 context.ready
                 and not context.draining
-                and (context.policy_lease is None or context.policy_lease.may())
+                and (context.policy_lease is None or context.policy_lease.may_accept())
             )
             self._respond_status(200 if up else 503)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -34,22 +34,22 @@
 class PolicyLease(Protocol):
     """Whether requests may be decided now, and by which policy."""
 
-    stamp: bytes  # a header line that names the policy in each response, or b""
+    epoch_header: bytes  # a header line that names the policy in each response, or b""
 
-    def may(self) -> bool:
+    def may_accept(self) -> bool:
         """Whether a new request may be decided now."""
 
 
 class RequestMetrics(Protocol):
     """Counts of requests by class and tenant."""
 
-    def take(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
+    def on_request(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
         """A request is taken up."""
 
-    def left(self, flow: Flow[Message, Message]) -> None:
+    def on_disconnect(self, flow: Flow[Message, Message]) -> None:
         """The client of a request has gone."""
 
-    def unseen(self, cls: str, tenant: str | None) -> None:
+    def on_unparsed_rejection(self, cls: str, tenant: str | None) -> None:
         """A request was rejected before it was parsed."""
 
 
@@ -235,7 +235,7 @@
         """Count a request that is rejected before any decision, by its class and tenant on the wire."""
         if self.metrics is not None:
             known = tenant.decode("latin-1") if tenant in self.tenants else None
-            self.metrics.unseen(cls.decode("latin-1"), known)
+            self.metrics.on_unparsed_rejection(cls.decode("latin-1"), known)
 
     def pause_accepting(self) -> None:
         """All descriptors for client connections are in use."""
--- a/firvane/proxy/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -15,7 +15,7 @@
 class PeerTransport(Protocol):
     """Sends datagrams to the other proxies."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send the payload to that peer; None sends it to all."""
 
 
@@ -46,8 +46,8 @@
     def wall(self) -> Callable[[], float]:
         """Returns Unix time in seconds."""
 
-    def fits(self, settings: api.Settings) -> str:
+    def unfit_reason(self, settings: api.Settings) -> str:
         """Return why the proxy has no capacity for these settings; "" where it has."""
 
-    def adopt(self, settings: api.Settings) -> None:
+    def apply_policy(self, settings: api.Settings) -> None:
         """Decide all requests that come from now on by these settings, which have been validated."""
--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -93,8 +93,8 @@
     Mutant(
         "the most urgent body goes on first",
         "firvane/core/body_leases.py",
-        "heir = min(self.queue, key=lambda waiting: self.queue[waiting].priority)",
-        "heir = next(iter(self.queue))",
+        "next_owner = min(self.queue, key=lambda waiting: self.queue[waiting].priority)",
+        "next_owner = next(iter(self.queue))",
         f"{BODIES}::test_the_most_urgent_waiting_body_gets_memory_first",
     ),
     Mutant(
@@ -121,23 +121,23 @@
     Mutant(
         "a turn has a bound",
         TURNS,
-        "            if share <= 0 or self._left <= 0:",
+        "            if share <= 0 or self._units_left <= 0:",
         "            if False:",
-        "tests/core/test_turn_budget.py::test_all_work_is_done_and_a_turn_has_a_bound",
+        "tests/core/test_turn_budget.py::test_all_work_is_done_and_the_work_of_a_turn_is_limited",
     ),
     Mutant(
         "a connection has a share of a round",
         TURNS,
-        "            if share <= 0 or self._left <= 0:",
-        "            if self._left <= 0:",
-        "tests/core/test_turn_budget.py::test_in_a_round_each_has_its_share_once",
+        "            if share <= 0 or self._units_left <= 0:",
+        "            if self._units_left <= 0:",
+        "tests/core/test_turn_budget.py::test_each_connection_has_one_share_per_round",
     ),
     Mutant(
         "who has had its share joins the next round",
         TURNS,
-        "queue = self._next_round if worker in self._served else self._round",
+        "queue = self._next_round if worker in self._served_this_round else self._round",
         "queue = self._round",
-        "tests/core/test_turn_budget.py::test_urgent_ones_that_always_come_again_do_not_starve_others",
+        "tests/core/test_turn_budget.py::test_urgent_connections_with_constant_work_do_not_starve_others",
     ),
     Mutant(
         "what waits for a later turn is not read on",
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -27,13 +27,13 @@
         "an aim of nothing is turned down",
         "firvane/proxy/settings.py",
         'latency_target=section.positive("slo-ns"),',
-        'latency_target=section.span("slo-ns"),',
+        'latency_target=section.duration("slo-ns"),',
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
         "two classes of one name are turned down",
         "firvane/proxy/settings.py",
-        '    _once("classes", [cls.name for cls in classes])\n',
+        '    _require_unique_names("classes", [cls.name for cls in classes])\n',
         "",
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
@@ -47,8 +47,8 @@
     Mutant(
         "a zone has its place in a row",
         "firvane/proxy/settings.py",
-        "    if zone > LAST_ZONE:",
-        "    if zone > 10 * LAST_ZONE:",
+        "    if zone > MAX_ZONE:",
+        "    if zone > 10 * MAX_ZONE:",
         f"{TEST}::test_bad_settings_are_one_line_that_names_file_and_key",
     ),
     Mutant(
@@ -134,7 +134,7 @@
         "max(\n            server.last_response_at, "
         "server.attempts[0].sent_at if server.attempts else attempt.sent_at\n        )",
         "server.last_response_at",
-        "tests/proxy/test_balancer.py::test_a_server_that_is_seldom_asked_is_not_silent_before_its_usual_time",
+        "tests/proxy/test_balancer.py::test_a_rarely_used_server_is_not_silent_before_its_usual_duration",
     ),
     Mutant(
         "one's own answers are not taken for those of all",
--- a/tests/fleet/router/helpers.py
+++ b/tests/fleet/router/helpers.py
@@ -73,7 +73,7 @@
     def start(self, now: float) -> list[api.Action]:
         return []
 
-    def retune(self, settings: api.Settings) -> None: ...
+    def apply_settings(self, settings: api.Settings) -> None: ...
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
         self.events.append(event)
@@ -161,7 +161,7 @@
 class NoPeers:
     """Peers of the engine that are never sent anything."""
 
-    def tell(self, peer: int | None, payload: bytes) -> None: ...
+    def send_datagram(self, peer: int | None, payload: bytes) -> None: ...
 
 
 @asynccontextmanager
--- a/tests/proxy/capacity/test_backend_estimates.py
+++ b/tests/proxy/capacity/test_backend_estimates.py
@@ -275,7 +275,7 @@
     estimates = BackendEstimates(settings(proxies=40, limits=limits[0]), random.Random(1), 100.0)
     warm = Backend(server("a"), 1, 1.0, None)
     assert rate(estimates, 0) == pytest.approx(1600.0, rel=0.1)
-    estimates.retune(settings(proxies=40, limits=limits[1]))
+    estimates.apply_settings(settings(proxies=40, limits=limits[1]))
     assert rate(estimates, 100) == pytest.approx(1600.0, rel=0.1)
 
 
--- a/tests/simulation/runner/test_policies.py
+++ b/tests/simulation/runner/test_policies.py
@@ -91,7 +91,7 @@
 
 
 def requests_that_ask_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(PolicyConsensus, "may", lambda self: self.value is not None)
+    monkeypatch.setattr(PolicyConsensus, "may_accept", lambda self: self.value is not None)
 
 
 def votes_that_are_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -115,7 +115,7 @@
 
     def respond(self: Any, *args: Any) -> None:
         if self.policy_field and self.context.policy_lease:
-            self.policy_field = self.context.policy_lease.stamp
+            self.policy_field = self.context.policy_lease.epoch_header
         whole(self, *args)
 
     monkeypatch.setattr(ClientConnection, "_respond", respond)
