--- a/firvane/proxy/quorum/proposals.py
+++ b/firvane/proxy/quorum/proposals.py
@@ -139,7 +139,7 @@
             return
         proposer = state.proposer
         is_prepared = state.readiness is not None and state.readiness.value == proposal.value
-        if is_prepared or (proposer and proposer.wanted == proposal.value and not proposer.accept_sent):
+        if is_prepared or (proposer and proposer.own_value == proposal.value and not proposer.accept_sent):
             self._withdraw(proposal, "it was aborted", now)
 
     def _withdraw(self, proposal: Proposal, reason: str, now: float) -> None:
@@ -240,7 +240,7 @@
 
     def _update_undecided(self, proposal: Proposal, now: float) -> None:
         proposer = self.state.proposer
-        if proposer is None or proposer.wanted != proposal.value or proposer.phase is Phase.CHOSEN:
+        if proposer is None or proposer.own_value != proposal.value or proposer.phase is Phase.CHOSEN:
             return
         is_backing_off = now >= proposer.next_step_at and proposer.attempts
         if is_backing_off and not proposer.accept_sent and self._is_overdue(now):
--- a/firvane/proxy/quorum/proposer.py
+++ b/firvane/proxy/quorum/proposer.py
@@ -1,17 +1,19 @@
-"""The proposer of one epoch: proposal after proposal, until a majority has accepted a value.
+"""Paxos proposer for one epoch: sends proposals until a majority has accepted a value.
 
 Invariants:
 
-1. Phase 1 asks all voters; the quorum of a proposal is the majority that has promised it, each voter in one
-   incarnation. Of the values that they have accepted, the one with the highest number is proposed; the
-   proposer's own value where there is none.
-2. The activation is `activation_delay_s` away when phase 2 begins. Each voter gets it on its own clock,
-   mapped by its promise, which counts for that only where it came back within a round trip.
-3. A proposal that cannot get a majority, or gets none in time, is followed by one with a higher number, after
-   a random backoff. Once phase 2 of a proposal has been sent, its value may be chosen at any time: nobody may
-   report that the change has failed until a majority has accepted another value for that epoch.
-4. A promise or an acceptance counts only where no other voter that gave one knew a later incarnation of its
-   sender: then it gave its own before it sent its state to that incarnation, which is bound by it as well.
+1. Phase 1 is sent to all voters. The quorum of a proposal is the majority that has promised it, each voter in
+   a single incarnation. Phase 2 proposes the accepted value with the highest number that these promises
+   report, or the proposer's own value if they report none.
+2. The activation is `activation_delay_s` away when phase 2 begins. Each voter receives the activation time on
+   its own clock. The offset of that clock is estimated from the voter's promise, and only if the promise
+   arrived within `round_trip_s` of its request.
+3. A proposal that can no longer get a majority, or gets none in time, is followed by one with a higher number
+   after a random backoff. Once phase 2 of a proposal has been sent, its value may be chosen at any time: no
+   proxy may report that the change has failed until a majority has accepted another value for that epoch.
+4. A promise or an acceptance counts only if no other voter's reply reports a later incarnation of its sender.
+   Otherwise the sender has lost its state since. A voter whose reply reports no later incarnation replied
+   before it sent its state to that incarnation, which is therefore bound by that reply as well.
 
 Source: Lamport, "Paxos Made Simple", section 2.2.
 """
@@ -41,7 +43,7 @@
 
 
 class Phase(Enum):
-    """The phase that a proposal is in."""
+    """The phase of a proposal; the values are part of the status output."""
 
     BACKOFF = "waits for the next attempt"
     PREPARING = "asks voters to promise"
@@ -49,34 +51,34 @@
     CHOSEN = "chosen"
 
 
-Outgoing = list[tuple[int, Message]]  # receivers, and what is sent to each
+Outgoing = list[tuple[int, Message]]  # receiver and message
 
 
 @dataclass
 class Proposer:
-    """The proposals of proxy `me` for the epoch after `decided`, which has been activated.
+    """The proposals of proxy `me` for the epoch after `decided`, whose own epoch has been activated.
 
     Attributes:
         me: The number of this proxy.
-        nonce: Part of its proposal numbers; new with each start of the proxy and each change.
+        nonce: Part of the proposal numbers; drawn anew for each proposer.
         timing: The time bounds of the tier.
-        decided: The last decided value, whose voters decide.
-        wanted: What is proposed where nothing may be chosen yet: a change of this proxy, or the value of
-            another proxy whose vote it completes.
-        rng: The source of nonces and backoffs.
-        next_step_at: When the next step is due by itself, in seconds on this proxy's clock.
+        decided: The last decided value; its voters vote on the next epoch.
+        own_value: The value that is proposed if the promises report no accepted value: a change proposed at
+            this proxy, or the value of an incomplete vote that this proxy completes.
+        rng: The random source for nonces and backoffs.
+        next_step_at: The time of the next timed step, in seconds on this proxy's clock.
         phase: The current phase.
         number: The current proposal number.
-        highest_term: The highest term that is known.
-        value: The value of phase 2; None before.
-        accept_sent: Whether an acceptance of `wanted` has been asked for.
+        highest_term: The highest term seen so far.
+        value: The value proposed in phase 2; None in phase 1.
+        accept_sent: Whether an `Accept` with `own_value` has been sent.
         attempts: How many proposals have failed.
-        started_at: When the current phase 1 began.
+        started_at: When phase 1 of the current proposal began.
         activate_at: The activation time on this proxy's clock.
         prepare_sent_at: When each `Prepare` was sent, by its nonce.
         promises: The promises for the current number, by voter.
-        clock_offsets: Each voter's clock less this one's, in seconds.
-        acceptances: The acceptances of the current number, by voter.
+        clock_offsets: Each voter's clock minus this proxy's clock, in seconds.
+        acceptances: The acceptances for the current number, by voter.
         rejections: The voters that have rejected the current phase.
     """
 
@@ -84,7 +86,7 @@
     nonce: int
     timing: Timing
     decided: Value
-    wanted: Value
+    own_value: Value
     rng: random.Random
     next_step_at: float
     phase: Phase = Phase.BACKOFF
@@ -102,21 +104,22 @@
     rejections: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        # Voters rely on the proposer that `decided` is activated; for that very epoch it would be too early.
-        assert self.wanted.epoch == self.decided.epoch + 1
+        # Voters that receive a `Prepare` mark `decided` as activated, so that only the epoch after it may be
+        # proposed.
+        assert self.own_value.epoch == self.decided.epoch + 1
 
     @property
     def voters(self) -> tuple[int, ...]:
-        """Who decides."""
+        """The voters on this epoch."""
         return self.decided.voters
 
     @property
     def quorum(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return self.decided.quorum
 
     def step(self, now: float) -> Outgoing:
-        """Do what is due by now, and return what is to be sent."""
+        """Run the steps that are due at `now`, and return the messages to send."""
         if self.phase is Phase.CHOSEN or now < self.next_step_at:
             return []
         if self.phase is Phase.BACKOFF:
@@ -152,11 +155,11 @@
     def _back_off(self, now: float) -> None:
         self.attempts += 1
         self.phase = Phase.BACKOFF
-        longest = 2 ** min(MAX_BACKOFF_EXPONENT, self.attempts)
-        self.next_step_at = now + self.timing.round_trip_s * self.rng.uniform(1, longest)
+        max_round_trips = 2 ** min(MAX_BACKOFF_EXPONENT, self.attempts)
+        self.next_step_at = now + self.timing.round_trip_s * self.rng.uniform(1, max_round_trips)
 
     def on_promise(self, voter: int, message: Promise, now: float) -> Outgoing:
-        """Handle a voter's reply to phase 1, and return what is to be sent."""
+        """Handle a voter's reply to phase 1, and return the messages to send."""
         self.highest_term = max(self.highest_term, message.promised[0])
         if self.phase is not Phase.PREPARING and self.phase is not Phase.ACCEPTING:
             return []
@@ -172,11 +175,11 @@
         self._measure_clock(voter, message, now)
         if self.phase is Phase.ACCEPTING:
             return self._accept_messages([voter])
-        with_clock = self._current_promises().keys() & self.clock_offsets.keys()
-        return self._begin_accepting(now) if len(with_clock) >= self.quorum else []
+        usable_voters = self._current_promises().keys() & self.clock_offsets.keys()
+        return self._begin_accepting(now) if len(usable_voters) >= self.quorum else []
 
     def _measure_clock(self, voter: int, message: Promise, now: float) -> None:
-        """Estimate the voter's clock offset, where the reply came back within a round trip."""
+        """Estimate the voter's clock offset if the reply arrived within `round_trip_s`."""
         sent_at = self.prepare_sent_at.get(message.nonce)
         if voter == self.me:
             self.clock_offsets[voter] = 0.0
@@ -184,7 +187,7 @@
             self.clock_offsets[voter] = message.clock_s - (sent_at + now) / 2
 
     def _current_promises(self) -> dict[int, Promise]:
-        """The promises of voters of which no other one that has promised knows a later incarnation."""
+        """Return the promises of voters of which no other promise reports a later incarnation."""
         incarnations = latest_incarnations(promise.known_incarnations for promise in self.promises.values())
         return {
             voter: promise
@@ -194,12 +197,12 @@
 
     def _begin_accepting(self, now: float) -> Outgoing:
         votes = [vote for promise in self._current_promises().values() if (vote := vote_of(promise.accepted))]
-        value = max(votes, key=lambda vote: vote[0])[1] if votes else self.wanted
+        value = max(votes, key=lambda vote: vote[0])[1] if votes else self.own_value
         self.phase = Phase.ACCEPTING
         self.value = value
         self.activate_at = now + self.timing.activation_delay_s
         self.rejections.clear()
-        self.accept_sent = self.accept_sent or value == self.wanted
+        self.accept_sent = self.accept_sent or value == self.own_value
         self.next_step_at = now + self.timing.round_trip_s
         return self._accept_messages(self.voters)
 
@@ -219,7 +222,7 @@
         ]
 
     def on_accepted(self, voter: int, message: Accepted, now: float) -> bool:
-        """Handle a voter's reply to phase 2; return whether the value is chosen by it."""
+        """Handle a voter's reply to phase 2; return whether the value is now chosen."""
         if self.phase is not Phase.ACCEPTING or number_of(message.number) != self.number:
             return False
         if not message.granted:
@@ -239,7 +242,7 @@
         return self.phase is Phase.CHOSEN
 
     def learn_messages(self) -> Outgoing:
-        """Return the messages that tell each voter, on its clock, what a majority has accepted."""
+        """Return a `Learn` with the chosen value for each voter, its activation time on the voter's clock."""
         assert self.value and self.phase is Phase.CHOSEN
         out: Outgoing = []
         for voter in self.voters:
