--- a/firvane/proxy/quorum/acceptor.py
+++ b/firvane/proxy/quorum/acceptor.py
@@ -1,17 +1,20 @@
-"""The acceptor of one voter: what it has promised and accepted, and what it knows of an activation time.
+"""Paxos acceptor of one voter: its promises and acceptances, and the known bounds of the next activation.
 
 Invariants:
 
-1. A reply is sent once its state is on disk: `persisted` is what is there, `state` what was decided since.
-   The end of the epoch in use is reported at once, since stopping early breaks no promise.
-2. A proposal is granted only where its number is not below what was promised, and its activation is at least
-   the notice away.
-3. Of the activation times accepted for one epoch, the earliest ends the epoch before it, whichever proposal
-   is chosen; the epoch begins at the time of the chosen proposal, of which there may be several.
-4. A voter that has restarted knows no activation time: the epoch before may be over now, and the next has
-   begun when the longest activation delay has passed.
-5. A voter without its state neither votes nor counts. It takes a new incarnation, one above the highest that
-   any of a majority of the others knows; these have it on disk before they send it their state.
+1. A reply is sent once the state that it depends on is on disk: `persisted` is the state on disk, `state`
+   includes later changes. The end of the epoch in use is reported at once, since stopping early breaks no
+   promise.
+2. An `Accept` is granted only if its number is not below the promised one and its activation is at least
+   `min_notice_s` away.
+3. Of the activation times accepted for one epoch, the earliest ends the previous epoch, whichever proposal
+   is chosen. The epoch begins at the activation time of the chosen proposal; several proposals may be chosen
+   (with the same value).
+4. A voter that has restarted knows no activation time: the previous epoch may have ended by now, and the
+   next one has begun once the longest activation delay has passed.
+5. A voter that has lost its state neither votes nor counts in a majority. It takes a new incarnation, one
+   above the highest that any of a majority of the other voters knows. Those voters have that incarnation on
+   disk before they send it their state.
 
 Source: Lamport, "Paxos Made Simple", section 2.2, with incarnations for acceptors that lose their disk.
 """
@@ -41,11 +44,11 @@
     Attributes:
         me: The number of this proxy.
         timing: The time bounds of the tier.
-        state: The current state; at first what was on disk.
-        now: The time of the start, in seconds on this proxy's monotonic clock.
-        window: When the next activation takes place, as far as known.
-        persisted: The state that is on disk.
-        activation_times: The activation times of the proposals accepted here.
+        state: The current state; initially the state read from disk.
+        now: The time of creation, in seconds on this proxy's monotonic clock.
+        window: The known bounds of the next activation.
+        persisted: The state on disk.
+        activation_times: The activation times of the accepted proposals, by proposal number.
     """
 
     me: int
@@ -63,7 +66,7 @@
 
     @property
     def next_epoch(self) -> int:
-        """The epoch that is voted on."""
+        """The epoch that is being voted on."""
         return self.state.decided.epoch + 1
 
     def _latest_activation(self, now: float) -> float:
@@ -72,13 +75,16 @@
     # Proposals
 
     def prepare(self, message: Prepare, now: float) -> Promise | None:
-        """Return the reply, to be sent once `state` is on disk; None where the epoch is not the next one."""
+        """Return the reply to phase 1, to be sent once `state` is on disk.
+
+        None if the proposal is not for the next epoch.
+        """
         decided = Value(*message.decided)
         if decided.epoch > self.state.decided.epoch:
             self.learn_decided(decided, True, ActivationWindow())
         if decided.epoch != self.state.decided.epoch:
             return None
-        if not self.state.activated:  # the proposer has seen the activation pass
+        if not self.state.activated:  # the proposer knows that the activation has passed
             self.mark_activated()
         number = ProposalNumber(*message.number)
         granted = number >= self.state.promised
@@ -96,13 +102,16 @@
         )
 
     def accept(self, message: Accept, now: float) -> Accepted | None:
-        """Return the reply, to be sent once `state` is on disk; None where the epoch is not the next one."""
+        """Return the reply to phase 2, to be sent once `state` is on disk.
+
+        None if the proposal is not for the next epoch, or the current epoch is not activated yet.
+        """
         number, value = ProposalNumber(*message.number), Value(*message.value)
         if value.epoch != self.next_epoch or not self.state.activated:
             return None
         latest = self.timing.activation_delay_s + self.timing.round_trip_s
-        in_time = self.timing.min_notice_s <= message.activate_at - now <= latest
-        granted = in_time and number >= self.state.promised
+        has_valid_notice = self.timing.min_notice_s <= message.activate_at - now <= latest
+        granted = has_valid_notice and number >= self.state.promised
         if granted:
             self.activation_times.setdefault(number, message.activate_at)
             self.window.previous_end = min(self.window.previous_end, message.activate_at)
@@ -110,22 +119,22 @@
         return Accepted(
             number=number,
             granted=granted,
-            too_late=not in_time,
+            too_late=not has_valid_notice,
             incarnation=self.state.incarnation,
             known_incarnations=self.state.known_incarnations,
         )
 
-    # What others have learned
+    # Decided values and activations
 
     def learn_chosen(
         self, number: ProposalNumber, value: Value, activate_at: float | None, now: float
     ) -> None:
-        """Learn that a majority has accepted `value`.
+        """Record that a majority has accepted `value`.
 
         Args:
-            number: The chosen proposal.
+            number: The number of the chosen proposal.
             value: Its value.
-            activate_at: Its activation time on this clock; None where it is not known.
+            activate_at: Its activation time on this proxy's clock; None if unknown.
             now: The current time.
         """
         if value.epoch != self.next_epoch:
@@ -138,14 +147,14 @@
         self.learn_decided(value, False, window)
 
     def learn_decided(self, decided: Value, activated: bool, window: ActivationWindow) -> None:
-        """Learn a later epoch; `window` is when it begins, as far as known."""
+        """Adopt a later decided epoch; `window` holds the known bounds of its activation."""
         if decided.epoch > self.state.decided.epoch:
             self.state = self.state._replace(decided=decided, activated=activated, accepted=None)
             self.window = window
             self.activation_times.clear()
 
     def mark_activated(self) -> None:
-        """The activation has passed."""
+        """Record that the activation of the decided epoch has passed."""
         self.state = self.state._replace(activated=True)
         self.window = ActivationWindow()
 
@@ -156,34 +165,34 @@
     # Durable state
 
     def note_incarnation(self, voter: int, incarnation: int) -> None:
-        """Record the new incarnation of a voter that has lost its state."""
+        """Record the incarnation of another voter that has lost its state."""
         known = dict(self.state.known_incarnations)
         if incarnation > known.get(voter, 0):
             known[voter] = incarnation
             self.state = self.state._replace(known_incarnations=tuple(sorted(known.items())))
 
     def on_saved(self, state: VoterState) -> None:
-        """That state is on disk."""
+        """Record that `state` is on disk."""
         self.persisted = state
 
     def on_save_failed(self) -> None:
-        """A write has failed: whatever is not on disk has not been decided."""
+        """Revert to the state on disk after a failed write."""
         self.state = self.persisted
         if self.state.accepted is None and self.state.activated:
             self.window = ActivationWindow()
 
 
 def are_current(voters: Iterable[tuple[int, int]], incarnations: Mapping[int, int]) -> bool:
-    """Whether none of the voters, each with its incarnation, is known by a later incarnation."""
+    """Return whether none of the (voter, incarnation) pairs is superseded by a later incarnation."""
     return all(incarnation >= incarnations.get(voter, 0) for voter, incarnation in voters)
 
 
 def find_chosen(
     replies: Mapping[int, LeaseReply], voters: Sequence[int], quorum: int
 ) -> tuple[ProposalNumber, Value] | None:
-    """Return the proposal that the replies of the voters show to be accepted by a majority, if any.
+    """Return the number and value that a majority has accepted according to the replies; None if none.
 
-    An acceptance of an incarnation that has lost its state does not count.
+    An acceptance does not count if a later incarnation of its voter is known: that voter has lost its state.
     """
     incarnations = latest_incarnations(reply.known_incarnations for reply in replies.values())
     counts: Counter[tuple[ProposalNumber, Value]] = Counter()
@@ -195,7 +204,7 @@
 
 
 def latest_incarnations(known: Iterable[Iterable[tuple[int, int]]]) -> dict[int, int]:
-    """Return the newest incarnation that is known of each voter."""
+    """Return the latest known incarnation of each voter."""
     latest: dict[int, int] = {}
     for voter, incarnation in chain.from_iterable(known):
         latest[voter] = max(incarnation, latest.get(voter, 0))
@@ -203,12 +212,12 @@
 
 
 def recover_state(me: int, incarnation: int, replies: Iterable[LeaseReply]) -> VoterState:
-    """Return the state that a voter goes on with that has lost its own.
+    """Return the recovered state of a voter that has lost its own.
 
     Args:
-        me: The voter.
-        incarnation: Its new incarnation, which all senders of `replies` knew of.
-        replies: The replies of a majority of the others; at least one has a decided value.
+        me: The number of the recovering voter.
+        incarnation: Its new incarnation, which all senders of `replies` knew when they replied.
+        replies: The replies of a majority of the other voters; at least one contains a decided value.
     """
     received = list(replies)
     decided = max(
--- a/firvane/proxy/quorum/proposer.py
+++ b/firvane/proxy/quorum/proposer.py
@@ -43,7 +43,7 @@
 
 
 class Phase(Enum):
-    """The phase of a proposal; the values are part of the status output."""
+    """The phase of a proposal."""
 
     BACKOFF = "waits for the next attempt"
     PREPARING = "asks voters to promise"
