--- a/firvane/proxy/quorum/leases.py
+++ b/firvane/proxy/quorum/leases.py
@@ -114,7 +114,7 @@
     # Deadlines and status
 
     def serving_ends_at(self) -> float:
-        """Return when the epoch in use ends; -inf if none is in use or it has ended, inf if the end is unknown."""
+        """Return when the epoch in use ends; -inf if none is in use or it is over, inf if unknown."""
         if self.serving is None or self.decided is None or self.serving.epoch < self.decided.epoch - 1:
             return -inf
         window = self.windows.get(self.serving.epoch + 1)
--- a/firvane/proxy/quorum/member.py
+++ b/firvane/proxy/quorum/member.py
@@ -1,8 +1,8 @@
-"""The consensus member of one proxy: events in, actions out.
+"""The consensus member of one proxy: takes events and returns actions.
 
-Its parts, each in a module of its own, share a `MemberState`: `renewal` (lease requests and replies),
-`voting` (votes), `voter_recovery` (a lost state), `proposals` (changes proposed here), `installation` (texts)
-and `outbox` (messages, writes). This module only dispatches events to them, and sets the order in which they
+Its parts share a `MemberState`: `renewal` (lease requests and replies), `voting` (votes), `voter_recovery`
+(recovery of a lost state), `proposals` (changes proposed at this proxy), `installation` (texts) and `outbox`
+(messages and writes of the state). This module dispatches events to them and sets the order in which they
 run.
 """
 
@@ -72,13 +72,13 @@
 
         Args:
             me: The number of this proxy.
-            proxy_count: How many proxies there are.
-            voters: The configured voters, in use until an epoch is known.
+            proxy_count: The number of proxies of the tier.
+            voters: The configured voters, used until an epoch is known.
             timing: The time bounds of the tier.
-            seed: Of the random source for nonces, jitter and backoff.
+            seed: The seed of the random source for nonces, jitter and backoff.
             now: The current time.
-            stored: A voter's state on disk; None where there is none.
-            usable_texts: Digests of the texts that are here and usable.
+            stored: The voter's state read from disk; None if there is none.
+            usable_texts: Digests of the texts that are available and usable here.
         """
         self.state = MemberState(me, proxy_count, voters, timing, seed, now, stored, usable_texts)
         self.outbox = Outbox(self.state, self._dispatch, stored)
@@ -89,41 +89,41 @@
         self.installation = Installation(self.state, self.outbox)
         self.state.synchronize(now)
 
-    # What the driver asks
+    # Queries by the driver
 
     @property
     def serving(self) -> Value | None:
-        """The epoch in use."""
+        """The value of the epoch in use."""
         return self.state.lease.serving
 
     @property
     def serve_until(self) -> float:
-        """Until when new requests may be decided by the epoch in use."""
+        """The time until which new requests may be served under the epoch in use."""
         return self.state.serve_until
 
     def may_serve(self, now: float) -> bool:
-        """Whether a new request may be decided by the epoch in use."""
+        """Return whether a new request may be served under the epoch in use."""
         return self.state.may_serve(now)
 
     def next_tick_at(self, now: float) -> float:
-        """Return when to tick at the latest."""
+        """Return the latest time of the next `Tick`."""
         state = self.state
         due = [state.lease.next_start_at(), state.proposer.next_step_at if state.proposer else inf]
-        longest_s = state.timing.renewal_interval_s / TICKS_PER_RENEWAL
-        return min([now + longest_s, *(at for at in due if at > now)])
+        max_interval_s = state.timing.renewal_interval_s / TICKS_PER_RENEWAL
+        return min([now + max_interval_s, *(at for at in due if at > now)])
 
     def outcome(self, digest: bytes) -> tuple[ProposalOutcome, str]:
-        """Return the outcome of a proposal, as far as this proxy knows, and the reason in words."""
+        """Return the outcome of a proposal as known to this proxy, and the reason as text."""
         return self.proposals.outcome(digest)
 
     def status(self, now: float) -> dict[str, str]:
-        """Return the status that operators see, by name."""
+        """Return the status lines for operators, by name."""
         return describe_status(self.state, now)
 
     # Events
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that follow from an event."""
+        """Process an event and return the resulting actions."""
         state = self.state
         state.actions = []
         match event:
@@ -145,7 +145,7 @@
         return state.actions
 
     def _advance(self, now: float) -> None:
-        """Do what is due by now, whatever the event was."""
+        """Run the steps of all parts that are due at `now`, after any event."""
         state = self.state
         state.synchronize(now)
         self.voting.step(now)
--- a/firvane/proxy/quorum/member_state.py
+++ b/firvane/proxy/quorum/member_state.py
@@ -1,7 +1,7 @@
-"""The state that the parts of a consensus member share.
+"""State shared by the parts of a consensus member.
 
-A part (`renewal`, `voting`, `voter_recovery`, `proposals`, `installation`) owns the state that it alone
-changes; what more than one of them reads or changes is here. All times are seconds on this proxy's monotonic
+Each part (`renewal`, `voting`, `voter_recovery`, `proposals`, `installation`) owns the state that it alone
+changes; state that several parts read or change is here. All times are seconds on this proxy's monotonic
 clock.
 """
 
@@ -20,20 +20,20 @@
 from firvane.proxy.quorum.readiness import ReadinessCheck
 from firvane.proxy.quorum.types import ActivationWindow, Timing, Value, VoterState
 
-HISTORY_LIMIT = 50  # epochs, proposals
+HISTORY_LIMIT = 50  # maximum number of recorded epochs, proposals and unused text results
 
 NO_VOTER = -1
 
 
 class PendingRequest(NamedTuple):
-    """A request that a voter has not answered yet."""
+    """A request to a voter whose reply has not arrived yet."""
 
     voter: int
     sent_at: float
 
 
 class Candidate(NamedTuple):
-    """The proposal that this voter prepares for."""
+    """The proposal that this voter prepares for, until it expires."""
 
     digest: bytes
     proposer: int
@@ -41,7 +41,7 @@
 
 
 class MemberState:
-    """What proxy `me` knows, and what it has in progress."""
+    """The shared state of the consensus member of proxy `me`."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         stored: VoterState | None,
         usable_texts: Iterable[bytes],
     ) -> None:
-        """The arguments are those of `Member`."""
+        """Create the state; the arguments are those of `Member`."""
         self.me = me
         self.proxy_count = proxy_count
         self.configured_voters = voters
@@ -63,62 +63,64 @@
         self.started_at = now
         self.lease = Lease(timing)
         self.acceptor = Acceptor(me, timing, stored, now) if stored else None
-        self.text_errors = dict.fromkeys(usable_texts, "")  # by digest: why it cannot be used, "" if it can
-        self.history: dict[int, Value] = {}  # by epoch
-        self.readiness: ReadinessCheck | None = None  # of the proposal that is being prepared here
-        self.proposer: Proposer | None = None  # of the proposal that is being voted on here
+        self.text_errors = dict.fromkeys(
+            usable_texts, ""
+        )  # by digest: why the text is unusable; "" if usable
+        self.history: dict[int, Value] = {}  # decided values, by epoch
+        self.readiness: ReadinessCheck | None = None  # the change that this proxy is preparing
+        self.proposer: Proposer | None = None  # the vote that this proxy runs
         self.candidate: Candidate | None = None
         self.pending_requests: dict[int, PendingRequest] = {}  # by nonce
-        self.replies: dict[int, LeaseReply] = {}  # the last one of each voter
-        self.last_request_at: dict[int, float] = {}  # by proxy: its last request here, isolated ones left out
-        self.new_incarnation = 0  # of a voter that has lost its state, once that is known
-        self.recovered_acceptor: Acceptor | None = None  # of that incarnation, until it is on disk
-        self.serve_until = -inf  # until when new requests may be decided by the epoch in use
-        self.actions: list[Action] = []  # that follow from the current event
+        self.replies: dict[int, LeaseReply] = {}  # the last reply of each voter
+        self.lease_requested_at: dict[int, float] = {}  # last request that is not isolated, by sender
+        self.new_incarnation = 0  # of this voter if it has lost its state; 0: not known yet
+        self.recovered_acceptor: Acceptor | None = None  # of that incarnation, until its state is on disk
+        self.serve_until = -inf  # until then, new requests may be served under the epoch in use
+        self.actions: list[Action] = []  # the actions resulting from the current event
 
     @property
     def voters(self) -> tuple[int, ...]:
-        """Who decides the next epoch: the configured ones until an epoch is known."""
+        """The voters on the next epoch: the configured voters until an epoch is known."""
         return self.lease.decided.voters if self.lease.decided else self.configured_voters
 
     @property
     def quorum(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
     def is_voter(self) -> bool:
-        """Whether this proxy is one of the voters, with its state or without."""
+        """Whether this proxy is one of the voters, even if it has lost its state."""
         return self.me in self.voters
 
     def may_serve(self, now: float) -> bool:
-        """Whether a new request may be decided by the epoch in use."""
+        """Return whether a new request may be served under the epoch in use."""
         return now < self.serve_until
 
     def log(self, event: str, **fields: str | int | float) -> None:
-        """Have a line written to the log."""
+        """Add an action that logs `event`."""
         self.actions.append(LogEvent(event, fields))
 
     def add_request(self, voter: int, now: float) -> int:
-        """Record a new request to that voter, and return its nonce."""
+        """Record a new request to `voter`, and return its nonce."""
         nonce = self.rng.getrandbits(32)
         self.pending_requests[nonce] = PendingRequest(voter, now)
         return nonce
 
     def take_request(self, nonce: int, voter: int) -> float | None:
-        """Return when that request was sent, once; None where `voter` has no such request to answer."""
+        """Remove a pending request and return its send time; None if `voter` has no such request."""
         request = self.pending_requests.pop(nonce, PendingRequest(NO_VOTER, 0.0))
         return request.sent_at if request.voter == voter else None
 
     # Epochs
 
     def learn(self, value: Value, activated: bool) -> None:
-        """Learn a decided value; `activated`: its activation time has passed."""
+        """Record a decided value if its epoch is new; `activated`: its activation time has passed."""
         if self.lease.learn(value, activated):
             self.record(value)
 
     def record(self, value: Value) -> None:
-        """Record a later epoch, and end what was in progress for it or an earlier one."""
+        """Record a later epoch, and end the proposal and the readiness check that it makes obsolete."""
         self.history[value.epoch] = value
         if len(self.history) > HISTORY_LIMIT:
             del self.history[min(self.history)]
@@ -129,7 +131,7 @@
             self.readiness = None
 
     def synchronize(self, now: float) -> None:
-        """Exchange what the acceptor and the lease know of epochs."""
+        """Synchronize the epochs and activation bounds of the acceptor and the lease."""
         lease, acceptor = self.lease, self.acceptor
         if acceptor is None:
             return
@@ -145,7 +147,7 @@
                 window.start = min(window.start, acceptor.window.start)
 
     def _update_acceptor(self, acceptor: Acceptor, decided: Value, now: float) -> None:
-        """Let the acceptor learn a later epoch that the lease knows."""
+        """Pass a later epoch from the lease to the acceptor."""
         window = self.lease.windows.get(decided.epoch, ActivationWindow())
         activated = window.start == -inf
         if window.start == inf:
@@ -157,10 +159,10 @@
     # Proposals
 
     def new_proposer(self, value: Value, now: float) -> Proposer:
-        """Return a proposer of `value` that begins now."""
+        """Return a proposer of `value` whose first step is due now."""
         assert self.lease.decided
         highest_term = self.acceptor.state.promised.term if self.acceptor else 0
-        # A nonce of its own: replies to the proposals of an earlier change must not count for this one.
+        # Each proposer has its own nonce, so that replies to earlier proposals do not count for this one.
         nonce = self.rng.getrandbits(32)
         return Proposer(
             self.me, nonce, self.timing, self.lease.decided, value, self.rng, now, highest_term=highest_term
--- a/firvane/proxy/quorum/status.py
+++ b/firvane/proxy/quorum/status.py
@@ -35,5 +35,5 @@
 
 
 def _is_active(state: MemberState, proxy: int, now: float) -> bool:
-    last = state.last_request_at.get(proxy, -inf)
+    last = state.lease_requested_at.get(proxy, -inf)
     return proxy == state.me or now - last <= state.timing.lease_s
--- a/firvane/proxy/quorum/voting.py
+++ b/firvane/proxy/quorum/voting.py
@@ -1,6 +1,6 @@
-"""The votes of one proxy: replies to proposers, chosen values learned, and votes completed that others left.
+"""Voting of one proxy: replies to proposers, detection of chosen values, and completion of abandoned votes.
 
-A vote that no proposer completes is completed by a voter that has it, each after a random delay of its own.
+If its proposer does not complete a vote, any voter that has accepted it does, each after a random delay.
 """
 
 from __future__ import annotations
@@ -15,19 +15,22 @@
 from firvane.proxy.quorum.renewal import make_reply
 from firvane.proxy.quorum.types import Value
 
-COMPLETION_DELAY_LEASES = (0.5, 1.5)  # drawn for each vote, so that voters rarely compete
+COMPLETION_DELAY_LEASES = (
+    0.5,
+    1.5,
+)  # bounds of the random delay, in lease durations; random so that voters rarely compete
 
 
 class Voting:
-    """The votes of one proxy, and those that others have sent it."""
+    """The votes of one proxy."""
 
     def __init__(self, state: MemberState, outbox: Outbox) -> None:
         self.state = state
         self.outbox = outbox
-        self.complete_at = -inf  # when to complete a vote that nobody else has completed by then
+        self.complete_at = -inf  # when to complete a vote that is still incomplete by then
 
     def step(self, now: float) -> None:
-        """Do what is due by now."""
+        """Mark passed activations, detect chosen values, and start to complete an abandoned vote."""
         state, acceptor = self.state, self.state.acceptor
         if acceptor is None:
             return
@@ -48,10 +51,10 @@
             state.log("policy_vote_resumed", epoch=value.epoch, digest=value.digest.hex())
 
     def _incomplete_value(self, acceptor: Acceptor, now: float) -> Value | None:
-        """Return what was begun for the next epoch and may never be completed by its proposer.
+        """Return the value that completes an incomplete vote for the next epoch; None if there is none.
 
-        It is a vote, or an end of the epoch alone, which a voter leaves that could not write its vote. Then
-        the policy stays, as a new epoch.
+        The value is that of the accepted proposal. A voter that failed to write its acceptance leaves only an
+        end of the current epoch: then the current policy is proposed again as a new epoch.
         """
         state, persisted = acceptor.state, acceptor.persisted
         if not state.activated or persisted.decided != state.decided:
@@ -63,7 +66,7 @@
             return None
         return state.decided._replace(epoch=state.decided.epoch + 1)
 
-    # Proposals of others
+    # Proposals of other proxies
 
     def on_prepare(self, proposer: int, message: Prepare, acceptor: Acceptor, now: float) -> None:
         """Reply to phase 1 of a proposal."""
@@ -71,7 +74,10 @@
             self.outbox.reply(proposer, lambda _: promise, now)
 
     def on_accept(self, proposer: int, message: Accept, acceptor: Acceptor, now: float) -> bool:
-        """Reply to phase 2 of a proposal; return whether there was a reply to give."""
+        """Reply to phase 2 of a proposal; return False if it is ignored.
+
+        It is ignored if its text is not usable here or `Acceptor.accept` returns None.
+        """
         usable = self.state.text_errors.get(message.value[1]) == ""
         accepted = acceptor.accept(message, now) if usable else None
         if accepted is None:
@@ -79,10 +85,10 @@
         self.outbox.reply(proposer, lambda _: accepted, now)
         return True
 
-    # Proposals of its own
+    # Own proposals
 
     def on_chosen(self, proposer: Proposer, now: float) -> None:
-        """A majority has accepted what was proposed here."""
+        """Announce and record a value of this proxy's proposer that a majority has accepted."""
         assert proposer.value
         self.outbox.send_all(proposer.learn_messages(), now)
         self.state.learn(proposer.value, False)
