--- a/firvane/proxy/quorum/installation.py
+++ b/firvane/proxy/quorum/installation.py
@@ -1,4 +1,4 @@
-"""The texts of policies in one member: fetched where needed, and activated once their epoch begins."""
+"""Policy texts in one member: fetched when needed, and activated when their epoch begins."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Installation:
-    """The texts of one proxy."""
+    """Fetches and activates the texts of one proxy."""
 
     def __init__(self, state: MemberState, outbox: Outbox) -> None:
         self.state = state
@@ -20,7 +20,7 @@
         self.next_fetch_at = -inf
 
     def activate(self, now: float) -> None:
-        """Use the epoch that has begun, where its text is here and usable."""
+        """Activate the epoch that has begun, if its text is usable here."""
         state = self.state
         value = state.lease.next_value(now)
         if value and state.text_errors.get(value.digest) == "":
@@ -29,14 +29,17 @@
             state.log("policy_activated", epoch=value.epoch, digest=value.digest.hex())
 
     def fetch_missing(self, now: float) -> None:
-        """Fetch the text of the latest epoch, or else that of a vote that may have to be completed here."""
+        """Fetch the missing text of the latest epoch, or else of an accepted value.
+
+        This voter may have to complete the vote on its accepted value, for which it needs the text.
+        """
         state = self.state
         value = state.lease.decided
         if value and value.digest not in state.text_errors:
             self._fetch(value.digest, value.voters, now)
             return
         accepted = state.acceptor.state.accepted if state.acceptor else None
-        if accepted and accepted[1].digest not in state.text_errors:  # from others, after a loss of the state
+        if accepted and accepted[1].digest not in state.text_errors:  # recovered from other voters
             self._fetch(accepted[1].digest, state.voters, now)
 
     def _fetch(self, digest: bytes, holders: tuple[int, ...], now: float) -> None:
@@ -46,12 +49,12 @@
             self.state.actions.append(FetchText(digest, others))
 
     def on_text_checked(self, digest: bytes, reason: str, proposed: Iterable[bytes]) -> None:
-        """Record a text that is here.
+        """Record that a text is available here.
 
         Args:
             digest: The digest of the text.
-            reason: Why it cannot be used, "" where it can.
-            proposed: Digests of texts that are not forgotten.
+            reason: Why it is unusable; "" if it is usable.
+            proposed: The digests of proposed texts, whose results are retained.
         """
         state = self.state
         state.text_errors[digest] = reason
@@ -63,8 +66,8 @@
         for old in [old for old in state.text_errors if old not in retained][:-HISTORY_LIMIT]:
             del state.text_errors[old]
 
-    def answer_candidate(self, digest: bytes, proposer: int, now: float) -> None:
-        """Reply to a proposer whether this proxy is ready; fetch the text where it is not here."""
+    def reply_to_candidate(self, digest: bytes, proposer: int, now: float) -> None:
+        """Reply to a proposer whether this proxy is ready; fetch the text if it is missing."""
         state = self.state
         if proposer == state.me or not 0 <= proposer < state.proxy_count:
             return
@@ -77,5 +80,5 @@
 
 
 def ascii_reason(reason: str) -> str:
-    """Return a reason as ASCII, cut to the size that fits a message."""
+    """Return a reason as ASCII, truncated to `MAX_REASON_BYTES`."""
     return reason.encode("ascii", "replace")[:MAX_REASON_BYTES].decode()
--- a/firvane/proxy/quorum/member.py
+++ b/firvane/proxy/quorum/member.py
@@ -180,7 +180,7 @@
                 self.renewal.on_active_proxies_request(sender, message, now)
             case CandidateOffer():
                 if self.proposals.on_candidate(sender, message, now):
-                    self.installation.answer_candidate(message.digest, sender, now)
+                    self.installation.reply_to_candidate(message.digest, sender, now)
             case CandidateReply() if state.readiness:
                 state.readiness.on_reply(sender, message)
             case ActiveProxiesReply() if state.readiness:
@@ -194,8 +194,8 @@
         if self.state.is_voter:
             self.recovery.step(now)
         if reply.candidate:
-            self.installation.answer_candidate(*reply.candidate, now)
-        self.proposals.note_rival(voter, reply.candidate)
+            self.installation.reply_to_candidate(*reply.candidate, now)
+        self.proposals.record_competing_candidate(voter, reply.candidate)
 
     def _dispatch_paxos(self, sender: int, message: Message, now: float) -> None:
         state, acceptor = self.state, self.state.acceptor
@@ -204,7 +204,7 @@
                 self.voting.on_prepare(sender, message, acceptor, now)
             case Accept() if acceptor:
                 if not self.voting.on_accept(sender, message, acceptor, now):
-                    self.installation.answer_candidate(message.value[1], sender, now)
+                    self.installation.reply_to_candidate(message.value[1], sender, now)
             case Learn() if acceptor:
                 value = value_of(message.value)
                 acceptor.learn_chosen(number_of(message.number), value, message.activate_at, now)
--- a/firvane/proxy/quorum/proposals.py
+++ b/firvane/proxy/quorum/proposals.py
@@ -1,11 +1,11 @@
-"""Changes that are proposed here: prepared, put to the vote, withdrawn, and the outcome of each.
+"""Changes proposed at this proxy: readiness check, vote, withdrawal, and outcome.
 
 Invariants:
 
-1. One change at a time is prepared: a voter keeps the first candidate until its proposer has sent nothing for
-   a lease.
-2. A proposal has failed where no acceptance of it was ever asked for, or another value took its epoch.
-   Otherwise it is open, then unknown, until the epoch is known.
+1. Only one change at a time is prepared: a voter keeps its candidate until the candidate's proposer withdraws
+   it or has sent no offer for `lease_s`.
+2. A proposal is reported as failed only if no `Accept` for it has been sent, or another value was decided for
+   its epoch. Otherwise it is open, then unknown, until the value of its epoch is known.
 """
 
 from __future__ import annotations
@@ -22,38 +22,38 @@
 from firvane.proxy.quorum.readiness import ActivityReport, ReadinessCheck
 from firvane.proxy.quorum.types import MAX_VOTERS, ProposalOutcome, Value
 
-OVERDUE_LEASES = 2  # without a lease for as long, a proxy takes the voters to be out of reach
+OVERDUE_LEASES = 2  # lease durations without a lease until voters count as unreachable
 
 
 @dataclass
 class Proposal:
-    """A change that was proposed here, and its outcome."""
+    """A change proposed at this proxy, and its outcome."""
 
     value: Value
     outcome: ProposalOutcome = ProposalOutcome.OPEN
     reason: str = "proxies are being asked whether they are prepared"
-    withdrawn: bool = False  # before an acceptance was asked for here
+    withdrawn: bool = False  # before this proxy sent an `Accept` for it
 
 
 class Proposals:
-    """The proposals of one proxy, and the candidate that it prepares for as a voter."""
+    """The proposals of one proxy; as a voter, also its candidate."""
 
     def __init__(self, state: MemberState, outbox: Outbox) -> None:
         self.state = state
         self.outbox = outbox
         self.by_digest: dict[bytes, Proposal] = {}
-        self.rejected: dict[bytes, str] = {}  # why proposals were not begun here, by digest
-        self.next_offer_at = -inf  # of the change that is being prepared
+        self.rejected: dict[bytes, str] = {}  # why proposals were not started, by digest
+        self.next_offer_at = -inf  # when to send the next `CandidateOffer`
 
-    # Begin
+    # Start
 
     def propose(self, digest: bytes, voters: tuple[int, ...] | None, now: float) -> None:
-        """Begin a change to that text, or of the voters; None leaves these as they are."""
+        """Start a change to the text with `digest` and to `voters`; None keeps the current voters."""
         state = self.state
         decided = state.lease.decided
         known = self.by_digest.get(digest)
         if known and known.outcome in (ProposalOutcome.OPEN, ProposalOutcome.UNKNOWN):
-            return  # the same once more
+            return  # the same change is already proposed
         new_voters = tuple(sorted(set(voters))) if voters is not None else None
         value = Value(decided.epoch + 1 if decided else 0, digest, new_voters or state.voters)
         if reason := self._not_ready_reason(value, now):
@@ -61,7 +61,7 @@
             return
         proposal = self._add(digest, value)
         if decided and decided.digest == digest and value.voters == decided.voters:
-            proposal.value, proposal.reason = decided, "it was decided before"  # `update` finds the outcome
+            proposal.value, proposal.reason = decided, "it was decided before"  # `update` sets the outcome
         elif reason := self._invalid_reason(value):
             proposal.outcome, proposal.reason = ProposalOutcome.FAILED, reason
         else:
@@ -87,10 +87,10 @@
         return proposal
 
     def _not_ready_reason(self, value: Value, now: float) -> str:
-        """Return why nothing can be begun here now; "" where it can.
+        """Return why no change can be started now at this proxy; "" if one can.
 
-        Whether the same was begun before, by an earlier process of this proxy or elsewhere, is not known
-        then, and nothing may be reported of it.
+        In that case it is unknown whether an earlier process of this proxy, or another proxy, has proposed
+        the same change, so that no outcome may be reported for it.
         """
         state = self.state
         if state.lease.decided is None or not state.may_serve(now):
@@ -100,9 +100,9 @@
         return ""
 
     def _may_have_vote(self, value: Value, now: float) -> bool:
-        """Whether there may be a vote for that epoch.
+        """Return whether there may be a vote for the epoch of `value`.
 
-        There is one, or messages that an earlier process of this proxy has sent may still be on their way.
+        Either a vote is known, or messages of an earlier process of this proxy may still be in flight.
         """
         timing = self.state.timing
         in_flight_until = (
@@ -117,7 +117,7 @@
         return has_accepted or (window is not None and window.previous_end < inf)
 
     def _invalid_reason(self, value: Value) -> str:
-        """Return why it can never be proposed as it is; "" where it can."""
+        """Return why the value is invalid as the next one; "" if it is valid."""
         state = self.state
         assert state.lease.decided
         if reason := state.text_errors.get(value.digest, "its text is not here"):
@@ -132,21 +132,21 @@
     # Withdraw
 
     def abort(self, digest: bytes, now: float) -> None:
-        """Withdraw a proposal, where no voter has been asked to accept it."""
+        """Withdraw a proposal, if this proxy has not sent an `Accept` for it."""
         state = self.state
         proposal = self.by_digest.get(digest)
         if proposal is None or proposal.outcome is not ProposalOutcome.OPEN:
             return
         proposer = state.proposer
-        is_prepared = state.readiness is not None and state.readiness.value == proposal.value
-        if is_prepared or (proposer and proposer.own_value == proposal.value and not proposer.accept_sent):
+        is_preparing = state.readiness is not None and state.readiness.value == proposal.value
+        if is_preparing or (proposer and proposer.own_value == proposal.value and not proposer.accept_sent):
             self._withdraw(proposal, "it was aborted", now)
 
     def _withdraw(self, proposal: Proposal, reason: str, now: float) -> None:
-        """End a proposal of which no acceptance was ever asked for here.
+        """End a proposal for which this proxy has never sent an `Accept`.
 
-        So it is in force nowhere, unless a vote for its epoch shows that the same may have been begun
-        elsewhere.
+        It cannot come into force, unless there may be a vote for its epoch: then the same change may have
+        been proposed elsewhere.
         """
         state = self.state
         may_have_vote = self._may_have_vote(proposal.value, now)
@@ -163,13 +163,13 @@
     # Prepare
 
     def prepare(self, now: float) -> None:
-        """Offer the change that is being prepared; put it to the vote once no proxy is awaited."""
+        """Offer the change that is being prepared; start its vote once all proxies with a lease are ready."""
         state, readiness = self.state, self.state.readiness
         if readiness is None:
             return
         proposal = self.by_digest[readiness.value.digest]
         if state.candidate and now < state.candidate.expires_at:
-            self.note_rival(state.me, (state.candidate.digest, state.candidate.proposer))
+            self.record_competing_candidate(state.me, (state.candidate.digest, state.candidate.proposer))
         if reason := readiness.failure(now):
             self._withdraw(proposal, reason, now)
             return
@@ -192,21 +192,26 @@
             self.outbox.send(voter, ActiveProxiesRequest(nonce=nonce), now)
 
     def on_active_proxies(self, voter: int, message: ActiveProxiesReply, readiness: ReadinessCheck) -> None:
-        """Record which proxies have sent a voter requests of late."""
+        """Record a voter's report of the proxies that have sent it lease requests."""
         requested_at = self.state.take_request(message.nonce, voter)
         if requested_at is not None:
             readiness.reports[voter] = ActivityReport(requested_at, message)
 
-    def note_rival(self, voter: int, candidate: tuple[bytes, int] | None) -> None:
-        """Record the digest and proposer of the candidate of a voter, while a change is prepared here."""
+    def record_competing_candidate(self, voter: int, candidate: tuple[bytes, int] | None) -> None:
+        """Record whether a voter prepares for another proposal, while a change is prepared here.
+
+        Args:
+            voter: The voter.
+            candidate: The digest and the proposer of its candidate.
+        """
         readiness = self.state.readiness
         if readiness:
-            readiness.rivals.pop(voter, None)
+            readiness.competing_proposers.pop(voter, None)
             if candidate and candidate[0] != readiness.value.digest:
-                readiness.rivals[voter] = candidate[1]
+                readiness.competing_proposers[voter] = candidate[1]
 
     def on_candidate(self, proposer: int, message: CandidateOffer, now: float) -> bool:
-        """Handle the offer of a candidate; return whether this voter prepares for it."""
+        """Handle an offer or a withdrawal; return whether the proposal is now the candidate of this voter."""
         state = self.state
         if not state.is_voter:
             return False
@@ -224,7 +229,7 @@
     # Outcomes
 
     def update(self, now: float) -> None:
-        """Work out the outcome of each proposal by now."""
+        """Update the outcome of each proposal that is open or unknown."""
         decided = self.state.lease.decided
         for proposal in self.by_digest.values():
             if proposal.outcome not in (ProposalOutcome.OPEN, ProposalOutcome.UNKNOWN) or decided is None:
@@ -250,7 +255,7 @@
             proposal.reason = "no majority of the voters has answered yet; ask again"
 
     def _is_overdue(self, now: float) -> bool:
-        """Whether this proxy has been without a lease for a while."""
+        """Return whether the last read is at least `OVERDUE_LEASES` lease durations old."""
         return now >= self.state.lease.fresh_at + OVERDUE_LEASES * self.state.timing.lease_s
 
     def _update_decided(self, proposal: Proposal, value: Value | None, now: float) -> None:
@@ -269,7 +274,7 @@
                 proposal.reason = f"decided as epoch {value.epoch}, which begins in a moment"
 
     def outcome(self, digest: bytes) -> tuple[ProposalOutcome, str]:
-        """Return the outcome of a proposal, as far as this proxy knows, and the reason in words."""
+        """Return the outcome of a proposal as known to this proxy, and the reason as text."""
         proposal = self.by_digest.get(digest)
         if proposal:
             return proposal.outcome, proposal.reason
--- a/firvane/proxy/quorum/voter_recovery.py
+++ b/firvane/proxy/quorum/voter_recovery.py
@@ -1,7 +1,8 @@
-"""The recovery of a voter that has lost its state.
+"""Recovery of a voter that has lost its state.
 
-It asks twice: for the newest incarnation of it that is known, and with the next one for the others' state. It
-votes once a majority of the others has answered both, and the recovered state is on disk.
+The voter first reads the latest known incarnation of itself from the other voters, then requests their state
+with the next incarnation. It votes once a majority of the other voters has replied to both requests and the
+recovered state is on disk.
 """
 
 from __future__ import annotations
@@ -13,14 +14,14 @@
 
 
 class VoterRecovery:
-    """The recovery of one proxy; it does nothing where the proxy has its state."""
+    """Recovers the state of one proxy; does nothing if the proxy has its state."""
 
     def __init__(self, state: MemberState, outbox: Outbox) -> None:
         self.state = state
         self.outbox = outbox
 
     def step(self, now: float) -> None:
-        """Go on with the replies that have come; write the state once a majority has sent its own."""
+        """Advance the recovery by the replies received so far; write the state once it is recovered."""
         state = self.state
         if state.acceptor is not None or state.recovered_acceptor is not None:
             return
@@ -29,9 +30,9 @@
             return
         known = latest_incarnations(reply.known_incarnations for reply in replies.values())
         latest = known.get(state.me, 0)
-        if not state.new_incarnation or latest > state.new_incarnation:  # begun before, with fewer of them
+        if not state.new_incarnation or latest > state.new_incarnation:  # or a later incarnation became known
             state.new_incarnation = latest + 1
-            state.replies.clear()  # only replies of voters that know this incarnation count from here on
+            state.replies.clear()  # from now on, only replies of voters that know this incarnation count
         elif all(self._knows_incarnation(reply) for reply in replies.values()):
             recovered = recover_state(state.me, state.new_incarnation, replies.values())
             if recovered.decided == state.lease.decided:
@@ -43,12 +44,12 @@
             }
 
     def _replies_of_voters(self) -> dict[int, LeaseReply]:
-        """The replies of voters that know an epoch."""
+        """Return the replies of voters that know a decided value."""
         state = self.state
         return {
             voter: reply for voter, reply in state.replies.items() if voter in state.voters and reply.decided
         }
 
     def _knows_incarnation(self, reply: LeaseReply) -> bool:
-        """Whether that voter knew the new incarnation of this one when it replied."""
+        """Return whether the reply was sent with knowledge of the new incarnation of this voter."""
         return dict(reply.known_incarnations).get(self.state.me) == self.state.new_incarnation
