--- a/firvane/proxy/quorum/events.py
+++ b/firvane/proxy/quorum/events.py
@@ -1,7 +1,7 @@
-"""Inputs of a proxy's consensus member, and the actions that follow from them.
+"""Events that a consensus member handles, and the actions that it returns.
 
-Records only: the driver turns what happens into an `Event`, hands it to `Member.handle`, and carries out each
-`Action` that comes back, in order.
+The driver creates each `Event`, passes it to `Member.handle`, and executes the returned `Action` records in
+order.
 """
 
 from __future__ import annotations
@@ -22,30 +22,30 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed."""
+    """Runs the steps that are due."""
 
 
 class StateSaved(NamedTuple):
-    """The `SaveState` of that token is on disk."""
+    """The state of the `SaveState` with this token is on disk."""
 
     token: int
 
 
 class StateSaveFailed(NamedTuple):
-    """The `SaveState` of that token could not be written."""
+    """The state of the `SaveState` with this token could not be written."""
 
     token: int
 
 
 class TextChecked(NamedTuple):
-    """A text is here, and on disk where this is a voter; `reason` is "" where it can be used."""
+    """A text is available (on a voter: on disk); `reason` is "" if it is usable, otherwise why not."""
 
     digest: bytes
     reason: str = ""
 
 
 class Propose(NamedTuple):
-    """Change to a text that has been `TextChecked`, or change the voters; None leaves them."""
+    """Propose a change to a text reported by `TextChecked`, or of the voters; None keeps the voters."""
 
     digest: bytes
     voters: tuple[int, ...] | None = None
@@ -71,27 +71,27 @@
 
 
 class SaveState(NamedTuple):
-    """Write the state to disk, then report `StateSaved`; a later one supersedes an earlier one."""
+    """Write the state to disk, then report `StateSaved`; a later action supersedes an earlier one."""
 
     token: int
     state: VoterState
 
 
 class FetchText(NamedTuple):
-    """Fetch a text from these proxies, which may have it, then report `TextChecked`."""
+    """Fetch a text from `holders`, the proxies that may have it, then report `TextChecked`."""
 
     digest: bytes
     holders: tuple[int, ...]
 
 
 class ActivatePolicy(NamedTuple):
-    """Decide new requests by this policy from now on."""
+    """Serve new requests under this policy from now on."""
 
     value: Value
 
 
 class LogEvent(NamedTuple):
-    """Write a line to the log."""
+    """Write an event to the log."""
 
     event: str
     fields: Mapping[str, str | int | float]
--- a/firvane/proxy/quorum/types.py
+++ b/firvane/proxy/quorum/types.py
@@ -1,7 +1,7 @@
-"""Records of the consensus: the value that is agreed on, proposal numbers, a voter's durable state, timing.
+"""Records of the consensus: decided values, proposal numbers, a voter's durable state, and time bounds.
 
-Times are seconds on the monotonic clock of the process that holds the record; no wall clock is in any of
-them.
+Times are seconds on the monotonic clock of the process that uses the record; no record contains a wall-clock
+time.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Value(NamedTuple):
-    """The value of an epoch: a policy, by its digest, and the voters that decide the next epoch."""
+    """The value of an epoch: the digest of its policy, and the voters on the next epoch."""
 
     epoch: int
     digest: bytes
@@ -23,14 +23,14 @@
 
     @property
     def quorum(self) -> int:
-        """How many voters are a majority."""
+        """The number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
 
 class ProposalNumber(NamedTuple):
     """A Paxos proposal number, compared field by field.
 
-    The nonce keeps the numbers of a proxy that has lost its state apart from those that it used before.
+    The nonce distinguishes the numbers of a proxy that has lost its state from those that it used before.
     """
 
     term: int
@@ -38,58 +38,62 @@
     nonce: int
 
 
-NO_PROPOSAL_NUMBER = ProposalNumber(0, 0, 0)  # below every other one
+NO_PROPOSAL_NUMBER = ProposalNumber(0, 0, 0)  # less than all other numbers
 
 
 class VoterState(NamedTuple):
-    """The durable state of a voter: on disk before anything that follows from it is sent.
+    """The durable state of a voter: on disk before any message that depends on it is sent.
 
     It is stored as a MessagePack array: the order of the fields is the file's format.
     """
 
-    incarnation: int  # incremented by each start without the state of before
+    incarnation: int  # incremented by each recovery from a loss of the state
     decided: Value
     activated: bool  # the activation time of `decided` has passed
     promised: ProposalNumber
     accepted: tuple[ProposalNumber, Value] | None  # for the epoch after `decided`
-    known_incarnations: tuple[tuple[int, int], ...]  # voters that have lost their state, and their newest one
+    known_incarnations: tuple[tuple[int, int], ...]  # latest one of each voter that has lost its state
 
 
 @dataclass(frozen=True)
 class Timing:
-    """The time bounds that safety and liveness rest on."""
+    """The time bounds on which safety and liveness depend."""
 
-    lease_s: float = 3.0  # how long a read from a majority may be acted on
-    clock_skew: float = 0.01  # the largest relative difference between the rates of two clocks
-    round_trip_s: float = 0.2  # the longest round trip that counts for a lease or an activation time
-    readiness_timeout_s: float = 15.0  # how long a proposal waits for proxies that hold a lease
+    lease_s: float = 3.0  # duration of a lease, from the send time of its read
+    clock_skew: float = 0.01  # maximum relative difference between the rates of two clocks
+    round_trip_s: float = 0.2  # maximum round trip for measuring a clock or an activation time
+    readiness_timeout_s: float = 15.0  # maximum wait of a proposal for proxies that hold a lease
 
     @property
     def renewal_interval_s(self) -> float:
-        """Time between two lease requests: four to a lease, so that the loss of one costs nothing."""
+        """Time between two lease requests: four per lease, so that losing one does not end the lease."""
         return self.lease_s / 4
 
     @property
     def min_notice_s(self) -> float:
-        """Least time between a voter's acceptance and the activation.
+        """Minimum time between a voter's acceptance and the activation.
 
-        Whoever has renewed its lease since then knows of the activation; any older lease has expired by then.
+        A proxy that renews its lease after the acceptance knows the activation time; any older lease has
+        expired by the activation.
         """
         return (self.lease_s + self.round_trip_s) * (1 + 2 * self.clock_skew) + self.round_trip_s
 
     @property
     def activation_delay_s(self) -> float:
-        """Time between the second phase and the activation: the notice, and time for the messages."""
+        """Time from the start of phase 2 to the activation: `min_notice_s` plus time for the messages."""
         return self.min_notice_s + 3 * self.round_trip_s
 
     @property
     def activation_tolerance_s(self) -> float:
-        """How far apart two proxies may activate: each maps the time twice, half a round trip off at most."""
+        """Maximum time between the activations of two proxies.
+
+        The activation time is mapped twice, each time with an error of at most half a round trip.
+        """
         return 2 * self.round_trip_s + 2 * self.clock_skew * self.activation_delay_s
 
 
 class LeaseStatus(Enum):
-    """What a proxy may do, by what it knows; the values are shown to operators."""
+    """Whether a proxy may serve, or why not; the values are shown to operators."""
 
     VALID = "holds a lease"
     EXPIRED = "has no lease: no majority of the voters has been heard of late"
@@ -109,7 +113,7 @@
 
 @dataclass
 class ActivationWindow:
-    """The bounds, as far as known, between which an epoch replaces the one before it."""
+    """The known bounds between which an epoch replaces the previous one."""
 
-    previous_end: float = inf  # the epoch before is over from then on
-    start: float = inf  # the epoch has begun by then
+    previous_end: float = inf  # the previous epoch ends no later than this
+    start: float = inf  # the epoch begins no later than this
