--- a/firvane/proxy/quorum/store.py
+++ b/firvane/proxy/quorum/store.py
@@ -1,19 +1,19 @@
-"""The files of one proxy: a voter's durable state, the texts of policies, the history of what was in force.
+"""Policy files of one proxy: a voter's durable state, policy texts, and the history of policies in force.
 
 Invariants:
 
-1. A voter's state is on disk before anything that follows from it is sent: `on_saved` is called only when the
-   file and its folder have been synced. Where a write failed, all that was requested after it has failed too.
-2. Writes run in one thread of their own, in the order in which they were requested. Of waiting states only
-   the last is written: it includes the earlier ones.
-3. Each file is complete, or the one before it. A file that cannot be read, is damaged, or has a newer format
-   is rejected with one log line: a voter then counts as one that has lost its state. Only `bootstrap` creates
-   a voter's first state: a voter without a file has lost it.
-4. A write that fails (a full disk, a read-only folder) is logged once, and again only after one has
+1. A voter's state is on disk before any message that depends on it is sent: `on_saved` is called only after
+   the file and its folder have been synced. If a write fails, all state writes requested since then fail too.
+2. Writes run in one dedicated thread, in the order in which they were requested. Of the states waiting to be
+   written only the last is written: it includes the earlier ones.
+3. Files are replaced atomically: each contains either the old or the new version. A file that cannot be read,
+   is damaged, or has a newer format is rejected and logged once: the voter then counts as one that has lost
+   its state. Only `bootstrap` creates a voter's first state: a voter without a file has lost its state.
+4. A failed write (full disk, read-only folder) is logged; further failures are logged only after a write has
    succeeded.
-5. A text is identified by its digest, in its file's name too. A file whose bytes have another digest is
-   ignored.
-6. One process at a time uses a folder. Two voters with one state would be two votes.
+5. A text is identified by its digest, which is also in its file's name. A file whose content has another
+   digest is ignored.
+6. Only one process at a time uses a folder: two processes with the same state would count as two votes.
 """
 
 from __future__ import annotations
@@ -43,11 +43,11 @@
 STATE_MAGIC = b"FVPV"
 HISTORY_MAGIC = b"FVPH"
 FORMAT_VERSION = 1
-MAX_FILE_BYTES = 64 << 10  # of a file that is no text
-HISTORY_LIMIT = 50  # values
+MAX_FILE_BYTES = 64 << 10  # of the state and history files
+HISTORY_LIMIT = 50  # entries
 
-RunOffLoop = Callable[[Callable[[], None]], None]  # runs the work, off the loop where there is a way
-CallOnLoop = Callable[[Callable[[], None]], object]  # runs the callback in a turn of the loop
+RunOffLoop = Callable[[Callable[[], None]], None]  # runs the work, outside the event loop if possible
+CallOnLoop = Callable[[Callable[[], None]], object]  # runs the callback in the event loop
 OnSaved = Callable[[], None]
 OnFailed = Callable[[str], None]  # called with the reason
 
@@ -55,22 +55,22 @@
 
 
 class HistoryEntry(NamedTuple):
-    """A policy that was in force here; stored as a MessagePack array."""
+    """A policy that this proxy has used; stored as a MessagePack array."""
 
     value: Value
-    activated_at: float  # Unix time in seconds, only to be displayed
+    activated_at: float  # Unix time in seconds, for display only
 
 
 class StoredFiles(NamedTuple):
-    """What a folder holds at the start."""
+    """The contents of the folder at the start."""
 
-    state: VoterState | None  # None: there is none, or it was rejected
+    state: VoterState | None  # None: missing or rejected
     texts: dict[bytes, bytes]  # by digest
-    history: tuple[HistoryEntry, ...]  # the newest last
+    history: tuple[HistoryEntry, ...]  # the newest entry last
 
 
 class PendingSave(NamedTuple):
-    """A voter's state that is not being written yet."""
+    """A voter's state that is waiting to be written, and its callbacks."""
 
     state: VoterState
     on_saved: OnSaved
@@ -78,18 +78,18 @@
 
 
 def bootstrap(folder: str | os.PathLike[str], text: bytes, voters: Iterable[int]) -> Value:
-    """Create a voter's first files, in which this policy is epoch 1.
+    """Create a voter's first files, with this policy as epoch 1.
 
     Args:
-        folder: Where the files are created, with its parents.
+        folder: The folder of the files; created with its parents.
         text: The text of the policy.
-        voters: The numbers of the proxies that vote.
+        voters: The proxy numbers of the voters.
 
     Returns:
         The value of epoch 1.
 
     Raises:
-        FileExistsError: There is a voter's state already.
+        FileExistsError: The folder already contains a voter's state.
         ValueError: The text is too long, or the voters are not valid.
     """
     path = Path(folder)
@@ -102,14 +102,16 @@
     path.mkdir(parents=True, exist_ok=True)
     state_path = path / STATE_FILE
     if state_path.exists():
-        raise FileExistsError(errno.EEXIST, f"{state_path} is there already: this voter has been founded")
+        raise FileExistsError(
+            errno.EEXIST, f"{state_path} already exists: this voter has been bootstrapped before"
+        )
     write_atomically(path / f"{TEXT_PREFIX}{value.digest.hex()}", text)
     write_atomically(state_path, _encode(STATE_MAGIC, state))
     return value
 
 
 class Store:
-    """The files in one folder."""
+    """Reads and writes the files in one folder."""
 
     def __init__(
         self,
@@ -118,13 +120,13 @@
         call_on_loop: CallOnLoop,
         run_off_loop: RunOffLoop | None = None,
     ) -> None:
-        """Touch no file yet.
+        """Create the store without accessing any file yet.
 
         Args:
-            folder: The folder, created by `load` where it is missing.
-            log: Takes a line for each file that is rejected or cannot be written.
-            call_on_loop: Brings what follows a write to the loop.
-            run_off_loop: Runs the writes; None gives them a thread of their own.
+            folder: The folder; created by `load` if missing.
+            log: Receives an event for each rejected file and each failed write.
+            call_on_loop: Runs the callbacks of writes in the event loop.
+            run_off_loop: Runs the writes; None uses a dedicated thread.
         """
         self.folder = Path(folder)
         self.log = log
@@ -132,25 +134,25 @@
         self.thread = None if run_off_loop else make_worker("policy")
         self.run_off_loop: RunOffLoop = run_off_loop or self._run_in_thread
         self.lock: IO[bytes] | None = None
-        self.failed = False  # the last write
+        self.failed = False  # whether the last write has failed
         self.closed = False
         self.written = 0
         self.pending: list[PendingSave] = []
-        self.saving = False  # a voter's state is being written
+        self.saving = False  # whether a voter's state is being written
 
     def load(self) -> StoredFiles:
-        """Lock the folder and read its files; remove what killed processes have left beside them.
+        """Lock the folder, remove temporary files left by killed processes, and read the files.
 
         Raises:
-            OSError: The folder cannot be used, or another process has it.
+            OSError: The folder cannot be used, or another process has locked it.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
-        if self.thread:  # without one, all that have folders are in one process, which tells them apart
+        if self.thread:  # without a thread (simulation), one process uses all folders
             self._lock()
-        for leftover in self.folder.glob(".*"):
-            if leftover.name.startswith((f".{STATE_FILE}.", f".{HISTORY_FILE}.", f".{TEXT_PREFIX}")):
+        for temporary_file in self.folder.glob(".*"):
+            if temporary_file.name.startswith((f".{STATE_FILE}.", f".{HISTORY_FILE}.", f".{TEXT_PREFIX}")):
                 with contextlib.suppress(OSError):
-                    leftover.unlink()
+                    temporary_file.unlink()
         state = self._read(STATE_FILE, STATE_MAGIC, VoterState)
         if state:
             reason = _invalid_reason(state.decided)
@@ -171,12 +173,12 @@
             raise OSError(f"policy.folder: {self.folder} is another process's") from None
 
     def save_state(self, state: VoterState, on_saved: OnSaved, on_failed: OnFailed) -> None:
-        """Write a voter's state; then one of the two is called on the loop.
+        """Write a voter's state; then call `on_saved` or `on_failed` in the event loop.
 
         Args:
-            state: What is written.
-            on_saved: Called when it is on disk.
-            on_failed: Called where it could not be written, and for all that was requested since.
+            state: The state to write.
+            on_saved: Called when the state is on disk.
+            on_failed: Called if this write, or one that it was waiting for, has failed.
         """
         self.pending.append(PendingSave(state, on_saved, on_failed))
         if not self.saving:
@@ -194,15 +196,15 @@
                 self._save_pending()
 
         def on_failed(reason: str) -> None:
-            lost, self.pending = batch + self.pending, []
+            failed_saves, self.pending = batch + self.pending, []
             self.saving = False
-            for save in lost:
+            for save in failed_saves:
                 save.on_failed(reason)
 
         self._write(STATE_FILE, _encode(STATE_MAGIC, batch[-1].state), on_saved, on_failed)
 
     def save_text(self, text: bytes, on_saved: OnSaved, on_failed: OnFailed) -> None:
-        """Write a policy's text; then one of the two is called on the loop."""
+        """Write a policy's text; then call `on_saved` or `on_failed` in the event loop."""
         self._write(f"{TEXT_PREFIX}{digest_of(text).hex()}", text, on_saved, on_failed)
 
     def save_history(self, history: Iterable[HistoryEntry]) -> None:
@@ -220,7 +222,7 @@
         self._run(unlink)
 
     def close(self) -> None:
-        """Wait until all that was requested is on disk or has failed; nothing is called any more."""
+        """Wait until all requested writes have finished; no callback is called after that."""
         if not self.closed:
             self.closed = True
             if self.thread:
@@ -230,16 +232,16 @@
 
     # Files
 
-    def _read(self, name: str, magic: bytes, kind: type[T]) -> T | None:
+    def _read(self, name: str, magic: bytes, record_type: type[T]) -> T | None:
         try:
             _, body = verify(_read_file(self.folder / name, MAX_FILE_BYTES), magic, FORMAT_VERSION, name)
-            return msgspec.msgpack.decode(body, type=kind)
+            return msgspec.msgpack.decode(body, type=record_type)
         except FileNotFoundError:
             return None
         except (OSError, DamagedDataError) as error:
             self._log_rejected(name, _reason(error))
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            self._log_rejected(name, f"its words do not fit: {error}")
+            self._log_rejected(name, f"invalid content: {error}")
         return None
 
     def _read_texts(self) -> Iterable[tuple[bytes, bytes]]:
@@ -253,7 +255,7 @@
             if digest.hex() == file.name.removeprefix(TEXT_PREFIX):
                 yield digest, text
             else:
-                self._log_rejected(file.name, "its bytes are not of the digest in its name")
+                self._log_rejected(file.name, "its content does not match the digest in its name")
 
     def _log_rejected(self, name: str, reason: str) -> None:
         self.log.warning("policy_file_rejected", file=str(self.folder / name), reason=reason)
@@ -267,20 +269,20 @@
             self.run_off_loop(work)
 
     def _write(self, name: str, data: bytes, on_saved: OnSaved, on_failed: OnFailed) -> None:
-        def follow(callback: Callable[[], None]) -> None:
+        def call_unless_closed(callback: Callable[[], None]) -> None:
             if not self.closed:
                 callback()
 
         def work() -> None:
             reason = self._write_now(name, data)
             callback = on_saved if reason is None else lambda: on_failed(reason)
-            with contextlib.suppress(RuntimeError):  # the loop is closed: the process ends
-                self.call_on_loop(lambda: follow(callback))
+            with contextlib.suppress(RuntimeError):  # the event loop is closed: the process is ending
+                self.call_on_loop(lambda: call_unless_closed(callback))
 
         self._run(work)
 
     def _write_now(self, name: str, data: bytes) -> str | None:
-        """Write a file; return None, or why it could not be written."""
+        """Write a file; return None on success, otherwise why the write has failed."""
         try:
             write_atomically(self.folder / name, data)
         except OSError as error:
@@ -301,10 +303,10 @@
 def _read_file(path: Path, max_bytes: int) -> bytes:
     with path.open("rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
-            raise DamagedDataError("it is no file")
+            raise DamagedDataError("not a regular file")
         data = file.read(max_bytes + 1)
     if len(data) > max_bytes:
-        raise DamagedDataError(f"it is longer than {max_bytes >> 10} kB")
+        raise DamagedDataError(f"longer than {max_bytes >> 10} kB")
     return data
 
 
@@ -313,9 +315,9 @@
 
 
 def _invalid_reason(value: Value) -> str:
-    """Return why it cannot be the value of an epoch; "" where it can."""
+    """Return why `value` is invalid as the value of an epoch; "" if it is valid."""
     if value.epoch < 1 or len(value.digest) != DIGEST_BYTES:
-        return "it names no policy"
+        return "invalid epoch or digest of the policy"
     voters = value.voters
     if not 1 <= len(voters) <= MAX_VOTERS or list(voters) != sorted({*voters}) or voters[0] < 0:
         return f"voters are 1 to {MAX_VOTERS} proxies by number, each once"
