--- a/firvane/proxy/quorum/errors.py
+++ b/firvane/proxy/quorum/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package."""
+"""Errors of the policy consensus."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 class MessageError(QuorumError, ValueError):
-    """A datagram holds no valid message."""
+    """A datagram does not contain a valid message."""
 
 
 class UploadError(QuorumError, ValueError):
-    """A chunk of a policy's text was rejected; the text of the error is sent to the caller."""
+    """A chunk of a policy's text was rejected; the error text is sent to the caller."""
--- a/firvane/proxy/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -1,4 +1,4 @@
-"""What the policy consensus needs of the proxy that it runs in."""
+"""Interface of the proxy that the policy consensus runs in."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
     """Sends datagrams to the other proxies."""
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        """Send the payload to that peer; None sends it to all."""
+        """Send the payload to a peer; None sends it to all peers."""
 
 
 class Host(Protocol):
-    """The proxy, as far as the consensus knows it."""
+    """The proxy, as used by the consensus."""
 
     @property
     def loop(self) -> asyncio.AbstractEventLoop:
-        """The loop that everything runs in."""
+        """The event loop of the proxy."""
 
     @property
     def config(self) -> Config:
@@ -40,14 +40,14 @@
 
     @property
     def peers(self) -> PeerTransport:
-        """The way to the other proxies."""
+        """Sends datagrams to the other proxies."""
 
     @property
     def wall(self) -> Callable[[], float]:
-        """Returns Unix time in seconds."""
+        """A function that returns Unix time in seconds."""
 
     def fits(self, settings: api.Settings) -> str:
-        """Return why the proxy has no capacity for these settings; "" where it has."""
+        """Return why the proxy lacks the capacity for these settings; "" if it does not."""
 
     def adopt(self, settings: api.Settings) -> None:
-        """Decide all requests that come from now on by these settings, which have been validated."""
+        """Apply these settings, which have been validated, to all requests that arrive from now on."""
--- a/firvane/proxy/quorum/outbox.py
+++ b/firvane/proxy/quorum/outbox.py
@@ -1,11 +1,12 @@
-"""Messages to send and state to write, in the order in which they depend on one another.
+"""Outgoing messages and state writes of a member, in the order of their dependencies.
 
 Invariants:
 
-1. A reply is sent once all that was decided up to it is on disk; what is not a reply is sent at once.
-2. A reply that has waited is made when it is sent, since its content may have changed in the meantime.
-3. Where a write fails, nothing that depends on it has been sent, and nothing is.
-4. A message to this proxy itself is delivered at once, and never encoded.
+1. A reply is sent once the acceptor's state at the time of the reply is on disk; other messages are sent at
+   once.
+2. A delayed reply is created when it is sent, since its content may have changed in the meantime.
+3. If a write fails, no message that depends on it has been sent or will be sent.
+4. A message to this proxy itself is delivered at once, without being encoded.
 """
 
 from __future__ import annotations
@@ -23,23 +24,23 @@
 
 
 class PendingReply(NamedTuple):
-    """A reply that is sent once the write of that token, or a later one, is on disk."""
+    """A reply that is sent once the write with this token, or a later one, is on disk."""
 
     token: int
     receiver: int
-    make: Callable[[float], Message]  # of the time at which it is sent
+    make: Callable[[float], Message]  # takes the send time
 
 
 class Outbox:
-    """What one proxy sends, and the writes that its replies wait for."""
+    """The outgoing messages of one proxy, and the writes that its replies wait for."""
 
     def __init__(self, state: MemberState, deliver: Deliver, stored: VoterState | None) -> None:
-        """Begin with nothing pending.
+        """Create an outbox with nothing pending.
 
         Args:
             state: The state of the member.
-            deliver: Takes messages to this proxy itself.
-            stored: What is on disk.
+            deliver: Receives messages to this proxy itself.
+            stored: The state on disk.
         """
         self.state = state
         self.deliver = deliver
@@ -51,19 +52,19 @@
     # Messages
 
     def send(self, receiver: int, message: Message, now: float) -> None:
-        """Send it now."""
+        """Send a message now."""
         if receiver == self.state.me:
             self.deliver(receiver, message, now)
         else:
             self.state.actions.append(SendMessage(receiver, messages.encode(message)))
 
     def send_all(self, out: Iterable[tuple[int, Message]], now: float) -> None:
-        """Send each message to its receiver, now."""
+        """Send each message to its receiver now."""
         for receiver, message in out:
             self.send(receiver, message, now)
 
     def reply(self, receiver: int, make: Callable[[float], Message], now: float) -> None:
-        """Send what `make` returns once all that was decided up to now is on disk."""
+        """Send the message that `make` returns, once the current state is on disk."""
         self.save()
         if self.pending_writes:
             self.pending_replies.append(PendingReply(self.last_token, receiver, make))
@@ -73,19 +74,19 @@
     # Disk
 
     def save(self) -> None:
-        """Write the acceptor's state where it has changed since the last write was begun."""
+        """Write the acceptor's state if it has changed since the last write was started."""
         acceptor = self.state.acceptor
         if acceptor and acceptor.state != self.last_written:
             self.write(acceptor.state)
 
     def write(self, state: VoterState) -> None:
-        """Begin a write, which ends with `on_saved` or `on_save_failed`."""
+        """Start a write, which ends with `on_saved` or `on_save_failed`."""
         self.last_token += 1
         self.last_written = self.pending_writes[self.last_token] = state
         self.state.actions.append(SaveState(self.last_token, state))
 
     def on_saved(self, token: int, now: float) -> None:
-        """That write is on disk, and those before it."""
+        """Handle the completion of a write and of all earlier ones: send the replies that waited for them."""
         if token not in self.pending_writes:
             return
         state = self.state
@@ -104,7 +105,7 @@
             self.send(reply.receiver, reply.make(now), now)
 
     def on_save_failed(self, token: int) -> None:
-        """That write has failed: whatever is not on disk has not been decided."""
+        """Handle a failed write: drop the replies that wait, and revert to the state on disk."""
         if token not in self.pending_writes:
             return
         state = self.state
--- a/firvane/proxy/quorum/status.py
+++ b/firvane/proxy/quorum/status.py
@@ -1,4 +1,4 @@
-"""What operators see of a proxy's consensus member; the names and texts are part of the admin API."""
+"""Status of a consensus member for operators; the names and texts are part of the admin API."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def describe_status(state: MemberState, now: float) -> dict[str, str]:
-    """Return its epoch, lease and votes, and the proposal that is being prepared there."""
+    """Return the epoch, the lease and the voter status of a member, and the proposal that it prepares."""
     lease, decided = state.lease, state.lease.decided
     usable = decided is not None and state.text_errors.get(decided.digest) == ""
     lines = {
@@ -24,8 +24,8 @@
         if decided.digest in state.text_errors and not usable:
             lines["unusable"] = state.text_errors[decided.digest]
     if state.is_voter:
-        late = [str(proxy) for proxy in range(state.proxy_count) if not _is_active(state, proxy, now)]
-        lines["not_heard_here"] = ", ".join(late) or "none"
+        inactive = [str(proxy) for proxy in range(state.proxy_count) if not _is_active(state, proxy, now)]
+        lines["not_heard_here"] = ", ".join(inactive) or "none"
     if state.readiness:
         lines["proposed"] = state.readiness.value.digest.hex()
         lines["prepared"] = ", ".join(map(str, sorted(state.readiness.ready)))
@@ -35,5 +35,5 @@
 
 
 def _is_active(state: MemberState, proxy: int, now: float) -> bool:
-    last = state.lease_requested_at.get(proxy, -inf)
-    return proxy == state.me or now - last <= state.timing.lease_s
+    requested_at = state.lease_requested_at.get(proxy, -inf)
+    return proxy == state.me or now - requested_at <= state.timing.lease_s
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -1,7 +1,8 @@
-"""The texts of policies in one proxy: uploaded, fetched, validated and kept on disk.
+"""Policy texts of one proxy: uploaded, fetched, validated and stored on disk.
 
-A text is available only once it is complete, of its digest, validated as `firvane check` does and against
-this proxy's own settings, and on disk; on a proxy that is no voter a full disk keeps no text from being used.
+A text is available once it is complete, matches its digest, and is on disk. On a non-voter it is available
+even if it cannot be written, for example because the disk is full. A text is usable if it also passes the
+validation of `firvane check` and fits this proxy's own settings.
 """
 
 from __future__ import annotations
@@ -19,8 +20,8 @@
 from firvane.proxy.quorum.text_fetch import TextFetch
 from firvane.proxy.quorum.uploads import Uploads
 
-MAX_FETCHES = 4  # at a time
-MAX_TEXTS = HISTORY_LIMIT + 14  # those of the history, and the last that were proposed
+MAX_FETCHES = 4  # in parallel
+MAX_TEXTS = HISTORY_LIMIT + 14  # those of the history, and the latest proposed ones
 MAX_UNSAVED_TEXTS = 16  # texts whose write is retried
 SAVE_RETRY_INTERVAL_S = 5.0  # between two attempts to write a text to a full disk
 
@@ -30,11 +31,11 @@
 
     reason: str  # why it cannot be used; "" where it can
     settings: api.Settings | None = None
-    voters: tuple[int, ...] | None = None  # that the text itself names
+    voters: tuple[int, ...] | None = None  # the voters that the text specifies
 
 
 class TextLibrary:
-    """The texts that are here, or on their way."""
+    """The texts that are available to this proxy or being transferred."""
 
     def __init__(
         self,
@@ -45,15 +46,15 @@
         on_available: Callable[[bytes], None],
         on_save_failed: Callable[[bytes, str], None],
     ) -> None:
-        """Begin without texts.
+        """Create a library without texts.
 
         Args:
-            host: The proxy.
+            host: The proxy that the library runs in.
             config: The settings of the consensus.
-            store: The files.
-            is_voter: Whether this proxy votes on the next epoch.
-            on_available: Called with the digest of a text that can be used from now on.
-            on_save_failed: Called with the digest of a text that a voter cannot write, and the reason.
+            store: Writes the texts to disk.
+            is_voter: Returns whether this proxy is a voter.
+            on_available: Called with the digest of a text that has become available.
+            on_save_failed: Called on a voter with the digest of a text that cannot be written, and the reason.
         """
         self.host = host
         self.config = config
@@ -61,39 +62,39 @@
         self.is_voter = is_voter
         self.on_available = on_available
         self.on_save_failed = on_save_failed
-        self.base_settings = host.config.settings  # for what a policy leaves out
+        self.base_settings = host.config.settings  # defaults for settings that a policy omits
         self.texts: dict[bytes, bytes] = {}
         self.checks: dict[bytes, PolicyCheck] = {}
         self.saving: set[bytes] = set()
-        self.unsaved: dict[bytes, bytes] = {}  # whose write is retried
+        self.unsaved: dict[bytes, bytes] = {}  # texts whose write is retried, by digest
         self.uploads = Uploads()
         self.fetches: dict[bytes, TextFetch] = {}
         self.closed = False
 
     def close(self) -> None:
-        """Cancel what is being fetched."""
+        """Cancel all downloads."""
         self.closed = True
         for fetch in self.fetches.values():
             fetch.close()
 
     def get(self, digest: bytes) -> bytes | None:
-        """Return a text that is here, on disk or uploaded."""
+        """Return a text that is available or completely uploaded; None if there is none."""
         return self.texts.get(digest) or self.uploads.get(digest)
 
     # Validation
 
     def check(self, digest: bytes) -> PolicyCheck:
-        """Return the result of the first validation of a text that is here."""
-        known = self.checks.get(digest)
-        if known is None:
+        """Return the result of validating a text; the text is validated once, and the result is cached."""
+        checked = self.checks.get(digest)
+        if checked is None:
             text = self.get(digest)
             if text is None:
                 return PolicyCheck("its text is not here")
-            known = self._validate(text)
+            checked = self._validate(text)
             if len(self.checks) >= MAX_TEXTS:
                 del self.checks[next(iter(self.checks))]
-            self.checks[digest] = known
-        return known
+            self.checks[digest] = checked
+        return checked
 
     def _validate(self, text: bytes) -> PolicyCheck:
         try:
@@ -107,7 +108,7 @@
     # Fetching
 
     def fetch(self, digest: bytes, holders: tuple[int, ...]) -> None:
-        """Make a text available, from the proxies that may have it where it is not here."""
+        """Make a text available; download it from `holders`, proxies that may have it, if it is missing."""
         if digest in self.texts:
             self.on_available(digest)
         elif text := self.uploads.get(digest):
@@ -115,7 +116,7 @@
         elif digest in self.fetches:
             self.fetches[digest].add_holders(holders)
         elif len(self.fetches) < MAX_FETCHES:
-            # Each proxy of a tier begins with another holder.
+            # Different proxies start with different holders, which spreads the load.
             first = self.base_settings.me % len(holders) if holders else 0
             self.fetches[digest] = TextFetch(
                 self.host.loop,
@@ -136,7 +137,7 @@
     # Disk
 
     def save(self, text: bytes) -> None:
-        """Write a text to disk where it is not there yet; then it is available."""
+        """Write a text to disk, if it is not there yet, and then make it available."""
         digest = digest_of(text)
         if digest in self.texts or digest in self.saving:
             return
@@ -160,7 +161,7 @@
     def _retry_later(self, digest: bytes, text: bytes) -> None:
         if not self.unsaved:
             self.host.loop.call_later(SAVE_RETRY_INTERVAL_S, self._retry)
-        self.unsaved[digest] = text  # it may be the one in force
+        self.unsaved[digest] = text  # retried, since it may be the text in force
         while len(self.unsaved) > MAX_UNSAVED_TEXTS:
             del self.unsaved[next(iter(self.unsaved))]
 
@@ -171,8 +172,8 @@
                 self.save(text)
 
     def discard_old(self, retained: Collection[bytes]) -> None:
-        """Delete the oldest texts beyond `MAX_TEXTS`, the `retained` ones excepted."""
-        old = [digest for digest in self.texts if digest not in retained]
-        for digest in old[: max(0, len(self.texts) - MAX_TEXTS)]:
+        """Delete the oldest texts above `MAX_TEXTS`, except the `retained` ones."""
+        discardable = [digest for digest in self.texts if digest not in retained]
+        for digest in discardable[: max(0, len(self.texts) - MAX_TEXTS)]:
             del self.texts[digest]
             self.store.delete_text(digest)
--- a/firvane/proxy/quorum/uploads.py
+++ b/firvane/proxy/quorum/uploads.py
@@ -1,12 +1,13 @@
-"""Texts of policies in transfer, chunk by chunk: uploaded by an operator, or downloaded from another proxy.
+"""Policy texts in transfer, in chunks: uploaded by an operator, or downloaded from another proxy.
 
 Invariants:
 
-1. A text is identified by its digest: it is complete when its bytes have that digest, and not before.
-2. Chunks come in order. A repeated one changes nothing; one that comes too early is rejected with the
-   expected offset.
-3. Texts that nobody has proposed are bounded: `MAX_UPLOADS` of them, `MAX_TEXT_BYTES` each, for
-   `UPLOAD_TIMEOUT_S` since the last chunk. One too many evicts the oldest.
+1. A text is identified by its digest: it is complete only when its bytes have that digest.
+2. Chunks are added in order. A repeated chunk changes nothing; a chunk beyond the next offset is rejected
+   with the expected offset.
+3. Texts that have not been proposed are bounded: at most `MAX_UPLOADS` in progress and as many complete ones,
+   `MAX_TEXT_BYTES` each, until `UPLOAD_TIMEOUT_S` after the last chunk. A text above the limit evicts the
+   oldest.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class CompletedUpload(NamedTuple):
-    """A complete text, and when its last chunk came."""
+    """A complete text, and when its last chunk was received."""
 
     text: bytes
     completed_at: float
@@ -32,12 +33,12 @@
 
 @dataclass
 class TextAssembly:
-    """One text, as far as it has come."""
+    """One text, as far as it has been received."""
 
     digest: bytes
-    length: int = 0  # bytes; 0: not known yet
+    length: int = 0  # total, in bytes; 0: not known yet
     received: bytearray = field(default_factory=bytearray)
-    updated_at: float = 0.0  # when the last chunk came
+    updated_at: float = 0.0  # when the last chunk was received
 
     def add(self, length: int, offset: int, data: bytes) -> bytes | None:
         """Add a chunk.
@@ -48,7 +49,7 @@
             data: The chunk.
 
         Returns:
-            The text once it is complete, None before.
+            The text if it is now complete, otherwise None.
 
         Raises:
             UploadError: The chunk does not fit, or the complete text has another digest.
@@ -74,14 +75,14 @@
 
 
 class Uploads:
-    """Texts that are being uploaded here, and complete ones that nobody has proposed yet."""
+    """Texts that are being uploaded to this proxy, and complete ones that have not been proposed yet."""
 
     def __init__(self) -> None:
-        self.in_progress: dict[bytes, TextAssembly] = {}  # the one that was updated last comes last
+        self.in_progress: dict[bytes, TextAssembly] = {}  # in the order of their last updates
         self.completed: dict[bytes, CompletedUpload] = {}
 
     def add_chunk(self, digest: bytes, length: int, offset: int, data: bytes, now: float) -> bool:
-        """Add a chunk of a text; return whether the text is complete by it, or was before.
+        """Add a chunk of a text; return whether the text is now complete.
 
         Raises:
             UploadError: The chunk was rejected.
@@ -100,12 +101,12 @@
         return text is not None
 
     def get(self, digest: bytes) -> bytes | None:
-        """Return a complete text; None where there is none."""
+        """Return a complete text; None if there is none."""
         upload = self.completed.get(digest)
         return upload.text if upload else None
 
     def expire(self, now: float) -> None:
-        """Remove texts that have seen no chunk for `UPLOAD_TIMEOUT_S`."""
+        """Remove texts that have received no chunk for `UPLOAD_TIMEOUT_S`."""
         stale = [key for key, text in self.in_progress.items() if now >= text.updated_at + UPLOAD_TIMEOUT_S]
         for digest in stale:
             del self.in_progress[digest]
@@ -115,7 +116,7 @@
 
 
 def _with_capacity(texts: dict[bytes, T]) -> dict[bytes, T]:
-    """Evict the oldest texts until there is capacity for one more."""
+    """Evict the oldest texts until there is capacity for one more; return `texts`."""
     while len(texts) >= MAX_UPLOADS:
         del texts[next(iter(texts))]
     return texts
