--- a/firvane/proxy/quorum/admin_calls.py
+++ b/firvane/proxy/quorum/admin_calls.py
@@ -1,4 +1,4 @@
-"""The policy calls of the admin API in one proxy; the texts of the answers are part of that API."""
+"""Policy calls of the admin API of one proxy; the texts of the answers are part of that API."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class AdminCalls:
-    """The answers to operators, and the proposals whose texts are still being written."""
+    """Answers policy calls, and holds the proposals whose texts are still being written."""
 
     def __init__(
         self,
@@ -28,15 +28,15 @@
         history: Callable[[], Iterable[HistoryEntry]],
         serves_without_lease: bool,
     ) -> None:
-        """Begin without proposals.
+        """Create the calls without pending proposals.
 
         Args:
             member: The consensus member of this proxy.
-            library: The texts.
-            clock: Returns seconds on the monotonic clock of the member.
-            handle: Hands an event to the member.
-            history: Returns what was in force here, the newest last.
-            serves_without_lease: Whether the proxy serves without a lease.
+            library: The policy texts of this proxy.
+            clock: Returns seconds on the member's monotonic clock.
+            handle: Passes an event to the member.
+            history: Returns the policies that this proxy has used, the newest last.
+            serves_without_lease: Whether the proxy serves requests without a lease.
         """
         self.member = member
         self.library = library
@@ -44,8 +44,10 @@
         self.handle = handle
         self.history = history
         self.serves_without_lease = serves_without_lease
-        self.pending: dict[bytes, tuple[int, ...] | None] = {}  # proposals, and their voters
-        self.failed: dict[bytes, str] = {}  # why proposals have ended before the member had them
+        self.pending: dict[
+            bytes, tuple[int, ...] | None
+        ] = {}  # voters of the proposals whose texts are being written, by digest
+        self.failed: dict[bytes, str] = {}  # why proposals ended before reaching the member, by digest
         self.handlers: dict[Call, Callable[..., bytes]] = {
             Call.POLICY_STATUS: self._status,
             Call.POLICY_HISTORY: self._history,
@@ -56,20 +58,20 @@
             Call.POLICY_ABORT: self._abort,
         }
 
-    def answer(self, asked: AdminCall) -> bytes:
+    def answer(self, request: AdminCall) -> bytes:
         """Return the answer to a call."""
-        handler = self.handlers[asked.call]
-        return handler() if asked.given is None else handler(asked.given)
+        handler = self.handlers[request.call]
+        return handler() if request.given is None else handler(request.given)
 
     # Proposals whose texts are being written
 
     def on_text_available(self, digest: bytes) -> None:
-        """Propose the text where that was asked for."""
+        """Pass the pending proposal of a text, if any, to the member."""
         if digest in self.pending:
             self.handle(events.Propose(digest, self.pending.pop(digest)))
 
     def on_text_save_failed(self, digest: bytes, reason: str) -> bool:
-        """End the proposal of a text that cannot be written; return whether there was one."""
+        """End the pending proposal of a text that cannot be written; return whether there was one."""
         if digest not in self.pending:
             return False
         del self.pending[digest]
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -1,14 +1,14 @@
-"""The policy consensus at work in one proxy: its member with a clock, the network, the disk and the texts.
+"""Policy consensus of one proxy: connects the member to a clock, the network, the disk and the texts.
 
 Invariants:
 
-1. Time is read where it counts, from a clock that nobody sets: at each event, and at each request in `may`.
-   What is due by then is done before the request is decided, so that no request is decided by an epoch that
-   is over, and a process that was suspended decides nothing by what it knew before.
-2. Events are handled one after the other; those that come while one is handled wait for their turn.
-3. Neither this proxy's disk nor its file decides which policy is in force: the members do. Only where
-   `without_lease` says serve, and no voter answers, it goes on by what it last knew, and logs that.
-4. A policy is activated in one call: no request is decided by parts of two policies.
+1. The monotonic clock is read at each event and before each request. Steps that are due by then run first, so
+   that no request is served under an epoch that has ended, or under an epoch that was valid only before the
+   process was suspended.
+2. Events are handled one at a time; events that occur during the handling of another are queued.
+3. The policy in force is decided by the consensus, not by this proxy's disk or configuration file. Only if
+   `without_lease` is "serve" and no voter replies, the proxy continues with the last known policy, and logs that.
+4. A policy is activated in one call: no request is served under parts of two policies.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 from firvane.proxy.quorum.types import Timing, Value
 
 MIN_TICK_DELAY_S = 0.001
-OVERDUE_TICK_DELAY_S = 0.02  # where something is due that cannot be done now
+OVERDUE_TICK_DELAY_S = 0.02  # if a step is due that cannot run yet
 READINESS_TIMEOUT_LEASES = 5
 TICKS_PER_RENEWAL = 4
-MAX_REASON_CHARS = 120  # of a reason that is sent to another proxy
+MAX_REASON_CHARS = 120  # limit of a reason that is sent to another proxy
 NO_HEADER = b""
 
 
 class PolicyConsensus:
-    """One proxy's part in the consensus.
+    """The policy consensus of one proxy.
 
     Attributes:
-        epoch: The epoch whose policy is in use; 0 before there is one.
+        epoch: The epoch of the policy in use; 0 if there is none yet.
         stamp: The header line of that epoch that answers carry, or none.
     """
 
@@ -55,15 +55,15 @@
         run_off_loop: RunOffLoop | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Take no part yet.
+        """Create the consensus without starting it.
 
         Args:
             host: The proxy.
-            run_off_loop: Runs disk writes; None gives them a thread of their own.
-            clock: Returns seconds on a clock that nobody sets, at the loop's own rate.
+            run_off_loop: Runs disk writes; None uses a dedicated thread.
+            clock: Returns seconds on a monotonic clock with the rate of the loop's clock.
         """
         config = host.config.policy
-        assert config  # without it there is no consensus
+        assert config  # the consensus is only created if it is configured
         self.host = host
         self.config = config
         self.clock = clock
@@ -76,8 +76,8 @@
             host, config, self.store, self._is_voter, self._on_text_available, self._on_text_save_failed
         )
         self.member: Member | None = None
-        self.admin: AdminCalls | None = None  # as soon as there is a member
-        self.value: Value | None = None  # whose policy is in use
+        self.admin: AdminCalls | None = None  # None until the member is created
+        self.value: Value | None = None  # the epoch whose policy is in use
         self.epoch = 0
         self.stamp = NO_HEADER
         self.first_lease = asyncio.Event()
@@ -100,12 +100,12 @@
             events.LogEvent: lambda action: self.log.info(action.event, **action.fields),
         }
 
-    # What the proxy asks
+    # Interface for the proxy
 
     async def start(self) -> None:
-        """Take part, and wait until the policy in force is in use here.
+        """Start the member, and wait until this proxy uses the policy in force.
 
-        Where `without_lease` says serve, it waits for a lease's time only.
+        If `without_lease` is "serve", the wait is limited to the duration of a lease.
 
         Raises:
             OSError: The folder cannot be used.
@@ -125,15 +125,16 @@
         self.library.texts = dict(stored.texts)
         self.history = list(stored.history)
         state = stored.state
-        known = {entry.value.digest for entry in self.history[-1:]}
+        digests = {entry.value.digest for entry in self.history[-1:]}
         if state:
-            known |= {state.decided.digest} | ({state.accepted[1].digest} if state.accepted else set())
+            digests |= {state.decided.digest} | ({state.accepted[1].digest} if state.accepted else set())
         usable = [
             digest
-            for digest in sorted(known)
+            for digest in sorted(digests)
             if digest in self.library.texts and not self.library.check(digest).reason
         ]
-        # A nonce of an earlier process must not come again, whatever seed the configuration names.
+        # The seed differs in each process, so that nonces of an earlier process are not reused even with the
+        # same configured seed.
         entropy = f"{self.host.config.seed}:{self.host.wall():.9f}:{self.clock():.9f}"
         seed = random.Random(entropy).getrandbits(64)
         proxy_count, voters = self.host.config.settings.proxies, self.config.voters
@@ -155,7 +156,7 @@
         )
 
     def _on_start_timeout(self, stored: StoredFiles) -> None:
-        """No lease has come in time."""
+        """Handle a start without a lease: log it, and use the last known policy if configured."""
         assert self.member
         last = self.history[-1].value if self.history else None
         if stored.state:
@@ -171,7 +172,7 @@
         )
 
     def heard(self, sender: int, payload: bytes) -> bool:
-        """Handle a peer's datagram; return whether it was for the consensus."""
+        """Handle a peer's datagram; return whether it is a message of the consensus."""
         if payload[:1] != MESSAGE_PREFIX:
             return False
         if self.member:
@@ -179,7 +180,7 @@
         return True
 
     def may(self) -> bool:
-        """Whether a new request may be decided now, by the settings in use."""
+        """Return whether a new request may be served now with the settings in use."""
         member = self.member
         if member is None or self.closed:
             return False
@@ -197,17 +198,17 @@
         return self.admin.answer(asked)
 
     def close(self) -> None:
-        """Take no part any more; what was being written is on disk when this returns."""
+        """Stop; all requested writes have finished when this returns."""
         self.closed = True
         if self.timer:
             self.timer.cancel()
         self.library.close()
         self.store.close()
 
-    # Events and what follows
+    # Events and actions
 
     def _handle(self, event: Event) -> None:
-        """Handle an event, and those that come meanwhile."""
+        """Handle an event, and the events queued meanwhile."""
         self.events.append(event)
         member = self.member
         if self.handling or self.closed or member is None:
@@ -229,21 +230,21 @@
         if has_lease:
             self.first_lease.set()
             self.log.info("policy_lease_acquired", epoch=self.epoch)
-        elif self.first_lease.is_set():  # before, there has never been one
+        elif self.first_lease.is_set():  # a lease was held before
             action = "serves on" if self.config.serve_without else "refuses"
             self.log.warning("policy_lease_lost", epoch=self.epoch, action=action)
 
     def _schedule_tick(self, member: Member) -> None:
-        """Tick when something is due by itself."""
+        """Schedule a `Tick` for the next timed step."""
         now = self.clock()
-        due = min(member.next_tick_at(now), now + self.timing.renewal_interval_s / TICKS_PER_RENEWAL)
-        due = max(due, now + MIN_TICK_DELAY_S) if due > now else now + OVERDUE_TICK_DELAY_S
-        if self.timer and now < self.next_tick_at <= due:
-            return  # early enough
+        due_at = min(member.next_tick_at(now), now + self.timing.renewal_interval_s / TICKS_PER_RENEWAL)
+        due_at = max(due_at, now + MIN_TICK_DELAY_S) if due_at > now else now + OVERDUE_TICK_DELAY_S
+        if self.timer and now < self.next_tick_at <= due_at:
+            return  # the scheduled tick is early enough
         if self.timer:
             self.timer.cancel()
-        self.next_tick_at = due
-        self.timer = self.loop.call_later(due - now, self._tick)
+        self.next_tick_at = due_at
+        self.timer = self.loop.call_later(due_at - now, self._tick)
 
     def _tick(self) -> None:
         self.timer = None
@@ -299,7 +300,7 @@
 
 
 def _timing(config: PolicyTold) -> Timing:
-    """Return the time bounds that the settings give."""
+    """Return the time bounds of the settings."""
     return Timing(
         lease_s=config.lease,
         round_trip_s=config.trip,
--- a/firvane/proxy/quorum/text_fetch.py
+++ b/firvane/proxy/quorum/text_fetch.py
@@ -1,13 +1,13 @@
-"""The download of a policy's text, by its digest, from the admin API of proxies that may have it.
+"""Download of a policy text, by its digest, from the admin API of proxies that may have it.
 
 Invariants:
 
-1. One connection at a time, one chunk to a connection, as the admin API has it. A chunk that is not there in
-   time ends the attempt at its holder; the next holder is asked from the start, since nobody knows which
-   chunk was wrong.
-2. Whatever a holder sends, no more than one chunk is held beside the text, and the text is checked against
-   its digest before it is handed on.
-3. Each holder is tried once. Whoever needs the text after that fetches it again.
+1. Only one connection is open at a time; it requests one chunk, as the admin API requires. If a chunk
+   does not arrive in time or the text is invalid, the download starts again from the next holder, since it is
+   unknown which chunk was wrong.
+2. Whatever a holder sends, at most one answer is buffered besides the text, and the text is checked against
+   its digest before it is passed on.
+3. Each holder is tried once. To try again, the caller starts a new download.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from firvane.proxy.admin_api.calls import Call, parse_chunk
 from firvane.proxy.quorum.uploads import TextAssembly
 
-MAX_ANSWER_BYTES = 17 << 10  # of an answer with one chunk
-CHUNK_TIMEOUT_S = 2.0  # for one chunk, connecting included
-MAX_CHUNKS = 16  # to one text and holder
+MAX_ANSWER_BYTES = 17 << 10  # limit of an answer, which contains one chunk
+CHUNK_TIMEOUT_S = 2.0  # for one chunk, including the connection
+MAX_CHUNKS = 16  # per text and holder
 MAX_ERROR_CHARS = 100
 
-OnDone = Callable[[bytes | None, str], None]  # the text; or None, and why there is none
+OnDone = Callable[[bytes | None, str], None]  # the text and ""; or None and the error
 
 
 class ChunkRequest(asyncio.Protocol):
-    """One call of the admin API, for one chunk."""
+    """One call of the admin API that requests one chunk."""
 
     def __init__(self, line: bytes, on_answer: Callable[[bytes], None]) -> None:
         self.line = line
@@ -52,7 +52,7 @@
             self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Hand on what has come."""
+        """Pass on the answer received so far."""
         self._finish()
 
     def _finish(self) -> None:
@@ -63,7 +63,7 @@
 
 
 class TextFetch:
-    """The download of one text."""
+    """The download of one policy text."""
 
     def __init__(
         self,
@@ -74,15 +74,15 @@
         holders: Iterable[int],
         on_done: OnDone,
     ) -> None:
-        """Begin in the loop's next turn.
+        """Schedule the download for the next iteration of the event loop.
 
         Args:
-            loop: The loop that everything runs in.
+            loop: The event loop.
             dialer: Opens connections.
-            admin_addresses: The admin API of each proxy.
+            admin_addresses: The address of the admin API of each proxy, by proxy number.
             digest: The digest of the text.
             holders: The proxies that may have it.
-            on_done: Called once, with the text, or with None and why there is none.
+            on_done: Called once: with the text and "", or with None and the error.
         """
         self.loop = loop
         self.dialer = dialer
@@ -102,19 +102,19 @@
         loop.call_soon(self._try_next)
 
     def add_holders(self, holders: Iterable[int]) -> None:
-        """Add proxies that may have the text, too."""
+        """Add further proxies that may have the text."""
         for holder in holders:
             if 0 <= holder < len(self.admin_addresses) and holder not in self.known_holders:
                 self.known_holders.add(holder)
                 self.untried_holders.append(holder)
 
     def close(self) -> None:
-        """Cancel it; `on_done` is not called."""
+        """Cancel the download; `on_done` is not called."""
         self.closed = True
         self._disconnect()
 
     def _try_next(self) -> None:
-        """Ask the next holder, from the start."""
+        """Start the download from the next holder; without one, report the last error."""
         if self.closed:
             return
         if not self.untried_holders:
@@ -140,17 +140,17 @@
             deadline,
             lambda quiet: self._protocol(request, quiet),
             lambda up: None,
-            lambda ending: self._on_dial_failed(request, ending),
+            lambda termination: self._on_dial_failed(request, termination),
         )
 
     def _protocol(self, request: ChunkRequest, quiet: NoInputCheck) -> ChunkRequest:
         return request
 
-    def _on_dial_failed(self, request: ChunkRequest, ending: Termination) -> None:
-        self._fail(request, f"its door cannot be reached: {ending.value}")
+    def _on_dial_failed(self, request: ChunkRequest, termination: Termination) -> None:
+        self._fail(request, f"admin endpoint is unreachable: {termination.value}")
 
     def _on_timeout(self, request: ChunkRequest) -> None:
-        self._fail(request, f"no answer in {CHUNK_TIMEOUT_S:g} s")
+        self._fail(request, f"no answer within {CHUNK_TIMEOUT_S:g} s")
 
     def _fail(self, request: ChunkRequest, error: str) -> None:
         if request is self.request and not self.closed:
@@ -172,7 +172,7 @@
             self.closed = True
             self.on_done(text, "")
         elif self.chunk_count >= MAX_CHUNKS:
-            self.error = f"proxy {self.holder}: its pieces are too small"
+            self.error = f"proxy {self.holder}: chunks are too small"
             self._try_next()
         else:
             self._request_chunk()
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -54,7 +54,7 @@
             store: Writes the texts to disk.
             is_voter: Returns whether this proxy is a voter.
             on_available: Called with the digest of a text that has become available.
-            on_save_failed: Called on a voter with the digest of a text that cannot be written, and the reason.
+            on_save_failed: Called on a voter with the digest of a text that cannot be written, and why.
         """
         self.host = host
         self.config = config
