--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -7,7 +7,8 @@
    process was suspended.
 2. Events are handled one at a time; events that occur during the handling of another are queued.
 3. The policy in force is decided by the consensus, not by this proxy's disk or configuration file. Only if
-   `without_lease` is "serve" and no voter replies, the proxy continues with the last known policy, and logs that.
+   `without_lease` is "serve" and no voter replies, the proxy continues with the last known policy,
+   and logs that.
 4. A policy is activated in one call: no request is served under parts of two policies.
 """
 
