--- a/tests/proxy/quorum/test_edges.py
+++ b/tests/proxy/quorum/test_edges.py
@@ -1,4 +1,4 @@
-"""Orders of events that hardly come up by chance, each of which once broke a promise."""
+"""Regression tests for rare orders of events, each of which once violated a guarantee."""
 
 from __future__ import annotations
 
@@ -28,121 +28,124 @@
 ONE, OTHER = (Value(2, digest_of(text), BASE.voters) for text in (b"one", b"other"))
 
 
-class OneNonce(Member):
-    """The ballots of all its changes go by one nonce."""
+class SharedNonceMember(Member):
+    """Mutant: all its proposals use the same nonce."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
         new_proposer = self.state.new_proposer
 
-        def of_one_nonce(value: Value, now: float) -> Proposer:
+        def with_shared_nonce(value: Value, now: float) -> Proposer:
             proposer = new_proposer(value, now)
             proposer.nonce, proposer.highest_term = 7, 0
             return proposer
 
-        self.state.new_proposer = of_one_nonce  # type: ignore[method-assign]
+        self.state.new_proposer = with_shared_nonce  # type: ignore[method-assign]
 
 
-class Again(World):
-    """What answered the learner's first change comes again in its second, of which voters hear nothing."""
+class ReplayedReplies(World):
+    """Drops each `Accept` of the second proposal, and replays the replies to the first one instead."""
 
     def __init__(self, make: type[Member]) -> None:
         super().__init__(1, (), [(3.0, 6, 0.0), (8.0, 6, 0.0)], make)
-        self.yes: list[tuple[int, bytes]] = []
+        self.accepted: list[tuple[int, bytes]] = []
 
     def send(self, sender: int, receiver: int, payload: bytes) -> None:
-        said = decode(payload)
-        if isinstance(said, Accept) and said.value[0] == 3:
-            for voter, yes in self.yes:
-                self.at(self.now + 0.01, self.deliver, voter, sender, yes)
+        message = decode(payload)
+        if isinstance(message, Accept) and message.value[0] == 3:
+            for voter, reply in self.accepted:
+                self.at(self.now + 0.01, self.deliver, voter, sender, reply)
             return
-        if isinstance(said, Accepted):
-            self.yes.append((sender, payload))
+        if isinstance(message, Accepted):
+            self.accepted.append((sender, payload))
         super().send(sender, receiver, payload)
 
     def check_settled(self) -> None:
-        """It goes on to its end."""
+        """Run until the configured end."""
 
 
-@pytest.mark.parametrize("make", [Member, OneNonce])
-def test_answers_to_an_earlier_change_do_not_count_for_a_later_one(make: type[Member]) -> None:
-    world = Again(make)
+@pytest.mark.parametrize("make", [Member, SharedNonceMember])
+def test_replies_to_an_earlier_proposal_do_not_count_for_a_later_one(make: type[Member]) -> None:
+    world = ReplayedReplies(make)
     world.config = type(world.config)(proxies=7, seed=1, seconds=12.0, times=world.times)
     world.run()
-    learner = world.nodes[6].member
-    assert learner and learner.state.history[2].digest == digest_of(b"0") and world.yes
-    assert (3 in learner.state.history) == (make is OneNonce)
+    non_voter = world.nodes[6].member
+    assert non_voter and non_voter.state.history[2].digest == digest_of(b"0") and world.accepted
+    assert (3 in non_voter.state.history) == (make is SharedNonceMember)
 
 
-def test_an_abort_of_what_is_in_force_leaves_it_and_the_next_change_alone() -> None:
+def test_abort_of_the_policy_in_force_does_not_affect_it_or_the_next_change() -> None:
     world = World(2, (), [(3.0, 6, 0.0)])
     first, second = digest_of(b"0"), digest_of(b"next")
-    told: list[ProposalOutcome] = []
+    outcomes: list[ProposalOutcome] = []
 
-    def meddle() -> None:
+    def propose_and_abort() -> None:
         node = world.nodes[6]
         assert node.member and node.member.serving
         if node.member.serving.epoch < 2:
-            world.at(world.now + 0.01, meddle)
+            world.at(world.now + 0.01, propose_and_abort)
             return
         world.text(node, second)
         for event in (Propose(second), Abort(first)):
             world.give(node, event)
-        told.extend(node.member.outcome(digest)[0] for digest in (first, second))
-        told.append(ProposalOutcome.OPEN if node.member.state.readiness else ProposalOutcome.FAILED)
+        outcomes.extend(node.member.outcome(digest)[0] for digest in (first, second))
+        outcomes.append(ProposalOutcome.OPEN if node.member.state.readiness else ProposalOutcome.FAILED)
 
-    world.at(3.5, meddle)
+    world.at(3.5, propose_and_abort)
     world.run()
-    assert told == [ProposalOutcome.OPEN] * 3
+    assert outcomes == [ProposalOutcome.OPEN] * 3
 
 
-def test_no_proxy_says_in_force_before_it_is() -> None:
+def test_no_proxy_reports_in_force_before_the_activation() -> None:
     world = World(2, (), [(1.5, 6, 0.0)])
-    said: dict[int, set[tuple[ProposalOutcome, int]]] = {proxy: set() for proxy in range(7)}
+    reported: dict[int, set[tuple[ProposalOutcome, int]]] = {proxy: set() for proxy in range(7)}
 
-    def ask() -> None:
+    def poll_outcomes() -> None:
         for node in world.nodes:
             if node.member and node.member.serving:
                 outcome = node.member.outcome(digest_of(b"0"))[0]
-                said[node.number].add((outcome, node.member.serving.epoch))
-        world.at(world.now + 0.02, ask)
+                reported[node.number].add((outcome, node.member.serving.epoch))
+        world.at(world.now + 0.02, poll_outcomes)
 
-    world.at(2.0, ask)
+    world.at(2.0, poll_outcomes)
     world.run()
-    for seen in said.values():
-        assert (ProposalOutcome.IN_FORCE, 2) in seen and (ProposalOutcome.IN_FORCE, 1) not in seen
+    for outcomes in reported.values():
+        assert (ProposalOutcome.IN_FORCE, 2) in outcomes and (ProposalOutcome.IN_FORCE, 1) not in outcomes
 
 
 def without_incarnations(voter: int, message: Promise) -> Promise:
-    """The same message without known incarnations."""
+    """Mutant: drop the known incarnations from a promise."""
     return replace(message, known_incarnations=())
 
 
 @pytest.mark.parametrize("ignores", [False, True])
-def test_a_promise_of_a_life_that_is_over_makes_no_quorum(ignores: bool) -> None:
-    """Voter 0 promises a ballot, loses its memory and is told where things stand by 1, 3 and 4; then a lower
-    ballot is chosen by 0, 3 and 4, and the higher one has promises of 0, 1 and 2, in that order."""
+def test_promise_of_a_superseded_incarnation_does_not_count(ignores: bool) -> None:
+    """Voter 0 promises the higher proposal, loses its state and recovers it from voters 1, 3 and 4.
+
+    Then voters 0, 3 and 4 choose the lower proposal, and voters 1 and 2 promise the higher one: with the
+    outdated promise of voter 0 it would have a majority for another value.
+    """
     times = Timing()
-    held = [
+    acceptors = [
         Acceptor(me, times, VoterState(0, BASE, True, NO_PROPOSAL_NUMBER, None, ()), 0.0)
         for me in BASE.voters
     ]
     low, high = (Proposer(me, me, times, BASE, value, Random(1), 0.0) for me, value in ((5, ONE), (6, OTHER)))
     to_low, to_high = dict(low.step(0.0)), dict(high.step(0.0))
 
-    def promise(who: Proposer, voter: int) -> list[tuple[int, Accept]]:
-        answer = held[voter].prepare((to_low if who is low else to_high)[voter], 0.0)
+    def promise(proposer: Proposer, voter: int) -> list[tuple[int, Accept]]:
+        answer = acceptors[voter].prepare((to_low if proposer is low else to_high)[voter], 0.0)
         assert answer and answer.granted
-        return who.on_promise(voter, without_incarnations(voter, answer) if ignores else answer, 0.0)
+        return proposer.on_promise(voter, without_incarnations(voter, answer) if ignores else answer, 0.0)
 
-    def accept(said: list[tuple[int, Accept]], voter: int) -> bool:
-        answer = dict(said).get(voter)
-        yes = held[voter].accept(answer, 0.0) if answer else None
-        return bool(yes and yes.granted)
+    def accept(messages: list[tuple[int, Accept]], voter: int) -> bool:
+        answer = dict(messages).get(voter)
+        reply = acceptors[voter].accept(answer, 0.0) if answer else None
+        return bool(reply and reply.granted)
 
     promise(high, 0)
     for voter in (1, 3, 4):
-        held[voter].note_incarnation(0, 1)
+        acceptors[voter].note_incarnation(0, 1)
     states = [
         LeaseReply(
             nonce=0,
@@ -152,23 +155,23 @@
             activated=True,
             previous_end_s=None,
             start_s=None,
-            promised=held[voter].state.promised,
+            promised=acceptors[voter].state.promised,
             accepted=None,
             incarnation=0,
-            known_incarnations=held[voter].state.known_incarnations,
+            known_incarnations=acceptors[voter].state.known_incarnations,
             candidate=None,
         )
         for voter in (1, 3, 4)
     ]
-    held[0] = Acceptor(0, times, recover_state(0, 1, states), 0.0)
-    said = [out for voter in (0, 3, 4) for out in promise(low, voter)]
-    assert all(accept(said, voter) for voter in (0, 3, 4))  # the lower ballot is chosen
-    later = [out for voter in (1, 2) for out in promise(high, voter)]
-    assert bool(later) == ignores
-    assert accept(later, 2) == ignores  # a vote for another value, above the one that is chosen
+    acceptors[0] = Acceptor(0, times, recover_state(0, 1, states), 0.0)
+    low_messages = [out for voter in (0, 3, 4) for out in promise(low, voter)]
+    assert all(accept(low_messages, voter) for voter in (0, 3, 4))  # the lower proposal is chosen
+    high_messages = [out for voter in (1, 2) for out in promise(high, voter)]
+    assert bool(high_messages) == ignores
+    assert accept(high_messages, 2) == ignores  # an acceptance of another value than the chosen one
 
 
-def test_the_text_of_a_vote_that_was_told_after_a_loss_of_memory_is_fetched() -> None:
+def test_text_of_a_recovered_acceptance_is_fetched() -> None:
     vote = (ProposalNumber(1, 1, 1), ONE)
     member = Member(
         0,
@@ -180,5 +183,5 @@
         VoterState(1, BASE, True, vote[0], vote, ()),
         usable_texts=[BASE.digest],
     )
-    wanted = [action for action in member.handle(Tick(), 1.0) if isinstance(action, FetchText)]
-    assert wanted == [FetchText(ONE.digest, (1, 2, 3, 4))]
+    fetches = [action for action in member.handle(Tick(), 1.0) if isinstance(action, FetchText)]
+    assert fetches == [FetchText(ONE.digest, (1, 2, 3, 4))]
--- a/tests/proxy/quorum/test_member_machine.py
+++ b/tests/proxy/quorum/test_member_machine.py
@@ -1,4 +1,4 @@
-"""Histories of whole members, five voters and two proxies that learn: the promises hold in each of them."""
+"""Random fault histories of five voters and two non-voters: the consensus guarantees hold in each."""
 
 from __future__ import annotations
 
@@ -16,40 +16,44 @@
 
 
 @dataclass(frozen=True)
-class Hasty(Timing):
-    """The swap may come before leases have run out."""
+class NoNotice(Timing):
+    """Mutant: an epoch may be activated before older leases have expired."""
 
     @property
     def min_notice_s(self) -> float:
         return 0.0
 
 
-class LiarsProposals(Proposals):
-    """It says that a change has failed as soon as it is aborted."""
+class EarlyFailureProposals(Proposals):
+    """Mutant: reports a change as failed as soon as it is aborted."""
 
     def abort(self, digest: bytes, now: float) -> None:
         if digest in self.by_digest:
             self.by_digest[digest].outcome = ProposalOutcome.FAILED
 
 
-class Liar(Member):
-    """A member whose proposals are those."""
+class EarlyFailureMember(Member):
+    """Mutant: a member with `EarlyFailureProposals`."""
 
     def __init__(self, *args: Any, **more: Any) -> None:
         super().__init__(*args, **more)
-        self.proposals = LiarsProposals(self.state, self.outbox)
+        self.proposals = EarlyFailureProposals(self.state, self.outbox)
 
 
 HISTORIES = int(os.environ.get("FIRVANE_POLICY_HISTORIES", "40"))
-KINDS = ("kill", "lose", "power", "stall", "mute", "deaf", "cut", "full")
-WHEN = st.floats(1.0, FAULTS_S, width=32)
+FAULT_KINDS = ("kill", "lose", "power", "stall", "mute", "deaf", "cut", "full")
+START_TIMES = st.floats(1.0, FAULTS_S, width=32)
 FAULTS = st.builds(
-    Fault, st.sampled_from(KINDS), st.integers(0, 6), WHEN, st.one_of(st.floats(0.1, 4.0), st.just(20.0))
+    Fault,
+    st.sampled_from(FAULT_KINDS),
+    st.integers(0, 6),
+    START_TIMES,
+    st.one_of(st.floats(0.1, 4.0), st.just(20.0)),
 )
-PROPOSALS = st.tuples(WHEN, st.integers(0, 6), st.one_of(st.just(0.0), st.floats(0.1, 3.0)))
+PROPOSALS = st.tuples(START_TIMES, st.integers(0, 6), st.one_of(st.just(0.0), st.floats(0.1, 3.0)))
 
 
-# The histories of `derandomize`, which depend on the names in a test, as they were before names were changed.
+# Fixes the histories: those of `derandomize` would change with the names in the test.
 SEED = int(
     "483301926002089175421676032647352220841669860935182546654443"
     "5797418126742630112179162859426049750452533663072190264"
@@ -60,7 +64,7 @@
 @settings(max_examples=HISTORIES, deadline=None, database=None, phases=(Phase.generate,),
           suppress_health_check=list(HealthCheck))  # fmt: skip
 @given(st.integers(0, 1 << 30), st.lists(FAULTS, max_size=5), st.lists(PROPOSALS, min_size=1, max_size=3))
-def test_every_promise_holds(
+def test_guarantees_hold_in_random_fault_histories(
     world_seed: int, injected_faults: list[Fault], proposals: list[tuple[float, int, float]]
 ) -> None:
     assert World(world_seed, injected_faults, proposals).verdict() == []
@@ -82,13 +86,13 @@
     assert World(291469877, injected_faults, proposals).verdict() == []
 
 
-def test_a_swap_without_notice_is_seen() -> None:
-    hasty = Hasty(SHORT.lease_s, SHORT.clock_skew, SHORT.round_trip_s, SHORT.readiness_timeout_s)
+def test_activation_without_notice_is_detected() -> None:
+    no_notice = NoNotice(SHORT.lease_s, SHORT.clock_skew, SHORT.round_trip_s, SHORT.readiness_timeout_s)
     cuts = [[Fault("deaf", 5, 3.0 + at / 20, 4.0)] for at in range(6, 15)]
-    worlds = (World(3, cut, [(3.0, 6, 0.0)], times=hasty) for cut in cuts)
+    worlds = (World(3, cut, [(3.0, 6, 0.0)], times=no_notice) for cut in cuts)
     assert any("by epoch 1" in line for world in worlds for line in world.verdict())
 
 
-def test_a_change_said_to_have_failed_is_seen_in_force() -> None:
-    worlds = (World(3, (), [(3.0, 6, at / 10)], Liar) for at in range(1, 12))
+def test_change_falsely_reported_as_failed_is_detected() -> None:
+    worlds = (World(3, (), [(3.0, 6, at / 10)], EarlyFailureMember) for at in range(1, 12))
     assert any("(c)" in line for world in worlds for line in world.verdict())
--- a/tests/proxy/quorum/world.py
+++ b/tests/proxy/quorum/world.py
@@ -1,4 +1,4 @@
-"""Whole members on a small virtual network, and faults that are drawn by the test."""
+"""Simulation of consensus members on a virtual network, with faults and proposals given by the test."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 from firvane.simulation.emulation.records import Proposed
 from firvane.simulation.emulation.verdict import Findings
 
-# A lease of a second in place of three, and all else with it: the same events in a third of the time.
+# Time bounds scaled to a lease of 1 s instead of 3 s, so that the same events take a third of the time.
 SHORT = Timing(lease_s=1.0, round_trip_s=0.1, readiness_timeout_s=4.0)
-FAULTS_S = 5.0  # in which all that is drawn happens
-ENDS_S = 25.0  # after which everything must be well again
+FAULTS_S = 5.0  # time within which drawn faults and proposals start
+ENDS_S = 25.0  # time after the last fault within which all proxies must have recovered
 
 
 class Fault(NamedTuple):
-    """A fault of one proxy, from then on, for so long."""
+    """A fault of a proxy, its start and its duration."""
 
     kind: str
     proxy: int
     at: float  # s
-    lasts: float  # s
+    duration: float  # s
 
 
 class World(ConsensusSimulation):
-    """Five voters, two proxies that learn; `proposals` are when, where, after how long aborted (0: not)."""
+    """Five voters and two non-voters.
+
+    `proposals` are the time, the proxy, and the delay until the abort (0: no abort) of each proposal.
+    """
 
     def __init__(
         self,
@@ -40,32 +43,32 @@
         proxies: int = 7,
         times: Timing = SHORT,
     ) -> None:
-        last = max([FAULTS_S, *(one.at + one.lasts for one in injected_faults)])
-        seconds = last + ENDS_S
+        last_fault_end = max([FAULTS_S, *(fault.at + fault.duration for fault in injected_faults)])
+        seconds = last_fault_end + ENDS_S
         config = HistoryConfig(
             proxies=proxies, seed=seed, seconds=seconds, faults="none", changes=0, times=times
         )
         super().__init__(config, make)
-        self.injected_faults, self.proposals, self.last = injected_faults, proposals, last
-        self.fine = False
+        self.injected_faults, self.proposals, self.last_fault_end = injected_faults, proposals, last_fault_end
+        self.settled = False
 
     def plan(self) -> None:
         lost: set[int] = set()
-        for one in self.injected_faults:
-            if one.kind == "lose":  # fewer than half of the voters
-                lost.add(one.proxy)
-                kind = "lose" if len(lost) <= 2 or one.proxy not in self.voters else "kill"
-                one = one._replace(kind=kind)
-            self.at(one.at, self.inject, one)
+        for fault in self.injected_faults:
+            if fault.kind == "lose":  # only fewer than half of the voters may lose their state
+                lost.add(fault.proxy)
+                kind = "lose" if len(lost) <= 2 or fault.proxy not in self.voters else "kill"
+                fault = fault._replace(kind=kind)
+            self.at(fault.at, self.inject, fault)
         for number, (at, proxy, abort) in enumerate(self.proposals):
             change = Change(digest_of(b"%d" % number), at, proxy)
             self.at(at, self.propose_at, change)
             if abort:
                 self.at(at + abort, self.abort, change)
-        self.at(self.last, self.check_settled)
+        self.at(self.last_fault_end, self.check_settled)
 
     def propose_at(self, change: Change) -> None:
-        """At that door, and at no other one later."""
+        """Propose a change at its proxy only, without retries at other proxies."""
         node = self.nodes[change.proxy]
         if node.member and not node.is_stalled:
             self.changes.append(change)
@@ -77,23 +80,23 @@
     def poll(self, change: Change) -> None:
         node = self.nodes[change.proxy]
         if node.member and not node.is_stalled:
-            outcome, why = node.member.outcome(change.digest)
+            outcome, reason = node.member.outcome(change.digest)
             if outcome is ProposalOutcome.FAILED:
                 change.outcome = outcome.value
                 return
             if outcome is ProposalOutcome.IN_FORCE:
-                change.outcome, change.epoch, change.ended = outcome.value, int(why.split()[1]), self.now
+                change.outcome, change.epoch, change.ended = outcome.value, int(reason.split()[1]), self.now
                 return
-            begun = not why.startswith("not proposed")  # else nothing has come of it, and nothing will
+            begun = not reason.startswith("not proposed")  # otherwise the proposal was not started
             change.outcome = outcome.value if node.run_number == 1 and begun else ""
         self.at(self.now + 0.1, self.poll, change)
 
-    def inject(self, one: Fault) -> None:
-        node, until = self.nodes[one.proxy], self.now + one.lasts
-        others = [other for other in range(len(self.nodes)) if other != one.proxy]
-        match one.kind:
+    def inject(self, fault: Fault) -> None:
+        node, until = self.nodes[fault.proxy], self.now + fault.duration
+        others = [other for other in range(len(self.nodes)) if other != fault.proxy]
+        match fault.kind:
             case "kill" | "lose":
-                self.kill(node, "lost" if one.kind == "lose" else "kept")
+                self.kill(node, "lost" if fault.kind == "lose" else "kept")
                 self.at(until, self.start, node)
             case "power":
                 for other in self.nodes:
@@ -102,50 +105,55 @@
             case "stall":
                 self.stall(node, until)
             case "mute":
-                self.cut_links([(one.proxy, other) for other in others], until, "link")
+                self.cut_links([(fault.proxy, other) for other in others], until, "link")
             case "deaf":
-                self.cut_links([(other, one.proxy) for other in others], until, "link")
+                self.cut_links([(other, fault.proxy) for other in others], until, "link")
             case "cut":
-                side = {one.proxy, (one.proxy + 1) % len(self.nodes)}
-                ways = [(a, b) for a in range(7) for b in range(7) if (a in side) != (b in side)]
-                self.cut_links(ways, until, "cut")
+                side = {fault.proxy, (fault.proxy + 1) % len(self.nodes)}
+                links = [(a, b) for a in range(7) for b in range(7) if (a in side) != (b in side)]
+                self.cut_links(links, until, "cut")
             case "full":
                 node.disk_full = True
                 self.at(until, self.free_disk, node)
 
     def check_settled(self) -> None:
-        """Look now and then whether all hold a lease under one epoch, and every change has ended."""
+        """Stop once all proxies hold a lease under one epoch and no change is open; repeat every 0.5 s."""
         now = self.now
-        held = {
+        served_epochs = {
             node.member.serving.epoch if node.member.serving and node.member.may_serve(node.clock(now)) else 0
             for node in self.nodes
             if node.member
         }
         ended = all(change.outcome in ("", "failed", "in force") for change in self.changes)
-        self.fine = ended and len(held) == 1 and 0 not in held and not any(s.is_stalled for s in self.nodes)
-        if self.fine:
+        self.settled = (
+            ended
+            and len(served_epochs) == 1
+            and 0 not in served_epochs
+            and not any(s.is_stalled for s in self.nodes)
+        )
+        if self.settled:
             self.due.clear()
         else:
             self.at(now + 0.5, self.check_settled)
 
     def verdict(self) -> list[str]:
-        """What is broken; none where all promises are kept."""
+        """Run the simulation and return the violated guarantees."""
         self.run()
-        self.findings = Findings()  # what that judge says of changes is told below, one by one
+        self.findings = Findings()  # changes are checked individually below
         lines = self.broken()
-        if not self.fine:
+        if not self.settled:
             lines.append(f"(e) {self.now:.1f} s: not all hold a lease under one epoch, or a change is open")
         values: dict[int, Value] = {}
         for node in self.nodes:
             for epoch, value in (node.member.state.history if node.member else {}).items():
                 if values.setdefault(epoch, value) != value:
-                    lines.append(f"(d) epoch {epoch} is two policies")
+                    lines.append(f"(d) epoch {epoch} has two policies")
         decided = {value.digest for value in values.values()}
         for change in self.changes:
             if change.outcome == "failed" and change.digest in decided:
-                lines.append("(c) a change that was said to have failed is in force")
-            if change.outcome == "in force" and values.get(change.epoch) is None and self.fine:
-                continue  # nobody remembers that epoch any more
+                lines.append("(c) a change reported as failed is in force")
+            if change.outcome == "in force" and values.get(change.epoch) is None and self.settled:
+                continue  # the epoch is no longer in any history
             if change.outcome == "in force" and values[change.epoch].digest != change.digest:
-                lines.append("(d) a change that was said to be in force is lost")
+                lines.append("(d) a change reported as in force is lost")
         return lines
