--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -1,5 +1,5 @@
-"""The agreement in whole proxies, in virtual time: one policy in force on all of them or on none, answers
-that say so, and what a proxy does that knows of none."""
+"""The policy consensus in complete proxies, in virtual time: all proxies use one policy, and their answers
+report its epoch; proxies without a lease refuse requests or continue, as configured."""
 
 from __future__ import annotations
 
@@ -21,120 +21,122 @@
 from firvane.simulation.runner.virtual import VirtualLoop
 from tests.proxy.admin_api.test_server import ask
 from tests.proxy.net.helpers import run
-from tests.proxy.quorum.small_fleet import ASK, CLIENT, Fleet, Lines, Tier
+from tests.proxy.quorum.small_fleet import CLIENT, REQUEST, Fleet, Lines, Tier
 from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
 
 CLASS = '[[classes]]\nname = "%s"\naim_ms = 500\ndeadline_ms = 2000\nrepeat = "safe"\n'
 OTHER = ("remembers_keys = true\n" + CLASS % "other").encode()
-LONG = ("# " + "x" * 30_000 + "\n" + CLASS % "long").encode()  # three pieces
+LONG = ("# " + "x" * 30_000 + "\n" + CLASS % "long").encode()  # three chunks
 LEASE = Timing().lease_s
 
 
-class Islands(Net):
-    """Some hosts are cut off from all others but the clients."""
+class IsolatingNet(Net):
+    """A network in which some hosts are isolated from all other proxies, but not from clients."""
 
     def __init__(self, net: Net) -> None:
-        self.alone = set[str]()
+        self.isolated = set[str]()
         net.delay = self.delay  # type: ignore[method-assign]
         net.datagram = self.delay  # type: ignore[method-assign]
 
     def delay(self, now: float, source: str, target: str) -> float | None:
         cut = source.startswith("10.0.") and target.startswith("10.0.") and source != target
-        return None if cut and self.alone & {source, target} else 0.005
+        return None if cut and self.isolated & {source, target} else 0.005
 
 
 @virtual
-async def test_a_change_proposed_at_one_proxy_is_in_force_on_all_and_no_file_overrules_it(
+async def test_change_is_in_force_on_all_proxies_and_configuration_does_not_override_it(
     loop: VirtualLoop, net: Net, tmp_path: Path
 ) -> None:
-    fleet = Fleet(loop, tmp_path, proxies=4)  # the last one is no voter
+    fleet = Fleet(loop, tmp_path, proxies=4)  # the last proxy is a non-voter
     await asyncio.sleep(2)
     assert [await fleet.get(p) for p in range(4)] == [(200, 1)] * 4
     assert await fleet.propose(3, LONG) == "+OK open\n"
     assert await fleet.outcome(3, LONG) == "+OK in force: epoch 2\n"
     assert [await fleet.get(p, b"long") for p in range(4)] == [(200, 2)] * 4
-    # What a policy no longer names is gone at once, and the answer says by which one.
+    # A class that the policy no longer contains is rejected at once, with the epoch in the answer.
     assert [await fleet.get(p) for p in range(4)] == [(404, 2)] * 4
-    began = [[at for at, event, _ in log.told if event == "policy_activated"][-1] for log in fleet.logs]
-    assert max(began) - min(began) <= Timing().activation_tolerance_s
+    activated_at = [
+        [at for at, event, _ in log.entries if event == "policy_activated"][-1] for log in fleet.logs
+    ]
+    assert max(activated_at) - min(activated_at) <= Timing().activation_tolerance_s
     proxy = fleet.proxies[0].proxy
     assert proxy
     later = replace(fleet.config(0).settings, classes=fleet.config(0).settings.classes[:1])
     proxy.reload(lambda: replace(fleet.config(0), settings=later))
     assert "policy_overrides_config" in fleet.logs[0].events() and await fleet.get(0, b"long") == (200, 2)
     await asyncio.sleep(5)
-    figures = [fields for _, event, fields in fleet.logs[0].told if event == "figures"]
+    figures = [fields for _, event, fields in fleet.logs[0].entries if event == "figures"]
     assert (figures[0]["epoch"], figures[-1]["epoch"]) == (1, 2)
     for p in (0, 3):
-        lines = (await fleet.door(p, "policy-history")).splitlines()
+        lines = (await fleet.call(p, "policy-history")).splitlines()
         assert [line.split()[:3] for line in lines[:-1]] == [
             [str(n + 1), digest_of(text).hex(), "0,1,2"] for n, text in enumerate((fleet.text, LONG))
         ]
-    assert "epoch 2\n" in await fleet.door(0, "policy-status")
+    assert "epoch 2\n" in await fleet.call(0, "policy-status")
 
 
-def late(self: PolicyConsensus, value: Value) -> None:
+def use_late(self: PolicyConsensus, value: Value) -> None:
     self.loop.call_later(2.0, PolicyConsensus._use, self, value)
 
 
 @pytest.mark.parametrize(
-    ("whose", "name", "broken"),
+    ("owner", "name", "broken"),
     [
-        (Proxy, "adopt", Proxy._apply_settings),  # names of before may still be asked for
-        (PolicyConsensus, "_activate", late),  # what decides is not what it says
-        (PolicyConsensus, "heard", lambda self, sender, payload: True),  # nobody is listened to
-        (PolicyConsensus, "_fetch", lambda self, action: None),  # nor asked for the text
+        (Proxy, "adopt", Proxy._apply_settings),  # removed classes are still accepted
+        (PolicyConsensus, "_activate", use_late),  # the policy in use is not the reported one
+        (PolicyConsensus, "heard", lambda self, sender, payload: True),  # datagrams are ignored
+        (PolicyConsensus, "_fetch", lambda self, action: None),  # texts are not downloaded
     ],
 )
-def test_what_breaks_a_change_is_seen(
-    whose: type, name: str, broken: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+def test_mutants_of_a_change_are_detected(
+    owner: type, name: str, broken: Any, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(whose, name, broken)
+    monkeypatch.setattr(owner, name, broken)
     with pytest.raises(AssertionError):
-        test_a_change_proposed_at_one_proxy_is_in_force_on_all_and_no_file_overrules_it(tmp_path)
+        test_change_is_in_force_on_all_proxies_and_configuration_does_not_override_it(tmp_path)
 
 
 @pytest.mark.parametrize("without_lease", ["refuse", "serve"])
 @virtual
-async def test_who_is_cut_off_refuses_at_once_or_serves_on_as_it_was_told(
+async def test_isolated_proxy_refuses_requests_or_continues_as_configured(
     loop: VirtualLoop, net: Net, tmp_path: Path, without_lease: str
 ) -> None:
-    islands, serves = Islands(net), without_lease == "serve"
+    network, serves = IsolatingNet(net), without_lease == "serve"
     fleet = Fleet(loop, tmp_path, serve_without=serves)
     await asyncio.sleep(2)
-    assert await fleet.up(2) and (await fleet.door(2, "ready")).startswith("+OK")
-    islands.alone.add(fleet.hosts[2])
+    assert await fleet.up(2) and (await fleet.call(2, "ready")).startswith("+OK")
+    network.isolated.add(fleet.hosts[2])
     await asyncio.sleep(LEASE + 0.1)
     began = loop.time()
     assert await fleet.get(2) == ((200, 1) if serves else (503, 0))
     assert loop.time() - began < 0.1 and fleet.logs[2].events().count("policy_lease_lost") == 1
-    assert await fleet.up(2) is serves and (await fleet.door(2, "ready")).startswith("+OK") is serves
+    assert await fleet.up(2) is serves and (await fleet.call(2, "ready")).startswith("+OK") is serves
     assert await fleet.get(0) == (200, 1)
     assert await fleet.propose(0, OTHER) == "+OK open\n"  # two of three voters are enough
     assert await fleet.outcome(0, OTHER) == "+OK in force: epoch 2\n"
     assert await fleet.get(2) == ((200, 1) if serves else (503, 0))
-    islands.alone.clear()
+    network.isolated.clear()
     await asyncio.sleep(2)
     assert await fleet.get(2, b"other") == (200, 2)
 
 
-class TrustsItsTick(PolicyConsensus):
-    """Goes by what was so when it last looked."""
+class StaleLeaseCheck(PolicyConsensus):
+    """Mutant: uses the lease status of the last event, without reading the clock."""
 
     def may(self) -> bool:
         assert self.member
         return self.has_lease
 
 
-class Lets(PolicyConsensus):
-    """Decides without a lease."""
+class NoLeaseCheck(PolicyConsensus):
+    """Mutant: serves requests without a lease."""
 
     def may(self) -> bool:
         return self.value is not None
 
 
-@pytest.mark.parametrize("mutant", [None, TrustsItsTick, Lets])
-def test_a_proxy_that_stood_still_decides_nothing_by_what_it_knew(
+@pytest.mark.parametrize("mutant", [None, StaleLeaseCheck, NoLeaseCheck])
+def test_proxy_does_not_serve_under_an_expired_lease_after_a_suspension(
     mutant: type[PolicyConsensus] | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if mutant:
@@ -147,9 +149,9 @@
         client, at = Noted(), (fleet.hosts[1], 8080)
         loop.memory.connect(CLIENT, at, lambda: client, lambda *up: None, lambda error: None)
         await asyncio.sleep(0.05)
-        # The request is there before anything else that the proxy could hear when it goes on.
+        # The request arrives before any datagram that the proxy could receive when it resumes.
         fleet.proxies[1].stall(True)
-        client.transport.write(ASK % (b"read", 1))
+        client.transport.write(REQUEST % (b"read", 1))
         await asyncio.sleep(20)
         fleet.proxies[1].stall(False)
         await asyncio.sleep(0.1)
@@ -166,24 +168,24 @@
 
 
 @virtual
-async def test_who_comes_back_says_ready_when_it_has_learnt_what_is_in_force(
+async def test_restarted_proxy_is_ready_once_it_has_the_policy_in_force(
     loop: VirtualLoop, net: Net, tmp_path: Path
 ) -> None:
-    islands = Islands(net)
+    network = IsolatingNet(net)
     fleet = Fleet(loop, tmp_path, proxies=4)
     await asyncio.sleep(2)
     for gone in (2, 3):
         fleet.proxies[gone].kill()
     await fleet.propose(0, OTHER)
     assert await fleet.outcome(0, OTHER) == "+OK in force: epoch 2\n"
-    islands.alone = set(fleet.hosts[2:])
-    for back in (2, 3):  # with an old disk, and with none
+    network.isolated = set(fleet.hosts[2:])
+    for back in (2, 3):  # with an outdated folder, and without one
         fleet.start(back)
     await asyncio.sleep(2 * LEASE)
     for back in (2, 3):
         assert await fleet.get(back) == (503, 0) and not await fleet.up(back)
-        assert "standing" in await fleet.door(back, "policy-status")
-    islands.alone.clear()
+        assert "standing" in await fleet.call(back, "policy-status")
+    network.isolated.clear()
     await asyncio.sleep(3)
     for back in (2, 3):
         assert await fleet.get(back, b"other") == (200, 2) and await fleet.up(back)
@@ -193,11 +195,11 @@
     await asyncio.sleep(3)
     assert await fleet.get(1, b"other") == (200, 2)
     assert "policy_file_rejected" in fleet.logs[1].events()
-    assert "votes yes" in await fleet.door(1, "policy-status")
+    assert "votes yes" in await fleet.call(1, "policy-status")
 
 
 @virtual
-async def test_a_text_that_is_wrong_or_has_no_place_changes_nothing(
+async def test_invalid_unfit_or_aborted_text_changes_nothing(
     loop: VirtualLoop, net: Net, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Fleet(loop, tmp_path)
@@ -205,37 +207,37 @@
     assert (await fleet.propose(0, b"probes = 3\n")).startswith("-ERR policy: probes: unknown key")
     greedy = b"[limits]\nopen_flows = 1000000\n"
     assert "limits.open_flows: is 1000000" in await fleet.propose(0, greedy)
-    said = await fleet.door(0, f"policy-propose {digest_of(OTHER).hex()}")
-    assert said.startswith("-ERR its text is not here")
-    # One proxy alone has no room for it, and its no ends the change.
+    answer = await fleet.call(0, f"policy-propose {digest_of(OTHER).hex()}")
+    assert answer.startswith("-ERR its text is not here")
+    # A single proxy lacks the capacity, and its rejection ends the proposal.
     proxy = fleet.proxies[2].proxy
     assert proxy
     proxy.fits = lambda settings: "limits.open_flows: lower it"  # type: ignore[method-assign]
     assert await fleet.propose(0, OTHER) == "+OK open\n"
-    said = await fleet.outcome(0, OTHER)
-    assert said == "+OK failed: proxy 2 says no: limits.open_flows: lower it\n"
+    answer = await fleet.outcome(0, OTHER)
+    assert answer == "+OK failed: proxy 2 says no: limits.open_flows: lower it\n"
     assert await fleet.propose(1, LONG) == "+OK open\n"
     abort = f"policy-abort {digest_of(LONG).hex()}"
-    assert (await fleet.door(1, abort)).startswith("+OK failed: it was aborted")
-    assert (await fleet.door(1, f"policy-abort {digest_of(fleet.text).hex()}")).startswith("-ERR in force")
+    assert (await fleet.call(1, abort)).startswith("+OK failed: it was aborted")
+    assert (await fleet.call(1, f"policy-abort {digest_of(fleet.text).hex()}")).startswith("-ERR in force")
     late = (CLASS % "late").encode()
     abort = f"policy-abort {digest_of(late).hex()}"
-    with monkeypatch.context() as patch:  # also before anybody has heard of it
-        patch.setattr(store.Store, "save_text", lambda *asked: None)
+    with monkeypatch.context() as patch:  # also before the proposal has started
+        patch.setattr(store.Store, "save_text", lambda *arguments: None)
         await fleet.propose(1, late)
-        assert "open: its text is being written" in await fleet.door(1, abort.replace("abort", "outcome"))
-        assert (await fleet.door(1, abort)).startswith("+OK failed: it was aborted")
+        assert "open: its text is being written" in await fleet.call(1, abort.replace("abort", "outcome"))
+        assert (await fleet.call(1, abort)).startswith("+OK failed: it was aborted")
     await asyncio.sleep(8)
     assert fleet.epochs() == [1] * 3 and [await fleet.get(p) for p in range(3)] == [(200, 1)] * 3
 
 
 @virtual
-async def test_one_that_is_heard_and_hears_nothing_holds_no_change_up(
+async def test_proxy_that_receives_no_datagrams_does_not_block_a_change(
     loop: VirtualLoop, net: Net, tmp_path: Path
 ) -> None:
     fleet = Fleet(loop, tmp_path, proxies=5)
     await asyncio.sleep(2)
-    deaf = {fleet.hosts[2], fleet.hosts[4]}  # a voter, and another
+    deaf = {fleet.hosts[2], fleet.hosts[4]}  # a voter and a non-voter
     net.datagram = lambda now, source, target: None if target in deaf else 0.005  # type: ignore[method-assign]
     assert await fleet.propose(0, OTHER) == "+OK open\n"
     assert await fleet.outcome(0, OTHER) == "+OK in force: epoch 2\n"
@@ -243,7 +245,7 @@
 
 
 @virtual
-async def test_a_voter_whose_disk_is_full_says_no_and_goes_on_when_there_is_room(
+async def test_voter_with_a_full_disk_rejects_changes_until_it_has_space(
     loop: VirtualLoop, net: Net, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     fleet = Fleet(loop, tmp_path)
@@ -269,7 +271,7 @@
 
 
 @virtual
-async def test_of_texts_beyond_what_is_kept_those_that_were_in_force_stay(
+async def test_texts_that_were_in_force_are_retained_above_the_limit(
     loop: VirtualLoop, net: Net, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(text_library, "MAX_TEXTS", 3)
@@ -280,24 +282,24 @@
         assert await fleet.propose(0, text) == "+OK open\n"
     assert "another change is under way" in await fleet.outcome(0, texts[3])
     assert "in force" in await fleet.outcome(0, texts[0])
-    kept = {file.name for file in (tmp_path / "0").glob("text-*")}
-    assert kept == {f"text-{digest_of(text).hex()}" for text in (fleet.text, texts[0], texts[3])}
+    stored = {file.name for file in (tmp_path / "0").glob("text-*")}
+    assert stored == {f"text-{digest_of(text).hex()}" for text in (fleet.text, texts[0], texts[3])}
 
 
-def test_a_proxy_alone_changes_its_policy_on_real_clocks_sockets_and_disks(tmp_path: Path) -> None:
-    # Guards what virtual time has not: the clock beside the loop's, the thread that writes, its way back.
+def test_single_proxy_changes_its_policy_with_real_clock_sockets_and_disk(tmp_path: Path) -> None:
+    # Covers what virtual time omits: a clock besides the loop's, the writer thread, and its callbacks.
     async def work() -> None:
         loop = asyncio.get_running_loop()
         tier = Tier(tmp_path, proxies=1, voters=(0,), lease=0.5, trip=0.05)
         here = ("127.0.0.1", 0)
-        made = replace(tier.config(0), listen=here, ops=here, peer_listen=here)
-        proxy = Proxy(loop, made, log=Lines(loop.time), policy_agreement=PolicyConsensus)  # type: ignore[arg-type]
+        config = replace(tier.config(0), listen=here, ops=here, peer_listen=here)
+        proxy = Proxy(loop, config, log=Lines(loop.time), policy_agreement=PolicyConsensus)  # type: ignore[arg-type]
         await proxy.start()
         at, agreement = proxy.admin_acceptor.address(), proxy.policy_agreement
         assert agreement
         lines = [*calls.format_put_calls(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
         assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
-        # A lease that a busy machine let lapse comes again, and the epoch in use is the new one then.
+        # If the lease expires on a busy machine it is renewed later; wait for that and for the new epoch.
         while agreement.epoch == 1 or not agreement.may():
             await asyncio.sleep(0.02)
         assert agreement.epoch == 2
@@ -305,7 +307,7 @@
         with pytest.raises(OSError, match="another process"):
             store.Store(tmp_path / "0", Lines(), loop.call_soon).load()  # type: ignore[arg-type]
         proxy._stop()
-        kept, texts, _ = store.Store(tmp_path / "0", Lines(), loop.call_soon).load()  # type: ignore[arg-type]
-        assert kept and kept.decided.digest == digest_of(OTHER) in texts
+        state, texts, _ = store.Store(tmp_path / "0", Lines(), loop.call_soon).load()  # type: ignore[arg-type]
+        assert state and state.decided.digest == digest_of(OTHER) in texts
 
     run(work())
