--- a/tests/proxy/quorum/test_fetch.py
+++ b/tests/proxy/quorum/test_fetch.py
@@ -1,4 +1,4 @@
-"""Texts of policies on their way: put in pieces, got in pieces from whoever has them, never a wrong one."""
+"""Transfer of policy texts in chunks: uploads, and downloads from proxies, some with a wrong text."""
 
 from __future__ import annotations
 
@@ -27,35 +27,35 @@
 Answer = Callable[[int], bytes]
 
 
-def well(offset: int) -> bytes:
+def correct_chunk(offset: int) -> bytes:
     return calls.format_chunk(TEXT, offset)
 
 
-def other(offset: int) -> bytes:
+def corrupted_chunk(offset: int) -> bytes:
     return calls.format_chunk(TEXT[:-1] + bytes((TEXT[-1] ^ 1,)), offset)
 
 
-class Door(Noted):
-    """An operators' door that has one text."""
+class AdminEndpoint(Noted):
+    """An admin endpoint that answers requests for one text."""
 
     def __init__(self, answer: Answer) -> None:
         super().__init__()
         self.answer = answer
 
     def data_received(self, data: bytes) -> None:
-        asked = calls.parse_call(data.strip())
-        assert isinstance(asked.given, calls.GetText) and asked.given.digest == DIGEST
-        if answer := self.answer(asked.given.offset):
+        request = calls.parse_call(data.strip())
+        assert isinstance(request.given, calls.GetText) and request.given.digest == DIGEST
+        if answer := self.answer(request.given.offset):
             self.transport.write(answer)
             self.transport.write_eof()
 
 
-# What the first holder does, and for how many seconds it may hold things up.
+# Answers of the first holder, and the maximum delay that it may cause, in seconds.
 HOLDERS: dict[str, tuple[Answer | None, float]] = {
     "gone": (None, 0.1),
     "silent": (lambda offset: b"", CHUNK_TIMEOUT_S + 0.1),
     "has none": (lambda offset: calls.format_error("its text is not here"), 0.1),
-    "has another": (other, 1.0),
+    "has another": (corrupted_chunk, 1.0),
     "goes on and on": (lambda offset: b"x" * 100_000, 0.1),
     "changes its length": (
         lambda offset: calls.format_chunk(TEXT[: MAX_TEXT_BYTES - offset // 2], offset),
@@ -71,53 +71,55 @@
 
 @pytest.mark.parametrize("first", HOLDERS)
 @virtual
-async def test_a_holder_that_is_of_no_use_is_passed_over(loop: VirtualLoop, net: Net, first: str) -> None:
-    answer, most = HOLDERS[first]
-    for host, does in (("10.0.0.1", answer), ("10.0.1.1", well)):
-        if does:
-            Process(loop, host, host).call(loop.memory.listen, (host, 9100), lambda does=does: Door(does))
-    over: list[tuple[bytes | None, str]] = []
+async def test_faulty_holder_is_skipped(loop: VirtualLoop, net: Net, first: str) -> None:
+    answer, max_delay_s = HOLDERS[first]
+    for host, answers in (("10.0.0.1", answer), ("10.0.1.1", correct_chunk)):
+        if answers:
+            Process(loop, host, host).call(
+                loop.memory.listen, (host, 9100), lambda answers=answers: AdminEndpoint(answers)
+            )
+    results: list[tuple[bytes | None, str]] = []
     doors = [("10.0.0.1", 9100), ("10.0.1.1", 9100)]
 
     def start(holders: tuple[int, ...]) -> TextFetch:
         dialer = MemoryDialer(loop.memory, "10.0.2.1")
-        return TextFetch(loop, dialer, doors, DIGEST, holders, lambda *told: over.append(told))
+        return TextFetch(loop, dialer, doors, DIGEST, holders, lambda *result: results.append(result))
 
-    began = loop.time()
-    fetching = start((0,))
-    fetching.add_holders((0, 1, 7))  # nobody twice, and nobody that there is not
-    await asyncio.sleep(most + 0.5)
-    assert over == [(TEXT, "")] and loop.time() - began < most + 0.6
+    started_at = loop.time()
+    fetch = start((0,))
+    fetch.add_holders((0, 1, 7))  # duplicates and unknown proxies are ignored
+    await asyncio.sleep(max_delay_s + 0.5)
+    assert results == [(TEXT, "")] and loop.time() - started_at < max_delay_s + 0.6
     start((0,))
-    await asyncio.sleep(most + 0.5)
-    assert over[1:] and over[1][0] is None and over[1][1].startswith("proxy 0: ")
+    await asyncio.sleep(max_delay_s + 0.5)
+    assert results[1:] and results[1][0] is None and results[1][1].startswith("proxy 0: ")
     start((0, 1)).close()
-    await asyncio.sleep(most + 0.5)
-    assert len(over) == 2
+    await asyncio.sleep(max_delay_s + 0.5)
+    assert len(results) == 2
 
 
-def test_a_wrong_text_would_pass_if_nobody_looked_at_its_digest(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The mutant for "has another": the test above sees it.
+def test_missing_digest_check_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Mutant: every text matches its digest. The test above detects it in the case "has another".
     monkeypatch.setattr("firvane.proxy.quorum.uploads.digest_of", lambda text: DIGEST)
     with pytest.raises(AssertionError):
-        test_a_holder_that_is_of_no_use_is_passed_over("has another")
+        test_faulty_holder_is_skipped("has another")
 
 
-def test_a_text_is_got_over_sockets() -> None:
+def test_download_over_sockets() -> None:
     async def work() -> None:
         loop = asyncio.get_running_loop()
 
-        class Real(Door):
+        class SocketEndpoint(AdminEndpoint):
             def note(self, what: object) -> None: ...
 
-        server = await loop.create_server(lambda: Real(well), "127.0.0.1", 0)
+        server = await loop.create_server(lambda: SocketEndpoint(correct_chunk), "127.0.0.1", 0)
         transports = TransportPool(loop)
         transports.start()
-        told: asyncio.Future[tuple[bytes | None, str]] = loop.create_future()
+        result: asyncio.Future[tuple[bytes | None, str]] = loop.create_future()
         doors = [server.sockets[0].getsockname()]
         dialer = SocketDialer(loop, transports)
-        TextFetch(loop, dialer, doors, DIGEST, (0,), lambda *what: told.set_result(what))
-        assert await told == (TEXT, "")
+        TextFetch(loop, dialer, doors, DIGEST, (0,), lambda *outcome: result.set_result(outcome))
+        assert await result == (TEXT, "")
         transports.close()
         server.close()
 
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize(
-    ("length", "offset", "data", "why"),
+    ("length", "offset", "data", "reason"),
     [
         (0, 0, b"x", "1 to"),
         (MAX_TEXT_BYTES + 1, 0, b"x", "1 to"),
@@ -155,17 +157,17 @@
         (9, 4, b"xxxxx", "not of that digest"),
     ],
 )
-def test_what_is_no_piece_of_it_is_turned_down(length: int, offset: int, data: bytes, why: str) -> None:
+def test_invalid_chunk_is_rejected(length: int, offset: int, data: bytes, reason: str) -> None:
     text, uploads = b"some text", Uploads()
     uploads.add_chunk(digest_of(text), 9, 0, text[:4], 0.0)
-    with pytest.raises(UploadError, match=why):
+    with pytest.raises(UploadError, match=reason):
         uploads.add_chunk(digest_of(text), length, offset, data, 0.0)
     assert uploads.get(digest_of(text)) is None
-    begun = 0 if "digest" in why else 4
-    assert uploads.add_chunk(digest_of(text), 9, begun, text[begun:], 0.0)
+    next_offset = 0 if "digest" in reason else 4
+    assert uploads.add_chunk(digest_of(text), 9, next_offset, text[next_offset:], 0.0)
 
 
-def test_what_is_held_of_texts_that_nobody_proposes_is_bounded() -> None:
+def test_uploads_of_unproposed_texts_are_bounded() -> None:
     uploads, texts = Uploads(), [b"text %d" % n for n in range(3 * MAX_UPLOADS)]
     for text in texts:
         uploads.add_chunk(digest_of(text), len(text), 0, text[:3], 0.0)
--- a/tests/proxy/quorum/test_store.py
+++ b/tests/proxy/quorum/test_store.py
@@ -1,4 +1,4 @@
-"""What is kept of policies: on disk before it is said, whole or refused, in order, and one process's."""
+"""Policy files: durable before the callback, complete or rejected, written in order, used by one process."""
 
 from __future__ import annotations
 
@@ -32,38 +32,42 @@
 
 
 class Lines:
-    """A log that keeps what is told."""
+    """A log that records events."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.events: list[str] = []
 
     def info(self, event: str, **fields: Any) -> None:
-        self.told.append(event)
+        self.events.append(event)
         assert "\n" not in f"{fields}"
 
     warning = error = info
 
 
 class Folder:
-    """A store whose writes wait until they are let go."""
+    """A store whose writes and callbacks run only when the test runs them."""
 
     def __init__(self, path: Path) -> None:
-        self.log, self.works, self.backs = Lines(), list[Callable[[], None]](), list[Callable[[], None]]()
-        self.store = Store(path, self.log, self.backs.append, run_off_loop=self.works.append)  # type: ignore
-
-    def run(self, most: int = 100) -> None:
-        for _ in range(most):
-            if not (self.works or self.backs):
+        self.log, self.writes, self.callbacks = (
+            Lines(),
+            list[Callable[[], None]](),
+            list[Callable[[], None]](),
+        )
+        self.store = Store(path, self.log, self.callbacks.append, run_off_loop=self.writes.append)  # type: ignore
+
+    def run(self, max_steps: int = 100) -> None:
+        for _ in range(max_steps):
+            if not (self.writes or self.callbacks):
                 return
-            (self.works or self.backs).pop(0)()
+            (self.writes or self.callbacks).pop(0)()
 
 
-def test_what_is_founded_is_found_once_by_a_start_and_the_next(tmp_path: Path) -> None:
+def test_bootstrapped_files_are_loaded_by_each_start(tmp_path: Path) -> None:
     value = bootstrap(tmp_path / "f", TEXT, (2, 0, 1))
     assert value == Value(1, digest_of(TEXT), (0, 1, 2))
     for _ in range(2):
-        kept, texts, history = Folder(tmp_path / "f").store.load()
-        assert kept and (kept.decided, kept.activated, kept.accepted) == (value, True, None)
+        state, texts, history = Folder(tmp_path / "f").store.load()
+        assert state and (state.decided, state.activated, state.accepted) == (value, True, None)
         assert texts == {value.digest: TEXT} and history == ()
     with pytest.raises(FileExistsError):
         bootstrap(tmp_path / "f", b"other", (0,))
@@ -73,24 +77,24 @@
     assert not (tmp_path / "g" / "votes").exists()
 
 
-def test_a_vote_is_said_when_it_is_on_disk_and_the_last_of_those_that_wait_says_all(tmp_path: Path) -> None:
-    folder, said = Folder(tmp_path), list[int]()
+def test_state_is_reported_once_on_disk_and_waiting_states_are_written_as_one(tmp_path: Path) -> None:
+    folder, saved = Folder(tmp_path), list[int]()
     for n in range(4):
-        folder.store.save_state(VOTED._replace(incarnation=n), lambda n=n: said.append(n), pytest.fail)
-    assert not said and not (tmp_path / "votes").exists()
-    folder.works.pop(0)()
-    assert not said and Folder(tmp_path).store.load().state == VOTED._replace(incarnation=0)
+        folder.store.save_state(VOTED._replace(incarnation=n), lambda n=n: saved.append(n), pytest.fail)
+    assert not saved and not (tmp_path / "votes").exists()
+    folder.writes.pop(0)()
+    assert not saved and Folder(tmp_path).store.load().state == VOTED._replace(incarnation=0)
     folder.run()
-    assert said == [0, 1, 2, 3] and folder.store.written == 2
+    assert saved == [0, 1, 2, 3] and folder.store.written == 2
     assert Folder(tmp_path).store.load().state == VOTED._replace(incarnation=3)
 
 
 @pytest.mark.parametrize("call", ["fsync", "replace"])
-def test_a_full_disk_is_one_line_and_its_votes_are_never_said(
+def test_full_disk_is_logged_once_and_its_states_are_not_reported(
     call: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    folder, said, failed = Folder(tmp_path), list[str](), list[str]()
-    folder.store.save_state(VOTED, lambda: said.append("first"), failed.append)
+    folder, saved, failed = Folder(tmp_path), list[str](), list[str]()
+    folder.store.save_state(VOTED, lambda: saved.append("first"), failed.append)
     folder.run()
 
     def full(*args: Any, **more: Any) -> None:
@@ -99,19 +103,21 @@
     with monkeypatch.context() as patch:
         patch.setattr(os, call, full)
         for n in (7, 8):
-            folder.store.save_state(VOTED._replace(incarnation=n), lambda: said.append("lost"), failed.append)
+            folder.store.save_state(
+                VOTED._replace(incarnation=n), lambda: saved.append("lost"), failed.append
+            )
         folder.run()
-        folder.store.save_text(TEXT, lambda: said.append("lost"), failed.append)
+        folder.store.save_text(TEXT, lambda: saved.append("lost"), failed.append)
         folder.run()
     assert (
-        said == ["first"]
+        saved == ["first"]
         and failed == [os.strerror(28)] * 3
-        and folder.log.told == ["policy_file_save_failed"]
+        and folder.log.events == ["policy_file_save_failed"]
     )
     assert Folder(tmp_path).store.load() == (VOTED, {}, ()) and os.listdir(tmp_path) == ["votes"]
-    folder.store.save_state(VOTED._replace(incarnation=9), lambda: said.append("again"), failed.append)
+    folder.store.save_state(VOTED._replace(incarnation=9), lambda: saved.append("again"), failed.append)
     folder.run()
-    assert said == ["first", "again"]
+    assert saved == ["first", "again"]
 
 
 BODY = msgspec.msgpack.encode(VOTED)
@@ -153,9 +159,9 @@
         b"x" * (module.MAX_FILE_BYTES + 1),
         None,
     ],
-    ids=["torn", "newer", "a snapshot", "other words", "no voters", "long", "a folder"],
+    ids=["torn", "newer", "a snapshot", "other fields", "no voters", "too long", "a folder"],
 )
-def test_votes_of_no_use_are_lost_memory_in_one_line_and_the_texts_stay(
+def test_invalid_state_is_logged_once_and_counts_as_lost_while_texts_remain(
     data: bytes | None, tmp_path: Path
 ) -> None:
     bootstrap(tmp_path, TEXT, (0, 1, 2))
@@ -165,31 +171,31 @@
     (tmp_path / ".votes.killed").touch()
     folder = Folder(tmp_path)
     assert folder.store.load() == (None, {digest_of(TEXT): TEXT}, ())
-    assert folder.log.told == ["policy_file_rejected"] * 2 and not (tmp_path / ".votes.killed").exists()
+    assert folder.log.events == ["policy_file_rejected"] * 2 and not (tmp_path / ".votes.killed").exists()
 
 
-def test_the_history_has_the_last_values_and_a_dropped_text_is_gone(tmp_path: Path) -> None:
+def test_history_is_truncated_and_deleted_text_is_not_loaded(tmp_path: Path) -> None:
     folder = Folder(tmp_path)
-    past = [HistoryEntry(NEXT._replace(epoch=n), 1e9 + n) for n in range(1, HISTORY_LIMIT + 11)]
-    folder.store.save_history(past)
-    folder.store.save_text(TEXT, lambda: None, lambda why: None)
+    entries = [HistoryEntry(NEXT._replace(epoch=n), 1e9 + n) for n in range(1, HISTORY_LIMIT + 11)]
+    folder.store.save_history(entries)
+    folder.store.save_text(TEXT, lambda: None, lambda reason: None)
     folder.run()
-    assert Folder(tmp_path).store.load() == (None, {digest_of(TEXT): TEXT}, tuple(past[-HISTORY_LIMIT:]))
+    assert Folder(tmp_path).store.load() == (None, {digest_of(TEXT): TEXT}, tuple(entries[-HISTORY_LIMIT:]))
     folder.store.delete_text(digest_of(TEXT))
     folder.run()
     assert Folder(tmp_path).store.load().texts == {}
 
 
-def test_one_process_at_a_time_has_a_folder_and_its_end_waits_for_what_was_asked(tmp_path: Path) -> None:
-    backs: list[Callable[[], None]] = []
-    one, two = (Store(tmp_path, Lines(), backs.append) for _ in range(2))  # type: ignore[arg-type]
-    one.load()
+def test_folder_is_locked_by_one_process_and_close_waits_for_writes(tmp_path: Path) -> None:
+    callbacks: list[Callable[[], None]] = []
+    first, second = (Store(tmp_path, Lines(), callbacks.append) for _ in range(2))  # type: ignore[arg-type]
+    first.load()
     with pytest.raises(OSError, match="another process's"):
-        two.load()
+        second.load()
     for n in range(20):
-        one.save_text(b"%d" % n, lambda: pytest.fail("called after the end"), pytest.fail)
-    one.close()
-    for back in backs:
-        back()
-    assert len(two.load().texts) == 20
-    two.close()
+        first.save_text(b"%d" % n, lambda: pytest.fail("called after close"), pytest.fail)
+    first.close()
+    for callback in callbacks:
+        callback()
+    assert len(second.load().texts) == 20
+    second.close()
--- a/tests/proxy/quorum/test_stored_formats.py
+++ b/tests/proxy/quorum/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""The bytes of datagrams and of stored files are fixed: proxies and files of other versions stay readable."""
+"""The bytes of datagrams and files are fixed, so that proxies and files of other versions stay compatible."""
 
 from __future__ import annotations
 
