--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -231,7 +231,7 @@
         if has_lease:
             self.first_lease.set()
             self.log.info("policy_lease_acquired", epoch=self.epoch)
-        elif self.first_lease.is_set():  # a lease was held before
+        elif self.first_lease.is_set():  # not logged before the first lease
             action = "serves on" if self.config.serve_without else "refuses"
             self.log.warning("policy_lease_lost", epoch=self.epoch, action=action)
 
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -29,7 +29,7 @@
 class PolicyCheck(NamedTuple):
     """The result of validating a text."""
 
-    reason: str  # why it cannot be used; "" where it can
+    reason: str  # why the text is unusable; "" if it is usable
     settings: api.Settings | None = None
     voters: tuple[int, ...] | None = None  # the voters that the text specifies
 
