--- a/firvane/proxy/quorum/renewal.py
+++ b/firvane/proxy/quorum/renewal.py
@@ -54,7 +54,7 @@
         others = [voter for voter in state.voters if voter != state.me]
         if not state.is_voter and others:
             if state.lease.last_reply_at < self.last_sent_at:
-                self.voter_index += 1  # the previous voter has not replied
+                self.voter_index += 1  # the last voter has not replied
             others = [others[self.voter_index % len(others)]]
         self.last_sent_at = now
         for voter in others:
@@ -66,7 +66,7 @@
             self._renew(now)
 
     def _is_isolated(self, now: float) -> bool:
-        """Return whether the previous read is at least `lease_s` old.
+        """Return whether the last read is at least `lease_s` old.
 
         Requests carry this flag, since they still arrive if only the direction to this proxy is cut.
         """
