--- a/tests/proxy/quorum/world.py
+++ b/tests/proxy/quorum/fault_simulation.py
@@ -28,7 +28,7 @@
     duration: float  # s
 
 
-class World(ConsensusSimulation):
+class FaultSimulation(ConsensusSimulation):
     """Five voters and two non-voters.
 
     `proposals` are the time, the proxy, and the delay until the abort (0: no abort) of each proposal.
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -21,7 +21,7 @@
 from firvane.simulation.runner.virtual import VirtualLoop
 from tests.proxy.admin_api.test_server import ask
 from tests.proxy.net.helpers import run
-from tests.proxy.quorum.small_fleet import CLIENT, REQUEST, Fleet, Lines, Tier
+from tests.proxy.quorum.virtual_tier import CLIENT, REQUEST, Fleet, Lines, Tier
 from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
 
 CLASS = '[[classes]]\nname = "%s"\naim_ms = 500\ndeadline_ms = 2000\nrepeat = "safe"\n'
--- a/tests/proxy/quorum/test_member_machine.py
+++ b/tests/proxy/quorum/test_member_machine.py
@@ -12,7 +12,7 @@
 from firvane.proxy.quorum.member import Member
 from firvane.proxy.quorum.proposals import Proposals
 from firvane.proxy.quorum.types import ProposalOutcome, Timing
-from tests.proxy.quorum.world import FAULTS_S, SHORT, Fault, World
+from tests.proxy.quorum.fault_simulation import FAULTS_S, SHORT, Fault, FaultSimulation
 
 
 @dataclass(frozen=True)
@@ -65,9 +65,9 @@
           suppress_health_check=list(HealthCheck))  # fmt: skip
 @given(st.integers(0, 1 << 30), st.lists(FAULTS, max_size=5), st.lists(PROPOSALS, min_size=1, max_size=3))
 def test_guarantees_hold_in_random_fault_histories(
-    world_seed: int, injected_faults: list[Fault], proposals: list[tuple[float, int, float]]
+    simulation_seed: int, injected_faults: list[Fault], proposals: list[tuple[float, int, float]]
 ) -> None:
-    assert World(world_seed, injected_faults, proposals).verdict() == []
+    assert FaultSimulation(simulation_seed, injected_faults, proposals).verdict() == []
 
 
 def test_leases_return_after_power_loss_and_a_full_disk() -> None:
@@ -83,16 +83,16 @@
         (1.809905767440796, 3, 0.0),
         (1.6182090044021606, 5, 0.0),
     ]
-    assert World(291469877, injected_faults, proposals).verdict() == []
+    assert FaultSimulation(291469877, injected_faults, proposals).verdict() == []
 
 
 def test_activation_without_notice_is_detected() -> None:
     no_notice = NoNotice(SHORT.lease_s, SHORT.clock_skew, SHORT.round_trip_s, SHORT.readiness_timeout_s)
     cuts = [[Fault("deaf", 5, 3.0 + at / 20, 4.0)] for at in range(6, 15)]
-    worlds = (World(3, cut, [(3.0, 6, 0.0)], times=no_notice) for cut in cuts)
-    assert any("by epoch 1" in line for world in worlds for line in world.verdict())
+    simulations = (FaultSimulation(3, cut, [(3.0, 6, 0.0)], times=no_notice) for cut in cuts)
+    assert any("by epoch 1" in line for simulation in simulations for line in simulation.verdict())
 
 
 def test_change_falsely_reported_as_failed_is_detected() -> None:
-    worlds = (World(3, (), [(3.0, 6, at / 10)], EarlyFailureMember) for at in range(1, 12))
-    assert any("(c)" in line for world in worlds for line in world.verdict())
+    simulations = (FaultSimulation(3, (), [(3.0, 6, at / 10)], EarlyFailureMember) for at in range(1, 12))
+    assert any("(c)" in line for simulation in simulations for line in simulation.verdict())
--- a/tests/proxy/quorum/test_edges.py
+++ b/tests/proxy/quorum/test_rare_event_orders.py
@@ -22,7 +22,7 @@
     Value,
     VoterState,
 )
-from tests.proxy.quorum.world import World
+from tests.proxy.quorum.fault_simulation import FaultSimulation
 
 BASE = Value(1, digest_of(b"base"), (0, 1, 2, 3, 4))
 ONE, OTHER = (Value(2, digest_of(text), BASE.voters) for text in (b"one", b"other"))
@@ -43,7 +43,7 @@
         self.state.new_proposer = with_shared_nonce  # type: ignore[method-assign]
 
 
-class ReplayedReplies(World):
+class ReplayedReplies(FaultSimulation):
     """Drops each `Accept` of the second proposal, and replays the replies to the first one instead."""
 
     def __init__(self, make: type[Member]) -> None:
@@ -66,49 +66,49 @@
 
 @pytest.mark.parametrize("make", [Member, SharedNonceMember])
 def test_replies_to_an_earlier_proposal_do_not_count_for_a_later_one(make: type[Member]) -> None:
-    world = ReplayedReplies(make)
-    world.config = type(world.config)(proxies=7, seed=1, seconds=12.0, times=world.times)
-    world.run()
-    non_voter = world.nodes[6].member
-    assert non_voter and non_voter.state.history[2].digest == digest_of(b"0") and world.accepted
+    simulation = ReplayedReplies(make)
+    simulation.config = type(simulation.config)(proxies=7, seed=1, seconds=12.0, times=simulation.times)
+    simulation.run()
+    non_voter = simulation.nodes[6].member
+    assert non_voter and non_voter.state.history[2].digest == digest_of(b"0") and simulation.accepted
     assert (3 in non_voter.state.history) == (make is SharedNonceMember)
 
 
 def test_abort_of_the_policy_in_force_does_not_affect_it_or_the_next_change() -> None:
-    world = World(2, (), [(3.0, 6, 0.0)])
+    simulation = FaultSimulation(2, (), [(3.0, 6, 0.0)])
     first, second = digest_of(b"0"), digest_of(b"next")
     outcomes: list[ProposalOutcome] = []
 
     def propose_and_abort() -> None:
-        node = world.nodes[6]
+        node = simulation.nodes[6]
         assert node.member and node.member.serving
         if node.member.serving.epoch < 2:
-            world.at(world.now + 0.01, propose_and_abort)
+            simulation.at(simulation.now + 0.01, propose_and_abort)
             return
-        world.text(node, second)
+        simulation.text(node, second)
         for event in (Propose(second), Abort(first)):
-            world.give(node, event)
+            simulation.give(node, event)
         outcomes.extend(node.member.outcome(digest)[0] for digest in (first, second))
         outcomes.append(ProposalOutcome.OPEN if node.member.state.readiness else ProposalOutcome.FAILED)
 
-    world.at(3.5, propose_and_abort)
-    world.run()
+    simulation.at(3.5, propose_and_abort)
+    simulation.run()
     assert outcomes == [ProposalOutcome.OPEN] * 3
 
 
 def test_no_proxy_reports_in_force_before_the_activation() -> None:
-    world = World(2, (), [(1.5, 6, 0.0)])
+    simulation = FaultSimulation(2, (), [(1.5, 6, 0.0)])
     reported: dict[int, set[tuple[ProposalOutcome, int]]] = {proxy: set() for proxy in range(7)}
 
     def poll_outcomes() -> None:
-        for node in world.nodes:
+        for node in simulation.nodes:
             if node.member and node.member.serving:
                 outcome = node.member.outcome(digest_of(b"0"))[0]
                 reported[node.number].add((outcome, node.member.serving.epoch))
-        world.at(world.now + 0.02, poll_outcomes)
+        simulation.at(simulation.now + 0.02, poll_outcomes)
 
-    world.at(2.0, poll_outcomes)
-    world.run()
+    simulation.at(2.0, poll_outcomes)
+    simulation.run()
     for outcomes in reported.values():
         assert (ProposalOutcome.IN_FORCE, 2) in outcomes and (ProposalOutcome.IN_FORCE, 1) not in outcomes
 
