--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -300,7 +300,7 @@
         lines = [*calls.format_put_calls(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
         assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
         # If the lease expires on a busy machine it is renewed later; wait for that and for the new epoch.
-        while agreement.epoch == 1 or not agreement.may():
+        while agreement.epoch == 1 or not agreement.may_accept():
             await asyncio.sleep(0.02)
         assert agreement.epoch == 2
         assert await ask(at, b"policy-outcome " + digest_of(OTHER).hex().encode() + b"\n") != b""
