--- a/firvane/proxy/rollout/state_machine.py
+++ b/firvane/proxy/rollout/state_machine.py
@@ -1,22 +1,23 @@
-"""The state machine of a rollout: which slot gets which version when, what stops it, and how it is reverted.
+"""The state machine of a rollout: when each slot gets which version, when the rollout stops or is reverted.
 
 Invariants:
 
-1. What is in `transitions.TRANSITIONS` happens; where the plan says "stay", `TRANSITIONS_IF_STAYING` comes
-   before it. Every state that is not final has a time after which it is left.
-2. A slot is unavailable while it is ordered to change, replaces, serves nothing, cannot be reached, or has
-   not reported yet. An order goes to a slot only while its zone has no more unavailable than the plan says,
-   that slot among them, and no more than `at_once` are ordered or replace. A slot that is unavailable already
-   makes a zone no worse.
-3. An order is on disk before it is sent, and stands until the slot reports its result. A slot that was
-   unreachable, or that an earlier controller ordered, reports it by the version that serves now. The
-   supervisor has ended an order after `order_timeout_s` whatever it did: it counts as failed.
-4. A stage has no more slots of the new version than it says; a slot that is down keeps the version that it
-   was last known to have. One that comes back with the old version is changed when a slot is needed again.
-5. The k-th comparison of a rollout has alpha / (k (k + 1)): all that can ever be begun have alpha together,
-   however often a controller restarts.
-6. Going back waits for no stage, no comparison, and for slots that are down no longer than `back_s`. Slots
-   that serve nothing go first.
+1. State changes follow `transitions.TRANSITIONS`; if the plan sets `on_worse = "stay"`,
+   `TRANSITIONS_IF_STAYING` takes precedence. Every state that is not final has a timeout.
+2. A slot is unavailable while an order for it is pending, while it replaces its process, serves nothing, is
+   unreachable, or has not reported yet. A slot is ordered to change only if its zone then has at most as many
+   unavailable slots as the plan allows, and at most `at_once` replacements are in progress. The zone limit
+   does not apply to an order for a slot that is unavailable already.
+3. An order is persisted before it is sent, and stays pending until the slot reports the result. For a slot
+   that was unreachable, or was ordered by an earlier controller, the version that it reports is the result.
+   The supervisor ends every order within `order_timeout_s`; after that time the order counts as failed.
+4. A stage has at most its target count of slots with the new version. An unreachable slot is assumed to have
+   its last known version. A slot that returns with the old version is replaced when the stage next needs a
+   slot.
+5. The k-th comparison of a rollout gets alpha / (k (k + 1)) as its error probability. The sum over all
+   comparisons is at most alpha, however often the controller restarts.
+6. A revert does not wait for a stage or a comparison, and waits for unreachable slots for at most `back_s`.
+   Slots that serve nothing are reverted first.
 """
 
 from __future__ import annotations
@@ -57,35 +58,37 @@
 )
 from firvane.proxy.rollout.transitions import FORWARD_STATES, TRANSITIONS, TRANSITIONS_IF_STAYING
 
-PERSIST_INTERVAL_S = 5.0  # so much of a stage's time is lost with a controller, at most
+PERSIST_INTERVAL_S = 5.0  # a controller crash loses at most this much of the elapsed stage time
 
 
 @dataclass
 class _SlotStatus:
-    """What is known of a slot."""
+    """The last known status of a slot."""
 
     name: str
     zone: str
-    version: str | None = None  # that served there last, as far as known
+    version: str | None = None  # the last version known to serve in the slot
     is_reachable: bool = False
     is_serving: bool = False
     is_replacing: bool = False
-    is_stale: bool = True  # it was unreachable, or an earlier controller ordered it: its report ends an order
+    is_stale: bool = (
+        True  # no report since it was unreachable or this controller started: its next report ends an order
+    )
     order_ends_at: float = 0.0
-    stuck_reason: str = ""  # why it cannot go back
+    revert_error: str = ""  # why its revert failed for good; "" if it has not
 
 
 class RolloutStateMachine:
-    """A rollout by its plan. `begin` comes first, then `handle`. Times are seconds on one clock."""
+    """State machine of one rollout. Call `begin` first, then `handle`. Times are seconds on one clock."""
 
     def __init__(self, plan: Plan, digest: str, now: float, stored: StoredRollout | None = None) -> None:
-        """Go on from the stored state.
+        """Resume from the stored state.
 
         Args:
-            plan: The plan.
-            digest: The digest of its text.
+            plan: The plan of the rollout.
+            digest: The digest of the plan's text.
             now: The current time.
-            stored: What an earlier controller has left.
+            stored: The state persisted by an earlier controller; None for a new rollout.
         """
         if stored is None:
             stored = StoredRollout(digest)
@@ -94,7 +97,7 @@
         self.state = stored.state
         self.stage = stored.stage
         self.token = stored.roll
-        self.state_began_at = now - stored.spent  # of replacing and comparing: the stage
+        self.state_began_at = now - stored.spent  # start of the stage while replacing and comparing
         self.comparing_since = now
         self.ordered = dict(stored.ordered)
         self.failures = dict(stored.failures)
@@ -117,7 +120,7 @@
         self._persisted_at = now
         self._actions: list[Action] = []
 
-    # What others see
+    # State for the controller
 
     @property
     def ended(self) -> bool:
@@ -125,7 +128,7 @@
         return self.state in FINAL_STATES
 
     def to_stored(self, now: float) -> StoredRollout:
-        """Return the state to be stored."""
+        """Return the state to persist."""
         return StoredRollout(
             plan=self.digest,
             roll=self.token,
@@ -144,18 +147,18 @@
         )
 
     def new_slots(self) -> list[str]:
-        """Return the slots that were last known to have the new version, in the order of replacement."""
+        """Return the names of slots whose last known version is the new one, in replacement order."""
         return [slot.name for slot in self.slots_in_order if slot.version == self.plan.roll.version]
 
     # Events
 
     def begin(self, now: float) -> list[Action]:
-        """Return what is to be done at the start or at a take-over."""
+        """Return the actions due when a controller starts or takes over the rollout."""
         if self.ended:
-            return [LogNote(f"the roll has ended: {self.state.value}; {self.reason}")]
+            return [LogNote(f"the rollout has ended: {self.state.value}; {self.reason}")]
         self.token += 1
         self._is_changed = True
-        self._add(QuerySlots(tuple(self.slots)))
+        self._add_action(QuerySlots(tuple(self.slots)))
         if self.state is RolloutState.PLANNED:
             self._prepare(now)
         elif self.state in FORWARD_STATES:
@@ -163,7 +166,7 @@
         return self._take_actions(now)
 
     def handle(self, event: Event, now: float) -> list[Action]:
-        """Return the actions that follow from an event, in order."""
+        """Return the actions in response to an event, in execution order."""
         if self.ended:
             return []
         match event:
@@ -201,13 +204,13 @@
         if self.state is not RolloutState.PLANNED:
             return
         if error:
-            self._transition(TransitionCause.REFUSED, now, f"the new version was not begun: {error}")
+            self._transition(TransitionCause.REFUSED, now, f"the new version was not rolled out: {error}")
         elif not self.trial_succeeded:
             self.trial_succeeded = self._is_changed = True
 
     def _on_slot_reported(self, slot: _SlotStatus, version: str, is_replacing: bool) -> None:
         ordered = self.ordered.get(slot.name)
-        # A report from before it had the order is no result of the order.
+        # A report that was sent before the slot received the order does not end the order.
         if not is_replacing and (slot.is_stale or version == ordered):
             self._end_order(slot.name)
         self._update_slot(slot, version)
@@ -217,8 +220,8 @@
         slot.is_reachable, slot.is_serving = True, bool(version)
         slot.is_replacing, slot.is_stale = False, False
         if version:
-            concerns_new = self.plan.roll.version in (version, slot.version)
-            self._is_changed |= concerns_new and version != slot.version
+            involves_new_version = self.plan.roll.version in (version, slot.version)
+            self._is_changed |= involves_new_version and version != slot.version
             slot.version = version
 
     def _end_order(self, name: str) -> None:
@@ -232,15 +235,15 @@
             return
         self._end_order(name)
         is_forward = ordered == self.plan.roll.version
-        self._add(LogNote(f"{name} did not change to {ordered}: {reason}"))
+        self._add_action(LogNote(f"{name} was not changed to {ordered}: {reason}"))
         if is_forward != (self.state is not RolloutState.GOING_BACK):
-            return  # it was ordered before the rollout turned back
+            return  # the order was sent before the rollout began to revert
         self.failures[name] = self.failures.get(name, 0) + 1
-        is_too_many = sum(self.failures.values()) >= self.plan.roll.tries
-        if is_forward and self.state in FORWARD_STATES and is_too_many:
+        has_too_many_failures = sum(self.failures.values()) >= self.plan.roll.tries
+        if is_forward and self.state in FORWARD_STATES and has_too_many_failures:
             self._transition(TransitionCause.FAILED, now, f"{name} did not take the new version: {reason}")
         elif not is_forward and self.failures[name] >= self.plan.roll.tries:
-            self.slots[name].stuck_reason = reason
+            self.slots[name].revert_error = reason
 
     def _on_comparison_updated(self, finding: Finding, number: int, now: float) -> None:
         if self.state not in FORWARD_STATES or number != self.comparisons or not self._is_comparing:
@@ -252,29 +255,31 @@
     def _on_command(self, command: OperatorCommand, now: float) -> None:
         causes = TRANSITIONS[self.state]
         if command is OperatorCommand.PAUSE and TransitionCause.PAUSE in causes:
-            self._transition(TransitionCause.PAUSE, now, "an operator paused it")
+            self._transition(TransitionCause.PAUSE, now, "an operator paused the rollout")
         elif command is OperatorCommand.BACK and TransitionCause.BACK in causes:
-            self._transition(TransitionCause.BACK, now, "an operator sent it back")
+            self._transition(TransitionCause.BACK, now, "an operator reverted the rollout")
         elif command is OperatorCommand.GO and self.state is RolloutState.PAUSED:
             self._on_go(now)
         else:
-            self._add(LogNote(f"{command.value} says nothing to a roll that is {self.state.value}"))
+            self._add_action(
+                LogNote(f"command {command.value} is ignored: the rollout is {self.state.value}")
+            )
 
     def _on_go(self, now: float) -> None:
-        reason = "an operator let it go on"
+        reason = "an operator resumed the rollout"
         self.failures.clear()
         if not self.trial_succeeded:
             self._transition(TransitionCause.AGAIN, now, reason)
         elif not self.go_ends_stage:
             self._transition(TransitionCause.GO, now, reason)
-        elif self._is_last:
-            reason = "an operator accepted the last stage" + self._describe_missing()
+        elif self._is_last_stage:
+            reason = "an operator accepted the last stage" + self._describe_unreplaced()
             self._transition(TransitionCause.ACCEPTED, now, reason)
         else:
             self._begin_next_stage()
             self._transition(TransitionCause.GO, now, reason)
 
-    # What is due
+    # Time-outs and orders that are due
 
     def _step(self, now: float) -> None:
         self._expire_orders(now)
@@ -285,22 +290,22 @@
                 self._step_forward(now)
             case RolloutState.PAUSED:
                 if now - self.state_began_at >= self.plan.roll.ask_s:
-                    reason = f"nobody answered the pause in time; before: {self.reason}"
+                    reason = f"no operator answered the pause in time; paused because: {self.reason}"
                     self._transition(TransitionCause.UNANSWERED, now, reason)
             case RolloutState.GOING_BACK:
                 self._step_back(now)
 
     def _expire_orders(self, now: float) -> None:
-        """End orders without a result, those excepted whose slots report that they still replace."""
+        """Fail orders that have timed out; orders of slots that are still replacing get more time."""
         for name in [name for name in self.ordered if now >= self.slots[name].order_ends_at]:
             slot = self.slots[name]
             if slot.is_replacing:
                 slot.order_ends_at = now + self.plan.roll.order_timeout_s
                 continue
             if self.ordered[name] == self.plan.roll.version:
-                slot.version = self.plan.roll.version  # it may have it, until it reports
+                slot.version = self.plan.roll.version  # assumed until the slot reports its version
             slot.is_reachable, slot.is_serving, slot.is_stale = False, False, True
-            self._on_replacement_failed(name, "nothing was heard of the order in time", now)
+            self._on_replacement_failed(name, "no result of the order was reported in time", now)
 
     def _step_planned(self, now: float) -> None:
         roll = self.plan.roll
@@ -308,27 +313,28 @@
         is_late = now - self.state_began_at >= longest_s
         if not self.trial_succeeded:
             if is_late:
-                reason = "the new version was not begun: its trial did not end in time"
+                reason = "the new version was not rolled out: its trial did not end in time"
                 self._transition(TransitionCause.REFUSED, now, reason)
         elif self._is_baseline_measured or is_late:
             if self.baseline is not None and self.baseline < roll.least_before:
                 share, least = f"{self.baseline:.1%}", f"{roll.least_before:.0%}"
                 reason = (
-                    f"{share} of the requests were answered in time before the roll; {least} is the least"
+                    f"{share} of the requests were answered in time before the rollout; "
+                    f"the minimum is {least}"
                 )
                 self._transition(TransitionCause.UNWELL, now, reason)
             else:
-                self._transition(TransitionCause.BEGUN, now, "the trial of the new version went well")
+                self._transition(TransitionCause.BEGUN, now, "the trial of the new version succeeded")
 
     def _step_forward(self, now: float) -> None:
-        is_last, stage = self._is_last, self._stage
+        is_last_stage, stage = self._is_last_stage, self._stage
         is_filled = self._fill_stage(now)
         if self.state is RolloutState.REPLACING and is_filled:
             reason = f"stage {self.stage + 1} has the new version"
             self._transition(TransitionCause.REPLACED, now, reason)
             self.comparing_since = now
-        missing = self._describe_missing() if is_last else ""
-        is_fine = (
+        unreplaced = self._describe_unreplaced() if is_last_stage else ""
+        has_passed = (
             self.state is RolloutState.COMPARING
             and is_filled
             and now - self.comparing_since >= stage.soak_s
@@ -336,36 +342,40 @@
             and self.finding.verdict is Verdict.FINE
         )
         is_overdue = now - self.state_began_at >= stage.longest_s
-        reason = self.finding.reason if self.finding else "nothing could be compared"
-        if is_fine and not (missing and not is_overdue):
-            self._end_stage(now, reason, missing)
+        reason = self.finding.reason if self.finding else "no comparison has a result"
+        if has_passed and not (unreplaced and not is_overdue):
+            self._end_stage(now, reason, unreplaced)
         elif is_overdue:
-            waits = self._describe_wait(reason)
-            reason = f"stage {self.stage + 1} took its longest time: {waits}"
+            blocker = self._describe_blocker(reason)
+            reason = f"stage {self.stage + 1} reached its time limit: {blocker}"
             self._transition(TransitionCause.TOO_LONG, now, reason)
 
-    def _end_stage(self, now: float, reason: str, missing: str) -> None:
-        """The stage is fine: pause, end, or go on with the next one."""
+    def _end_stage(self, now: float, reason: str, unreplaced: str) -> None:
+        """End a stage that passed: pause, finish the rollout, or begin the next stage."""
         if self._stage.at_end == "pause":
-            reason = f"the plan asks after stage {self.stage + 1}: {reason}"
+            reason = f"the plan pauses after stage {self.stage + 1}: {reason}"
             self._transition(TransitionCause.AT_END, now, reason)
-        elif self._is_last:
-            self._transition(TransitionCause.LAST, now, reason + missing)
+        elif self._is_last_stage:
+            self._transition(TransitionCause.LAST, now, reason + unreplaced)
         else:
             self._begin_next_stage()
             self._transition(TransitionCause.FINE, now, reason)
 
-    def _describe_wait(self, reason: str) -> str:
+    def _describe_blocker(self, reason: str) -> str:
         if self.state is RolloutState.COMPARING:
             return reason
-        return "places wait for their turn" + self._describe_missing()
+        return "slots are still to be replaced" + self._describe_unreplaced()
 
     def _fill_stage(self, now: float) -> bool:
-        """Order the new version where the stage needs a slot; return whether all that can have it do."""
+        """Order the replacements that the stage needs.
+
+        Returns:
+            Whether a slot has the new version and no replacement is pending.
+        """
         new = self.plan.roll.version
         needed = self.plan.target_count(self.stage)
         needed -= sum(new in (slot.version, self.ordered.get(slot.name)) for slot in self.slots_in_order)
-        is_waiting = False
+        has_pending = False
         for slot in self.slots_in_order:
             if needed <= 0:
                 break
@@ -375,41 +385,45 @@
                 self._order(slot, now)
                 needed -= 1
             else:
-                is_waiting = True
+                has_pending = True
         has_some = any(slot.version == new for slot in self.slots_in_order)
-        return has_some and not (is_waiting or self.ordered)
+        return has_some and not (has_pending or self.ordered)
 
     def _step_back(self, now: float) -> None:
         new = self.plan.roll.version
-        is_waiting = False
+        has_pending = False
         for slot in sorted(reversed(self.slots_in_order), key=lambda slot: slot.is_serving):
             if slot.name in self.ordered or slot.is_replacing:
-                is_waiting = True
-            elif slot.version != new or slot.stuck_reason:
-                continue  # it is back, never had the new version, or cannot go back
+                has_pending = True
+            elif slot.version != new or slot.revert_error:
+                continue  # reverted, never replaced, or its revert failed for good
             else:
-                is_waiting = True
+                has_pending = True
                 if slot.is_reachable and self._may_order(slot):
                     self._order(slot, now)
-        if is_waiting and now - self.state_began_at < self.plan.roll.back_s:
+        if has_pending and now - self.state_began_at < self.plan.roll.back_s:
             return
-        left = self._slots_not_reverted(is_waiting)
-        if left:
+        not_reverted = self._find_unreverted_slots(has_pending)
+        if not_reverted:
             names = ", ".join(
-                f"{slot.name} ({slot.stuck_reason or ('down' if not slot.is_reachable else 'not done')})"
-                for slot in left
+                f"{slot.name} ({slot.revert_error or ('down' if not slot.is_reachable else 'not done')})"
+                for slot in not_reverted
             )
-            self._transition(TransitionCause.LEFT, now, f"{self.reason}; could not go back: {names}")
+            self._transition(TransitionCause.LEFT, now, f"{self.reason}; could not be reverted: {names}")
         else:
             self._transition(TransitionCause.WHOLE, now, self.reason)
 
-    def _slots_not_reverted(self, is_waiting: bool) -> list[_SlotStatus]:
+    def _find_unreverted_slots(self, has_pending: bool) -> list[_SlotStatus]:
         slots = self.slots_in_order
-        left = [slot for slot in slots if is_waiting and (slot.name in self.ordered or slot.is_replacing)]
-        left += [slot for slot in slots if slot not in left and slot.version == self.plan.roll.version]
-        return left
-
-    def _describe_missing(self) -> str:
+        not_reverted = [
+            slot for slot in slots if has_pending and (slot.name in self.ordered or slot.is_replacing)
+        ]
+        not_reverted += [
+            slot for slot in slots if slot not in not_reverted and slot.version == self.plan.roll.version
+        ]
+        return not_reverted
+
+    def _describe_unreplaced(self) -> str:
         new = self.plan.roll.version
         names = [slot.name for slot in self.slots_in_order if slot.version != new]
         return f"; without the new version: {', '.join(names)}" if names else ""
@@ -419,11 +433,11 @@
         return self.plan.stage[self.stage]
 
     @property
-    def _is_last(self) -> bool:
+    def _is_last_stage(self) -> bool:
         return self.plan.target_count(self.stage) == len(self.plan.place)
 
     def _begin_next_stage(self) -> None:
-        """Go to the next stage that has more slots: in a small tier one and a tenth are the same."""
+        """Go to the next stage with a higher target count: in a small tier, stages can have equal counts."""
         count = self.plan.target_count(self.stage)
         while self.plan.target_count(self.stage) == count:
             self.stage += 1
@@ -434,11 +448,13 @@
         return slot.name in self.ordered or slot.is_replacing or not slot.is_serving
 
     def _may_order(self, slot: _SlotStatus) -> bool:
-        """Whether an order may go to a slot that is reachable and does not replace."""
-        in_progress = sum(one.name in self.ordered or one.is_replacing for one in self.slots_in_order)
+        """Whether a reachable slot that is not replacing may be ordered to change now."""
+        in_progress = sum(other.name in self.ordered or other.is_replacing for other in self.slots_in_order)
         if in_progress >= self.plan.roll.at_once:
             return False
-        unavailable = sum(one.zone == slot.zone and self._is_unavailable(one) for one in self.slots_in_order)
+        unavailable = sum(
+            other.zone == slot.zone and self._is_unavailable(other) for other in self.slots_in_order
+        )
         return self._is_unavailable(slot) or unavailable < self.plan.max_unavailable(slot.zone)
 
     def _order(self, slot: _SlotStatus, now: float) -> None:
@@ -447,7 +463,7 @@
         self.ordered[slot.name] = version
         slot.order_ends_at = now + self.plan.roll.order_timeout_s
         self._is_changed = True
-        self._add((RevertSlot if is_back else ReplaceSlot)(slot.name, version, self.token))
+        self._add_action((RevertSlot if is_back else ReplaceSlot)(slot.name, version, self.token))
 
     # Transitions
 
@@ -467,9 +483,9 @@
             self.state_began_at = now
             if self._is_comparing:
                 self._is_comparing = False
-                self._add(StopComparison())
+                self._add_action(StopComparison())
         self._is_changed = True
-        self._add(LogNote(f"{old.value} -> {new.value}: {reason}"))
+        self._add_action(LogNote(f"{old.value} -> {new.value}: {reason}"))
         if new is RolloutState.GOING_BACK:
             self.failures.clear()
         elif new is RolloutState.REPLACING:
@@ -480,20 +496,22 @@
     def _prepare(self, now: float) -> None:
         self._is_baseline_measured = False
         self.state_began_at = now
-        self._add(StartTrial(self.plan.roll.version))
-        self._add(MeasureBaseline(self.plan.roll.before_s))
+        self._add_action(StartTrial(self.plan.roll.version))
+        self._add_action(MeasureBaseline(self.plan.roll.before_s))
 
     def _start_comparison(self) -> None:
         self.comparisons += 1
         self.finding, self._is_comparing, self._is_changed = None, True, True
         alpha = self.plan.compare.alpha / (self.comparisons * (self.comparisons + 1))
-        self._add(StartComparison(self.comparisons, alpha, self._stage.soak_s, self.baseline, self._is_last))
+        self._add_action(
+            StartComparison(self.comparisons, alpha, self._stage.soak_s, self.baseline, self._is_last_stage)
+        )
 
-    def _add(self, action: Action) -> None:
+    def _add_action(self, action: Action) -> None:
         self._actions.append(action)
 
     def _take_actions(self, now: float) -> list[Action]:
-        """Return the actions of this step, a changed state first."""
+        """Return and clear the actions of this step; a changed state is persisted first."""
         if now - self._persisted_at >= PERSIST_INTERVAL_S and not self.ended:
             self._is_changed = True
         actions, self._actions = self._actions, []
--- a/firvane/proxy/rollout/transitions.py
+++ b/firvane/proxy/rollout/transitions.py
@@ -1,4 +1,4 @@
-"""The transitions between the states of a rollout: the table that its state machine follows."""
+"""The transition table of a rollout's state machine."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
     RolloutState.BACK: {},
     RolloutState.GIVEN_UP: {},
 }
-# Where the plan says "stay" these come before the table.
+# These take precedence over `TRANSITIONS` if the plan sets `on_worse = "stay"`.
 TRANSITIONS_IF_STAYING = {
     TransitionCause.WORSE: RolloutState.PAUSED,
     TransitionCause.FAILED: RolloutState.PAUSED,
     TransitionCause.UNANSWERED: RolloutState.GIVEN_UP,
 }
-# In which slots are changed to the new version.
+# States in which slots are changed to the new version.
 FORWARD_STATES = frozenset((RolloutState.REPLACING, RolloutState.COMPARING))
 
 
@@ -67,7 +67,7 @@
 
 
 def transitions() -> Iterator[Transition]:
-    """Yield all transitions of both tables, for the page and for tests."""
+    """Yield all transitions of both tables, for the documentation page and tests."""
     for state, causes in TRANSITIONS.items():
         for cause, next_state in causes.items():
             yield Transition(state, cause, next_state)
