--- a/tests/proxy/rollout/test_compare.py
+++ b/tests/proxy/rollout/test_compare.py
@@ -95,7 +95,7 @@
 
 def test_a_fleet_struck_since_before_the_roll_is_not_judged() -> None:
     _, finding = look(traffic(1), 100, baseline=1.2)
-    assert finding.verdict is Verdict.CANNOT_TELL and "nothing is judged" in finding.reason
+    assert finding.verdict is Verdict.CANNOT_TELL and "the comparison is suspended" in finding.reason
     # Harm is not judged meanwhile either: a new version may be blamed for what strikes all.
     assert look(traffic(1, "refused", 0.3), 100, baseline=1.2)[1].verdict is Verdict.CANNOT_TELL
 
--- a/tests/simulation/runner/test_rolling.py
+++ b/tests/simulation/runner/test_rolling.py
@@ -77,7 +77,7 @@
 def test_proxies_that_are_killed_meanwhile_come_back_as_what_their_place_has() -> None:
     herd = Trouble(kind="herd", at_s=20.0, part=1.0)
     records, told = played(day("repeats", troubles=(herd,), seconds=120.0))
-    assert told[-1].state == "back" and "attempts a request" in told[-1].why
+    assert told[-1].state == "back" and "attempts per request" in told[-1].why
     kills = [r for r in records if isinstance(r, ProxyState) and r.state == "killed"]
     assert len(kills) == 3
     assert sum(isinstance(r, Answered) and r.status == 200 for r in records) > 1000
