--- a/firvane/proxy/rollout/slot.py
+++ b/firvane/proxy/rollout/slot.py
@@ -1,21 +1,20 @@
-"""The state machine of one proxy's slot: which process serves in it, and which starts or terminates. Pure.
+"""The state machine of one proxy's slot: which process serves, and which ones start or terminate. Pure.
 
 Invariants:
 
-1. The serving process is terminated only once its successor is proven: it has reported to be ready, has lived
-   for `proving_s` since, and has answered `REQUIRED_PROBES` requests itself. Until then an attempt may be
-   dropped.
-2. There is one candidate at most. A terminating process has `termination_s`, then it is killed; nothing waits
-   for it but a start without a free ops address: there are `ops_count` of them, one to a process.
-3. A serving process that crashes is followed at once by another one of its version, and one whose version
-   crashes `MAX_CONSECUTIVE_CRASHES` times in a row by one of the previous version; the backoff between
-   consecutive crashes grows.
-4. A process beside which none serves is given `PATIENCE_IF_ALONE` times as long to be ready: killing a slow
-   one would leave none.
-5. A fencing token below the highest one is rejected, and so is the same token under another name: a
-   controller that was suspended while another one took over changes nothing any more.
-6. What must survive the supervisor is persisted (`PersistSlot`) before anything is started or terminated for
-   it.
+1. The serving process is terminated only after its successor (the candidate) is proven: the candidate has
+   reported ready, has run for `proving_s` since, and has answered `REQUIRED_PROBES` requests itself. Until
+   then the replacement can be abandoned.
+2. There is at most one candidate. A terminating process is killed after `termination_s`. Only a start that
+   finds no free ops address waits for it: there are `ops_count` addresses, one per process.
+3. A serving process that crashes is restarted at once with the same version; after `MAX_CONSECUTIVE_CRASHES`
+   crashes in a row the previous version is started. The backoff grows with each consecutive crash.
+4. If no process serves, a candidate gets `READY_TIMEOUT_FACTOR_IF_ALONE` times as long to become ready:
+   killing a slow candidate would leave the slot without any process.
+5. A fencing token below the highest one is rejected, and so is a claim of the highest token by another
+   controller: a controller that was suspended during a take-over can no longer change the slot.
+6. State that must survive the supervisor is persisted (`PersistSlot`) before a process is started or
+   terminated because of it.
 """
 
 from __future__ import annotations
@@ -41,32 +40,32 @@
     TerminateProcess,
 )
 
-REQUIRED_PROBES = 3  # requests that a candidate answers before the serving process may be terminated
-MAX_FAILED_PROBES = 2  # requests that a candidate leaves without an answer before it is killed
+REQUIRED_PROBES = 3  # that a candidate must answer before the serving process is terminated
+MAX_FAILED_PROBES = 2  # after so many unanswered requests a candidate is killed
 MAX_CONSECUTIVE_CRASHES = 3  # after which the previous version is started
-BACKOFFS_S = (0.0, 0.2, 0.5, 1.0, 2.0, 5.0)  # before the start after so many consecutive crashes
-STABLE_AFTER_S = 10.0  # after which a crash is no longer a consecutive one
-PATIENCE_IF_ALONE = 4  # times as long to be ready, where no process serves
+BACKOFFS_S = (0.0, 0.2, 0.5, 1.0, 2.0, 5.0)  # before a start, by the number of consecutive crashes
+STABLE_AFTER_S = 10.0  # a crash after this serving time does not count as consecutive
+READY_TIMEOUT_FACTOR_IF_ALONE = 4  # multiplies the ready time-out if no process serves
 MAX_REASON_CHARS = 120
 
 
 @dataclass
 class Slot:
-    """One slot. Each call returns what is to be done, in that order. Times are seconds on one clock.
+    """One slot. Each method returns the actions due, in execution order. Times are seconds on one clock.
 
     Attributes:
         stored: The durable state.
-        timeouts: The time-outs of its processes.
-        ops_count: How many ops addresses there are, one to a process.
+        timeouts: The time-outs of the slot's processes.
+        ops_count: The number of ops addresses; each process uses one.
         state: The current state.
         serving: The process that serves.
-        candidate: The process that is to replace it.
-        terminating: The processes that have been told to end, by number.
-        last_number: The number of the last process that was started.
-        crash_count: How many serving processes have crashed.
-        consecutive_crashes: How many of them in a row.
+        candidate: The process that is to replace the serving one.
+        terminating: The processes that are terminating, by number.
+        last_number: The number of the process started last.
+        crash_count: The number of serving processes that have crashed.
+        consecutive_crashes: The number of crashes and failed starts in a row.
         next_start_at: When the next process is started.
-        is_adopted: Whether the serving process was adopted: it has another listening socket.
+        is_adopted: Whether the serving process was adopted; it then uses an earlier supervisor's socket.
     """
 
     stored: StoredSlot
@@ -82,17 +81,20 @@
     next_start_at: float = inf
     is_adopted: bool = False
 
-    # The beginning
+    # Start
 
     def begin(self, now: float, adopted: Sequence[tuple[ProcessTag, int]] = ()) -> list[SlotAction]:
-        """Begin with the processes of an earlier supervisor that still run, and their ids.
+        """Begin with the tags and process ids of an earlier supervisor's processes that still run.
 
-        One of them serves on until one on this supervisor's own socket is proven; the others are terminated.
+        One of them keeps serving until a process on this supervisor's own socket is proven; the others are
+        terminated.
         """
         actions: list[SlotAction] = []
         self.last_number = max([tag.number for tag, _ in adopted], default=0)
-        by_fitness = sorted(adopted, key=lambda one: (one[0].version != self.stored.version, one[0].number))
-        for tag, pid in by_fitness:
+        by_preference = sorted(
+            adopted, key=lambda one: (one[0].version != self.stored.version, one[0].number)
+        )
+        for tag, pid in by_preference:
             process = SlotProcess(tag, now, pid, ready_at=now, proven_at=now)
             if self.serving is None:
                 self.serving, self.is_adopted, self.state = process, True, SlotState.SERVING
@@ -105,10 +107,10 @@
     # Calls
 
     def claim(self, token: int, name: str) -> list[SlotAction]:
-        """Begin a rollout, or take it over: lower fencing tokens are rejected from now on.
+        """Record the token of a controller that begins or takes over a rollout, and reject lower tokens.
 
         Raises:
-            CallRejectedError: The token is not the highest, or another controller has it.
+            CallRejectedError: The token is below the highest, or another controller has claimed it.
         """
         self._check_token(token)
         if token == self.stored.roll and name != self.stored.name:
@@ -119,7 +121,7 @@
         return [PersistSlot(self.stored)]
 
     def replace(self, now: float, version: str, token: int) -> list[SlotAction]:
-        """Let a process of that version serve here; nothing changes where one does, or is the candidate.
+        """Replace the serving process by one of `version`, unless it or the candidate has that version.
 
         Raises:
             CallRejectedError: The token is too low, or the slot cannot start that version now.
@@ -129,7 +131,7 @@
         if candidate and candidate.tag.version == version:
             return self._record_token(token)
         if serving and serving.tag.version == version:
-            # A candidate of another version is not wanted any more.
+            # A candidate of another version is no longer needed.
             return [*self._record_token(token), *self._drop_candidate(now)]
         if candidate and serving:
             raise CallRejectedError(f"busy: {candidate.tag.version} is on its way here")
@@ -142,10 +144,10 @@
         return actions + self._start_replacement(now, version)
 
     def revert(self, now: float, token: int) -> list[SlotAction]:
-        """Let the previous version serve here; a candidate that is not proven yet is only dropped.
+        """Return to the previous version; if a candidate is not proven yet, only drop the candidate.
 
         Raises:
-            CallRejectedError: As `replace` does, or there is no previous version.
+            CallRejectedError: For the reasons of `replace`, or because there is no previous version.
         """
         self._check_token(token)
         if self.serving and self.candidate:
@@ -155,7 +157,7 @@
         return self.replace(now, self.stored.before, token)
 
     def abandon(self, now: float, token: int) -> list[SlotAction]:
-        """Drop the candidate beside a serving process.
+        """Drop the candidate if another process serves.
 
         Raises:
             CallRejectedError: The token is too low.
@@ -164,7 +166,7 @@
         return [*self._record_token(token), *self._drop_candidate(now)]
 
     def close(self, now: float) -> list[SlotAction]:
-        """Give the slot up: all processes are terminated."""
+        """Close the slot and terminate all its processes."""
         actions: list[SlotAction] = []
         self._apply(SlotEvent.CLOSE)
         for process in (self.serving, self.candidate):
@@ -174,23 +176,23 @@
         self.next_start_at = inf
         return actions
 
-    # What is observed of processes
+    # Observations of processes
 
     def on_started(self, number: int, pid: int) -> None:
-        """A process has been started, and has this id."""
+        """Record the process id of a process that was started."""
         for process in self._processes():
             if process.number == number:
                 process.pid = pid
 
     def on_start_failed(self, now: float, number: int, reason: str) -> list[SlotAction]:
-        """A process could not be started."""
-        if not self._is_candidate(number):
+        """Handle a process that could not be started."""
+        if not self._find_candidate(number):
             return []
-        return self._fail_candidate(now, f"cannot be started: {reason}", is_gone=True)
+        return self._fail_candidate(now, f"cannot be started: {reason}", has_exited=True)
 
     def on_ready(self, now: float, number: int) -> list[SlotAction]:
-        """A process reports to be ready."""
-        candidate = self._is_candidate(number)
+        """Handle a process that reports ready."""
+        candidate = self._find_candidate(number)
         if candidate is None or candidate.ready_at < inf:
             return []
         candidate.ready_at = now
@@ -198,8 +200,8 @@
         return [LogEvent("slot_process_ready", {"version": candidate.tag.version, "number": number})]
 
     def on_probed(self, now: float, number: int, is_answered: bool) -> list[SlotAction]:
-        """A process has answered a request that it had accepted, or has not."""
-        candidate = self._is_candidate(number)
+        """Handle the result of a probe request that a process accepted."""
+        candidate = self._find_candidate(number)
         if candidate is None:
             return []
         if is_answered:
@@ -212,27 +214,29 @@
         return self.tick(now)
 
     def on_exited(self, now: float, number: int, code: int) -> list[SlotAction]:
-        """A process has ended; a `code` below 0 is the negative number of a signal."""
+        """Handle the exit of a process; a negative `code` is the negated number of a signal."""
         if self.terminating.pop(number, None):
             return self.tick(now)
-        how = f"ended with code {code}" if code >= 0 else f"was killed by signal {-code}"
-        if candidate := self._is_candidate(number):
-            when = "under its first requests" if candidate.ready_at < inf else "at its start"
-            return self._fail_candidate(now, f"{how} {when}", is_gone=True)
+        exit_reason = f"ended with code {code}" if code >= 0 else f"was killed by signal {-code}"
+        if candidate := self._find_candidate(number):
+            phase = "under its first requests" if candidate.ready_at < inf else "at its start"
+            return self._fail_candidate(now, f"{exit_reason} {phase}", has_exited=True)
         if not (self.serving and self.serving.number == number):
             return []
-        lived_s, version = now - self.serving.proven_at, self.serving.tag.version
+        serving_time_s, version = now - self.serving.proven_at, self.serving.tag.version
         self.serving, self.is_adopted = None, False
         self.crash_count += 1
         self._apply(SlotEvent.DIED)
-        actions: list[SlotAction] = [LogEvent("slot_process_died", {"version": version, "reason": how})]
+        actions: list[SlotAction] = [
+            LogEvent("slot_process_died", {"version": version, "reason": exit_reason})
+        ]
         if self.state is SlotState.EMPTY:
-            self.consecutive_crashes = 1 if lived_s >= STABLE_AFTER_S else self.consecutive_crashes + 1
-            actions += self._back_off(now, version, how)
+            self.consecutive_crashes = 1 if serving_time_s >= STABLE_AFTER_S else self.consecutive_crashes + 1
+            actions += self._back_off(now, version, exit_reason)
         return actions
 
     def tick(self, now: float) -> list[SlotAction]:
-        """Do what time alone brings about."""
+        """Handle the passing of time: expired time-outs and due starts."""
         actions: list[SlotAction] = []
         for process in self.terminating.values():
             if now >= process.kill_at:
@@ -243,30 +247,32 @@
         is_start_due = self.state is SlotState.EMPTY and now >= self.next_start_at
         if is_start_due and self._free_ops_index() is not None:
             actions += self._start(now, self.stored.version, SlotEvent.DUE)
-        rejoins = self.state is SlotState.SERVING and self.is_adopted and now >= self._next_attempt_at()
-        if rejoins and self._free_ops_index() is not None:
+        replaces_adopted = (
+            self.state is SlotState.SERVING and self.is_adopted and now >= self._next_attempt_at()
+        )
+        if replaces_adopted and self._free_ops_index() is not None:
             actions += self._start_replacement(now, self.stored.version)
         return actions
 
     def _check_candidate(self, candidate: SlotProcess, now: float) -> list[SlotAction]:
-        """Promote a candidate that is proven; kill one that is late."""
-        patience_s = self.timeouts.ready_s * (1 if self.serving else PATIENCE_IF_ALONE)
+        """Promote a candidate that is proven; kill one that has timed out."""
+        ready_timeout_s = self.timeouts.ready_s * (1 if self.serving else READY_TIMEOUT_FACTOR_IF_ALONE)
         proving_s = self.timeouts.proving_s
         if candidate.ready_at < inf:
             if now >= candidate.ready_at + proving_s and candidate.answered_probes >= REQUIRED_PROBES:
                 return self._promote(now)
-            if now >= candidate.ready_at + max(patience_s, proving_s):
+            if now >= candidate.ready_at + max(ready_timeout_s, proving_s):
                 return self._fail_candidate(now, "says that it is ready, and serves nothing")
-        elif now >= candidate.started_at + patience_s:
-            return self._fail_candidate(now, f"is not ready after {patience_s:g} s")
+        elif now >= candidate.started_at + ready_timeout_s:
+            return self._fail_candidate(now, f"is not ready after {ready_timeout_s:g} s")
         return []
 
     def status(self) -> dict[str, str | int]:
-        """Return the status for the supervisor's API, whose names are part of that API."""
+        """Return the status for the supervisor's API; its keys are part of that API."""
         process = self.serving or self.candidate
-        is_ending = self.state is SlotState.SERVING and self.terminating
+        is_terminating = self.state is SlotState.SERVING and self.terminating
         return {
-            "state": "ending" if is_ending else self.state.value,
+            "state": "ending" if is_terminating else self.state.value,
             "version": self.serving.tag.version if self.serving else "-",
             "wanted": self.stored.version,
             "before": self.stored.before or "-",
@@ -279,13 +285,13 @@
             "failed": self.stored.failed or "-",
         }
 
-    # Within
+    # Helpers
 
     def _processes(self) -> list[SlotProcess]:
         current = [process for process in (self.serving, self.candidate) if process]
         return current + list(self.terminating.values())
 
-    def _is_candidate(self, number: int) -> SlotProcess | None:
+    def _find_candidate(self, number: int) -> SlotProcess | None:
         return self.candidate if self.candidate and self.candidate.number == number else None
 
     def _free_ops_index(self) -> int | None:
@@ -293,7 +299,7 @@
         return next((index for index in range(self.ops_count) if index not in used), None)
 
     def _check_token(self, token: int) -> None:
-        """Reject a call before anything is changed."""
+        """Raise `CallRejectedError` for a closed slot or a lower token, before any state changes."""
         if self.state is SlotState.CLOSED:
             raise CallRejectedError("the place is given up")
         if token < self.stored.roll:
@@ -314,7 +320,7 @@
         return [TerminateProcess(process.number)]
 
     def _start_replacement(self, now: float, version: str) -> list[SlotAction]:
-        """Start a candidate; where no process serves, its version is the slot's, proven or not."""
+        """Start a candidate; if no process serves, its version becomes the slot's at once, proven or not."""
         actions: list[SlotAction] = []
         if self.serving is None:
             if version != self.stored.version:
@@ -335,7 +341,7 @@
         return [PersistSlot(self.stored), log, StartProcess(self.candidate.tag)]
 
     def _promote(self, now: float) -> list[SlotAction]:
-        """The candidate is proven: it serves, and the process before it is terminated."""
+        """Make the proven candidate the serving process, and terminate the previous one."""
         old, new = self.serving, self.candidate
         assert new
         self._apply(SlotEvent.PROVEN)
@@ -348,7 +354,7 @@
         log = LogEvent("slot_process_serving", {"version": version, "number": new.number})
         return [PersistSlot(self.stored), log, *actions]
 
-    def _fail_candidate(self, now: float, reason: str, is_gone: bool = False) -> list[SlotAction]:
+    def _fail_candidate(self, now: float, reason: str, has_exited: bool = False) -> list[SlotAction]:
         candidate = self.candidate
         assert candidate
         version = candidate.tag.version
@@ -358,7 +364,7 @@
         self.stored = replace(self.stored, failed=failed)
         fields: dict[str, str | int] = {"version": version, "reason": reason[:MAX_REASON_CHARS]}
         actions: list[SlotAction] = [LogEvent("slot_replacement_failed", fields)]
-        if not is_gone:  # it is not waited for: what it is given to do is lost
+        if not has_exited:  # it is killed without a grace period: its requests are lost
             self.terminating[candidate.number] = candidate
             actions.append(KillProcess(candidate.number))
         if self.state is SlotState.EMPTY:
@@ -369,11 +375,11 @@
         return [PersistSlot(self.stored), *actions]
 
     def _next_attempt_at(self) -> float:
-        """When the next attempt on this supervisor's own socket is due."""
+        """Return when the next start on this supervisor's own socket is due."""
         return self.next_start_at if self.next_start_at < inf else 0.0
 
     def _back_off(self, now: float, version: str, reason: str) -> list[SlotAction]:
-        """No process serves: set when the next one starts, and of which version."""
+        """Set when the next process starts, and of which version, after the last one has failed."""
         self.next_start_at = now + BACKOFFS_S[min(self.consecutive_crashes - 1, len(BACKOFFS_S) - 1)]
         if self.consecutive_crashes % MAX_CONSECUTIVE_CRASHES or not self.stored.before:
             return []
--- a/firvane/proxy/rollout/slot_types.py
+++ b/firvane/proxy/rollout/slot_types.py
@@ -9,25 +9,25 @@
 
 
 class SlotState(Enum):
-    """Which processes there are; terminating ones may be there in each state."""
+    """Which processes the slot has, besides terminating ones."""
 
-    EMPTY = "empty"  # none: the next starts after a backoff
-    STARTING = "starting"  # one, not proven yet
+    EMPTY = "empty"  # no process: the next one starts after a backoff
+    STARTING = "starting"  # a candidate that is not proven yet, and no serving process
     SERVING = "serving"
-    TRYING = "trying"  # one that serves, and a candidate that is not ready yet
-    PROVING = "proving"  # the candidate reports to be ready: both accept clients
-    CLOSED = "closed"  # the slot is given up: all are terminating
+    TRYING = "trying"  # a serving process, and a candidate that is not ready yet
+    PROVING = "proving"  # a serving process, and a candidate that reported ready: both accept clients
+    CLOSED = "closed"  # the slot is closed: all processes are terminating
 
 
 class SlotEvent(Enum):
-    """What leads from one state to the next."""
+    """The events that change a slot's state."""
 
-    REPLACE = "replace"  # by a version, its own again included
-    ABANDON = "abandon"  # the candidate
-    READY = "ready"  # reported by the candidate
+    REPLACE = "replace"  # a replacement is started, possibly of the same version
+    ABANDON = "abandon"  # the candidate is dropped
+    READY = "ready"  # the candidate reported ready
     PROVEN = "proven"
-    FAILED = "failed"  # the candidate died, could not be started, was too late, or left requests unanswered
-    DIED = "died"  # the serving process
+    FAILED = "failed"  # the candidate exited, could not be started, timed out, or left requests unanswered
+    DIED = "died"  # the serving process exited
     DUE = "due"  # the backoff is over
     CLOSE = "close"
 
@@ -35,7 +35,7 @@
 TRANSITIONS: dict[SlotState, dict[SlotEvent, SlotState]] = {
     SlotState.EMPTY: {SlotEvent.REPLACE: SlotState.STARTING, SlotEvent.DUE: SlotState.STARTING},
     SlotState.STARTING: {
-        SlotEvent.REPLACE: SlotState.STARTING,  # no process serves that would be lost by it
+        SlotEvent.REPLACE: SlotState.STARTING,  # replaces the candidate: no process serves
         SlotEvent.READY: SlotState.STARTING,
         SlotEvent.PROVEN: SlotState.SERVING,
         SlotEvent.FAILED: SlotState.EMPTY,
@@ -67,29 +67,29 @@
 class ProcessTimeouts:
     """Time-outs of a process, in seconds, all above 0."""
 
-    ready_s: float = 30.0  # for a new process to be ready, and again to have answered
-    proving_s: float = 2.0  # in which it serves beside the one before
+    ready_s: float = 30.0  # for a new process to become ready, and again to answer its first requests
+    proving_s: float = 2.0  # in which it serves beside the previous process
     termination_s: float = 5.0  # from SIGTERM to SIGKILL
 
 
 class ProcessTag(NamedTuple):
-    """What identifies a process of a slot, also to a supervisor that adopts it."""
+    """The identity of a process of a slot, by which a later supervisor can adopt it."""
 
     number: int
     version: str
-    ops_index: int  # of its ops address
+    ops_index: int  # index of its ops address in the configuration
 
 
 @dataclass(frozen=True)
 class StoredSlot:
-    """The durable state of a slot; stored by the names of the fields, which are the file's format."""
+    """The durable state of a slot; the field names are the file format."""
 
-    version: str  # that is to serve here
-    before: str = ""  # the previous version, which `revert` goes back to
+    version: str  # the version to serve
+    before: str = ""  # the previous version, to which `revert` returns
     roll: int = 0  # the highest fencing token that a controller has sent
-    name: str = ""  # of that controller
-    failed: str = ""  # "VERSION TOKEN REASON" of the last attempt, where that failed
-    spurned: str = ""  # "VERSION TOKEN" of a version that served here and crashed too often
+    name: str = ""  # the name of that controller
+    failed: str = ""  # "VERSION TOKEN REASON" of the last replacement if it failed, else ""
+    spurned: str = ""  # "VERSION TOKEN" of a version that crashed too often while it served
 
 
 class StartProcess(NamedTuple):
@@ -99,19 +99,19 @@
 
 
 class TerminateProcess(NamedTuple):
-    """Tell a process to end."""
+    """Terminate a process with SIGTERM."""
 
     number: int
 
 
 class KillProcess(NamedTuple):
-    """Kill a process."""
+    """Kill a process with SIGKILL."""
 
     number: int
 
 
 class PersistSlot(NamedTuple):
-    """Write the state to disk before what follows is done."""
+    """Write the state to disk before the actions that follow."""
 
     stored: StoredSlot
 
@@ -141,5 +141,5 @@
 
     @property
     def number(self) -> int:
-        """The number that identifies it in its slot."""
+        """The number that identifies the process in its slot."""
         return self.tag.number
