--- a/firvane/proxy/rollout/controller.py
+++ b/firvane/proxy/rollout/controller.py
@@ -2,13 +2,14 @@
 
 Invariants:
 
-1. A state that is to be persisted is on disk before anything of that step is done. Where it cannot be written
-   the controller ends: the next one goes on from what is there.
-2. Slots are asked for their status before the first order. The rollout's fencing token is above all that they
-   report, and each slot gets it, under this controller's name, before anything else is sent to it.
-3. A slot that has had a higher token, or a rollout that another process owns, ends the controller at once.
-4. An order is sent again until the slot has it; its result is read from later statuses.
-5. A comparison gets the blocks of one moment together. A proxy that did not answer in time is left out of it.
+1. A changed state is persisted before the other actions of its step are executed. If it cannot be written,
+   the controller stops, and the next one resumes from the state on disk.
+2. The status of all slots is queried before the first order. The rollout's fencing token is above all tokens
+   that they report, and each slot is claimed with it, under this controller's name, before any other call.
+3. The controller stops at once if a slot has received a higher token, or another process owns the rollout.
+4. An order is resent until the slot accepts it; its result is read from later statuses.
+5. A comparison receives the blocks of one interval together; a proxy that did not respond in time is left
+   out of it.
 """
 
 from __future__ import annotations
@@ -53,7 +54,7 @@
 from firvane.proxy.rollout.trial_start import try_version
 
 TICK_INTERVAL_S = 0.1
-POLL_INTERVAL_S = 0.25  # from a slot's answer to the next call
+POLL_INTERVAL_S = 0.25  # from a slot's response to the next call
 MAX_UNANSWERED_CALLS = 2  # after which a slot is unreachable
 FIRST_STATUS_TIMEOUT_S = 3.0
 NAME_BYTES = 4  # of randomness
@@ -71,18 +72,18 @@
         report: Callable[[str], None],
         waits: bool = True,
     ) -> None:
-        """Go on from the stored state.
+        """Resume from the stored state, or begin a new rollout.
 
         Args:
-            plan: The plan.
-            digest: The digest of its text.
+            plan: The plan of the rollout.
+            digest: The digest of the plan's text.
             files: The files of the rollout.
-            report: Called with each sentence for the operator.
-            waits: Whether a pause is waited out, for as long as the plan says; else `run` returns at one.
+            report: Called with each message for the operator.
+            waits: Whether `run` waits while the rollout is paused; otherwise it returns at a pause.
 
         Raises:
-            DamagedDataError: The stored state cannot be read.
-            OSError: The same.
+            DamagedDataError: The stored state is damaged.
+            OSError: The stored state cannot be read.
             ValueError: The stored state is of another plan.
         """
         self.plan = plan
@@ -92,24 +93,24 @@
         self.loop = asyncio.get_running_loop()
         stored = files.read_state()
         if stored and stored.plan != digest:
-            raise ValueError(f"{files.path}: is the course of another plan, or this one was changed since")
+            raise ValueError(f"{files.path}: is the state of another plan, or the plan was changed since")
         self.machine = RolloutStateMachine(plan, digest, self.loop.time(), stored)
         self.name = secrets.token_hex(NAME_BYTES)
         self.slots = {slot.name: SlotClient(slot) for slot in plan.place}
         self.tasks: set[asyncio.Task[None]] = set()
         self.comparison: tuple[int, Comparison] | None = None
-        self.baseline: tuple[float, list[Block]] | None = None  # until when, and what was measured
+        self.baseline: tuple[float, list[Block]] | None = None  # the end of the measurement, and its blocks
         self.measurement_number = 0
         self.done: asyncio.Future[None] = self.loop.create_future()
 
     async def run(self) -> RolloutState:
-        """Control the rollout until it ends, or pauses where that is not waited for.
+        """Control the rollout until it ends, or until it pauses and `waits` is false.
 
         Returns:
-            The state that it is in then.
+            The state of the rollout at that time.
 
         Raises:
-            ControllerStoppedError: This controller cannot go on.
+            ControllerStoppedError: This controller cannot continue.
         """
         try:
             for slot in self.slots.values():
@@ -131,8 +132,8 @@
             await asyncio.gather(*self.tasks, return_exceptions=True)
         return self.machine.state
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = self.loop.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
@@ -173,10 +174,10 @@
                 case StopComparison():
                     self.comparison = None
                 case QuerySlots():
-                    pass  # all are polled all the time
+                    pass  # all slots are polled continuously
 
     def _event(self, fields: dict[str, Any]) -> dict[str, Any]:
-        """Return an event of the log, with its time and the state of the rollout."""
+        """Return an entry for the event log with the current time, state and stage."""
         return {
             "at": round(time.time(), 3),
             "state": self.machine.state.value,
@@ -185,16 +186,16 @@
         }
 
     async def _tick_forever(self) -> None:
-        is_first = True
+        is_first_tick = True
         while True:
             self.files.check_ownership()
             is_paused = self.machine.state is RolloutState.PAUSED
             if command := self.files.pending_command():
                 self._handle(CommandReceived(command))
                 self.files.remove_command()
-            elif not is_first and not self.waits and is_paused and not self.done.done():
+            elif not is_first_tick and not self.waits and is_paused and not self.done.done():
                 self.done.set_result(None)
-            is_first = False
+            is_first_tick = False
             self._handle(Tick())
             await asyncio.sleep(TICK_INTERVAL_S)
 
@@ -202,7 +203,7 @@
         version = self.plan.version.get(name)
         error = ""
         if version is None or "NODE_CONFIG" not in version.environment:
-            self.report(f"{name} is not tried beside the fleet: the plan names no NODE_CONFIG for it")
+            self.report(f"{name} is not tried beside the fleet: the plan sets no NODE_CONFIG for it")
         else:
             error = await try_version(version, self.plan.roll.ready_s, self.plan.roll.end_s)
         self._handle(TrialEnded(error))
@@ -210,9 +211,9 @@
     # Slots
 
     async def _get_first_status(self, slot: SlotClient) -> None:
-        """Get a slot's status before anything else is sent to it."""
-        until = self.loop.time() + FIRST_STATUS_TIMEOUT_S
-        while not slot.status and self.loop.time() < until:
+        """Query a slot's status before any other call, for at most `FIRST_STATUS_TIMEOUT_S`."""
+        deadline = self.loop.time() + FIRST_STATUS_TIMEOUT_S
+        while not slot.status and self.loop.time() < deadline:
             try:
                 await self._get_status(slot)
             except (OSError, ValueError):
@@ -232,7 +233,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _poll(self, slot: SlotClient) -> None:
-        """Claim the slot, send an order, and handle the status."""
+        """Claim the slot if necessary, send a pending order, and handle the slot's status."""
         if not slot.claimed:
             await self._call_with_token(slot, format_call(Command.CLAIM, self.name, self.machine.token))
             slot.claimed = True
@@ -241,7 +242,7 @@
         accepted = slot.accepted_order
         await self._get_status(slot)
         if slot.order:
-            return  # the status is from before that
+            return  # a new order came in meanwhile: the status is older than it
         is_replacing = slot.status.get("state") in REPLACING_STATES
         if accepted and accepted is slot.accepted_order and not is_replacing:
             slot.accepted_order = None
@@ -252,46 +253,48 @@
         self._handle(SlotReported(slot.name, slot.version, is_replacing))
 
     async def _send_order(self, slot: SlotClient, order: ReplaceSlot | RevertSlot) -> bool:
-        """Send an order; return whether it is still the slot's current one."""
+        """Send an order, and return whether it is still the slot's current order afterwards."""
         self.files.check_ownership()
         line = format_call(Command.REPLACE, order.version, order.token)
-        answer = await self._call_with_token(slot, line)
+        response = await self._call_with_token(slot, line)
         if slot.order is not order:
             return False
-        if answer.startswith("+OK"):
+        if response.startswith("+OK"):
             slot.order, slot.accepted_order = None, order
-        elif not answer.startswith("-ERR busy"):
+        elif not response.startswith("-ERR busy"):
             slot.order = None
-            self._handle(ReplacementFailed(slot.name, answer.removeprefix("-ERR").strip()))
+            self._handle(ReplacementFailed(slot.name, response.removeprefix("-ERR").strip()))
         return True
 
     async def _call_with_token(self, slot: SlotClient, line: str) -> str:
-        """Send a call that carries the fencing token, and return the answer.
+        """Send a call that carries the fencing token, and return the response.
 
         Raises:
-            OwnershipLostError: The slot has had a higher token.
+            OwnershipLostError: The slot has received a higher token.
         """
-        answer = await call(slot.api_address, line)
-        if answer.startswith("-ERR roll "):
-            raise OwnershipLostError(f"{slot.name} says: {answer.removeprefix('-ERR').strip()}")
-        return answer
+        response = await call(slot.api_address, line)
+        if response.startswith("-ERR roll "):
+            raise OwnershipLostError(
+                f"{slot.name} rejected the call: {response.removeprefix('-ERR').strip()}"
+            )
+        return response
 
     # Measurements
 
     async def _measure_forever(self) -> None:
-        """Measure all proxies at one moment after the other, `block_s` apart."""
+        """Measure all proxies together, every `block_s`."""
         interval_s = self.plan.compare.block_s
-        due = self.loop.time()
+        due_at = self.loop.time()
         while True:
             self.measurement_number += 1
-            found = await asyncio.gather(*(self._measure(slot, due) for slot in self.slots.values()))
-            self._add_blocks([block for block in found if block], due)
-            due += interval_s
-            # This process was suspended: what it missed is over.
-            if (late_s := self.loop.time() - due) > interval_s:
-                due += interval_s * (late_s // interval_s)
+            measured = await asyncio.gather(*(self._measure(slot, due_at) for slot in self.slots.values()))
+            self._add_blocks([block for block in measured if block], due_at)
+            due_at += interval_s
+            # After a suspension of this process, the missed measurements are skipped.
+            if (late_s := self.loop.time() - due_at) > interval_s:
+                due_at += interval_s * (late_s // interval_s)
                 self.measurement_number += 1
-            await asyncio.sleep(max(0.0, due - self.loop.time()))
+            await asyncio.sleep(max(0.0, due_at - self.loop.time()))
 
     async def _measure(self, slot: SlotClient, at: float) -> Block | None:
         number, previous = self.measurement_number, slot.sample
@@ -313,9 +316,9 @@
         for block in blocks:
             self.files.append_event(self._event({"block": measurements.to_event(block)}))
         if self.baseline:
-            until, measured = self.baseline
+            deadline, measured = self.baseline
             measured += blocks
-            if at >= until:
+            if at >= deadline:
                 self.baseline = None
                 self._handle(BaselineMeasured(in_time_share(measured)))
         if self.comparison and blocks:
