--- a/firvane/proxy/rollout/child_process.py
+++ b/firvane/proxy/rollout/child_process.py
@@ -9,27 +9,27 @@
 
 
 class ChildProcess:
-    """A process with a descriptor that becomes readable when it ends."""
+    """A process with a pidfd, which becomes readable when the process exits."""
 
     def __init__(self, pid: int, started: subprocess.Popen[bytes] | None) -> None:
-        """Open a descriptor of the process.
+        """Open a pidfd of the process.
 
         Args:
-            pid: The id of the process.
-            started: The process, where it was started here; None where it was adopted.
+            pid: The process id.
+            started: The process if this supervisor started it; None if it was adopted.
 
         Raises:
-            OSError: The process is gone.
+            OSError: The process does not exist any more.
         """
         self.pid = pid
         self.started = started
         self.descriptor = os.pidfd_open(pid)
 
     def send(self, number: int) -> None:
-        """Send a signal; nothing happens where the process is gone."""
+        """Send a signal; do nothing if the process has exited."""
         with contextlib.suppress(ProcessLookupError):
             signal.pidfd_send_signal(self.descriptor, number)
 
     def exit_code(self) -> int:
-        """Return how it has ended, which is known only of a process that was started here; 0 otherwise."""
+        """Return the exit code of an exited process; 0 if it was adopted, as its code is not known then."""
         return self.started.wait() if self.started else 0
--- a/firvane/proxy/rollout/errors.py
+++ b/firvane/proxy/rollout/errors.py
@@ -1,4 +1,4 @@
-"""The errors of this package."""
+"""The errors of `firvane.proxy.rollout`."""
 
 from __future__ import annotations
 
@@ -8,11 +8,14 @@
 
 
 class CallRejectedError(RolloutError, ValueError):
-    """A call is not possible now, or not by its caller; the text is one line and is sent to the caller."""
+    """A call is rejected because of the slot's state or the caller's token.
+
+    The text is one line and is sent to the caller.
+    """
 
 
 class ControllerStoppedError(RolloutError):
-    """This controller cannot go on; the text is one line. The next one goes on from the disk."""
+    """This controller cannot continue; the next one resumes from the state on disk. The text is one line."""
 
 
 class OwnershipLostError(ControllerStoppedError):
--- a/firvane/proxy/rollout/events.py
+++ b/firvane/proxy/rollout/events.py
@@ -1,6 +1,6 @@
-"""Inputs of a rollout's state machine, and the actions that follow from them.
+"""The input events of a rollout's state machine, and the actions that it returns.
 
-A `PersistRollout` comes before the other actions of its step, and is on disk before any of them is done.
+A `PersistRollout` precedes the other actions of its step; the state is on disk before they are executed.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 
 @dataclass(frozen=True)
 class TrialEnded:
-    """The trial start of the new version beside the fleet has ended; `error` is "" where it succeeded."""
+    """The trial start of the new version beside the fleet has ended; `error` is "" if it succeeded."""
 
     error: str = ""
 
 
 @dataclass(frozen=True)
 class BaselineMeasured:
-    """The share of requests answered in time before the rollout; None: too few to say."""
+    """The share of requests answered in time before the rollout; None if there were too few requests."""
 
     in_time_share: float | None
 
 
 @dataclass(frozen=True)
 class SlotReported:
-    """The status of a slot: the version that serves there ("" where none does).
+    """The status of a slot: the version that serves ("" if none does), and whether a replacement is running.
 
-    It ends an order as well: `is_replacing` tells that the slot is still replacing.
+    A report of a slot that is not replacing can end a pending order.
     """
 
     slot: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class SlotReplaced:
-    """An order was done: that version serves in the slot now."""
+    """An order was carried out: `version` serves in the slot now."""
 
     slot: str
     version: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class ReplacementFailed:
-    """An order has failed: what served in the slot before still does."""
+    """An order has failed; the slot still has its previous version."""
 
     slot: str
     reason: str
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True)
 class SlotUnreachable:
-    """The slot's supervisor does not answer."""
+    """The slot's supervisor does not respond."""
 
     slot: str
 
 
 @dataclass(frozen=True)
 class ComparisonUpdated:
-    """The finding by now of the comparison of that number, which `StartComparison` began."""
+    """The current finding of the comparison that `StartComparison` began under this number."""
 
     finding: Finding
     number: int
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True)
 class Tick:
-    """Time has passed. Due at least once a second."""
+    """Time has passed; sent at least once per second."""
 
 
 @dataclass(frozen=True)
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class PersistRollout:
-    """Write the state to disk before going on."""
+    """Write the state to disk before the following actions."""
 
     stored: StoredRollout
 
@@ -105,21 +105,21 @@
 
 @dataclass(frozen=True)
 class MeasureBaseline:
-    """Measure the fleet for that long and report `BaselineMeasured`."""
+    """Measure the fleet for `duration_s` and report `BaselineMeasured`."""
 
     duration_s: float
 
 
 @dataclass(frozen=True)
 class QuerySlots:
-    """Query these slots and report `SlotReported` or `SlotUnreachable` of each; again every few seconds."""
+    """Query these slots every few seconds, and report `SlotReported` or `SlotUnreachable` for each."""
 
     slots: tuple[str, ...]
 
 
 @dataclass(frozen=True)
 class ReplaceSlot:
-    """Give a slot the new version."""
+    """Change a slot to the new version."""
 
     slot: str
     version: str
@@ -128,7 +128,7 @@
 
 @dataclass(frozen=True)
 class RevertSlot:
-    """Give a slot the old version again."""
+    """Change a slot back to the old version."""
 
     slot: str
     version: str
@@ -137,23 +137,23 @@
 
 @dataclass(frozen=True)
 class StartComparison:
-    """Begin a new comparison, with this part of alpha; an earlier one is over."""
+    """Begin a new comparison with this part of alpha; it replaces an earlier one."""
 
     number: int
     alpha: float
     soak_s: float
     baseline: float | None  # the in-time share before the rollout
-    covers_all: bool  # the stage is all slots: in the end there is no old side
+    covers_all: bool  # the stage replaces all slots: in the end there is no old side
 
 
 @dataclass(frozen=True)
 class StopComparison:
-    """The comparison is over."""
+    """End the current comparison."""
 
 
 @dataclass(frozen=True)
 class LogNote:
-    """A sentence for the log and the report."""
+    """A message for the event log and the report."""
 
     text: str
 
--- a/firvane/proxy/rollout/measurements.py
+++ b/firvane/proxy/rollout/measurements.py
@@ -1,11 +1,9 @@
-"""The answers of a proxy's `measures` call, and the block between two of them. Pure.
+"""Responses to a proxy's `measures` call, and the block of measurements between two of them. Pure.
 
 Invariants:
 
-1. Two samples make a block where they are of one process and no count of it goes back. Otherwise there is
-   none.
-2. What is missing or has another form is a `ValueError`: nothing is guessed for a proxy that counts
-   otherwise.
+1. Two samples make a block only if they are of the same process and no count decreases.
+2. A missing field or another format raises `ValueError`: no values are assumed for a proxy with other counts.
 """
 
 from __future__ import annotations
@@ -22,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """Counts since the start of a process."""
+    """Counts of a process since its start."""
 
     pid: int
     uptime_s: float
@@ -31,10 +29,10 @@
 
 
 def parse_sample(answer: str) -> Sample:
-    """Return the sample in an answer.
+    """Return the sample in a response.
 
     Raises:
-        ValueError: The answer holds none.
+        ValueError: The response holds no valid sample.
     """
     values = json.loads(answer.split("\n", 1)[0])
     try:
@@ -51,7 +49,7 @@
         )
         return Sample(int(values["pid"]), float(values["uptime_s"]), counts, usage)
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"these are no measures: {error!r}") from None
+        raise ValueError(f"the measurements are not valid: {error!r}") from None
 
 
 def _parse_counts(entry: Mapping[str, Any]) -> RequestCounts:
@@ -60,15 +58,15 @@
 
 
 def make_block(old: Sample, new: Sample, at: float, zone: str, side: Side, proxy: str) -> Block | None:
-    """Return the block between two samples; None where they do not follow one another.
+    """Return the block between two samples; None if they are not consecutive samples of one process.
 
     Args:
         old: The earlier sample.
         new: The later sample.
-        at: When the later one was taken, in seconds.
+        at: The time of the later sample, in seconds.
         zone: The zone of the proxy.
         side: The version of the proxy.
-        proxy: Its name.
+        proxy: The name of the proxy.
     """
     if old.pid != new.pid or old.uptime_s >= new.uptime_s:
         return None
@@ -93,7 +91,7 @@
 
 
 def to_event(block: Block) -> dict[str, Any]:
-    """Return a block as the event log has it: the sum of all classes, in which each request counts once."""
+    """Return a block as the event log stores it: summed over all classes, so that a request counts once."""
     classes = [counts for key, counts in block.counts.items() if key.startswith("class:")]
     latency: dict[int, int] = {}
     for counts in classes:
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -2,15 +2,17 @@
 
 Invariants:
 
-1. The listening socket is the supervisor's, from its start to its end: whatever dies, a client that connects
-   waits for the next process.
-2. What `PersistSlot` holds is on disk, with its folder, before what follows it is done. Where it cannot be
-   written the call is rejected, or the slot stays as it is; nothing is started or terminated for it.
-3. Processes live on when the supervisor is killed. The next one finds them by a variable in their
-   environment. It cannot have their socket back: it opens another one beside it (SO_REUSEPORT), starts the
-   same version on that, and terminates the adopted ones once that one is proven.
-4. The configuration is read again at each `place-replace` and `place-back`; of what it says then only the
-   versions and the time-outs count.
+1. The supervisor owns the listening socket for its whole lifetime: if a process dies, connecting clients wait
+   in the backlog for the next process.
+2. The state in `PersistSlot` and its directory entry are synced to disk before the following actions are
+   executed. If it cannot be written, the call is rejected or the slot is left unchanged; no process is
+   started or terminated.
+3. Processes keep running when the supervisor is killed. The next supervisor finds them by a variable in their
+   environment. It cannot recover their listening socket: it opens another one on the same address
+   (SO_REUSEPORT), starts the same version on it, and terminates the adopted processes once the new process is
+   proven.
+4. The configuration is read again for each `place-replace` and `place-back`; only its versions and time-outs
+   take effect then.
 """
 
 from __future__ import annotations
@@ -56,7 +58,7 @@
 
 SLOT_MAGIC = b"FVPL"
 FORMAT_VERSION = 1
-# The variable in the environment of a slot's processes: number, version, ops index, and the state's file.
+# Environment variable of a slot's processes: number, version, ops index and path of the state file.
 TAG_VARIABLE = "FIRVANE_PLACE"
 BACKLOG = 1024
 TICK_INTERVAL_S = 0.05
@@ -69,17 +71,17 @@
 
     Raises:
         OSError: The file cannot be read.
-        DamagedDataError: It holds no state.
+        DamagedDataError: The file holds no valid state.
     """
     _, body = verify(Path(path).read_bytes(), SLOT_MAGIC, FORMAT_VERSION, "place")
     try:
         return msgspec.msgpack.decode(body, type=StoredSlot)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise DamagedDataError(f"its words do not fit: {error}") from None
+        raise DamagedDataError(f"its fields are not valid: {error}") from None
 
 
 def encode_slot(stored: StoredSlot) -> bytes:
-    """Return the file of a slot's durable state."""
+    """Return the file content for a slot's durable state."""
     return add_header(SLOT_MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(stored))
 
 
@@ -93,17 +95,17 @@
         log: Log,
         on_closed: Callable[[], None] = lambda: None,
     ) -> None:
-        """Read the configuration and lock the slot; `open` comes next.
+        """Read the configuration and lock the slot; call `open` next.
 
         Args:
-            loop: The loop that everything runs in.
-            path: The configuration's file.
-            log: Takes a line for what happens to processes.
-            on_closed: Called when all processes have ended after `close`.
+            loop: The event loop of the supervisor.
+            path: The path of the configuration file.
+            log: The logger for the events of processes.
+            on_closed: Called when all processes have exited after `close`.
 
         Raises:
             ValidationError: The configuration is not valid.
-            OSError: Another supervisor has the slot.
+            OSError: Another supervisor has locked the slot.
         """
         self.loop = loop
         self.path = path
@@ -116,7 +118,7 @@
         self.ops_addresses = tuple(map(parse_address, self.config.ops))
         self.children: dict[int, ChildProcess] = {}
         self.probes: set[asyncio.Task[None]] = set()
-        self.probed_number = 0  # of the process that is being probed, one probe at a time
+        self.probed_number = 0  # number of the process that is being probed; there is one probe at a time
         self.connections: set[SupervisorConnection] = set()
         self.server: asyncio.Server | None = None
         self.is_released = False
@@ -130,7 +132,7 @@
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
             lock.close()
-            raise OSError(f"{self.config.state}: another keeper has this place") from None
+            raise OSError(f"{self.config.state}: another supervisor has locked this slot") from None
         return lock
 
     def _load(self) -> StoredSlot:
@@ -143,7 +145,7 @@
         return StoredSlot(self.config.version)
 
     async def open(self) -> None:
-        """Listen, adopt the processes of an earlier supervisor, and start one where none serves.
+        """Listen, adopt the processes of an earlier supervisor, and start a process if none serves.
 
         Raises:
             OSError: An address is in use, or the disk cannot be written.
@@ -155,7 +157,9 @@
         self.server = await self.loop.create_server(lambda: SupervisorConnection(self), *self.api_address)
         adopted = list(self._adopt())
         if adopted:
-            text = "their socket is not this supervisor's: another one is opened beside it"
+            text = (
+                "they use an earlier supervisor's listening socket: another one is opened on the same address"
+            )
             pids = ",".join(str(pid) for _, pid in adopted)
             self.log.warning("slot_processes_adopted", pids=pids, text=text)
         self._execute(self.slot.begin(self.loop.time(), adopted))
@@ -168,7 +172,7 @@
         self._tick()
 
     def _adopt(self) -> Iterator[tuple[ProcessTag, int]]:
-        """Yield the processes of the slot that still run, and their ids."""
+        """Yield the tags and process ids of the slot's processes that still run."""
         for pid, value in readiness_probe.find_tagged(TAG_VARIABLE):
             number, version, ops_index, state_path = [*value.split(" ", 3), "", "", ""][:4]
             with contextlib.suppress(OSError, ValueError):
@@ -178,12 +182,12 @@
                     yield tag, pid
 
     def close(self) -> None:
-        """Give the slot up: all its processes are terminated, then `on_closed` is called."""
+        """Close the slot: terminate all its processes, then call `on_closed`."""
         self._execute(self.slot.close(self.loop.time()))
         self._check_closed()
 
     def release(self) -> None:
-        """Leave the loop: processes that run are left running."""
+        """Release all resources of the supervisor; the slot's processes keep running."""
         self.is_released = True
         for probe in self.probes:
             probe.cancel()
@@ -205,7 +209,9 @@
                     self._start(tag)
                 case TerminateProcess(number):
                     self._send(number, signal.SIGTERM)
-                    self._send(number, signal.SIGCONT)  # a suspended process would not receive the first
+                    self._send(
+                        number, signal.SIGCONT
+                    )  # a stopped process handles SIGTERM only once it is continued
                 case KillProcess(number):
                     self._send(number, signal.SIGKILL)
                 case LogEvent(event, fields):
@@ -214,13 +220,13 @@
     def _send(self, number: int, signal_number: int) -> None:
         if child := self.children.get(number):
             child.send(signal_number)
-        else:  # it was never started
+        else:  # the process was never started
             self.loop.call_soon(self._on_exited, number, -signal.SIGKILL)
 
     def _start(self, tag: ProcessTag) -> None:
         version = self.config.versions.get(tag.version)
         if version is None:
-            self._on_start_failed(tag, f"{tag.version} is not in {self.path}")
+            self._on_start_failed(tag, f"version {tag.version} is not in {self.path}")
             return
         try:
             child = self._launch(version, tag)
@@ -239,7 +245,7 @@
         env |= {
             "NODE_SOCKET_FD": str(self.listener.fileno()),
             "NODE_OPS": self.config.ops[tag.ops_index],
-            "FIRVANE_VERSION": tag.version,  # reported in its measures
+            "FIRVANE_VERSION": tag.version,  # reported in the process's measurements
             TAG_VARIABLE: f"{tag.number} {tag.version} {tag.ops_index} {self.state_path}",
         }
         with contextlib.ExitStack() as files:
@@ -251,7 +257,7 @@
                 stdout=log,
                 stderr=log,
                 pass_fds=(self.listener.fileno(),),
-                start_new_session=True,  # the end of the supervisor's terminal does not end it
+                start_new_session=True,  # a hang-up of the supervisor's terminal does not end the process
             )
         return ChildProcess(process.pid, process)
 
@@ -282,14 +288,14 @@
         try:
             self._execute(self.slot.tick(self.loop.time()))
             self._begin_probe()
-        except OSError as error:  # the disk, above all: the next tick tries again
+        except OSError as error:  # mostly disk errors; the next tick tries again
             failure = error
         if failure:
             self.log.error("slot_action_failed", reason=str(failure))
         self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _begin_probe(self) -> None:
-        """Probe the candidate, one probe at a time: whether it is ready, then with requests."""
+        """Start a probe of the candidate if none is running: for readiness first, then with a request."""
         candidate = self.slot.candidate
         if candidate is None or self.probed_number == candidate.number or not candidate.pid:
             return
@@ -313,14 +319,14 @@
     async def _probe_request(self, process: SlotProcess) -> None:
         pids = [child.pid for child in self.children.values()]
         pid, is_answered = await readiness_probe.probe(self.listen_address, pids, PROBE_TIMEOUT_S)
-        # A request that was lost before any process took it counts for the candidate: the other one served.
+        # A request lost before any process accepted it counts against the candidate: the old process served.
         if pid == process.pid or (not pid and not is_answered):
             self._execute(self.slot.on_probed(self.loop.time(), process.number, is_answered))
 
     # Calls
 
     def answer(self, line: bytes) -> bytes:
-        """Return the answer to a call."""
+        """Return the response to a call."""
         try:
             call = parse_call(line)
         except InvalidCallError as error:
@@ -337,7 +343,7 @@
         return format_ok(self.slot.state.value)
 
     def _apply(self, call: ParsedCall) -> list[SlotAction]:
-        """Return the actions of a call that changes the slot."""
+        """Apply a call that changes the slot, and return the actions due."""
         now = self.loop.time()
         match call.command:
             case Command.CLAIM:
@@ -355,10 +361,10 @@
                 return self.slot.replace(now, call.argument, call.token)
 
     def _fail_unstarted_candidate(self) -> None:
-        """A call could not be persisted: what it would have started is dropped."""
+        """Drop the candidate of a call that could not be persisted, if it was not started yet."""
         if (candidate := self.slot.candidate) and not candidate.pid:
             with contextlib.suppress(OSError):
-                reason = "its place cannot be kept on disk"
+                reason = "the slot's state cannot be written to disk"
                 self._execute(self.slot.on_start_failed(self.loop.time(), candidate.number, reason))
 
     def _reload(self) -> None:
@@ -375,7 +381,7 @@
 
 
 def supervise(path: str, log: Log) -> int:
-    """Supervise a slot until SIGTERM or SIGINT, and return the exit code.
+    """Supervise a slot until SIGTERM or SIGINT, and return the exit code of the command.
 
     Raises:
         ValidationError: The configuration is not valid.
