--- a/firvane/proxy/rollout/__init__.py
+++ b/firvane/proxy/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""A rolling change of the program or its settings in stages, stopped when a stage does worse."""
+"""Staged rollout of a new version or configuration, which stops if the new version does worse."""
--- a/firvane/proxy/rollout/plan.py
+++ b/firvane/proxy/rollout/plan.py
@@ -1,12 +1,12 @@
-"""The plan of a rollout: versions, slots, stages, how versions are compared and which harm counts.
+"""The plan of a rollout: versions, slots, stages, comparison settings and harm thresholds.
 
 Invariants:
 
-1. A plan is complete: every slot and version that it names is in it.
-2. `_s` is seconds, parts are fractions of one, harms are differences between the new side and the old one.
-3. In a zone one slot may always be unavailable, however small the allowed part is.
+1. A plan is complete: it defines every slot and version that it refers to.
+2. `_s` means seconds, parts are fractions of 1, harms are differences between the new and the old side.
+3. At least one slot per zone may be unavailable, however small the allowed part is.
 
-The names of the fields are the keys of the file.
+The field names are the keys of the plan file.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 ORDER_MARGIN_S = 5.0
 DIGEST_BYTES = 16
-ROUNDING = 1e-9  # so that a part of a count that is whole stays whole
+ROUNDING = 1e-9  # so that floating-point errors do not change the rounding of integer products
 
 Positive = Annotated[float, Meta(gt=0)]
 Seconds = Annotated[float, Meta(ge=0)]
@@ -34,92 +34,92 @@
 
 
 class _Section(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Base of all sections."""
+    """Base of all sections of the plan file."""
 
 
 class RollSettings(_Section, frozen=True, kw_only=True):
-    """What is rolled out, with its time-outs, and what is done when it does worse."""
+    """The version to roll out, its time-outs, and the reaction if it does worse."""
 
     version: Name
     old: Name
     kind: Literal["program", "settings"] = "program"
     on_worse: Literal["back", "stay"] = "back"
     before_s: Seconds = 30.0  # how long the fleet is measured before the first stage
-    least_before: Share = 0.5  # share of requests answered in time then; below it the rollout pauses first
-    ready_s: Positive = 15.0  # until the new process answers ready and serves
-    prove_s: Seconds = 3.0  # how long it must go on doing so under its first requests
-    end_s: Positive = 10.0  # until the old process is killed
-    tries: Annotated[int, Meta(ge=1, le=10)] = 2  # replacements that may fail before the rollout stops
+    least_before: Share = 0.5  # share of requests answered in time during that; below it the rollout pauses
+    ready_s: Positive = 15.0  # for the new process to report ready and answer requests
+    prove_s: Seconds = 3.0  # how long the new process must keep answering its first requests
+    end_s: Positive = 10.0  # for the old process to exit before it is killed
+    tries: Annotated[int, Meta(ge=1, le=10)] = 2  # failed replacements after which the rollout stops
     ask_s: Positive = 86400.0  # how long a pause waits for an operator
-    back_s: Positive = 600.0  # how long going back waits for slots that are down
-    most_of_zone: Part = 0.34  # of its slots may be unavailable at a time
-    at_once: Annotated[int, Meta(ge=1)] = 1  # replacements in progress
+    back_s: Positive = 600.0  # how long a revert waits for unreachable slots
+    most_of_zone: Part = 0.34  # part of a zone's slots that may be unavailable at a time
+    at_once: Annotated[int, Meta(ge=1)] = 1  # replacements in progress at a time
 
     @property
     def order_timeout_s(self) -> float:
-        """Time after which an order without a result counts as failed."""
+        """The seconds after which an order without a result counts as failed."""
         return self.ready_s + self.prove_s + self.end_s + ORDER_MARGIN_S
 
 
 class Stage(_Section, frozen=True, kw_only=True):
-    """How many slots have the new version, for how long, and what follows."""
+    """One stage: how many slots get the new version, how long they are compared, and what follows."""
 
     part: Literal["one"] | Part
-    soak_s: Positive = 120.0  # of compared time, at least
-    longest_s: Positive = 900.0  # from its first replacement; then the rollout pauses
+    soak_s: Positive = 120.0  # minimum compared time
+    longest_s: Positive = 900.0  # from the first replacement; after that the rollout pauses
     at_end: Literal["go", "pause"] = "go"
 
 
 class HarmThresholds(_Section, frozen=True, kw_only=True):
-    """The least harm that counts, by metric."""
+    """The smallest difference that counts as harm, by metric."""
 
-    refused: Positive = 0.02  # share of the requests taken
+    refused: Positive = 0.02  # share of received requests
     failed: Positive = 0.02
-    late: Positive = 0.03  # not in time, for whatever reason
+    late: Positive = 0.03  # share not answered in time, for any reason
     slow: Positive = 0.05  # share above the old side's 0.9 quantile
-    attempts: Positive = 0.15  # a request
-    cpu: Positive = 0.25  # of a request, as a part of the old side's
-    memory: Positive = 0.4  # MB a minute
-    descriptors: Positive = 10.0  # a minute
-    errors: Positive = 0.2  # lines a second
+    attempts: Positive = 0.15  # per request
+    cpu: Positive = 0.25  # CPU time per request, relative to the old side's
+    memory: Positive = 0.4  # MB per minute
+    descriptors: Positive = 10.0  # per minute
+    errors: Positive = 0.2  # log lines per second
 
 
 class ComparisonSettings(_Section, frozen=True, kw_only=True):
     """How the old and the new version are compared."""
 
     alpha: Annotated[float, Meta(gt=0, lt=0.5)] = 0.05  # probability of a false alarm, over the whole rollout
-    unsure: Annotated[float, Meta(gt=0, lt=0.5)] = 0.1  # probability that FINE overlooks a harm that counts
+    unsure: Annotated[float, Meta(gt=0, lt=0.5)] = 0.1  # probability that FINE misses harm above a threshold
     block_s: Positive = 2.0
-    settle_s: Seconds = 20.0  # uptime of a process from which on it is compared
-    least_requests: Annotated[int, Meta(ge=1)] = 40  # a block and side; smaller blocks are joined
+    settle_s: Seconds = 20.0  # minimum uptime of a compared process
+    least_requests: Annotated[int, Meta(ge=1)] = 40  # per block and side; smaller blocks are merged
     least_key: Annotated[int, Meta(ge=0)] = (
-        400  # of a key on the new side; FINE does not wait for smaller ones
+        400  # requests of a key on the new side; FINE does not wait for keys with fewer
     )
     tenant_times: Annotated[float, Meta(ge=1)] = (
-        3.0  # the threshold of a tenant, as a multiple of that of a class
+        3.0  # threshold for a tenant, as a multiple of the threshold for a class
     )
-    fleet_harm: Share = 0.1  # in-time share below that before, at which nothing is compared
+    fleet_harm: Share = 0.1  # drop of the in-time share below the baseline that suspends the comparison
     harms: HarmThresholds = HarmThresholds()
 
 
 class SlotPlan(_Section, frozen=True, kw_only=True):
-    """One proxy's slot in the tier."""
+    """The slot of one proxy."""
 
     name: Name
     zone: Name
-    door: Annotated[str, Meta(min_length=1)]  # the API of its supervisor
-    ops: Annotated[str, Meta(min_length=1)]  # the admin API of its proxy
+    door: Annotated[str, Meta(min_length=1)]  # address of its supervisor's API
+    ops: Annotated[str, Meta(min_length=1)]  # address of its proxy's admin API
 
 
 class Version(_Section, frozen=True, kw_only=True):
-    """How a supervisor starts a version."""
+    """The command and environment with which a supervisor starts a version."""
 
     command: Annotated[tuple[str, ...], Meta(min_length=1)]
     environment: dict[str, str] = {}
 
 
 class Plan(_Section, frozen=True, kw_only=True):
-    """A whole plan."""
+    """The plan of a rollout."""
 
     roll: RollSettings
     version: dict[str, Version]
@@ -133,34 +133,34 @@
     compare: ComparisonSettings = ComparisonSettings()
 
     def target_count(self, stage: int) -> int:
-        """Return how many slots have the new version in a stage."""
+        """Return the number of slots that have the new version in a stage."""
         part = self.stage[stage].part
         return 1 if part == "one" else max(1, ceil(part * len(self.place) - ROUNDING))
 
     def max_unavailable(self, zone: str) -> int:
-        """Return how many slots of a zone may be unavailable at a time."""
+        """Return the number of slots of a zone that may be unavailable at a time."""
         size = sum(slot.zone == zone for slot in self.place)
         return max(1, int(self.roll.most_of_zone * size + ROUNDING))
 
     def replacement_order(self) -> tuple[str, ...]:
-        """Return the slots in the order of their replacement: from zone to zone, in each as planned."""
+        """Return the slot names in replacement order: round-robin over zones, in plan order within each."""
         zones: dict[str, list[str]] = {}
         for slot in self.place:
             zones.setdefault(slot.zone, []).append(slot.name)
         rounds = max(map(len, zones.values()))
-        # The largest zones first: there the new version has old neighbours to be compared with.
+        # Largest zones first: there, old proxies remain in the zone for the comparison.
         by_size = sorted(zones.values(), key=len, reverse=True)
         return tuple(names[n] for n in range(rounds) for names in by_size if n < len(names))
 
 
 def find_inconsistencies(plan: Plan) -> Iterator[tuple[str, str]]:
-    """Yield the key and the reason of each value that does not fit the others."""
+    """Yield the key and the reason of each value that is inconsistent with others."""
     for key in ("version", "old"):
         name = getattr(plan.roll, key)
         if plan.roll.kind == "program" and name not in plan.version:
             yield f"roll.{key}", f"must be one of {', '.join(sorted(plan.version)) or 'the versions'}"
     if plan.roll.version == plan.roll.old:
-        yield "roll.version", "is the old one"
+        yield "roll.version", "must differ from roll.old"
     yield from _find_duplicates(plan.place)
     yield from _find_stage_inconsistencies(plan)
 
@@ -171,7 +171,7 @@
         for n, slot in enumerate(slots):
             value = getattr(slot, key)
             if value in seen:
-                yield f"place[{n}].{key}", f"is that of place[{seen[value]}] already"
+                yield f"place[{n}].{key}", f"is used by place[{seen[value]}] already"
             seen.setdefault(value, n)
 
 
@@ -179,24 +179,24 @@
     parts = [0.0 if stage.part == "one" else stage.part for stage in plan.stage]
     for n in range(1, len(parts)):
         if parts[n - 1] >= parts[n]:
-            yield f"stage[{n}].part", "must be more than the stage's before it"
+            yield f"stage[{n}].part", "must be more than that of the previous stage"
     last = len(parts) - 1
     if plan.target_count(last) < len(plan.place):
-        yield f"stage[{last}].part", "must be 1.0: the last stage is all"
+        yield f"stage[{last}].part", "must be 1.0: the last stage covers all slots"
     for n, stage in enumerate(plan.stage):
         least = stage.soak_s + plan.compare.settle_s
         if stage.longest_s <= least:
-            yield f"stage[{n}].longest_s", f"must be above soak_s and compare.settle_s together, {least:g}"
+            yield f"stage[{n}].longest_s", f"must be above the sum of soak_s and compare.settle_s, {least:g}"
 
 
 CHECKS: validation.Checks = {Plan: find_inconsistencies}
 
 
 def parse(text: bytes, name: str = "plan") -> Plan:
-    """Return the plan in a text.
+    """Return the plan in the text of a plan file.
 
     Raises:
-        ValidationError: With everything that is wrong with it.
+        ValidationError: The plan is not valid; the error lists all violations.
     """
     return validation.build(validation.parse(text, name), Plan, name, CHECKS)
 
--- a/firvane/proxy/rollout/supervisor_config.py
+++ b/firvane/proxy/rollout/supervisor_config.py
@@ -1,10 +1,10 @@
-"""The configuration of a supervisor: one slot, its addresses, and how each version is started. TOML.
+"""The TOML configuration of a supervisor: one slot, its addresses, and how each version is started.
 
 Invariants:
 
-1. A version is a command and an environment. Other settings of one program are a version, too: the same
-   command, and another configuration file.
-2. The command is the program itself: a shell that waits for it would be terminated in its place.
+1. A version is a command and an environment. The same program with other settings is another version: the
+   same command with another configuration file.
+2. The command starts the program itself: a wrapping shell would receive the signals instead of the program.
 """
 
 from __future__ import annotations
@@ -24,16 +24,18 @@
 
 
 class SupervisorConfig(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """The configuration of one slot; the names of the fields are the keys of the file."""
+    """The configuration of one slot; the field names are the keys of the file."""
 
     name: Name
     zone: Name
-    listen: str  # the clients' address, which the supervisor listens on
+    listen: str  # the address for clients; the supervisor listens on it
     door: str  # the address of the supervisor's API
-    ops: Annotated[tuple[str, ...], Meta(min_length=2)]  # one for each process that is there at a time
-    state: Annotated[str, Meta(min_length=1)]  # the file of the slot's durable state
-    version: Name  # that serves where the state's file says nothing
-    log: str = ""  # the file that processes write to; "": where the supervisor writes
+    ops: Annotated[
+        tuple[str, ...], Meta(min_length=2)
+    ]  # admin API addresses, one for each process that can run at a time
+    state: Annotated[str, Meta(min_length=1)]  # path of the slot's durable state
+    version: Name  # the version to serve if there is no state file
+    log: str = ""  # path of the log file of the processes; "" for the output of the supervisor
     ready_s: Seconds = 30.0
     prove_s: Seconds = 2.0
     end_s: Seconds = 5.0
@@ -46,7 +48,7 @@
 
 
 def find_inconsistencies(config: SupervisorConfig) -> Iterator[tuple[str, str]]:
-    """Yield the key and the reason of each value that does not fit the others."""
+    """Yield the key and the reason of each value that is inconsistent with others."""
     addresses = {"listen": config.listen, "door": config.door}
     addresses |= {f"ops[{n}]": address for n, address in enumerate(config.ops)}
     seen: dict[str, str] = {}
@@ -56,7 +58,7 @@
         except ValueError as error:
             yield key, str(error)
         if address in seen:
-            yield key, f"is that of {seen[address]} already"
+            yield key, f"is used by {seen[address]} already"
         seen.setdefault(address, key)
     if config.version not in config.versions:
         yield "version", f"must be one of {', '.join(sorted(config.versions)) or 'the versions'}"
@@ -66,14 +68,14 @@
 
 
 def is_supervisor_config(raw: object) -> bool:
-    """Whether bare data is meant as a supervisor's configuration."""
+    """Whether unvalidated data is a supervisor's configuration, by its keys."""
     return isinstance(raw, dict) and "versions" in raw and "door" in raw
 
 
 def read(path: str) -> SupervisorConfig:
-    """Return the configuration in a file.
+    """Return the supervisor configuration in a file.
 
     Raises:
-        ValidationError: With everything that is wrong with it.
+        ValidationError: The configuration is not valid; the error lists all violations.
     """
     return validation.read(path, SupervisorConfig, CHECKS)
