--- a/firvane/proxy/rollout/readiness_probe.py
+++ b/firvane/proxy/rollout/readiness_probe.py
@@ -1,8 +1,7 @@
-"""Probes of a process from outside, for any program: whether it is ready, whether it serves, and which it is.
+"""External probes: whether a process is ready, whether it serves, and which process accepts a connection.
 
-Two processes that accept from one listening socket look alike to a client. The kernel tells which of them has
-a
-connection: the socket that has accepted it is among the descriptors of one of them.
+A client cannot distinguish two processes that accept from the same listening socket. /proc shows which of
+them has a connection: the accepted socket is among the descriptors of that process.
 """
 
 from __future__ import annotations
@@ -20,25 +19,25 @@
 
 ACCEPT_POLL_INTERVAL_S = 0.01
 UP_REQUEST = b"GET /up HTTP/1.1\r\nHost: place\r\n\r\n"
-INODE_COLUMN = 9  # of /proc/net/tcp; the columns 1 and 2 are the addresses
+INODE_COLUMN = 9  # of /proc/net/tcp; columns 1 and 2 are the local and the remote address
 
 
 class ProbeResult(NamedTuple):
-    """The result of a request."""
+    """The result of a probe request."""
 
-    pid: int  # of the process that took it; 0: none of the known ones did
+    pid: int  # the process that accepted the request; 0 if it is none of the known processes
     is_answered: bool
 
 
 class AcceptedSocket(NamedTuple):
-    """The other end of a connection."""
+    """The server's end of a connection."""
 
-    inode: int  # 0: it has not been accepted yet, or is gone
-    is_accepted: bool  # or gone
+    inode: int  # 0 if the connection has not been accepted yet, or is closed
+    is_accepted: bool  # true also for a closed connection
 
 
 async def is_ready(address: Address, timeout_s: float) -> bool:
-    """Whether the admin API at the address reports readiness within the time."""
+    """Whether the admin API at the address reports readiness within the time-out."""
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection(*address)
@@ -47,12 +46,12 @@
                 return (await reader.readline()).startswith(b"+OK")
             finally:
                 writer.transport.abort()
-    except (OSError, ValueError):  # TimeoutError is the former, a line without an end the latter
+    except (OSError, ValueError):  # TimeoutError is an OSError; a line that is too long raises ValueError
         return False
 
 
 async def probe(address: Address, pids: Sequence[int], timeout_s: float) -> ProbeResult:
-    """Send a request, and find out which of the processes took it, and whether it answered in time."""
+    """Send a request; return which of the processes accepted it, and whether it was answered in time."""
     pid = 0
     try:
         async with asyncio.timeout(timeout_s):
@@ -61,9 +60,9 @@
                 local_address = writer.get_extra_info("sockname")
                 while not pid:
                     inode, is_accepted = find_accepted(local_address, address)
-                    pid = next((one for one in pids if inode and has_socket(one, inode)), 0)
+                    pid = next((known for known in pids if inode and has_socket(known, inode)), 0)
                     if is_accepted and not pid:
-                        break  # another's, or gone already
+                        break  # accepted by another process, or closed already
                     if not pid:
                         await asyncio.sleep(ACCEPT_POLL_INTERVAL_S)
                 writer.write(UP_REQUEST)
@@ -75,7 +74,7 @@
 
 
 def find_accepted(local_address: Address, address: Address) -> AcceptedSocket:
-    """Return the other end of a connection from `local_address` to `address`."""
+    """Return the server's end of a connection from `local_address` to `address`."""
     wanted = [_hex(address), _hex(local_address)]
     with Path("/proc/net/tcp").open(encoding="ascii") as table:
         for row in table:
@@ -93,7 +92,7 @@
 
 
 def has_socket(pid: int, inode: int) -> bool:
-    """Whether a process has the socket of that inode."""
+    """Whether a process has a descriptor of the socket with this inode."""
     wanted = f"socket:[{inode}]"
     with contextlib.suppress(OSError):
         for descriptor in Path(f"/proc/{pid}/fd").iterdir():
@@ -104,9 +103,9 @@
 
 
 def find_tagged(variable: str) -> Iterator[tuple[int, str]]:
-    """Yield the ids of the processes with this variable in their environment, and its value in each.
+    """Yield the id and the value of each session leader with this environment variable.
 
-    What they have started themselves has it, too, and is left out: it leads no session.
+    Child processes of these inherit the variable; they are left out, as they lead no session.
     """
     prefix = f"{variable}=".encode()
     for folder in Path("/proc").glob("[0-9]*"):
--- a/firvane/proxy/rollout/rollout_files.py
+++ b/firvane/proxy/rollout/rollout_files.py
@@ -1,13 +1,14 @@
-"""The files of a rollout: its state with a checksum, its owner, an operator's command, and the event log.
+"""The files of a rollout: checksummed state, owner's lock, pending operator command, and event log.
 
 Invariants:
 
-1. The state is complete and synced before anything that it says is done. The state of another plan is
+1. The state is written completely and synced before its actions are executed. The state of another plan is
    rejected.
-2. One process owns the rollout: it holds a lock. A process that takes it over puts another lock file in its
-   place; the previous owner finds that out before it writes again, and slots reject what it has sent by then.
-3. A command lies in a file until the rollout has received it, whether one runs or not. The last one counts.
-4. An event is a line of JSON, appended and never changed. A line that is cut is skipped.
+2. The owner of the rollout holds a file lock. A process that takes over replaces the lock file; the previous
+   owner detects this before its next write, and slots reject the calls that it sends until then.
+3. A command stays in a file until a controller has received it, even if none is running. A later command
+   overwrites an earlier one.
+4. An event is one line of JSON, appended and never changed. Readers skip a truncated line.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 
 
 class RolloutFiles:
-    """The files of one rollout, all beside `path`."""
+    """The files of one rollout: the state at `path`, the others at `path` with a suffix."""
 
     def __init__(self, path: str | os.PathLike[str]) -> None:
         self.path = Path(path)
@@ -50,10 +51,10 @@
     # Ownership
 
     def acquire(self, take_over: bool = False) -> None:
-        """Own the rollout from now on.
+        """Take ownership of the rollout.
 
         Raises:
-            OwnershipLostError: Another process owns it, and it is not to be taken over.
+            OwnershipLostError: Another process owns the rollout, and `take_over` is false.
         """
         if take_over:
             self.lock_path.unlink(missing_ok=True)
@@ -65,20 +66,20 @@
             except OSError:
                 lock.close()
                 attempts -= 1
-                if attempts:  # `owner` locks it for a moment, too
+                if attempts:  # `owner` of another process may hold the lock briefly
                     time.sleep(LOCK_RETRY_INTERVAL_S)
                     continue
                 raise OwnershipLostError(f"process {self.owner() or 'unknown'} has {self.path}") from None
             if self._is_current(lock):
                 break
-            lock.close()  # it was replaced between the two
+            lock.close()  # the lock file was replaced between `open` and `flock`
         lock.truncate(0)
         lock.write(f"{os.getpid()}\n".encode())
         lock.flush()
         self.lock = lock
 
     def owner(self) -> int:
-        """Return the id of the process that owns the rollout; 0 where none does."""
+        """Return the id of the process that owns the rollout; 0 if no process does."""
         try:
             with self.lock_path.open("rb") as lock:
                 try:
@@ -95,12 +96,12 @@
         return False
 
     def check_ownership(self) -> None:
-        """Raise `OwnershipLostError` where another process owns the rollout by now."""
+        """Raise `OwnershipLostError` if another process has taken over the rollout."""
         if self.lock is None or not self._is_current(self.lock):
             raise OwnershipLostError(f"another process has taken {self.path} over")
 
     def release(self) -> None:
-        """Close the files; the rollout has no owner any more."""
+        """Close the files, and give up the ownership of the rollout."""
         for file in (self.lock, self.events):
             if file:
                 file.close()
@@ -109,29 +110,29 @@
     # The state
 
     def read_state(self) -> StoredRollout | None:
-        """Return the state, None where there is none.
+        """Return the stored state; None if there is no file.
 
         Raises:
-            DamagedDataError: The file holds no state.
-            OSError: It cannot be read.
+            DamagedDataError: The file holds no valid state.
+            OSError: The file cannot be read.
         """
         try:
             with self.path.open("rb") as file:
                 data = file.read(MAX_STATE_BYTES + 1)
         except FileNotFoundError:
             return None
-        _, body = verify(data, STATE_MAGIC, FORMAT_VERSION, "course of a roll")
+        _, body = verify(data, STATE_MAGIC, FORMAT_VERSION, "state of a rollout")
         try:
             return msgspec.msgpack.decode(body, type=StoredRollout)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise DamagedDataError(f"its words do not fit: {error}") from None
+            raise DamagedDataError(f"its fields are not valid: {error}") from None
 
     def write_state(self, state: StoredRollout) -> None:
         """Write the state; it is on disk when this returns.
 
         Raises:
             OwnershipLostError: Another process owns the rollout.
-            ControllerStoppedError: It cannot be written.
+            ControllerStoppedError: The file cannot be written.
         """
         self.check_ownership()
         body = msgspec.msgpack.encode(state)
@@ -144,11 +145,11 @@
     # Commands
 
     def write_command(self, command: OperatorCommand) -> None:
-        """Leave a command for the owner of the rollout."""
+        """Write a command for the owner of the rollout."""
         write_atomically(self.command_path, command.value.encode())
 
     def pending_command(self) -> OperatorCommand | None:
-        """Return the pending command; a file that holds none is removed."""
+        """Return the pending command; remove a file without a valid command."""
         try:
             return OperatorCommand(self.command_path.read_text().strip())
         except FileNotFoundError:
@@ -158,20 +159,20 @@
             return None
 
     def remove_command(self) -> None:
-        """Remove the pending command, which has been received."""
+        """Remove the pending command after it was received."""
         self.command_path.unlink(missing_ok=True)
 
     # Events
 
     def append_event(self, event: dict[str, Any]) -> None:
-        """Append an event; a full disk costs the report a line and the rollout nothing."""
+        """Append an event; if writing fails, the report lacks it, and the rollout continues."""
         with contextlib.suppress(OSError):
             if self.events is None:
                 self.events = self.events_path.open("ab", buffering=0)
             self.events.write(json.dumps(event, separators=(",", ":")).encode() + b"\n")
 
     def read_events(self) -> Iterator[dict[str, Any]]:
-        """Yield all events, from the first."""
+        """Yield all events in the order in which they were appended."""
         with contextlib.suppress(FileNotFoundError), self.events_path.open("rb") as file:
             for line in file:
                 with contextlib.suppress(ValueError):
--- a/firvane/proxy/rollout/rollout_state.py
+++ b/firvane/proxy/rollout/rollout_state.py
@@ -1,4 +1,4 @@
-"""The states of a rollout, the causes of transitions, the commands of operators, and the stored state."""
+"""The states of a rollout, causes of transitions, operator commands, and the stored state."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
     GOING_BACK = "going back"
     DONE = "done"
     BACK = "back"  # all slots have the old version again
-    GIVEN_UP = "given up"  # an operator has to look: `StoredRollout.why` says at what
+    GIVEN_UP = "given up"  # needs an operator: `StoredRollout.why` has the reason
 
 
 FINAL_STATES = frozenset((RolloutState.DONE, RolloutState.BACK, RolloutState.GIVEN_UP))
 
 
 class TransitionCause(Enum):
-    """Why a rollout went from one state to the next; the values are stored."""
+    """The cause of a transition between states; the values are stored."""
 
     BEGUN = "the trial and the fleet are well"
     REFUSED = "the trial of the new version failed"
@@ -47,7 +47,7 @@
 
 
 class OperatorCommand(Enum):
-    """What an operator may ask for; the values are words of the command line."""
+    """The commands of an operator; the values are arguments of the command line."""
 
     GO = "go"
     PAUSE = "pause"
@@ -56,19 +56,19 @@
 
 @dataclass(frozen=True)
 class StoredRollout:
-    """The durable state of a rollout; stored by the names of the fields, which are the file's format."""
+    """The durable state of a rollout; the field names are the file format."""
 
-    plan: str  # the digest of the plan's text, which whoever reads it checks
-    roll: int = 0  # the fencing token: incremented by each take-over, slots reject a lower one
+    plan: str  # the digest of the plan's text; readers compare it with their plan's
+    roll: int = 0  # the fencing token: incremented at each take-over; slots reject a lower token
     state: RolloutState = RolloutState.PLANNED
     stage: int = 0
-    spent: float = 0.0  # s in this state (of the stage while replacing and comparing) at the last write
-    ordered: Mapping[str, str] = field(default_factory=dict)  # by slot, the version it may be changing to
+    spent: float = 0.0  # seconds in this state (in the stage while replacing and comparing) at the last write
+    ordered: Mapping[str, str] = field(default_factory=dict)  # by slot, the version of its pending order
     new: tuple[str, ...] = ()  # slots that have the new version, or may have it
     failures: Mapping[str, int] = field(default_factory=dict)  # failed replacements by slot
-    comparisons: int = 0  # begun in all: each has its own part of alpha
+    comparisons: int = 0  # number of comparisons begun; each has its own part of alpha
     before: float | None = None  # the in-time share before the rollout
     tried: bool = False  # the trial has succeeded
-    accepts: bool = False  # where paused: whether GO ends the stage
+    accepts: bool = False  # while paused: whether GO ends the stage
     cause: TransitionCause | None = None  # of the last transition
-    why: str = ""  # the sentence to it
+    why: str = ""  # the reason of the last transition, as text
--- a/firvane/proxy/rollout/slot_client.py
+++ b/firvane/proxy/rollout/slot_client.py
@@ -1,4 +1,4 @@
-"""A controller's view of one slot, and calls to its supervisor's and its proxy's API."""
+"""A controller's view of one slot, and calls to the APIs of its supervisor and its proxy."""
 
 from __future__ import annotations
 
@@ -10,46 +10,48 @@
 from firvane.proxy.rollout.plan import SlotPlan
 
 CALL_TIMEOUT_S = 2.0
-MAX_ANSWER_BYTES = 1 << 20
+MAX_RESPONSE_BYTES = 1 << 20
 
 
 async def call(address: Address, line: str, timeout_s: float = CALL_TIMEOUT_S) -> str:
-    """Send a line to an API, and return the answer.
+    """Send a line to an API, and return the response.
 
     Raises:
-        OSError: There is no answer in time, or it is not complete.
+        OSError: The response does not arrive in time, or is not complete.
     """
     async with asyncio.timeout(timeout_s):
-        reader, writer = await asyncio.open_connection(*address, limit=MAX_ANSWER_BYTES)
+        reader, writer = await asyncio.open_connection(*address, limit=MAX_RESPONSE_BYTES)
         try:
             writer.write(line.encode() + b"\n")
-            answer = await _read_answer(reader)
+            response = await _read_response(reader)
         finally:
             writer.transport.abort()
-    is_one_line = answer[:1] in (b"+", b"-") and answer.endswith(b"\n")
-    if not is_one_line and not answer.endswith(b"\n.\n"):
-        raise OSError("the answer was cut off" if answer else "the call was closed")
-    return answer.decode(errors="replace")
+    is_single_line = response[:1] in (b"+", b"-") and response.endswith(b"\n")
+    if not is_single_line and not response.endswith(b"\n.\n"):
+        raise OSError(
+            "the response was truncated" if response else "the connection was closed without a response"
+        )
+    return response.decode(errors="replace")
 
 
-async def _read_answer(reader: asyncio.StreamReader) -> bytes:
-    answer = await reader.read(MAX_ANSWER_BYTES)
-    while more := await reader.read(MAX_ANSWER_BYTES):
-        answer += more
-        if len(answer) > MAX_ANSWER_BYTES:
-            raise OSError("the answer has no end")
-    return answer
+async def _read_response(reader: asyncio.StreamReader) -> bytes:
+    response = await reader.read(MAX_RESPONSE_BYTES)
+    while chunk := await reader.read(MAX_RESPONSE_BYTES):
+        response += chunk
+        if len(response) > MAX_RESPONSE_BYTES:
+            raise OSError("the response is too long")
+    return response
 
 
 class SlotClient:
-    """One slot as its controller sees it.
+    """A controller's view of one slot.
 
     Attributes:
-        status: The last status of the supervisor.
-        unanswered: How many calls in a row have had no answer.
-        claimed: Whether the slot has this controller's fencing token.
-        order: The order that the slot does not have yet.
-        accepted_order: The order that the slot has, and whose result is not known.
+        status: The last status that the supervisor reported.
+        unanswered: The number of consecutive calls without a response.
+        claimed: Whether the slot was claimed with this controller's fencing token.
+        order: The order that the slot has not accepted yet.
+        accepted_order: The order that the slot has accepted, and whose result is not known yet.
         sample: The number of the last measurement and its sample.
     """
 
@@ -66,13 +68,13 @@
         self.sample: tuple[int, measurements.Sample] | None = None
 
     def update(self, status: dict[str, str]) -> None:
-        """Take a new status."""
+        """Store a new status, and follow the ops address in it."""
         self.status, self.unanswered = status, 0
         if ":" in status.get("ops", ""):
             self.ops_address = parse_address(status["ops"])
 
     @property
     def version(self) -> str:
-        """The version that serves; "" where none does."""
+        """The version that serves; "" if none does."""
         version = self.status.get("version", "-")
         return "" if version == "-" else version
--- a/firvane/proxy/rollout/supervisor_calls.py
+++ b/firvane/proxy/rollout/supervisor_calls.py
@@ -1,10 +1,10 @@
-"""The calls of a supervisor's API: one line to a connection, as the admin API has them.
+"""The calls of a supervisor's API: one line per connection, as in the admin API.
 
 Invariants:
 
-1. A call that is read is complete and valid; any other one is an `InvalidCallError` whose reason repeats
-   nothing of it.
-2. All calls but `place-status` carry the fencing token of the rollout: a slot rejects a lower one.
+1. A parsed call is complete and valid; for any other line `InvalidCallError` is raised, whose text does not
+   repeat input.
+2. All calls but `place-status` carry the fencing token of the rollout; a slot rejects a lower token.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Command(Enum):
-    """What can be asked of a supervisor; the values are the words of the API."""
+    """The commands of a supervisor; the values are their names in the API."""
 
     STATUS = "place-status"
     CLAIM = "place-claim"
@@ -30,7 +30,7 @@
 
 
 class ParsedCall(NamedTuple):
-    """A complete call."""
+    """A complete, valid call."""
 
     command: Command
     argument: str = ""  # the version, or the name of a controller
@@ -48,27 +48,27 @@
 
 
 def format_call(command: Command, argument: str = "", token: int = 0) -> str:
-    """Return the line of a call, without its line feed."""
+    """Return the line of a call without its line feed."""
     arguments = ARGUMENTS[command].replace("VERSION", argument).replace("NAME", argument)
     return f"{command.value} {arguments.replace('ROLL', str(token))}".rstrip()
 
 
 def parse_call(data: bytes) -> ParsedCall:
-    """Return the call of a line without its line feed.
+    """Return the call in a line without its line feed.
 
     Raises:
-        Useless: The line is no call.
+        InvalidCallError: The line is not a valid call.
     """
     if len(data) > MAX_LINE_BYTES:
         raise InvalidCallError(f"a call has {MAX_LINE_BYTES} bytes at the most")
-    name, *words = data.decode("ascii", "replace").split() or [""]
+    name, *arguments = data.decode("ascii", "replace").split() or [""]
     command = COMMANDS.get(name)
     if command is None:
         raise InvalidCallError("unknown call: there are " + ", ".join(COMMANDS))
     names = ARGUMENTS[command].split()
-    if len(words) != len(names):
+    if len(arguments) != len(names):
         raise InvalidCallError(f"the call is {command.value} {ARGUMENTS[command]}".rstrip())
-    values = dict(zip(names, words, strict=True))
+    values = dict(zip(names, arguments, strict=True))
     token, argument = values.pop("ROLL", "0"), next(iter(values.values()), "")
     if not re.fullmatch("[0-9]{1,9}", token):
         raise InvalidCallError(f"{command.value}: the roll is not a whole number")
@@ -78,17 +78,17 @@
 
 
 def format_status(fields: Mapping[str, str | int]) -> str:
-    """Return a status as text: a name and its value on each line."""
+    """Return a status as text, with a name and its value on each line."""
     return "\n".join(f"{name} {value}" for name, value in fields.items())
 
 
-def parse_status(answer: str) -> dict[str, str]:
-    """Return the status in an answer.
+def parse_status(response: str) -> dict[str, str]:
+    """Return the status in a response.
 
     Raises:
-        ValueError: The answer is no status.
+        ValueError: The response is not a status.
     """
-    lines = answer.splitlines()
+    lines = response.splitlines()
     if len(lines) < MIN_STATUS_LINES or lines[-1] != ".":
-        raise ValueError(answer.strip().removeprefix("-ERR ") or "nothing")
+        raise ValueError(response.strip().removeprefix("-ERR ") or "nothing")
     return {name: value for name, _, value in (line.partition(" ") for line in lines[:-1])}
--- a/firvane/proxy/rollout/supervisor_connection.py
+++ b/firvane/proxy/rollout/supervisor_connection.py
@@ -1,4 +1,4 @@
-"""A connection to a supervisor's API: one line, one answer, closed."""
+"""A connection to a supervisor's API: one call line, one response, then it is closed."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 
 class Handler(Protocol):
-    """What answers calls."""
+    """The object that answers the calls of connections."""
 
     loop: asyncio.AbstractEventLoop
     connections: set[SupervisorConnection]
 
     def answer(self, line: bytes) -> bytes:
-        """Return the answer to a call."""
+        """Return the response to a call."""
 
 
 class SupervisorConnection(asyncio.Protocol):
-    """One connection."""
+    """One connection to a supervisor's API."""
 
     def __init__(self, handler: Handler) -> None:
         self.handler = handler
@@ -32,7 +32,7 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Close the connection where there are too many, or after `CONNECTION_TIMEOUT_S`."""
+        """Close the connection at once if there are too many, or after `CONNECTION_TIMEOUT_S`."""
         self.transport = cast(asyncio.Transport, transport)
         if len(self.handler.connections) >= MAX_CONNECTIONS:
             transport.close()
@@ -41,11 +41,11 @@
         self.handler.loop.call_later(CONNECTION_TIMEOUT_S, partial(self.transport.abort))
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Forget the connection."""
+        """Remove the connection from the handler."""
         self.handler.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Answer the first line; a line that is too long is answered as it is."""
+        """Answer the first line; a line that is too long is answered without waiting for its end."""
         if self.answered:
             return
         self.received += data
@@ -54,7 +54,7 @@
             self._send(self.handler.answer(line.strip()))
 
     def eof_received(self) -> None:
-        """Answer a call that was cut off."""
+        """Reject a truncated call."""
         if not self.answered:
             self._send(format_error("the call has no end: a line feed is missing"))
 
--- a/firvane/proxy/rollout/trial_start.py
+++ b/firvane/proxy/rollout/trial_start.py
@@ -1,4 +1,4 @@
-"""The trial start of a version beside the fleet: on a socket of its own, with no client but this one."""
+"""The trial start of a version beside the fleet: on a separate socket, with this process as only client."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 async def try_version(version: Version, ready_timeout_s: float, termination_timeout_s: float) -> str:
     """Start a version, and return why it cannot be rolled out.
 
-    The version must bind its admin API with SO_REUSEADDR, as firvane does: the port is reserved by a socket
-    here that is bound and does not listen.
+    The version must bind its admin API with SO_REUSEADDR, as firvane does: this process reserves the port
+    with a bound socket that does not listen.
 
     Args:
-        version: How it is started.
-        ready_timeout_s: How long it may take to be ready and to answer a request.
-        termination_timeout_s: How long it may take to end after SIGTERM.
+        version: The command and environment of the version.
+        ready_timeout_s: Seconds to become ready and to answer a request.
+        termination_timeout_s: Seconds to exit after SIGTERM.
 
     Returns:
-        "" where it became ready, answered a request, and ended when it was told to.
+        The reason; "" if the version became ready, answered a request, and exited after SIGTERM.
     """
     with socket.create_server(("127.0.0.1", 0), backlog=BACKLOG) as listener, _reserve_port() as reserved:
         listen, ops = listener.getsockname(), reserved.getsockname()
@@ -67,41 +67,41 @@
 async def _check_serving(
     process: subprocess.Popen[bytes], listen: Address, ops: Address, timeout_s: float
 ) -> str:
-    """Return why the process is not ready, or answers no request; "" where it does."""
+    """Return why the process is not ready or answers no request; "" if it is ready and answers."""
     loop = asyncio.get_running_loop()
-    until = loop.time() + timeout_s
+    deadline = loop.time() + timeout_s
     while not await readiness_probe.is_ready(ops, ANSWER_TIMEOUT_S):
         if process.poll() is not None:
             return f"it ended with code {process.returncode} at its start"
-        if loop.time() >= until:
+        if loop.time() >= deadline:
             return f"it is not ready after {timeout_s:g} s"
         await asyncio.sleep(POLL_INTERVAL_S)
     while not (await readiness_probe.probe(listen, (process.pid,), ANSWER_TIMEOUT_S)).is_answered:
         if process.poll() is not None:
             return f"it ended with code {process.returncode} under its first request"
-        if loop.time() >= until:
-            return "it says that it is ready, and serves nothing"
+        if loop.time() >= deadline:
+            return "it reports ready but answers no requests"
         await asyncio.sleep(POLL_INTERVAL_S)
     return ""
 
 
 async def _check_termination(process: subprocess.Popen[bytes], timeout_s: float) -> str:
-    """Terminate the process; return that it does not end in time, "" where it does."""
+    """Terminate the process; return an error text if it does not exit in time, else ""."""
     loop = asyncio.get_running_loop()
     process.terminate()
-    until = loop.time() + timeout_s
+    deadline = loop.time() + timeout_s
     while process.poll() is None:
-        if loop.time() >= until:
-            return f"it does not end within {timeout_s:g} s when told to"
+        if loop.time() >= deadline:
+            return f"it does not exit within {timeout_s:g} s after SIGTERM"
         await asyncio.sleep(POLL_INTERVAL_S)
     return ""
 
 
 def _reserve_port() -> socket.socket:
-    """Return a socket with a port that is no other process's while it is open.
+    """Return a bound socket that reserves a port while it is open.
 
-    The kernel gives the port to none that asks for any, and lets a socket with SO_REUSEADDR bind it that asks
-    for this one. Closed before the version has come so far, it would go to whoever is first.
+    The kernel does not assign the port to sockets that bind port 0, but a socket with SO_REUSEADDR can bind
+    it explicitly. If this socket were closed before the version binds the port, another process could get it.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
