--- a/tests/proxy/rollout/test_plan.py
+++ b/tests/proxy/rollout/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans: what is read, and every fault at once."""
+"""Plans: defaults, and the violations of invalid plans."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 )
 
 
-def test_a_plan_has_stages_by_itself_and_is_known_by_its_text() -> None:
+def test_a_plan_has_default_stages_and_a_digest_of_its_text() -> None:
     plan = parse(PLAN.encode())
     assert [plan.target_count(n) for n in range(4)] == [1, 2, 6, 12]
-    assert plan.replacement_order()[:4] == ("p0", "p1", "p2", "p3")  # from zone to zone
+    assert plan.replacement_order()[:4] == ("p0", "p1", "p2", "p3")  # round-robin over zones
     assert plan.max_unavailable("z0") == 1 and plan.max_unavailable("nowhere") == 1
     assert digest(PLAN.encode()) != digest(PLAN.encode() + b"\n")
 
@@ -49,13 +49,13 @@
          ["compare.alpha", "compare.harms.refuse"]),
     ],
 )  # fmt: skip
-def test_every_fault_of_a_plan_is_told_at_once(old: str, new: str, keys: list[str]) -> None:
-    with pytest.raises(validation.ValidationError) as found:
+def test_all_violations_of_a_plan_are_reported_together(old: str, new: str, keys: list[str]) -> None:
+    with pytest.raises(validation.ValidationError) as raised:
         parse(PLAN.replace(old, new).encode())
-    assert [fault.key for fault in found.value.violations] == keys
+    assert [violation.key for violation in raised.value.violations] == keys
 
 
-def test_check_knows_a_plan(tmp_path: Path, capsys: Any) -> None:
+def test_the_check_command_accepts_a_plan(tmp_path: Path, capsys: Any) -> None:
     file = tmp_path / "roll.toml"
     file.write_text(PLAN)
     assert main(["check", str(file)]) == 0
--- a/tests/proxy/rollout/test_slot.py
+++ b/tests/proxy/rollout/test_slot.py
@@ -1,4 +1,4 @@
-"""A place's table: what it never does, whatever dies when; each promise has a mutant that breaks it."""
+"""The state machine of a slot: invariants under random crashes and calls, and a mutant for each of them."""
 
 from __future__ import annotations
 
@@ -32,8 +32,9 @@
 
 TIMES = ProcessTimeouts(ready_s=2.0, proving_s=0.5, termination_s=1.0)
 STEP = 0.1
-# How a version behaves: s until it is ready, what becomes of a request, s after being ready when it dies.
-KINDS = {
+# By version: seconds until it is ready, whether it answers a probe (None: no result), and seconds after being
+# ready at which it exits; None if it cannot be started.
+BEHAVIORS = {
     "good": (0.3, True, inf),
     "fine": (0.5, True, inf),
     "late": (inf, None, inf),
@@ -45,105 +46,111 @@
 
 
 class World:
-    """A place with processes that behave as their versions do; holds each action against the promises."""
+    """A slot with simulated processes that behave as `BEHAVIORS` says; each action is checked."""
 
-    def __init__(self, kind: type[Slot], doors: int) -> None:
-        self.now, self.doors = 0.0, doors
-        self.alive: dict[int, tuple[ProcessTag, float]] = {}
-        self.told: dict[int, float] = {}
+    def __init__(self, slot_type: type[Slot], ops_count: int) -> None:
+        self.now, self.ops_count = 0.0, ops_count
+        self.running: dict[int, tuple[ProcessTag, float]] = {}
+        self.terminated_at: dict[int, float] = {}
         self.stored: StoredSlot | None = None
         self.proven: set[int] = set()
-        self.slot = kind(StoredSlot("good"), TIMES, doors)
-        self.do(self.slot.begin(0.0))
+        self.slot = slot_type(StoredSlot("good"), TIMES, ops_count)
+        self.execute(self.slot.begin(0.0))
 
-    def do(self, actions: Sequence[SlotAction]) -> None:
+    def execute(self, actions: Sequence[SlotAction]) -> None:
         for action in actions:
             match action:
                 case PersistSlot(stored):
                     self.stored = stored
                 case StartProcess(tag):
-                    assert self.stored == self.slot.stored, "started before it was on disk"
-                    assert tag.ops_index not in {one.ops_index for one, _ in self.alive.values()}, (
-                        "two have one door"
+                    assert self.stored == self.slot.stored, (
+                        "a process was started before the state was on disk"
                     )
-                    if KINDS[tag.version] is None:
-                        self.do(self.slot.on_start_failed(self.now, tag.number, "not there"))
+                    assert tag.ops_index not in {other.ops_index for other, _ in self.running.values()}, (
+                        "two processes have one ops address"
+                    )
+                    if BEHAVIORS[tag.version] is None:
+                        self.execute(self.slot.on_start_failed(self.now, tag.number, "not there"))
                         continue
-                    self.alive[tag.number] = tag, self.now
+                    self.running[tag.number] = tag, self.now
                     self.slot.on_started(tag.number, 1000 + tag.number)
                 case TerminateProcess(number) | KillProcess(number):
-                    self.look()
-                    if number in self.proven and number in self.alive:
-                        others = self.proven & self.alive.keys() - self.told.keys() - {number}
-                        assert others or number in self.told, "the last that served was told to end"
+                    self.check_serving()
+                    if number in self.proven and number in self.running:
+                        others = self.proven & self.running.keys() - self.terminated_at.keys() - {number}
+                        assert others or number in self.terminated_at, (
+                            "the last serving process was terminated"
+                        )
                     if isinstance(action, TerminateProcess):
-                        self.told[number] = self.now
+                        self.terminated_at[number] = self.now
                     else:
-                        self.die(number, -9)
+                        self.end_process(number, -9)
 
-    def die(self, number: int, code: int) -> None:
-        if self.alive.pop(number, None):
-            self.do(self.slot.on_exited(self.now, number, code))
+    def end_process(self, number: int, code: int) -> None:
+        if self.running.pop(number, None):
+            self.execute(self.slot.on_exited(self.now, number, code))
 
-    def turn(self, steps: int = 1) -> None:
+    def advance(self, steps: int = 1) -> None:
         for _ in range(steps):
             self.now += STEP
-            for number, (tag, since) in list(self.alive.items()):
-                ready_s, answers, dies_s = KINDS[tag.version] or (inf, None, inf)
+            for number, (tag, since) in list(self.running.items()):
+                ready_s, answers, exits_s = BEHAVIORS[tag.version] or (inf, None, inf)
                 age = self.now - since
-                if age >= ready_s + dies_s:
-                    self.die(number, 1)
+                if age >= ready_s + exits_s:
+                    self.end_process(number, 1)
                 elif age >= ready_s:
-                    self.do(self.slot.on_ready(self.now, number))
+                    self.execute(self.slot.on_ready(self.now, number))
                     if answers is not None:
-                        self.do(self.slot.on_probed(self.now, number, answers))
-            self.do(self.slot.tick(self.now))
-            self.look()
-            assert len(self.alive) <= self.doors
-            late = [
+                        self.execute(self.slot.on_probed(self.now, number, answers))
+            self.execute(self.slot.tick(self.now))
+            self.check_serving()
+            assert len(self.running) <= self.ops_count
+            overdue = [
                 n
-                for n, at in self.told.items()
-                if n in self.alive and self.now > at + TIMES.termination_s + STEP
+                for n, at in self.terminated_at.items()
+                if n in self.running and self.now > at + TIMES.termination_s + STEP
             ]
-            assert not late, "it was told to end, and is there"
+            assert not overdue, "a terminated process still runs"
 
-    def look(self) -> None:
-        """Whoever serves is proven, and counts as that from now on."""
+    def check_serving(self) -> None:
+        """Check that the serving process is proven, and record it as proven."""
         serving = self.slot.serving
-        if serving and serving.number not in self.proven and serving.number in self.alive:
-            tag, since = self.alive[serving.number]
-            _, answers, _ = KINDS[tag.version] or (inf, None, inf)
-            assert answers and self.now - since >= TIMES.proving_s, "one that is not proven has the place"
+        if serving and serving.number not in self.proven and serving.number in self.running:
+            tag, since = self.running[serving.number]
+            _, answers, _ = BEHAVIORS[tag.version] or (inf, None, inf)
+            assert answers and self.now - since >= TIMES.proving_s, "the serving process is not proven"
             self.proven.add(serving.number)
 
-    def call(self, what: str, version: str, roll: int) -> None:
+    def call(self, command: str, version: str, token: int) -> None:
         highest = self.slot.stored.roll
         before = self.slot.state, self.slot.stored, self.slot.candidate
         try:
-            if what == "replace":
-                self.do(self.slot.replace(self.now, version, roll))
-            elif what == "back":
-                self.do(self.slot.revert(self.now, roll))
-            elif what == "abandon":
-                self.do(self.slot.abandon(self.now, roll))
+            if command == "replace":
+                self.execute(self.slot.replace(self.now, version, token))
+            elif command == "back":
+                self.execute(self.slot.revert(self.now, token))
+            elif command == "abandon":
+                self.execute(self.slot.abandon(self.now, token))
             else:
-                self.do(self.slot.claim(roll, version))
-            assert roll >= highest, "a roll that is over was obeyed"
+                self.execute(self.slot.claim(token, version))
+            assert token >= highest, "a call with an outdated token was accepted"
         except CallRejectedError:
-            assert before == (self.slot.state, self.slot.stored, self.slot.candidate), "refused, and changed"
+            assert before == (self.slot.state, self.slot.stored, self.slot.candidate), (
+                "a rejected call changed the slot"
+            )
 
     def kill(self, number: int) -> None:
-        """From outside: whoever serves, or another that is there."""
+        """Kill the serving process for `number` 0, else one of the running processes."""
         serving = self.slot.serving
-        if number and self.alive:
-            self.die(sorted(self.alive)[number % len(self.alive)], -9)
+        if number and self.running:
+            self.end_process(sorted(self.running)[number % len(self.running)], -9)
         elif serving:
-            self.die(serving.number, -9)
+            self.end_process(serving.number, -9)
 
 
 CALLS = st.tuples(
     st.sampled_from(["replace", "replace", "replace", "back", "abandon", "claim"]),
-    st.sampled_from(sorted(KINDS)),
+    st.sampled_from(sorted(BEHAVIORS)),
     st.integers(0, 4),
 )
 STEPS = st.lists(
@@ -151,33 +158,31 @@
 )
 
 
-def play(kind: type[Slot], doors: int, steps: Sequence[object]) -> World:
-    world = World(kind, doors)
+def run_steps(slot_type: type[Slot], ops_count: int, steps: Sequence[object]) -> World:
+    world = World(slot_type, ops_count)
     for step in steps:
         match step:
-            case int(turns):
-                world.turn(turns)
+            case int(steps_to_advance):
+                world.advance(steps_to_advance)
             case ("kill", int(number)):
                 world.kill(number)
-            case (str(what), str(version), int(roll)):
-                world.call(what, version, roll)
+            case (str(command), str(version), int(token)):
+                world.call(command, version, token)
     return world
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.integers(2, 3), STEPS)
-def test_whatever_dies_when_a_place_is_never_emptied_and_always_filled(
-    doors: int, steps: list[object]
-) -> None:
-    world = play(Slot, doors, steps)
-    world.turn(round(60 / STEP))
+def test_a_slot_is_never_left_empty_under_any_crashes_and_calls(ops_count: int, steps: list[object]) -> None:
+    world = run_steps(Slot, ops_count, steps)
+    world.advance(round(60 / STEP))
     slot = world.slot
-    # A version of no use ends with the one before, where any was of use: "good" always was.
+    # After a faulty version the previous one serves again if it works; "good" always works.
     if slot.state is not SlotState.SERVING:
         known = {slot.stored.version, slot.stored.before}
-        assert not known & {"good", "fine"}, f"{slot.state}, though {known} would serve"
+        assert not known & {"good", "fine"}, f"{slot.state}, although one of {known} works"
     else:
-        assert slot.serving and slot.serving.number in world.alive
+        assert slot.serving and slot.serving.number in world.running
         assert not slot.terminating and not slot.candidate
 
 
@@ -203,12 +208,12 @@
         return 0
 
 
-class PersistsLater(Slot):
+class PersistsAfterStart(Slot):
     def _start(self, now: float, version: str, event: SlotEvent) -> list[SlotAction]:
         return sorted(super()._start(now, version, event), key=lambda one: isinstance(one, PersistSlot))
 
 
-class WaitsForever(Slot):
+class NeverKills(Slot):
     def _terminate(self, process: object, now: float) -> list[SlotAction]:
         actions = super()._terminate(process, now)  # type: ignore[arg-type]
         for one in self.terminating.values():
@@ -217,9 +222,9 @@
 
 
 class ChangesBeforeItRejects(Slot):
-    def replace(self, now: float, version: str, roll: int) -> list[SlotAction]:
+    def replace(self, now: float, version: str, token: int) -> list[SlotAction]:
         self.stored = replace(self.stored, failed="")
-        return super().replace(now, version, roll)
+        return super().replace(now, version, token)
 
 
 MUTANTS = (
@@ -227,44 +232,44 @@
     TerminatesTheOldFirst,
     AcceptsAnyToken,
     OneOpsAddress,
-    PersistsLater,
+    PersistsAfterStart,
     ChangesBeforeItRejects,
 )
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_place_that_breaks_a_promise_is_caught(mutant: type[Slot]) -> None:
-    chance = Random(7)
+def test_a_slot_that_violates_an_invariant_is_detected(mutant: type[Slot]) -> None:
+    rng = Random(7)
 
     def steps() -> list[object]:
-        made: list[object] = [30]
+        generated: list[object] = [30]
         for _ in range(20):
-            made.append(
-                (chance.choice(["replace", "back"]), chance.choice(sorted(KINDS)), chance.randrange(3))
+            generated.append(
+                (rng.choice(["replace", "back"]), rng.choice(sorted(BEHAVIORS)), rng.randrange(3))
             )
-            made.append(chance.randrange(1, 40))
-        return made
+            generated.append(rng.randrange(1, 40))
+        return generated
 
     with pytest.raises(AssertionError):
         for _ in range(40):
-            play(mutant, 2, steps())
+            run_steps(mutant, 2, steps())
 
 
-def test_one_that_does_not_end_is_killed_and_one_that_waits_for_ever_is_caught() -> None:
-    for kind in (Slot, WaitsForever):
-        world = World(kind, 2)
-        world.turn(20)
+def test_a_process_that_does_not_exit_is_killed_and_a_missing_kill_is_detected() -> None:
+    for slot_type in (Slot, NeverKills):
+        world = World(slot_type, 2)
+        world.advance(20)
         world.call("replace", "fine", 1)
-        if kind is Slot:
-            world.turn(60)
-            assert world.slot.stored.version == "fine" and len(world.alive) == 1
+        if slot_type is Slot:
+            world.advance(60)
+            assert world.slot.stored.version == "fine" and len(world.running) == 1
         else:
-            with pytest.raises(AssertionError, match="told to end"):
-                world.turn(60)
+            with pytest.raises(AssertionError, match="still runs"):
+                world.advance(60)
 
 
 @pytest.mark.parametrize(
-    ("version", "why"),
+    ("version", "reason"),
     [
         ("late", "is not ready after 2 s"),
         ("mute", "says that it is ready, and serves nothing"),
@@ -273,76 +278,76 @@
         ("gone", "cannot be started: not there"),
     ],
 )
-def test_what_went_wrong_is_its_status_and_costs_nobody_the_place(version: str, why: str) -> None:
+def test_a_failed_replacement_is_reported_and_the_serving_process_stays(version: str, reason: str) -> None:
     world = World(Slot, 2)
-    world.turn(20)
+    world.advance(20)
     world.call("replace", version, 3)
-    world.turn(60)
+    world.advance(60)
     status = world.slot.status()
     assert status["version"] == "good" and status["state"] == "serving" and status["deaths"] == 0
-    assert str(status["failed"]).startswith(f"{version} 3 ") and why in str(status["failed"])
+    assert str(status["failed"]).startswith(f"{version} 3 ") and reason in str(status["failed"])
 
 
-def test_a_version_that_dies_again_and_again_gives_way_to_the_one_before_and_is_not_begun_again() -> None:
+def test_after_consecutive_crashes_the_previous_version_serves_and_the_failed_one_is_rejected() -> None:
     world = World(Slot, 3)
-    world.turn(20)
+    world.advance(20)
     world.call("replace", "fine", 1)
-    world.turn(30)
+    world.advance(30)
     for _ in range(MAX_CONSECUTIVE_CRASHES):
         assert world.slot.serving and world.slot.serving.tag.version == "fine"
         world.kill(0)
-        world.turn(20)
+        world.advance(20)
     status = world.slot.status()
     assert status["version"] == "good" and str(status["failed"]).startswith("fine 1 ")
     with pytest.raises(CallRejectedError, match="died"):
         world.slot.replace(world.now, "fine", 1)
-    world.slot.replace(world.now, "fine", 2)  # another roll may try again
+    world.slot.replace(world.now, "fine", 2)  # another rollout may try the version again
 
 
-def test_a_place_that_is_found_is_served_on_until_its_own_process_is_promote() -> None:
+def test_an_adopted_process_serves_until_a_process_on_the_new_socket_is_proven() -> None:
     world = World(Slot, 3)
     slot = world.slot = Slot(StoredSlot("good"), TIMES, 3)
-    found = [(ProcessTag(4, "fine", 0), 44), (ProcessTag(7, "good", 1), 77)]
-    world.alive = {tag.number: (tag, -10.0) for tag, _ in found}
+    adopted = [(ProcessTag(4, "fine", 0), 44), (ProcessTag(7, "good", 1), 77)]
+    world.running = {tag.number: (tag, -10.0) for tag, _ in adopted}
     world.proven = {4, 7}
-    world.do(slot.begin(0.0, found))
+    world.execute(slot.begin(0.0, adopted))
     assert slot.serving and slot.serving.number == 7 and set(slot.terminating) == {4}
-    world.turn(40)
-    assert slot.serving.number == 8 and set(world.alive) == {8} and not slot.is_adopted
+    world.advance(40)
+    assert slot.serving.number == 8 and set(world.running) == {8} and not slot.is_adopted
 
 
-def test_each_state_has_a_way_to_the_end_and_closed_is_one() -> None:
+def test_every_state_can_be_closed_and_closing_ends_all_processes() -> None:
     assert set(TRANSITIONS) == set(SlotState)
     assert all(following[SlotEvent.CLOSE] is SlotState.CLOSED for following in TRANSITIONS.values())
     world = World(Slot, 2)
-    world.turn(20)
+    world.advance(20)
     world.call("replace", "fine", 1)
-    world.turn(3)
-    world.proven.clear()  # closing ends also the last
-    world.do(world.slot.close(world.now))
-    world.turn(20)
-    assert not world.alive
+    world.advance(3)
+    world.proven.clear()  # closing may terminate the last serving process
+    world.execute(world.slot.close(world.now))
+    world.advance(20)
+    assert not world.running
     with pytest.raises(CallRejectedError):
         world.slot.replace(world.now, "good", 9)
 
 
-@pytest.mark.parametrize("order", Command)
-def test_a_call_is_read_as_it_is_said(order: Command) -> None:
-    word = "v2.1" if {"VERSION", "NAME"} & set(supervisor_calls.ARGUMENTS[order].split()) else ""
-    roll = 7 if "ROLL" in supervisor_calls.ARGUMENTS[order] else 0
-    said = supervisor_calls.format_call(order, word, roll)
-    assert supervisor_calls.parse_call(said.encode()) == ParsedCall(order, word, roll)
-    for wrong in (f"{said} more", said.replace("7", "-7"), "place-nothing", "", "x" * 300):
-        if wrong != said:
+@pytest.mark.parametrize("command", Command)
+def test_calls_are_parsed_as_formatted_and_invalid_ones_are_rejected(command: Command) -> None:
+    argument = "v2.1" if {"VERSION", "NAME"} & set(supervisor_calls.ARGUMENTS[command].split()) else ""
+    token = 7 if "ROLL" in supervisor_calls.ARGUMENTS[command] else 0
+    line = supervisor_calls.format_call(command, argument, token)
+    assert supervisor_calls.parse_call(line.encode()) == ParsedCall(command, argument, token)
+    for invalid in (f"{line} more", line.replace("7", "-7"), "place-nothing", "", "x" * 300):
+        if invalid != line:
             with pytest.raises(InvalidCallError):
-                supervisor_calls.parse_call(wrong.encode())
+                supervisor_calls.parse_call(invalid.encode())
 
 
-def test_a_status_is_heard_as_it_is_told() -> None:
-    told = World(Slot, 2).slot.status()
-    assert supervisor_calls.parse_status(supervisor_calls.format_status(told) + "\n.\n") == {
-        name: str(value) for name, value in told.items()
+def test_a_status_is_parsed_as_formatted() -> None:
+    status = World(Slot, 2).slot.status()
+    assert supervisor_calls.parse_status(supervisor_calls.format_status(status) + "\n.\n") == {
+        name: str(value) for name, value in status.items()
     }
-    for wrong in ("-ERR busy\n", "", "state serving\n"):
+    for invalid in ("-ERR busy\n", "", "state serving\n"):
         with pytest.raises(ValueError):
-            supervisor_calls.parse_status(wrong)
+            supervisor_calls.parse_status(invalid)
--- a/tests/proxy/rollout/test_state_machine.py
+++ b/tests/proxy/rollout/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of a roll: its table, and whatever dies when."""
+"""The state machine of a rollout: its transition table, and its invariants under any faults."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 from firvane.proxy.rollout.rollout_state import FINAL_STATES, OperatorCommand, RolloutState, TransitionCause
 from firvane.proxy.rollout.state_machine import RolloutStateMachine
 from firvane.proxy.rollout.transitions import FORWARD_STATES, TRANSITIONS, TRANSITIONS_IF_STAYING, transitions
-from tests.proxy.rollout.helpers import NEW, OLD, World, a_plan
+from tests.proxy.rollout.helpers import NEW, OLD, World, make_plan
 
 NAMES = st.integers(0, 5).map("p{}".format)
 
 
-def test_every_state_is_reached_and_left_and_every_cause_is_used() -> None:
+def test_every_state_is_reachable_and_every_cause_is_used() -> None:
     assert set(TRANSITIONS) == set(RolloutState)
     assert {state for state in RolloutState if not TRANSITIONS[state]} == FINAL_STATES
-    assert {to for _, _, to in transitions()} == set(RolloutState)
+    assert {next_state for _, _, next_state in transitions()} == set(RolloutState)
     assert {cause for _, cause, _ in transitions()} == set(TransitionCause)
     assert all(any(cause in causes for causes in TRANSITIONS.values()) for cause in TRANSITIONS_IF_STAYING)
 
 
-class AnyRoll(RuleBasedStateMachine):
-    """Keepers, programs and the controller die at any time; answers are lost; operators call."""
+class RolloutWithFaults(RuleBasedStateMachine):
+    """Any process crashes at any time, reports are lost, and operators send commands."""
 
-    make: type[RolloutStateMachine] = RolloutStateMachine
+    machine_type: type[RolloutStateMachine] = RolloutStateMachine
 
     @initialize(
         on_worse=st.sampled_from(("back", "stay")),
@@ -39,97 +39,99 @@
         at_stage=st.integers(0, 2),
     )
     def begin(self, on_worse: str, at_once: int, part: float, at_stage: int) -> None:
-        plan = a_plan(6, 2, on_worse=on_worse, at_once=at_once, most_of_zone=part)
-        self.world = World(plan, self.make)
+        plan = make_plan(6, 2, on_worse=on_worse, at_once=at_once, most_of_zone=part)
+        self.world = World(plan, self.machine_type)
         while self.world.machine.stage < at_stage and not self.world.machine.ended:
-            self.tried("", 0.97)
-            self.world.calm_step(Verdict.FINE)
+            self.end_preparation("", 0.97)
+            self.world.run_healthy_step(Verdict.FINE)
 
-    @rule(wrong=st.sampled_from(("", "", "", "no such file")), share=st.sampled_from((None, 0.2, 0.97)))
-    def tried(self, wrong: str, share: float | None) -> None:
-        self.world.hear(BaselineMeasured(share))
-        self.world.hear(TrialEnded(wrong))
+    @rule(trial_error=st.sampled_from(("", "", "", "no such file")), share=st.sampled_from((None, 0.2, 0.97)))
+    def end_preparation(self, trial_error: str, share: float | None) -> None:
+        self.world.handle_event(BaselineMeasured(share))
+        self.world.handle_event(TrialEnded(trial_error))
 
     @rule()
-    def all_answer(self) -> None:
+    def all_slots_report(self) -> None:
         for supervisor in self.world.supervisors.values():
-            self.world.ask(supervisor)
+            self.world.poll(supervisor)
 
-    @rule(name=NAMES, well=st.booleans(), heard=st.booleans())
-    def order_ends(self, name: str, well: bool, heard: bool) -> None:
-        self.world.end(self.world.supervisors[name], well, heard)
+    @rule(name=NAMES, succeeds=st.booleans(), is_reported=st.booleans())
+    def order_ends(self, name: str, succeeds: bool, is_reported: bool) -> None:
+        self.world.end_order(self.world.supervisors[name], succeeds, is_reported)
 
     @rule(name=NAMES)
-    def place_is_cut_off_or_back(self, name: str) -> None:
+    def slot_is_disconnected_or_reconnected(self, name: str) -> None:
         supervisor = self.world.supervisors[name]
-        supervisor.reached = not supervisor.reached
-        self.world.ask(supervisor)
+        supervisor.is_reachable = not supervisor.is_reachable
+        self.world.poll(supervisor)
 
     @rule(name=NAMES, version=st.sampled_from((OLD, NEW)))
-    def program_dies_or_starts(self, name: str, version: str) -> None:
+    def process_exits_or_starts(self, name: str, version: str) -> None:
         supervisor = self.world.supervisors[name]
-        supervisor.serves = not supervisor.serves
-        self.world.ask(supervisor)
+        supervisor.is_serving = not supervisor.is_serving
+        self.world.poll(supervisor)
 
     @rule(verdict=st.sampled_from(tuple(Verdict)))
-    def judge(self, verdict: Verdict) -> None:
-        self.world.judge(verdict)
+    def report_verdict(self, verdict: Verdict) -> None:
+        self.world.report_verdict(verdict)
 
-    @rule(call=st.sampled_from(tuple(OperatorCommand)))
-    def operator(self, call: OperatorCommand) -> None:
-        self.world.hear(CommandReceived(call))
+    @rule(command=st.sampled_from(tuple(OperatorCommand)))
+    def operator_command(self, command: OperatorCommand) -> None:
+        self.world.handle_event(CommandReceived(command))
 
-    @rule(span=st.sampled_from((1.0, 31.0, 31.0, 40.0, 450.0)))
-    def wait(self, span: float) -> None:
-        self.world.wait(span)
+    @rule(duration_s=st.sampled_from((1.0, 31.0, 31.0, 40.0, 450.0)))
+    def time_passes(self, duration_s: float) -> None:
+        self.world.advance(duration_s)
 
-    @rule(after=st.integers(0, 3), span=st.sampled_from((0.0, 50.0)))
-    def controller_is_killed(self, after: int, span: float) -> None:
-        self.world.hear(Tick(), dies_after=after)
-        self.world.wait(span)
+    @rule(crash_after=st.integers(0, 3), duration_s=st.sampled_from((0.0, 50.0)))
+    def controller_is_killed(self, crash_after: int, duration_s: float) -> None:
+        self.world.handle_event(Tick(), crash_after=crash_after)
+        self.world.advance(duration_s)
 
     @invariant()
-    def promises(self) -> None:
+    def invariants_hold(self) -> None:
         if not hasattr(self, "world"):
             return
         world, machine = self.world, self.world.machine
-        assert not world.broken, world.broken
-        assert world.spent <= world.plan.compare.alpha
+        assert not world.violations, world.violations
+        assert world.spent_alpha <= world.plan.compare.alpha
         if machine.state in FORWARD_STATES:
-            assert world.new <= world.plan.target_count(machine.stage), "more new places than the stage says"
+            assert world.new_count <= world.plan.target_count(machine.stage), (
+                "more slots with the new version than the stage allows"
+            )
         if machine.state is RolloutState.BACK:
-            assert not world.new, "it says that it went back, and a place has the new version"
+            assert not world.new_count, "the rollout is reverted, but a slot has the new version"
 
     def teardown(self) -> None:
         if hasattr(self, "world"):
-            self.world.calm(Verdict.CANNOT_TELL)
-            self.promises()
+            self.world.run_to_end(Verdict.CANNOT_TELL)
+            self.invariants_hold()
 
 
-RUNS: Any = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True)
+SETTINGS: Any = settings(max_examples=150, stateful_step_count=40, deadline=None, derandomize=True)
 
 
-def test_whatever_dies_when_the_promises_hold_and_there_is_an_end() -> None:
-    run_state_machine_as_test(AnyRoll, settings=RUNS)
+def test_invariants_hold_under_any_faults_and_the_rollout_ends() -> None:
+    run_state_machine_as_test(RolloutWithFaults, settings=SETTINGS)
 
 
-def begun(plan: Any, make: type[RolloutStateMachine] = RolloutStateMachine) -> World:
-    world = World(plan, make)
-    world.hear(TrialEnded())
-    world.hear(BaselineMeasured(0.97))
+def begin_rollout(plan: Any, machine_type: type[RolloutStateMachine] = RolloutStateMachine) -> World:
+    world = World(plan, machine_type)
+    world.handle_event(TrialEnded())
+    world.handle_event(BaselineMeasured(0.97))
     return world
 
 
-@pytest.mark.parametrize("places,zones", [(2, 1), (6, 3), (12, 3), (40, 3)])
+@pytest.mark.parametrize("slots,zones", [(2, 1), (6, 3), (12, 3), (40, 3)])
 @pytest.mark.parametrize(
     "verdict,end", [(Verdict.FINE, RolloutState.DONE), (Verdict.WORSE, RolloutState.BACK)]
 )
-def test_a_fine_version_reaches_all_and_a_worse_one_none(
-    places: int, zones: int, verdict: Verdict, end: RolloutState
+def test_a_fine_version_reaches_all_slots_and_a_worse_version_none(
+    slots: int, zones: int, verdict: Verdict, end: RolloutState
 ) -> None:
-    world = begun(a_plan(places, zones, at_once=2))
-    world.calm(verdict)
-    assert (world.machine.state, world.new) == (end, places if end is RolloutState.DONE else 0)
+    world = begin_rollout(make_plan(slots, zones, at_once=2))
+    world.run_to_end(verdict)
+    assert (world.machine.state, world.new_count) == (end, slots if end is RolloutState.DONE else 0)
 
 
 @pytest.mark.parametrize(
@@ -140,73 +142,76 @@
         ("stay", TransitionCause.WORSE, Verdict.WORSE, RolloutState.GIVEN_UP),
     ],
 )
-def test_a_pause_that_nobody_answers_ends_by_the_plan(
+def test_an_unanswered_pause_ends_as_the_plan_sets(
     on_worse: str, cause: TransitionCause, verdict: Verdict, end: RolloutState
 ) -> None:
-    world = begun(a_plan(on_worse=on_worse))
+    world = begin_rollout(make_plan(on_worse=on_worse))
     while world.machine.state is not RolloutState.PAUSED:
-        world.calm_step(verdict)
-    assert world.machine.cause is cause and world.new == 1
-    world.calm(verdict)
+        world.run_healthy_step(verdict)
+    assert world.machine.cause is cause and world.new_count == 1
+    world.run_to_end(verdict)
     assert world.machine.state is end
 
 
-def test_a_place_that_is_down_at_its_turn_is_passed_over_and_changed_when_it_is_back() -> None:
-    world = begun(a_plan(9, 3))
+def test_an_unreachable_slot_is_skipped_and_replaced_once_it_is_reachable() -> None:
+    world = begin_rollout(make_plan(9, 3))
     first = world.supervisors[world.plan.replacement_order()[0]]
-    first.reached = False
+    first.is_reachable = False
     while world.machine.stage == 0:
-        world.calm_step(Verdict.FINE, heal=False)
-    assert world.new == 1 and first.version == OLD
-    world.calm(Verdict.FINE)
+        world.run_healthy_step(Verdict.FINE, reconnects=False)
+    assert world.new_count == 1 and first.version == OLD
+    world.run_to_end(Verdict.FINE)
     assert world.machine.state is RolloutState.DONE and first.version == NEW
 
 
-def test_two_starts_that_fail_stop_the_roll_and_an_old_version_that_is_gone_gives_up() -> None:
-    world = begun(a_plan())
+def test_failed_replacements_revert_the_rollout_and_failed_reverts_give_it_up() -> None:
+    world = begin_rollout(make_plan())
     while not world.machine.ended:
-        world.calm_step(Verdict.FINE, well=False)
-    assert (world.machine.state, world.new) == (RolloutState.BACK, 0)
-    world = begun(a_plan())
+        world.run_healthy_step(Verdict.FINE, succeeds=False)
+    assert (world.machine.state, world.new_count) == (RolloutState.BACK, 0)
+    world = begin_rollout(make_plan())
     while world.machine.stage == 0:
-        world.calm_step(Verdict.FINE)
-    world.hear(CommandReceived(OperatorCommand.BACK))
+        world.run_healthy_step(Verdict.FINE)
+    world.handle_event(CommandReceived(OperatorCommand.BACK))
     while not world.machine.ended:
-        world.calm_step(Verdict.FINE, well=False)
+        world.run_healthy_step(Verdict.FINE, succeeds=False)
     assert world.machine.state is RolloutState.GIVEN_UP and "it died" in world.machine.reason
 
 
-def test_a_fleet_that_is_unwell_and_a_trial_that_fails_begin_nothing() -> None:
-    world = World(a_plan())
-    world.hear(BaselineMeasured(0.2))
-    world.hear(TrialEnded())
+def test_a_low_baseline_pauses_the_rollout_and_a_failed_trial_gives_it_up() -> None:
+    world = World(make_plan())
+    world.handle_event(BaselineMeasured(0.2))
+    world.handle_event(TrialEnded())
     assert (world.machine.state, world.machine.cause) == (RolloutState.PAUSED, TransitionCause.UNWELL)
-    world = World(a_plan())
-    world.hear(TrialEnded("it cannot hear the old one"))
-    assert world.machine.state is RolloutState.GIVEN_UP and "cannot hear" in world.machine.reason
+    world = World(make_plan())
+    world.handle_event(TrialEnded("it cannot bind its port"))
+    assert world.machine.state is RolloutState.GIVEN_UP and "cannot bind" in world.machine.reason
 
 
-def killed_while_its_canary_is_cut_off(make: type[RolloutStateMachine]) -> int:
-    """How many places have the new version after that, of the one that the stage may have."""
-    world = begun(a_plan(), make)
-    while not world.new:
-        world.calm_step(Verdict.CANNOT_TELL, well=True)
+def count_new_after_take_over_with_unreachable_canary(machine_type: type[RolloutStateMachine]) -> int:
+    """Return how many slots get the new version if the controller restarts while the canary is unreachable.
+
+    The stage allows one.
+    """
+    world = begin_rollout(make_plan(), machine_type)
+    while not world.new_count:
+        world.run_healthy_step(Verdict.CANNOT_TELL, succeeds=True)
     for supervisor in world.supervisors.values():
-        world.end(supervisor, True)
-        supervisor.reached = supervisor.version == OLD
+        world.end_order(supervisor, True)
+        supervisor.is_reachable = supervisor.version == OLD
     world.start()
     for _ in range(4):
-        world.calm_step(Verdict.CANNOT_TELL, heal=False)
-    return world.new
+        world.run_healthy_step(Verdict.CANNOT_TELL, reconnects=False)
+    return world.new_count
 
 
-def test_a_take_over_knows_of_new_places_that_say_nothing() -> None:
-    assert killed_while_its_canary_is_cut_off(RolloutStateMachine) == 1
-    assert killed_while_its_canary_is_cut_off(ForgetsNew) > 1
+def test_a_take_over_counts_unreachable_slots_with_the_new_version() -> None:
+    assert count_new_after_take_over_with_unreachable_canary(RolloutStateMachine) == 1
+    assert count_new_after_take_over_with_unreachable_canary(ForgetsNewSlots) > 1
 
 
-class OrdersAtOnce(RolloutStateMachine):
-    def _may_order(self, place: Any) -> bool:
+class IgnoresLimits(RolloutStateMachine):
+    def _may_order(self, slot: Any) -> bool:
         return True
 
 
@@ -216,49 +221,52 @@
         self.ordered.clear()
 
 
-class KeepsLate(RolloutStateMachine):
+class PersistsLast(RolloutStateMachine):
     def _take_actions(self, now: float) -> Any:
-        out = super()._take_actions(now)
-        return out[1:] + out[:1]
+        actions = super()._take_actions(now)
+        return actions[1:] + actions[:1]
 
 
-class ForgetsNew(RolloutStateMachine):
+class ForgetsNewSlots(RolloutStateMachine):
     def new_slots(self) -> list[str]:
         return []
 
 
-class StaysOnTheRoll(RolloutStateMachine):
+class ReusesToken(RolloutStateMachine):
     def begin(self, now: float) -> Any:
         self.token -= 1
         return super().begin(now)
 
 
-class WaitsForever(RolloutStateMachine):
+class RevertsForever(RolloutStateMachine):
     def _step_back(self, now: float) -> None:
         self.state_began_at = now
         super()._step_back(now)
 
 
-class AlphaEachTime(RolloutStateMachine):
+class UsesFullAlpha(RolloutStateMachine):
     def _start_comparison(self) -> None:
         super()._start_comparison()
         self._actions[-1] = StartComparison(self.comparisons, 0.05, 30.0, None, False)
 
 
-class TrustsStale(RolloutStateMachine):
-    def _on_slot_reported(self, place: Any, version: str, busy: bool) -> None:
-        self._end_order(place.name)
-        self._update_slot(place, version)
+class EndsOrdersAtAnyReport(RolloutStateMachine):
+    def _on_slot_reported(self, slot: Any, version: str, is_replacing: bool) -> None:
+        self._end_order(slot.name)
+        self._update_slot(slot, version)
 
 
 MUTANTS = [
-    OrdersAtOnce, ForgetsOrders, KeepsLate, StaysOnTheRoll, WaitsForever, AlphaEachTime, TrustsStale,
+    IgnoresLimits, ForgetsOrders, PersistsLast, ReusesToken, RevertsForever, UsesFullAlpha,
+    EndsOrdersAtAnyReport,
 ]  # fmt: skip
 
 
 @pytest.mark.parametrize("mutant", MUTANTS)
-def test_a_state_machine_that_breaks_a_promise_is_caught(mutant: type[RolloutStateMachine]) -> None:
-    machine = type("Mutant", (AnyRoll,), {"make": mutant})
-    fast = settings(RUNS, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False)
+def test_a_state_machine_that_violates_an_invariant_is_detected(mutant: type[RolloutStateMachine]) -> None:
+    machine = type("Mutant", (RolloutWithFaults,), {"machine_type": mutant})
+    mutant_settings = settings(
+        SETTINGS, max_examples=400, phases=[Phase.generate], report_multiple_bugs=False
+    )
     with pytest.raises(AssertionError):
-        run_state_machine_as_test(machine, settings=fast)
+        run_state_machine_as_test(machine, settings=mutant_settings)
--- a/tests/proxy/rollout/test_stored_formats.py
+++ b/tests/proxy/rollout/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""The bytes of stored files are fixed: a controller or supervisor of another version can go on from them."""
+"""The bytes of stored files are fixed: controllers and supervisors of other versions can read them."""
 
 from __future__ import annotations
 
--- a/tests/proxy/rollout/test_trial.py
+++ b/tests/proxy/rollout/test_trial.py
@@ -1,4 +1,4 @@
-"""A trial's version has its addresses to itself from before it starts."""
+"""The addresses of a trial start are reserved before the version starts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from firvane.proxy.rollout.trial_start import try_version
 from tests.proxy.net.helpers import run
 
-# A version that tries for its operators' door as anybody else would before it takes that itself.
+# A program that checks that no other socket can bind its admin API's port, and then binds it itself.
 PROGRAM = """
 import os, signal, socket, sys
 signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
@@ -19,10 +19,10 @@
         sys.exit(9)
     except OSError:
         pass
-with socket.create_server((host, int(port))) as door, door.accept()[0] as asked:
-    assert asked.recv(6) == b"ready\\n"
-    asked.sendall(b"+OK\\n")
-with socket.socket(fileno=int(os.environ["NODE_SOCKET_FD"])) as held, held.accept()[0] as client:
+with socket.create_server((host, int(port))) as listener, listener.accept()[0] as connection:
+    assert connection.recv(6) == b"ready\\n"
+    connection.sendall(b"+OK\\n")
+with socket.socket(fileno=int(os.environ["NODE_SOCKET_FD"])) as inherited, inherited.accept()[0] as client:
     client.recv(1 << 16)
     client.sendall(b"HTTP/1.1 200 OK\\r\\nContent-Length: 0\\r\\n\\r\\n")
     while True:
@@ -30,7 +30,7 @@
 """
 
 
-def test_nobody_else_can_have_the_door_of_a_version_that_is_still_to_bind_it() -> None:
+def test_no_other_process_can_bind_the_admin_port_before_the_version_does() -> None:
     version = Version(command=(sys.executable, "-c", PROGRAM))
 
     async def work() -> None:
