--- a/firvane/proxy/rollout/comparison.py
+++ b/firvane/proxy/rollout/comparison.py
@@ -120,9 +120,7 @@
 
     zones: dict[str, dict[Side, RequestCounts]] = field(default_factory=dict)
     old_latency: dict[int, float] = field(default_factory=dict)  # weights of earlier intervals, by bucket
-    events: dict[str, float] = field(
-        default_factory=dict
-    )  # of both sides by metric, for the minimum variance
+    events: dict[str, float] = field(default_factory=dict)  # of both sides by metric, for the min. variance
     requests: float = 0.0
     taken: int = 0  # by the new side
 
--- a/firvane/proxy/rollout/events.py
+++ b/firvane/proxy/rollout/events.py
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True)
 class StartComparison:
-    """Begin a new comparison with this part of alpha; it replaces an earlier one."""
+    """Begin a new comparison with this part of alpha; an earlier comparison ends."""
 
     number: int
     alpha: float
--- a/firvane/proxy/rollout/plan.py
+++ b/firvane/proxy/rollout/plan.py
@@ -45,7 +45,7 @@
     kind: Literal["program", "settings"] = "program"
     on_worse: Literal["back", "stay"] = "back"
     before_s: Seconds = 30.0  # how long the fleet is measured before the first stage
-    least_before: Share = 0.5  # share of requests answered in time during that; below it the rollout pauses
+    least_before: Share = 0.5  # minimum in-time share of that measurement; below it the rollout pauses
     ready_s: Positive = 15.0  # for the new process to report ready and answer requests
     prove_s: Seconds = 3.0  # how long the new process must keep answering its first requests
     end_s: Positive = 10.0  # for the old process to exit before it is killed
@@ -92,12 +92,8 @@
     block_s: Positive = 2.0
     settle_s: Seconds = 20.0  # minimum uptime of a compared process
     least_requests: Annotated[int, Meta(ge=1)] = 40  # per block and side; smaller blocks are merged
-    least_key: Annotated[int, Meta(ge=0)] = (
-        400  # requests of a key on the new side; FINE does not wait for keys with fewer
-    )
-    tenant_times: Annotated[float, Meta(ge=1)] = (
-        3.0  # threshold for a tenant, as a multiple of the threshold for a class
-    )
+    least_key: Annotated[int, Meta(ge=0)] = 400  # on the new side; FINE does not wait for keys with fewer
+    tenant_times: Annotated[float, Meta(ge=1)] = 3.0  # threshold for tenants, relative to that for classes
     fleet_harm: Share = 0.1  # drop of the in-time share below the baseline that suspends the comparison
     harms: HarmThresholds = HarmThresholds()
 
--- a/firvane/proxy/rollout/slot.py
+++ b/firvane/proxy/rollout/slot.py
@@ -92,7 +92,7 @@
         actions: list[SlotAction] = []
         self.last_number = max([tag.number for tag, _ in adopted], default=0)
         by_preference = sorted(
-            adopted, key=lambda one: (one[0].version != self.stored.version, one[0].number)
+            adopted, key=lambda entry: (entry[0].version != self.stored.version, entry[0].number)
         )
         for tag, pid in by_preference:
             process = SlotProcess(tag, now, pid, ready_at=now, proven_at=now)
@@ -209,7 +209,7 @@
         else:
             candidate.failed_probes += 1
         if candidate.failed_probes >= MAX_FAILED_PROBES:
-            reason = "says that it is ready, and leaves requests without an answer"
+            reason = "reports ready but leaves requests without an answer"
             return self._fail_candidate(now, reason)
         return self.tick(now)
 
@@ -262,7 +262,7 @@
             if now >= candidate.ready_at + proving_s and candidate.answered_probes >= REQUIRED_PROBES:
                 return self._promote(now)
             if now >= candidate.ready_at + max(ready_timeout_s, proving_s):
-                return self._fail_candidate(now, "says that it is ready, and serves nothing")
+                return self._fail_candidate(now, "reports ready but answers no requests")
         elif now >= candidate.started_at + ready_timeout_s:
             return self._fail_candidate(now, f"is not ready after {ready_timeout_s:g} s")
         return []
--- a/firvane/proxy/rollout/state_machine.py
+++ b/firvane/proxy/rollout/state_machine.py
@@ -71,9 +71,8 @@
     is_reachable: bool = False
     is_serving: bool = False
     is_replacing: bool = False
-    is_stale: bool = (
-        True  # no report since it was unreachable or this controller started: its next report ends an order
-    )
+    # No report since the slot was unreachable or the controller started: the next report ends an order.
+    is_stale: bool = True
     order_ends_at: float = 0.0
     revert_error: str = ""  # why its revert failed for good; "" if it has not
 
--- a/firvane/proxy/rollout/supervisor.py
+++ b/firvane/proxy/rollout/supervisor.py
@@ -157,9 +157,7 @@
         self.server = await self.loop.create_server(lambda: SupervisorConnection(self), *self.api_address)
         adopted = list(self._adopt())
         if adopted:
-            text = (
-                "they use an earlier supervisor's listening socket: another one is opened on the same address"
-            )
+            text = "they use an earlier supervisor's socket: a second one is opened on the address"
             pids = ",".join(str(pid) for _, pid in adopted)
             self.log.warning("slot_processes_adopted", pids=pids, text=text)
         self._execute(self.slot.begin(self.loop.time(), adopted))
@@ -209,9 +207,7 @@
                     self._start(tag)
                 case TerminateProcess(number):
                     self._send(number, signal.SIGTERM)
-                    self._send(
-                        number, signal.SIGCONT
-                    )  # a stopped process handles SIGTERM only once it is continued
+                    self._send(number, signal.SIGCONT)  # a stopped process does not handle SIGTERM
                 case KillProcess(number):
                     self._send(number, signal.SIGKILL)
                 case LogEvent(event, fields):
@@ -339,7 +335,7 @@
             return format_error(str(error).splitlines()[0])
         except OSError as error:
             self._fail_unstarted_candidate()
-            return format_error(f"it cannot be kept: {error.strerror or error}")
+            return format_error(f"the slot's state cannot be written: {error.strerror or error}")
         return format_ok(self.slot.state.value)
 
     def _apply(self, call: ParsedCall) -> list[SlotAction]:
