--- a/firvane/fleet/membership/codec.py
+++ b/firvane/fleet/membership/codec.py
@@ -1,8 +1,8 @@
-"""The messages of membership and their codec.
+"""Membership messages and their codec.
 
-A message is a version byte, a kind byte, a nonce (probes and their answers), the address of the probed
-member, the summary of the sender's table, the checksums of its buckets where they are compared, and
-records; the first record is the sender's own.
+A message consists of a header (format version, kind, summary of the sender's table, numbers of buckets and
+records), the nonce and the probed address in probes and their answers, the checksums of the sender's buckets
+in comparisons, and records; the first record is the sender's own.
 """
 
 from __future__ import annotations
@@ -35,31 +35,31 @@
 
 
 class Kind(enum.IntEnum):
-    """What a message asks for."""
+    """The purpose of a message."""
 
     HEARTBEAT = 1
-    """I am alive; this is the summary of my table."""
+    """Shows that the sender is alive, and carries the summary of its table."""
     UPDATE = 2
-    """New records; forward them once."""
+    """New records, which each receiver forwards once."""
     PROBE = 3
-    """Answer with ACK."""
+    """Direct probe, to be answered with ACK."""
     ACK = 4
-    """Answer to PROBE, or on behalf of the target to PROBE_REQUEST."""
+    """Answer of the target to PROBE; the answer to PROBE_REQUEST once the target has answered."""
     PROBE_REQUEST = 5
-    """Probe the target for me."""
+    """Request to probe the target on behalf of the sender (indirect probe)."""
     COMPARE = 6
-    """These are the checksums of my buckets: send me your records where they differ."""
+    """Checksums of the sender's buckets; the receiver answers with its records of those that differ."""
     RECORDS = 7
-    """Records of buckets that differ; with checksums, the receiver sends back its own."""
+    """Records of buckets that differ; if it has checksums, the receiver answers with its own records."""
     CORRECTION = 8
-    """Your record as I know it: it is newer than what you say, or not alive."""
+    """The receiver's record in the sender's table: newer than the one it sent, or not alive."""
 
 
 _PROBE_KINDS = frozenset({Kind.PROBE, Kind.ACK, Kind.PROBE_REQUEST})
 
 
 class Message(Struct, frozen=True):
-    """One message; `nonce` and `target` are used by probes and their answers only."""
+    """A message; only probes and their answers use `nonce` and `target`."""
 
     kind: Kind
     records: tuple[Record, ...] = ()
@@ -70,7 +70,7 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """The wire form of a record."""
+    """Return the wire form of a record."""
     member = record.member
     zone = member.zone.encode()[:MAX_ZONE_BYTES]
     control = member.control
@@ -92,7 +92,7 @@
 
 
 def encode_message(message: Message, encoded: Sequence[bytes] = ()) -> bytes:
-    """The wire form of a message; `encoded` are further records, encoded already."""
+    """Return the wire form of a message; `encoded` are further records that are already encoded."""
     records = [*(encode_record(record) for record in message.records), *encoded]
     parts = [_HEAD.pack(VERSION, message.kind, message.summary, len(message.buckets), len(records))]
     if message.kind in _PROBE_KINDS:
@@ -105,7 +105,7 @@
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message in `data`.
+    """Decode the message in `data`.
 
     Raises:
         MessageError: `data` is not a message of this version.
@@ -141,9 +141,11 @@
 
 
 def _decode_record(data: bytes, offset: int) -> tuple[Record, int]:
-    """Return the record at an offset, and the offset after it."""
-    zone_at = offset + _RECORD.size - 1
-    end = zone_at + 1 + data[zone_at] if zone_at < len(data) else len(data) + 1
+    """Return the record at `offset`, and the offset after it."""
+    zone_length_offset = offset + _RECORD.size - 1
+    end = (
+        zone_length_offset + 1 + data[zone_length_offset] if zone_length_offset < len(data) else len(data) + 1
+    )
     if end > len(data):
         raise MessageError("record is cut short")
     return _parse_record(data[offset:end]), end
--- a/firvane/fleet/membership/detector.py
+++ b/firvane/fleet/membership/detector.py
@@ -1,8 +1,8 @@
 """Failure detection: heartbeats along a ring, direct and indirect probes, suspicions. Does no I/O.
 
-Members form a ring, and each sends its heartbeats to its successor. So a process watches its predecessor,
-and those further back while the predecessor is unresponsive: a long run of dead members is covered in a few
-steps.
+Members form a ring, and each sends its heartbeats to its successor. A process therefore monitors its
+predecessor, and while that is unresponsive also members further back in the ring, so that a long run of dead
+members is detected in a few steps.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 HEARTBEAT_TIMEOUT_S = 0.9
 """Seconds without a message after which a predecessor is probed."""
 INDIRECT_PROBE_COUNT = 3
-"""Members asked to probe a member that does not answer (indirect probe)."""
+"""Members that are requested to probe an unresponsive member (indirect probes)."""
 
 
-def some_members(
+def random_alive_members(
     view: MemberView, rng: random.Random, count: int, exclude: Sequence[Address]
 ) -> list[Address]:
-    """Return some random live members that are not suspected."""
+    """Return up to `count` random live members that are not suspected."""
     live = view.table.live()
-    picked = rng.sample(live, min(len(live), count + len(exclude) + 2))
-    good = [entry.member.address for entry in picked if entry.status is Status.ALIVE]
-    return [address for address in good if address not in exclude][:count]
+    sample = rng.sample(live, min(len(live), count + len(exclude) + 2))
+    alive = [entry.member.address for entry in sample if entry.status is Status.ALIVE]
+    return [address for address in alive if address not in exclude][:count]
 
 
 class FailureDetector:
-    """Watches members on behalf of one process."""
+    """The failure detector of one process."""
 
     def __init__(self, view: MemberView, outbox: Outbox, rng: random.Random) -> None:
         self._view = view
@@ -46,19 +46,19 @@
         self._probes = Probes()
 
     def deadline(self) -> float:
-        """When `tick` is due next."""
-        return min(self._probes.deadline(), self._view.deadline(), self._watch_due())
+        """Return when `tick` is due next."""
+        return min(self._probes.deadline(), self._view.deadline(), self._predecessor_deadline())
 
     def tick(self, now: float) -> None:
-        """Advance probes, confirm deaths, probe who is overdue."""
+        """Advance overdue probes, end expired suspicions, and probe overdue predecessors."""
         for probe in self._probes.overdue(now):
             self._advance(probe, now)
         for address in self._view.confirm_deaths(now):
             self.probe_once(address, now)
-        self._watch(now)
+        self._check_predecessors(now)
 
     def record_received(self, sender: Address, now: float) -> None:
-        """Record a message of the sender: it is alive."""
+        """Record that a message of the sender has arrived, which ends its probe."""
         entry = self._view.table.get(sender)
         if entry is not None and entry.is_live:
             entry.last_received_at = now
@@ -69,11 +69,11 @@
         self._probes.clear()
 
     def probe_once(self, address: Address, now: float) -> None:
-        """Probe an address without a consequence if it does not answer."""
+        """Probe an address once; a missing answer has no consequence."""
         self._send_probe(address, self._nonce(), now)
 
     def probe_reported_dead(self, report: Record, now: float) -> None:
-        """Probe a live member that another one reports dead, and send it the report to refute."""
+        """Probe a live member that was reported dead; the probe carries the report, to be refuted."""
         address = report.member.address
         if self._probes.get(address) is not None:
             return
@@ -91,12 +91,12 @@
     def on_probe_request(self, message: Message, sender: Address, now: float) -> None:
         """Probe the target for the sender."""
         nonce = self._nonce()
-        if self._probes.relay(nonce, sender, message.nonce, now):
+        if self._probes.add_relay(nonce, sender, message.nonce, now):
             self._send_probe(message.target, nonce, now)
 
     def on_ack(self, message: Message, now: float) -> None:
-        """Handle an answer to an own probe, or to one sent for another member."""
-        relay = self._probes.relayed(message.nonce, now)
+        """Handle an answer to a probe of this process, or to one sent on behalf of another member."""
+        relay = self._probes.pop_relay(message.nonce, now)
         if relay is not None:
             answer = Message(Kind.ACK, nonce=relay.nonce, target=message.target)
             self._outbox.add(relay.requester, answer, self._view.records([message.target], now))
@@ -106,16 +106,16 @@
             self.record_received(message.target, now)
             self._probes.cancel(message.target)
 
-    def _watch_due(self) -> float:
-        """Return when the predecessor is overdue; infinite while it is probed, which has a deadline."""
+    def _predecessor_deadline(self) -> float:
+        """Return when the predecessor is overdue; infinite while a probe of it is in flight."""
         for entry in self._view.table.predecessors():
             if entry.status is Status.ALIVE and self._probes.get(entry.member.address) is None:
                 return entry.last_received_at + HEARTBEAT_TIMEOUT_S
             break
         return float("inf")
 
-    def _watch(self, now: float) -> None:
-        """Probe the predecessor if it is overdue, and two more behind each unresponsive one."""
+    def _check_predecessors(self, now: float) -> None:
+        """Probe the predecessor if it is overdue, and two further members for each unresponsive one."""
         unresponsive = 0
         for checked, entry in enumerate(self._view.table.predecessors(), start=1):
             probe = self._probes.get(entry.member.address)
@@ -128,9 +128,13 @@
 
     @staticmethod
     def _is_overdue(entry: Entry, now: float, unresponsive: int) -> bool:
-        """Return whether a member is to be probed; those further back send their heartbeats elsewhere."""
-        grace = HEARTBEAT_INTERVAL_S if unresponsive else HEARTBEAT_TIMEOUT_S
-        return now - entry.last_received_at >= grace - TIME_TOLERANCE_S
+        """Return whether a member must be probed.
+
+        Members behind an unresponsive one send their heartbeats to it, not to this process: their time-out is
+        shorter.
+        """
+        timeout = HEARTBEAT_INTERVAL_S if unresponsive else HEARTBEAT_TIMEOUT_S
+        return now - entry.last_received_at >= timeout - TIME_TOLERANCE_S
 
     def _start_probe(self, entry: Entry, now: float) -> None:
         probe = self._probes.start(entry.member.address, self._nonce(), now)
@@ -148,13 +152,17 @@
                 self._view.mark_dead(probe.target, now)
             else:
                 self._view.suspect(probe.target, now)
-                self.probe_once(probe.target, now)  # it learns of the suspicion and can refute it
+                self.probe_once(
+                    probe.target, now
+                )  # the probe carries the suspicion, so that the target can refute it
 
     def _probe_indirectly(self, probe: Probe, now: float) -> None:
         probe.advance(now)
         self._send_probe(probe.target, probe.nonce, now)
         request = Message(Kind.PROBE_REQUEST, nonce=probe.nonce, target=probe.target)
-        for proxy in some_members(self._view, self._rng, INDIRECT_PROBE_COUNT, exclude=(probe.target,)):
+        for proxy in random_alive_members(
+            self._view, self._rng, INDIRECT_PROBE_COUNT, exclude=(probe.target,)
+        ):
             self._outbox.add(proxy, request, self._view.records([probe.target], now))
 
     def _send_probe(self, target: Address, nonce: int, now: float) -> None:
--- a/firvane/fleet/membership/members.py
+++ b/firvane/fleet/membership/members.py
@@ -1,8 +1,8 @@
 """The identity of a member, and the record of its state that members exchange.
 
-A record is ordered by its stamp, (incarnation, counter), and at equal stamps by its status. Only the member
-itself raises its stamp: a new incarnation at each start of its process, a higher counter to refute a report
-of its failure.
+Records of one member are ordered by their stamp, (incarnation, counter), and at equal stamps by their status.
+Only the member itself raises its stamp: it takes a new incarnation at each start of its process, and a higher
+counter to refute a report of its failure.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class Role(enum.IntEnum):
-    """What a process of the cluster does."""
+    """The role of a process in the cluster."""
 
     ROUTER = 1
     CONTROLLER = 2
@@ -35,7 +35,7 @@
 
 
 class Status(enum.IntEnum):
-    """The state of a member; at equal stamps the higher one wins."""
+    """The status of a member; of two records with equal stamps the one with the higher status wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -48,29 +48,29 @@
 
 
 class Record(Struct, frozen=True):
-    """A report of a member's state."""
+    """The status of a member, as members report it to each other."""
 
     member: Member
     counter: int
     status: Status
     age: float = 0.0
-    """Seconds for which a suspected member has been suspected."""
+    """Seconds since the suspicion began; 0 for members that are not suspected."""
 
     @property
     def stamp(self) -> Stamp:
-        """What orders two records of one address."""
+        """Incarnation and counter, by which records of one address are ordered."""
         return self.member.incarnation, self.counter
 
     @property
     def is_live(self) -> bool:
-        """Whether the member counts as live; a suspected one still does."""
+        """Whether the member counts as live, as a suspected member still does."""
         return self.status <= Status.SUSPECT
 
 
 class MemberState(Struct, frozen=True):
-    """A member as one process sees it now."""
+    """The status of a member in the view of one process."""
 
     member: Member
     status: Status
     age: float
-    """Seconds since it is seen in this state."""
+    """Seconds for which the member has had this status in that view."""
--- a/firvane/fleet/membership/outbox.py
+++ b/firvane/fleet/membership/outbox.py
@@ -1,4 +1,4 @@
-"""The messages that one input causes, each with the own record and the summary of the table. Does no I/O."""
+"""Outgoing messages, each with this process's own record and the summary of its table. Does no I/O."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from firvane.fleet.membership.view import MemberView
 
 MAX_BATCH_BYTES = 950
-"""Bytes of records in one message, so that it fits a datagram with checksums, envelope and own record."""
+"""Bytes of records in one message, so that checksums, envelope and own record also fit its datagram."""
 
 
 class Send(Struct, frozen=True):
@@ -21,13 +21,13 @@
     to: Address
     payload: bytes
     is_heartbeat: bool = False
-    """Whether it is the regular heartbeat, to which other planes add what they compare."""
+    """Whether it is a heartbeat, in whose datagram the checksum of the disseminated items is sent as well."""
     is_join: bool = False
-    """Whether it announces this process to a seed, or to the first member that has contacted it."""
+    """Whether it announces this process to a seed or to the first member that contacted it."""
 
 
 class Outbox:
-    """Collects messages until they are taken."""
+    """Collects the messages to send."""
 
     def __init__(self, view: MemberView) -> None:
         self._view = view
@@ -41,7 +41,7 @@
         is_heartbeat: bool = False,
         is_join: bool = False,
     ) -> None:
-        """Add a message, with encoded records after the own one."""
+        """Add a message; `records` are encoded and follow this process's own record."""
         message = replace(message, summary=self._view.table.summary())
         payload = encode_message(message, [self._view.own_record(), *records])
         self._sends.append(Send(to, payload, is_heartbeat, is_join))
@@ -52,8 +52,8 @@
         return sends
 
 
-def batches(records: Sequence[bytes]) -> Iterator[list[bytes]]:
-    """Split encoded records into lists that fit a datagram."""
+def split_into_batches(records: Sequence[bytes]) -> Iterator[list[bytes]]:
+    """Split encoded records into split_into_batches that each fit a datagram."""
     batch: list[bytes] = []
     size = 0
     for record in records:
--- a/firvane/fleet/membership/view.py
+++ b/firvane/fleet/membership/view.py
@@ -1,6 +1,6 @@
-"""One process's view of all members: the rules by which records are merged. Does no I/O.
+"""One process's view of all members, and the rules by which it merges records. Does no I/O.
 
-Knows no messages. New records are collected in `pending_updates`, which the caller forwards.
+New records are collected in `pending_updates`; the caller forwards them in messages.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 from firvane.fleet.membership.table import Entry, Table
 
 SUSPICION_TIMEOUT_S = 1.0
-"""Seconds from the first suspicion until a member counts as dead."""
+"""Seconds from the start of a suspicion until the member counts as dead."""
 TOMBSTONE_LIFETIME_S = 30.0
 """Seconds for which the record of a dead or left member is kept."""
 MAX_MEMBERS = 4096
-"""Addresses a view holds, tombstones included; records of further ones are ignored."""
+"""Maximum number of addresses in a view, tombstones included; records of further addresses are ignored."""
 TIME_TOLERANCE_S = 1e-6
-"""Seconds by which sums of floating-point times may be off."""
+"""Seconds of rounding error in sums of floating-point times."""
 
 
 class MemberView:
-    """The records of all other members, and the own one."""
+    """The records of all other members, and this process's own record."""
 
     def __init__(self, own: Member, rng: random.Random) -> None:
         self.own = own
-        """This process; its incarnation rises if the cluster knows a higher one of its address."""
+        """This process's identity; its incarnation rises if the cluster knows a higher one of its address."""
         self.table = Table(own)
-        self.failed = FailedMembers(rng)
+        self.failed_members = FailedMembers(rng)
         self.pending_updates: dict[Address, None] = {}
-        """Addresses whose new records are not forwarded yet, oldest first."""
+        """Addresses whose new records have not been forwarded yet, oldest first."""
         self._counter = 0
         self._suspects: set[Address] = set()
         self._tombstones: dict[Address, float] = {}
 
     def own_record(self, status: Status = Status.ALIVE) -> bytes:
-        """The own record, encoded."""
+        """Return this process's own record, encoded."""
         return encode_record(Record(self.own, self._counter, status))
 
     def records(self, addresses: Sequence[Address], now: float) -> list[bytes]:
-        """The encoded records of those addresses that are known, the own one included."""
+        """Return the encoded records of the known ones among `addresses`, which may include the own one."""
         found = []
         for address in addresses:
             entry = self.table.get(address)
@@ -55,18 +55,19 @@
                 found.append(self.own_record())
         return found
 
-    def is_consistent(self, record: Record) -> bool:
-        """Return whether a member's own record is not behind what is known; else notify the member."""
+    def is_up_to_date(self, record: Record) -> bool:
+        """Return whether a member's own record is as new as the known one, which must report it alive."""
         entry = self.table.get(record.member.address)
         if entry is None or record.stamp > entry.stamp or record.status is Status.LEFT:
             return True
         return record.stamp == entry.stamp and entry.status is Status.ALIVE
 
     def merge(self, record: Record, now: float, is_update: bool = True) -> bool:
-        """Merge a record. True if it reports a member dead that is live here: the member must be probed.
+        """Merge a record; return True if it reports dead a member that is live here and must now be probed.
 
-        Such a report is not enough by itself: after a partition both sides believe the other one dead. A
-        member that was unknown is forwarded if the record is an update, not if it comes from anti-entropy.
+        Such a report alone does not override a live record: after a partition each side believes the other
+        dead. The record of an unknown member is forwarded if it is an update, not if it comes from
+        anti-entropy.
         """
         if record.member.address == self.own.address:
             self._refute(record)
@@ -80,7 +81,7 @@
         return False
 
     def was_partitioned(self, sender: Record, records: Iterable[Record]) -> bool:
-        """Return whether sender and owner each believe that the other one died in its current incarnation."""
+        """Return whether sender and this process believe each other dead in their current incarnations."""
         entry = self.table.get(sender.member.address)
         if entry is None or entry.status is not Status.DEAD or entry.stamp != sender.stamp:
             return False
@@ -92,8 +93,11 @@
             for record in records
         )
 
-    def forget_dead_members(self) -> None:
-        """Forget the deaths of a partition, to accept what others report; the addresses are still probed."""
+    def remove_dead_members(self) -> None:
+        """Remove the tombstones of dead members after a partition, to accept records of them again.
+
+        The addresses are still probed.
+        """
         for address in list(self._tombstones):
             entry = self.table.get(address)
             if entry is not None and entry.status is Status.DEAD:
@@ -101,37 +105,37 @@
                 self.table.remove(address)
 
     def suspect(self, address: Address, now: float) -> None:
-        """Suspect a live member that did not answer."""
+        """Mark an alive member as suspected, since it did not answer its probes."""
         entry = self.table.get(address)
         if entry is not None and entry.status is Status.ALIVE:
             self._put(entry.with_status(Status.SUSPECT, now), now)
             self.pending_updates[address] = None
 
     def mark_dead(self, address: Address, now: float) -> None:
-        """Mark a live member dead that did not answer and whose death others have confirmed."""
+        """Mark a live member as dead that another member reports dead and that answered no probe."""
         entry = self.table.get(address)
         if entry is not None and entry.is_live:
             self._put(entry.with_status(Status.DEAD, now), now)
 
     def confirm_deaths(self, now: float) -> list[Address]:
-        """End suspicions that have lasted long enough.
+        """End expired suspicions: mark the members as dead that sent no message meanwhile.
 
-        Returns members that sent a message meanwhile: their suspicion starts anew, and they must be probed.
+        Returns the members that sent a message meanwhile: their suspicion restarts, and they must be probed.
         """
-        alive = []
+        active = []
         for address in list(self._suspects):
             entry = self.table.get(address)
             if entry is None or now < entry.since + SUSPICION_TIMEOUT_S - TIME_TOLERANCE_S:
                 continue
             if entry.last_received_at > entry.since:
                 entry.since = now
-                alive.append(address)
+                active.append(address)
             else:
                 self._put(entry.with_status(Status.DEAD, now), now)
-        return alive
+        return active
 
     def deadline(self) -> float:
-        """When the next suspicion ends; infinite without suspicions."""
+        """Return when the next suspicion ends; infinite without suspicions."""
         due = float("inf")
         for address in self._suspects:
             entry = self.table.get(address)
@@ -139,14 +143,14 @@
                 due = min(due, entry.since + SUSPICION_TIMEOUT_S)
         return due
 
-    def forget(self, now: float) -> None:
-        """Remove tombstones that are old enough."""
+    def remove_expired_tombstones(self, now: float) -> None:
+        """Remove expired tombstones."""
         for address in [address for address, due in self._tombstones.items() if due <= now]:
             del self._tombstones[address]
             self.table.remove(address)
 
     def reset_after_freeze(self, now: float) -> None:
-        """Restart all time-outs, since this process was suspended."""
+        """Restart all time-outs after this process was suspended."""
         for entry in self.table.live():
             entry.last_received_at = now
             if entry.status is Status.SUSPECT:
@@ -157,7 +161,7 @@
         return record.stamp > entry.stamp or (record.stamp == entry.stamp and record.status > entry.status)
 
     def _refute(self, record: Record) -> None:
-        """Refute a report about this process: raise the own stamp above it, unless it is outdated."""
+        """Refute a report about this process by a higher own stamp, unless the report is outdated."""
         own_stamp = (self.own.incarnation, self._counter)
         is_report = record.status is not Status.ALIVE
         if record.stamp < own_stamp or (record.stamp == own_stamp and not is_report):
@@ -191,6 +195,6 @@
         else:
             self._tombstones[address] = now + TOMBSTONE_LIFETIME_S
         if entry.status is Status.DEAD:
-            self.failed.add(address, now)
+            self.failed_members.add(address, now)
         else:
-            self.failed.discard(address)
+            self.failed_members.discard(address)
--- a/tests/fleet/membership/test_failed_members.py
+++ b/tests/fleet/membership/test_failed_members.py
@@ -6,7 +6,7 @@
 import random
 
 from firvane.fleet.membership.failed_members import (
-    GIVE_UP_AFTER_S,
+    FAILED_MEMBER_LIFETIME_S,
     MAX_BACKOFF_S,
     MAX_FAILED_MEMBERS,
     MIN_PROBE_INTERVAL_S,
@@ -18,7 +18,7 @@
     """What is probed when, if each deadline is kept."""
     probed = []
     while (now := max(failed.deadline(), begin)) < end:
-        address = failed.take(now)
+        address = failed.next_probe_target(now)
         if address is not None:
             probed.append((now, address))
     return probed
@@ -27,10 +27,10 @@
 def test_the_backoff_grows_to_a_bound_and_ends() -> None:
     failed = FailedMembers(random.Random(1))
     failed.add(("10.0.0.1", 1), 0.0)
-    times = [when for when, _ in play(failed, 0.0, 2 * GIVE_UP_AFTER_S)]
+    times = [when for when, _ in play(failed, 0.0, 2 * FAILED_MEMBER_LIFETIME_S)]
     pauses = [later - earlier for earlier, later in itertools.pairwise(times)]
     assert pauses[0] < 2 and max(pauses) <= MAX_BACKOFF_S * 1.25
-    assert GIVE_UP_AFTER_S - 10 < times[-1] < GIVE_UP_AFTER_S + 10
+    assert FAILED_MEMBER_LIFETIME_S - 10 < times[-1] < FAILED_MEMBER_LIFETIME_S + 10
     assert failed.deadline() == float("inf")
 
 
@@ -48,7 +48,7 @@
     failed.add(("10.0.0.1", 1), 0.0)
     failed.discard(("10.0.0.1", 1))
     assert failed.deadline() == float("inf")
-    assert failed.take(100.0) is None
+    assert failed.next_probe_target(100.0) is None
 
 
 def test_the_number_of_addresses_is_bounded() -> None:
--- a/tests/fleet/membership/test_table.py
+++ b/tests/fleet/membership/test_table.py
@@ -65,7 +65,7 @@
         i for i, (a, b) in enumerate(zip(table.checksums(), other.checksums(), strict=True)) if a != b
     ]
     assert len(differing) == 1
-    assert make_member(99) in [entry.member for entry in other.in_buckets(set(differing))]
+    assert make_member(99) in [entry.member for entry in other.entries_in_buckets(set(differing))]
     assert other.summary() != table.summary()
 
 
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -87,10 +87,10 @@
     assert status_of(view) is Status.DEAD
     view.merge(report(Status.ALIVE), due + 1)
     assert status_of(view) is Status.DEAD
-    assert view.failed.take(due + INITIAL_BACKOFF_S) == OTHER.address
-    view.forget(due + TOMBSTONE_LIFETIME_S - 0.1)
+    assert view.failed_members.next_probe_target(due + INITIAL_BACKOFF_S) == OTHER.address
+    view.remove_expired_tombstones(due + TOMBSTONE_LIFETIME_S - 0.1)
     assert status_of(view) is Status.DEAD
-    view.forget(due + TOMBSTONE_LIFETIME_S)
+    view.remove_expired_tombstones(due + TOMBSTONE_LIFETIME_S)
     assert status_of(view) is None
 
 
@@ -115,7 +115,7 @@
     assert status_of(view) is Status.DEAD
     view.merge(report(Status.ALIVE, counter=2), NOW)
     assert status_of(view) is Status.ALIVE
-    assert view.failed.deadline() == float("inf")
+    assert view.failed_members.deadline() == float("inf")
 
 
 def test_a_reported_death_of_a_live_member_is_to_be_checked() -> None:
@@ -135,7 +135,7 @@
     assert status_of(view) is Status.LEFT
     assert view.table.live() == []
     assert view.table.version > version
-    assert view.failed.deadline() == float("inf")
+    assert view.failed_members.deadline() == float("inf")
     view.merge(report(Status.ALIVE, incarnation=11), NOW)
     assert status_of(view) is Status.ALIVE
 
@@ -185,7 +185,7 @@
     assert not view.was_partitioned(sender, (sender,))
     assert not view.was_partitioned(report(Status.ALIVE, counter=1), (sender, claim))
     assert not view.was_partitioned(sender, (sender, Record(OWN, 1, Status.DEAD)))
-    view.forget_dead_members()
+    view.remove_dead_members()
     assert status_of(view) is None
 
 
