--- a/firvane/fleet/cluster/agent.py
+++ b/firvane/fleet/cluster/agent.py
@@ -11,7 +11,7 @@
 from firvane.core.logs import Log
 from firvane.fleet.cluster.core import ClusterCore, Effects, KnownMember, PayloadError
 from firvane.fleet.dissemination.items import Item
-from firvane.fleet.dissemination.machine import offer_everything
+from firvane.fleet.dissemination.machine import never_withheld
 from firvane.fleet.membership.members import Member, Role
 from firvane.fleet.transport.endpoint import Endpoint
 
@@ -48,7 +48,7 @@
         on_item: Callable[[Item], None],
         on_members: Callable[[], None],
         on_message: Callable[[Address, Channel, bytes], None],
-        is_withheld: Callable[[bytes], bool] = offer_everything,
+        is_withheld: Callable[[bytes], bool] = never_withheld,
     ) -> None:
         """`seeds` are internal addresses. `on_item` gets newly learned items, not own ones.
 
--- a/firvane/fleet/cluster/core.py
+++ b/firvane/fleet/cluster/core.py
@@ -21,7 +21,7 @@
 )
 from firvane.fleet.dissemination.codec import MessageError as DisseminationError
 from firvane.fleet.dissemination.items import Item
-from firvane.fleet.dissemination.machine import Dissemination, Output, offer_everything
+from firvane.fleet.dissemination.machine import Dissemination, Output, never_withheld
 from firvane.fleet.dissemination.machine import Send as ItemSend
 from firvane.fleet.dissemination.peers import Peer, PeerSet
 from firvane.fleet.membership.codec import MessageError as MembershipError
@@ -65,7 +65,7 @@
         seeds: Sequence[Address],
         rng: random.Random,
         now: float,
-        is_withheld: Callable[[bytes], bool] = offer_everything,
+        is_withheld: Callable[[bytes], bool] = never_withheld,
     ) -> None:
         """`is_withheld` returns whether the item of a key is not to be offered to others at this moment."""
         self._membership = Membership(identity, seeds, rng, now)
--- a/firvane/fleet/dissemination/__init__.py
+++ b/firvane/fleet/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Dissemination of versioned items to all members: gossip to a few of them, and anti-entropy by digests."""
+"""Dissemination of versioned items to all members by gossip, with anti-entropy by digests."""
--- a/firvane/fleet/dissemination/codec.py
+++ b/firvane/fleet/dissemination/codec.py
@@ -1,6 +1,7 @@
-"""The messages of dissemination and their codec.
+"""Dissemination messages and their codec.
 
-A message is a version byte, a kind byte and fields; all integers are big-endian.
+A message consists of a format version (1 byte), a kind (1 byte), the number of entries, and fields that
+depend on the kind. All integers are big-endian.
 """
 
 from __future__ import annotations
@@ -24,31 +25,31 @@
 
 
 class Kind(enum.IntEnum):
-    """What a message carries."""
+    """The purpose of a message."""
 
     SUMMARY = 1
-    """The checksum of the sender's versions: answer with DIGEST if yours differs."""
+    """The checksum of the sender's versions; the receiver answers with DIGEST if its own differs."""
     DIGEST = 2
-    """All versions of the sender: send what it lacks, ask for what you lack."""
+    """All versions of the sender; the receiver sends newer items and requests items that it lacks."""
     PUSH = 3
     """Items with their payloads."""
     ANNOUNCE = 4
-    """Versions whose payload can be requested."""
+    """Versions whose payloads can be requested from the sender."""
     REQUEST = 5
-    """Versions wanted, or newer ones."""
+    """Request for the payloads of these versions, or of newer ones."""
     REPAIR = 6
-    """Items with their payloads, in answer to a digest; not to be forwarded."""
+    """Items with their payloads, in answer to a digest; the receiver forwards only newer versions of known keys."""
     ACCEPT = 7
-    """Requested versions that are sent now, or as soon as they have come."""
+    """Requested versions whose payloads are sent now, or as soon as the sender has fetched them."""
     REJECT = 8
-    """Requested versions that are neither stored nor being fetched: ask another peer."""
+    """Requested versions that the sender does not provide; the receiver requests them from another peer."""
 
 
 _WITH_PAYLOADS = frozenset({Kind.PUSH, Kind.REPAIR})
 
 
 class Version(Struct, frozen=True):
-    """A version of a key, and the size of its payload in bytes where it is announced."""
+    """A version of a key; announcements also state the size of its payload in bytes."""
 
     key: bytes
     version: int
@@ -56,7 +57,7 @@
 
 
 class Message(Struct, frozen=True):
-    """One message; which fields are used depends on its kind."""
+    """A message; its kind determines which fields are used."""
 
     kind: Kind
     versions: tuple[Version, ...] = ()
@@ -65,7 +66,7 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """The wire form of a message."""
+    """Return the wire form of a message."""
     entries = message.items if message.kind in _WITH_PAYLOADS else message.versions
     parts = [_HEAD.pack(VERSION, message.kind, len(entries))]
     if message.kind is Kind.SUMMARY:
@@ -79,12 +80,12 @@
 
 
 def item_size(item: Item) -> int:
-    """Bytes that an item takes in a message."""
+    """Return the bytes that an item takes in a message."""
     return _KEY.size + len(item.key) + _ENTRY.size + len(item.payload)
 
 
 def decode_message(data: bytes) -> Message:
-    """Return the message in `data`.
+    """Decode the message in `data`.
 
     Raises:
         MessageError: `data` is not a message of this version.
@@ -111,14 +112,14 @@
     versions: list[Version] = []
     items: list[Item] = []
     for _ in range(count):
-        key, number, size, offset = _decode_entry(data, offset)
+        key, version_number, size, offset = _decode_entry(data, offset)
         if kind not in _WITH_PAYLOADS:
-            versions.append(Version(key, number, size))
+            versions.append(Version(key, version_number, size))
             continue
         end = offset + size
         if end > len(data):
             raise MessageError("payload is cut short")
-        items.append(Item(key, number, data[offset:end]))
+        items.append(Item(key, version_number, data[offset:end]))
         offset = end
     if offset != len(data):
         raise MessageError("bytes after the last entry")
@@ -126,7 +127,7 @@
 
 
 def _decode_entry(data: bytes, offset: int) -> tuple[bytes, int, int, int]:
-    """Key, version, size, and the offset behind them."""
+    """Return key, version and payload size of the entry at `offset`, and the offset after them."""
     (key_length,) = _KEY.unpack_from(data, offset)
     start = offset + _KEY.size
     key = data[start : start + key_length]
--- a/firvane/fleet/dissemination/items.py
+++ b/firvane/fleet/dissemination/items.py
@@ -1,4 +1,4 @@
-"""The items, and the store whose versions never go back."""
+"""Items, and the store that keeps the newest version of each."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 MAX_KEY_BYTES = 255
 MAX_ITEMS = 4096
-"""Keys that a store takes; further ones are rejected."""
+"""Maximum number of keys in a store; items with further keys are rejected."""
 _VERSION = struct.Struct(">HQ")
 
 
 class Item(Struct, frozen=True):
-    """A payload under a key; of two versions the higher one wins everywhere."""
+    """A versioned payload under a key; the highest version wins in every process."""
 
     key: bytes
     version: int
@@ -31,16 +31,16 @@
         self._summary: int | None = None
 
     def get(self, key: bytes) -> Item | None:
-        """The newest known item of a key, or None."""
+        """Return the newest known item of a key, or None."""
         return self._items.get(key)
 
     def version(self, key: bytes) -> int:
-        """The newest known version of a key; -1 if there is none."""
+        """Return the newest known version of a key; -1 if there is none."""
         item = self._items.get(key)
         return -1 if item is None else item.version
 
     def put(self, item: Item) -> bool:
-        """Store an item if it is newer than what is known, and return whether it was stored."""
+        """Store an item if it is newer than the stored one, and return whether it was stored."""
         if item.version <= self.version(item.key):
             return False
         if item.key not in self._items and len(self._items) >= MAX_ITEMS:
@@ -56,11 +56,11 @@
         return len(self._items)
 
     def versions(self) -> list[tuple[bytes, int]]:
-        """Key and version of all items, ordered by key."""
+        """Return key and version of all items, ordered by key."""
         return sorted((item.key, item.version) for item in self._items.values())
 
     def summary(self) -> int:
-        """A checksum (32 bits) over keys and versions."""
+        """Return a 32-bit checksum over keys and versions."""
         if self._summary is None:
             parts = (_VERSION.pack(len(key), version) + key for key, version in self.versions())
             self._summary = zlib.crc32(b"".join(parts))
--- a/firvane/fleet/dissemination/machine.py
+++ b/firvane/fleet/dissemination/machine.py
@@ -1,16 +1,17 @@
-"""Dissemination as a state machine: push, forward once, compare digests. Does no I/O.
+"""Dissemination as a state machine: gossip of new items, and anti-entropy by digests. Does no I/O.
 
-1. A published item is pushed at once to a few peers, one in each other zone first; a process that learns
-   something new forwards it once. Payloads above `MAX_PUSH_BYTES` are announced instead, and each receiver
+1. A published item is pushed immediately to a few peers, first to one in each other zone. A process forwards
+   an item that is new to it once. Payloads above `MAX_PUSH_BYTES` are announced instead, and each receiver
    fetches them once.
-2. Every second, and twice as often after a change, the checksum of the versions goes to a random peer; peers
-   whose checksums differ exchange their versions, and repair in both directions (anti-entropy). Of a process
-   that has something to report, one of `DIGESTS_PER_REPORT` goes to one of the controllers in turn.
-3. A repaired item is forwarded only by a process that had an older version: its neighbours may lack it as
-   well. A process that has just joined has nothing new to others.
-4. A version never goes back.
-5. Items that `is_withheld` names are offered to nobody, neither in digests nor as repairs or on request,
-   since this process cannot know how old they are. What is newly learned is forwarded all the same.
+2. Every second, and twice as often after a change, the checksum of the versions is sent to a random peer.
+   Peers whose checksums differ exchange their versions, and send each other the newer items (anti-entropy).
+   A process that reports to the controllers sends one of `DIGESTS_PER_REPORT` checksums to them in turn.
+3. An item received as a repair is forwarded only by a process that had an older version of it, since its
+   neighbours may lack the item as well. Items that a process receives on joining are not new to the others.
+4. The version of a key never decreases.
+5. Items for which `is_withheld` returns true are not offered to other processes, neither in digests nor as
+   repairs nor on request, since this process cannot know how old they are. Newly received items are forwarded
+   even if they are withheld.
 """
 
 from __future__ import annotations
@@ -35,17 +36,18 @@
 from firvane.fleet.dissemination.uploads import Uploads
 
 MAX_PUSH_BYTES = 1100
-"""Of an item, and of a message with several; larger payloads are announced."""
+"""Maximum bytes of an item, and of a message with several items; larger items are announced."""
 DIGEST_INTERVAL_S = 1.0
+"""Seconds between two digests."""
 BUSY_DIGEST_INTERVAL_S = 0.5
-"""Between two digests after a change."""
+"""Seconds between two digests after a change."""
 BUSY_DURATION_S = 5.0
-"""After a change, during which digests are more frequent."""
+"""Seconds after a change during which digests are more frequent."""
 
 DIGESTS_PER_REPORT = 4
-"""Of so many digests one goes to a controller."""
-INITIAL_TURNS = 64
-"""Range of the turn with which a process starts, so that not all start with the same controller."""
+"""Of this number of digests, one goes to a controller."""
+INITIAL_TURN_RANGE = 64
+"""Range of the random first turn, so that not all processes report to the same controller first."""
 
 
 class Send(Struct, frozen=True):
@@ -54,28 +56,28 @@
     to: Address
     payload: bytes
     is_summary: bool = False
-    """Whether it is the regular checksum, to which other planes add what they compare."""
+    """Whether it is the regular checksum, with which other sections are sent in the same datagram."""
 
 
 class Output(Struct):
-    """What an input causes."""
+    """The messages and newly learned items that an input causes."""
 
     sends: list[Send] = field(default_factory=list)
     learned: list[Item] = field(default_factory=list)
 
 
-def offer_everything(key: bytes) -> bool:
-    """Withhold no item: the rule of every process without control state."""
+def never_withheld(key: bytes) -> bool:
+    """Return False for every key: a process without control state withholds no item."""
     return False
 
 
 class Dissemination:
-    """The items of one process. Methods that take `now` (monotonic seconds) return what to do."""
+    """The items of one process. Methods that take `now` (monotonic seconds) return their effects."""
 
     def __init__(
-        self, rng: random.Random, now: float, is_withheld: Callable[[bytes], bool] = offer_everything
+        self, rng: random.Random, now: float, is_withheld: Callable[[bytes], bool] = never_withheld
     ) -> None:
-        """`is_withheld` returns whether the item of a key is not to be offered at this moment."""
+        """`is_withheld` returns whether the item of a key must not be offered to others at this moment."""
         self._rng = rng
         self._is_withheld = is_withheld
         self._store = ItemStore()
@@ -84,50 +86,50 @@
         self._peers = PeerSet("", (), None)
         self._digest_due = now
         self._changed_at = float("-inf")
-        self._reports = False
-        self._digests = 0
+        self._is_reporting = False
+        self._digest_count = 0
 
     def item(self, key: bytes) -> Item | None:
-        """The newest known item of a key, or None."""
+        """Return the newest known item of a key, or None."""
         return self._store.get(key)
 
     def set_peers(self, peers: PeerSet) -> None:
-        """Replace the live members."""
+        """Replace the live members to which messages are sent."""
         self._peers = peers
 
     def report_to_controllers(self) -> None:
-        """Send every so many digests to the controllers, in turn, from now on."""
-        if not self._reports:
-            self._reports = True
-            self._digests = self._rng.randrange(DIGESTS_PER_REPORT * INITIAL_TURNS)
+        """From now on, send one of `DIGESTS_PER_REPORT` digests to the controllers in turn."""
+        if not self._is_reporting:
+            self._is_reporting = True
+            self._digest_count = self._rng.randrange(DIGESTS_PER_REPORT * INITIAL_TURN_RANGE)
 
     def deadline(self) -> float:
-        """When `tick` is due next."""
+        """Return when `tick` is due next."""
         return min(self._digest_due, self._requests.deadline())
 
     def summary_message(self) -> bytes:
-        """The checksum of the versions, for the heartbeats of membership."""
+        """Return a message with the checksum of the versions, to be sent with membership's heartbeats."""
         return encode_message(Message(Kind.SUMMARY, summary=self._store.summary()))
 
     def digest_message(self) -> bytes:
-        """All versions; the receiver sends what is missing. For a process that joins."""
+        """Return a message with all versions, for which the receiver sends newer items; sent on joining."""
         versions = tuple(
             Version(key, version) for key, version in self._store.versions() if not self._is_withheld(key)
         )
         return encode_message(Message(Kind.DIGEST, versions))
 
     def publish(self, item: Item, now: float) -> Output:
-        """Store an own item and push it; nothing happens if it is not newer than what is known."""
+        """Store an item of this process and push it, unless it is not newer than the stored one."""
         output = Output()
         if self._store.put(item):
             result = self._requests.complete(item.key, item.version)
             self._record_change(now)
-            self._push([item], self._peers.for_publisher(self._rng), output)
+            self._push([item], self._peers.publish_targets(self._rng), output)
             self._upload(item, result.waiters, now, output)
         return output
 
     def tick(self, now: float) -> Output:
-        """Do what is due."""
+        """Repeat overdue requests, and send the regular checksum if it is due."""
         output = Output()
         for request in self._requests.overdue(now):
             self._send_request(request, output)
@@ -139,7 +141,7 @@
         """Handle a message.
 
         Raises:
-            MessageError: The payload is no message.
+            MessageError: The payload is not a message.
         """
         message = decode_message(payload)
         output = Output()
@@ -161,7 +163,7 @@
         return output
 
     def _receive_replies(self, sender: Address, message: Message, now: float, output: Output) -> None:
-        """Handle the replies to own requests."""
+        """Handle replies to requests of this process."""
         for version in message.versions:
             if message.kind is Kind.ACCEPT:
                 self._requests.accepted(version, sender, now)
@@ -183,23 +185,25 @@
             output.sends.append(Send(peer, self.summary_message(), is_summary=True))
 
     def _next_digest_peer(self) -> Address | None:
-        if not self._reports:
-            return self._peers.for_digest(self._rng)
-        self._digests += 1
-        turn, rest = divmod(self._digests, DIGESTS_PER_REPORT)
-        reporting = self._peers.for_report(turn) if rest == 0 else None
-        return reporting or self._peers.for_digest(self._rng)
-
-    def _repair(self, sender: Address, theirs: Sequence[Version], now: float, output: Output) -> None:
-        """Send what the sender lacks, and request what is missing here."""
-        known = {version.key: version.version for version in theirs}
+        if not self._is_reporting:
+            return self._peers.digest_target(self._rng)
+        self._digest_count += 1
+        turn, remainder = divmod(self._digest_count, DIGESTS_PER_REPORT)
+        controller = self._peers.report_target(turn) if remainder == 0 else None
+        return controller or self._peers.digest_target(self._rng)
+
+    def _repair(
+        self, sender: Address, sender_versions: Sequence[Version], now: float, output: Output
+    ) -> None:
+        """Send the items that the sender lacks, and request the versions that this process lacks."""
+        known = {version.key: version.version for version in sender_versions}
         newer = [
             item
             for item in self._store
             if item.version > known.get(item.key, -1) and not self._is_withheld(item.key)
         ]
         self._push(newer, [sender], output, Kind.REPAIR)
-        self._fetch(sender, theirs, now, output)
+        self._fetch(sender, sender_versions, now, output)
 
     def _receive_items(self, sender: Address, message: Message, now: float, output: Output) -> None:
         updates = []
@@ -214,25 +218,25 @@
         if output.learned:
             self._record_change(now)
         if updates:
-            self._push(updates, self._peers.for_relay(self._rng, sender), output)
+            self._push(updates, self._peers.forward_targets(self._rng, sender), output)
 
     def _fetch(self, sender: Address, versions: Iterable[Version], now: float, output: Output) -> None:
         for version in versions:
             if version.version > self._store.version(version.key):
-                source = self._peers.source(self._rng)
+                source = self._peers.fetch_source(self._rng)
                 request = self._requests.add_announcement(version, sender, source, now)
                 if request is not None:
                     self._send_request(request, output)
 
     def _forward_early(self, sender: Address, versions: Iterable[Version], output: Output) -> None:
-        """Forward announcements before the payload has come, if peers will fetch it from elsewhere."""
+        """Forward announcements before the payload arrives, if peers fetch it from another source."""
         if not self._peers.has_source:
             return
-        updates = tuple(self._requests.take_unforwarded(versions))
+        updates = tuple(self._requests.mark_forwarded(versions))
         if updates:
             message = encode_message(Message(Kind.ANNOUNCE, updates))
             output.sends += [
-                Send(to, message) for to in self._peers.for_relay(self._rng, sender, is_early=True)
+                Send(to, message) for to in self._peers.forward_targets(self._rng, sender, is_early=True)
             ]
 
     @staticmethod
@@ -243,7 +247,7 @@
     def _serve_requests(
         self, sender: Address, versions: Iterable[Version], now: float, output: Output
     ) -> None:
-        """Send the requested payloads, whatever their size."""
+        """Send the requested payloads, whatever their size, or accept or reject the requests."""
         for version in versions:
             item = self._store.get(version.key)
             is_stored = item is not None and item.version >= version.version
@@ -257,7 +261,7 @@
             output.sends.append(Send(sender, encode_message(answer)))
 
     def _upload(self, item: Item, requesters: Sequence[Address], now: float, output: Output) -> None:
-        """Send a payload whatever its size, unless it is in flight already."""
+        """Send a payload, whatever its size, to the requesters to which it is not in flight already."""
         targets = [to for to in requesters if self._uploads.start(to, item, now)]
         if targets:
             message = encode_message(Message(Kind.PUSH, items=(item,)))
@@ -267,7 +271,7 @@
     def _push(
         items: Iterable[Item], targets: Sequence[Address], output: Output, kind: Kind = Kind.PUSH
     ) -> None:
-        """Send small items, several to a message, and announce large ones."""
+        """Send small items, several in a message, and announce large ones."""
         messages = _messages(items, kind)
         output.sends += [Send(target, message) for target in targets for message in messages]
 
--- a/firvane/fleet/dissemination/peers.py
+++ b/firvane/fleet/dissemination/peers.py
@@ -1,4 +1,4 @@
-"""The peers to which items are sent: a choice by zones. Does no I/O."""
+"""The choice of the peers to which items are sent, by zones. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from firvane.core.address import Address
 
 FANOUT = 3
-"""Members to which something new is forwarded."""
+"""Number of members to which an update is forwarded."""
 MAX_SOURCES = 8
-"""Peers with fast links to which a publisher pushes first."""
+"""Maximum number of peers with fast links to which a publisher pushes first."""
 OWN_ZONE_RATIO = 0.6
-"""Ratio of the digests that stay in the own zone, where bytes are cheap."""
+"""Ratio of the digests that are sent within the own zone, where traffic is cheap."""
 OTHER_ZONE_RATIO = 0.25
-"""Ratio of the forwards of which one message goes to another zone, in case that zone was missed."""
+"""Ratio of the forwarded updates of which one message goes to another zone, which may lack the update."""
 
 
 class Peer(Struct, frozen=True):
@@ -25,16 +25,16 @@
     address: Address
     zone: str
     is_source: bool = False
-    """Whether it has a fast link, so that large payloads are preferably fetched from it."""
+    """Whether the peer has a fast link, so that large payloads are preferably fetched from it."""
 
 
 class PeerSet:
-    """The live members of one moment, by zone."""
+    """The live members at one moment, by zone."""
 
     def __init__(
         self, own_zone: str, peers: Iterable[Peer], successor: Address | None, is_source: bool = False
     ) -> None:
-        """`is_source`: the owner has a fast link, fetches from the announcer, and pushes to other sources."""
+        """`is_source`: this process has a fast link: it fetches from announcers, and pushes to sources."""
         self._is_source = is_source
         self._near: list[Address] = []
         self._far: dict[str, list[Address]] = {}
@@ -52,25 +52,25 @@
         self._far_all = [address for zone in self._far.values() for address in zone]
         self._all_sources = sorted(address for zone in self._sources.values() for address in zone)
 
-    def for_publisher(self, rng: random.Random) -> list[Address]:
-        """The sources, one peer in each of up to `FANOUT` other zones, and at least one of the own zone."""
-        targets = self._some_sources(rng)
+    def publish_targets(self, rng: random.Random) -> list[Address]:
+        """Return sources, a peer in each of up to `FANOUT` zones without a source, and own-zone peers."""
+        targets = self._random_sources(rng)
         zones = [zone for zone in self._far if zone not in self._sources]
         rng.shuffle(zones)
         targets += [rng.choice(self._far[zone]) for zone in zones[:FANOUT]]
-        return targets + self._nearby(rng, max(1, FANOUT - len(targets)), targets)
+        return targets + self._nearby_peers(rng, max(1, FANOUT - len(targets)), targets)
 
-    def for_relay(self, rng: random.Random, source: Address, is_early: bool = False) -> list[Address]:
-        """Peers to which an update from `source` is forwarded: mostly of the own zone.
+    def forward_targets(self, rng: random.Random, source: Address, is_early: bool = False) -> list[Address]:
+        """Return the peers to which an update from `source` is forwarded, mostly in the own zone.
 
-        Only of the own zone if it `is_early`: the payload has not come yet, and must be fetched from a
-        source there.
+        If it `is_early`, its payload has not arrived yet: the peers are in the own zone only, since they must
+        fetch the payload from a source there.
         """
-        targets = self._nearby(rng, FANOUT, [source])
+        targets = self._nearby_peers(rng, FANOUT, [source])
         if is_early:
             return [target for target in targets if target in self._near_set]
         if self._is_source:
-            return [to for to in dict.fromkeys([*self._some_sources(rng), *targets]) if to != source]
+            return [to for to in dict.fromkeys([*self._random_sources(rng), *targets]) if to != source]
         if self._far_all and (len(targets) < FANOUT or rng.random() < OTHER_ZONE_RATIO):
             far = rng.sample(self._far_all, min(len(self._far_all), 2))
             targets = targets[: FANOUT - 1] + [target for target in far if target != source][:1]
@@ -78,29 +78,29 @@
 
     @property
     def has_source(self) -> bool:
-        """Whether large payloads are fetched from a peer of the own zone with a fast link."""
+        """Whether there is a source in the own zone from which large payloads are fetched."""
         return bool(self._own_sources)
 
-    def source(self, rng: random.Random) -> Address | None:
-        """A peer of the own zone from which large payloads are preferably fetched, or None."""
+    def fetch_source(self, rng: random.Random) -> Address | None:
+        """Return a random source in the own zone, preferred for fetching large payloads, or None."""
         return rng.choice(self._own_sources) if self._own_sources else None
 
-    def for_digest(self, rng: random.Random) -> Address | None:
-        """A random peer to compare with, or None."""
-        near = self._near and (not self._far_all or rng.random() < OWN_ZONE_RATIO)
-        candidates = self._near if near else self._far_all
+    def digest_target(self, rng: random.Random) -> Address | None:
+        """Return a random peer with which to compare versions, or None."""
+        is_near = self._near and (not self._far_all or rng.random() < OWN_ZONE_RATIO)
+        candidates = self._near if is_near else self._far_all
         return rng.choice(candidates) if candidates else None
 
-    def for_report(self, turn: int) -> Address | None:
-        """The peer with a fast link whose turn it is, or None: `turn` counts from one to the next."""
+    def report_target(self, turn: int) -> Address | None:
+        """Return the peer with a fast link to which the report number `turn` goes, or None."""
         return self._all_sources[turn % len(self._all_sources)] if self._all_sources else None
 
-    def _some_sources(self, rng: random.Random) -> list[Address]:
+    def _random_sources(self, rng: random.Random) -> list[Address]:
         sources = [address for zone in self._sources.values() for address in zone]
         return rng.sample(sources, min(len(sources), MAX_SOURCES))
 
-    def _nearby(self, rng: random.Random, count: int, exclude: list[Address]) -> list[Address]:
-        """The successor in the ring first, then random peers of the own zone."""
+    def _nearby_peers(self, rng: random.Random, count: int, exclude: list[Address]) -> list[Address]:
+        """Return the successor in the ring first, then random peers in the own zone."""
         targets = []
         if self._successor is not None and self._successor not in exclude:
             targets.append(self._successor)
--- a/firvane/fleet/dissemination/requests.py
+++ b/firvane/fleet/dissemination/requests.py
@@ -1,4 +1,4 @@
-"""Fetches of announced payloads: from one source at a time, and another one on a time-out. Does no I/O."""
+"""Fetches of announced payloads, each from one source at a time, the next on a time-out. Does no I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,17 @@
 from firvane.fleet.dissemination.codec import Version
 
 RESPONSE_TIMEOUT_S = 0.15
-"""Until another source is asked."""
+"""Seconds without a response after which the request goes to another source."""
 SLOWEST_LINK_BYTES_PER_S = 300_000
-"""Of the slowest link on which a payload is waited for until its end."""
+"""Throughput of the slowest link on which the transfer of a payload is not considered overdue."""
 MAX_SOURCES = 8
+"""Maximum number of sources of one fetch."""
 MAX_FETCHES = 4096
-"""Concurrent fetches; further announcements are ignored."""
+"""Maximum number of concurrent fetches; announcements of further keys are ignored."""
 MAX_WAITERS = 1024
-"""Requests of others that wait for one payload being fetched here."""
+"""Maximum number of peers that wait for a payload that this process is fetching."""
 MAX_ATTEMPTS = 6
-"""Requests of one payload, after which the next announcement or digest is awaited."""
+"""Maximum number of requests in one fetch; the next announcement or digest starts another one."""
 
 
 class _Fetch(Struct):
@@ -33,19 +34,19 @@
 
 
 class Request(Struct, frozen=True):
-    """A version to request from a source."""
+    """A request for a version, to be sent to a source."""
 
     to: Address
     version: Version
 
 
 class FetchResult(Struct, frozen=True):
-    """A completed fetch."""
+    """The outcome of a completed fetch."""
 
     waiters: Sequence[Address] = ()
-    """Peers that have requested it meanwhile."""
+    """Peers that requested the payload while it was being fetched."""
     is_forwarded: bool = False
-    """Whether its announcement was forwarded already."""
+    """Whether the announcement has already been forwarded."""
 
 
 class Requests:
@@ -57,9 +58,9 @@
     def add_announcement(
         self, version: Version, source: Address, preferred: Address | None, now: float
     ) -> Request | None:
-        """Record that a source has this version, newer than the own one; the request to send, if any.
+        """Record that a source has a version newer than the stored one; return the request to send, if any.
 
-        `preferred` is asked first; it may be fetching the version itself.
+        The request goes to `preferred` first; that peer may still be fetching the version itself.
         """
         fetch = self._fetches.get(version.key)
         if fetch is not None and fetch.version.version >= version.version:
@@ -71,10 +72,10 @@
             return None
         waiters = fetch.waiters if fetch is not None else []
         fetch = self._fetches[version.key] = _Fetch(version, sources, waiters)
-        return self._ask(fetch, now)
+        return self._next_request(fetch, now)
 
     def add_waiter(self, version: Version, requester: Address) -> bool:
-        """Let a requester wait for a version that is being fetched; False where it is not."""
+        """Add a requester that waits for a version; return False if the version is not being fetched."""
         fetch = self._fetches.get(version.key)
         if fetch is None or fetch.version.version < version.version or len(fetch.waiters) >= MAX_WAITERS:
             return False
@@ -83,14 +84,14 @@
         return True
 
     def accepted(self, version: Version, source: Address, now: float) -> None:
-        """Extend the time-out, since the source sends this version, by what a slow link takes."""
+        """Extend the time-out by the transfer time on a slow link, since the source sends this version."""
         fetch = self._fetches.get(version.key)
         if fetch is not None and fetch.version.version == version.version and fetch.current_source == source:
             size = max(version.size, fetch.version.size)
             fetch.deadline = now + RESPONSE_TIMEOUT_S + size / SLOWEST_LINK_BYTES_PER_S
 
     def rejected(self, version: Version, source: Address, now: float) -> Request | None:
-        """Drop a source that does not have this version; the request to send to another one, if any."""
+        """Remove a source that lacks this version; return the request to send to another source, if any."""
         fetch = self._fetches.get(version.key)
         if fetch is None or fetch.version.version != version.version or fetch.current_source != source:
             return None
@@ -98,10 +99,10 @@
         if not fetch.sources:
             del self._fetches[version.key]
             return None
-        return self._ask(fetch, now)
+        return self._next_request(fetch, now)
 
-    def take_unforwarded(self, versions: Iterable[Version]) -> list[Version]:
-        """Take the versions being fetched whose announcement is not forwarded yet."""
+    def mark_forwarded(self, versions: Iterable[Version]) -> list[Version]:
+        """Return the versions being fetched that are not forwarded yet, and mark them as forwarded."""
         updates = []
         for version in versions:
             fetch = self._fetches.get(version.key)
@@ -111,7 +112,7 @@
         return updates
 
     def complete(self, key: bytes, version: int) -> FetchResult:
-        """End the fetches that this version, which has come, completes."""
+        """End the fetch that the arrival of this version completes, and return its result."""
         fetch = self._fetches.get(key)
         if fetch is None or fetch.version.version > version:
             return FetchResult()
@@ -120,21 +121,21 @@
         return FetchResult(fetch.waiters, is_forwarded)
 
     def overdue(self, now: float) -> list[Request]:
-        """Requests to repeat with another source."""
-        again = []
-        for fetch in [w for w in self._fetches.values() if w.deadline <= now]:
+        """Return the requests to send to other sources; remove fetches after `MAX_ATTEMPTS` requests."""
+        retries = []
+        for fetch in [overdue for overdue in self._fetches.values() if overdue.deadline <= now]:
             if fetch.attempts >= MAX_ATTEMPTS:
                 del self._fetches[fetch.version.key]
             else:
-                again.append(self._ask(fetch, now))
-        return again
+                retries.append(self._next_request(fetch, now))
+        return retries
 
     def deadline(self) -> float:
-        """When the next request is overdue; infinite without fetches."""
+        """Return when the next request is overdue; infinite without fetches."""
         return min((fetch.deadline for fetch in self._fetches.values()), default=float("inf"))
 
     @staticmethod
-    def _ask(fetch: _Fetch, now: float) -> Request:
+    def _next_request(fetch: _Fetch, now: float) -> Request:
         source = fetch.sources[fetch.attempts % len(fetch.sources)]
         fetch.attempts += 1
         fetch.current_source = source
--- a/firvane/fleet/membership/detector.py
+++ b/firvane/fleet/membership/detector.py
@@ -31,8 +31,8 @@
 ) -> list[Address]:
     """Return up to `count` random live members that are not suspected."""
     live = view.table.live()
-    sample = rng.sample(live, min(len(live), count + len(exclude) + 2))
-    alive = [entry.member.address for entry in sample if entry.status is Status.ALIVE]
+    candidates = rng.sample(live, min(len(live), count + len(exclude) + 2))
+    alive = [entry.member.address for entry in candidates if entry.status is Status.ALIVE]
     return [address for address in alive if address not in exclude][:count]
 
 
--- a/firvane/fleet/membership/machine.py
+++ b/firvane/fleet/membership/machine.py
@@ -30,7 +30,7 @@
 from firvane.fleet.membership.view import MemberView
 
 FREEZE_THRESHOLD_S = 1.5
-"""Seconds without input that show a suspension of the process: its timer fires each `HEARTBEAT_INTERVAL_S`."""
+"""Seconds without input after which the process was suspended: a timer fires each `HEARTBEAT_INTERVAL_S`."""
 UPDATE_DELAY_S = 0.04
 """Seconds for which new records are collected into a batch before they are forwarded."""
 FANOUT = 3
--- a/firvane/fleet/membership/view.py
+++ b/firvane/fleet/membership/view.py
@@ -56,7 +56,7 @@
         return found
 
     def is_up_to_date(self, record: Record) -> bool:
-        """Return whether a member's own record is as new as the known one, which must report it alive."""
+        """Return False if the record here is newer than the member's own, or not alive at equal stamps."""
         entry = self.table.get(record.member.address)
         if entry is None or record.stamp > entry.stamp or record.status is Status.LEFT:
             return True
--- a/firvane/fleet/partitions.py
+++ b/firvane/fleet/partitions.py
@@ -1,6 +1,6 @@
-"""The partitions of the control state: one for the configuration, the others by a hash of a name.
+"""The partitions of the control state: one for the configuration, and others chosen by a hash of a name.
 
-The hashed name is that of a service or of a singleton role. Each partition is a replication group of its own,
+The hashed name is that of a service or of a singleton role. Each partition is a separate replication group
 with its own members, owner and log.
 """
 
@@ -17,5 +17,5 @@
 
 
 def partition_of(name: str) -> int:
-    """The partition, from 1 on, of a service or singleton role; the same on every machine."""
+    """Return the partition (1 or higher) of a service or singleton role; it is the same on every machine."""
     return 1 + zlib.crc32(name.encode("utf-8", "surrogatepass")) % SERVICE_PARTITION_COUNT
--- a/tests/fleet/dissemination/test_peers.py
+++ b/tests/fleet/dissemination/test_peers.py
@@ -31,7 +31,7 @@
 def test_a_publisher_pushes_to_sources_other_zones_and_the_own_zone() -> None:
     chosen = PeerSet("a", peers({"a": 5, "b": 5, "c": 5, "d": 5}, ("b", "c")), address("a", 3))
     for _ in range(20):
-        targets = chosen.for_publisher(RNG)
+        targets = chosen.publish_targets(RNG)
         assert {address("b", 0), address("c", 0), address("a", 3)} <= set(targets)
         assert zones_of(targets) == Counter("abcd")
         assert len(targets) == len(set(targets))
@@ -39,17 +39,17 @@
 
 def test_reports_go_to_all_sources_in_turn() -> None:
     chosen = PeerSet("a", peers({"a": 5, "b": 5, "c": 5}, ("a", "c")), None)
-    assert [chosen.for_report(turn) for turn in range(3)] == [
+    assert [chosen.report_target(turn) for turn in range(3)] == [
         address("a", 0),
         address("c", 0),
         address("a", 0),
     ]
-    assert PeerSet("a", peers({"a": 5}), None).for_report(3) is None
+    assert PeerSet("a", peers({"a": 5}), None).report_target(3) is None
 
 
 def test_many_zones_and_sources_are_bounded() -> None:
     sizes = {zone: 3 for zone in "abcdefghijklmnopqrst"}
-    targets = PeerSet("a", peers(sizes, tuple("bcdefghijklm")), None).for_publisher(RNG)
+    targets = PeerSet("a", peers(sizes, tuple("bcdefghijklm")), None).publish_targets(RNG)
     assert len(targets) <= MAX_SOURCES + FANOUT + 1
 
 
@@ -57,7 +57,7 @@
     chosen = PeerSet("a", peers({"a": 9, "b": 9}), address("a", 1))
     counts: Counter[str] = Counter()
     for _ in range(300):
-        targets = chosen.for_relay(RNG, address("a", 2))
+        targets = chosen.forward_targets(RNG, address("a", 2))
         assert address("a", 2) not in targets
         assert address("a", 1) in targets
         assert len(targets) == FANOUT
@@ -68,40 +68,40 @@
 def test_early_updates_stay_in_the_own_zone() -> None:
     chosen = PeerSet("a", peers({"a": 9, "b": 9}, ("a",)), address("b", 1))
     for _ in range(100):
-        assert set(zones_of(chosen.for_relay(RNG, address("b", 0), is_early=True))) == {"a"}
+        assert set(zones_of(chosen.forward_targets(RNG, address("b", 0), is_early=True))) == {"a"}
 
 
 def test_a_source_pushes_to_the_other_sources() -> None:
     chosen = PeerSet("a", peers({"a": 9, "b": 3, "c": 3}, ("a", "b", "c")), None, is_source=True)
-    targets = chosen.for_relay(RNG, address("b", 0))
+    targets = chosen.forward_targets(RNG, address("b", 0))
     assert {address("a", 0), address("c", 0)} <= set(targets)
     assert address("b", 0) not in targets
-    assert not chosen.has_source and chosen.source(RNG) is None
+    assert not chosen.has_source and chosen.fetch_source(RNG) is None
 
 
 def test_a_small_zone_is_filled_up_from_others() -> None:
     chosen = PeerSet("a", peers({"b": 4}), address("b", 1))
-    assert chosen.for_relay(RNG, address("b", 1)) != []
-    assert chosen.for_digest(RNG) in [peer.address for peer in peers({"b": 4})]
+    assert chosen.forward_targets(RNG, address("b", 1)) != []
+    assert chosen.digest_target(RNG) in [peer.address for peer in peers({"b": 4})]
 
 
 def test_digests_go_to_both_own_and_other_zones() -> None:
     chosen = PeerSet("a", peers({"a": 3, "b": 3}), None)
-    found = [chosen.for_digest(RNG) for _ in range(200)]
+    found = [chosen.digest_target(RNG) for _ in range(200)]
     counts = zones_of([peer for peer in found if peer is not None])
     assert counts["a"] > counts["b"] > 20
 
 
 def test_without_peers_there_are_no_targets() -> None:
     alone = PeerSet("a", (), None)
-    assert alone.for_publisher(RNG) == []
-    assert alone.for_relay(RNG, address("a", 1)) == []
-    assert alone.for_digest(RNG) is None
-    assert alone.source(RNG) is None
+    assert alone.publish_targets(RNG) == []
+    assert alone.forward_targets(RNG, address("a", 1)) == []
+    assert alone.digest_target(RNG) is None
+    assert alone.fetch_source(RNG) is None
 
 
 def test_large_payloads_come_from_a_source_of_the_own_zone() -> None:
     chosen = PeerSet("a", peers({"a": 5, "b": 5}, ("a", "b")), None)
     assert chosen.has_source
-    assert {chosen.source(RNG) for _ in range(20)} == {address("a", 0)}
-    assert PeerSet("a", peers({"a": 5, "b": 5}, ("b",)), None).source(RNG) is None
+    assert {chosen.fetch_source(RNG) for _ in range(20)} == {address("a", 0)}
+    assert PeerSet("a", peers({"a": 5, "b": 5}, ("b",)), None).fetch_source(RNG) is None
--- a/tests/fleet/dissemination/test_requests.py
+++ b/tests/fleet/dissemination/test_requests.py
@@ -79,8 +79,8 @@
 def test_an_announcement_is_forwarded_once() -> None:
     requests = Requests()
     requests.add_announcement(NEWS, ONE, None, 0.0)
-    assert requests.take_unforwarded([NEWS, Version(b"other", 1)]) == [NEWS]
-    assert requests.take_unforwarded([NEWS]) == []
+    assert requests.mark_forwarded([NEWS, Version(b"other", 1)]) == [NEWS]
+    assert requests.mark_forwarded([NEWS]) == []
     assert requests.complete(KEY, 7).is_forwarded
 
 
