--- a/firvane/fleet/cluster/__init__.py
+++ b/firvane/fleet/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The cluster as both programs use it: membership and dissemination over one transport."""
+"""The cluster for router and controller: membership and dissemination over one transport."""
--- a/firvane/fleet/cluster/agent.py
+++ b/firvane/fleet/cluster/agent.py
@@ -1,4 +1,4 @@
-"""The cluster's facade for the programs: the sockets and the one timer of a `ClusterCore`."""
+"""The cluster's interface for the programs: runs a `ClusterCore` with sockets and a single timer."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 __all__ = ["Channel", "ClusterAgent", "Item", "KnownMember", "Member", "Role"]
 
 SWEEP_INTERVAL_S = 5.0
-"""Between two checks for idle links."""
+"""Seconds between two checks for idle links."""
 TIMER_TOLERANCE_S = 0.005
-"""By which a timer may be late without being set anew."""
+"""Seconds by which a timer may differ from the deadline without being rescheduled."""
 _OWN_CHANNEL = 0
 
 
 class Channel(enum.IntEnum):
-    """The component whose payload a frame carries; the agent's own channel is not among them."""
+    """The component to which a frame's payload belongs; the agent's own channel is separate."""
 
     REPLICATION = 1
     ROWS = 2
@@ -36,7 +36,7 @@
 
 
 class ClusterAgent:
-    """One process as a member of the cluster. Not thread-safe: to be called from the loop's thread."""
+    """One process as a member of the cluster. Not thread-safe: must be called in the event loop's thread."""
 
     def __init__(
         self,
@@ -50,9 +50,9 @@
         on_message: Callable[[Address, Channel, bytes], None],
         is_withheld: Callable[[bytes], bool] = never_withheld,
     ) -> None:
-        """`seeds` are internal addresses. `on_item` gets newly learned items, not own ones.
+        """`seeds` are internal addresses. `on_item` is called with received items, not with published ones.
 
-        `is_withheld` returns whether the item of a key is not to be offered to others at this moment.
+        `is_withheld` returns whether the item of a key must not be offered to others at this moment.
         """
         self._loop = loop
         self._log = log
@@ -65,27 +65,27 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = float("inf")
         self._sweep_due = loop.time() + SWEEP_INTERVAL_S
-        self._unreadable = 0
+        self._unreadable_count = 0
         self._is_started = False
         self._is_closed = False
 
     @property
     def identity(self) -> Member:
-        """This process as the cluster knows it; its incarnation may have risen since the start."""
+        """This process's identity in the cluster; its incarnation may have risen since the start."""
         return self._core.identity
 
     async def start(self) -> None:
         """Bind UDP and TCP on the identity's address, and announce this process.
 
         Raises:
-            OSError: The address cannot be bound; it may be tried again.
+            OSError: The address cannot be bound; the caller may retry.
         """
         await self._endpoint.start()
         self._is_started = True
         self._on_timer()
 
     def close(self, leave: bool = True) -> None:
-        """Stop; `leave` notifies others, so that they need not detect it as a failure."""
+        """Stop; with `leave`, notify other members, so that they do not have to detect a failure."""
         if self._is_closed:
             return
         self._is_closed = True
@@ -97,27 +97,27 @@
         self._endpoint.close()
 
     def publish(self, item: Item) -> None:
-        """Store an item and disseminate it; nothing happens if it is not newer than what is known."""
+        """Store an item and disseminate it, unless it is not newer than the stored one."""
         self._apply(self._core.publish(item, self._loop.time()))
 
     def send(self, to: Address, channel: Channel, payload: bytes) -> None:
-        """Send a payload; best effort: it may be lost, doubled or reordered."""
+        """Send a payload, best effort: it may be lost, duplicated or reordered."""
         self._endpoint.send(to, channel, payload)
 
     def members(self, role: Role | None = None) -> list[Member]:
-        """Members believed live, this process included."""
+        """Return the members believed live, this process included."""
         return self._core.members(role)
 
     def known_members(self) -> list[KnownMember]:
-        """All members known here, this process first, those that have just died or left included."""
+        """Return all known members, this process first, with those that died or left recently."""
         return self._core.known_members(self._loop.time())
 
     def set_applied_version(self, version: int) -> None:
-        """Report from now on that this version of the configuration is in force in this process."""
+        """From now on, report this version of the configuration as the one that this process applies."""
         self._core.set_applied_version(version)
 
     def item(self, key: bytes) -> Item | None:
-        """The newest known item of a key, or None."""
+        """Return the newest known item of a key, or None."""
         return self._core.item(key)
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
@@ -132,18 +132,18 @@
             self._receive(sender, payload, now)
             return
         self._core.record_received(sender, now)
-        known = _CHANNELS.get(channel)
-        if known is not None:
-            self._on_message(sender, known, payload)
+        known_channel = _CHANNELS.get(channel)
+        if known_channel is not None:
+            self._on_message(sender, known_channel, payload)
 
     def _receive(self, sender: Address, payload: bytes, now: float) -> None:
         try:
             effects = self._core.receive(sender, payload, now)
         except PayloadError as error:
-            self._unreadable += 1
-            if self._unreadable & (self._unreadable - 1) == 0:  # the 1st, 2nd, 4th, 8th ...
+            self._unreadable_count += 1
+            if self._unreadable_count & (self._unreadable_count - 1) == 0:  # the 1st, 2nd, 4th, 8th ...
                 host, port = sender
-                total = self._unreadable
+                total = self._unreadable_count
                 self._log.warning(
                     "cluster_payload_unreadable", peer=f"{host}:{port}", reason=str(error), total=total
                 )
--- a/firvane/fleet/cluster/applied.py
+++ b/firvane/fleet/cluster/applied.py
@@ -1,8 +1,8 @@
-"""Which version of the configuration is in force at each member, as the members report it. Does no I/O.
+"""The version of the configuration that each member applies, as the members report it. Does no I/O.
 
-A report is a section of 9 bytes: a version byte and the version in force, both big-endian. It travels with
-the digests that go to controllers anyway, so that an operator can ask any controller which members are
-behind.
+A report is a section of 9 bytes: a format version (1 byte) and the applied version (8 bytes, big-endian). It
+shares a datagram with the digests that are sent to controllers, so that an operator can query any controller
+for the members that still apply an older version.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class AppliedReport(Struct, frozen=True):
-    """The last report of one incarnation of a member."""
+    """The last report of a member, and the incarnation that sent it."""
 
     incarnation: int
     version: int
@@ -30,22 +30,22 @@
 
 
 class AppliedVersions:
-    """The version in force here, and the last report of each live member."""
+    """The version that this process applies, and the last report of each live member."""
 
     def __init__(self) -> None:
         self.own: int | None = None
-        """The version in force in this process; None before the first."""
+        """The version that this process applies; None before the first."""
         self._reports: dict[Address, AppliedReport] = {}
 
     def section(self) -> bytes | None:
-        """The own report, encoded; None while nothing is in force here."""
+        """Return this process's report, encoded; None while it applies no version."""
         return None if self.own is None else _REPORT.pack(FORMAT_VERSION, self.own)
 
     def receive(self, sender: Member, content: bytes, now: float) -> None:
         """Store a report.
 
         Raises:
-            EnvelopeError: The content is no report.
+            EnvelopeError: The content is not a valid report.
         """
         if len(content) != REPORT_BYTES:
             raise EnvelopeError("report has a wrong length")
@@ -55,12 +55,12 @@
         self._reports[sender.address] = AppliedReport(sender.incarnation, version, now)
 
     def report_of(self, member: Member) -> AppliedReport | None:
-        """The last report of this incarnation of a member, or None."""
+        """Return the last report of this incarnation of a member, or None."""
         report = self._reports.get(member.address)
         return report if report is not None and report.incarnation == member.incarnation else None
 
     def retain(self, addresses: Iterable[Address]) -> None:
-        """Forget the reports of all others."""
+        """Remove the reports of all members except those at `addresses`."""
         live = set(addresses)
-        for address in [each for each in self._reports if each not in live]:
+        for address in [known for known in self._reports if known not in live]:
             del self._reports[address]
--- a/firvane/fleet/cluster/core.py
+++ b/firvane/fleet/cluster/core.py
@@ -1,4 +1,4 @@
-"""Membership and dissemination of one process together, as one state machine: bytes in, bytes out."""
+"""Membership and dissemination of one process, combined into one state machine on bytes. Does no I/O."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from firvane.fleet.membership.outbox import Send as MemberSend
 
 MAX_PAYLOAD_BYTES = 1200
-"""Bytes up to which sections for one peer are put into one payload."""
+"""Maximum bytes of a payload that combines several sections for one peer."""
 _SUMMARY = struct.Struct(">I")
 
 
 class PayloadError(ValueError):
-    """The payload of another process cannot be read; the text gives the reason."""
+    """A payload from another process cannot be decoded; the text gives the reason."""
 
 
 class Effects(Struct):
-    """What an input causes."""
+    """The messages, newly learned items and membership changes that an input causes."""
 
     sends: list[tuple[Address, bytes]] = field(default_factory=list)
     learned: list[Item] = field(default_factory=list)
@@ -47,13 +47,13 @@
 
 
 class KnownMember(Struct, frozen=True):
-    """A member as this process sees it, and the version of the configuration in force there."""
+    """A member in the view of this process, and the version of the configuration that the member applies."""
 
     state: MemberState
     applied_version: int | None = None
-    """None where its current incarnation has not reported any."""
+    """None if the member's current incarnation has not reported any."""
     report_age: float | None = None
-    """Seconds since that report came; 0 for this process."""
+    """Seconds since the report arrived; 0 for this process."""
 
 
 class ClusterCore:
@@ -67,44 +67,44 @@
         now: float,
         is_withheld: Callable[[bytes], bool] = never_withheld,
     ) -> None:
-        """`is_withheld` returns whether the item of a key is not to be offered to others at this moment."""
+        """`is_withheld` returns whether the item of a key must not be offered to others at this moment."""
         self._membership = Membership(identity, seeds, rng, now)
         self._dissemination = Dissemination(rng, now, is_withheld)
-        self._peers_version = -1
+        self._peer_set_version = -1
         self._members_version = self._membership.version
-        self._queue: dict[Address, list[Section]] = {}
+        self._pending_sections: dict[Address, list[Section]] = {}
         self._learned: list[Item] = []
         self._applied = AppliedVersions()
         self._controllers: frozenset[Address] = frozenset()
 
     @property
     def identity(self) -> Member:
-        """This process; its incarnation may have risen since its start."""
+        """This process's identity; its incarnation may have risen since the start."""
         return self._membership.identity
 
     def members(self, role: Role | None = None) -> list[Member]:
-        """Members believed live, this process included."""
-        return [m for m in self._membership.members() if role is None or m.role is role]
+        """Return the members believed live, this process included."""
+        return [member for member in self._membership.members() if role is None or member.role is role]
 
     def known_members(self, now: float) -> list[KnownMember]:
-        """All members known here, this process first, those that have just died or left included."""
+        """Return all known members, this process first, with those that died or left recently."""
         states = self._membership.states(now)
         own = KnownMember(states[0], self._applied.own, None if self._applied.own is None else 0.0)
-        return [own, *(self._known(state, now) for state in states[1:])]
+        return [own, *(self._known_member(state, now) for state in states[1:])]
 
-    def _known(self, state: MemberState, now: float) -> KnownMember:
+    def _known_member(self, state: MemberState, now: float) -> KnownMember:
         report = self._applied.report_of(state.member)
         if report is None:
             return KnownMember(state)
         return KnownMember(state, report.version, now - report.received_at)
 
     def set_applied_version(self, version: int) -> None:
-        """Report from now on that this version of the configuration is in force here."""
+        """From now on, report this version of the configuration as the one that this process applies."""
         self._applied.own = version
         self._dissemination.report_to_controllers()
 
     def item(self, key: bytes) -> Item | None:
-        """The newest known item of a key, or None."""
+        """Return the newest known item of a key, or None."""
         return self._dissemination.item(key)
 
     def set_seeds(self, seeds: Sequence[Address]) -> None:
@@ -112,11 +112,11 @@
         self._membership.set_seeds(seeds)
 
     def deadline(self) -> float:
-        """When `tick` is due next."""
+        """Return when `tick` is due next."""
         return min(self._membership.deadline(), self._dissemination.deadline())
 
     def tick(self, now: float) -> Effects:
-        """Do what is due."""
+        """Run the due timers of membership and dissemination."""
         self._add_member_sends(self._membership.tick(now))
         self._refresh_peers()
         self._add_output(self._dissemination.tick(now))
@@ -126,7 +126,7 @@
         """Handle a payload of another process.
 
         Raises:
-            PayloadError: It cannot be read; what came before the damage had its effect.
+            PayloadError: It cannot be decoded; the sections before the invalid one have taken effect.
         """
         try:
             for section in decode_envelope(payload):
@@ -136,17 +136,17 @@
         return self._effects()
 
     def publish(self, item: Item, now: float) -> Effects:
-        """Store an own item and disseminate it."""
+        """Store an item of this process and disseminate it."""
         self._refresh_peers()
         self._add_output(self._dissemination.publish(item, now))
         return self._effects()
 
     def record_received(self, sender: Address, now: float) -> None:
-        """Record a payload of the sender: it is alive."""
+        """Record that a payload of the sender has arrived, so that the sender is alive."""
         self._membership.record_received(sender, now)
 
     def leave(self, now: float) -> Effects:
-        """Notify some members that this process ends."""
+        """Return messages that notify some members that this process leaves."""
         self._add_member_sends(self._membership.leave(now))
         return self._effects()
 
@@ -166,15 +166,15 @@
                 self._add_output(self._dissemination.receive(sender, section.content, now))
 
     def _receive_report(self, sender: Address, content: bytes, now: float) -> None:
-        """Store the report of a live member; one for each, so that their number is bounded."""
+        """Store the report of a live member; others are ignored, so that the number of reports is bounded."""
         member = self._membership.member(sender)
         if member is not None:
             self._applied.receive(member, content, now)
 
     def _refresh_peers(self) -> None:
-        if self._peers_version == self._membership.version:
+        if self._peer_set_version == self._membership.version:
             return
-        self._peers_version = self._membership.version
+        self._peer_set_version = self._membership.version
         own = self._membership.identity
         others = [member for member in self._membership.members() if member.address != own.address]
         self._applied.retain(member.address for member in others)
@@ -206,14 +206,14 @@
                 self._enqueue(send.to, Plane.APPLIED, report)
 
     def _enqueue(self, to: Address, plane: Plane, content: bytes) -> None:
-        self._queue.setdefault(to, []).append(Section(plane, content))
+        self._pending_sections.setdefault(to, []).append(Section(plane, content))
 
     def _effects(self) -> Effects:
         effects = Effects(learned=self._learned)
         self._learned = []
-        for to, sections in self._queue.items():
+        for to, sections in self._pending_sections.items():
             effects.sends += [(to, payload) for payload in _pack(sections)]
-        self._queue.clear()
+        self._pending_sections.clear()
         if self._members_version != self._membership.version:
             self._members_version = self._membership.version
             effects.members_changed = True
@@ -221,7 +221,7 @@
 
 
 def _pack(sections: Sequence[Section]) -> list[bytes]:
-    """Return payloads with the sections in order, several to one payload while it fits a datagram."""
+    """Return payloads with the sections in order, as many in one payload as fit a datagram."""
     payloads = []
     batch: list[Section] = []
     size = ENVELOPE_OVERHEAD
--- a/firvane/fleet/cluster/envelope.py
+++ b/firvane/fleet/cluster/envelope.py
@@ -1,6 +1,6 @@
-"""Sections of several planes in one payload, so that what goes to one peer at one time shares a datagram.
+"""Envelopes: payloads with sections of several planes, so that these share a datagram to a peer.
 
-A payload is a version byte and sections: plane (1 byte), length (4 bytes, big-endian), content.
+An envelope is a version byte and sections: plane (1 byte), length (4 bytes, big-endian), content.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 
 
 class Plane(enum.IntEnum):
-    """Which state machine a section is for."""
+    """The component that handles a section."""
 
     MEMBERSHIP = 1
-    """A message of membership."""
+    """A membership message."""
     SUMMARY = 2
-    """The summary of the sender's table of members, 4 bytes."""
+    """The checksum of the sender's table of members, 4 bytes."""
     DISSEMINATION = 3
-    """A message of dissemination."""
+    """A dissemination message."""
     APPLIED = 4
-    """The version of the configuration that is in force at the sender."""
+    """The version of the configuration that the sender applies."""
 
 
 class Section(Struct, frozen=True):
-    """The content for one plane."""
+    """The content of an envelope for one plane."""
 
     plane: Plane
     content: bytes
 
 
 def encode_envelope(sections: Iterable[Section]) -> bytes:
-    """The wire form of some sections."""
+    """Return the envelope with the sections."""
     parts = [bytes((VERSION,))]
     for section in sections:
         parts += (_SECTION.pack(section.plane, len(section.content)), section.content)
@@ -51,10 +51,10 @@
 
 
 def decode_envelope(data: bytes) -> list[Section]:
-    """Return the sections in `data`.
+    """Decode the sections in the envelope `data`.
 
     Raises:
-        EnvelopeError: `data` is no envelope of this version.
+        EnvelopeError: `data` is not an envelope of this version.
     """
     if not data or data[0] != VERSION:
         raise EnvelopeError("version is unknown")
@@ -63,14 +63,14 @@
     while offset < len(data):
         if len(data) - offset < _SECTION.size or len(sections) >= MAX_SECTIONS:
             raise EnvelopeError("section is cut short, or too many sections")
-        number, length = _SECTION.unpack_from(data, offset)
+        plane_number, length = _SECTION.unpack_from(data, offset)
         start = offset + _SECTION.size
         offset = start + length
         if offset > len(data):
             raise EnvelopeError("section is cut short")
         try:
-            plane = Plane(number)
+            plane = Plane(plane_number)
         except ValueError:
-            raise EnvelopeError(f"plane {number} is unknown") from None
+            raise EnvelopeError(f"plane {plane_number} is unknown") from None
         sections.append(Section(plane, data[start:offset]))
     return sections
--- a/firvane/fleet/dissemination/codec.py
+++ b/firvane/fleet/dissemination/codec.py
@@ -38,7 +38,7 @@
     REQUEST = 5
     """Request for the payloads of these versions, or of newer ones."""
     REPAIR = 6
-    """Items with their payloads, in answer to a digest; the receiver forwards only newer versions of known keys."""
+    """Items with their payloads, in answer to a digest; forwarded only if an older version was known."""
     ACCEPT = 7
     """Requested versions whose payloads are sent now, or as soon as the sender has fetched them."""
     REJECT = 8
