--- a/firvane/fleet/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -23,8 +23,8 @@
     HandOverResponse,
     PartReport,
     PartsResponse,
-    address_text,
     encode_members,
+    format_address,
 )
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import Problem
@@ -153,9 +153,9 @@
         self._log.info(
             "leadership_transfer_ended",
             partition=order.partition,
-            successor=address_text(successor) if successor else "any",
+            successor=format_address(successor) if successor else "any",
             start=transfer.start.value,
-            owner=address_text(transfer.owner) if transfer.owner else "",
+            owner=format_address(transfer.owner) if transfer.owner else "",
         )
         code = _REJECTION_CODES.get(transfer.start)
         if code is not None:
@@ -184,13 +184,13 @@
             code=code.value,
             result=code.name.lower(),
             config_version=self._newest_version(),
-            asked=address_text(self._own),
+            asked=format_address(self._own),
         )
 
     def _transferred(self, partition: int, owner: Address) -> Outcome:
         code = ResultCode.HANDED_OVER
         return self._answer(
-            code, HandOverResponse(**self._head(code), part=partition, owner=address_text(owner))
+            code, HandOverResponse(**self._head(code), part=partition, owner=format_address(owner))
         )
 
     @staticmethod
--- a/firvane/fleet/controller/partition_reports.py
+++ b/firvane/fleet/controller/partition_reports.py
@@ -5,7 +5,13 @@
 from collections.abc import Callable
 
 from firvane.core.address import Address
-from firvane.fleet.cluster.reports import DECIMALS, PartReport, ReplicaReport, address_text, incarnation_text
+from firvane.fleet.cluster.reports import (
+    DECIMALS,
+    PartReport,
+    ReplicaReport,
+    format_address,
+    format_incarnation,
+)
 from firvane.fleet.controller.replication_host import GroupStatus
 from firvane.fleet.replication.replica import Role
 from firvane.fleet.replication.status import ReplicaStatus
@@ -33,8 +39,8 @@
         part=partition,
         role=status.role.name.lower(),
         owned=status.owned,
-        owner=address_text(owner) if owner else None,
-        owner_control=address_text(control_address(owner)) if owner else None,
+        owner=format_address(owner) if owner else None,
+        owner_control=format_address(control_address(owner)) if owner else None,
         term=status.term,
         last_index=status.last_index,
         commit_index=status.commit_index,
@@ -49,8 +55,8 @@
     synced = replica.synced_index
     unresponsive_s = replica.unresponsive_for_s
     return ReplicaReport(
-        address=address_text(replica.member.address),
-        incarnation=incarnation_text(replica.member.incarnation),
+        address=format_address(replica.member.address),
+        incarnation=format_incarnation(replica.member.incarnation),
         kind=_kind(replica, status),
         synced_index=synced,
         lag=status.last_index - synced if leads and synced is not None else None,
