--- a/firvane/fleet/cluster/reports.py
+++ b/firvane/fleet/cluster/reports.py
@@ -32,8 +32,7 @@
     """Address of the operators' API, controllers only."""
     config_version: int | None = None
     """The version that the member applies; None if the responding process has received no report of it."""
-    report_age_s: float | None = None
-    """Seconds since that report arrived."""
+    report_age_s: float | None = None  # since that report arrived
 
     @property
     def is_live(self) -> bool:
@@ -55,8 +54,7 @@
     """The last log index that is synced to the replica's disk."""
     lag: int | None = None
     """Number of entries between `synced_index` and the owner's last entry."""
-    silent_s: float | None = None
-    """Seconds for which the replica has not responded to the owner."""
+    silent_s: float | None = None  # for which the replica has not responded to the owner
     troubles: list[str] = []
     """`disk`, `superseded` (the replica has lost its disk), `leaving`."""
 
@@ -134,7 +132,7 @@
 
 
 def format_address(address: Address) -> str:
-    """Return the address as `HOST:PORT`."""
+    """`HOST:PORT`."""
     return f"{address[0]}:{address[1]}"
 
 
--- a/firvane/fleet/dissemination/machine.py
+++ b/firvane/fleet/dissemination/machine.py
@@ -38,7 +38,6 @@
 MAX_PUSH_BYTES = 1100
 """Maximum bytes of an item, and of a message with several items; larger items are announced."""
 DIGEST_INTERVAL_S = 1.0
-"""Seconds between two digests."""
 BUSY_DIGEST_INTERVAL_S = 0.5
 """Seconds between two digests after a change."""
 BUSY_DURATION_S = 5.0
--- a/firvane/fleet/dissemination/requests.py
+++ b/firvane/fleet/dissemination/requests.py
@@ -13,8 +13,7 @@
 """Seconds without a response after which the request goes to another source."""
 SLOWEST_LINK_BYTES_PER_S = 300_000
 """Throughput of the slowest link on which the transfer of a payload is not considered overdue."""
-MAX_SOURCES = 8
-"""Maximum number of sources of one fetch."""
+MAX_SOURCES = 8  # of one fetch
 MAX_FETCHES = 4096
 """Maximum number of concurrent fetches; announcements of further keys are ignored."""
 MAX_WAITERS = 1024
@@ -123,7 +122,7 @@
     def overdue(self, now: float) -> list[Request]:
         """Return the requests to send to other sources; remove fetches after `MAX_ATTEMPTS` requests."""
         retries = []
-        for fetch in [overdue for overdue in self._fetches.values() if overdue.deadline <= now]:
+        for fetch in [pending for pending in self._fetches.values() if pending.deadline <= now]:
             if fetch.attempts >= MAX_ATTEMPTS:
                 del self._fetches[fetch.version.key]
             else:
