--- a/firvane/fleet/transport/__init__.py
+++ b/firvane/fleet/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Frames between the system's own processes: datagrams for small payloads, TCP links for large ones."""
+"""Transport of frames between the fleet's processes: datagrams for small payloads, TCP for large ones."""
--- a/firvane/fleet/transport/endpoint.py
+++ b/firvane/fleet/transport/endpoint.py
@@ -1,7 +1,7 @@
 """The endpoint of one process: a UDP socket and a TCP listener on its internal address.
 
-Best effort: `send` never raises and never waits. A payload may be lost, duplicated or reordered; the callers
-retry what matters to them.
+Delivery is best effort: `send` neither raises nor waits, and a payload may be lost, duplicated or reordered.
+Callers retry where delivery matters.
 """
 
 from __future__ import annotations
@@ -20,21 +20,21 @@
 from firvane.fleet.transport.queue import FrameQueue
 
 MAX_DATAGRAM_PAYLOAD_BYTES = 1200
-"""Payloads up to this many bytes go as datagrams, larger ones over a TCP link."""
+"""Maximum bytes of payloads that are sent as datagrams; larger payloads are sent over a TCP link."""
 CONNECT_TIMEOUT_S = 0.5
-"""A machine without power does not answer."""
+"""Bounds attempts to connect to a machine that is switched off and does not answer."""
 INITIAL_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 1.0
-"""Exponential backoff between attempts to connect to one peer."""
+"""Bounds of the exponential backoff between attempts to connect to one peer."""
 OPENER_IDLE_TIMEOUT_S = 10.0
 ACCEPTOR_IDLE_TIMEOUT_S = 15.0
-"""Without a frame; the side that opened a link closes it first."""
+"""Seconds without a frame after which a link is closed, first by the side that opened it."""
 MAX_ACCEPTED_LINKS = 1024
 MAX_INCOMPLETE_BYTES = 32 * 1024 * 1024
-"""Of incomplete frames, over all links."""
+"""Maximum bytes buffered for incomplete frames, over all links."""
 LISTEN_BACKLOG = 256
 RECEIVE_BUFFER_BYTES = 1024 * 1024
-"""Requested for the UDP socket."""
+"""Receive buffer requested for the UDP socket."""
 
 
 class _Backoff(Struct):
@@ -43,7 +43,7 @@
 
 
 class Endpoint:
-    """Sends and receives payloads for one process; `on_payload(sender, channel, payload)` gets them."""
+    """Sends payloads of one process, and calls `on_payload(sender, channel, payload)` for received ones."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         """Bind both sockets.
 
         Raises:
-            OSError: The address cannot be bound; it may be tried again.
+            OSError: The address cannot be bound; the caller may retry.
         """
         listener = self._bind(socket.SOCK_STREAM)
         try:
@@ -85,7 +85,7 @@
         self._listener = await self._loop.create_server(self._accept, sock=listener, backlog=LISTEN_BACKLOG)
 
     def close(self) -> None:
-        """Close all sockets; what is already in a link's send buffer is still sent."""
+        """Close all sockets; bytes that are already in a link's send buffer are still sent."""
         self._is_closed = True
         if self._datagrams is not None:
             self._loop.remove_reader(self._datagrams.fileno())
@@ -99,13 +99,13 @@
             link.close("endpoint closed")
 
     def send(self, to: Address, channel: int, payload: bytes) -> None:
-        """Send a payload, as a datagram if it is small enough; best effort."""
+        """Send a payload, best effort: as a datagram if it is small enough, otherwise over a link."""
         if self._is_closed:
             return
         try:
             header = encode_header(self._address, channel, len(payload))
         except FrameError as error:
-            self._log.warning("transport_frame_not_sent", peer=_text(to), reason=str(error))
+            self._log.warning("transport_frame_not_sent", peer=_format_address(to), reason=str(error))
             return
         if len(payload) <= MAX_DATAGRAM_PAYLOAD_BYTES:
             self._send_datagram(to, header + payload)
@@ -114,36 +114,37 @@
 
     @property
     def link_count(self) -> int:
-        """Links that are open."""
+        """The number of open links."""
         return len(self._links) + len(self._accepted)
 
     @property
     def connecting_count(self) -> int:
-        """Attempts to connect that are in flight."""
+        """The number of connection attempts in progress."""
         return len(self._connecting)
 
     @property
     def incomplete_bytes(self) -> int:
-        """Buffered bytes of incomplete frames."""
+        """The bytes buffered for incomplete frames, over all links."""
         return self._incomplete_bytes
 
     def sweep(self, idle_since: float | None = None) -> None:
-        """Close idle links and forget old back-offs; to be called every few seconds.
+        """Close idle links and remove expired back-offs; must be called every few seconds.
 
-        `idle_since` (time of the loop) closes all links not used after it, instead of the usual limits.
+        With `idle_since` (the event loop's time), all links not used since then are closed, instead of those
+        that have exceeded an idle time-out.
         """
         now = self._loop.time()
         for link in [*self._links.values(), *self._accepted]:
             limit = now - (OPENER_IDLE_TIMEOUT_S if link.is_opener else ACCEPTOR_IDLE_TIMEOUT_S)
-            if link.used_at < (limit if idle_since is None else idle_since):
+            if link.last_used_at < (limit if idle_since is None else idle_since):
                 link.close(IDLE)
-        old = [peer for peer, backoff in self._backoffs.items() if now > backoff.until + MAX_BACKOFF_S]
-        for peer in old:
+        expired = [peer for peer, backoff in self._backoffs.items() if now > backoff.until + MAX_BACKOFF_S]
+        for peer in expired:
             del self._backoffs[peer]
 
     def on_link_frame(self, link: Link, frame: Frame) -> None:
-        """Register an accepted link under its sender, and deliver the frame."""
-        link.used_at = self._loop.time()
+        """Deliver a frame; the first frame of an accepted link registers the link under its sender."""
+        link.last_used_at = self._loop.time()
         if link.peer is None:
             link.peer = frame.sender
             self._accepted.discard(link)
@@ -154,21 +155,21 @@
         self._deliver(frame)
 
     def on_link_buffered(self, change: int) -> bool:
-        """Count bytes of incomplete frames over all links."""
+        """Count buffered bytes over all links; return False if they exceed `MAX_INCOMPLETE_BYTES`."""
         self._incomplete_bytes += change
         return self._incomplete_bytes <= MAX_INCOMPLETE_BYTES
 
     def on_link_closed(self, link: Link, reason: str) -> None:
-        """Forget the link."""
+        """Remove the link, and log the reason unless the link was idle."""
         self._accepted.discard(link)
         if link.peer is not None and self._links.get(link.peer) is link:
             del self._links[link.peer]
         if self._is_closed or reason == IDLE:
             return
         if reason == CLOSED_BY_PEER:
-            self._log.debug("transport_link_closed", peer=_text(link.peer), reason=reason)
+            self._log.debug("transport_link_closed", peer=_format_address(link.peer), reason=reason)
         else:
-            self._log.info("transport_link_closed", peer=_text(link.peer), reason=reason)
+            self._log.info("transport_link_closed", peer=_format_address(link.peer), reason=reason)
 
     def _bind(self, kind: socket.SocketKind) -> socket.socket:
         sock = socket.socket(socket.AF_INET, kind)
@@ -184,7 +185,9 @@
     def _send_datagram(self, to: Address, frame: bytes) -> None:
         if self._datagrams is None:
             return
-        with contextlib.suppress(OSError):  # a full send buffer or no route: lost, like any datagram
+        with contextlib.suppress(
+            OSError
+        ):  # the send buffer is full, or there is no route: the datagram is lost
             self._datagrams.sendto(frame, to)
 
     def _receive_datagram(self) -> None:
@@ -219,7 +222,7 @@
     def _send_on_link(self, to: Address, frame: bytes) -> None:
         link = self._links.get(to)
         if link is not None and link.is_open:
-            link.used_at = self._loop.time()
+            link.last_used_at = self._loop.time()
             link.send(frame)
             return
         queue = self._connecting.get(to)
@@ -243,11 +246,13 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.sock_connect(sock, to)
             link = Link(self, queue, self._loop.time(), peer=to)
-            if replaced := self._links.get(to):  # the peer has opened one meanwhile; it still receives
+            if replaced := self._links.get(
+                to
+            ):  # a link that the peer has opened meanwhile; its frames are still received
                 self._accepted.add(replaced)
             self._links[to] = link
             await self._loop.create_connection(lambda: link, sock=sock)
-        except OSError as error:  # TimeoutError is one
+        except OSError as error:  # includes TimeoutError
             sock.close()
             self._back_off(to, queue, error)
         except asyncio.CancelledError:
@@ -263,8 +268,8 @@
         self._backoffs[to] = _Backoff(delay, self._loop.time() + delay)
         if previous is None:
             reason = str(error) or "timed out"
-            self._log.info("transport_connect_failed", peer=_text(to), reason=reason)
+            self._log.info("transport_connect_failed", peer=_format_address(to), reason=reason)
 
 
-def _text(address: Address | None) -> str:
+def _format_address(address: Address | None) -> str:
     return "unknown" if address is None else f"{address[0]}:{address[1]}"
--- a/firvane/fleet/transport/frames.py
+++ b/firvane/fleet/transport/frames.py
@@ -1,20 +1,20 @@
-"""The frame that carries every payload between the system's own processes, and its codec.
+"""The frame that carries every payload between the fleet's processes, and its codec.
 
-A frame is a fixed header and a payload. All integers are big-endian:
+A frame consists of a fixed header and a payload. All integers are big-endian:
 
 ====== ======= ====================================================
 offset size    field
 ====== ======= ====================================================
 0      2       magic, ``FV``
 2      1       version of the frame format
-3      1       channel; its meaning belongs to the caller
-4      4       length of the payload in bytes, at most `MAX_PAYLOAD`
+3      1       channel; the caller defines its meaning
+4      4       length of the payload in bytes, at most `MAX_PAYLOAD_BYTES`
 8      4       IPv4 address of the sender's internal address
 12     2       port of the sender's internal address
 14     length  payload
 ====== ======= ====================================================
 
-A datagram holds exactly one frame; a TCP link holds one frame after the other.
+A datagram contains exactly one frame; a TCP link carries a sequence of frames.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
 
 
 def encode_header(sender: Address, channel: int, length: int) -> bytes:
-    """Return the header of a frame.
+    """Encode the header of a frame.
 
     Raises:
         FrameError: A field is out of its range.
@@ -68,7 +68,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return header and payload.
+    """Encode a frame.
 
     Raises:
         FrameError: A field is out of its range.
@@ -88,7 +88,7 @@
 
 
 def decode_datagram(data: bytes) -> Frame:
-    """Return the one frame that fills `data`.
+    """Decode the frame in `data`.
 
     Raises:
         FrameError: `data` is not exactly one frame.
@@ -102,21 +102,21 @@
 
 
 class FrameReader:
-    """Splits a byte stream into frames. Buffers at most one incomplete frame and what came with it."""
+    """Splits a byte stream into frames, and buffers the incomplete last frame."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     @property
     def buffered(self) -> int:
-        """Buffered bytes of an incomplete frame."""
+        """The bytes buffered for an incomplete frame."""
         return len(self._buffer)
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take bytes, however they are split, and return the frames that are complete now.
+        """Append received bytes, which may end at any point, and return the frames that are complete now.
 
         Raises:
-            FrameError: The stream is damaged; the reader must not be used afterwards.
+            FrameError: The stream is corrupt; the reader must not be used afterwards.
         """
         self._buffer += data
         frames: list[Frame] = []
--- a/firvane/fleet/transport/link.py
+++ b/firvane/fleet/transport/link.py
@@ -1,4 +1,4 @@
-"""One TCP connection that carries frames in both directions: an asyncio protocol."""
+"""An asyncio protocol for a TCP connection that carries frames in both directions."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from firvane.fleet.transport.queue import FrameQueue
 
 USER_TIMEOUT_MS = 1500
-"""`TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the connection is reset."""
+"""`TCP_USER_TIMEOUT`: time for which sent bytes may be unacknowledged before the connection is reset."""
 WRITE_BUFFER_HIGH_BYTES = 256 * 1024
-"""Bytes in the connection's send buffer above which frames wait in the queue."""
+"""Bytes in the connection's send buffer above which frames are queued."""
 
 
 IDLE = "idle"
 CLOSED_BY_PEER = "closed by the peer"
-"""Reasons for the end of a link that are no failure."""
+"""Reasons for closing a link that are not failures."""
 
 
 class LinkOwner(Protocol):
-    """Callbacks of a link."""
+    """The callbacks of a link."""
 
     def on_link_frame(self, link: Link, frame: Frame) -> None:
-        """A frame has arrived."""
+        """Handle a received frame."""
 
     def on_link_buffered(self, change: int) -> bool:
-        """The buffered bytes of incomplete frames changed by `change`; False if they are too many."""
+        """Add `change` to the buffered bytes of incomplete frames; return False if they are too many."""
 
     def on_link_closed(self, link: Link, reason: str) -> None:
-        """The connection has ended; the link must be forgotten."""
+        """Remove the link, whose connection has ended."""
 
 
 def set_options(sock: socket.socket) -> None:
-    """Options of every connection between the system's processes."""
+    """Set the options that all connections between the fleet's processes have."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 class Link(asyncio.Protocol):
-    """A connection with a peer, opened here (`peer` is known) or accepted (known with the first frame)."""
+    """A connection with a peer; for accepted ones, `peer` is None until the first frame arrives."""
 
     def __init__(self, owner: LinkOwner, queue: FrameQueue, now: float, peer: Address | None = None) -> None:
         self.peer = peer
         self.is_opener = peer is not None
-        self.used_at = now
+        self.last_used_at = now
         self.queue = queue
         self._owner = owner
         self._reader = FrameReader()
@@ -55,7 +55,7 @@
         self._close_reason = ""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the connection's options and send what was queued."""
+        """Set the connection's options, and send the queued frames."""
         self._transport = cast(asyncio.Transport, transport)
         self._transport.set_write_buffer_limits(high=WRITE_BUFFER_HIGH_BYTES)
         sock = transport.get_extra_info("socket")
@@ -64,7 +64,7 @@
         self._flush()
 
     def data_received(self, data: bytes) -> None:
-        """Hand complete frames to the owner; damaged bytes close the link."""
+        """Pass complete frames to the owner; corrupt bytes close the link."""
         before = self._reader.buffered
         try:
             frames = self._reader.feed(data)
@@ -80,16 +80,16 @@
             self._owner.on_link_frame(self, frame)
 
     def pause_writing(self) -> None:
-        """The send buffer is full: queue from here on."""
+        """Queue frames from now on, since the send buffer is full."""
         self._is_paused = True
 
     def resume_writing(self) -> None:
-        """The send buffer has capacity again."""
+        """Send queued frames, since the send buffer has capacity again."""
         self._is_paused = False
         self._flush()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Notify the owner, with the reason."""
+        """Notify the owner of the end of the connection and its reason."""
         self._owner.on_link_buffered(-self._reader.buffered)
         self._reader = FrameReader()
         self._transport = None
@@ -97,12 +97,12 @@
         self._owner.on_link_closed(self, reason)
 
     def send(self, frame: bytes) -> None:
-        """Send an encoded frame, or queue it while the peer does not read."""
+        """Send an encoded frame, or queue it while the send buffer is full."""
         self.queue.push(frame)
         self._flush()
 
     def close(self, reason: str, abort: bool = False) -> None:
-        """End the connection; `abort` drops what is in the send buffer."""
+        """Close the connection; `abort` discards the send buffer."""
         self._close_reason = self._close_reason or reason
         if self._transport is None:
             return
@@ -113,7 +113,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether frames can be sent."""
+        """Whether the connection is established and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def _flush(self) -> None:
--- a/firvane/fleet/transport/queue.py
+++ b/firvane/fleet/transport/queue.py
@@ -1,4 +1,4 @@
-"""A bounded queue of encoded frames for one peer; beyond its bound the oldest frames are dropped."""
+"""A bounded queue of encoded frames for one peer, which drops the oldest frames when it is full."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FrameQueue:
-    """Frames that wait for a connection or for its send buffer, oldest first."""
+    """Frames that wait for a connection or for space in its send buffer, oldest first."""
 
     def __init__(self, max_bytes: int = MAX_QUEUED_BYTES, max_frames: int = MAX_QUEUED_FRAMES) -> None:
         self._frames: deque[bytes] = deque()
@@ -17,26 +17,26 @@
         self._max_frames = max_frames
         self._bytes = 0
         self.dropped = 0
-        """Frames dropped since the queue was made."""
+        """The number of frames dropped since the queue was created."""
 
     def __len__(self) -> int:
         return len(self._frames)
 
     @property
     def size(self) -> int:
-        """Bytes queued."""
+        """The number of bytes queued."""
         return self._bytes
 
     def push(self, frame: bytes) -> None:
-        """Append a frame, and drop the oldest ones while a bound is exceeded; the newest one stays."""
+        """Append a frame, and drop the oldest frames while a limit is exceeded; the newest one is kept."""
         self._frames.append(frame)
         self._bytes += len(frame)
-        while len(self._frames) > 1 and self._is_over():
+        while len(self._frames) > 1 and self._exceeds_limit():
             self._bytes -= len(self._frames.popleft())
             self.dropped += 1
 
     def pop(self) -> bytes:
-        """Remove and return the oldest frame. `IndexError` if the queue is empty."""
+        """Remove and return the oldest frame; `IndexError` if the queue is empty."""
         frame = self._frames.popleft()
         self._bytes -= len(frame)
         return frame
@@ -47,5 +47,5 @@
         self._frames.clear()
         self._bytes = 0
 
-    def _is_over(self) -> bool:
+    def _exceeds_limit(self) -> bool:
         return self._bytes > self._max_bytes or len(self._frames) > self._max_frames
