--- a/firvane/fleet/storage/errors.py
+++ b/firvane/fleet/storage/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the journal storage."""
+"""Errors raised by the journal storage."""
 
 from __future__ import annotations
 
 
 class StorageError(Exception):
-    """Base of the errors of this package; the text is one line."""
+    """Base class of the errors of this package; the text is one line."""
 
 
 class CorruptJournalError(StorageError):
-    """Data that was synced cannot be read back."""
+    """Synced data is missing or unreadable."""
 
 
 class UnsupportedFormatError(StorageError):
-    """A complete segment or record has a format that this program does not know; it is left unchanged."""
+    """A complete segment or record has a format that this program does not support; it is not modified."""
--- a/firvane/fleet/storage/filesystem.py
+++ b/firvane/fleet/storage/filesystem.py
@@ -1,6 +1,6 @@
 """The file system operations that a journal needs, and their implementation by the operating system.
 
-Every call may block and may raise `OSError`. Tests implement the same protocols with a simulated disk.
+Every call may block, and may raise `OSError`. Tests implement the same protocols with a simulated disk.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
         """Write all of `data`, or raise."""
 
     def truncate(self, size: int) -> None:
-        """Set the length in bytes."""
+        """Set the length of the file to `size` bytes."""
 
     def sync(self) -> None:
-        """Return once the content is on the disk."""
+        """Sync the content; return once it is on the disk."""
 
     def close(self) -> None:
         """Close the file."""
 
 
 class FileSystem(Protocol):
-    """File system operations; names are paths."""
+    """File system operations; files and folders are given by their paths."""
 
     def make_directory(self, path: str) -> None:
-        """Make a folder and its parents, if they do not exist."""
+        """Create a folder and its parents, if they do not exist."""
 
     def names(self, path: str) -> list[str]:
-        """The names in a folder; empty if the folder does not exist."""
+        """Return the names in a folder; empty if the folder does not exist."""
 
     def read(self, path: str) -> bytes:
-        """Read a file."""
+        """Return the content of a file."""
 
     def open(self, path: str, create: bool) -> File:
-        """Open a file for writing; with `create` it is created or truncated."""
+        """Open a file for writing; `create` creates or truncates it, otherwise it must exist."""
 
     def rename(self, source: str, target: str) -> None:
         """Rename a file; durable once the folder is synced."""
@@ -50,7 +50,7 @@
         """Remove a file; durable once the folder is synced."""
 
     def sync_directory(self, path: str) -> None:
-        """Return once the entries of a folder are on the disk."""
+        """Sync a folder; return once its entries are on the disk."""
 
 
 class SystemFile:
@@ -68,11 +68,11 @@
             view = view[written:]
 
     def truncate(self, size: int) -> None:
-        """Set the length in bytes."""
+        """Set the length of the file to `size` bytes."""
         os.ftruncate(self._descriptor, size)
 
     def sync(self) -> None:
-        """Return once the content is on the disk."""
+        """Sync the content; return once it is on the disk."""
         os.fdatasync(self._descriptor)
 
     def close(self) -> None:
@@ -84,24 +84,24 @@
     """The file system of the operating system."""
 
     def make_directory(self, path: str) -> None:
-        """Make a folder and its parents, if they do not exist."""
+        """Create a folder and its parents, if they do not exist."""
         Path(path).mkdir(parents=True, exist_ok=True)
-        # A folder that exists may be of a process that was killed before it synced the parent.
+        # An existing folder may have been created by a process that was killed before it synced the parent.
         self.sync_directory(str(Path(path).parent))
 
     def names(self, path: str) -> list[str]:
-        """The names in a folder; empty if the folder does not exist."""
+        """Return the names in a folder; empty if the folder does not exist."""
         try:
             return [entry.name for entry in Path(path).iterdir()]
         except FileNotFoundError:
             return []
 
     def read(self, path: str) -> bytes:
-        """Read a file."""
+        """Return the content of a file."""
         return Path(path).read_bytes()
 
     def open(self, path: str, create: bool) -> SystemFile:
-        """Open a file for writing; with `create` it is created or truncated."""
+        """Open a file for writing; `create` creates or truncates it, otherwise it must exist."""
         flags = os.O_WRONLY | os.O_CLOEXEC | (os.O_CREAT | os.O_TRUNC if create else 0)
         return SystemFile(os.open(path, flags, FILE_MODE))
 
@@ -114,7 +114,7 @@
         Path(path).unlink()
 
     def sync_directory(self, path: str) -> None:
-        """Return once the entries of a folder are on the disk."""
+        """Sync a folder; return once its entries are on the disk."""
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
--- a/firvane/fleet/storage/frames.py
+++ b/firvane/fleet/storage/frames.py
@@ -1,7 +1,7 @@
-"""Frames: the unit of a segment, written at once and synced before the next one is written.
+"""Frames, the units of a segment: each is written in one call and synced before the next one is written.
 
-A frame is a magic number, a length, a checksum, its number in the segment, and length-prefixed records. Since
-no frame is written before the previous one is synced, an unreadable frame is
+A frame consists of a magic number, a length, a checksum, its number in the segment, and length-prefixed
+records. Since no frame is written before the previous one is synced, an unreadable frame is
 
 - a torn tail if no later frame of the segment is readable: it was never synced, and is dropped;
 - corruption if a later frame is readable: synced data is lost.
@@ -18,7 +18,7 @@
 from firvane.fleet.storage.errors import CorruptJournalError
 
 MAGIC = b"FvJ\x01"
-MAX_FRAME_BYTES = 128_000_000  # of the records of one frame
+MAX_FRAME_BYTES = 128_000_000  # of all records in one frame
 _HEAD = struct.Struct("<4sIIQ")  # magic, length of what follows, checksum, number
 _LENGTH = struct.Struct("<I")
 _SEED = struct.Struct("<QQQ")
@@ -27,29 +27,29 @@
 class Frames(Struct, frozen=True):
     """The frames of a segment; `end` is the offset after the last readable frame."""
 
-    records: list[list[bytes]]  # of each frame
+    records: list[list[bytes]]  # the records of each frame
     end: int
     torn: bool
 
 
 def encode_frame(identity: int, generation: int, number: int, records: Iterable[bytes]) -> bytes:
-    """Encode one frame; the checksum covers the journal and segment, so that stale bytes never match."""
+    """Encode one frame; its checksum covers journal and segment, so that stale bytes never match."""
     body = b"".join(_LENGTH.pack(len(record)) + record for record in records)
     checksum = _checksum(identity, generation, number, body)
     return _HEAD.pack(MAGIC, len(body), checksum, number) + body
 
 
 def read_frames(data: bytes, identity: int, generation: int) -> Frames:
-    """Decode all frames of a segment; `CorruptJournalError` if one before the last is unreadable."""
+    """Decode the frames of a segment; `CorruptJournalError` if an unreadable frame precedes a readable one."""
     frames: list[list[bytes]] = []
     position = 0
     while position < len(data):
         body = _frame_at(data, position, identity, generation, len(frames))
         if body is None:
             if _has_later_frame(data, position + 1, identity, generation, len(frames)):
-                raise CorruptJournalError(f"frame {len(frames)} cannot be read, and a later one can")
+                raise CorruptJournalError(f"frame {len(frames)} is unreadable, but a later frame is readable")
             return Frames(frames, position, torn=True)
-        frames.append(_split(body))
+        frames.append(_split_records(body))
         position += _HEAD.size + len(body)
     return Frames(frames, position, torn=False)
 
@@ -59,7 +59,7 @@
 
 
 def _frame_at(data: bytes, position: int, identity: int, generation: int, number: int | None) -> bytes | None:
-    """The body of the frame at an offset; None if there is no valid frame of this number (None: any)."""
+    """Return the body of the valid frame of this number (None: any number) at `position`, or None."""
     if len(data) - position < _HEAD.size:
         return None
     magic, length, checksum, stored_number = _HEAD.unpack_from(data, position)
@@ -82,16 +82,16 @@
     return False
 
 
-def _split(body: bytes) -> list[bytes]:
+def _split_records(body: bytes) -> list[bytes]:
     records = []
     position = 0
     while position < len(body):
         if len(body) - position < _LENGTH.size:
-            raise CorruptJournalError("a record's length is cut off in a whole frame")
+            raise CorruptJournalError("a record's length is truncated in a frame with a valid checksum")
         (length,) = _LENGTH.unpack_from(body, position)
         position += _LENGTH.size
         if length > len(body) - position:
-            raise CorruptJournalError("a record is cut off in a whole frame")
+            raise CorruptJournalError("a record is truncated in a frame with a valid checksum")
         records.append(body[position : position + length])
         position += length
     return records
--- a/firvane/fleet/storage/journal.py
+++ b/firvane/fleet/storage/journal.py
@@ -1,11 +1,11 @@
-"""A write-ahead journal in a folder: the newest segment holds every record that its snapshot does not cover.
-
-A segment `segment-<generation>` begins with a frame that names the journal's identity and the generation of
-its snapshot, if it has one. Compaction writes the snapshot to a temporary file, syncs and renames it, writes
-a new segment that begins with the records after the snapshot, syncs the segment, then the folder, and only
-then removes older files. If it is interrupted at any point, either the newest complete segment has a complete
-snapshot, or the one before has. A snapshot under its final name was synced: if it is unreadable, the journal
-is corrupt.
+"""A write-ahead journal in a folder; the newest segment has all records that its snapshot does not cover.
+
+The first frame of a segment `segment-<generation>` states the journal's identity and the generation of the
+segment's snapshot, if there is one. Compaction writes the snapshot to a temporary file, syncs and renames it,
+writes a new segment that begins with the records after the snapshot, syncs the segment, then the folder, and
+only then removes older files. If compaction is interrupted at any point, the newest complete segment or its
+predecessor has a complete snapshot. A snapshot under its final name was synced: if it is unreadable, the
+journal is corrupt.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 _SEGMENT = "segment-"
 _SNAPSHOT = "snapshot-"
 _TEMPORARY_SUFFIX = ".new"
-_HEADER = struct.Struct("<BQQ")  # version, identity, generation of the snapshot or 0
-_HEADER_OFFSET = 24  # bytes: after the head of a frame and the length of a record
+_HEADER = struct.Struct("<BQQ")  # format version, identity, generation of the snapshot (0: none)
+_HEADER_OFFSET = 24  # in bytes: a frame's header and a record's length precede it
 
 
-class Contents(Struct, frozen=True):
+class JournalContents(Struct, frozen=True):
     """The content of a journal when it was opened."""
 
     identity: int
     snapshot: bytes | None
     records: list[bytes]
-    torn: bool  # whether an unsynced tail was dropped
+    torn: bool  # whether a torn, unsynced tail was dropped
 
 
 class _Position(Struct):
-    """The write position: the segment in use, its snapshot (0 for none), and its end in bytes."""
+    """The write position: the current segment, its snapshot (0: none), frames and end in bytes."""
 
     generation: int
     snapshot_generation: int
@@ -50,10 +50,10 @@
 
 
 class Journal:
-    """An open journal; not safe for use by several threads at once.
+    """An open journal. Not thread-safe.
 
-    After an `OSError` of `append` or `sync`, `append` may be called again, also with further records. After
-    one of `compact` only `compact` may be called, since a reader may already prefer the new segment.
+    After an `OSError` in `append` or `sync`, `append` may be called again, also with additional records.
+    After an `OSError` in `compact`, only `compact` may be called: a reader may already use the new segment.
     """
 
     def __init__(
@@ -70,13 +70,13 @@
 
     @property
     def size(self) -> int:
-        """The synced bytes of the segment in use."""
+        """The synced bytes of the current segment."""
         return self._position.end
 
     def append(self, records: Sequence[bytes]) -> None:
-        """Write records as one frame, which `sync` must sync before the next call."""
+        """Write records as one frame; `sync` must be called before the next `append`."""
         assert not self._must_compact
-        segment = self._open()
+        segment = self._open_current_segment()
         position = self._position
         frame = encode_frame(self.identity, position.generation, position.frames, records)
         position.tail_is_clean = False
@@ -84,7 +84,7 @@
         self._unsynced_bytes = len(frame)
 
     def sync(self) -> None:
-        """Return once the frame of the last `append` is on the disk."""
+        """Sync the frame of the last `append`; return once it is on the disk."""
         assert self._segment is not None
         self._segment.sync()
         self._position.end += self._unsynced_bytes
@@ -92,13 +92,13 @@
         self._position.tail_is_clean = True
 
     def sync_recovered(self) -> None:
-        """Sync what `open_journal` found: a killed process may have written it without a sync."""
-        self._open().sync()
+        """Sync the recovered content, which a killed process may have written without a sync."""
+        self._open_current_segment().sync()
         self._files.sync_directory(self._folder)
         self._position.tail_is_clean = True
 
     def compact(self, snapshot: bytes | None, records: Sequence[bytes]) -> None:
-        """Begin a new segment with these records, and with a new snapshot unless it is None."""
+        """Start a new segment with these records, and with a new snapshot unless `snapshot` is None."""
         self._must_compact = True
         generation = self._next_generation
         self._next_generation += 1
@@ -116,10 +116,10 @@
         self._segment = segment
         self._position = _Position(generation, snapshot_generation, 1, size, True)
         self._must_compact = False
-        self._remove_old()
+        self._remove_old_files()
 
-    def _open(self) -> File:
-        """Open the segment, truncated after the last complete frame."""
+    def _open_current_segment(self) -> File:
+        """Open the current segment if it is closed, and truncate it after the last complete frame."""
         if self._segment is None:
             self._segment = self._files.open(self._path(_SEGMENT, self._position.generation), create=False)
         if not self._position.tail_is_clean:
@@ -127,7 +127,7 @@
         return self._segment
 
     def close(self) -> None:
-        """Close the segment."""
+        """Close the current segment."""
         if self._segment is not None:
             segment, self._segment = self._segment, None
             segment.close()
@@ -154,8 +154,8 @@
             raise
         return file, len(frame)
 
-    def _remove_old(self) -> None:
-        """Remove older files, if possible: a reader ignores any that remain or return after a power loss."""
+    def _remove_old_files(self) -> None:
+        """Remove older files if possible; readers ignore those that remain or reappear after a power loss."""
         current_names = {
             _name(_SEGMENT, self._position.generation),
             _name(_SNAPSHOT, self._position.snapshot_generation),
@@ -163,24 +163,24 @@
         with contextlib.suppress(OSError):
             for name in self._files.names(self._folder):
                 if name not in current_names:
-                    self._files.remove(self._path_of(name))
+                    self._files.remove(self._path_of_name(name))
 
     def _path(self, kind: str, generation: int) -> str:
-        return self._path_of(_name(kind, generation))
+        return self._path_of_name(_name(kind, generation))
 
-    def _path_of(self, name: str) -> str:
+    def _path_of_name(self, name: str) -> str:
         return f"{self._folder}/{name}"
 
 
 class RecoveredJournal(NamedTuple):
-    """An open journal with its content."""
+    """An open journal and its content."""
 
     journal: Journal
-    contents: Contents
+    contents: JournalContents
 
 
 def create_journal(files: FileSystem, folder: str, identity: int, records: Sequence[bytes]) -> Journal:
-    """Create a journal that replaces any other in the folder; synced on return."""
+    """Create and sync a journal that replaces any other journal in the folder."""
     files.make_directory(folder)
     newest = max((_generation(name) for name in files.names(folder)), default=0)
     journal = Journal(files, folder, identity, newest + 1, _Position(newest, 0, 0, 0, True))
@@ -189,11 +189,11 @@
 
 
 def open_journal(files: FileSystem, folder: str) -> RecoveredJournal | None:
-    """Open the journal in a folder without writing anything; None if none was ever synced there.
+    """Open the journal in a folder without writing anything; return None if none was ever synced there.
 
     Raises:
-        CorruptJournalError: If data that was synced cannot be read.
-        UnsupportedFormatError: If a program of another version wrote the journal.
+        CorruptJournalError: If synced data is missing or unreadable.
+        UnsupportedFormatError: If the journal has another format version.
         OSError: If the file system fails.
     """
     names = files.names(folder)
@@ -208,14 +208,14 @@
 
 
 def _open_segment(
-    files: FileSystem, folder: str, generation: int, newest: int, is_oldest: bool
+    files: FileSystem, folder: str, generation: int, newest_generation: int, is_oldest: bool
 ) -> RecoveredJournal | None:
-    """Open one segment; None if it was interrupted while it was created."""
+    """Open one segment; return None if its creation was interrupted."""
     data = files.read(f"{folder}/{_name(_SEGMENT, generation)}")
     frames = read_frames(data, _identity(data), generation)
     if not frames.records:
         if data.find(MAGIC, 1) >= 0:
-            raise CorruptJournalError(f"the first frame of segment {generation} cannot be read")
+            raise CorruptJournalError(f"the first frame of segment {generation} is unreadable")
         return None
     header, *records = frames.records[0]
     version, identity, snapshot_generation = _HEADER.unpack(header)
@@ -226,18 +226,18 @@
     except FileNotFoundError as error:
         if is_oldest or len(frames.records) > 1:
             raise CorruptJournalError(f"the snapshot of segment {generation} is missing") from error
-        return None  # it was never renamed on the disk: the segment before holds everything
+        return None  # its rename was never synced: the preceding segment is complete
     except (OSError, CorruptJournalError) as error:
-        raise CorruptJournalError(f"the snapshot of segment {generation} cannot be read") from error
+        raise CorruptJournalError(f"the snapshot of segment {generation} is unreadable") from error
     for frame in frames.records[1:]:
         records += frame
     position = _Position(generation, snapshot_generation, len(frames.records), frames.end, not frames.torn)
-    journal = Journal(files, folder, identity, newest + 1, position)
-    return RecoveredJournal(journal, Contents(identity, snapshot, records, frames.torn))
+    journal = Journal(files, folder, identity, newest_generation + 1, position)
+    return RecoveredJournal(journal, JournalContents(identity, snapshot, records, frames.torn))
 
 
 def _identity(data: bytes) -> int:
-    """The identity in the segment's header, with which the checksums are verified; 0 if there is none."""
+    """Return the identity in a segment's header, which the checksums cover; 0 without a complete header."""
     if len(data) < _HEADER_OFFSET + _HEADER.size or data[:4] != MAGIC:
         return 0
     identity: int = _HEADER.unpack_from(data, _HEADER_OFFSET)[1]
--- a/firvane/fleet/storage/snapshot_file.py
+++ b/firvane/fleet/storage/snapshot_file.py
@@ -1,4 +1,4 @@
-"""Codec of a snapshot file: magic, length, checksum and identity of the journal, then the content."""
+"""Codec of snapshot files: magic, length, checksum, identity of the journal, content."""
 
 from __future__ import annotations
 
@@ -12,16 +12,21 @@
 
 
 def encode_snapshot_file(identity: int, content: bytes) -> bytes:
-    """Encode the bytes of the file."""
+    """Encode a snapshot file."""
     return _HEAD.pack(MAGIC, len(content), zlib.crc32(content), identity) + content
 
 
 def decode_snapshot_file(identity: int, data: bytes) -> bytes:
-    """Decode the content; `CorruptJournalError` if the file is damaged or of another journal."""
+    """Decode a snapshot file; `CorruptJournalError` if it is damaged or belongs to another journal."""
     if len(data) < _HEAD.size:
-        raise CorruptJournalError("a snapshot is cut off")
-    magic, length, checksum, owner = _HEAD.unpack_from(data)
+        raise CorruptJournalError("a snapshot file is truncated")
+    magic, length, checksum, stored_identity = _HEAD.unpack_from(data)
     content = data[_HEAD.size :]
-    if magic != MAGIC or owner != identity or length != len(content) or zlib.crc32(content) != checksum:
-        raise CorruptJournalError("a snapshot cannot be read")
+    if (
+        magic != MAGIC
+        or stored_identity != identity
+        or length != len(content)
+        or zlib.crc32(content) != checksum
+    ):
+        raise CorruptJournalError("a snapshot file is damaged or belongs to another journal")
     return content
--- a/firvane/fleet/storage/writer.py
+++ b/firvane/fleet/storage/writer.py
@@ -1,11 +1,11 @@
-"""The thread that writes and syncs the journals of a process, so that its event loop never waits for a disk.
+"""The thread that writes and syncs a process's journals, so that the event loop never waits for a disk.
 
 Invariants:
 
 1. The writes of one journal reach the disk in the order in which they were issued.
-2. All pending appends of a journal become one frame and one sync (group commit); all journals are written
-   before the first is synced.
-3. A write that fails is retried until it succeeds; no later write of the journal overtakes it.
+2. All pending appends of a journal become one frame and one sync (group commit); the frames of all journals
+   are written before the first sync.
+3. A failed write is retried until it succeeds; no later write of the same journal is performed before it.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from firvane.core import process_signals
 from firvane.fleet.storage.journal import Journal
 
-RETRY_INTERVAL_S = 0.1  # of a failed write
+RETRY_INTERVAL_S = 0.1  # after a failed write
 
 OnSynced = Callable[[int, int], None]
-"""Called with a journal's key and the sequence number up to which it is synced."""
+"""Called with a journal's key and the sequence number up to which the journal is synced."""
 OnError = Callable[[int, OSError], None]
-"""Called with a journal's key and the error of a write."""
+"""Called with a journal's key and the error that a write raised."""
 
 
 class _WriteKind(enum.Enum):
@@ -47,7 +47,7 @@
 
 
 class JournalWriter:
-    """One thread for all journals; `on_synced` and `on_error` are called in that thread."""
+    """A thread that writes all journals; it calls `on_synced` and `on_error`."""
 
     def __init__(self, on_synced: OnSynced, on_error: OnError) -> None:
         self._on_synced = on_synced
@@ -62,12 +62,12 @@
         self._thread.start()
 
     def add(self, key: int, journal: Journal) -> None:
-        """Take over a journal; only the thread may use it from now on."""
+        """Add a journal; from now on only the writer's thread may use it."""
         with self._condition:
             self._queues[key] = _JournalQueue(journal)
 
     def append(self, key: int, sequence: int, records: Sequence[bytes]) -> None:
-        """Write records; without any, `sequence` is synced with the writes before it."""
+        """Write records; without records, `sequence` counts as synced together with the preceding writes."""
         self._put(key, _Write(_WriteKind.APPEND, sequence, records))
 
     def sync_recovered(self, key: int, sequence: int) -> None:
@@ -75,11 +75,11 @@
         self._put(key, _Write(_WriteKind.SYNC_RECOVERED, sequence, ()))
 
     def compact(self, key: int, sequence: int, snapshot: bytes, records: Sequence[bytes]) -> None:
-        """Begin a new segment after a snapshot."""
+        """Start a new segment with a snapshot."""
         self._put(key, _Write(_WriteKind.COMPACT, sequence, records, snapshot))
 
     def close(self, timeout_s: float = 0.0) -> None:
-        """End the thread after its current work; wait up to `timeout_s` for that."""
+        """Stop the thread after its current writes; wait up to `timeout_s` for its end."""
         with self._condition:
             self._closed = True
             self._condition.notify()
@@ -112,9 +112,9 @@
         return any(queue.writes for queue in self._queues.values())
 
     def write_pending(self) -> bool:
-        """Perform pending writes, at most one frame for each journal; returns False if any has failed.
+        """Perform pending writes, at most one frame for each journal; return False if any write failed.
 
-        The thread calls this; tests that start no thread call it directly.
+        The writer's thread calls this; tests that start no thread call it directly.
         """
         with self._condition:
             batch = [(key, queue, list(queue.writes)) for key, queue in self._queues.items() if queue.writes]
@@ -142,7 +142,7 @@
         return succeeded
 
     def _begin(self, journal: Journal, writes: Sequence[_Write]) -> int:
-        """Perform the first write, or write the appends at the head; returns how many a sync must follow."""
+        """Perform the first write, or write all appends at the head; return the number of appends to sync."""
         first = writes[0]
         if first.kind is _WriteKind.COMPACT:
             journal.compact(first.snapshot, first.records)
--- a/tests/fleet/replication/mutants_storage.py
+++ b/tests/fleet/replication/mutants_storage.py
@@ -92,7 +92,7 @@
         "elections",
         range(8),
         3,
-        ("storage.journal", "        self._open().sync()\n", ""),
+        ("storage.journal", "        self._open_current_segment().sync()\n", ""),
     ),
     mutant(
         "confirmed before the sync",
