--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -12,7 +12,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))
 
 from firvane.fleet.dissemination.items import Item
-from tests.fleet.cluster.world import World
+from tests.fleet.cluster.simulated_cluster import SimulatedCluster
 
 SIZES = (10, 70, 380)
 CONTROLLERS = 5
@@ -27,7 +27,7 @@
 def measure(processes: int) -> None:
     """Print one block for a cluster of this size."""
     began = time.process_time()
-    world = World(processes - CONTROLLERS, CONTROLLERS, 1, LOSS, DUPLICATES, SLOW_LINK)
+    world = SimulatedCluster(processes - CONTROLLERS, CONTROLLERS, 1, LOSS, DUPLICATES, SLOW_LINK)
     print(f"{processes} processes")
     join(world)
     world.run(6.0)
@@ -39,14 +39,14 @@
     print(f"  processor time of the play: {time.process_time() - began:.1f} s")
 
 
-def join(world: World) -> None:
+def join(world: SimulatedCluster) -> None:
     """All start within 0.3 s."""
     world.start_all()
-    took = world.run_until(lambda: world.all_run() and not world.disagreeing(), 15.0, step=0.01)
+    took = world.run_until(lambda: world.all_running() and not world.unconverged(), 15.0, step=0.01)
     print(f"  all know all after {took:.2f} s; {mean_bytes(world) / 1000:.1f} kB a process")
 
 
-def calm(world: World) -> None:
+def calm(world: SimulatedCluster) -> None:
     """Rates of one process while nothing happens."""
     world.clear_traffic()
     cpu = time.process_time()
@@ -63,28 +63,28 @@
     )
 
 
-def spread(world: World, item: Item) -> None:
+def spread(world: SimulatedCluster, item: Item) -> None:
     """An item from a controller to all."""
     world.clear_traffic()
-    world.publish(world.place(0), item)
-    took = world.run_until(lambda: not world.missing(item), 10.0, step=0.01)
+    world.publish(world.process_at(0), item)
+    took = world.run_until(lambda: not world.processes_without(item), 10.0, step=0.01)
     world.run(1.0)
     print(
         f"  {len(item.payload)} bytes at all after {took:.2f} s; {mean_bytes(world) / 1000:.1f} kB a process"
     )
 
 
-def deaths(world: World) -> None:
+def deaths(world: SimulatedCluster) -> None:
     """Kills without a word, one after the other, until all others agree."""
     times = []
     for number in range(DEATHS):
-        world.kill(world.place(CONTROLLERS + number))
-        times.append(world.run_until(lambda: not world.disagreeing(), 10.0, step=0.01))
+        world.kill(world.process_at(CONTROLLERS + number))
+        times.append(world.run_until(lambda: not world.unconverged(), 10.0, step=0.01))
         world.run(2.0)
     print(f"  a death is settled after {min(times):.2f} to {max(times):.2f} s")
 
 
-def mean_bytes(world: World) -> float:
+def mean_bytes(world: SimulatedCluster) -> float:
     """Bytes sent by a process, in the mean."""
     running = world.running()
     return sum(process.traffic.sent_bytes for process in running) / len(running)
--- a/tests/fleet/cluster/world.py
+++ b/tests/fleet/cluster/simulated_cluster.py
@@ -1,6 +1,6 @@
 """A simulated cluster: real `ClusterCore`s on a simulated clock and network, and an oracle.
 
-The oracle holds at every event: within one life of a process the versions of a key rise with each item
+The oracle holds at every event: within one generation of a process the versions of a key rise with each item
 it learns, and no item appears that nobody published.
 """
 
@@ -23,7 +23,7 @@
 ZONES = ("apapa", "ikeja", "lekki", "yaba")
 DATAGRAM_OVERHEAD = 28
 """Bytes of the IP and UDP headers."""
-ACQUAINT_BATCH = 20
+RECORD_BATCH = 20
 """Records in one message when processes are made known to each other."""
 LINK_SETUP = 2
 """One-way delays that opening a TCP link takes before the first payload leaves."""
@@ -42,31 +42,31 @@
 
 @dataclass
 class Process:
-    """One place for a process: the life that runs there, if any."""
+    """One place for a process: the generation that runs there, if any."""
 
     member: Member
     core: ClusterCore | None = None
-    life: int = 0
+    generation: int = 0
     frozen_until: float = 0.0
     timer_due: float = float("inf")
     versions: dict[bytes, int] = field(default_factory=dict)
     learned_at: dict[tuple[bytes, int], float] = field(default_factory=dict)
-    seen: frozenset[Address] = frozenset()
+    live_view: frozenset[Address] = frozenset()
     links: set[Address] = field(default_factory=set)
     traffic: Traffic = field(default_factory=Traffic)
-    egress_free: float = 0.0
-    ingress_free: float = 0.0
+    egress_free_at: float = 0.0
+    ingress_free_at: float = 0.0
 
     @property
     def address(self) -> Address:
         return self.member.address
 
 
-def _nothing_is_cut(source: Address, target: Address) -> bool:
+def _never_blocked(source: Address, target: Address) -> bool:
     return False
 
 
-class World:
+class SimulatedCluster:
     """Controllers come first; the seeds are the first three of them."""
 
     def __init__(
@@ -87,15 +87,15 @@
         self.processes: dict[Address, Process] = {}
         self.published: dict[tuple[bytes, int], bytes] = {}
         self.false_deaths: list[tuple[float, Address, Address]] = []
-        self.is_cut: Callable[[Address, Address], bool] = _nothing_is_cut
+        self.is_blocked: Callable[[Address, Address], bool] = _never_blocked
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = 0
         self._starts = 0
         for number in range(controllers + routers):
-            self._place(number, Role.CONTROLLER if number < controllers else Role.ROUTER)
+            self._add_process(number, Role.CONTROLLER if number < controllers else Role.ROUTER)
         self.seeds = list(self.processes)[: min(3, controllers)]
 
-    def _place(self, number: int, role: Role) -> Process:
+    def _add_process(self, number: int, role: Role) -> Process:
         zone = ZONES[number % len(ZONES)]
         address = (f"10.{1 + number % len(ZONES)}.{number // 200}.{1 + number % 200}", PORT)
         control = (address[0], 8262) if role is Role.CONTROLLER else None
@@ -104,16 +104,16 @@
 
     def add(self, role: Role) -> Process:
         """A new machine; not started."""
-        return self._place(len(self.processes), role)
+        return self._add_process(len(self.processes), role)
 
     # --- processes
 
     def start_all(self, spread: float = 0.3) -> None:
         """Start everything within `spread` seconds, in no fixed order."""
         for process in self.processes.values():
-            self.at(self.now + self.rng.uniform(0, spread), lambda process=process: self.start(process))
+            self.schedule(self.now + self.rng.uniform(0, spread), lambda process=process: self.start(process))
 
-    def acquaint(self) -> None:
+    def start_joined(self) -> None:
         """Start everything at once and let each process know all others, without the messages of joining."""
         for process in self.processes.values():
             self.start(process, seeds=[])
@@ -121,23 +121,23 @@
         records = [encode_record(Record(p.member, 0, Status.ALIVE)) for p in self.processes.values()]
         for process in self.processes.values():
             sender, own = (first, records[0]) if process is not first else (second, records[1])
-            for begin in range(0, len(records), ACQUAINT_BATCH):
+            for begin in range(0, len(records), RECORD_BATCH):
                 message = Message(Kind.RECORDS)
-                content = encode_message(message, [own, *records[begin : begin + ACQUAINT_BATCH]])
+                content = encode_message(message, [own, *records[begin : begin + RECORD_BATCH]])
                 payload = encode_envelope([Section(Plane.MEMBERSHIP, content)])
                 assert process.core is not None
                 self._apply(process, process.core.receive(sender.address, payload, self.now))
 
     def start(self, process: Process, clock_step: float = 0.0, seeds: list[Address] | None = None) -> None:
-        """Begin a life; `clock_step` seconds are added to its time of day."""
+        """Begin a generation; `clock_step` seconds are added to its time of day."""
         self._starts += 1
         wall = int((self.now + clock_step) * 1000)
         incarnation = wall << 16 | self.rng.getrandbits(16)
         member = process.member
         process.member = Member(member.address, member.role, member.zone, member.control, incarnation)
-        process.life += 1
+        process.generation += 1
         process.versions, process.learned_at = {}, {}
-        process.seen = frozenset()
+        process.live_view = frozenset()
         process.timer_due = float("inf")
         process.frozen_until = 0.0
         rng = random.Random(self.rng.getrandbits(64))
@@ -145,15 +145,15 @@
         self._tick(process)
 
     def kill(self, process: Process) -> None:
-        """End a life without a word."""
+        """End a generation without a word."""
         process.core = None
-        process.life += 1
+        process.generation += 1
         process.links.clear()
         for other in self.processes.values():
             other.links.discard(process.address)
 
     def leave(self, process: Process) -> None:
-        """End a life after it said so."""
+        """End a generation after it said so."""
         assert process.core is not None
         self._apply(process, process.core.leave(self.now))
         self.kill(process)
@@ -172,13 +172,13 @@
 
     def heal(self) -> None:
         """Nothing is cut any more."""
-        self.is_cut = _nothing_is_cut
+        self.is_blocked = _never_blocked
 
-    def place(self, number: int) -> Process:
+    def process_at(self, number: int) -> Process:
         """The process with this number; controllers of the start come first."""
         return list(self.processes.values())[number]
 
-    def all_run(self) -> bool:
+    def all_running(self) -> bool:
         """Whether a process runs at each place."""
         return all(process.core is not None for process in self.processes.values())
 
@@ -188,7 +188,7 @@
 
     # --- questions
 
-    def missing(self, item: Item) -> list[Process]:
+    def processes_without(self, item: Item) -> list[Process]:
         """Running processes whose newest version of the key is older than the item's."""
         found = []
         for process in self.running():
@@ -198,10 +198,10 @@
                 found.append(process)
         return found
 
-    def disagreeing(self) -> list[Process]:
+    def unconverged(self) -> list[Process]:
         """Running processes whose set of live members is not the set of running processes."""
         truth = frozenset(process.address for process in self.running())
-        return [process for process in self.running() if process.seen != truth]
+        return [process for process in self.running() if process.live_view != truth]
 
     def clear_traffic(self) -> None:
         """Count from here."""
@@ -210,7 +210,7 @@
 
     # --- time
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
         """Do something at a time."""
         self._order += 1
         heapq.heappush(self._events, (when, self._order, action))
@@ -253,43 +253,45 @@
             copies = 0 if self.rng.random() < self.loss else 1
             copies += self.rng.random() < self.duplicates
         for _ in range(copies):
-            self._carry(source, target, payload, size, is_datagram)
+            self._transmit(source, target, payload, size, is_datagram)
 
-    def _carry(self, source: Process, target: Process, payload: bytes, size: int, is_datagram: bool) -> None:
+    def _transmit(
+        self, source: Process, target: Process, payload: bytes, size: int, is_datagram: bool
+    ) -> None:
         delay = 0.0014 if source.member.zone != target.member.zone else 0.0004
         delay *= self.rng.uniform(1.0, 1.5)
-        arrival = self._through(source, self.now, size, is_egress=True) + delay
+        arrival = self._transfer_end(source, self.now, size, is_egress=True) + delay
         if not is_datagram and target.address not in source.links:
             arrival += LINK_SETUP * delay
             source.links.add(target.address)
             target.links.add(source.address)
-        life = target.life
+        generation = target.generation
 
         def arrive() -> None:
-            if self.is_cut(source.address, target.address) or target.life != life:
+            if self.is_blocked(source.address, target.address) or target.generation != generation:
                 return
-            done = self._through(target, self.now, size, is_egress=False)
-            self.at(done, lambda: self._deliver(source.address, target, payload, life))
+            done = self._transfer_end(target, self.now, size, is_egress=False)
+            self.schedule(done, lambda: self._deliver(source.address, target, payload, generation))
 
-        self.at(arrival, arrive)
+        self.schedule(arrival, arrive)
 
-    def _through(self, process: Process, now: float, size: int, is_egress: bool) -> float:
+    def _transfer_end(self, process: Process, now: float, size: int, is_egress: bool) -> float:
         """When bytes have passed the machine's own link."""
         if process.member.role is Role.CONTROLLER or self.router_bandwidth == float("inf"):
             return now
-        free = process.egress_free if is_egress else process.ingress_free
+        free = process.egress_free_at if is_egress else process.ingress_free_at
         done = max(now, free) + size / self.router_bandwidth
         if is_egress:
-            process.egress_free = done
+            process.egress_free_at = done
         else:
-            process.ingress_free = done
+            process.ingress_free_at = done
         return done
 
-    def _deliver(self, sender: Address, target: Process, payload: bytes, life: int) -> None:
-        if target.core is None or target.life != life:
+    def _deliver(self, sender: Address, target: Process, payload: bytes, generation: int) -> None:
+        if target.core is None or target.generation != generation:
             return
         if target.frozen_until > self.now:
-            self.at(target.frozen_until, lambda: self._deliver(sender, target, payload, life))
+            self.schedule(target.frozen_until, lambda: self._deliver(sender, target, payload, generation))
             return
         target.traffic.wake_ups += 1
         self._apply(target, target.core.receive(sender, payload, self.now))
@@ -315,17 +317,17 @@
         if due == process.timer_due:
             return
         process.timer_due = due
-        life = process.life
+        generation = process.generation
 
         def fire() -> None:
-            if process.life != life or process.core is None or process.timer_due != due:
+            if process.generation != generation or process.core is None or process.timer_due != due:
                 return
             if process.frozen_until > self.now:
-                self.at(process.frozen_until, fire)
+                self.schedule(process.frozen_until, fire)
                 return
             self._tick(process)
 
-        self.at(max(due, self.now), fire)
+        self.schedule(max(due, self.now), fire)
 
     # --- oracle
 
@@ -337,13 +339,13 @@
 
     def _check_members(self, process: Process) -> None:
         assert process.core is not None
-        seen = frozenset(member.address for member in process.core.members())
-        for gone in process.seen - seen:
+        live_view = frozenset(member.address for member in process.core.members())
+        for gone in process.live_view - live_view:
             other = self.processes[gone]
             is_fine = other.core is not None and other.frozen_until <= self.now
-            if is_fine and not self._is_apart(gone, process.address):
+            if is_fine and not self._is_partitioned(gone, process.address):
                 self.false_deaths.append((self.now, process.address, gone))
-        process.seen = seen
+        process.live_view = live_view
 
-    def _is_apart(self, first: Address, second: Address) -> bool:
-        return self.is_cut(first, second) or self.is_cut(second, first)
+    def _is_partitioned(self, first: Address, second: Address) -> bool:
+        return self.is_blocked(first, second) or self.is_blocked(second, first)
--- a/tests/fleet/cluster/test_applied.py
+++ b/tests/fleet/cluster/test_applied.py
@@ -12,7 +12,7 @@
 from firvane.fleet.cluster.core import KnownMember
 from firvane.fleet.cluster.envelope import EnvelopeError, Plane, Section, encode_envelope
 from firvane.fleet.membership.members import Role, Status
-from tests.fleet.cluster.world import Process, World
+from tests.fleet.cluster.simulated_cluster import Process, SimulatedCluster
 from tests.fleet.membership.strategies import make_member
 
 ONE = make_member(1, incarnation=10)
@@ -70,87 +70,87 @@
     assert versions.report_of(two) is not None
 
 
-def known_at(world: World, process: Process) -> dict[str, KnownMember]:
+def known_at(cluster: SimulatedCluster, process: Process) -> dict[str, KnownMember]:
     assert process.core is not None
-    return {each.state.member.address[0]: each for each in process.core.known_members(world.now)}
+    return {each.state.member.address[0]: each for each in process.core.known_members(cluster.now)}
 
 
 def test_every_controller_receives_the_version_of_every_member() -> None:
-    world = World(7, 3, loss=0.03)
-    world.start_all()
-    world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
-    for number, process in enumerate(world.running()):
+    cluster = SimulatedCluster(7, 3, loss=0.03)
+    cluster.start_all()
+    cluster.run_until(lambda: cluster.all_running() and not cluster.unconverged(), 10.0)
+    for number, process in enumerate(cluster.running()):
         assert process.core is not None
         process.core.set_applied_version(100 + number)
-    world.run(30.0)
-    for process in world.running():
+    cluster.run(30.0)
+    for process in cluster.running():
         if process.member.role is not Role.CONTROLLER:
             continue
-        known = known_at(world, process)
-        versions = [known[each.address[0]].applied_version for each in world.running()]
+        known = known_at(cluster, process)
+        versions = [known[each.address[0]].applied_version for each in cluster.running()]
         assert versions == list(range(100, 110))
         assert all(each.report_age is not None and each.report_age < 30.0 for each in known.values())
-    router = world.running()[-1]
-    others = [each for host, each in known_at(world, router).items() if host != router.address[0]]
+    router = cluster.running()[-1]
+    others = [each for host, each in known_at(cluster, router).items() if host != router.address[0]]
     assert {each.applied_version for each in others} == {None}
 
 
 def test_reports_cost_a_few_bytes_a_second() -> None:
     def calm_bytes(reports: bool) -> float:
-        world = World(37, 3, loss=0.03)
-        world.acquaint()
-        for process in world.running() if reports else ():
+        cluster = SimulatedCluster(37, 3, loss=0.03)
+        cluster.start_joined()
+        for process in cluster.running() if reports else ():
             assert process.core is not None
             process.core.set_applied_version(7)
-        world.run(6.0)
-        world.clear_traffic()
-        world.run(20.0)
-        return sum(process.traffic.sent_bytes for process in world.running()) / 40 / 20.0
+        cluster.run(6.0)
+        cluster.clear_traffic()
+        cluster.run(20.0)
+        return sum(process.traffic.sent_bytes for process in cluster.running()) / 40 / 20.0
 
     added = calm_bytes(True) - calm_bytes(False)
     assert 1.0 < added < 12.0
 
 
 def test_the_report_of_a_member_that_died_is_forgotten() -> None:
-    world = World(4, 3)
-    world.start_all()
-    world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
-    observer, victim = world.place(0), world.place(5)
+    cluster = SimulatedCluster(4, 3)
+    cluster.start_all()
+    cluster.run_until(lambda: cluster.all_running() and not cluster.unconverged(), 10.0)
+    observer, victim = cluster.process_at(0), cluster.process_at(5)
     assert victim.core is not None
     victim.core.set_applied_version(7)
     host = victim.address[0]
-    world.run_until(lambda: known_at(world, observer)[host].applied_version == 7, 30.0)
-    assert known_at(world, observer)[host].applied_version == 7
-    world.kill(victim)
-    world.run(5.0)
-    known = known_at(world, observer)[host]
+    cluster.run_until(lambda: known_at(cluster, observer)[host].applied_version == 7, 30.0)
+    assert known_at(cluster, observer)[host].applied_version == 7
+    cluster.kill(victim)
+    cluster.run(5.0)
+    known = known_at(cluster, observer)[host]
     assert (known.state.status, known.applied_version, known.report_age) == (Status.DEAD, None, None)
 
 
 def test_reports_of_non_members_are_ignored() -> None:
-    world = World(1, 3)
-    world.start_all()
-    world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
-    core = world.place(0).core
+    cluster = SimulatedCluster(1, 3)
+    cluster.start_all()
+    cluster.run_until(lambda: cluster.all_running() and not cluster.unconverged(), 10.0)
+    core = cluster.process_at(0).core
     assert core is not None
     payload = encode_envelope([Section(Plane.APPLIED, section_of(7))])
-    assert core.receive(("10.9.9.9", 7300), payload, world.now).learned == []
-    assert "10.9.9.9" not in known_at(world, world.place(0))
+    assert core.receive(("10.9.9.9", 7300), payload, cluster.now).learned == []
+    assert "10.9.9.9" not in known_at(cluster, cluster.process_at(0))
 
 
 def test_states_of_members_and_their_ages_are_known() -> None:
-    world = World(4, 3)
-    world.start_all()
-    world.run_until(lambda: world.all_run() and not world.disagreeing(), 10.0)
-    world.run(5.0)
-    observer, leaver, victim = world.place(0), world.place(4), world.place(5)
-    world.leave(leaver)
-    world.kill(victim)
-    world.run(2.0)
-    known = known_at(world, observer)
+    cluster = SimulatedCluster(4, 3)
+    cluster.start_all()
+    cluster.run_until(lambda: cluster.all_running() and not cluster.unconverged(), 10.0)
+    cluster.run(5.0)
+    observer, leaver, victim = cluster.process_at(0), cluster.process_at(4), cluster.process_at(5)
+    cluster.leave(leaver)
+    cluster.kill(victim)
+    cluster.run(2.0)
+    known = known_at(cluster, observer)
     assert known[leaver.address[0]].state.status is Status.LEFT
     assert 1.5 < known[leaver.address[0]].state.age < 2.1
     assert known[victim.address[0]].state.status in (Status.SUSPECT, Status.DEAD)
-    assert known[world.place(6).address[0]].state.status is Status.ALIVE
-    assert known[world.place(6).address[0]].state.age > 5.0
+    assert known[cluster.process_at(6).address[0]].state.status is Status.ALIVE
+    assert known[cluster.process_at(6).address[0]].state.age > 5.0
     assert next(iter(known)) == observer.address[0]
