--- a/tests/fleet/cluster/simulated_cluster.py
+++ b/tests/fleet/cluster/simulated_cluster.py
@@ -1,7 +1,7 @@
-"""A simulated cluster: real `ClusterCore`s on a simulated clock and network, and an oracle.
+"""A simulated cluster: real `ClusterCore`s on a simulated clock and network, with invariants.
 
-The oracle holds at every event: within one generation of a process the versions of a key rise with each item
-it learns, and no item appears that nobody published.
+The invariants are checked at every event: within one generation of a process (from its start to its end) the
+version of a key rises with each learned item, and only published items are learned.
 """
 
 from __future__ import annotations
@@ -24,25 +24,25 @@
 DATAGRAM_OVERHEAD = 28
 """Bytes of the IP and UDP headers."""
 RECORD_BATCH = 20
-"""Records in one message when processes are made known to each other."""
+"""Records in one message when `start_joined` makes processes known to each other."""
 LINK_SETUP = 2
-"""One-way delays that opening a TCP link takes before the first payload leaves."""
+"""Number of one-way delays that opening a TCP link takes before the first payload is sent."""
 
 
 @dataclass
 class Traffic:
-    """What one process sent, and how often it woke."""
+    """The traffic that one process sent, and its number of wake-ups."""
 
     messages: int = 0
     sent_bytes: int = 0
     zone_bytes: int = 0
-    """Part of the bytes that went to another zone."""
+    """The part of `sent_bytes` that was sent to other zones."""
     wake_ups: int = 0
 
 
 @dataclass
 class Process:
-    """One place for a process: the generation that runs there, if any."""
+    """A process, running or not; `core` is None while it does not run."""
 
     member: Member
     core: ClusterCore | None = None
@@ -67,7 +67,7 @@
 
 
 class SimulatedCluster:
-    """Controllers come first; the seeds are the first three of them."""
+    """The simulated processes, controllers first; the seeds are the first three controllers."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         duplicates: float = 0.0,
         router_bandwidth: float = float("inf"),
     ) -> None:
-        """`router_bandwidth` in bytes a second, for each direction of a router's link."""
+        """`router_bandwidth` is in bytes per second, for each direction of a router's link."""
         self.rng = random.Random(seed)
         self.now = 1000.0
         self.loss = loss
@@ -103,18 +103,18 @@
         return process
 
     def add(self, role: Role) -> Process:
-        """A new machine; not started."""
+        """Add a process and return it; it is not started."""
         return self._add_process(len(self.processes), role)
 
     # --- processes
 
     def start_all(self, spread: float = 0.3) -> None:
-        """Start everything within `spread` seconds, in no fixed order."""
+        """Start all processes within `spread` seconds, in random order."""
         for process in self.processes.values():
             self.schedule(self.now + self.rng.uniform(0, spread), lambda process=process: self.start(process))
 
     def start_joined(self) -> None:
-        """Start everything at once and let each process know all others, without the messages of joining."""
+        """Start all processes at once, each with the records of all others, without join messages."""
         for process in self.processes.values():
             self.start(process, seeds=[])
         first, second, *_ = self.processes.values()
@@ -129,10 +129,10 @@
                 self._apply(process, process.core.receive(sender.address, payload, self.now))
 
     def start(self, process: Process, clock_step: float = 0.0, seeds: list[Address] | None = None) -> None:
-        """Begin a generation; `clock_step` seconds are added to its time of day."""
+        """Start a process; `clock_step` seconds are added to its wall clock."""
         self._starts += 1
-        wall = int((self.now + clock_step) * 1000)
-        incarnation = wall << 16 | self.rng.getrandbits(16)
+        wall_clock_ms = int((self.now + clock_step) * 1000)
+        incarnation = wall_clock_ms << 16 | self.rng.getrandbits(16)
         member = process.member
         process.member = Member(member.address, member.role, member.zone, member.control, incarnation)
         process.generation += 1
@@ -145,7 +145,7 @@
         self._tick(process)
 
     def kill(self, process: Process) -> None:
-        """End a generation without a word."""
+        """Stop a process without notifying other members."""
         process.core = None
         process.generation += 1
         process.links.clear()
@@ -153,17 +153,17 @@
             other.links.discard(process.address)
 
     def leave(self, process: Process) -> None:
-        """End a generation after it said so."""
+        """Stop a process after it has notified other members."""
         assert process.core is not None
         self._apply(process, process.core.leave(self.now))
         self.kill(process)
 
     def freeze(self, process: Process, seconds: float) -> None:
-        """Nothing runs there for a time; what arrives waits."""
+        """Suspend a process; timers and received payloads are handled afterwards."""
         process.frozen_until = self.now + seconds
 
     def publish(self, process: Process, item: Item) -> None:
-        """An own item of a process."""
+        """Publish an item from a process."""
         assert process.core is not None
         self.published[item.key, item.version] = item.payload
         process.versions[item.key] = max(item.version, process.versions.get(item.key, -1))
@@ -171,56 +171,56 @@
         self._apply(process, process.core.publish(item, self.now))
 
     def heal(self) -> None:
-        """Nothing is cut any more."""
+        """End all partitions."""
         self.is_blocked = _never_blocked
 
     def process_at(self, number: int) -> Process:
-        """The process with this number; controllers of the start come first."""
+        """Return the process with this number; the initial controllers come first."""
         return list(self.processes.values())[number]
 
     def all_running(self) -> bool:
-        """Whether a process runs at each place."""
+        """Return whether all processes run."""
         return all(process.core is not None for process in self.processes.values())
 
     def running(self) -> list[Process]:
-        """Processes that run, frozen ones included."""
+        """Return the running processes, suspended ones included."""
         return [process for process in self.processes.values() if process.core is not None]
 
-    # --- questions
+    # --- queries
 
     def processes_without(self, item: Item) -> list[Process]:
-        """Running processes whose newest version of the key is older than the item's."""
-        found = []
+        """Return the running processes whose newest version of the key is older than the item's."""
+        lacking = []
         for process in self.running():
             assert process.core is not None
             known = process.core.item(item.key)
             if known is None or known.version < item.version:
-                found.append(process)
-        return found
+                lacking.append(process)
+        return lacking
 
     def unconverged(self) -> list[Process]:
-        """Running processes whose set of live members is not the set of running processes."""
+        """Return the running processes whose set of live members is not the set of running processes."""
         truth = frozenset(process.address for process in self.running())
         return [process for process in self.running() if process.live_view != truth]
 
     def clear_traffic(self) -> None:
-        """Count from here."""
+        """Reset the traffic counters."""
         for process in self.processes.values():
             process.traffic = Traffic()
 
     # --- time
 
     def schedule(self, when: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+        """Schedule an action at a time."""
         self._order += 1
         heapq.heappush(self._events, (when, self._order, action))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, condition: Callable[[], bool], limit: float, step: float = 0.05) -> float:
-        """Let time pass until the condition holds, looked at each `step`; the seconds it took."""
+        """Advance the clock until the condition, checked each `step`, holds; return the elapsed seconds."""
         begin = self.now
         end = begin + limit
         check = begin
@@ -276,7 +276,7 @@
         self.schedule(arrival, arrive)
 
     def _transfer_end(self, process: Process, now: float, size: int, is_egress: bool) -> float:
-        """When bytes have passed the machine's own link."""
+        """Return when bytes have passed the process's own link, whose bandwidth is limited."""
         if process.member.role is Role.CONTROLLER or self.router_bandwidth == float("inf"):
             return now
         free = process.egress_free_at if is_egress else process.ingress_free_at
@@ -329,22 +329,24 @@
 
         self.schedule(max(due, self.now), fire)
 
-    # --- oracle
+    # --- invariants
 
     def _check_item(self, process: Process, item: Item) -> None:
-        assert self.published.get((item.key, item.version)) == item.payload, "an item that nobody published"
-        assert item.version > process.versions.get(item.key, -1), "a version went back or came twice"
+        assert self.published.get((item.key, item.version)) == item.payload, (
+            "an item was learned that was not published"
+        )
+        assert item.version > process.versions.get(item.key, -1), "a version decreased or was learned twice"
         process.versions[item.key] = item.version
         process.learned_at[item.key, item.version] = self.now
 
     def _check_members(self, process: Process) -> None:
         assert process.core is not None
         live_view = frozenset(member.address for member in process.core.members())
-        for gone in process.live_view - live_view:
-            other = self.processes[gone]
-            is_fine = other.core is not None and other.frozen_until <= self.now
-            if is_fine and not self._is_partitioned(gone, process.address):
-                self.false_deaths.append((self.now, process.address, gone))
+        for removed in process.live_view - live_view:
+            other = self.processes[removed]
+            is_responsive = other.core is not None and other.frozen_until <= self.now
+            if is_responsive and not self._is_partitioned(removed, process.address):
+                self.false_deaths.append((self.now, process.address, removed))
         process.live_view = live_view
 
     def _is_partitioned(self, first: Address, second: Address) -> bool:
--- a/tests/fleet/cluster/test_agent.py
+++ b/tests/fleet/cluster/test_agent.py
@@ -1,4 +1,4 @@
-"""`ClusterAgent` on real sockets: processes on 127.0.0.1, 127.0.0.2 ..., all with the same port."""
+"""`ClusterAgent` on real sockets: agents on 127.0.0.1, 127.0.0.2 ..., all with the same port."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """An agent and what it told its owner."""
+    """An agent and the items, messages and member changes that it reported."""
 
     def __init__(self, number: int, port: int, seeds: list[Address], incarnation: int = 0) -> None:
         self.address = (f"127.0.0.{number}", port)
@@ -64,18 +64,18 @@
 
 @pytest.fixture(params=["asyncio", "uvloop"], autouse=True)
 def loop_factory(request: pytest.FixtureRequest) -> Iterator[None]:
-    """Each test runs on both loops."""
-    Play.new_loop = asyncio.new_event_loop if request.param == "asyncio" else uvloop.new_event_loop
+    """Run each test on both event loops."""
+    EventLoop.new_loop = asyncio.new_event_loop if request.param == "asyncio" else uvloop.new_event_loop
     yield
 
 
-class Play:
-    """Which loop the test runs on."""
+class EventLoop:
+    """The event loop that the test uses."""
 
     new_loop: ClassVar[Callable[[], asyncio.AbstractEventLoop]]
 
 
-def play(scenario: Callable[[list[Process]], Awaitable[None]], count: int) -> None:
+def run_scenario(scenario: Callable[[list[Process]], Awaitable[None]], count: int) -> None:
     async def run() -> None:
         port = free_port()
         seeds = [("127.0.0.1", port), ("127.0.0.2", port)]
@@ -88,21 +88,21 @@
             for process in processes:
                 process.agent.close()
 
-    with asyncio.Runner(loop_factory=Play.new_loop) as runner:
+    with asyncio.Runner(loop_factory=EventLoop.new_loop) as runner:
         runner.run(run())
 
 
-def test_processes_find_each_other_through_the_seeds() -> None:
+def test_processes_join_through_the_seeds() -> None:
     async def scenario(processes: list[Process]) -> None:
         for process in processes:
             await process.until(process.sees(5))
         assert len(processes[4].agent.members(Role.CONTROLLER)) == 2
         assert processes[4].agent.members(Role.CONTROLLER)[0].control is not None
 
-    play(scenario, 5)
+    run_scenario(scenario, 5)
 
 
-def test_small_and_large_items_reach_all_and_a_late_joiner() -> None:
+def test_small_and_large_items_reach_all_members_and_a_late_joiner() -> None:
     small, large = Item(b"small", 3, b"x" * 40), Item(b"large", 7, bytes(range(256)) * 300)
 
     async def scenario(processes: list[Process]) -> None:
@@ -115,15 +115,15 @@
             assert process.agent.item(b"large") == large
         assert processes[0].items == []
         port = processes[0].address[1]
-        late = Process(9, port, [("127.0.0.2", port)])
-        processes.append(late)
-        await late.agent.start()
-        await late.until(lambda: {item.key for item in late.items} == {b"small", b"large"})
+        late_joiner = Process(9, port, [("127.0.0.2", port)])
+        processes.append(late_joiner)
+        await late_joiner.agent.start()
+        await late_joiner.until(lambda: {item.key for item in late_joiner.items} == {b"small", b"large"})
 
-    play(scenario, 4)
+    run_scenario(scenario, 4)
 
 
-def test_messages_of_both_sizes_pass_in_both_directions() -> None:
+def test_small_and_large_messages_are_delivered_in_both_directions() -> None:
     async def scenario(processes: list[Process]) -> None:
         first, second = processes
         large = b"y" * 100_000
@@ -134,10 +134,10 @@
         await first.until(lambda: len(first.messages) == 2)
         assert (second.address, Channel.ROWS, b"row") in first.messages
 
-    play(scenario, 2)
+    run_scenario(scenario, 2)
 
 
-def test_a_leaving_process_is_gone_at_once() -> None:
+def test_a_leaving_process_is_removed_at_once() -> None:
     async def scenario(processes: list[Process]) -> None:
         for process in processes:
             await process.until(process.sees(3))
@@ -145,21 +145,21 @@
         for process in processes[:2]:
             await process.until(process.sees(2))
 
-    play(scenario, 3)
+    run_scenario(scenario, 3)
 
 
-def test_a_restart_with_a_lower_incarnation_is_taken_back_and_gets_the_items() -> None:
+def test_a_process_restarted_with_a_lower_incarnation_rejoins_and_receives_the_items() -> None:
     async def scenario(processes: list[Process]) -> None:
         for process in processes:
             await process.until(process.sees(3))
         processes[0].agent.publish(Item(b"configuration", 1, b"z"))
         processes[2].agent.close(leave=False)
         port = processes[0].address[1]
-        again = Process(3, port, [processes[0].address, processes[1].address], incarnation=5)
-        processes.append(again)
-        await again.agent.start()
-        await again.until(lambda: len(again.items) == 1)
-        await again.until(lambda: again.agent.identity.incarnation > 1003)
-        await processes[0].until(lambda: again.agent.identity in processes[0].agent.members())
-
-    play(scenario, 3)
+        restarted = Process(3, port, [processes[0].address, processes[1].address], incarnation=5)
+        processes.append(restarted)
+        await restarted.agent.start()
+        await restarted.until(lambda: len(restarted.items) == 1)
+        await restarted.until(lambda: restarted.agent.identity.incarnation > 1003)
+        await processes[0].until(lambda: restarted.agent.identity in processes[0].agent.members())
+
+    run_scenario(scenario, 3)
--- a/tests/fleet/cluster/test_applied.py
+++ b/tests/fleet/cluster/test_applied.py
@@ -1,4 +1,4 @@
-"""Reports of the version in force: codec, lives of a member, hostile bytes, and how they arrive."""
+"""Reports of applied versions: codec, incarnations of a member, invalid bytes, and delivery."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @given(st.binary(max_size=20))
-def test_hostile_bytes_raise_the_one_error(data: bytes) -> None:
+def test_invalid_bytes_raise_only_envelope_errors(data: bytes) -> None:
     with contextlib.suppress(EnvelopeError):
         AppliedVersions().receive(ONE, data, 1.0)
 
@@ -50,17 +50,17 @@
         assert versions.report_of(ONE) is None
 
 
-def test_nothing_is_reported_before_something_is_in_force() -> None:
+def test_nothing_is_reported_before_a_version_is_applied() -> None:
     assert AppliedVersions().section() is None
 
 
-def test_a_report_of_an_earlier_incarnation_does_not_count() -> None:
+def test_a_report_of_an_earlier_incarnation_is_ignored() -> None:
     versions = AppliedVersions()
     versions.receive(ONE, section_of(7), 1.0)
     assert versions.report_of(make_member(1, incarnation=11)) is None
 
 
-def test_only_live_members_are_kept() -> None:
+def test_only_reports_of_live_members_are_retained() -> None:
     versions = AppliedVersions()
     two = make_member(2)
     versions.receive(ONE, section_of(7), 1.0)
@@ -95,8 +95,8 @@
     assert {each.applied_version for each in others} == {None}
 
 
-def test_reports_cost_a_few_bytes_a_second() -> None:
-    def calm_bytes(reports: bool) -> float:
+def test_reports_add_a_few_bytes_per_second() -> None:
+    def idle_bytes_per_second(reports: bool) -> float:
         cluster = SimulatedCluster(37, 3, loss=0.03)
         cluster.start_joined()
         for process in cluster.running() if reports else ():
@@ -107,11 +107,11 @@
         cluster.run(20.0)
         return sum(process.traffic.sent_bytes for process in cluster.running()) / 40 / 20.0
 
-    added = calm_bytes(True) - calm_bytes(False)
+    added = idle_bytes_per_second(True) - idle_bytes_per_second(False)
     assert 1.0 < added < 12.0
 
 
-def test_the_report_of_a_member_that_died_is_forgotten() -> None:
+def test_the_report_of_a_member_that_died_is_removed() -> None:
     cluster = SimulatedCluster(4, 3)
     cluster.start_all()
     cluster.run_until(lambda: cluster.all_running() and not cluster.unconverged(), 10.0)
--- a/tests/fleet/cluster/test_core.py
+++ b/tests/fleet/cluster/test_core.py
@@ -1,4 +1,4 @@
-"""Both planes of one process together: what shares a payload, and hostile payloads."""
+"""Membership and dissemination of one process together: shared payloads, and invalid payloads."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_pair() -> tuple[ClusterCore, ClusterCore]:
-    """Two cores that know each other."""
+    """Return two cores that have joined each other."""
     first, second = make_core(ONE, [], Role.CONTROLLER), make_core(TWO, [ONE])
     pending = [(TWO, to, payload) for to, payload in second.tick(0.0).sends]
     while pending:
@@ -33,7 +33,7 @@
     return first, second
 
 
-def test_a_join_brings_the_digest_along_and_the_answer_members_and_items() -> None:
+def test_a_join_carries_the_digest_and_its_answer_members_and_items() -> None:
     first, second = make_core(ONE, [], Role.CONTROLLER), make_core(TWO, [ONE])
     first.publish(Item(b"configuration", 1, b"x"), 0.0)
     [(to, payload)] = second.tick(0.0).sends
@@ -60,7 +60,7 @@
     assert len(sends) == 1
 
 
-def test_sections_before_a_damaged_one_have_their_effect() -> None:
+def test_sections_before_an_invalid_one_take_effect() -> None:
     first, second = make_pair()
     first.publish(Item(b"a", 1, b"x"), 1.0)
     push = next(payload for to, payload in first.publish(Item(b"b", 1, b"x"), 1.0).sends if to == TWO)
@@ -72,7 +72,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.sampled_from(Plane), st.binary(max_size=80))
-def test_hostile_payloads_raise_the_one_error(plane: Plane, content: bytes) -> None:
+def test_invalid_payloads_raise_only_payload_errors(plane: Plane, content: bytes) -> None:
     _, second = make_pair()
     for payload in (content, encode_envelope([Section(plane, content)])):
         with contextlib.suppress(PayloadError):
--- a/tests/fleet/cluster/test_envelope.py
+++ b/tests/fleet/cluster/test_envelope.py
@@ -1,4 +1,4 @@
-"""The envelope: round trips, and hostile bytes."""
+"""Envelopes: round trips, and invalid bytes."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 @settings(derandomize=True, deadline=None)
 @given(sections)
-def test_sections_are_decoded_as_they_were_encoded(some: list[Section]) -> None:
-    assert decode_envelope(encode_envelope(some)) == some
+def test_sections_are_decoded_as_they_were_encoded(original: list[Section]) -> None:
+    assert decode_envelope(encode_envelope(original)) == original
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=100))
-def test_hostile_bytes_raise_the_one_error(data: bytes) -> None:
-    for hostile in (data, b"\x01" + data):
+def test_invalid_bytes_raise_only_envelope_errors(data: bytes) -> None:
+    for invalid in (data, b"\x01" + data):
         with contextlib.suppress(EnvelopeError):
-            decode_envelope(hostile)
+            decode_envelope(invalid)
 
 
 def test_lengths_versions_planes_and_counts_are_checked() -> None:
--- a/tests/fleet/membership/strategies.py
+++ b/tests/fleet/membership/strategies.py
@@ -1,4 +1,4 @@
-"""Generated members and records."""
+"""Hypothesis strategies for members and records."""
 
 from __future__ import annotations
 
@@ -29,5 +29,5 @@
 def make_member(
     number: int, incarnation: int = 1, role: Role = Role.ROUTER, zone: str | None = None
 ) -> Member:
-    """A member whose address follows from its number."""
+    """Return a member whose address is derived from `number`."""
     return Member((f"10.0.0.{number}", 7300), role, zone or f"zone-{number % 3}", None, incarnation)
--- a/tests/fleet/membership/test_codec.py
+++ b/tests/fleet/membership/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec of membership: round trips, and hostile bytes."""
+"""The codec of membership: round trips, and invalid bytes."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 from tests.fleet.membership.strategies import addresses, make_member, records
 
 PROBE_KINDS = (Kind.PROBE, Kind.ACK, Kind.PROBE_REQUEST)
-words = st.integers(0, 2**32 - 1)
+uint32s = st.integers(0, 2**32 - 1)
 
 
 @st.composite
 def messages(draw: st.DrawFn) -> Message:
     kind = draw(st.sampled_from(Kind))
-    probe = {"nonce": draw(words), "target": draw(addresses)} if kind in PROBE_KINDS else {}
+    probe = {"nonce": draw(uint32s), "target": draw(addresses)} if kind in PROBE_KINDS else {}
     return Message(
         kind,
         tuple(draw(st.lists(records, min_size=1, max_size=4))),
-        summary=draw(words),
-        buckets=tuple(draw(st.lists(words, max_size=MAX_BUCKETS))),
+        summary=draw(uint32s),
+        buckets=tuple(draw(st.lists(uint32s, max_size=MAX_BUCKETS))),
         **probe,
     )
 
@@ -57,7 +57,7 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages(), messages())
-def test_records_that_are_encoded_already_are_appended(first: Message, second: Message) -> None:
+def test_encoded_records_are_appended(first: Message, second: Message) -> None:
     encoded = [encode_record(record) for record in second.records]
     decoded = decode_message(encode_message(first, encoded))
     assert len(decoded.records) == len(first.records) + len(second.records)
@@ -65,15 +65,15 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.binary(max_size=300), st.sampled_from(Kind))
-def test_hostile_bytes_raise_the_one_error(data: bytes, kind: Kind) -> None:
-    for hostile in (data, bytes((1, kind)) + data):
+def test_invalid_bytes_raise_only_message_errors(data: bytes, kind: Kind) -> None:
+    for invalid in (data, bytes((1, kind)) + data):
         with contextlib.suppress(MessageError):
-            decode_message(hostile)
+            decode_message(invalid)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages(), st.data())
-def test_damaged_messages_raise_the_one_error_or_decode(message: Message, data: st.DataObject) -> None:
+def test_damaged_messages_raise_only_message_errors_or_decode(message: Message, data: st.DataObject) -> None:
     encoded = bytearray(encode_message(message))
     for _ in range(data.draw(st.integers(1, 3))):
         encoded[data.draw(st.integers(0, len(encoded) - 1))] = data.draw(st.integers(0, 255))
--- a/tests/fleet/membership/test_table.py
+++ b/tests/fleet/membership/test_table.py
@@ -1,4 +1,4 @@
-"""The table against a plain dictionary."""
+"""The table, compared with a plain dictionary."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
     return member.zone, zlib.crc32(f"{host}:{port}".encode()), member.address
 
 
-def around(own: Member, live: list[Entry]) -> tuple[list[Entry], list[Entry]]:
-    """Those before the owner, nearest first, and those after it."""
+def expected_neighbours(own: Member, live: list[Entry]) -> tuple[list[Entry], list[Entry]]:
+    """Return the members before the owner in the ring, nearest first, and the members after it."""
     ordered = sorted(live, key=lambda entry: ring_key(entry.member))
     before = [entry for entry in ordered if ring_key(entry.member) < ring_key(own)]
     after = [entry for entry in ordered if ring_key(entry.member) > ring_key(own)]
     return (before[::-1] + after[::-1]), (after + before)
 
 
-def test_random_changes_keep_ring_counts_and_checksums_right() -> None:
+def test_random_changes_keep_ring_counts_and_checksums_correct() -> None:
     rng = random.Random(5)
     own = make_member(0)
     table, expected = Table(own), {}
@@ -41,7 +41,7 @@
         table.put(entry)
         expected[member.address] = entry
         live = [e for e in expected.values() if e.is_live]
-        predecessors, successors = around(own, live)
+        predecessors, successors = expected_neighbours(own, live)
         assert list(table.predecessors()) == predecessors
         assert table.successor() == next((e for e in successors if e.status is Status.ALIVE), None)
         assert {e.member.address for e in table.live()} == {e.member.address for e in live}
@@ -54,7 +54,7 @@
 
 
 def check_checksums(own: Member, table: Table, expected: dict[tuple[str, int], Entry]) -> None:
-    """A table filled in another order has the same checksums; one more change shows in one bucket."""
+    """Check that checksums do not depend on the order of changes, and that one change alters one bucket."""
     other = Table(own)
     for entry in reversed(list(expected.values())):
         other.put(entry)
@@ -69,17 +69,17 @@
     assert other.summary() != table.summary()
 
 
-def test_a_suspicion_shows_in_the_checksums_and_a_tombstone_does_not() -> None:
+def test_a_suspicion_changes_the_checksums_and_a_tombstone_does_not() -> None:
     own = make_member(0)
-    alive, suspected, buried, empty = (Table(own) for _ in range(4))
+    alive, suspected, dead, empty = (Table(own) for _ in range(4))
     alive.put(Entry(make_member(1), 0, Status.ALIVE, 0.0, 0.0))
     suspected.put(Entry(make_member(1), 0, Status.SUSPECT, 0.0, 0.0))
-    buried.put(Entry(make_member(1), 0, Status.DEAD, 0.0, 0.0))
+    dead.put(Entry(make_member(1), 0, Status.DEAD, 0.0, 0.0))
     assert alive.summary() != suspected.summary()
-    assert buried.summary() == empty.summary()
+    assert dead.summary() == empty.summary()
 
 
-def test_the_own_stamp_shows_in_the_checksums() -> None:
+def test_the_owners_stamp_changes_the_checksums() -> None:
     own = make_member(0)
     table = Table(own)
     before = table.summary()
--- a/tests/fleet/membership/test_view.py
+++ b/tests/fleet/membership/test_view.py
@@ -1,4 +1,4 @@
-"""The rules by which reports are merged."""
+"""The rules by which a view merges records."""
 
 from __future__ import annotations
 
@@ -55,16 +55,16 @@
         second.merge(record, NOW)
     for number in (1, 2, 3):
         address = make_member(number).address
-        one, two = first.table.get(address), second.table.get(address)
-        assert (one is None) == (two is None)
-        if one is not None and two is not None:
-            assert (one.stamp, one.status) == (two.stamp, two.status)
+        first_entry, second_entry = first.table.get(address), second.table.get(address)
+        assert (first_entry is None) == (second_entry is None)
+        if first_entry is not None and second_entry is not None:
+            assert (first_entry.stamp, first_entry.status) == (second_entry.stamp, second_entry.status)
     assert first.table.summary() == second.table.summary()
 
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(small_reports, max_size=12))
-def test_stamps_never_go_back(reports: list[Record]) -> None:
+def test_stamps_never_decrease(reports: list[Record]) -> None:
     view = make_view()
     for record in reports:
         entry = view.table.get(record.member.address)
@@ -75,7 +75,7 @@
         assert (after.stamp, after.status) >= before
 
 
-def test_a_suspicion_ends_at_its_age_and_leaves_a_tombstone() -> None:
+def test_a_suspicion_ends_by_its_age_and_leaves_a_tombstone() -> None:
     view = make_view()
     view.merge(report(Status.SUSPECT, age=0.6), NOW)
     due = NOW - 0.6 + SUSPICION_TIMEOUT_S
@@ -94,7 +94,7 @@
     assert status_of(view) is None
 
 
-def test_a_suspected_member_that_sent_a_message_gets_more_time() -> None:
+def test_the_suspicion_of_a_member_that_sent_a_message_restarts() -> None:
     view = make_view()
     view.merge(report(Status.ALIVE), NOW)
     view.suspect(OTHER.address, NOW)
@@ -105,7 +105,7 @@
     assert status_of(view) is Status.DEAD
 
 
-def test_a_higher_counter_refutes_a_suspicion_and_brings_back_the_dead() -> None:
+def test_a_higher_counter_refutes_a_suspicion_and_a_death() -> None:
     view = make_view()
     view.merge(report(Status.SUSPECT), NOW)
     view.merge(report(Status.ALIVE, counter=1), NOW)
@@ -118,7 +118,7 @@
     assert view.failed_members.deadline() == float("inf")
 
 
-def test_a_reported_death_of_a_live_member_is_to_be_checked() -> None:
+def test_a_reported_death_of_a_live_member_requires_a_probe() -> None:
     view = make_view()
     view.merge(report(Status.ALIVE, counter=1), NOW)
     assert view.merge(report(Status.DEAD, counter=1), NOW)
@@ -127,7 +127,7 @@
     assert status_of(view) is Status.ALIVE
 
 
-def test_a_member_that_leaves_is_gone_at_once_and_not_probed() -> None:
+def test_a_member_that_leaves_is_removed_at_once_and_not_probed() -> None:
     view = make_view()
     view.merge(report(Status.ALIVE), NOW)
     version = view.table.version
@@ -161,7 +161,7 @@
     assert view.own.incarnation == 51
 
 
-def test_stamps_at_their_bounds_are_survived() -> None:
+def test_stamps_at_their_limits_are_handled() -> None:
     view = make_view()
     view.merge(Record(OWN, MAX_COUNTER, Status.DEAD), NOW)
     assert view.own.incarnation == 11
