--- a/tests/fleet/dissemination/test_codec.py
+++ b/tests/fleet/dissemination/test_codec.py
@@ -1,4 +1,4 @@
-"""The codec of dissemination: round trips, and hostile bytes."""
+"""The codec of dissemination: round trips, and invalid bytes."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
 from firvane.fleet.dissemination.items import Item
 
 keys = st.binary(max_size=255)
-numbers = st.integers(0, 2**64 - 1)
-items = st.builds(Item, keys, numbers, st.binary(max_size=200))
-versions = st.builds(Version, keys, numbers, st.integers(0, 2**32 - 1))
+uint64s = st.integers(0, 2**64 - 1)
+items = st.builds(Item, keys, uint64s, st.binary(max_size=200))
+versions = st.builds(Version, keys, uint64s, st.integers(0, 2**32 - 1))
 WITH_PAYLOADS = (Kind.PUSH, Kind.REPAIR)
 WITH_VERSIONS = (Kind.DIGEST, Kind.ANNOUNCE, Kind.REQUEST, Kind.ACCEPT, Kind.REJECT)
 messages = st.one_of(
     st.builds(lambda summary: Message(Kind.SUMMARY, summary=summary), st.integers(0, 2**32 - 1)),
     st.builds(
-        lambda kind, some: Message(kind, items=tuple(some)),
+        lambda kind, content: Message(kind, items=tuple(content)),
         st.sampled_from(WITH_PAYLOADS),
         st.lists(items, max_size=5),
     ),
     st.builds(
-        lambda kind, some: Message(kind, tuple(some)),
+        lambda kind, content: Message(kind, tuple(content)),
         st.sampled_from(WITH_VERSIONS),
         st.lists(versions, max_size=8),
     ),
@@ -48,22 +48,22 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(items)
-def test_the_size_of_an_item_is_what_it_adds(item: Item) -> None:
+def test_item_size_is_the_number_of_bytes_that_an_item_adds(item: Item) -> None:
     empty = len(encode_message(Message(Kind.PUSH)))
     assert len(encode_message(Message(Kind.PUSH, items=(item,)))) == empty + item_size(item)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.binary(max_size=200), st.sampled_from(Kind))
-def test_hostile_bytes_raise_the_one_error(data: bytes, kind: Kind) -> None:
-    for hostile in (data, bytes((1, kind)) + data):
+def test_invalid_bytes_raise_only_message_errors(data: bytes, kind: Kind) -> None:
+    for invalid in (data, bytes((1, kind)) + data):
         with contextlib.suppress(MessageError):
-            decode_message(hostile)
+            decode_message(invalid)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(messages, st.data())
-def test_damaged_messages_raise_the_one_error_or_decode(message: Message, data: st.DataObject) -> None:
+def test_damaged_messages_raise_only_message_errors_or_decode(message: Message, data: st.DataObject) -> None:
     encoded = bytearray(encode_message(message))
     encoded[data.draw(st.integers(0, len(encoded) - 1))] = data.draw(st.integers(0, 255))
     with contextlib.suppress(MessageError):
--- a/tests/fleet/dissemination/test_items.py
+++ b/tests/fleet/dissemination/test_items.py
@@ -1,4 +1,4 @@
-"""The store against a plain dictionary."""
+"""The store, compared with a plain dictionary."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(items, max_size=30), st.randoms(use_true_random=False))
-def test_the_highest_version_stays_in_whatever_order(some: list[Item], rng: object) -> None:
+def test_the_highest_version_is_kept_in_any_order(received: list[Item], rng: object) -> None:
     store, expected = ItemStore(), {}
-    for item in some:
+    for item in received:
         before = expected.get(item.key)
         is_newer = before is None or item.version > before.version
         assert store.put(item) == is_newer
@@ -23,14 +23,14 @@
         assert store.get(item.key) == expected[item.key]
     assert store.versions() == sorted((key, item.version) for key, item in expected.items())
     other = ItemStore()
-    for item in sorted(some, key=lambda item: (item.version, item.key), reverse=True):
+    for item in sorted(received, key=lambda item: (item.version, item.key), reverse=True):
         other.put(item)
     assert other.summary() == store.summary()
     assert len(store) == len(expected)
 
 
-def test_equal_steps_of_two_keys_show_in_the_summary() -> None:
-    """A sum of checksums would not tell these apart: both versions change by the same bits."""
+def test_equal_version_changes_of_two_keys_change_the_summary() -> None:
+    """A sum of checksums would be equal here, since both versions change by the same bits."""
     first, second = ItemStore(), ItemStore()
     for store, version in ((first, 5), (second, 6)):
         store.put(Item(b"service-a", version, b""))
--- a/tests/fleet/dissemination/test_machine.py
+++ b/tests/fleet/dissemination/test_machine.py
@@ -1,4 +1,4 @@
-"""Dissemination, a few machines wired by hand."""
+"""`Dissemination` machines connected in memory."""
 
 from __future__ import annotations
 
@@ -33,11 +33,14 @@
 
 
 class Group:
-    """Machines of one zone, each with all others as peers; messages arrive at once unless `lost`."""
+    """Machines in one zone, each with all others as peers.
+
+    Messages are delivered immediately, except from and to the machines in `unreachable`.
+    """
 
     def __init__(self, count: int) -> None:
         self.now = 10.0
-        self.lost: set[Address] = set()
+        self.unreachable: set[Address] = set()
         self.sent: list[tuple[Address, Address, Message]] = []
         self.learned: dict[Address, list[Item]] = {}
         self.machines = {address(n): Dissemination(random.Random(n), self.now) for n in range(count)}
@@ -46,42 +49,42 @@
             machine.set_peers(PeerSet("a", others, others[0].address if others else None))
             self.learned[own] = []
 
-    def carry(self, source: Address, output: Output) -> None:
+    def deliver(self, source: Address, output: Output) -> None:
         self.learned[source] += output.learned
         for send in output.sends:
             self.sent.append((source, send.to, decode_message(send.payload)))
-            if send.to not in self.lost and source not in self.lost:
-                self.carry(send.to, self.machines[send.to].receive(source, send.payload, self.now))
+            if send.to not in self.unreachable and source not in self.unreachable:
+                self.deliver(send.to, self.machines[send.to].receive(source, send.payload, self.now))
 
     def tick(self, number: int) -> None:
-        self.carry(address(number), self.machines[address(number)].tick(self.now))
+        self.deliver(address(number), self.machines[address(number)].tick(self.now))
 
-    def holders(self, item: Item) -> int:
+    def holder_count(self, item: Item) -> int:
         return sum(machine.item(item.key) == item for machine in self.machines.values())
 
-    def payloads(self, item: Item) -> list[Address]:
+    def payload_receivers(self, item: Item) -> list[Address]:
         return [to for _, to, message in self.sent if item in message.items]
 
 
 @pytest.mark.parametrize("item", [SMALL, LARGE])
-def test_an_item_reaches_all_of_a_few_at_once_but_its_publisher_does_not_learn_it(item: Item) -> None:
+def test_an_item_reaches_a_small_group_at_once_and_its_publisher_does_not_learn_it(item: Item) -> None:
     group = Group(5)
-    group.carry(address(0), group.machines[address(0)].publish(item, group.now))
-    assert group.holders(item) == 5
+    group.deliver(address(0), group.machines[address(0)].publish(item, group.now))
+    assert group.holder_count(item) == 5
     assert all(group.learned[address(number)] == [item] for number in range(1, 5))
     assert group.learned[address(0)] == []
 
 
-def test_a_large_payload_comes_once_to_each() -> None:
+def test_a_large_payload_is_sent_once_to_each_process() -> None:
     group = Group(8)
-    group.carry(address(0), group.machines[address(0)].publish(LARGE, group.now))
-    receivers = group.payloads(LARGE)
-    assert len(receivers) == len(set(receivers)) == group.holders(LARGE) - 1
+    group.deliver(address(0), group.machines[address(0)].publish(LARGE, group.now))
+    receivers = group.payload_receivers(LARGE)
+    assert len(receivers) == len(set(receivers)) == group.holder_count(LARGE) - 1
 
 
-def test_what_is_not_newer_is_not_published() -> None:
+def test_an_item_that_is_not_newer_is_not_published() -> None:
     group = Group(2)
-    group.carry(address(0), group.machines[address(0)].publish(SMALL, group.now))
+    group.deliver(address(0), group.machines[address(0)].publish(SMALL, group.now))
     for version in (1, 3):
         output = group.machines[address(0)].publish(Item(b"small", version, b"other"), group.now)
         assert output.sends == []
@@ -89,21 +92,21 @@
     assert group.machines[address(0)].item(b"none") is None
 
 
-@pytest.mark.parametrize("asker", [0, 1])
-def test_a_digest_repairs_in_both_directions(asker: int) -> None:
+@pytest.mark.parametrize("requester", [0, 1])
+def test_a_digest_repairs_in_both_directions(requester: int) -> None:
     group = Group(2)
-    group.lost.add(address(1))
-    group.carry(address(0), group.machines[address(0)].publish(SMALL, group.now))
-    group.carry(address(0), group.machines[address(0)].publish(LARGE, group.now))
-    group.carry(address(1), group.machines[address(1)].publish(Item(b"third", 1, b""), group.now))
-    group.lost.clear()
+    group.unreachable.add(address(1))
+    group.deliver(address(0), group.machines[address(0)].publish(SMALL, group.now))
+    group.deliver(address(0), group.machines[address(0)].publish(LARGE, group.now))
+    group.deliver(address(1), group.machines[address(1)].publish(Item(b"third", 1, b""), group.now))
+    group.unreachable.clear()
     group.now += DIGEST_INTERVAL_S
-    group.tick(asker)
+    group.tick(requester)
     for item in (SMALL, LARGE, Item(b"third", 1, b"")):
-        assert group.holders(item) == 2
+        assert group.holder_count(item) == 2
     group.sent.clear()
     group.now += DIGEST_INTERVAL_S
-    group.tick(asker)
+    group.tick(requester)
     assert [message.kind for _, _, message in group.sent] == [Kind.SUMMARY]
 
 
@@ -128,23 +131,23 @@
     assert output.learned == [newer] and output.sends != []
 
 
-def test_a_request_for_a_missing_payload_is_rejected_and_the_announcer_asked() -> None:
+def test_a_request_for_a_missing_payload_is_rejected_and_then_sent_to_the_announcer() -> None:
     group = Group(3)
-    asker, source, announcer = address(0), address(1), address(2)
+    requester, source, announcer = address(0), address(1), address(2)
     peers = [Peer(source, "a", is_source=True), Peer(announcer, "a")]
-    group.machines[asker].set_peers(PeerSet("a", peers, None))
-    group.lost |= {asker, source}
-    group.carry(announcer, group.machines[announcer].publish(LARGE, group.now))
-    group.lost.clear()
+    group.machines[requester].set_peers(PeerSet("a", peers, None))
+    group.unreachable |= {requester, source}
+    group.deliver(announcer, group.machines[announcer].publish(LARGE, group.now))
+    group.unreachable.clear()
     group.sent.clear()
     digest = group.machines[announcer].digest_message()
-    group.carry(asker, group.machines[asker].receive(announcer, digest, group.now))
-    assert group.machines[asker].item(b"large") == LARGE
-    kinds = [(sender, message.kind) for sender, to, message in group.sent if to in (asker, source)]
-    assert kinds[:2] == [(asker, Kind.REQUEST), (source, Kind.REJECT)]
+    group.deliver(requester, group.machines[requester].receive(announcer, digest, group.now))
+    assert group.machines[requester].item(b"large") == LARGE
+    kinds = [(sender, message.kind) for sender, to, message in group.sent if to in (requester, source)]
+    assert kinds[:2] == [(requester, Kind.REQUEST), (source, Kind.REJECT)]
 
 
-def test_an_announcement_is_forwarded_once_before_its_payload_has_come() -> None:
+def test_an_announcement_is_forwarded_once_before_its_payload_arrives() -> None:
     machine = Dissemination(random.Random(1), 0.0)
     peers = [Peer(address(number), "a", is_source=number == 1) for number in range(1, 9)]
     machine.set_peers(PeerSet("a", peers, address(5)))
@@ -174,13 +177,13 @@
     assert times[-1] - times[-2] == DIGEST_INTERVAL_S
 
 
-def test_hostile_bytes_raise_the_one_error() -> None:
+def test_invalid_bytes_raise_a_message_error() -> None:
     with pytest.raises(MessageError):
         Dissemination(random.Random(1), 0.0).receive(address(1), b"nonsense", 0.0)
 
 
 class Pair:
-    """One machine that withholds, or does not, and one that knows nothing yet."""
+    """A machine that withholds the items in `withheld`, and a joining machine without items."""
 
     def __init__(self) -> None:
         self.withheld: set[bytes] = set()
@@ -190,18 +193,18 @@
             machine.set_peers(PeerSet("a", [Peer(address(other), "a")], address(other)))
 
     def exchange(self) -> None:
-        """What a process that joins and the one that it joins tell each other, to the end."""
-        waiting = [(0, self.holder.digest_message()), (1, self.joiner.digest_message())]
-        waiting.append((1, self.joiner.summary_message()))
-        while waiting:
-            source, payload = waiting.pop(0)
+        """Deliver the messages that the machines exchange on a join, until there are no more."""
+        pending = [(0, self.holder.digest_message()), (1, self.joiner.digest_message())]
+        pending.append((1, self.joiner.summary_message()))
+        while pending:
+            source, payload = pending.pop(0)
             receiver = self.joiner if source == 0 else self.holder
             output = receiver.receive(address(source), payload, 10.0)
-            waiting += [(1 - source, send.payload) for send in output.sends]
+            pending += [(1 - source, send.payload) for send in output.sends]
 
 
 @pytest.mark.parametrize("item", [SMALL, LARGE])
-def test_a_withheld_item_is_offered_to_nobody(item: Item) -> None:
+def test_a_withheld_item_is_not_offered(item: Item) -> None:
     pair = Pair()
     pair.holder.publish(item, 10.0)
     pair.withheld.add(item.key)
@@ -216,7 +219,7 @@
     assert pair.joiner.item(item.key) == item
 
 
-def test_only_withheld_items_are_left_out() -> None:
+def test_only_withheld_items_are_omitted() -> None:
     pair = Pair()
     pair.holder.publish(SMALL, 10.0)
     pair.holder.publish(LARGE, 10.0)
--- a/tests/fleet/dissemination/test_requests.py
+++ b/tests/fleet/dissemination/test_requests.py
@@ -1,4 +1,4 @@
-"""Fetching: one source at a time, another one after silence or a refusal."""
+"""Fetches: one source at a time, another source after a time-out or a rejection."""
 
 from __future__ import annotations
 
@@ -18,82 +18,82 @@
 
 ONE, TWO, THREE = (("10.0.0.1", 1), ("10.0.0.2", 1), ("10.0.0.3", 1))
 KEY = b"configuration"
-NEWS = Version(KEY, 7, 60_000)
+ANNOUNCED = Version(KEY, 7, 60_000)
 
 
-def test_the_first_announcement_is_asked_for_and_the_second_one_kept() -> None:
+def test_the_first_announcer_is_requested_and_the_second_is_recorded_as_a_source() -> None:
     requests = Requests()
-    assert requests.add_announcement(NEWS, ONE, None, 0.0) == Request(ONE, NEWS)
-    assert requests.add_announcement(NEWS, TWO, None, 0.01) is None
+    assert requests.add_announcement(ANNOUNCED, ONE, None, 0.0) == Request(ONE, ANNOUNCED)
+    assert requests.add_announcement(ANNOUNCED, TWO, None, 0.01) is None
     assert requests.overdue(RESPONSE_TIMEOUT_S - 0.01) == []
-    assert requests.overdue(RESPONSE_TIMEOUT_S) == [Request(TWO, NEWS)]
+    assert requests.overdue(RESPONSE_TIMEOUT_S) == [Request(TWO, ANNOUNCED)]
 
 
-def test_the_preferred_source_is_asked_first_and_then_who_announced() -> None:
+def test_the_preferred_source_is_requested_first_and_then_the_announcer() -> None:
     requests = Requests()
-    assert requests.add_announcement(NEWS, ONE, THREE, 0.0) == Request(THREE, NEWS)
-    assert requests.overdue(requests.deadline()) == [Request(ONE, NEWS)]
+    assert requests.add_announcement(ANNOUNCED, ONE, THREE, 0.0) == Request(THREE, ANNOUNCED)
+    assert requests.overdue(requests.deadline()) == [Request(ONE, ANNOUNCED)]
 
 
-def test_an_accepted_request_has_the_time_of_a_slow_link() -> None:
+def test_the_time_out_of_an_accepted_request_includes_the_transfer_on_a_slow_link() -> None:
     requests = Requests()
     requests.add_announcement(Version(KEY, 7), ONE, None, 0.0)
-    requests.accepted(NEWS, TWO, 0.1)
+    requests.accepted(ANNOUNCED, TWO, 0.1)
     assert requests.deadline() == RESPONSE_TIMEOUT_S
-    requests.accepted(NEWS, ONE, 0.1)
+    requests.accepted(ANNOUNCED, ONE, 0.1)
     assert requests.deadline() == 0.1 + RESPONSE_TIMEOUT_S + 60_000 / SLOWEST_LINK_BYTES_PER_S
 
 
-def test_a_rejection_turns_to_another_source_at_once_or_ends_the_fetch() -> None:
+def test_after_a_rejection_another_source_is_requested_at_once_or_the_fetch_ends() -> None:
     requests = Requests()
-    requests.add_announcement(NEWS, ONE, THREE, 0.0)
-    assert requests.rejected(NEWS, ONE, 0.01) is None  # it was not asked
-    assert requests.rejected(NEWS, THREE, 0.01) == Request(ONE, NEWS)
-    assert requests.rejected(NEWS, ONE, 0.02) is None
+    requests.add_announcement(ANNOUNCED, ONE, THREE, 0.0)
+    assert requests.rejected(ANNOUNCED, ONE, 0.01) is None  # no request was sent to it
+    assert requests.rejected(ANNOUNCED, THREE, 0.01) == Request(ONE, ANNOUNCED)
+    assert requests.rejected(ANNOUNCED, ONE, 0.02) is None
     assert requests.deadline() == float("inf")
-    assert requests.add_announcement(NEWS, TWO, None, 0.03) == Request(TWO, NEWS)
+    assert requests.add_announcement(ANNOUNCED, TWO, None, 0.03) == Request(TWO, ANNOUNCED)
 
 
 def test_a_newer_version_replaces_an_older_one_and_keeps_the_waiters() -> None:
     requests = Requests()
-    requests.add_announcement(NEWS, ONE, None, 0.0)
-    assert requests.add_waiter(NEWS, THREE)
+    requests.add_announcement(ANNOUNCED, ONE, None, 0.0)
+    assert requests.add_waiter(ANNOUNCED, THREE)
     newer = Version(KEY, 8, 10)
     assert requests.add_announcement(newer, TWO, None, 0.01) == Request(TWO, newer)
-    assert requests.add_announcement(NEWS, ONE, None, 0.02) is None
+    assert requests.add_announcement(ANNOUNCED, ONE, None, 0.02) is None
     assert requests.complete(KEY, 7) == FetchResult()
     assert requests.complete(KEY, 9).waiters == [THREE]
     assert requests.deadline() == float("inf")
 
 
-def test_only_what_is_being_fetched_can_be_waited_for() -> None:
+def test_waiters_are_accepted_only_for_versions_being_fetched() -> None:
     requests = Requests()
-    assert not requests.add_waiter(NEWS, ONE)
-    requests.add_announcement(NEWS, ONE, None, 0.0)
+    assert not requests.add_waiter(ANNOUNCED, ONE)
+    requests.add_announcement(ANNOUNCED, ONE, None, 0.0)
     assert not requests.add_waiter(Version(KEY, 8), TWO)
     assert requests.add_waiter(Version(KEY, 6), TWO)
-    assert requests.add_waiter(NEWS, TWO)
+    assert requests.add_waiter(ANNOUNCED, TWO)
     assert requests.complete(KEY, 7).waiters == [TWO]
 
 
 def test_an_announcement_is_forwarded_once() -> None:
     requests = Requests()
-    requests.add_announcement(NEWS, ONE, None, 0.0)
-    assert requests.mark_forwarded([NEWS, Version(b"other", 1)]) == [NEWS]
-    assert requests.mark_forwarded([NEWS]) == []
+    requests.add_announcement(ANNOUNCED, ONE, None, 0.0)
+    assert requests.mark_forwarded([ANNOUNCED, Version(b"other", 1)]) == [ANNOUNCED]
+    assert requests.mark_forwarded([ANNOUNCED]) == []
     assert requests.complete(KEY, 7).is_forwarded
 
 
 def test_attempts_waiters_and_keys_are_bounded() -> None:
     requests = Requests()
-    requests.add_announcement(NEWS, ONE, None, 0.0)
-    asked = 1
+    requests.add_announcement(ANNOUNCED, ONE, None, 0.0)
+    request_count = 1
     while (due := requests.deadline()) < 1000:
-        asked += len(requests.overdue(due))
-    assert asked == MAX_ATTEMPTS
-    requests.add_announcement(NEWS, ONE, None, 0.0)
-    taken = [requests.add_waiter(NEWS, ("10.0.0.9", port)) for port in range(MAX_WAITERS + 2)]
-    assert taken.count(False) == 2
+        request_count += len(requests.overdue(due))
+    assert request_count == MAX_ATTEMPTS
+    requests.add_announcement(ANNOUNCED, ONE, None, 0.0)
+    accepted = [requests.add_waiter(ANNOUNCED, ("10.0.0.9", port)) for port in range(MAX_WAITERS + 2)]
+    assert accepted.count(False) == 2
     for number in range(MAX_FETCHES):
         requests.add_announcement(Version(str(number).encode(), 1), ONE, None, 0.0)
     assert requests.add_announcement(Version(b"one more", 1), ONE, None, 0.0) is None
@@ -101,16 +101,16 @@
 
 def test_an_upload_is_not_repeated_while_it_may_be_in_flight() -> None:
     uploads, item = Uploads(), Item(KEY, 7, bytes(30_000))
-    span = RESEND_DELAY_S + 30_000 / SLOWEST_LINK_BYTES_PER_S
+    resend_after = RESEND_DELAY_S + 30_000 / SLOWEST_LINK_BYTES_PER_S
     assert uploads.start(ONE, item, 0.0)
     assert uploads.start(TWO, item, 0.0)
-    assert not uploads.start(ONE, item, span - 0.01)
+    assert not uploads.start(ONE, item, resend_after - 0.01)
     assert uploads.start(ONE, Item(KEY, 8, b""), 0.01)
     assert not uploads.start(ONE, item, 0.02)
-    assert uploads.start(TWO, item, span)
+    assert uploads.start(TWO, item, resend_after)
 
 
-def test_uploads_are_forgotten_beyond_a_bound() -> None:
+def test_the_number_of_recorded_uploads_is_bounded() -> None:
     uploads, item = Uploads(), Item(KEY, 7, b"")
     for number in range(3 * MAX_UPLOADS):
         assert uploads.start(("10.0.0.1", number), item, number * 0.01)
--- a/tests/fleet/storage/test_filesystem.py
+++ b/tests/fleet/storage/test_filesystem.py
@@ -1,4 +1,4 @@
-"""The operating system's files, as far as journals count on them."""
+"""The guarantees of the operating system's files on which journals rely."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 @pytest.mark.parametrize("exists", [False, True])
-def test_a_folder_lasts_once_it_is_made_whoever_made_it(
+def test_a_folder_is_durable_once_made_even_if_another_process_created_it(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, exists: bool
 ) -> None:
-    """A process that is killed between making a folder and its sync leaves a name that may be lost."""
+    """A process killed between creating a folder and syncing the parent leaves an entry that may be lost."""
     files, synced = SystemFileSystem(), list[str]()
     monkeypatch.setattr(files, "sync_directory", synced.append)
     folder = tmp_path / "group-0"
--- a/tests/fleet/storage/test_journal.py
+++ b/tests/fleet/storage/test_journal.py
@@ -1,4 +1,4 @@
-"""A journal whose newest segment needs a snapshot that is missing or damaged."""
+"""Recovery of a journal whose newest segment has a snapshot that is intact, missing or damaged."""
 
 from __future__ import annotations
 
@@ -16,38 +16,41 @@
 
 @pytest.fixture
 def folder(tmp_path: Path) -> Path:
-    """A journal that was compacted, and whose older segment is back after a loss of power."""
+    """A compacted journal whose older segment has reappeared after a power loss."""
     files = SystemFileSystem()
-    place = tmp_path / "group-0"
-    journal = create_journal(files, str(place), IDENTITY, [b"first"])
+    folder_path = tmp_path / "group-0"
+    journal = create_journal(files, str(folder_path), IDENTITY, [b"first"])
     journal.append([b"second"])
     journal.sync()
-    older = place / "segment-00000001"
-    kept = older.read_bytes()
+    older_segment = folder_path / "segment-00000001"
+    older_content = older_segment.read_bytes()
     journal.compact(SNAPSHOT, [b"vote of the compaction"])
     journal.close()
-    assert not older.exists()
-    older.write_bytes(kept)
-    return place
+    assert not older_segment.exists()
+    older_segment.write_bytes(older_content)
+    return folder_path
 
 
 def test_the_newest_segment_is_read_with_its_snapshot(folder: Path) -> None:
-    found = open_journal(SystemFileSystem(), str(folder))
-    assert found and (found.contents.snapshot, found.contents.records) == (
+    recovered = open_journal(SystemFileSystem(), str(folder))
+    assert recovered and (recovered.contents.snapshot, recovered.contents.records) == (
         SNAPSHOT,
         [b"vote of the compaction"],
     )
 
 
-def test_a_snapshot_that_never_had_its_name_leaves_the_segment_before_in_force(folder: Path) -> None:
+def test_the_preceding_segment_is_used_if_the_snapshot_was_never_renamed(folder: Path) -> None:
     (folder / "snapshot-00000002").unlink()
-    found = open_journal(SystemFileSystem(), str(folder))
-    assert found and (found.contents.snapshot, found.contents.records) == (None, [b"first", b"second"])
+    recovered = open_journal(SystemFileSystem(), str(folder))
+    assert recovered and (recovered.contents.snapshot, recovered.contents.records) == (
+        None,
+        [b"first", b"second"],
+    )
 
 
 @pytest.mark.parametrize("position", (0, 4, 20, -1))
-def test_a_damaged_snapshot_is_not_passed_over_for_the_segment_before(folder: Path, position: int) -> None:
-    """It had been synced before it had its name, and what began with it may have been acknowledged."""
+def test_the_preceding_segment_is_not_used_if_the_snapshot_is_damaged(folder: Path, position: int) -> None:
+    """The snapshot was synced before it was renamed, and later records may have been acknowledged."""
     path = folder / "snapshot-00000002"
     content = bytearray(path.read_bytes())
     content[position] ^= 1
--- a/tests/fleet/storage/test_stored_formats.py
+++ b/tests/fleet/storage/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Fixed bytes of segments and snapshot files, which every later version must read and write."""
+"""The exact bytes of segments and snapshot files, which every later version must read and write."""
 
 from __future__ import annotations
 
@@ -44,9 +44,9 @@
 def test_the_fixed_segment_and_snapshot_are_read(tmp_path: Path) -> None:
     (tmp_path / "segment-00000002").write_bytes(bytes.fromhex(SEGMENT_HEX))
     (tmp_path / "snapshot-00000002").write_bytes(bytes.fromhex(SNAPSHOT_FILE_HEX))
-    found = open_journal(SystemFileSystem(), str(tmp_path))
-    assert found is not None
-    contents = found.contents
+    recovered = open_journal(SystemFileSystem(), str(tmp_path))
+    assert recovered is not None
+    contents = recovered.contents
     assert (contents.identity, contents.snapshot, contents.torn) == (IDENTITY, b"state", False)
     assert contents.records == [b"term", *RECORDS]
     assert read_frames(bytes.fromhex(SEGMENT_HEX), IDENTITY, GENERATION).records[1] == RECORDS
--- a/tests/fleet/transport/test_endpoint.py
+++ b/tests/fleet/transport/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint on real sockets of loopback addresses; every wait is for an event."""
+"""Endpoints on real sockets of loopback addresses; tests wait for events, not for fixed times."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
         return int(sock.getsockname()[1])
 
 
-class Side:
-    """An endpoint, what arrived there, and the lines it logged."""
+class Peer:
+    """An endpoint, the payloads it received, and the lines it logged."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
@@ -54,10 +54,10 @@
         return [line for line in self.lines if f"event=transport_{event} " in line]
 
 
-def play(scenario: Callable[[Side, Side], Awaitable[None]]) -> None:
+def run_scenario(scenario: Callable[[Peer, Peer], Awaitable[None]]) -> None:
     async def run() -> None:
         port = free_port()
-        first, second = Side(("127.0.0.1", port)), Side(("127.0.0.2", port))
+        first, second = Peer(("127.0.0.1", port)), Peer(("127.0.0.2", port))
         try:
             await first.endpoint.start()
             await second.endpoint.start()
@@ -69,8 +69,8 @@
     asyncio.run(run())
 
 
-def test_payloads_at_the_bound_of_a_datagram_and_above_it_arrive() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_payloads_up_to_the_datagram_limit_and_above_it_are_delivered() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         sizes = (0, MAX_DATAGRAM_PAYLOAD_BYTES, MAX_DATAGRAM_PAYLOAD_BYTES + 1, 1_000_000)
         for size in sizes:
             first.endpoint.send(second.address, 7, b"x" * size)
@@ -78,22 +78,22 @@
         assert sorted(len(payload) for _, _, payload in second.received) == sorted(sizes)
         assert {(sender, channel) for sender, channel, _ in second.received} == {(first.address, 7)}
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_link_is_used_in_both_directions() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         first.endpoint.send(second.address, 1, LARGE)
         await second.until(lambda: second.received)
         second.endpoint.send(first.address, 2, LARGE)
         await first.until(lambda: first.received)
         assert first.endpoint.link_count == second.endpoint.link_count == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_idle_link_is_closed_and_opened_again_when_needed() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_an_idle_link_is_closed_and_reopened_on_demand() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         first.endpoint.send(second.address, 1, LARGE)
         await second.until(lambda: second.received)
         first.endpoint.sweep(idle_since=asyncio.get_running_loop().time() + 1)
@@ -102,11 +102,11 @@
         first.endpoint.send(second.address, 1, LARGE)
         await second.until(lambda: len(second.received) == 2)
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_damaged_bytes_end_the_link_with_one_line() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_corrupt_bytes_close_the_link_and_log_one_line() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         reader, writer = await asyncio.open_connection(*first.address)
         writer.write(encode_frame(Frame(second.address, 3, b"good")) + b"GET / HTTP/1.1\r\n\r\n")
         async with asyncio.timeout(TIMEOUT):
@@ -117,11 +117,11 @@
         assert "magic is wrong" in first.logged("link_closed")[0]
         assert first.endpoint.incomplete_bytes == 0
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_frames_before_damaged_bytes_of_a_later_read_are_delivered() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_frames_received_before_corrupt_bytes_are_delivered() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         _, writer = await asyncio.open_connection(*first.address)
         writer.write(encode_frame(Frame(second.address, 3, b"good")))
         await first.until(lambda: first.received)
@@ -130,13 +130,13 @@
         assert first.received == [(second.address, 3, b"good")]
         writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_incomplete_frames_of_all_links_together_are_bounded(monkeypatch: Any) -> None:
+def test_the_incomplete_frames_of_all_links_are_bounded(monkeypatch: Any) -> None:
     monkeypatch.setattr(endpoint_module, "MAX_INCOMPLETE_BYTES", 10_000)
 
-    async def scenario(first: Side, second: Side) -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         _, writer = await asyncio.open_connection(*first.address)
         writer.write(encode_header(second.address, 1, 8_000_000) + b"x" * 20_000)
         await first.until(lambda: first.logged("link_closed"))
@@ -144,11 +144,11 @@
         assert first.endpoint.incomplete_bytes == 0
         writer.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_damaged_datagrams_are_dropped_with_few_lines() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_damaged_datagrams_are_dropped_and_logged_with_decreasing_frequency() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for _ in range(10):
                 sock.sendto(b"nonsense", first.address)
@@ -156,42 +156,42 @@
         await first.until(lambda: first.received)
         assert len(first.logged("datagram_damaged")) == 4  # the first, second, fourth and eighth
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_an_unreachable_peer_costs_one_line_and_a_backoff() -> None:
-    async def scenario(first: Side, second: Side) -> None:
-        nobody = ("127.0.0.3", second.address[1])
-        first.endpoint.send(nobody, 1, LARGE)
+def test_an_unreachable_peer_is_logged_once_and_not_contacted_during_the_backoff() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
+        unreachable = ("127.0.0.3", second.address[1])
+        first.endpoint.send(unreachable, 1, LARGE)
         await first.until(lambda: first.logged("connect_failed"))
         for _ in range(100):
-            first.endpoint.send(nobody, 1, LARGE)
-            first.endpoint.send(nobody, 1, b"small")
+            first.endpoint.send(unreachable, 1, LARGE)
+            first.endpoint.send(unreachable, 1, b"small")
         assert first.endpoint.connecting_count == 0
         assert len(first.logged("connect_failed")) == 1
 
-    play(scenario)
+    run_scenario(scenario)
 
 
 def test_a_message_from_a_peer_ends_the_backoff() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         second.endpoint.close()
         first.endpoint.send(second.address, 1, LARGE)
         await first.until(lambda: first.logged("connect_failed"))
-        again = Side(second.address)
-        await again.endpoint.start()  # at once, on the same port
-        again.endpoint.send(first.address, 1, b"back")
+        restarted = Peer(second.address)
+        await restarted.endpoint.start()  # immediately, on the same port
+        restarted.endpoint.send(first.address, 1, b"back")
         await first.until(lambda: first.received)
         first.endpoint.send(second.address, 1, LARGE)
-        await again.until(lambda: again.received)
-        again.endpoint.close()
+        await restarted.until(lambda: restarted.received)
+        restarted.endpoint.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_a_start_that_fails_can_be_repeated() -> None:
-    async def scenario(first: Side, second: Side) -> None:
-        third = Side(("127.0.0.3", first.address[1]))
+def test_a_failed_start_can_be_retried() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
+        third = Peer(("127.0.0.3", first.address[1]))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as blocker:
             blocker.bind(third.address)
             with pytest.raises(OSError):
@@ -201,11 +201,11 @@
         await first.until(lambda: first.received)
         third.endpoint.close()
 
-    play(scenario)
+    run_scenario(scenario)
 
 
-def test_sending_never_raises() -> None:
-    async def scenario(first: Side, second: Side) -> None:
+def test_send_never_raises() -> None:
+    async def scenario(first: Peer, second: Peer) -> None:
         for to in (("0.0.0.0", 0), ("127.0.0.9", 0), ("127.0.0.9", 9)):
             first.endpoint.send(to, 1, b"small")
             first.endpoint.send(to, 1, LARGE)
@@ -215,4 +215,4 @@
         first.endpoint.close()
         first.endpoint.send(second.address, 1, b"after the end")
 
-    play(scenario)
+    run_scenario(scenario)
--- a/tests/fleet/transport/test_frames.py
+++ b/tests/fleet/transport/test_frames.py
@@ -1,4 +1,4 @@
-"""The codec of frames: round trips however the stream is cut, and hostile bytes."""
+"""The codec of frames: round trips for any split of the stream, and invalid bytes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(frames, max_size=6), st.lists(st.integers(1, 400), max_size=30))
-def test_a_stream_is_decoded_however_it_is_split(sent: list[Frame], cuts: list[int]) -> None:
+def test_a_stream_is_decoded_for_any_split(sent: list[Frame], cuts: list[int]) -> None:
     stream = b"".join(encode_frame(frame) for frame in sent)
     reader, received = FrameReader(), []
     for cut in [*cuts, len(stream)]:
@@ -43,7 +43,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.binary(max_size=200), st.booleans())
-def test_hostile_bytes_raise_the_one_error_or_wait(data: bytes, has_magic: bool) -> None:
+def test_invalid_bytes_raise_only_frame_errors_or_are_buffered(data: bytes, has_magic: bool) -> None:
     data = b"FV\x01" + data if has_magic else data
     reader = FrameReader()
     try:
@@ -66,7 +66,7 @@
         assert decode_datagram(bytes(encoded)) != frame
 
 
-def test_a_length_beyond_the_bound_is_rejected_with_the_header() -> None:
+def test_a_length_above_the_limit_is_rejected_when_the_header_is_read() -> None:
     header = bytearray(encode_header(("10.0.0.1", 7300), 1, 0))
     header[4:8] = (MAX_PAYLOAD_BYTES + 1).to_bytes(4, "big")
     with pytest.raises(FrameError, match="too long"):
@@ -81,7 +81,7 @@
         encode_header(sender, 1, 0)
 
 
-def test_a_datagram_holds_exactly_one_frame() -> None:
+def test_a_datagram_must_contain_exactly_one_frame() -> None:
     encoded = encode_frame(Frame(("10.0.0.1", 7300), 1, b"abc"))
     for wrong in (encoded[:-1], encoded + b"x", encoded[: HEADER_BYTES - 1], b""):
         with pytest.raises(FrameError):
--- a/tests/fleet/transport/test_queue.py
+++ b/tests/fleet/transport/test_queue.py
@@ -1,4 +1,4 @@
-"""The bounded queue against a list that is cut by hand."""
+"""The bounded queue, compared with a list."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.one_of(st.binary(max_size=60), st.none()), max_size=40))
-def test_the_oldest_frames_are_dropped_beyond_a_bound(steps: list[bytes | None]) -> None:
-    """`None` takes a frame out."""
+def test_the_oldest_frames_are_dropped_when_a_limit_is_exceeded(steps: list[bytes | None]) -> None:
+    """The step `None` removes the oldest frame."""
     queue, expected, dropped = FrameQueue(MAX_BYTES, MAX_FRAMES), [], 0
     for frame in steps:
         if frame is None:
@@ -29,7 +29,7 @@
     assert [queue.pop() for _ in range(len(queue))] == expected
 
 
-def test_clearing_counts_what_is_dropped() -> None:
+def test_clear_counts_the_dropped_frames() -> None:
     queue = FrameQueue()
     queue.push(b"a")
     queue.push(b"b")
