--- a/firvane/fleet/cluster/agent.py
+++ b/firvane/fleet/cluster/agent.py
@@ -50,7 +50,7 @@
         on_message: Callable[[Address, Channel, bytes], None],
         is_withheld: Callable[[bytes], bool] = never_withheld,
     ) -> None:
-        """`seeds` are internal addresses. `on_item` is called with received items, not with published ones.
+        """`seeds` are internal addresses. `on_item` is called with new items from others.
 
         `is_withheld` returns whether the item of a key must not be offered to others at this moment.
         """
--- a/firvane/fleet/dissemination/peers.py
+++ b/firvane/fleet/dissemination/peers.py
@@ -14,7 +14,7 @@
 MAX_SOURCES = 8
 """Maximum number of peers with fast links to which a publisher pushes first."""
 OWN_ZONE_RATIO = 0.6
-"""Ratio of the digests that are sent within the own zone, where traffic is cheap."""
+"""Ratio of the digests that are sent within the same zone, where traffic is cheap."""
 OTHER_ZONE_RATIO = 0.25
 """Ratio of the forwarded updates of which one message goes to another zone, which may lack the update."""
 
@@ -53,7 +53,7 @@
         self._all_sources = sorted(address for zone in self._sources.values() for address in zone)
 
     def publish_targets(self, rng: random.Random) -> list[Address]:
-        """Return sources, a peer in each of up to `FANOUT` zones without a source, and own-zone peers."""
+        """Return sources, peers in up to `FANOUT` zones without a source, and peers in the same zone."""
         targets = self._random_sources(rng)
         zones = [zone for zone in self._far if zone not in self._sources]
         rng.shuffle(zones)
@@ -61,10 +61,10 @@
         return targets + self._nearby_peers(rng, max(1, FANOUT - len(targets)), targets)
 
     def forward_targets(self, rng: random.Random, source: Address, is_early: bool = False) -> list[Address]:
-        """Return the peers to which an update from `source` is forwarded, mostly in the own zone.
+        """Return the peers to which an update from `source` is forwarded, mostly in the same zone.
 
-        If it `is_early`, its payload has not arrived yet: the peers are in the own zone only, since they must
-        fetch the payload from a source there.
+        If it `is_early`, its payload has not arrived yet: the peers are in the same zone only, since they
+        must fetch the payload from a source there.
         """
         targets = self._nearby_peers(rng, FANOUT, [source])
         if is_early:
@@ -78,11 +78,11 @@
 
     @property
     def has_source(self) -> bool:
-        """Whether there is a source in the own zone from which large payloads are fetched."""
+        """Whether there is a source in the same zone from which large payloads are fetched."""
         return bool(self._own_sources)
 
     def fetch_source(self, rng: random.Random) -> Address | None:
-        """Return a random source in the own zone, preferred for fetching large payloads, or None."""
+        """Return a random source in the same zone, preferred for fetching large payloads, or None."""
         return rng.choice(self._own_sources) if self._own_sources else None
 
     def digest_target(self, rng: random.Random) -> Address | None:
@@ -100,7 +100,7 @@
         return rng.sample(sources, min(len(sources), MAX_SOURCES))
 
     def _nearby_peers(self, rng: random.Random, count: int, exclude: list[Address]) -> list[Address]:
-        """Return the successor in the ring first, then random peers in the own zone."""
+        """Return the successor in the ring first, then random peers in the same zone."""
         targets = []
         if self._successor is not None and self._successor not in exclude:
             targets.append(self._successor)
--- a/firvane/fleet/membership/detector.py
+++ b/firvane/fleet/membership/detector.py
@@ -23,7 +23,7 @@
 HEARTBEAT_TIMEOUT_S = 0.9
 """Seconds without a message after which a predecessor is probed."""
 INDIRECT_PROBE_COUNT = 3
-"""Members that are requested to probe an unresponsive member (indirect probes)."""
+"""Number of members that are requested to probe an unresponsive member (indirect probes)."""
 
 
 def random_alive_members(
@@ -152,9 +152,7 @@
                 self._view.mark_dead(probe.target, now)
             else:
                 self._view.suspect(probe.target, now)
-                self.probe_once(
-                    probe.target, now
-                )  # the probe carries the suspicion, so that the target can refute it
+                self.probe_once(probe.target, now)  # carries the suspicion to be refuted
 
     def _probe_indirectly(self, probe: Probe, now: float) -> None:
         probe.advance(now)
--- a/firvane/fleet/membership/failed_members.py
+++ b/firvane/fleet/membership/failed_members.py
@@ -10,7 +10,7 @@
 
 INITIAL_BACKOFF_S = 0.5
 MAX_BACKOFF_S = 5.0
-"""Exponential backoff between two probes of one address."""
+"""Bounds of the exponential backoff between probes of one address."""
 MIN_PROBE_INTERVAL_S = 0.25
 """Seconds between two probes of failed members by one process, whatever the number of addresses."""
 FAILED_MEMBER_LIFETIME_S = 900.0
@@ -53,7 +53,7 @@
         return self._due
 
     def next_probe_target(self, now: float) -> Address | None:
-        """Return the address to probe now, the longest overdue one, and schedule its next probe; or None."""
+        """Return the longest overdue address and schedule its next probe, or return None."""
         if now < self._due:
             return None
         address = min(self._members, key=lambda a: self._members[a].due)
--- a/firvane/fleet/membership/machine.py
+++ b/firvane/fleet/membership/machine.py
@@ -34,18 +34,18 @@
 UPDATE_DELAY_S = 0.04
 """Seconds for which new records are collected into a batch before they are forwarded."""
 FANOUT = 3
-"""Members to which new records are forwarded."""
+"""Number of members to which new records are forwarded."""
 COMPARE_INTERVAL_S = 0.3
 """Minimum seconds between two comparisons of tables that this process starts."""
 INITIAL_JOIN_BACKOFF_S = 0.1
 MAX_JOIN_BACKOFF_S = 1.0
-"""Exponential backoff between two announcements to the seeds."""
+"""Bounds of the exponential backoff between announcements to the seeds."""
 MIN_JITTER = 0.8
 MAX_JITTER = 1.2
 MAX_RECORD_MESSAGES = 64
 """Maximum number of messages with records in answer to one comparison."""
 LEAVE_FANOUT = 8
-"""Members that a leaving member notifies directly."""
+"""Number of members that a leaving member notifies directly."""
 
 
 class Membership:
@@ -160,7 +160,7 @@
         return self._take_messages(now)
 
     def compare_summary(self, sender: Address, summary: int, now: float) -> list[Send]:
-        """Compare the sender's summary with the own one, and start anti-entropy if they differ."""
+        """Compare the sender's summary with this process's, and start anti-entropy if they differ."""
         if self._is_leaving:
             return []
         self.record_received(sender, now)
--- a/firvane/fleet/membership/outbox.py
+++ b/firvane/fleet/membership/outbox.py
@@ -12,7 +12,7 @@
 from firvane.fleet.membership.view import MemberView
 
 MAX_BATCH_BYTES = 950
-"""Bytes of records in one message, so that checksums, envelope and own record also fit its datagram."""
+"""Bytes of records in one message, so that checksums, envelope and sender's record also fit."""
 
 
 class Send(Struct, frozen=True):
@@ -53,7 +53,7 @@
 
 
 def split_into_batches(records: Sequence[bytes]) -> Iterator[list[bytes]]:
-    """Split encoded records into split_into_batches that each fit a datagram."""
+    """Split encoded records into batches that each fit a datagram."""
     batch: list[bytes] = []
     size = 0
     for record in records:
--- a/firvane/fleet/membership/view.py
+++ b/firvane/fleet/membership/view.py
@@ -45,7 +45,7 @@
         return encode_record(Record(self.own, self._counter, status))
 
     def records(self, addresses: Sequence[Address], now: float) -> list[bytes]:
-        """Return the encoded records of the known ones among `addresses`, which may include the own one."""
+        """Return the encoded records of those `addresses` that are known, among them this process's."""
         found = []
         for address in addresses:
             entry = self.table.get(address)
@@ -161,7 +161,7 @@
         return record.stamp > entry.stamp or (record.stamp == entry.stamp and record.status > entry.status)
 
     def _refute(self, record: Record) -> None:
-        """Refute a report about this process by a higher own stamp, unless the report is outdated."""
+        """Refute a report about this process by raising its stamp, unless the report is outdated."""
         own_stamp = (self.own.incarnation, self._counter)
         is_report = record.status is not Status.ALIVE
         if record.stamp < own_stamp or (record.stamp == own_stamp and not is_report):
--- a/firvane/fleet/transport/endpoint.py
+++ b/firvane/fleet/transport/endpoint.py
@@ -185,9 +185,7 @@
     def _send_datagram(self, to: Address, frame: bytes) -> None:
         if self._datagrams is None:
             return
-        with contextlib.suppress(
-            OSError
-        ):  # the send buffer is full, or there is no route: the datagram is lost
+        with contextlib.suppress(OSError):  # send buffer full, or no route: dropped
             self._datagrams.sendto(frame, to)
 
     def _receive_datagram(self) -> None:
@@ -246,9 +244,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self._loop.sock_connect(sock, to)
             link = Link(self, queue, self._loop.time(), peer=to)
-            if replaced := self._links.get(
-                to
-            ):  # a link that the peer has opened meanwhile; its frames are still received
+            if replaced := self._links.get(to):  # opened by the peer; still receives
                 self._accepted.add(replaced)
             self._links[to] = link
             await self._loop.create_connection(lambda: link, sock=sock)
