--- a/firvane/fleet/controller/__init__.py
+++ b/firvane/fleet/controller/__init__.py
@@ -1,7 +1,7 @@
-"""The controller: replicated control state, the operators' API, and the poll of the platform's instances."""
+"""The controller: replicated control state, the operator API, and polling of the platform's instances."""
 
 from __future__ import annotations
 
 
 class ControllerError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -1,4 +1,4 @@
-"""Assembly and life cycle of a controller: cluster agent, replication, operators' API and poll role."""
+"""Assembles a controller: cluster agent, replication, operator API and instance poller."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
 from firvane.fleet.partitions import ALL_PARTITIONS, CONFIGURATION_PARTITION, POLL_ROLE, partition_of
 from firvane.fleet.tenancy.floors import FloorsRecord
 
-START_RETRY_INTERVAL_S = 0.5  # of attempts to listen or to open the disk
-REPLICATION_DRAIN_FRACTION = 0.2  # of the grace
-REQUEST_DRAIN_FRACTION = 0.4  # of the grace
+START_RETRY_INTERVAL_S = 0.5  # between attempts to join the cluster, listen, or open the journals
+REPLICATION_DRAIN_FRACTION = 0.2  # of the shutdown grace period
+REQUEST_DRAIN_FRACTION = 0.4  # of the shutdown grace period
 SUCCESSION_TIMEOUT_S = 0.5
 SUCCESSION_POLL_INTERVAL_S = 0.01
 POLL_PARTITION = partition_of(POLL_ROLE)
 
 
 class Controller:
-    """One controller. `start` returns once the disk has been read; `stop` shuts it down gracefully."""
+    """A controller. `start` joins the cluster and opens the journals; `stop` shuts down gracefully."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, options: ControllerOptions, log: Log) -> None:
         self.loop = loop
@@ -68,7 +68,7 @@
             loop, self.host, self.agent, self.partitions, self._on_restored, log
         )
         self.tenants = self._make_tenant_service()
-        self.tenants_version = 0  # of the configuration whose tenants are in force
+        self.tenants_version = 0  # version of the configuration whose tenants are in force
         self.platform = PlatformClient(loop, options.platform) if options.platform else None
         self.poller = self._make_poller()
         self.service = ConfigurationService(self.state, self.host, options.internal, log)
@@ -125,7 +125,7 @@
             send=lambda to, payload: self.agent.send(to, Channel.REPLICATION, payload),
             candidates=lambda: [member.address for member in self.agent.members(Role.CONTROLLER)],
             domain_of=self.domains.domain_of,
-            on_owner=self._on_owner,
+            on_ownership_changed=self._on_ownership_changed,
             log=self.log,
         )
 
@@ -136,7 +136,7 @@
         return InstancePoller(self.loop, self.platform, records, self._publish_instances, self.log)
 
     def _is_withheld(self, key: bytes) -> bool:
-        """Whether an item must be withheld, for lack of recent contact to a majority of its partition."""
+        """Whether to withhold an item, because a majority of its partition was not reached recently."""
         service = service_of(key)
         if service is not None:
             return not self.host.has_quorum_contact(partition_of(service))
@@ -147,34 +147,34 @@
         self.replicator.on_published(item)
 
     async def start(self) -> None:
-        """Join the cluster, listen, and read the disk; each step is retried until it succeeds."""
+        """Join the cluster, listen, and open the journals; each step is retried until it succeeds."""
         self.tenants.start()
-        await self._until_done("cluster", self.agent.start)
-        await self._until_done("operator", lambda: self.server.start(self.options.control))
-        await self._until_done("replication", self.host.start)
+        await self._retry_until_success("cluster", self.agent.start)
+        await self._retry_until_success("operator", lambda: self.server.start(self.options.control))
+        await self._retry_until_success("replication", self.host.start)
         host, port = self.options.control
         version = recovered_version(self.state.version, self.host.unapplied(CONFIGURATION_PARTITION))
         self.log.info("controller_started", control=f"{host}:{port}", version=version)
 
-    async def _until_done(self, component: str, attempt: Callable[[], Awaitable[None]]) -> None:
-        """Retry after any error: a controller must not end by itself."""
+    async def _retry_until_success(self, component: str, attempt: Callable[[], Awaitable[None]]) -> None:
+        """Retry `attempt` after any error until it succeeds: a controller must not exit on its own."""
         while True:
             try:
                 await attempt()
-            except Exception:  # whatever failed, the operator sees it in the log
+            except Exception:  # logged for the operator, whatever the cause
                 self.log.exception(f"{component}_not_started")
                 await asyncio.sleep(START_RETRY_INTERVAL_S)
             else:
                 return
 
     async def stop(self) -> None:
-        """Transfer leaderships, finish pending requests, and leave the cluster, within the grace."""
+        """Transfer leaderships, finish pending requests, and leave the cluster, within the grace period."""
         grace = self.options.grace
         owned = [partition for partition in ALL_PARTITIONS if self.host.is_owner(partition)]
         self.log.info("controller_stopping", owned=len(owned))
         try:
             await self.host.drain(REPLICATION_DRAIN_FRACTION * grace)
-            await self._until_succeeded(owned)
+            await self._wait_for_successors(owned)
         except Exception:
             self.log.exception("controller_drain_failed")
         self.server.stop_accepting()
@@ -182,10 +182,10 @@
         self.close()
         self.log.info("controller_stopped")
 
-    async def _until_succeeded(self, partitions: Sequence[int]) -> None:
-        """Wait until others own these partitions: a `TimeoutNow` may be in flight, or be lost once."""
-        until = self.loop.time() + SUCCESSION_TIMEOUT_S
-        while self.loop.time() < until:
+    async def _wait_for_successors(self, partitions: Sequence[int]) -> None:
+        """Wait for new owners of these partitions: a `TimeoutNow` may be in flight, or be lost once."""
+        deadline = self.loop.time() + SUCCESSION_TIMEOUT_S
+        while self.loop.time() < deadline:
             owners = {self.host.owner(partition) for partition in partitions}
             if not owners & {None, self.options.internal}:
                 return
@@ -204,14 +204,14 @@
         self.agent.close(leave=True)
 
     def reload(self, seeds: tuple[Address, ...], platform: Address | None) -> None:
-        """Apply the settings that may change while the process runs."""
+        """Apply the settings that can change at run time."""
         self.agent.set_seeds(seeds)
         if self.platform and platform:
             self.platform.set_address(platform)
         self.log.info("settings_reloaded", seeds=len(seeds))
 
     def control_address(self, internal: Address) -> Address:
-        """The operators' address of the controller with this internal address."""
+        """The operator API address of the controller with this internal address."""
         for member in self.agent.members(Role.CONTROLLER):
             if member.address == internal and member.control is not None:
                 return member.control
@@ -266,7 +266,7 @@
         elif channel is Channel.TENANCY:
             self.tenants.receive(sender, payload)
 
-    def _on_owner(self, group: int, owned: bool, term: int) -> None:
+    def _on_ownership_changed(self, group: int, owned: bool, term: int) -> None:
         self.log.info("ownership_changed", partition=group, owned=owned, term=term)
         self.tenants.on_ownership_changed(group, owned)
         if group == CONFIGURATION_PARTITION and owned:
--- a/firvane/fleet/controller/options.py
+++ b/firvane/fleet/controller/options.py
@@ -14,16 +14,16 @@
 
 
 class ControllerOptions(Struct, frozen=True):
-    """Options of a controller; the addresses of seeds and of this process are internal, except `control`."""
+    """Options of a controller. All addresses except `control` and `platform` are internal ones."""
 
     zone: str
     internal: Address
-    control: Address  # the operators' API
+    control: Address  # address of the operator API
     seeds: tuple[Address, ...]
     directory: Path
     first_start: bool
     incarnation: int
-    tolerated_losses: int  # of disks at the same time
+    tolerated_losses: int  # disks that may be lost at the same time
     region_of_zone: Mapping[str, str]
     loses_regions: bool  # whether whole regions may be lost at the same time
     platform: Address | None
@@ -32,5 +32,5 @@
 
     @property
     def group_size(self) -> int:
-        """The number of replicas of a group, so that a majority survives the tolerated losses."""
+        """The number of replicas of a group with which a majority survives the tolerated losses."""
         return max(MIN_GROUP_SIZE, 2 * self.tolerated_losses + 1)
--- a/firvane/fleet/controller/replication_host.py
+++ b/firvane/fleet/controller/replication_host.py
@@ -1,12 +1,12 @@
-"""Drives all replication groups of a controller over one cluster agent, one disk and one timer.
+"""Runs all replication groups of a controller over one cluster agent, one disk and one timer.
 
 Invariants:
 
-1. All messages of one turn of the loop to a controller, the heartbeats of all groups included, go in one
-   payload; only large messages are sent alone.
-2. A timer that fires late lets the pending datagrams be read first: a process that was stalled has not read
-   its leader's heartbeats, which is no reason to start an election.
-3. Only threads access the disk; the loop never waits for it.
+1. All messages to a controller within one iteration of the event loop, heartbeats of all groups included, go
+   in one payload; only large messages are sent alone.
+2. A timer that fires late first lets the event loop read pending datagrams: a process that was stalled has
+   not read its leader's heartbeats, and must not start an election for that.
+3. Only threads access the disk; the event loop never blocks on it.
 """
 
 from __future__ import annotations
@@ -51,28 +51,28 @@
 ]
 
 MAX_PAYLOAD_BYTES = 1_150  # of several envelopes; a larger envelope is sent alone
-MAX_CONTACT_AGE_S = 1.0  # without contact to a majority, after which no state of a group is handed out
-START_TIMEOUT_S = 1.0  # of `start`; journals that open later join then
-STALL_THRESHOLD_S = 0.050  # a timer that is later than this shows that the process was stalled
-STALL_READ_DELAY_S = 0.002  # for reading pending datagrams after a stall
-REPLACEMENT_TIMEOUT_S = 1.5  # of a drain, for a spare controller to become a voter
+MAX_CONTACT_AGE_S = 1.0  # without contact to a majority, a group's state is neither served nor published
+START_TIMEOUT_S = 1.0  # of `start`; a group whose journal opens later starts when it opens
+STALL_THRESHOLD_S = 0.050  # a timer that fires later than this means that the process was stalled
+STALL_READ_DELAY_S = 0.002  # in which pending datagrams are read after a stall
+REPLACEMENT_TIMEOUT_S = 1.5  # during a drain, for a spare controller to become a voter
 RECOVERY_SYNC_SEQUENCE = 1  # the first write of a replica syncs the recovered state
 
 
 class Transfer(Struct, frozen=True):
-    """The end of a transfer: the new owner, None if there was none in time."""
+    """The result of a leadership transfer; `owner` is None if no new owner was known in time."""
 
     start: TransferStart
     owner: Address | None
 
 
 class ReplicationHost:
-    """The groups of one controller; the methods that are not coroutines return at once."""
+    """The replication groups of one controller; methods that are not coroutines return immediately."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        own: Address,
+        own_address: Address,
         directory: Path,
         groups: Mapping[int, StateMachine],
         *,
@@ -82,45 +82,45 @@
         send: Callable[[Address, bytes], None],
         candidates: Callable[[], Sequence[Address]],
         domain_of: DomainOf = one_domain_per_address,
-        on_owner: Callable[[int, bool, int], None],
+        on_ownership_changed: Callable[[int, bool, int], None],
         log: Log,
     ) -> None:
         self._loop = loop
-        self._own = own
+        self._own_address = own_address
         self._machines = dict(groups)
         self._options = ReplicaOptions(tuple(seeds), target_size, Timing(), domain_of)
         self._send = send
         self._candidates = candidates
-        self._on_owner = on_owner
+        self._on_ownership_changed = on_ownership_changed
         self._log = log
         self._random = random.Random(os.urandom(16))
         self._groups: dict[int, ReplicatedGroup] = {}
-        self._may_bootstrap = first_start and own in seeds
+        self._may_bootstrap = first_start and own_address in seeds
         self._opener = JournalOpener(directory, self._may_bootstrap, self._on_opened_in_thread, log)
         self._writer = JournalWriter(self._on_synced_in_thread, self._on_error_in_thread)
-        self._all_open = asyncio.Event()
-        self._opening: set[int] = set()
+        self._all_journals_open = asyncio.Event()
+        self._opening_groups: set[int] = set()
         self._outbox: dict[Address, list[Envelope]] = {}
         self._futures: dict[tuple[int, int], asyncio.Future[ProposalResult]] = {}
-        self._turn_pending = False
+        self._flush_scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_due = float("inf")
         self._reading_after_stall = False
-        self._failing_disks: set[int] = set()
-        self._turn_ended = asyncio.Event()
+        self._groups_with_failed_writes: set[int] = set()
+        self._flushed = asyncio.Event()
         self._closed = False
 
-    # Calls of the controller
+    # Called by the controller
 
     async def start(self) -> None:
         """Open the journals; returns when all are open, or after a timeout."""
-        if not self._opening and not self._groups:
+        if not self._opening_groups and not self._groups:
             self._writer.start()
-            self._opening = set(self._machines)
+            self._opening_groups = set(self._machines)
             for group in self._machines:
                 self._opener.start(group)
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._all_open.wait(), START_TIMEOUT_S)
+            await asyncio.wait_for(self._all_journals_open.wait(), START_TIMEOUT_S)
 
     def receive(self, sender: Address, payload: bytes) -> None:
         """Process a payload from another controller; a malformed one is dropped."""
@@ -138,82 +138,88 @@
                 self._perform(envelope.group, actions)
 
     async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
-        """Have a command committed; the answer comes within `timeout_s` seconds."""
-        return await self._submit(group, lambda known, now: known.propose(payload, timeout_s, now))
+        """Propose a command and return the result of its commit, within `timeout_s` seconds."""
+        return await self._submit(
+            group, lambda replicated_group, now: replicated_group.propose(payload, timeout_s, now)
+        )
 
     async def read(self, group: int, timeout_s: float) -> ProposalResult:
-        """COMMITTED once the applied state holds all that was committed before the call."""
-        return await self._submit(group, lambda known, now: known.read(timeout_s, now))
+        """Linearizable read: COMMITTED once all entries committed before the call are applied."""
+        return await self._submit(group, lambda replicated_group, now: replicated_group.read(timeout_s, now))
 
     def is_owner(self, group: int) -> bool:
-        """Whether this process holds the lease of the group now."""
-        known = self._groups.get(group)
-        return known is not None and known.is_owner(time.monotonic())
+        """Whether this controller leads the group under a valid lease."""
+        replicated_group = self._groups.get(group)
+        return replicated_group is not None and replicated_group.is_owner(time.monotonic())
 
     def has_quorum_contact(self, group: int) -> bool:
         """Whether a majority of the group was reached recently, directly or through its owner."""
-        known = self._groups.get(group)
-        return known is not None and known.has_quorum_contact(time.monotonic(), MAX_CONTACT_AGE_S)
+        replicated_group = self._groups.get(group)
+        return replicated_group is not None and replicated_group.has_quorum_contact(
+            time.monotonic(), MAX_CONTACT_AGE_S
+        )
 
     def is_current(self, group: int) -> bool:
         """Whether the applied state recently held every committed entry."""
-        known = self._groups.get(group)
-        return known is not None and known.is_current(time.monotonic(), MAX_CONTACT_AGE_S)
+        replicated_group = self._groups.get(group)
+        return replicated_group is not None and replicated_group.is_current(
+            time.monotonic(), MAX_CONTACT_AGE_S
+        )
 
     def state_age(self, group: int) -> float | None:
         """Seconds since the applied state was known to hold every committed entry; None if not known."""
-        known = self._groups.get(group)
-        return known.state_age(time.monotonic()) if known is not None else None
+        replicated_group = self._groups.get(group)
+        return replicated_group.state_age(time.monotonic()) if replicated_group is not None else None
 
     def owner(self, group: int) -> Address | None:
         """The owner, as far as it is known here."""
-        known = self._groups.get(group)
-        return known.owner if known is not None else None
+        replicated_group = self._groups.get(group)
+        return replicated_group.owner if replicated_group is not None else None
 
     def term(self, group: int) -> int:
         """The term, as far as it is known here; 0 before the first."""
-        known = self._groups.get(group)
-        return known.replica.term if known is not None else 0
+        replicated_group = self._groups.get(group)
+        return replicated_group.replica.term if replicated_group is not None else 0
 
     def unapplied(self, group: int) -> Sequence[bytes]:
-        """The commands in the log that are not applied yet; some may never be committed."""
-        known = self._groups.get(group)
-        return known.unapplied() if known is not None else ()
+        """The commands in the log that are not yet applied; some may never be committed."""
+        replicated_group = self._groups.get(group)
+        return replicated_group.unapplied() if replicated_group is not None else ()
 
     def status(self, group: int) -> GroupStatus | None:
         """The status of a group; None until its journal is open."""
-        known = self._groups.get(group)
-        return group_status(known, time.monotonic()) if known is not None else None
+        replicated_group = self._groups.get(group)
+        return group_status(replicated_group, time.monotonic()) if replicated_group is not None else None
 
     async def transfer(self, group: int, successor: Address | None, timeout_s: float) -> Transfer:
-        """Transfer a group to the voter with this internal address, or to any; waits for its election."""
-        known = self._groups.get(group)
-        if known is None or self._closed:
+        """Transfer a group to the voter with this address (None: any), and wait for its election."""
+        replicated_group = self._groups.get(group)
+        if replicated_group is None or self._closed:
             return Transfer(TransferStart.NOT_LEADER, None)
-        until = time.monotonic() + timeout_s
-        start, actions = known.transfer(successor, time.monotonic())
+        deadline = time.monotonic() + timeout_s
+        start, actions = replicated_group.transfer(successor, time.monotonic())
         self._perform(group, actions)
-        while start is TransferStart.STARTED and (remaining_s := until - time.monotonic()) > 0:
-            if known.owner not in (None, self._own):
-                return Transfer(start, known.owner)
-            self._turn_ended.clear()
+        while start is TransferStart.STARTED and (remaining_s := deadline - time.monotonic()) > 0:
+            if replicated_group.owner not in (None, self._own_address):
+                return Transfer(start, replicated_group.owner)
+            self._flushed.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._turn_ended.wait(), remaining_s)
+                await asyncio.wait_for(self._flushed.wait(), remaining_s)
         return Transfer(start, None)
 
     async def drain(self, timeout_s: float) -> None:
         """Transfer all owned groups, and wait for spare controllers to replace this one as a voter."""
         started = time.monotonic()
-        for number, group in self._groups.items():
-            self._perform(number, group.start_draining(started))
-        until = started + timeout_s
-        while (now := time.monotonic()) < until and self._is_needed(now - started):
-            self._turn_ended.clear()
+        for group_id, group in self._groups.items():
+            self._perform(group_id, group.start_draining(started))
+        deadline = started + timeout_s
+        while (now := time.monotonic()) < deadline and self._is_drain_incomplete(now - started):
+            self._flushed.clear()
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._turn_ended.wait(), until - now)
+                await asyncio.wait_for(self._flushed.wait(), deadline - now)
 
     def close(self) -> None:
-        """Stop at once; pending proposals and reads end as UNCLEAR."""
+        """Stop immediately; pending proposals and reads resolve to UNCLEAR."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -224,15 +230,15 @@
                 future.set_result(ProposalResult(ProposalStatus.UNCLEAR))
         self._futures.clear()
 
-    # Turns of the loop
+    # Event loop
 
     async def _submit(
         self, group: int, submit: Callable[[ReplicatedGroup, float], Submission]
     ) -> ProposalResult:
-        known = self._groups.get(group)
-        if known is None or self._closed:
+        replicated_group = self._groups.get(group)
+        if replicated_group is None or self._closed:
             return ProposalResult(ProposalStatus.UNAVAILABLE)
-        token, actions = submit(known, time.monotonic())
+        token, actions = submit(replicated_group, time.monotonic())
         future: asyncio.Future[ProposalResult] = self._loop.create_future()
         self._futures[group, token] = future
         self._perform(group, actions)
@@ -241,47 +247,47 @@
         finally:
             self._futures.pop((group, token), None)
 
-    def _perform(self, number: int, actions: Actions) -> None:
+    def _perform(self, group_id: int, actions: Actions) -> None:
         for write in actions.writes:
-            self._write(number, write)
-        incarnation = self._groups[number].replica.identity.incarnation
+            self._write(group_id, write)
+        incarnation = self._groups[group_id].replica.identity.incarnation
         for outgoing in actions.messages:
-            envelope = Envelope(number, outgoing.to.incarnation, incarnation, outgoing.message)
+            envelope = Envelope(group_id, outgoing.to.incarnation, incarnation, outgoing.message)
             self._outbox.setdefault(outgoing.to.address, []).append(envelope)
         for resolved in actions.resolved:
-            future = self._futures.get((number, resolved.token))
+            future = self._futures.get((group_id, resolved.token))
             if future is not None and not future.done():
                 future.set_result(resolved.result)
         for event in actions.events:
-            self._log.info(event.name, group=number, **_format_fields(event.fields))
+            self._log.info(event.name, group=group_id, **_format_fields(event.fields))
         for owned, term in actions.owner_changes:
-            self._report_ownership(number, owned, term)
-        if not self._turn_pending and not self._closed:
-            self._turn_pending = True
-            self._loop.call_soon(self._end_turn)
+            self._report_ownership(group_id, owned, term)
+        if not self._flush_scheduled and not self._closed:
+            self._flush_scheduled = True
+            self._loop.call_soon(self._flush_outbox)
 
-    def _report_ownership(self, number: int, owned: bool, term: int) -> None:
+    def _report_ownership(self, group_id: int, owned: bool, term: int) -> None:
         try:
-            self._on_owner(number, owned, term)
+            self._on_ownership_changed(group_id, owned, term)
         except Exception:
-            self._log.exception("ownership_callback_failed", group=number)
+            self._log.exception("ownership_callback_failed", group=group_id)
 
-    def _end_turn(self) -> None:
-        """Send the messages of this turn, and set the timer."""
-        self._turn_pending = False
+    def _flush_outbox(self) -> None:
+        """Send the messages of this iteration of the event loop, and set the timer."""
+        self._flush_scheduled = False
         if self._closed:
             return
         outbox, self._outbox = self._outbox, {}
         for address, envelopes in outbox.items():
             for batch in _batches(envelopes):
                 self._send(address, encode_payload(batch))
-        self._turn_ended.set()
+        self._flushed.set()
         self._set_timer()
 
     def _set_timer(self) -> None:
         due = min((group.deadline() for group in self._groups.values()), default=float("inf"))
         if self._timer is not None:
-            if self._timer_due <= due:  # it is set again when it fires
+            if self._timer_due <= due:  # the timer is set again when it fires
                 return
             self._timer.cancel()
             self._timer = None
@@ -300,15 +306,15 @@
         self._reading_after_stall = False
         self._timer_due = float("inf")
         candidates: Sequence[Address] | None = None
-        for number, group in self._groups.items():
+        for group_id, group in self._groups.items():
             if group.deadline() <= now:
                 if candidates is None:
                     candidates = self._candidates()
-                self._perform(number, group.tick(candidates, now))
+                self._perform(group_id, group.tick(candidates, now))
         self._set_timer()
 
-    def _is_needed(self, elapsed_s: float) -> bool:
-        """Whether a drain must go on: a group is still led here, or a spare can replace this voter."""
+    def _is_drain_incomplete(self, elapsed_s: float) -> bool:
+        """Whether this controller still leads a group, or a spare controller can replace it as a voter."""
         spares = set(self._candidates()) if elapsed_s < REPLACEMENT_TIMEOUT_S else set()
         for group in self._groups.values():
             replica = group.replica
@@ -319,63 +325,63 @@
                 return True
         return False
 
-    # The disk
+    # Journals: writes, and callbacks from the opener and writer threads
 
-    def _write(self, number: int, write: Write) -> None:
+    def _write(self, group_id: int, write: Write) -> None:
         records = encode_write(write)
         if write.snapshot is not None:
-            records.insert(0, encode_origin(self._groups[number].replica.core.may_bootstrap))
-            self._writer.compact(number, write.sequence, encode_snapshot(write.snapshot), records)
+            records.insert(0, encode_origin(self._groups[group_id].replica.core.may_bootstrap))
+            self._writer.compact(group_id, write.sequence, encode_snapshot(write.snapshot), records)
         elif write.sequence == RECOVERY_SYNC_SEQUENCE:
-            self._writer.sync_recovered(number, write.sequence)
+            self._writer.sync_recovered(group_id, write.sequence)
         else:
-            self._writer.append(number, write.sequence, records)
+            self._writer.append(group_id, write.sequence, records)
 
-    def _on_opened_in_thread(self, number: int, opened: OpenedJournal) -> None:
-        self._to_loop(functools.partial(self._on_opened, number, opened))
+    def _on_opened_in_thread(self, group_id: int, opened: OpenedJournal) -> None:
+        self._call_in_loop(functools.partial(self._on_opened, group_id, opened))
 
-    def _on_opened(self, number: int, opened: OpenedJournal) -> None:
+    def _on_opened(self, group_id: int, opened: OpenedJournal) -> None:
         if self._closed:
             return
         now = time.monotonic()
-        identity = Member(self._own, opened.journal.identity)
+        identity = Member(self._own_address, opened.journal.identity)
         replica = Replica(identity, opened.recovered, self._options, self._random.uniform, now)
         try:
-            group = ReplicatedGroup(replica, self._machines[number], self._random.getrandbits(64))
+            group = ReplicatedGroup(replica, self._machines[group_id], self._random.getrandbits(64))
         except ValueError as error:
-            self._log.error("replicated_state_unsupported", group=number, reason=str(error))
+            self._log.error("replicated_state_unsupported", group=group_id, reason=str(error))
             return
-        self._groups[number] = group
-        self._writer.add(number, opened.journal)
-        self._perform(number, group.tick(self._candidates(), now))
-        self._opening.discard(number)
-        if not self._opening:
-            self._all_open.set()
+        self._groups[group_id] = group
+        self._writer.add(group_id, opened.journal)
+        self._perform(group_id, group.tick(self._candidates(), now))
+        self._opening_groups.discard(group_id)
+        if not self._opening_groups:
+            self._all_journals_open.set()
 
-    def _on_synced_in_thread(self, number: int, sequence: int) -> None:
-        self._to_loop(functools.partial(self._on_synced, number, sequence))
+    def _on_synced_in_thread(self, group_id: int, sequence: int) -> None:
+        self._call_in_loop(functools.partial(self._on_synced, group_id, sequence))
 
-    def _on_synced(self, number: int, sequence: int) -> None:
+    def _on_synced(self, group_id: int, sequence: int) -> None:
         if self._closed:
             return
-        if number in self._failing_disks:
-            self._failing_disks.discard(number)
-            self._log.info("disk_writes_recovered", group=number)
-        self._perform(number, self._groups[number].confirm(sequence, time.monotonic()))
+        if group_id in self._groups_with_failed_writes:
+            self._groups_with_failed_writes.discard(group_id)
+            self._log.info("disk_writes_recovered", group=group_id)
+        self._perform(group_id, self._groups[group_id].confirm(sequence, time.monotonic()))
 
-    def _on_error_in_thread(self, number: int, error: OSError) -> None:
-        self._to_loop(functools.partial(self._on_disk_error, number, error))
+    def _on_error_in_thread(self, group_id: int, error: OSError) -> None:
+        self._call_in_loop(functools.partial(self._on_disk_error, group_id, error))
 
-    def _on_disk_error(self, number: int, error: OSError) -> None:
+    def _on_disk_error(self, group_id: int, error: OSError) -> None:
         if self._closed:
             return
-        if number not in self._failing_disks:
-            self._failing_disks.add(number)
-            self._log.warning("disk_writes_failing", group=number, reason=str(error))
-        self._perform(number, self._groups[number].on_disk_error(time.monotonic()))
+        if group_id not in self._groups_with_failed_writes:
+            self._groups_with_failed_writes.add(group_id)
+            self._log.warning("disk_writes_failing", group=group_id, reason=str(error))
+        self._perform(group_id, self._groups[group_id].on_disk_error(time.monotonic()))
 
-    def _to_loop(self, call: Callable[[], None]) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed
+    def _call_in_loop(self, call: Callable[[], None]) -> None:
+        with contextlib.suppress(RuntimeError):  # the event loop is closed
             self._loop.call_soon_threadsafe(call)
 
 
