--- a/firvane/fleet/controller/configuration_service.py
+++ b/firvane/fleet/controller/configuration_service.py
@@ -1,12 +1,12 @@
-"""Operators' orders, from validation over the proposal to the result; reads of the configuration.
+"""Validates and proposes operators' orders, and serves reads of the configuration.
 
 Invariants:
 
-1. Nothing is acknowledged before it is committed: an acknowledgement is the result of `apply`, of this or an
-   earlier proposal of the order, never that of validation.
+1. An order is acknowledged only after its commit, with the result of `apply` for this or an earlier proposal
+   of the same order, never with the result of validation.
 2. An order is rejected only after a linearizable read, begun after the call arrived, has confirmed the state
-   that it was validated against. A partitioned controller therefore rejects nothing.
-3. An order whose outcome is not known is answered `UNCLEAR`, never rejected.
+   that the order was validated against. A controller without a majority therefore rejects nothing.
+3. An order whose outcome is not known is answered with `UNCLEAR`, never rejected.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.partitions import CONFIGURATION_PARTITION
 
-PROPOSE_TIMEOUT_S = 0.9  # operators wait a second for an answer, longer for a large body
+PROPOSE_TIMEOUT_S = 0.9  # operators' calls time out after 1 s, later for a large body
 PROPOSE_TIMEOUT_PER_MEGABYTE_S = 1.0
 BYTES_PER_MEGABYTE = 1e6
 READ_TIMEOUT_S = 0.8
@@ -36,23 +36,23 @@
     """The methods of the replication host that this service uses."""
 
     async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
-        """Have a command committed."""
+        """Propose a command and return the result of its commit."""
 
     async def read(self, group: int, timeout_s: float) -> ProposalResult:
-        """Wait until a linearizable read of the group is possible here."""
+        """COMMITTED once all entries committed before the call are applied here."""
 
     def is_owner(self, group: int) -> bool:
         """Whether this controller owns the group."""
 
     def owner(self, group: int) -> Address | None:
-        """The owner, as far as it is known here."""
+        """The owner, if this controller knows it."""
 
 
 class Outcome(Struct, frozen=True):
     """The outcome of an operator's call.
 
-    `owner` is the internal address of the controller to call instead, with `OTHER_OWNER`; `document`, if not
-    empty, is the body of the answer: the configuration, with `CURRENT`, or the state of the fleet.
+    `owner` is the internal address of the controller to redirect to, with `OTHER_OWNER`; `document`, if not
+    empty, is the body of the response: the configuration, with `CURRENT`, or the state of the fleet.
     """
 
     code: ResultCode
@@ -63,25 +63,27 @@
 
 
 class ConfigurationService:
-    """Submits orders and answers reads, on whichever controller the operator calls."""
+    """Submits orders and serves reads; on a controller that is not the owner, redirects to it."""
 
-    def __init__(self, state: ConfigurationState, replication: Replication, own: Address, log: Log) -> None:
-        """Create the service; `own` is the internal address of this controller."""
+    def __init__(
+        self, state: ConfigurationState, replication: Replication, own_address: Address, log: Log
+    ) -> None:
+        """Create the service; `own_address` is the internal address of this controller."""
         self._state = state
         self._replication = replication
-        self._own = own
+        self._own_address = own_address
         self._log = log
         self._schemas: ItemSchemas | None = None
 
     async def submit(self, order: Order) -> Outcome:
-        """Validate the order, have it committed, and return the result."""
+        """Validate the order, propose it, and return its result."""
         if not self._replication.is_owner(CONFIGURATION_PARTITION):
-            return self._not_owner(self._replication.owner(CONFIGURATION_PARTITION))
+            return self._redirect_to_owner(self._replication.owner(CONFIGURATION_PARTITION))
         result = await self._validate(order)
         if not result.code.is_acknowledgement:
             current = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
             if current.status is not ProposalStatus.COMMITTED:
-                return self._undecided(current)
+                return self._uncommitted_outcome(current)
             if self._state.version != result.version:
                 result = await self._validate(order)
         if result.code is ResultCode.ACCEPTED:
@@ -91,16 +93,16 @@
         return Outcome(result.code, result.version, result.problems)
 
     async def read(self) -> Outcome:
-        """The newest configuration that any controller committed before this call."""
+        """The newest configuration that was committed before this call."""
         current = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
         if current.status is not ProposalStatus.COMMITTED:
-            return self._undecided(current)
+            return self._uncommitted_outcome(current)
         if self._state.version == 0:
             return Outcome(ResultCode.NO_CONFIGURATION, 0)
         return Outcome(ResultCode.CURRENT, self._state.version, document=self._state.document)
 
     async def _validate(self, order: Order) -> Result:
-        """Validate in small steps, between which the loop serves heartbeats and other calls."""
+        """Validate in small steps, between which the event loop handles heartbeats and other calls."""
         if self._schemas is None:
             self._schemas = ItemSchemas()
         checker = Checker(self._state, order, self._schemas)
@@ -117,7 +119,7 @@
             self._log.warning(
                 "configuration_order_not_committed", base=order.base, status=proposal.status.name
             )
-            return self._undecided(proposal)
+            return self._uncommitted_outcome(proposal)
         try:
             result = Result.unpack(proposal.result)
         except RecordError as error:
@@ -128,18 +130,18 @@
         )
         return Outcome(result.code, result.version, result.problems)
 
-    def _undecided(self, proposal: ProposalResult) -> Outcome:
-        """The outcome if the proposal or read was not committed."""
+    def _uncommitted_outcome(self, proposal: ProposalResult) -> Outcome:
+        """The outcome of an order or read whose proposal or read was not committed."""
         match proposal.status:
             case ProposalStatus.NOT_OWNER:
-                return self._not_owner(proposal.owner)
+                return self._redirect_to_owner(proposal.owner)
             case ProposalStatus.UNAVAILABLE:
                 return Outcome(ResultCode.STORAGE_REFUSED, self._state.version)
             case _:
                 return Outcome(ResultCode.UNCLEAR, self._state.version)
 
-    def _not_owner(self, owner: Address | None) -> Outcome:
-        if owner is None or owner == self._own:
+    def _redirect_to_owner(self, owner: Address | None) -> Outcome:
+        if owner is None or owner == self._own_address:
             return Outcome(ResultCode.NO_OWNER, self._state.version)
         return Outcome(ResultCode.OTHER_OWNER, self._state.version, owner=owner)
 
--- a/firvane/fleet/controller/service_partition.py
+++ b/firvane/fleet/controller/service_partition.py
@@ -1,8 +1,8 @@
 """The replicated state of a service partition: the newest instance record of each service, and quota floors.
 
-A record is what the owner of the poll role has published: the service's name, the version and the payload.
-The partition stores it durably, so that it survives the end of all processes. Floors bound what a new owner
-of the partition may grant to its tenants (`tenancy.floors`).
+The owner of the poll role publishes the records: the service's name, the version and the payload. The
+partition stores them durably, so that they survive a shutdown of all processes. Floors bound the quota that a
+new owner of the partition may grant to its tenants (`tenancy.floors`).
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 MAX_PAYLOAD_BYTES = 1024 * 1024
 MAX_SERVICES = 4096
 
-_RECORD_HEAD = struct.Struct("!BQHI")  # record version, version, lengths of the name and of the payload
-_SNAPSHOT_HEAD = struct.Struct("!BI")  # record version, number of records
+_RECORD_HEADER = struct.Struct("!BQHI")  # record version, version, lengths of the name and of the payload
+_SNAPSHOT_HEADER = struct.Struct("!BI")  # record version, number of records
 
 FLOORS_BYTE = bytes((FLOORS_VERSION,))
 STORED = b"\x01"  # result of `apply`
@@ -50,9 +50,9 @@
             or len(self.payload) > MAX_PAYLOAD_BYTES
             or not 0 <= self.version < 2**64
         ):
-            raise PartitionError("the record is out of bounds")
+            raise PartitionError("the name, payload or version of the record is out of bounds")
         return (
-            _RECORD_HEAD.pack(RECORD_VERSION, self.version, len(name), len(self.payload))
+            _RECORD_HEADER.pack(RECORD_VERSION, self.version, len(name), len(self.payload))
             + name
             + self.payload
         )
@@ -72,27 +72,27 @@
 
 
 def _unpack_at(data: bytes, start: int) -> _DecodedRecord:
-    if len(data) - start < _RECORD_HEAD.size:
-        raise PartitionError("the record is cut off")
-    record_version, version, name_length, payload_length = _RECORD_HEAD.unpack_from(data, start)
+    if len(data) - start < _RECORD_HEADER.size:
+        raise PartitionError("the header of the record is truncated")
+    record_version, version, name_length, payload_length = _RECORD_HEADER.unpack_from(data, start)
     if record_version != RECORD_VERSION:
         raise PartitionError(f"unknown version {record_version} of a record")
     if name_length > MAX_NAME_BYTES or payload_length > MAX_PAYLOAD_BYTES:
-        raise PartitionError("the record is too long")
-    name_start = start + _RECORD_HEAD.size
+        raise PartitionError("the name or payload of the record is too long")
+    name_start = start + _RECORD_HEADER.size
     payload_start = name_start + name_length
     end = payload_start + payload_length
     if end > len(data):
-        raise PartitionError("the record is cut off")
+        raise PartitionError("the record is truncated")
     try:
         name = data[name_start:payload_start].decode()
     except UnicodeDecodeError as error:
-        raise PartitionError("the name of the service cannot be read") from error
+        raise PartitionError("the name of the service is not UTF-8") from error
     return _DecodedRecord(ServiceRecord(name, version, bytes(data[payload_start:end])), end)
 
 
 class ServicePartition:
-    """A replicated state machine: the record with the highest version of each service, and quota floors."""
+    """A replicated state machine with the record of highest version of each service, and quota floors."""
 
     def __init__(
         self,
@@ -123,7 +123,7 @@
         return max((record.version for record in self), default=0)
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Apply a command: a record, stored unless a newer one is, or floors; `STORED` or `SUPERSEDED`."""
+        """Apply a record, unless its version is not newer, or floors; returns `STORED` or `SUPERSEDED`."""
         if payload[:1] == FLOORS_BYTE:
             return self._apply_floors(payload)
         try:
@@ -155,7 +155,7 @@
 
     def save(self) -> bytes:
         """Encode a snapshot of all records and floors."""
-        chunks = [_SNAPSHOT_HEAD.pack(SNAPSHOT_VERSION, len(self._records))]
+        chunks = [_SNAPSHOT_HEADER.pack(SNAPSHOT_VERSION, len(self._records))]
         chunks.extend(record.pack() for record in self._records.values())
         chunks.append(FloorsRecord(0, self.floors).pack())
         return b"".join(chunks)
@@ -176,13 +176,13 @@
 
 
 def _unpack_snapshot(snapshot: bytes) -> _Snapshot:
-    if len(snapshot) < _SNAPSHOT_HEAD.size:
-        raise PartitionError("the snapshot is cut off")
-    version, count = _SNAPSHOT_HEAD.unpack_from(snapshot)
+    if len(snapshot) < _SNAPSHOT_HEADER.size:
+        raise PartitionError("the header of the snapshot is truncated")
+    version, count = _SNAPSHOT_HEADER.unpack_from(snapshot)
     if version not in (SNAPSHOT_WITHOUT_FLOORS, SNAPSHOT_VERSION) or count > MAX_SERVICES:
-        raise PartitionError("the head of the snapshot is wrong")
+        raise PartitionError("the snapshot has an unknown version or too many records")
     records = []
-    end = _SNAPSHOT_HEAD.size
+    end = _SNAPSHOT_HEADER.size
     for _ in range(count):
         record, end = _unpack_at(snapshot, end)
         records.append(record)
@@ -194,7 +194,7 @@
         try:
             return unpack_floors(rest).floors
         except FloorsError as error:
-            raise PartitionError(f"the floors of the snapshot cannot be read: {error}") from error
+            raise PartitionError(f"malformed floors in the snapshot: {error}") from error
     if rest:
         raise PartitionError("bytes follow the snapshot")
     return {}
