--- a/firvane/fleet/controller/fleet_service.py
+++ b/firvane/fleet/controller/fleet_service.py
@@ -1,11 +1,11 @@
-"""The operators' view of the fleet: members, partitions, and the transfer of a partition's leadership.
+"""Operators' calls about the fleet: its members, its partitions, and transfers of a partition's leadership.
 
 Invariants:
 
-1. Members and partitions are reported as this controller knows them now, without a majority: operators need
-   them when there is none.
-2. Only the owner transfers a partition, and only in the term that the order names: an order that is repeated
-   after it was carried out does not move the partition a second time.
+1. Members and partitions are reported from local knowledge, without a quorum read: operators need the
+   reports when there is no majority.
+2. Only the owner transfers a partition, and only in the term given in the order, so that a repeated order
+   does not transfer the partition a second time.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 )
 from firvane.fleet.partitions import ALL_PARTITIONS, CONFIGURATION_PARTITION
 
-TRANSFER_TIMEOUT_S = 0.9  # operators wait a second for an answer
+TRANSFER_TIMEOUT_S = 0.9  # operators' calls time out after 1 s
 
 _REJECTION_CODES = {
     TransferStart.NOT_LEADER: ResultCode.NO_OWNER,
@@ -49,8 +49,8 @@
 }
 
 
-class AnswerHead(TypedDict):
-    """The fields of every `FleetAnswer`."""
+class CommonFields(TypedDict):
+    """The fields common to every `FleetResponse`."""
 
     code: int
     result: str
@@ -62,10 +62,10 @@
     """The methods of the cluster agent that this service uses."""
 
     def known_members(self) -> list[KnownMember]:
-        """All members, also those that are not live."""
+        """All known members, including those that are not live."""
 
     def members(self, role: Role | None = None) -> list[Member]:
-        """The live members of a role, or of all."""
+        """The live members of a role, or of all roles."""
 
     def item(self, key: bytes) -> Item | None:
         """The newest known item of a key."""
@@ -81,21 +81,21 @@
         """Whether this controller owns the group."""
 
     def owner(self, group: int) -> Address | None:
-        """The owner, as far as it is known here."""
+        """The owner, if this controller knows it."""
 
     def term(self, group: int) -> int:
-        """The term, as far as it is known here."""
+        """The newest term that this controller knows."""
 
     async def transfer(self, group: int, successor: Address | None, timeout_s: float) -> Transfer:
         """Transfer leadership to `successor`, or to any healthy voter if None."""
 
 
 class FleetService:
-    """Reports the fleet to operators, and transfers partitions."""
+    """Reports the state of the fleet to operators, and transfers partitions."""
 
     def __init__(
         self,
-        own: Address,
+        own_address: Address,
         cluster: Cluster,
         groups: Groups,
         applied_versions: Mapping[int, Callable[[], int]],
@@ -105,14 +105,14 @@
         """Create the service.
 
         Args:
-            own: The internal address of this controller.
+            own_address: The internal address of this controller.
             cluster: The cluster agent.
             groups: The replication host.
             applied_versions: For each partition, a function that returns the newest version applied here.
-            control_address: Returns the operators' address of a controller's internal address.
+            control_address: Maps a controller's internal address to that of its operator API.
             log: The log.
         """
-        self._own = own
+        self._own_address = own_address
         self._cluster = cluster
         self._groups = groups
         self._applied_versions = applied_versions
@@ -120,28 +120,28 @@
         self._log = log
 
     def members(self) -> Outcome:
-        """All processes that this one knows of, with the version in force at each."""
+        """All known processes, with the configuration version in force at each."""
         version = self._newest_version()
-        document = encode_members(self._own, version, self._cluster.known_members())
+        document = encode_members(self._own_address, version, self._cluster.known_members())
         return Outcome(ResultCode.FLEET_STATE, version, document=document)
 
     def partitions(self) -> Outcome:
-        """All partitions as this controller sees them."""
+        """The status of all partitions as this controller knows it."""
         code = ResultCode.FLEET_STATE
         partitions = [self._partition_report(partition) for partition in ALL_PARTITIONS]
-        return self._answer(code, PartsResponse(**self._head(code), parts=partitions))
+        return self._respond(code, PartsResponse(**self._common_fields(code), parts=partitions))
 
-    async def hand_over(self, body: bytes) -> Outcome:
-        """Transfer a partition to the controller that the order names, or to any healthy one."""
+    async def transfer_leadership(self, body: bytes) -> Outcome:
+        """Transfer a partition to the successor given in the order, or to any healthy voter."""
         try:
             order = parse_transfer_order(body)
         except InvalidTransferOrderError as error:
             return self._reject(ResultCode.BAD_ARGUMENT, error.problem)
         if not self._groups.is_owner(order.partition):
-            return self._not_owner(self._groups.owner(order.partition))
+            return self._redirect_to_owner(self._groups.owner(order.partition))
         successor = self._internal_address(order.successor)
-        if successor == self._own:
-            return self._transferred(order.partition, self._own)
+        if successor == self._own_address:
+            return self._transferred(order.partition, self._own_address)
         term = self._groups.term(order.partition)
         if order.term != term:
             problem = Problem(ResultCode.OTHER_TERM, "term", f"is {term} now, not {order.term}")
@@ -169,7 +169,7 @@
         return partition_report(partition, self._groups.status(partition), version, self._control_address)
 
     def _internal_address(self, address: Address | None) -> Address | None:
-        """The internal address of the controller with this control address; any other address unchanged."""
+        """Map a controller's control address to its internal address; return others unchanged."""
         for member in self._cluster.members(Role.CONTROLLER):
             if address is not None and member.control == address:
                 return member.address
@@ -179,28 +179,28 @@
         published = self._cluster.item(CONFIGURATION_KEY)
         return max(self._applied_versions[CONFIGURATION_PARTITION](), published.version if published else 0)
 
-    def _head(self, code: ResultCode) -> AnswerHead:
-        return AnswerHead(
+    def _common_fields(self, code: ResultCode) -> CommonFields:
+        return CommonFields(
             code=code.value,
             result=code.name.lower(),
             config_version=self._newest_version(),
-            asked=address_text(self._own),
+            asked=address_text(self._own_address),
         )
 
     def _transferred(self, partition: int, owner: Address) -> Outcome:
         code = ResultCode.HANDED_OVER
-        return self._answer(
-            code, HandOverResponse(**self._head(code), part=partition, owner=address_text(owner))
+        return self._respond(
+            code, HandOverResponse(**self._common_fields(code), part=partition, owner=address_text(owner))
         )
 
     @staticmethod
-    def _answer(code: ResultCode, answer: FleetResponse) -> Outcome:
-        return Outcome(code, answer.config_version, document=msgspec.json.encode(answer))
+    def _respond(code: ResultCode, response: FleetResponse) -> Outcome:
+        return Outcome(code, response.config_version, document=msgspec.json.encode(response))
 
     def _reject(self, code: ResultCode, problem: Problem) -> Outcome:
         return Outcome(code, self._newest_version(), (problem,))
 
-    def _not_owner(self, owner: Address | None) -> Outcome:
-        if owner is None or owner == self._own:
+    def _redirect_to_owner(self, owner: Address | None) -> Outcome:
+        if owner is None or owner == self._own_address:
             return Outcome(ResultCode.NO_OWNER, self._newest_version())
         return Outcome(ResultCode.OTHER_PART_OWNER, self._newest_version(), owner=owner)
--- a/firvane/fleet/controller/operator_api.py
+++ b/firvane/fleet/controller/operator_api.py
@@ -89,9 +89,9 @@
         return self._fleet.partitions()
 
     @call(b"POST", b"/v1/fleet/hand-over")
-    async def hand_over(self, request: Message) -> Outcome:
+    async def transfer_leadership(self, request: Message) -> Outcome:
         """Transfer a partition to another controller."""
-        return await self._fleet.hand_over(b"".join(request.body))
+        return await self._fleet.transfer_leadership(b"".join(request.body))
 
     async def _submit(self, kind: OrderKind, request: Message) -> Outcome:
         base = _base_version(request)
--- a/tests/fleet/controller/test_fleet_service.py
+++ b/tests/fleet/controller/test_fleet_service.py
@@ -36,9 +36,9 @@
 )
 
 
-def hand_over(rig: FleetRig, **order: Any) -> Outcome:
+def transfer_leadership(rig: FleetRig, **order: Any) -> Outcome:
     body = {"part": OWN_PART, "term": TERM} | order
-    return asyncio.run(rig.service.hand_over(json.dumps(body).encode()))
+    return asyncio.run(rig.service.transfer_leadership(json.dumps(body).encode()))
 
 
 def test_members_are_told_with_role_zone_state_and_version() -> None:
@@ -132,7 +132,7 @@
 )
 def test_the_owner_hands_over_to_whom_the_order_names(named: str | None, internal: Address | None) -> None:
     rig = FleetRig()
-    outcome = hand_over(rig, successor=named)
+    outcome = transfer_leadership(rig, successor=named)
     assert outcome.code is ResultCode.HANDED_OVER
     assert rig.groups.transfers == [(OWN_PART, internal)]
     assert json.loads(outcome.document) == {
@@ -148,25 +148,25 @@
 def test_a_part_that_the_named_one_owns_stays_there() -> None:
     rig = FleetRig()
     for named in ("10.0.0.1:7300", "10.0.0.1:8262"):
-        assert hand_over(rig, successor=named, term=1).code is ResultCode.HANDED_OVER
+        assert transfer_leadership(rig, successor=named, term=1).code is ResultCode.HANDED_OVER
     assert rig.groups.transfers == []
 
 
 @pytest.mark.parametrize("term", [TERM - 1, TERM + 1])
 def test_an_order_for_another_term_changes_nothing(term: int) -> None:
     rig = FleetRig()
-    outcome = hand_over(rig, term=term)
+    outcome = transfer_leadership(rig, term=term)
     assert (outcome.code, outcome.code.http_status) == (ResultCode.OTHER_TERM, 412)
     assert rig.groups.transfers == []
 
 
 def test_only_the_owner_hands_over() -> None:
     rig = FleetRig()
-    elsewhere = hand_over(rig, part=OTHER_PARTITION)
+    elsewhere = transfer_leadership(rig, part=OTHER_PARTITION)
     assert (elsewhere.code, elsewhere.owner) == (ResultCode.OTHER_PART_OWNER, OTHER)
-    assert hand_over(rig, part=CLOSED_PARTITION).code is ResultCode.NO_OWNER
+    assert transfer_leadership(rig, part=CLOSED_PARTITION).code is ResultCode.NO_OWNER
     rig.groups.is_owner = lambda group: False  # type: ignore[method-assign]
-    assert hand_over(rig).code is ResultCode.NO_OWNER  # its lease is over
+    assert transfer_leadership(rig).code is ResultCode.NO_OWNER  # its lease is over
     assert rig.groups.transfers == []
 
 
@@ -182,7 +182,7 @@
 def test_why_nothing_was_handed_over_is_told(start: TransferStart, code: ResultCode) -> None:
     rig = FleetRig()
     rig.groups.start = start
-    outcome = hand_over(rig, successor="10.0.0.2:7300")
+    outcome = transfer_leadership(rig, successor="10.0.0.2:7300")
     assert outcome.code is code
     assert outcome.problems[0].detail == start.value
 
@@ -190,7 +190,7 @@
 def test_a_transfer_without_a_known_end_is_unclear() -> None:
     rig = FleetRig()
     rig.groups.successor = None
-    assert hand_over(rig).code is ResultCode.UNCLEAR
+    assert transfer_leadership(rig).code is ResultCode.UNCLEAR
 
 
 @pytest.mark.parametrize(
@@ -220,7 +220,7 @@
         parse_transfer_order(body)
     assert (raised.value.problem.code, raised.value.problem.place) == (code, place)
     rig = FleetRig()
-    outcome = asyncio.run(rig.service.hand_over(body))
+    outcome = asyncio.run(rig.service.transfer_leadership(body))
     assert (outcome.code, outcome.problems) == (ResultCode.BAD_ARGUMENT, (raised.value.problem,))
     assert rig.groups.transfers == []
 
