--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -53,7 +53,7 @@
         }
         self.agent = self._make_agent()
         self.domains = FailureDomains(
-            lambda: self.agent.members(Role.CONTROLLER), options.region_of_zone, options.loses_regions
+            lambda: self.agent.members(Role.CONTROLLER), options.region_of_zone, options.tolerates_region_loss
         )
         self.host = self._make_host()
         self.publisher = ConfigurationPublisher(
--- a/firvane/fleet/controller/options.py
+++ b/firvane/fleet/controller/options.py
@@ -25,7 +25,7 @@
     incarnation: int
     tolerated_losses: int  # disks that may be lost at the same time
     region_of_zone: Mapping[str, str]
-    loses_regions: bool  # whether whole regions may be lost at the same time
+    tolerates_region_loss: bool  # whether whole regions may be lost at the same time
     platform: Address | None
     grace: float  # seconds from SIGTERM to SIGKILL
     quota: QuotaRules = field(default_factory=QuotaRules)
--- a/firvane/programs/controller.py
+++ b/firvane/programs/controller.py
@@ -50,7 +50,7 @@
         incarnation=new_incarnation(),
         tolerated_losses=max(tolerance.machines, tolerance.zones, tolerance.regions),
         region_of_zone=settings.zones,
-        loses_regions=tolerance.regions > 0,
+        tolerates_region_loss=tolerance.regions > 0,
         platform=settings.cloud_api.address,
         grace=settings.bounds.grace_s,
         quota=QuotaRules(
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -102,7 +102,7 @@
             incarnation=self.incarnation,
             tolerated_losses=1,
             region_of_zone={},
-            loses_regions=False,
+            tolerates_region_loss=False,
             platform=self.platform_address,
             grace=5.0,
         )
