--- a/firvane/fleet/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -1,13 +1,12 @@
-"""A small HTTP/1.1 server for operators: few connections, large bodies, bounded memory and time.
+"""HTTP/1.1 server of the operator API: few connections, large bodies, bounded memory and timeouts.
 
 Invariants:
 
-1. A connection handles one request at a time. While it is handled, or its response is being written, nothing
-   more is read.
-2. A malformed request is answered once with its status, and the connection is closed.
-3. All connections together buffer at most `Bounds.total_bytes` of bodies; beyond that the newest gets 503.
-4. Every state of a connection except that of handling a request has a timeout.
-5. At shutdown each request that has been read is answered, also a pipelined one.
+1. A connection handles one request at a time; reading is paused until the response is written.
+2. A malformed request is answered with an error status, and the connection is closed.
+3. All connections together buffer at most `Bounds.total_bytes` of bodies; a request beyond that gets 503.
+4. Every state of a connection except `HANDLING` has a timeout.
+5. At shutdown every request that has been read is answered, pipelined ones included.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 
 
 class Bounds(Struct, frozen=True):
-    """The limits of connections, of buffered bodies, and the timeouts of each state of a connection."""
+    """Limits of connections and of buffered bodies, and the timeouts of the states of a connection."""
 
     connections: int = 64
     body_bytes: int = 8 * 1024 * 1024
@@ -46,7 +45,7 @@
 
 
 class ConnectionState(enum.Enum):
-    """What a connection does now."""
+    """The state of a connection."""
 
     IDLE = "idle"
     HEAD = "head"
@@ -60,7 +59,7 @@
 
 
 class HttpServer:
-    """Listens on one address and passes complete requests to one handler."""
+    """Listens on one address and passes complete requests to a handler."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, handler: Handler, log: Log, bounds: Bounds | None = None
@@ -75,20 +74,20 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Start to listen; `OSError` if the address cannot be bound."""
+        """Start listening; `OSError` if the address cannot be bound."""
         self._server = await self.loop.create_server(
             lambda: Connection(self), *address, reuse_address=True, backlog=ACCEPT_BACKLOG
         )
 
     def address(self) -> Address:
-        """The address that it listens on, with the port that port 0 was resolved to."""
+        """The listening address, with the actual port if port 0 was requested."""
         if self._server is None:
             raise OSError("not listening")
         host, port = self._server.sockets[0].getsockname()[:2]
         return host, port
 
     def stop_accepting(self) -> None:
-        """Accept no more connections, close idle ones, and the others after their response."""
+        """Stop accepting connections, close idle ones now and the others after their response."""
         self.stopping = True
         if self._server:
             self._server.close()
@@ -96,10 +95,10 @@
             connection.close_if_idle()
 
     async def drain(self, timeout_s: float) -> None:
-        """Wait up to `timeout_s` seconds for the requests that are received, handled or answered.
+        """Wait up to `timeout_s` seconds until all open requests are received, handled and answered.
 
-        A request that is still being received is handled too: its operator could not know the outcome of an
-        order that was cut off.
+        A request that is still being received is handled too: if it were aborted, the operator could not know
+        the outcome of the order.
         """
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_s):
@@ -107,7 +106,7 @@
                     self._connection_ended.clear()
                     await self._connection_ended.wait()
 
-    def forget(self, connection: Connection) -> None:
+    def remove(self, connection: Connection) -> None:
         """Remove a connection that has ended."""
         self.connections.discard(connection)
         self._connection_ended.set()
@@ -119,7 +118,7 @@
             connection.abort()
 
     def admit(self, connection: Connection) -> bool:
-        """Add a new connection, if necessary in place of an idle one; returns whether it was added."""
+        """Add a new connection, at the limit in place of an idle one; returns whether it was added."""
         if len(self.connections) >= self.bounds.connections:
             idle = next((other for other in self.connections if other.state is ConnectionState.IDLE), None)
             if idle is None:
@@ -130,12 +129,12 @@
         return True
 
     def buffered_body_bytes(self) -> int:
-        """The total bytes of the bodies that are being received or handled."""
+        """The total size of the bodies that are being received or handled."""
         return sum(connection.body_size for connection in self.connections)
 
 
 class Connection(asyncio.Protocol):
-    """One connection of a client (asyncio protocol)."""
+    """A client connection (asyncio protocol)."""
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
@@ -154,34 +153,34 @@
 
     @property
     def body_size(self) -> int:
-        """The bytes of the body that this connection buffers."""
+        """The number of body bytes that this connection buffers."""
         message = self._request or self._reader.message
         return message.size if message else 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Add the connection to the server, or abort it."""
-        self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
         if self.server.stopping or not self.server.admit(self):
             self.transport.abort()
             return
-        self._enter(ConnectionState.IDLE)
+        self._enter_state(ConnectionState.IDLE)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Remove the connection from the server, and drop what has come of a request."""
-        self._enter(ConnectionState.CLOSED)
+        """Remove the connection from the server, and discard any partial request."""
+        self._enter_state(ConnectionState.CLOSED)
         self._reader.close()
         self._pipelined = b""
-        self.server.forget(self)
+        self.server.remove(self)
 
     def data_received(self, data: bytes) -> None:
         """Parse the data, or buffer it while a request is handled."""
         if self.state in (ConnectionState.HANDLING, ConnectionState.WRITING):
-            self._pipelined += data  # it had been read when reading was paused
+            self._pipelined += data  # read before reading was paused
         elif self.state is not ConnectionState.CLOSED:
             self._read(data)
 
     def eof_received(self) -> bool:
-        """Keep the connection open while a response is pending: the client may have only half-closed."""
+        """Keep the connection open while a response is pending: the client may have half-closed it."""
         return self.state in (ConnectionState.HANDLING, ConnectionState.WRITING)
 
     def pause_writing(self) -> None:
@@ -189,10 +188,10 @@
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Continue with the next request once the response is written."""
+        """Start the next request if the response is written."""
         self._writable = True
         if self.state is ConnectionState.WRITING:
-            self._next()
+            self._start_next_request()
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is being received or handled."""
@@ -205,34 +204,34 @@
             self.task.cancel()
         if self.transport:
             self.transport.abort()
-        self._enter(ConnectionState.CLOSED)
+        self._enter_state(ConnectionState.CLOSED)
 
     def _close(self) -> None:
         if self.transport:
             self.transport.close()
-        self._enter(ConnectionState.CLOSED)
+        self._enter_state(ConnectionState.CLOSED)
 
     def _read(self, data: bytes) -> None:
-        """Parse up to the end of one request, and buffer the bytes after it."""
+        """Parse up to the end of one request, and buffer the bytes that follow."""
         offset = 0
         try:
             while offset < len(data) and not self._reader.completed:
                 offset = self._reader.step(data, offset)
-        except HttpError as fault:
-            self._reject(fault.status)
+        except HttpError as error:
+            self._reject(error.status)
             return
         if self._reader.completed:
             self._pipelined = data[offset:]
-            self._begin(self._reader.completed.pop(0))
+            self._start_handling(self._reader.completed.pop(0))
         else:
-            self._await_more()
+            self._await_data()
 
-    def _await_more(self) -> None:
+    def _await_data(self) -> None:
         message = self._reader.message
         if message is None:
-            self._enter(ConnectionState.IDLE)
+            self._enter_state(ConnectionState.IDLE)
         elif self._reader.in_head:
-            self._enter(ConnectionState.HEAD)
+            self._enter_state(ConnectionState.HEAD)
         else:
             self._receive_body(message)
 
@@ -247,7 +246,7 @@
             and self.transport
         ):
             self.transport.write(CONTINUE_RESPONSE)
-        self._enter(ConnectionState.BODY)
+        self._enter_state(ConnectionState.BODY)
 
     def _reject(self, status: int) -> None:
         """Answer a malformed or unacceptable request, and close the connection."""
@@ -256,9 +255,9 @@
             self.transport.write(encode_response(Response(status), close=True))
         self._close()
 
-    def _begin(self, request: Message) -> None:
+    def _start_handling(self, request: Message) -> None:
         self._request = request
-        self._enter(ConnectionState.HANDLING)
+        self._enter_state(ConnectionState.HANDLING)
         if self.transport:
             self.transport.pause_reading()
         self.task = self.server.loop.create_task(self._handle(request))
@@ -276,16 +275,16 @@
     def _answer(self, request: Message, response: Response, transport: asyncio.Transport) -> None:
         close = not request.keep_alive or (self.server.stopping and not self._pipelined)
         self._request = None
-        self._enter(ConnectionState.WRITING)
+        self._enter_state(ConnectionState.WRITING)
         transport.write(encode_response(response, close))
         if close:
             transport.close()
         elif self._writable:
-            self._next()
+            self._start_next_request()
 
-    def _next(self) -> None:
-        """Continue with the bytes that were received after the last request."""
-        self._enter(ConnectionState.IDLE)
+    def _start_next_request(self) -> None:
+        """Parse the bytes that were received after the last request, then resume reading."""
+        self._enter_state(ConnectionState.IDLE)
         pipelined, self._pipelined = self._pipelined, b""
         if pipelined:
             self._read(pipelined)
@@ -294,7 +293,7 @@
         if self.state in READING_STATES and self.transport:
             self.transport.resume_reading()
 
-    def _enter(self, state: ConnectionState) -> None:
+    def _enter_state(self, state: ConnectionState) -> None:
         """Enter a state and start its timeout; entering the current state again keeps the running timeout."""
         if state is self.state and self._timer:
             return
@@ -302,17 +301,17 @@
         if self._timer:
             self._timer.cancel()
             self._timer = None
-        limits = self.server.bounds
+        bounds = self.server.bounds
         timeouts_s = {
-            ConnectionState.IDLE: limits.idle_timeout_s,
-            ConnectionState.HEAD: limits.head_timeout_s,
-            ConnectionState.BODY: limits.body_timeout_s,
-            ConnectionState.WRITING: limits.write_timeout_s,
+            ConnectionState.IDLE: bounds.idle_timeout_s,
+            ConnectionState.HEAD: bounds.head_timeout_s,
+            ConnectionState.BODY: bounds.body_timeout_s,
+            ConnectionState.WRITING: bounds.write_timeout_s,
         }
         if state in timeouts_s:
-            self._timer = self.server.loop.call_later(timeouts_s[state], self._expire)
+            self._timer = self.server.loop.call_later(timeouts_s[state], self._on_timeout)
 
-    def _expire(self) -> None:
+    def _on_timeout(self) -> None:
         self._timer = None
         if self.state is ConnectionState.IDLE:
             self._close()
--- a/firvane/fleet/controller/operator_api.py
+++ b/firvane/fleet/controller/operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls over HTTP; each is declared at its handler."""
+"""The HTTP endpoints of the operator API; each is registered by a decorator on its handler."""
 
 from __future__ import annotations
 
@@ -17,32 +17,32 @@
 
 BASE_VERSION_FIELD = b"x-base-version"
 MAX_VERSION_DIGITS = 19
-RETRY_AFTER_S = 0.2  # for calls that found no owner: shorter than most elections
+RETRY_AFTER_S = 0.2  # when no owner is known: shorter than most elections
 
 
-class Call(NamedTuple):
-    """One call: a method and a path."""
+class Endpoint(NamedTuple):
+    """The method and path of one endpoint."""
 
     method: bytes
     path: bytes
 
 
 ApiHandler = Callable[["OperatorApi", Message], Awaitable[Outcome]]
-CALLS: dict[Call, ApiHandler] = {}
+ENDPOINTS: dict[Endpoint, ApiHandler] = {}
 
 
-def call(method: bytes, path: bytes) -> Callable[[ApiHandler], ApiHandler]:
-    """Register a handler for a call."""
+def endpoint(method: bytes, path: bytes) -> Callable[[ApiHandler], ApiHandler]:
+    """Register a handler for an endpoint."""
 
     def register(handler: ApiHandler) -> ApiHandler:
-        CALLS[Call(method, path)] = handler
+        ENDPOINTS[Endpoint(method, path)] = handler
         return handler
 
     return register
 
 
 class OperatorApi:
-    """Dispatches requests to the services, and renders their outcomes."""
+    """Dispatches requests to the services, and encodes their outcomes as responses."""
 
     def __init__(
         self,
@@ -50,45 +50,45 @@
         fleet: FleetService,
         control_address: Callable[[Address], Address],
     ) -> None:
-        """Create the API; `control_address` maps a controller's internal address to its operators' one."""
+        """Create the API; `control_address` maps an internal address to that of the operator API."""
         self._service = service
         self._fleet = fleet
         self._control_address = control_address
 
     async def handle(self, request: Message) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         path = request.url.partition(b"?")[0]
-        handler = CALLS.get(Call(request.method, path))
+        handler = ENDPOINTS.get(Endpoint(request.method, path))
         if handler is None:
-            return self._render(request, self._unknown(path))
-        return self._render(request, await handler(self, request))
+            return self._response(request, self._unknown_endpoint(path))
+        return self._response(request, await handler(self, request))
 
-    @call(b"POST", b"/v1/config/replace")
+    @endpoint(b"POST", b"/v1/config/replace")
     async def replace(self, request: Message) -> Outcome:
         """Replace the configuration of the base version by a complete one."""
         return await self._submit(OrderKind.REPLACE, request)
 
-    @call(b"POST", b"/v1/config/modify")
+    @endpoint(b"POST", b"/v1/config/modify")
     async def modify(self, request: Message) -> Outcome:
         """Add, replace and remove named items of the base version."""
         return await self._submit(OrderKind.MODIFY, request)
 
-    @call(b"GET", b"/v1/config/read")
+    @endpoint(b"GET", b"/v1/config/read")
     async def read(self, request: Message) -> Outcome:
         """Return the complete newest configuration."""
         return await self._service.read()
 
-    @call(b"GET", b"/v1/fleet/members")
+    @endpoint(b"GET", b"/v1/fleet/members")
     async def members(self, request: Message) -> Outcome:
-        """Return all processes that this controller knows of, with the version in force at each."""
+        """Return all known processes, with the configuration version in force at each."""
         return self._fleet.members()
 
-    @call(b"GET", b"/v1/fleet/parts")
+    @endpoint(b"GET", b"/v1/fleet/parts")
     async def partitions(self, request: Message) -> Outcome:
-        """Return the partitions of the control state as this controller sees them."""
+        """Return the status of all partitions as this controller knows it."""
         return self._fleet.partitions()
 
-    @call(b"POST", b"/v1/fleet/hand-over")
+    @endpoint(b"POST", b"/v1/fleet/hand-over")
     async def transfer_leadership(self, request: Message) -> Outcome:
         """Transfer a partition to another controller."""
         return await self._fleet.transfer_leadership(b"".join(request.body))
@@ -100,11 +100,11 @@
             return Outcome(ResultCode.BAD_BASE, 0, (problem,))
         return await self._service.submit(Order(kind, base, b"".join(request.body)))
 
-    def _unknown(self, path: bytes) -> Outcome:
-        known = any(path == known_call.path for known_call in CALLS)
-        return Outcome(ResultCode.WRONG_METHOD if known else ResultCode.UNKNOWN_CALL, 0)
+    def _unknown_endpoint(self, path: bytes) -> Outcome:
+        path_exists = any(path == endpoint_key.path for endpoint_key in ENDPOINTS)
+        return Outcome(ResultCode.WRONG_METHOD if path_exists else ResultCode.UNKNOWN_CALL, 0)
 
-    def _render(self, request: Message, outcome: Outcome) -> Response:
+    def _response(self, request: Message, outcome: Outcome) -> Response:
         if outcome.document:
             return Response(outcome.code.http_status, outcome.document)
         headers: dict[str, str] = {}
@@ -117,7 +117,7 @@
 
 
 def _base_version(request: Message) -> int | None:
-    """The base version of an order; None if the header is missing, repeated or not a valid version."""
+    """The base version in the header; None if it is missing, repeated or not a valid version."""
     text = request.fields.get(BASE_VERSION_FIELD, b"")
     if BASE_VERSION_FIELD in request.repeated_fields or not text.isdigit() or len(text) > MAX_VERSION_DIGITS:
         return None
@@ -126,7 +126,7 @@
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
-    """Encode the JSON body of an answer without a document."""
+    """Encode the JSON body of an outcome without a document."""
     document = {
         "code": outcome.code.value,
         "result": outcome.code.name.lower(),
--- a/firvane/fleet/controller/partition_reports.py
+++ b/firvane/fleet/controller/partition_reports.py
@@ -1,4 +1,4 @@
-"""The status of a partition, as its replica here knows it, in the form that operators get."""
+"""Converts the status of a partition, as the local replica knows it, to the report for operators."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def _replica_report(replica: ReplicaStatus, status: GroupStatus) -> ReplicaReport:
-    leads = status.role is Role.LEADER
+    is_leader = status.role is Role.LEADER
     synced = replica.synced_index
     unresponsive_s = replica.unresponsive_for_s
     return ReplicaReport(
@@ -53,14 +53,14 @@
         incarnation=incarnation_text(replica.member.incarnation),
         kind=_kind(replica, status),
         synced_index=synced,
-        lag=status.last_index - synced if leads and synced is not None else None,
+        lag=status.last_index - synced if is_leader and synced is not None else None,
         silent_s=None if unresponsive_s is None else round(unresponsive_s, DECIMALS),
         troubles=_faults(replica),
     )
 
 
 def _kind(replica: ReplicaStatus, status: GroupStatus) -> str:
-    """The kind of a replica; only the leader knows whether its own non-voters are learners."""
+    """The kind of a replica; a replica reports itself as outside, as only the leader knows learners."""
     if replica.is_voter:
         return VOTER
     return OUTSIDE if replica.member == status.own else LEARNER
--- a/firvane/fleet/controller/responses.py
+++ b/firvane/fleet/controller/responses.py
@@ -1,4 +1,4 @@
-"""HTTP responses of the operators' API."""
+"""HTTP responses of the operator API."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Response(Struct, frozen=True):
-    """A response; `headers` are those beside the type and the length of the body."""
+    """A response; `headers` excludes the content type and length."""
 
     status: int
     body: bytes = b""
@@ -17,7 +17,7 @@
 
 
 def encode_response(response: Response, close: bool) -> bytes:
-    """Encode a response; with `close` it announces the end of the connection."""
+    """Encode a response, with `Connection: close` if `close` is true."""
     try:
         reason = HTTPStatus(response.status).phrase
     except ValueError:
--- a/firvane/fleet/controller/transfer_order.py
+++ b/firvane/fleet/controller/transfer_order.py
@@ -16,7 +16,7 @@
 
 
 class InvalidTransferOrderError(ControllerError, ValueError):
-    """The body is not a valid order; `problem` says why."""
+    """The body is not a valid order; `problem` gives the reason."""
 
     def __init__(self, code: ResultCode, place: str, detail: str) -> None:
         super().__init__(detail)
@@ -44,7 +44,7 @@
         )
     if not 1 <= order.term <= MAX_VERSION:
         raise InvalidTransferOrderError(ResultCode.OUT_OF_RANGE, "term", "must be at least 1, and a term")
-    return TransferOrder(order.part, order.term, _read_successor(order.successor))
+    return TransferOrder(order.part, order.term, _parse_successor(order.successor))
 
 
 def _decode(body: bytes) -> HandOverRequest:
@@ -56,7 +56,7 @@
         raise InvalidTransferOrderError(ResultCode.NOT_JSON, "", str(error)) from None
 
 
-def _read_successor(text: str | None) -> Address | None:
+def _parse_successor(text: str | None) -> Address | None:
     if text is None:
         return None
     try:
--- a/tests/fleet/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -16,7 +16,7 @@
 from firvane.fleet.configuration.orders import Order, OrderKind
 from firvane.fleet.configuration.state import ConfigurationState
 from firvane.fleet.controller.configuration_service import ConfigurationService
-from firvane.fleet.controller.operator_api import CALLS, OperatorApi
+from firvane.fleet.controller.operator_api import ENDPOINTS, OperatorApi
 from firvane.fleet.controller.replication_host import ProposalResult, ProposalStatus
 from firvane.fleet.controller.responses import Response
 from tests.fleet.controller.fleet_rig import OTHER_PARTITION, FleetRig
@@ -137,7 +137,7 @@
 
 
 def test_the_calls_are_those_of_the_protocol() -> None:
-    assert {(call.method, call.path) for call in CALLS} == {
+    assert {(endpoint.method, endpoint.path) for endpoint in ENDPOINTS} == {
         (b"POST", b"/v1/config/replace"),
         (b"POST", b"/v1/config/modify"),
         (b"GET", b"/v1/config/read"),
