--- a/firvane/fleet/controller/configuration_publisher.py
+++ b/firvane/fleet/controller/configuration_publisher.py
@@ -1,7 +1,7 @@
-"""Publishes the committed configuration through the cluster's dissemination.
+"""Publishes the committed configuration to the cluster.
 
-The owner publishes a version as soon as it is applied. Every other controller publishes it after a delay,
-unless it has received it by then, since the owner may have failed between commit and publication. A
+The owner publishes a version as soon as it is applied. Every other controller publishes it after a delay
+unless it has received the version by then, since the owner may have failed between commit and publication. A
 controller without recent contact to a majority, or with old state recovered from its disk, waits until its
 state is known to be current.
 """
@@ -21,7 +21,7 @@
 
 
 class Dissemination(Protocol):
-    """The methods of the cluster agent that publishing uses."""
+    """The methods of the cluster agent that the publisher uses."""
 
     def publish(self, item: Item) -> None:
         """Publish an item to the cluster."""
@@ -31,10 +31,10 @@
 
 
 class Timers(Protocol):
-    """The method of the event loop that publishing uses."""
+    """The method of the event loop that the publisher uses."""
 
     def call_later(self, delay: float, callback: Callable[[], None]) -> object:
-        """Call back after `delay` seconds."""
+        """Call `callback` after `delay` seconds."""
 
 
 class ConfigurationPublisher:
@@ -55,8 +55,8 @@
             state: The replicated configuration.
             agent: The cluster agent.
             timers: The event loop.
-            is_owner: Whether this controller owns the configuration partition.
-            is_current: Whether the applied state recently held every committed entry.
+            is_owner: Returns whether this controller owns the configuration partition.
+            is_current: Returns whether the applied state recently held every committed entry.
             log: The log.
         """
         self._state = state
@@ -68,14 +68,14 @@
         self._is_retry_scheduled = False
 
     def on_changed(self) -> None:
-        """Publish the version that has come into force, after a delay unless this controller is the owner."""
+        """Publish a newly applied version: immediately as the owner, else after a delay."""
         if self._is_owner():
             self.publish()
         else:
             self._timers.call_later(FOLLOWER_DELAY_S, self.publish)
 
     def publish(self) -> None:
-        """Publish the version in force, unless the cluster already has it or a newer one."""
+        """Publish the applied version, unless the cluster already has this or a newer version."""
         version = self._state.version
         known = self._agent.item(CONFIGURATION_KEY)
         if version == 0 or (known is not None and known.version >= version):
--- a/firvane/fleet/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -1,4 +1,4 @@
-"""The singleton poll role: polls the platform's list of instances while this controller owns the role."""
+"""Polls the platform's list of instances while this controller owns the poll role."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from firvane.fleet.discovery.pages import Backoff, CompleteList, Fetch, InstanceListReader, ReadStep
 
 POLL_INTERVAL_S = 1.0  # from the start of a poll to the start of the next
-MAX_BACKOFF_S = 1.0  # also against `Retry-After`: a backend may begin to drain as soon as the list is back
+MAX_BACKOFF_S = 1.0  # caps `Retry-After` too: a backend may be draining once the list is available
 
 
 class Platform(Protocol):
-    """The method of the platform's client that polling uses."""
+    """The method of the platform client that the poller uses."""
 
     async def get(self, target: str) -> PlatformReply:
-        """The reply to `GET target`; `PlatformError` if there is none."""
+        """Return the reply to `GET target`; `PlatformError` if there is none."""
 
 
 class InstancePoller:
-    """Polls while this controller owns the poll role, and publishes changes."""
+    """Polls the list of instances while this controller owns the poll role, and publishes changes."""
 
     def __init__(
         self,
@@ -43,10 +43,10 @@
         self._sleep = sleep
         self._task: asyncio.Task[None] | None = None
         self._failing = False
-        self._reader = InstanceListReader()  # for all polls: its backoff grows with failures
+        self._reader = InstanceListReader()  # shared by all polls: its backoff grows with failures
 
     def acquire(self, term: int) -> None:
-        """Acquire the role in a term of its partition; the first poll begins at once."""
+        """Acquire the role in a term of its partition; the first poll starts immediately."""
         self._records.acquire(term)
         if self._task is None:
             self._log.info("poll_role_acquired", term=term)
@@ -60,10 +60,10 @@
             self._task.cancel()
             self._task = None
 
-    def learn(self, item: Item) -> None:
+    def merge(self, item: Item) -> None:
         """Merge an item that another controller has published."""
-        for answer in self._records.learn(item):
-            self._publish(answer)
+        for updated in self._records.merge(item):
+            self._publish(updated)
 
     async def _run(self) -> None:
         while True:
@@ -75,14 +75,14 @@
             await self._sleep(max(0.0, started_at + POLL_INTERVAL_S - self._loop.time()))
 
     async def poll(self) -> None:
-        """Fetch all pages of the list, and publish what has changed."""
+        """Fetch all pages of the list, and publish the services that changed."""
         reader = self._reader
         step: ReadStep = reader.begin(self._loop.time())
         while not isinstance(step, CompleteList):
             if isinstance(step, Backoff):
-                await self._wait(step)
+                await self._wait_for_retry(step)
             step = await self._fetch(reader, step)
-        self._recovered()
+        self._log_recovery()
         for item in self._records.observe(step, self._loop.time()):
             self._publish(item)
 
@@ -97,13 +97,13 @@
             return Backoff(max(next_step.until, retry_at), next_step.path, next_step.reason)
         return next_step
 
-    async def _wait(self, pause: Backoff) -> None:
+    async def _wait_for_retry(self, backoff: Backoff) -> None:
         if not self._failing:
             self._failing = True
-            self._log.warning("instance_list_unavailable", reason=pause.reason)
-        await self._sleep(min(MAX_BACKOFF_S, max(0.0, pause.until - self._loop.time())))
+            self._log.warning("instance_list_unavailable", reason=backoff.reason)
+        await self._sleep(min(MAX_BACKOFF_S, max(0.0, backoff.until - self._loop.time())))
 
-    def _recovered(self) -> None:
+    def _log_recovery(self) -> None:
         if self._failing:
             self._failing = False
             self._log.info("instance_list_available")
--- a/firvane/fleet/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -1,12 +1,13 @@
-"""The records of instances that controllers publish for each service, and their versions.
+"""The instance records that controllers publish for each service, and their versions.
 
 Invariants:
 
-1. Every controller merges what is published, so that a new owner of the poll role knows what the last knew.
+1. Every controller merges all published records, so that a new owner of the poll role has the state of the
+   previous one.
 2. Only the owner of the role publishes. A version combines the term of the role's partition with a sequence
    number, so that the versions of a later owner are higher.
-3. After the role is acquired, the first list makes the owner publish every service, changed or not.
-4. A service without instances is published as such.
+3. On the first list after acquiring the role, the owner publishes every service, changed or not.
+4. A service that has no instances left is still published.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 def service_of(key: bytes) -> str | None:
-    """The service of a key of instances; None for any other key."""
+    """The service of a key made by `item_key`; None for any other key."""
     if not key.startswith(INSTANCES_PREFIX):
         return None
     try:
@@ -42,10 +43,10 @@
     def __init__(self, log: Log) -> None:
         self.table = InstanceTable()
         self._log = log
-        self._services: set[str] = set()  # all that were ever known
-        self._term: int | None = None  # of the poll role, while this controller owns it
+        self._services: set[str] = set()  # every service that was ever listed or published
+        self._term: int | None = None  # of the poll role's partition, while this controller owns the role
         self._sequence = 0  # never reset: the role may be acquired twice in a term
-        self._publish_all = False
+        self._publish_all_services = False
 
     @property
     def owns_role(self) -> bool:
@@ -55,7 +56,7 @@
     def acquire(self, term: int) -> None:
         """Acquire the poll role, in this term of its partition."""
         self._term = term
-        self._publish_all = True
+        self._publish_all_services = True
 
     def release(self) -> None:
         """Release the poll role."""
@@ -67,11 +68,11 @@
         self._services |= changed
         if not self.owns_role:
             return []
-        services = self._services if self._publish_all else changed
-        self._publish_all = False
+        services = self._services if self._publish_all_services else changed
+        self._publish_all_services = False
         return [item for item in map(self._item, sorted(services)) if item is not None]
 
-    def learn(self, item: Item) -> list[Item]:
+    def merge(self, item: Item) -> list[Item]:
         """Merge an item that another controller has published; returns the items to publish in turn."""
         service = service_of(item.key)
         if service is None:
@@ -85,8 +86,8 @@
         changed = self.table.merge(service, instances)
         if not (changed and self.owns_role):
             return []
-        own = self._item(service)
-        return [own] if own else []
+        updated = self._item(service)
+        return [updated] if updated else []
 
     def _item(self, service: str) -> Item | None:
         assert self._term is not None
--- a/firvane/fleet/controller/journal_opener.py
+++ b/firvane/fleet/controller/journal_opener.py
@@ -1,4 +1,4 @@
-"""Opens the journals of a controller's groups, each in a thread that retries until the disk works."""
+"""Opens the journals of a controller's groups, each in a thread that retries after disk errors."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OpenedJournal(Struct, frozen=True):
-    """A journal with its recovered state; `is_new` if it was just created."""
+    """A journal with its recovered state; `is_new` if it was created on opening."""
 
     journal: Journal
     recovered: Recovered
@@ -32,7 +32,7 @@
 
 
 def new_incarnation() -> int:
-    """Draw a random incarnation of 64 bits."""
+    """Return a random 64-bit incarnation other than `NO_INCARNATION`."""
     while (incarnation := int.from_bytes(os.urandom(8), "little")) == NO_INCARNATION:
         pass
     return incarnation
@@ -43,18 +43,18 @@
 ) -> OpenedJournal:
     """Open the journal in a folder, or create one of this incarnation.
 
-    A corrupt journal is discarded: the replica joins again as another member. One of an unknown format is
-    neither read nor discarded.
+    A corrupt journal is discarded, and the replica joins again as another member. A journal of an unknown
+    format is neither read nor discarded.
 
     Args:
         files: The file system.
         folder: The folder of the journal.
-        may_bootstrap: Whether an empty folder is one of the first start of the whole system.
-        incarnation: The identity of a journal that is created.
+        may_bootstrap: Whether an empty folder belongs to the first start of the whole cluster.
+        incarnation: The identity of a newly created journal.
         log: The log.
 
     Raises:
-        UnsupportedFormatError: If a program of another version wrote the journal.
+        UnsupportedFormatError: If another version of the program wrote the journal.
         OSError: If the file system fails.
     """
     try:
--- a/firvane/fleet/controller/platform_client.py
+++ b/firvane/fleet/controller/platform_client.py
@@ -1,4 +1,4 @@
-"""An HTTP client for the platform's interface: GET requests over one persistent connection."""
+"""HTTP client of the platform's API: GET requests over one persistent connection."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from firvane.fleet.controller import ControllerError
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-REQUEST_TIMEOUT_S = 0.6  # with the connection, if there is none yet
+REQUEST_TIMEOUT_S = 0.6  # includes connecting, if no connection is open
 
 
 class PlatformError(ControllerError):
-    """The platform gave no usable reply; the text says why."""
+    """The platform sent no usable reply; the message gives the reason."""
 
 
 class PlatformReply(Struct, frozen=True):
@@ -30,7 +30,7 @@
 
 
 class _Connection(asyncio.Protocol):
-    """One connection, and the reply that is awaited on it."""
+    """A connection and its pending reply."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -39,14 +39,14 @@
             httptools.HttpResponseParser, buffer_limit=MAX_BODY_BYTES, body_limit=MAX_BODY_BYTES
         )
         self.reply: asyncio.Future[Message] | None = None
-        self.has_received = False  # whether any byte of the awaited reply has arrived
+        self.has_received = False  # whether any byte of the pending reply has arrived
 
     @property
     def is_open(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def send(self, request: bytes) -> asyncio.Future[Message]:
         assert self.transport is not None
@@ -58,12 +58,12 @@
     def data_received(self, data: bytes) -> None:
         self.has_received = True
         if self.reply is None or self.reply.done():
-            self.close()  # a reply without a request
+            self.close()  # data without a pending request
             return
         try:
             self.reader.feed(data)
-        except HttpError as fault:
-            self._fail(f"bytes that are no answer ({fault.status})")
+        except HttpError as error:
+            self._fail(f"malformed HTTP response ({error.status})")
             return
         if self.reader.completed:
             self._complete(self.reader.completed.pop(0))
@@ -83,7 +83,7 @@
         self.transport = None
         message = self.reader.message
         if message and not message.is_framed and not self.reader.in_head and error is None:
-            self._complete(message)  # without a length, a reply ends with its connection
+            self._complete(message)  # a reply without a length ends when the connection closes
         else:
             self._fail("connection lost")
         self.reader.close()
@@ -94,7 +94,7 @@
 
 
 class PlatformClient:
-    """Sends one request at a time; a persistent connection that turns out to be closed is replaced once."""
+    """Sends one request at a time; retries once on a new connection if the open one was closed."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, address: Address, timeout_s: float = REQUEST_TIMEOUT_S
@@ -110,18 +110,18 @@
         return self._address
 
     def set_address(self, address: Address) -> None:
-        """Use another address from the next request on."""
+        """Use another address for the following requests."""
         if address != self._address:
             self._address = address
             self.close()
 
     async def get(self, target: str) -> PlatformReply:
-        """The reply to `GET target`; `PlatformError` if there is no complete one in time."""
+        """Return the reply to `GET target`; `PlatformError` if none is complete within the timeout."""
         host, port = self._address
         request = f"GET {target} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n".encode("ascii", "replace")
         try:
             async with asyncio.timeout(self.timeout_s):
-                message = await self._exchange(request)
+                message = await self._send_request(request)
         except TimeoutError:
             self.close()
             raise PlatformError("timed out") from None
@@ -133,7 +133,7 @@
             raise
         return PlatformReply(message.status, b"".join(message.body), _retry_after(message))
 
-    async def _exchange(self, request: bytes) -> Message:
+    async def _send_request(self, request: bytes) -> Message:
         connection = self._connection
         if connection and connection.is_open:
             try:
@@ -146,7 +146,7 @@
         return await connection.send(request)
 
     def close(self) -> None:
-        """Close the connection; the next request opens another."""
+        """Close the connection; the next request opens a new one."""
         if self._connection:
             self._connection.close()
             self._connection = None
--- a/firvane/fleet/controller/record_replicator.py
+++ b/firvane/fleet/controller/record_replicator.py
@@ -1,12 +1,12 @@
-"""Replicates the published instance records to the service partitions, and restores them from there.
+"""Replicates published instance records to the service partitions, and publishes records restored from them.
 
 Invariants:
 
-1. Publication does not wait for replication: a draining backend must leave every router in time.
-2. Only the owner of a partition proposes; a new owner proposes the records that its partition lacks.
+1. Publication does not wait for replication: routers must stop using a draining backend in time.
+2. Only the owner of a partition proposes; a new owner proposes the records missing from its partition.
 3. Each partition has at most one proposal in flight, always of the newest version.
-4. A record that a partition stores and the cluster lacks, after all processes have ended, is published again
-   once the partition is known to be current.
+4. A record that is stored in a partition but missing from the cluster, after a shutdown of all processes, is
+   published again once the partition is known to be current.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
 
 PROPOSE_TIMEOUT_S = 2.0
 RETRY_DELAY_S = 1.0  # after a proposal that was not committed
-PUBLISH_DELAY_S = 0.15  # within which a published record usually arrives
+PUBLISH_DELAY_S = 0.15  # a published record usually arrives earlier
 CURRENT_RETRY_INTERVAL_S = 0.25
 
 
 class Replication(Protocol):
-    """The methods of the replication host that are used here."""
+    """The methods of the replication host that the replicator uses."""
 
     async def propose(self, group: int, payload: bytes, timeout_s: float) -> ProposalResult:
-        """Have a command committed."""
+        """Propose a command and return the result of its commit."""
 
     def is_owner(self, group: int) -> bool:
         """Whether this controller owns the group."""
@@ -42,7 +42,7 @@
 
 
 class Dissemination(Protocol):
-    """The methods of the cluster agent that are used here."""
+    """The methods of the cluster agent that the replicator uses."""
 
     def publish(self, item: Item) -> None:
         """Publish an item to the cluster."""
@@ -52,7 +52,7 @@
 
 
 class RecordReplicator:
-    """Proposes published records to their partitions, and publishes records that only the partitions have."""
+    """Proposes published records to their partitions, and publishes records found only in partitions."""
 
     def __init__(
         self,
@@ -84,14 +84,14 @@
         self.replicate(partition)
 
     def replicate(self, partition: int) -> None:
-        """Propose the records that the partition lacks, if this controller owns it and none is in flight."""
+        """As the owner, propose the records missing from the partition, unless a proposal is in flight."""
         if self._closed or partition in self._tasks or partition not in self._partitions:
             return
         if self._replication.is_owner(partition) and self._next_outdated(partition) is not None:
             self._tasks[partition] = self._loop.create_task(self._propose_outdated(partition))
 
     def on_stored(self, record: ServiceRecord) -> None:
-        """Publish a record that a partition has stored (log or snapshot), if the cluster lacks it."""
+        """Publish a record stored by a partition (from log or snapshot), if missing from the cluster."""
         self._services[partition_of(record.service)].add(record.service)
         item = Item(item_key(record.service), record.version, record.payload)
         self._on_restored(item)
@@ -110,7 +110,7 @@
             return
         partition = partition_of(service)
         if item.version < self._partitions[partition].version_of(service):
-            return  # a later record is stored, and will be published
+            return  # a newer record is stored and will be published
         if not self._replication.is_current(partition):
             self._loop.call_later(CURRENT_RETRY_INTERVAL_S, self._publish, item)
             return
@@ -118,7 +118,7 @@
         self._agent.publish(item)
 
     def _next_outdated(self, partition: int) -> ServiceRecord | None:
-        """A record of which the cluster has a newer version than the partition; None if there is none."""
+        """A record that is newer in the cluster than in the partition; None if there is none."""
         for service in sorted(self._services[partition]):
             item = self._agent.item(item_key(service))
             if item is not None and item.version > self._partitions[partition].version_of(service):
--- a/firvane/fleet/controller/replicated_configuration.py
+++ b/firvane/fleet/controller/replicated_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration as a replicated state machine that reports changes of the version in force."""
+"""The configuration as a replicated state machine that reports changes of its version."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReplicatedConfiguration:
-    """Wraps a `ConfigurationState`; calls `on_change` whenever its version has changed."""
+    """Wraps a `ConfigurationState` and calls `on_change` after each change of its version."""
 
     def __init__(self, state: ConfigurationState, on_change: Callable[[], None], log: Log) -> None:
         self.state = state
@@ -19,7 +19,7 @@
         self._log = log
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Apply a committed order; an unexpected error rejects it, as the replica must go on with its log."""
+        """Apply a committed order; reject it on an unexpected error, so that the log can go on."""
         before = self.state.version
         try:
             result = self.state.apply(index, payload)
@@ -30,7 +30,7 @@
         return result
 
     def save(self) -> bytes:
-        """A snapshot of the state."""
+        """Encode a snapshot of the state."""
         return self.state.save()
 
     def load(self, snapshot: bytes) -> None:
