--- a/firvane/fleet/configuration/__init__.py
+++ b/firvane/fleet/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Configurations of the operators: validation, versions, the replicated state, and the routes of routers.
+"""Operators' configurations: validation, versions, replicated state, and the typed form for routers.
 
 Controllers use `state`, `orders`, `checker` and `codes`. Routers use `item` and `routes`, which import none
 of these.
@@ -8,4 +8,4 @@
 
 
 class ConfigurationError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
--- a/firvane/fleet/configuration/checker.py
+++ b/firvane/fleet/configuration/checker.py
@@ -1,4 +1,4 @@
-"""The full validation of an order before it is proposed, in steps between which the event loop can run."""
+"""Full validation of an order before it is proposed, in steps between which the event loop can run."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from firvane.fleet.configuration.state import ConfigurationState
 from firvane.fleet.configuration.structure import item_place
 
-ITEMS_PER_STEP = 8  # about 1 ms
-MAX_DEPTH = 32
+ITEMS_PER_STEP = 8  # takes about 1 ms
+MAX_DEPTH = 32  # of nested lists and objects in an item
 
 
 class _ChangedItem(NamedTuple):
-    key: str  # of the list
+    key: str  # of the document member that contains the item
     place: str
     item: Any
 
@@ -35,8 +35,8 @@
     """Validates one order against a state, a batch of items per step.
 
     Iterate to the end, then read `result`: `ACCEPTED` means that the order may be proposed. Items that are
-    the same in the document in force are not validated again. Finally the document is decoded as routers
-    decode it. The state may change meanwhile; `apply` repeats the checks that depend on it.
+    unchanged from the document in force are not validated again. The last step decodes the document as
+    routers do. The state may change between steps; `apply` repeats the checks that depend on it.
     """
 
     def __init__(
@@ -57,11 +57,11 @@
         return self
 
     def __next__(self) -> None:
-        """Perform one step; `StopIteration` once `result` is set."""
+        """Run one step; raise `StopIteration` once `result` is set."""
         next(self._steps)
 
     def finish(self) -> Result:
-        """Perform all remaining steps at once."""
+        """Run all remaining steps and return the result."""
         for _ in self:
             pass
         assert self.result is not None
@@ -84,17 +84,17 @@
             if len(problems) >= MAX_PROBLEMS:
                 break
             yield
-        problems = problems or _reading_problems(outcome.text)
+        problems = problems or _decoding_problems(outcome.text)
         self.result = invalid(version, problems) if problems else Result(ResultCode.ACCEPTED, outcome.version)
 
     def _item_problems(self, key: str, place: str, item: Any) -> Iterator[Problem]:
         if exceeds_depth(item, MAX_DEPTH):
             yield Problem(ResultCode.TOO_DEEP, place, f"is nested more than {MAX_DEPTH} deep")
-        elif self._schemas.knows(key):
+        elif self._schemas.has_schema(key):
             yield from self._schemas.find_problems(key, item, place)
 
 
-def _reading_problems(text: bytes) -> list[Problem]:
+def _decoding_problems(text: bytes) -> list[Problem]:
     try:
         read_entry(text)
     except ItemError as error:
@@ -106,23 +106,23 @@
     for key, value in document.items():
         before = accepted.get(key)
         if key in (ROUTES, SERVICES, TENANTS) and isinstance(value, list):
-            yield from _changed_of_list(key, value, before)
+            yield from _changed_list_items(key, value, before)
         elif (key == LIMITS or isinstance(value, (dict, list))) and not is_same_json(value, before):
             yield _ChangedItem(key, key, value)
 
 
-def _changed_of_list(key: str, items: list[Any], before: Any) -> Iterator[_ChangedItem]:
+def _changed_list_items(key: str, items: list[Any], before: Any) -> Iterator[_ChangedItem]:
     known = {name_of(item): item for item in before} if isinstance(before, list) else {}
     for position, item in enumerate(items):
         if not is_same_json(item, known.get(name_of(item))):
             yield _ChangedItem(key, item_place(key, position, item), item)
 
 
-def exceeds_depth(value: Any, bound: int) -> bool:
-    """Whether lists and objects are nested more than `bound` deep."""
+def exceeds_depth(value: Any, max_depth: int) -> bool:
+    """Whether lists and objects are nested more than `max_depth` deep."""
     if not isinstance(value, (dict, list)):
         return False
-    if bound == 0:
+    if max_depth == 0:
         return True
-    inner = value.values() if isinstance(value, dict) else value
-    return any(exceeds_depth(each, bound - 1) for each in inner)
+    children = value.values() if isinstance(value, dict) else value
+    return any(exceeds_depth(child, max_depth - 1) for child in children)
--- a/firvane/fleet/configuration/codes.py
+++ b/firvane/fleet/configuration/codes.py
@@ -1,4 +1,4 @@
-"""Numbered result codes of the operators' API; `docs/result-codes.md` holds the same table."""
+"""Numbered result codes of the operator API; `docs/result-codes.md` contains the same table."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 class ResultCode(enum.IntEnum):
     """The result of a call, or a problem of one field: a number, an HTTP status and a meaning.
 
-    1xxx: accepted or answered. 2xxx: the call or its document is invalid. 3xxx: it conflicts with a later
-    state. 5xxx: nothing was decided here, so the same call may be retried.
+    1xxx: accepted or answered. 2xxx: the call or its document is invalid. 3xxx: the call conflicts with a
+    later state. 5xxx: this controller decided nothing, so the same call may be retried.
     """
 
     http_status: int
     meaning: str
 
     def __new__(cls, number: int, http_status: int, meaning: str) -> ResultCode:
-        """Create a member with its status and meaning."""
+        """Create a member with its HTTP status and meaning."""
         code = int.__new__(cls, number)
         code._value_ = number
         code.http_status = http_status
@@ -78,7 +78,7 @@
 
     @property
     def is_acknowledgement(self) -> bool:
-        """Whether the order is or was in force."""
+        """Whether the order was applied, by this or an earlier call."""
         return self in (ResultCode.ACCEPTED, ResultCode.REPEATED)
 
 
@@ -86,7 +86,7 @@
 
 
 def code_of(number: int) -> ResultCode:
-    """The code with this number; `ValueError` if there is none."""
+    """Return the code with this number; `ValueError` if there is none."""
     try:
         return _BY_NUMBER[number]
     except KeyError:
--- a/firvane/fleet/configuration/delta.py
+++ b/firvane/fleet/configuration/delta.py
@@ -1,8 +1,8 @@
-"""The difference between two documents, for dissemination of a change without the complete configuration.
+"""The difference between two documents, to disseminate a change without the complete configuration.
 
-A delta lists the added, replaced or removed items, by list and name. It applies only to the text that it
-was made from: it contains checksums of both texts, and a mismatch raises `DeltaError`. If items cannot
-describe the change (another order, an item without a name), the delta contains the complete new text.
+A delta lists the added, replaced or removed items, by list and name. It applies only to the old text that it
+was made from: it contains checksums of both texts, and a mismatch raises `DeltaError`. If named items cannot
+express the change (reordered items, an item without a name), the delta contains the complete new text.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 DELTA_VERSION = 1
 COMPRESSION_LEVEL = 6
 
-_HEAD = struct.Struct("!BBIII")  # record version, kind, checksums of old and new text, length of the body
+_HEADER = struct.Struct("!BBIII")  # record version, kind, checksums of old and new text, length of the body
 _SET = "set"
 _DROP = "drop"
 _LISTS = "lists"
@@ -36,12 +36,12 @@
 
 
 class DeltaError(ConfigurationError, ValueError):
-    """A delta is malformed, or was made from another text."""
+    """A delta is malformed, or was made from another old text."""
 
 
 class _Kind(enum.IntEnum):
     FULL = 0  # the body is the new text
-    ITEMS = 1  # the body is an object of changes
+    ITEMS = 1  # the body is a JSON object of changes
 
 
 def make_delta(old: bytes, new: bytes) -> bytes:
@@ -50,24 +50,24 @@
     try:
         old_document = parse_object(old)
         changes = _difference(old_document, parse_object(new))
-        if encode(_changed(old_document, changes)) == new:
+        if encode(_apply_changes(old_document, changes)) == new:
             kind, body = _Kind.ITEMS, encode(changes)
     except DocumentError:
-        pass  # not a document: the complete text is sent
+        pass  # not a JSON object: the delta contains the complete text
     if len(body) > MAX_DOCUMENT_BYTES:
         raise DeltaError("the document is too large")
-    head = _HEAD.pack(DELTA_VERSION, kind, zlib.crc32(old), zlib.crc32(new), len(body))
-    return head + zlib.compress(body, COMPRESSION_LEVEL)
+    header = _HEADER.pack(DELTA_VERSION, kind, zlib.crc32(old), zlib.crc32(new), len(body))
+    return header + zlib.compress(body, COMPRESSION_LEVEL)
 
 
 def apply_delta(old: bytes, delta: bytes) -> bytes:
     """Return the new text; `DeltaError` if the delta is malformed or was made from another text."""
     kind, old_checksum, new_checksum, body = _read(delta)
     if zlib.crc32(old) != old_checksum:
-        raise DeltaError("the delta was made from another text")
+        raise DeltaError("the delta was made from another old text")
     new = body if kind is _Kind.FULL else _apply_items(old, body)
     if zlib.crc32(new) != new_checksum:
-        raise DeltaError("the delta does not lead to the text that it names")
+        raise DeltaError("the resulting text does not match the checksum in the delta")
     return new
 
 
@@ -79,27 +79,27 @@
 
 
 def _read(delta: bytes) -> _Delta:
-    if len(delta) < _HEAD.size:
-        raise DeltaError("the delta is cut off")
-    record_version, kind, old_checksum, new_checksum, length = _HEAD.unpack_from(delta)
+    if len(delta) < _HEADER.size:
+        raise DeltaError("the header of the delta is truncated")
+    record_version, kind, old_checksum, new_checksum, length = _HEADER.unpack_from(delta)
     if record_version != DELTA_VERSION:
         raise DeltaError(f"unknown version {record_version} of a delta")
     if length > MAX_DOCUMENT_BYTES:
         raise DeltaError("the delta is too large")
     inflater = zlib.decompressobj()
     try:
-        body = inflater.decompress(delta[_HEAD.size :], length + 1)
+        body = inflater.decompress(delta[_HEADER.size :], length + 1)
         delta_kind = _Kind(kind)
     except (zlib.error, ValueError) as error:
-        raise DeltaError(f"the delta cannot be read: {error}") from error
+        raise DeltaError(f"malformed delta: {error}") from error
     if len(body) != length or not inflater.eof or inflater.unused_data:
-        raise DeltaError("the length of the delta is wrong")
+        raise DeltaError("the length of the delta differs from its header")
     return _Delta(delta_kind, old_checksum, new_checksum, body)
 
 
 def _apply_items(old: bytes, body: bytes) -> bytes:
     try:
-        return encode(_changed(parse_object(old), parse_object(body)))
+        return encode(_apply_changes(parse_object(old), parse_object(body)))
     except (DocumentError, KeyError, TypeError, AttributeError, RecursionError) as error:
         raise DeltaError(f"the changes cannot be applied: {error}") from error
 
@@ -120,7 +120,7 @@
 
 
 def _by_name(items: Any) -> dict[str, Any] | None:
-    """Items by name; None if one has no unique name."""
+    """The items by name; None if any item has no unique name."""
     if not isinstance(items, list):
         return None
     named = {name: item for item in items if (name := name_of(item)) is not None}
@@ -134,7 +134,7 @@
     return {_UPSERT: changed, _REMOVE: [name for name in before if name not in after]}
 
 
-def _changed(old: Document, changes: Document) -> Document:
+def _apply_changes(old: Document, changes: Document) -> Document:
     new = dict(old)
     for key in changes[_DROP]:
         new.pop(key, None)
--- a/firvane/fleet/configuration/document.py
+++ b/firvane/fleet/configuration/document.py
@@ -1,4 +1,4 @@
-"""Configuration documents as JSON objects: decoding, merging of changes, encoding.
+"""Configuration documents as JSON objects: decoding, merging changes, encoding.
 
 A document is an object with `config_version`, lists of items that have a `name` (`routes`, `services` and any
 other), and further members such as `limits`. Unknown members are retained unchanged.
@@ -29,7 +29,7 @@
 
 
 class DocumentError(ConfigurationError, ValueError):
-    """A document cannot be decoded or merged; `problems` says why."""
+    """A document cannot be decoded or merged; `problems` gives the reasons."""
 
     def __init__(self, *problems: Problem) -> None:
         super().__init__("; ".join(map(str, problems)))
@@ -50,12 +50,12 @@
 
 
 def encode(document: Document) -> bytes:
-    """Encode canonically: compact JSON, with members and items in their order."""
+    """Encode canonically: compact JSON that keeps the order of members and items."""
     return msgspec.json.encode(document)
 
 
 def build(order: Order, current: Document) -> Document:
-    """The document after the order; `current` is not changed.
+    """Return the document that results from the order; `current` is not changed.
 
     Raises:
         DocumentError: If the body cannot be decoded or merged.
@@ -67,14 +67,14 @@
 
 
 def merge(current: Document, change: Document) -> Document:
-    """Apply `remove` and `upsert` of a change; its other members replace those of the document."""
+    """Apply the `remove` and `upsert` lists of a change; its other members replace the current ones."""
     upsert = _member_lists(change, UPSERT)
     remove = _member_lists(change, REMOVE)
     problems = list(islice(chain(_upsert_problems(upsert), _remove_problems(remove)), MAX_PROBLEMS))
     problems = problems or list(islice(_contradictions(upsert, remove), MAX_PROBLEMS))
     if problems:
         raise DocumentError(*problems)
-    merged = {**current, VERSION: None}  # a change must bring a version of its own
+    merged = {**current, VERSION: None}  # a change must contain its own version
     merged.update((key, value) for key, value in change.items() if key not in (UPSERT, REMOVE))
     for key in dict.fromkeys((*remove, *upsert)):
         if key in upsert or key in merged:
@@ -151,11 +151,11 @@
 
 
 def is_same_json(left: Any, right: Any) -> bool:
-    """Whether two values have the same JSON text; 1, 1.0 and true are equal but have not."""
+    """Whether two values have the same JSON text; 1, 1.0 and true are equal, but their texts differ."""
     return left is right or (left == right and msgspec.json.encode(left) == msgspec.json.encode(right))
 
 
 def name_of(item: Any) -> str | None:
-    """The `name` of an item; None if it has none."""
+    """The `name` of an item; None if the item has no name or is not an object."""
     name = item.get("name") if isinstance(item, dict) else None
     return name if isinstance(name, str) else None
--- a/firvane/fleet/configuration/order_history.py
+++ b/firvane/fleet/configuration/order_history.py
@@ -1,8 +1,8 @@
-"""The applied orders by their base version: distinguishes a repeated order from a late one.
+"""History of the applied orders by base version, to tell a repeated order from a conflicting one.
 
 Each applied order leads from its base to a higher version, so no two have the same base. The history is
-complete from the version `complete_from` on: an order with such a base was applied if and only if its
-digest is here. Of older versions nothing is known.
+complete from version `complete_from` on: an order with such a base was applied if and only if the history
+contains its digest. Orders with an older base are unknown.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 MAX_ORDERS = 4096  # in the history
 
-_HEAD = struct.Struct("!QII")  # `complete_from`, numbers of orders and of digests without a base
+_HEADER = struct.Struct("!QII")  # `complete_from`, numbers of orders and of digests without a base
 _ENTRY = struct.Struct(f"!Q{DIGEST_BYTES}s")  # base, digest
 
 
 class OrderStatus(enum.Enum):
-    """Whether an order on an earlier version than the one in force was applied."""
+    """Whether an order was applied whose base is older than the version in force."""
 
     APPLIED = enum.auto()
     NOT_APPLIED = enum.auto()
@@ -28,7 +28,7 @@
 
 
 class OrderHistory:
-    """The last applied orders, oldest first."""
+    """The most recently applied orders, oldest first."""
 
     def __init__(self, limit: int = MAX_ORDERS) -> None:
         self._limit = limit
@@ -37,7 +37,7 @@
         self._digests_without_base: frozenset[bytes] = frozenset()  # from a snapshot of format 1
 
     def add(self, order: Order) -> None:
-        """Add an order that was applied to the version in force."""
+        """Add an order that is being applied to the version in force."""
         self._digests[order.base] = order.digest()
         if len(self._digests) > self._limit:
             oldest = next(iter(self._digests))
@@ -46,7 +46,7 @@
             self._digests_without_base = frozenset()
 
     def status_of(self, order: Order) -> OrderStatus:
-        """Whether an order on an earlier version was applied."""
+        """Whether an order with an older base was applied."""
         digest = order.digest()
         if self._digests.get(order.base) == digest or digest in self._digests_without_base:
             return OrderStatus.APPLIED
@@ -55,21 +55,21 @@
     def pack(self) -> bytes:
         """Encode as part of a snapshot."""
         entries = [_ENTRY.pack(base, digest) for base, digest in self._digests.items()]
-        head = _HEAD.pack(self._complete_from, len(entries), len(self._digests_without_base))
-        return head + b"".join(entries) + b"".join(sorted(self._digests_without_base))
+        header = _HEADER.pack(self._complete_from, len(entries), len(self._digests_without_base))
+        return header + b"".join(entries) + b"".join(sorted(self._digests_without_base))
 
     @classmethod
     def unpack(cls, record: bytes, start: int) -> DecodedHistory:
         """Decode the history in a snapshot; `RecordError` if it is malformed."""
         try:
-            complete_from, count, digest_count = _HEAD.unpack_from(record, start)
+            complete_from, count, digest_count = _HEADER.unpack_from(record, start)
         except struct.error:
-            raise RecordError("the history of orders is cut off") from None
-        orders_start = start + _HEAD.size
+            raise RecordError("the history of orders is truncated") from None
+        orders_start = start + _HEADER.size
         digests_start = orders_start + count * _ENTRY.size
         end = digests_start + digest_count * DIGEST_BYTES
         if end > len(record):
-            raise RecordError("the history of orders is cut off")
+            raise RecordError("the history of orders is truncated")
         history = cls()
         history._complete_from = complete_from
         history._digests = dict(_ENTRY.iter_unpack(record[orders_start:digests_start]))
@@ -78,7 +78,7 @@
 
     @classmethod
     def without_bases(cls, digests: bytes, is_complete: bool, version: int) -> OrderHistory:
-        """The history in a snapshot of format 1, which has no bases; `is_complete`: it has every order."""
+        """Create the history of a format 1 snapshot, without bases; `is_complete`: with every order."""
         history = cls()
         history._digests_without_base = frozenset(split_digests(digests))
         history._complete_from = 0 if is_complete else version
@@ -86,7 +86,7 @@
 
 
 class DecodedHistory(NamedTuple):
-    """A decoded history, and the offset of the byte after it."""
+    """A decoded history, and the offset of the byte that follows."""
 
     history: OrderHistory
     end: int
--- a/firvane/fleet/configuration/orders.py
+++ b/firvane/fleet/configuration/orders.py
@@ -20,9 +20,9 @@
 MAX_VERSION = 2**63 - 1
 DIGEST_BYTES = 16
 
-_ORDER_HEAD = struct.Struct("!BBQI")  # record version, kind, base, length of the body
-_RESULT_HEAD = struct.Struct("!BHQH")  # record version, code, configuration version, number of problems
-_PROBLEM_HEAD = struct.Struct("!HHH")  # code, lengths of the place and of the detail
+_ORDER_HEADER = struct.Struct("!BBQI")  # record version, kind, base, length of the body
+_RESULT_HEADER = struct.Struct("!BHQH")  # record version, code, configuration version, number of problems
+_PROBLEM_HEADER = struct.Struct("!HHH")  # code, lengths of the place and of the detail
 
 
 class RecordError(ConfigurationError, ValueError):
@@ -37,16 +37,16 @@
 
 
 class Order(Struct, frozen=True):
-    """One order as the operator sent it: `base` is the version it is based on, `body` its unchanged text."""
+    """An operator's order: `base` is the version to apply the order to, `body` the text as received."""
 
     kind: OrderKind
     base: int
     body: bytes
 
     def digest(self) -> bytes:
-        """The digest that identifies the order, so that a repetition is recognised."""
-        head = _ORDER_HEAD.pack(RECORD_VERSION, self.kind, self.base, len(self.body))
-        return hashlib.blake2b(head + self.body, digest_size=DIGEST_BYTES).digest()
+        """The digest by which a repeated order is recognised."""
+        header = _ORDER_HEADER.pack(RECORD_VERSION, self.kind, self.base, len(self.body))
+        return hashlib.blake2b(header + self.body, digest_size=DIGEST_BYTES).digest()
 
     def pack(self) -> bytes:
         """Encode as a record; `RecordError` if the base or the body is out of bounds."""
@@ -54,25 +54,25 @@
             raise RecordError("the base version is out of bounds")
         if len(self.body) > MAX_BODY_BYTES:
             raise RecordError("the body is too large")
-        return _ORDER_HEAD.pack(RECORD_VERSION, self.kind, self.base, len(self.body)) + self.body
+        return _ORDER_HEADER.pack(RECORD_VERSION, self.kind, self.base, len(self.body)) + self.body
 
     @classmethod
     def unpack(cls, record: bytes) -> Order:
         """Decode a record; `RecordError` if it is malformed."""
-        if len(record) < _ORDER_HEAD.size:
-            raise RecordError("the order is cut off")
-        record_version, kind, base, length = _ORDER_HEAD.unpack_from(record)
+        if len(record) < _ORDER_HEADER.size:
+            raise RecordError("the header of the order is truncated")
+        record_version, kind, base, length = _ORDER_HEADER.unpack_from(record)
         if record_version != RECORD_VERSION:
             raise RecordError(f"unknown version {record_version} of an order's record")
-        if length > MAX_BODY_BYTES or length != len(record) - _ORDER_HEAD.size:
-            raise RecordError("the length of the order is wrong")
+        if length > MAX_BODY_BYTES or length != len(record) - _ORDER_HEADER.size:
+            raise RecordError("the length of the order differs from its header")
         if base > MAX_VERSION:
             raise RecordError("the base version is out of bounds")
         try:
             order_kind = OrderKind(kind)
         except ValueError:
             raise RecordError(f"unknown kind {kind} of order") from None
-        return cls(order_kind, base, bytes(record[_ORDER_HEAD.size :]))
+        return cls(order_kind, base, bytes(record[_ORDER_HEADER.size :]))
 
 
 class Problem(Struct, frozen=True):
@@ -88,7 +88,7 @@
 
 
 class Result(Struct, frozen=True):
-    """The result of an order; `version` is that of the configuration after it."""
+    """The result of an order; `version` is the configuration version after the order."""
 
     code: ResultCode
     version: int
@@ -97,7 +97,7 @@
     def pack(self) -> bytes:
         """Encode as a record; problems beyond `MAX_PROBLEMS` and long texts are truncated."""
         problems = self.problems[:MAX_PROBLEMS]
-        chunks = [_RESULT_HEAD.pack(RECORD_VERSION, self.code, self.version, len(problems))]
+        chunks = [_RESULT_HEADER.pack(RECORD_VERSION, self.code, self.version, len(problems))]
         chunks.extend(_pack_problem(problem) for problem in problems)
         return b"".join(chunks)
 
@@ -105,12 +105,12 @@
     def unpack(cls, record: bytes) -> Result:
         """Decode a record; `RecordError` if it is malformed."""
         try:
-            record_version, code, version, count = _RESULT_HEAD.unpack_from(record)
+            record_version, code, version, count = _RESULT_HEADER.unpack_from(record)
             if record_version != RECORD_VERSION:
                 raise RecordError(f"unknown version {record_version} of a result's record")
             if count > MAX_PROBLEMS:
                 raise RecordError("too many problems")
-            problems, end = _unpack_problems(record, _RESULT_HEAD.size, count)
+            problems, end = _unpack_problems(record, _RESULT_HEADER.size, count)
             if end != len(record):
                 raise RecordError("bytes follow the result")
             return cls(code_of(code), version, problems)
@@ -119,17 +119,17 @@
 
 
 def invalid(version: int, problems: Sequence[Problem]) -> Result:
-    """The result that rejects a document for its problems."""
+    """Return the result that rejects a document with these problems."""
     return Result(ResultCode.INVALID, version, tuple(problems[:MAX_PROBLEMS]))
 
 
 def _pack_problem(problem: Problem) -> bytes:
-    place = _bounded(problem.place)
-    detail = _bounded(problem.detail)
-    return _PROBLEM_HEAD.pack(problem.code, len(place), len(detail)) + place + detail
+    place = _encode_truncated(problem.place)
+    detail = _encode_truncated(problem.detail)
+    return _PROBLEM_HEADER.pack(problem.code, len(place), len(detail)) + place + detail
 
 
-def _bounded(text: str) -> bytes:
+def _encode_truncated(text: str) -> bytes:
     encoded = text.encode("utf-8", "replace")
     if len(encoded) <= MAX_TEXT_BYTES:
         return encoded
@@ -138,20 +138,20 @@
 
 class _DecodedProblems(NamedTuple):
     problems: tuple[Problem, ...]
-    end: int  # offset of the byte after them
+    end: int  # offset of the byte after the problems
 
 
 def _unpack_problems(record: bytes, offset: int, count: int) -> _DecodedProblems:
     problems = []
     for _ in range(count):
-        code, place_length, detail_length = _PROBLEM_HEAD.unpack_from(record, offset)
+        code, place_length, detail_length = _PROBLEM_HEADER.unpack_from(record, offset)
         if max(place_length, detail_length) > MAX_TEXT_BYTES:
-            raise RecordError("a text is too long")
-        place_start = offset + _PROBLEM_HEAD.size
+            raise RecordError("a place or detail is too long")
+        place_start = offset + _PROBLEM_HEADER.size
         detail_start = place_start + place_length
         offset = detail_start + detail_length
         if offset > len(record):
-            raise RecordError("the result is cut off")
+            raise RecordError("the result is truncated")
         place = record[place_start:detail_start].decode()
         detail = record[detail_start:offset].decode()
         problems.append(Problem(code_of(code), place, detail))
--- a/firvane/fleet/configuration/recovered.py
+++ b/firvane/fleet/configuration/recovered.py
@@ -1,7 +1,7 @@
-"""The configuration version that a disk holds: the applied one, and the orders after it in the log.
+"""The configuration version that a recovered log leads to: the applied version, and unapplied orders.
 
-After a restart the tail of the log is applied only once a majority has confirmed it; the version on the
-disk is known at once.
+After a restart the tail of the log is applied only once a majority has confirmed it; the version on disk is
+known immediately.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 def recovered_version(applied: int, records: Iterable[bytes]) -> int:
-    """The version that the packed orders lead to from the version `applied`, if all are committed.
+    """Return the version that the packed orders lead to from the version `applied`, if all are committed.
 
-    Orders were validated before they were proposed, so only their base is checked; malformed ones and those
-    on another version change nothing, as in `ConfigurationState.apply`.
+    Orders were validated before they were proposed, so only their base is checked. A malformed order or one
+    with another base changes nothing, as in `ConfigurationState.apply`.
     """
     version = applied
     for record in records:
--- a/firvane/fleet/configuration/routes.py
+++ b/firvane/fleet/configuration/routes.py
@@ -1,4 +1,4 @@
-"""The typed configuration, and the table that finds the route of a request."""
+"""The typed configuration, and the route table that matches requests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 DEFAULT_HEADER_TIMEOUT_MS = 3_000.0
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 DEFAULT_HEALTH_PATH = "/health"
-TOKEN_UNIT = "token_count"  # of a tenant whose rate and burst count tokens
+TOKEN_UNIT = "token_count"  # value of `unit` if the rate and burst of a tenant count tokens
 KEY_DIGEST_BYTES = 16
 
 
 class RouteKind(enum.Enum):
-    """Whether a request may be retried, and the form of its response; unknown kinds are `NON_IDEMPOTENT`."""
+    """Whether a request may be retried, and whether its response streams; others are `NON_IDEMPOTENT`."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non_idempotent"
@@ -29,16 +29,16 @@
 
 
 class Target(NamedTuple):
-    """A service and its weight among the targets of a route."""
+    """A target of a route: a service and its relative weight."""
 
     service: str
     weight: float
 
 
 class Route(Struct, frozen=True):
-    """One route. Times are in milliseconds; `targets` holds no weight of 0 and is never empty.
+    """A route. Times are in milliseconds; `targets` is never empty and contains no weight of 0.
 
-    `target_latency_ms` and `gap_aim_ms` (target of the time between tokens) are 0 if the operator gave none.
+    `target_latency_ms` and `gap_aim_ms` (target for the time between tokens) are 0 if not configured.
     """
 
     name: str
@@ -53,26 +53,26 @@
     session_affinity: bool
     stream_resume: bool
     gap_aim_ms: float
-    anonymous: bool = False  # whether requests need no key although there are tenants
+    anonymous: bool = False  # whether requests need no key although tenants are configured
 
 
 class Tenant(Struct, frozen=True):
-    """One tenant: digests of its keys, its priority, and its quota over all routers together.
+    """A tenant: digests of its keys, its priority, and its quota, shared by all routers.
 
-    `rate` (a second) and `burst` count tokens if `counts_tokens`, else requests; a `rate` of 0 is no limit.
+    `rate` (per second) and `burst` count tokens if `counts_tokens`, else requests; a `rate` of 0 is no limit.
     """
 
     name: str
     key_digests: tuple[bytes, ...] = ()
-    priority: int | None = None  # overrides that of the route
+    priority: int | None = None  # overrides the priority of the route
     counts_tokens: bool = False
-    uncached_tokens: int = 0  # charged for a request without a number of tokens
+    uncached_tokens: int = 0  # charged for a request that states no number of tokens
     rate: float = 0.0
     burst: float = 0.0
 
 
 class Engine(Struct, frozen=True):
-    """The model server of a backend: batch slots, KV cache in tokens, tokens per event of a stream."""
+    """The model server of a backend: batch slots, KV cache size in tokens, tokens per stream event."""
 
     slots: int
     cache_tokens: int
@@ -83,7 +83,7 @@
 
 
 class Service(Struct, frozen=True):
-    """One service. `connection_limit` bounds the connections of all callers to one backend; 0: unknown."""
+    """A service. `connection_limit` bounds all callers' connections to one backend; 0 means unknown."""
 
     name: str
     health_path: str
@@ -94,7 +94,7 @@
 
 
 class Limits(Struct, frozen=True):
-    """Limits of what a client sends (bytes), and its timeouts (milliseconds)."""
+    """Limits of client requests in bytes, and client timeouts in milliseconds."""
 
     max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
     max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
@@ -103,9 +103,9 @@
 
 
 class Configuration(Struct, frozen=True):
-    """One version of the complete configuration; `services` are by name.
+    """One version of the complete configuration; `services` is keyed by name.
 
-    `tenants` is None if the document has no such member: then no request needs a key.
+    `tenants` is None if the document has no such member; then no request needs a key.
     """
 
     version: int
@@ -116,7 +116,7 @@
 
 
 class RouteTable:
-    """Finds the longest matching path prefix of a host, with one lookup for each segment of the path."""
+    """Finds the route with the longest matching path prefix, with one lookup per path segment."""
 
     def __init__(self, configuration: Configuration) -> None:
         self.version = configuration.version
@@ -126,28 +126,28 @@
             self._hosts.setdefault(host, _HostRoutes()).add(route)
 
     def find(self, host: bytes, path: bytes) -> Route | None:
-        """The route of a request; None if there is none. `host` may have a port, `path` a query."""
-        routes = self._hosts.get(host) or self._hosts.get(_bare_host(host))
+        """Return the matching route, or None. `host` may include a port, `path` a query."""
+        routes = self._hosts.get(host) or self._hosts.get(_host_without_port(host))
         return routes.find(path) if routes else None
 
 
 class _HostRoutes:
-    """The routes of one host, by prefix."""
+    """The routes of one host, by path prefix."""
 
-    __slots__ = ("_by_prefix", "_longest")
+    __slots__ = ("_by_prefix", "_max_prefix_length")
 
     def __init__(self) -> None:
         self._by_prefix: dict[bytes, Route] = {}
-        self._longest = 0
+        self._max_prefix_length = 0
 
     def add(self, route: Route) -> None:
         prefix = route.path_prefix.encode()
         self._by_prefix[prefix] = route
-        self._longest = max(self._longest, len(prefix))
+        self._max_prefix_length = max(self._max_prefix_length, len(prefix))
 
     def find(self, path: bytes) -> Route | None:
         query = path.find(b"?")
-        end = min(len(path) if query < 0 else query, self._longest)
+        end = min(len(path) if query < 0 else query, self._max_prefix_length)
         while (end := path.rfind(b"/", 0, end) + 1) > 0:
             if (route := self._by_prefix.get(path[:end])) is not None:
                 return route
@@ -156,18 +156,18 @@
 
 
 def key_digest(key: bytes) -> bytes:
-    """The digest of a tenant's key, which is stored in place of the key."""
+    """Return the digest of a tenant's key, which is stored instead of the key."""
     return digest(key, KEY_DIGEST_BYTES)
 
 
-def _bare_host(host: bytes) -> bytes:
+def _host_without_port(host: bytes) -> bytes:
     host = host.strip().lower()
     if host.startswith(b"["):
         return host[: host.find(b"]") + 1]
     return host.partition(b":")[0]
 
 
-# The document as msgspec decodes it; each optional member may also be null.
+# The document as decoded by msgspec; each optional member may also be null.
 
 
 class _TargetEntry(msgspec.Struct):
@@ -211,7 +211,7 @@
     def targets(self) -> tuple[Target, ...]:
         if self.service is not None:
             return (Target(self.service, 1.0),)
-        return tuple(_merged(self.weighted_split or ()))
+        return tuple(_merge_targets(self.weighted_split or ()))
 
 
 class _ModelEntry(msgspec.Struct):
@@ -293,7 +293,7 @@
 
 
 class ConfigurationEntry(msgspec.Struct):
-    """A document as it is decoded from JSON; `configuration` converts it to the types above."""
+    """A document decoded from JSON; `configuration` converts it to a `Configuration`."""
 
     routes: list[_RouteEntry] = msgspec.field(default_factory=list)
     services: list[_ServiceEntry] = msgspec.field(default_factory=list)
@@ -312,11 +312,11 @@
 
 
 class TenantsEntry(msgspec.Struct):
-    """Only the tenants of a document."""
+    """A document of which only the tenants are decoded."""
 
     tenants: list[_TenantEntry] | None = None
 
-    def typed(self) -> tuple[Tenant, ...]:
+    def to_tenants(self) -> tuple[Tenant, ...]:
         """Convert to typed tenants; empty if the document has no such member."""
         return tuple(entry.tenant() for entry in self.tenants or ())
 
@@ -324,8 +324,8 @@
 _KINDS: dict[str | None, RouteKind] = {kind.value: kind for kind in RouteKind}
 
 
-def _merged(split: Iterable[_TargetEntry]) -> Iterable[Target]:
-    """Targets with the weights of each service summed; those with a weight of 0 are omitted."""
+def _merge_targets(split: Iterable[_TargetEntry]) -> Iterable[Target]:
+    """Sum the weights of each service, and omit services with a weight of 0."""
     weights: dict[str, float] = {}
     for entry in split:
         weights[entry.service] = weights.get(entry.service, 0.0) + entry.weight
--- a/firvane/fleet/configuration/state.py
+++ b/firvane/fleet/configuration/state.py
@@ -3,14 +3,14 @@
 Rules that all replicas apply deterministically:
 
 1. An order that was applied before is acknowledged again, by any incarnation of any process.
-2. An order on an earlier version is rejected as a conflict only if it is known that it was not applied
-   (`order_history`); one on a version that was never reached is a conflict as well.
-3. An order is invalid unless the document that it leads to is valid and has a version above the current one.
+2. An order with an older base is rejected as a conflict only if it is known not to have been applied
+   (`order_history`); an order whose base was never reached is a conflict as well.
+3. An order is invalid unless the resulting document is valid and has a version above the current one.
 4. Any other order is applied: the document changes atomically.
 
-`apply` repeats these checks, since two orders on one base may both have been accepted before either was
-applied. It does not run cerberus: `checker.Checker` does so once, before an order is proposed. A conflict
-that `check` finds is final only on a replica whose state is known to be current.
+`apply` repeats these checks, since two orders with the same base may both have been accepted before either
+was applied. `apply` does not run cerberus: `checker.Checker` does so once, before an order is proposed. A
+conflict found by `check` is final only on a replica whose state is known to be current.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 __all__ = ["ConfigurationState", "Draft", "Order", "OrderKind", "Result"]
 
 SNAPSHOT_VERSION = 2
-SNAPSHOT_WITHOUT_BASES = 1  # an older version, which is still read
-MAX_DIGESTS_WITHOUT_BASES = 1024  # in that version
+SNAPSHOT_WITHOUT_BASES = 1  # an older format, which is still read
+MAX_DIGESTS_WITHOUT_BASES = 1024  # in a snapshot of the older format
 
-_SNAPSHOT_HEAD = struct.Struct("!BI")  # version, length of the item; the history and the item follow
-_OLD_SNAPSHOT_HEAD = struct.Struct("!BHI")  # snapshot version, number of digests, length of the item
+_SNAPSHOT_HEADER = struct.Struct("!BI")  # version, length of the item; the history and the item follow
+_SNAPSHOT_WITHOUT_BASES_HEADER = struct.Struct("!BHI")  # version, number of digests, length of the item
 
 
 class Draft(Struct, frozen=True):
-    """The valid document that an order leads to."""
+    """The valid document that would result from an order."""
 
     version: int
     document: Document
@@ -76,22 +76,22 @@
 
     @property
     def parsed(self) -> Document:
-        """The same as an object, which callers must not change."""
+        """The configuration in force as an object, which callers must not change."""
         return self._parsed
 
     def check(self, order: Order) -> Result:
-        """The result that `apply` would return now, without a change."""
+        """Return the result that `apply` would return now, without changing the state."""
         outcome = self.draft(order)
         return outcome if isinstance(outcome, Result) else Result(ResultCode.ACCEPTED, outcome.version)
 
     def draft(self, order: Order) -> Draft | Result:
-        """The document that the order leads to, or the result that rejects or repeats it."""
+        """Return the document that would result, or the result that rejects or repeats the order."""
         if len(order.body) > MAX_BODY_BYTES:
             return Result(ResultCode.TOO_LARGE, self._version)
         if order.base > self._version:
             return Result(ResultCode.CONFLICT, self._version)
         if order.base < self._version:
-            return Result(_CODES_OF_STATUSES[self._history.status_of(order)], self._version)
+            return Result(_RESULT_CODES[self._history.status_of(order)], self._version)
         try:
             document = documents.build(order, self._parsed)
         except DocumentError as error:
@@ -105,7 +105,7 @@
         return Draft(document[documents.VERSION], document, text)
 
     def apply(self, index: int, payload: bytes) -> bytes:
-        """Apply a packed order of the log and return the packed result; `index` has no effect."""
+        """Apply a packed order and return the packed result; `index` (in the log) has no effect."""
         try:
             order = Order.unpack(payload)
         except RecordError:
@@ -126,8 +126,8 @@
     def save(self) -> bytes:
         """Encode a snapshot of the document and the history of orders."""
         item = self.item_payload()
-        head = _SNAPSHOT_HEAD.pack(SNAPSHOT_VERSION, len(item))
-        return head + self._history.pack() + item
+        header = _SNAPSHOT_HEADER.pack(SNAPSHOT_VERSION, len(item))
+        return header + self._history.pack() + item
 
     def load(self, snapshot: bytes) -> None:
         """Replace the state by a snapshot; `RecordError` if it is malformed, with the state unchanged."""
@@ -152,22 +152,22 @@
 
 
 def _read_snapshot(snapshot: bytes) -> _Snapshot:
-    if len(snapshot) < _SNAPSHOT_HEAD.size:
+    if len(snapshot) < _SNAPSHOT_HEADER.size:
         raise RecordError("the snapshot is cut off")
-    _, item_length = _SNAPSHOT_HEAD.unpack_from(snapshot)
-    history, item_start = OrderHistory.unpack(snapshot, _SNAPSHOT_HEAD.size)
+    _, item_length = _SNAPSHOT_HEADER.unpack_from(snapshot)
+    history, item_start = OrderHistory.unpack(snapshot, _SNAPSHOT_HEADER.size)
     return _Snapshot(history, _read_snapshot_item(snapshot, item_start, item_length))
 
 
 def _read_snapshot_without_bases(snapshot: bytes) -> _Snapshot:
-    if len(snapshot) < _OLD_SNAPSHOT_HEAD.size:
+    if len(snapshot) < _SNAPSHOT_WITHOUT_BASES_HEADER.size:
         raise RecordError("the snapshot is cut off")
-    _, count, item_length = _OLD_SNAPSHOT_HEAD.unpack_from(snapshot)
-    item_start = _OLD_SNAPSHOT_HEAD.size + count * DIGEST_BYTES
+    _, count, item_length = _SNAPSHOT_WITHOUT_BASES_HEADER.unpack_from(snapshot)
+    item_start = _SNAPSHOT_WITHOUT_BASES_HEADER.size + count * DIGEST_BYTES
     if count > MAX_DIGESTS_WITHOUT_BASES:
         raise RecordError("the length of the snapshot is wrong")
     draft = _read_snapshot_item(snapshot, item_start, item_length)
-    digests = snapshot[_OLD_SNAPSHOT_HEAD.size : item_start]
+    digests = snapshot[_SNAPSHOT_WITHOUT_BASES_HEADER.size : item_start]
     is_complete = count < MAX_DIGESTS_WITHOUT_BASES
     return _Snapshot(OrderHistory.without_bases(digests, is_complete, draft.version), draft)
 
@@ -183,7 +183,7 @@
     return Draft(version, document, text)
 
 
-_CODES_OF_STATUSES = {
+_RESULT_CODES = {
     OrderStatus.APPLIED: ResultCode.REPEATED,
     OrderStatus.NOT_APPLIED: ResultCode.CONFLICT,
     OrderStatus.UNKNOWN: ResultCode.FORGOTTEN,
--- a/firvane/fleet/configuration/structure.py
+++ b/firvane/fleet/configuration/structure.py
@@ -1,7 +1,7 @@
-"""The rules of a valid document, checked by every replica.
+"""Structural rules of a valid document, checked by every replica.
 
-These checks are cheap and deterministic, so the replicated state repeats them. The types of the other
-fields are checked by `schema`, which costs more and runs once, before an order is proposed.
+These checks are cheap and deterministic, so the replicated state repeats them. `schema` checks the types of
+the other fields; it costs more and runs once, before an order is proposed.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 from firvane.fleet.configuration.document import LIMITS, ROUTES, SERVICES, TENANTS, VERSION, Document
 from firvane.fleet.configuration.orders import MAX_PROBLEMS, MAX_VERSION, Problem
 
-NOT_A_TEXT = "must be a text that is not empty"
+NOT_A_NON_EMPTY_STRING = "must be a text that is not empty"
 MAX_WEIGHT = 1e300  # keeps a sum of weights finite
 
 
 def find_problems(
     document: Document, current_version: int, accepted: Document | None = None
 ) -> list[Problem]:
-    """Find the problems of a document that is to follow the version in force, `MAX_PROBLEMS` at most.
+    """Return at most `MAX_PROBLEMS` problems of a document that is to replace the version in force.
 
-    `accepted` is the document in force, which is valid: of routes that are the same objects in it only
-    names and places are checked again, unless a service was removed.
+    `accepted` is the valid document in force. Of routes that are the same objects in it, only the names,
+    hosts and prefixes are checked again, unless a service was removed.
     """
     return list(islice(_all_problems(document, current_version, accepted or {}), MAX_PROBLEMS))
 
@@ -47,16 +47,16 @@
 def _item_problems(services: list[Any], routes: list[Any], accepted: Document) -> Iterator[Problem]:
     yield from _name_problems(SERVICES, services)
     yield from _name_problems(ROUTES, routes)
-    known = {service["name"] for service in services if _has_name(service)}
-    yield from _place_problems(routes)
-    unchanged = _valid_routes(accepted, known)
+    service_names = {service["name"] for service in services if _has_name(service)}
+    yield from _duplicate_route_problems(routes)
+    unchanged = _valid_routes(accepted, service_names)
     for position, route in enumerate(routes):
         if isinstance(route, dict) and id(route) not in unchanged:
-            yield from _route_problems(route, item_place(ROUTES, position, route), known)
+            yield from _route_problems(route, item_place(ROUTES, position, route), service_names)
 
 
 def _valid_routes(accepted: Document, services: set[str]) -> set[int]:
-    """The identities of routes that are known to be valid with these services."""
+    """The `id()`s of routes that are known to be valid with these services."""
     before = {service["name"] for service in accepted.get(SERVICES, ())}
     return {id(route) for route in accepted.get(ROUTES, ())} if before <= services else set()
 
@@ -73,7 +73,7 @@
 
 
 def item_place(key: str, position: int, item: Any) -> str:
-    """The place of an item in a problem: by its name, or by its position if it has none."""
+    """Return the place of an item for a `Problem`: by name, or by position if it has no name."""
     return f"{key}[{item['name']}]" if _has_name(item) else f"{key}[{position}]"
 
 
@@ -92,7 +92,7 @@
         if not isinstance(item, dict):
             yield Problem(ResultCode.WRONG_TYPE, f"{key}[{position}]", "must be an object")
         elif not _has_name(item):
-            yield Problem(ResultCode.MISSING_FIELD, f"{key}[{position}].name", NOT_A_TEXT)
+            yield Problem(ResultCode.MISSING_FIELD, f"{key}[{position}].name", NOT_A_NON_EMPTY_STRING)
         elif item["name"] in seen:
             yield Problem(ResultCode.DUPLICATE_NAME, item_place(key, position, item), "comes twice")
         else:
@@ -100,25 +100,25 @@
 
 
 def _tenant_problems(tenants: Any) -> Iterator[Problem]:
-    """Problems of the list of tenants; null counts as absent."""
+    """Yield the problems of the list of tenants; null counts as absent."""
     if tenants is None:
         return
     if not isinstance(tenants, list):
         yield Problem(ResultCode.WRONG_TYPE, TENANTS, "must be a list")
         return
     yield from _name_problems(TENANTS, tenants)
-    holders: dict[str, int] = {}
+    position_by_key: dict[str, int] = {}
     for position, tenant in enumerate(tenants):
         keys = tenant.get("api_keys") if isinstance(tenant, dict) else None
         for key in keys if isinstance(keys, list) else ():
-            first = holders.setdefault(key, position) if isinstance(key, str) else position
+            first = position_by_key.setdefault(key, position) if isinstance(key, str) else position
             if first != position:
                 other = item_place(TENANTS, first, tenants[first])
                 place = item_place(TENANTS, position, tenant)
                 yield Problem(ResultCode.SHARED_KEY, place, f"a key is that of {other} too")
 
 
-def _place_problems(routes: list[Any]) -> Iterator[Problem]:
+def _duplicate_route_problems(routes: list[Any]) -> Iterator[Problem]:
     seen: dict[tuple[str, str], int] = {}
     for position, route in enumerate(routes):
         if not isinstance(route, dict):
@@ -135,7 +135,7 @@
 def _route_problems(route: Document, place: str, services: set[str]) -> Iterator[Problem]:
     for field in ("host", "path_prefix"):
         if not (isinstance(route.get(field), str) and route[field]):
-            yield Problem(ResultCode.MISSING_FIELD, f"{place}.{field}", NOT_A_TEXT)
+            yield Problem(ResultCode.MISSING_FIELD, f"{place}.{field}", NOT_A_NON_EMPTY_STRING)
     prefix = route.get("path_prefix")
     if isinstance(prefix, str) and prefix and not (prefix[0] == "/" and prefix[-1] == "/"):
         detail = f"{prefix!r} must begin and end with a slash"
@@ -170,16 +170,16 @@
 def _split_problems(split: list[Any], place: str, services: set[str]) -> Iterator[Problem]:
     total = 0.0
     for position, part in enumerate(split):
-        here = f"{place}[{position}]"
+        part_place = f"{place}[{position}]"
         if not isinstance(part, dict):
-            yield Problem(ResultCode.WRONG_TYPE, here, "must be an object")
+            yield Problem(ResultCode.WRONG_TYPE, part_place, "must be an object")
             continue
-        yield from _service_problems(part.get("service"), f"{here}.service", services)
+        yield from _service_problems(part.get("service"), f"{part_place}.service", services)
         weight = part.get("weight")
         if not is_number(weight):
-            yield Problem(ResultCode.WRONG_TYPE, f"{here}.weight", "must be a number")
+            yield Problem(ResultCode.WRONG_TYPE, f"{part_place}.weight", "must be a number")
         elif weight < 0:
-            yield Problem(ResultCode.OUT_OF_RANGE, f"{here}.weight", "must not be below 0")
+            yield Problem(ResultCode.OUT_OF_RANGE, f"{part_place}.weight", "must not be below 0")
         else:
             total += float(min(weight, MAX_WEIGHT))
     if total == 0:
