--- a/firvane/fleet/discovery/__init__.py
+++ b/firvane/fleet/discovery/__init__.py
@@ -1,7 +1,7 @@
-"""Discovery of backends: the platform's paged list, the table of instances, and their record."""
+"""Discovery of backends: the platform's paged list, the instance table, and the instance record codec."""
 
 from __future__ import annotations
 
 
 class DiscoveryError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the errors of this package."""
--- a/firvane/fleet/discovery/instances.py
+++ b/firvane/fleet/discovery/instances.py
@@ -1,12 +1,12 @@
-"""Instances of backends, and the table of their states.
+"""Backend instances, and the table of their states.
 
 Invariants of the table:
 
-1. A state only rises, READY < DRAINING < GONE, so that the tables of two pollers merge without conflict.
-2. An id that is missing from a complete list is GONE and never returns. An id that was merged from another
-   poller since the last list may be newer than this list, so only the next list decides on it.
-3. A new id at an address replaces the id that was there before.
-4. Ids that are GONE are retained for `GONE_RETENTION_S` after they were last seen: the table stays bounded.
+1. A state only increases, READY < DRAINING < GONE, so that the tables of two pollers merge without conflict.
+2. An id that is missing from a complete list becomes GONE and stays so. An id that was merged from another
+   poller since the last list may be newer than the current list, so only the next list can make it GONE.
+3. A new id at an address replaces the previous id at this address.
+4. Ids that are GONE are evicted `GONE_RETENTION_S` after they were last seen, which bounds the table.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class InstanceState(enum.IntEnum):
-    """The state of an instance; it only rises."""
+    """The state of an instance, which only increases."""
 
     READY = 0
     DRAINING = 1
@@ -39,7 +39,7 @@
 
 
 class Instance(Struct, frozen=True):
-    """One incarnation of a backend; `cold_remaining_ms` is the rest of its warm-up, as listed."""
+    """One incarnation of a backend; `cold_remaining_ms` is its remaining warm-up time when listed."""
 
     id: str
     service: str
@@ -53,33 +53,33 @@
     stage: str = ""
 
     def differs_from(self, other: Instance) -> bool:
-        """Whether anything but the remaining warm-up differs, which decreases by itself."""
+        """Whether any field differs except the remaining warm-up time, which always decreases."""
         if self == other:
             return False
         return replace(self, cold_remaining_ms=0) != replace(other, cold_remaining_ms=0)
 
 
 class InstanceTable:
-    """All known instances, by id; `now` is in monotonic seconds."""
+    """All known instances by id; `now` is in monotonic seconds."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, Instance] = {}
-        self._gone_at: dict[str, float | None] = {}  # None: from a merge, set by the next list
-        self._missing: set[str] = set()  # from the last list, which was not consistent
-        self._merged: set[str] = set()  # from another poller since the last list
+        self._gone_at: dict[str, float | None] = {}  # None: gone by a merge; the next list sets the time
+        self._missing: set[str] = set()  # ids missing from the last list, which was not consistent
+        self._merged: set[str] = set()  # ids merged from another poller since the last list
 
     def services(self) -> frozenset[str]:
-        """The names of services with an instance that is not gone."""
+        """The names of services that have an instance that is not gone."""
         return frozenset(
             each.service for each in self._by_id.values() if each.state is not InstanceState.GONE
         )
 
     def of(self, service: str) -> tuple[Instance, ...]:
-        """The instances of a service that are ready or draining, in the order of their ids."""
+        """The ready and draining instances of a service, ordered by id."""
         return tuple(each for each in self.record_of(service) if each.state is not InstanceState.GONE)
 
     def record_of(self, service: str) -> tuple[Instance, ...]:
-        """All instances of a service, also those that are gone; this is what is published."""
+        """All instances of a service to publish, including those that are gone, ordered by id."""
         found = [each for each in self._by_id.values() if each.service == service]
         return tuple(sorted(found, key=lambda each: each.id))
 
@@ -89,10 +89,10 @@
         return instance.state if instance else None
 
     def observe(self, complete: Sequence[Instance], now: float, is_consistent: bool = True) -> frozenset[str]:
-        """Merge a complete list; returns the services whose instances changed.
+        """Merge a complete list; return the services whose instances changed.
 
-        A list of several pages may have changed between them and skipped an id: it is not `is_consistent`,
-        and a ready id is gone only if the next list lacks it too.
+        A list of several pages may have changed between pages and skipped an id. `is_consistent` is false for
+        it, and a ready id becomes gone only if it is missing from the next list too.
         """
         changed: set[str] = set()
         self._retire_replaced(complete, now, changed)
@@ -100,13 +100,13 @@
         for instance in complete:
             self._merge_instance(instance, changed)
         self._retire_absent(listed, now, is_consistent, changed)
-        self._forget_gone(listed, now)
+        self._evict_gone(listed, now)
         return frozenset(changed)
 
     def merge(self, service: str, instances: Sequence[Instance]) -> bool:
-        """Merge another poller's record of a service; returns whether anything changed.
+        """Merge another poller's record of a service; return whether anything changed.
 
-        The higher state wins. Ids that the record lacks stay unchanged: the next list decides on them.
+        The higher state wins. Ids missing from the record stay unchanged until the next list.
         """
         changed: set[str] = set()
         for instance in instances:
@@ -118,10 +118,10 @@
         return bool(changed)
 
     def replace(self, service: str, instances: Sequence[Instance], now: float) -> bool:
-        """Replace the record of a service by a newer one; returns whether anything changed.
+        """Replace the record of a service by a newer one; return whether anything changed.
 
-        For routers, which read no list of their own. An id that the record lacks leaves the table: its
-        retention is over, or the poller has changed and may list it again.
+        For routers, which do not read the list. An id missing from the record is removed from the table: its
+        retention has expired, or another poller took over and may list it again.
         """
         changed: set[str] = set()
         if self.merge(service, instances):
@@ -135,7 +135,7 @@
             else:
                 del self._by_id[known.id]
                 changed.add(service)
-        self._forget_gone(recorded, now)
+        self._evict_gone(recorded, now)
         self._merged.clear()
         return bool(changed)
 
@@ -157,7 +157,7 @@
         changed.add(instance.service)
 
     def _retire_replaced(self, complete: Sequence[Instance], now: float, changed: set[str]) -> None:
-        """Retire known ids whose address belongs to a new id in the list."""
+        """Mark as gone the known ids whose address belongs to a new id in the list."""
         new_owners = {each.address: each.id for each in complete if each.id not in self._by_id}
         if not new_owners:
             return
@@ -177,7 +177,7 @@
         self._missing = missing
         self._merged.clear()
 
-    def _forget_gone(self, listed: set[str], now: float) -> None:
+    def _evict_gone(self, listed: set[str], now: float) -> None:
         for instance_id, gone_at in list(self._gone_at.items()):
             if gone_at is None or instance_id in listed:
                 self._gone_at[instance_id] = now
--- a/firvane/fleet/discovery/pages.py
+++ b/firvane/fleet/discovery/pages.py
@@ -1,9 +1,9 @@
-"""Reading the platform's list of instances, page by page.
+"""Reads the platform's list of instances, page by page.
 
-`InstanceListReader` names the next page to fetch, and returns the list when all pages are complete. After a
-429 or any failure it starts again from the first page, with an exponential backoff up to `MAX_BACKOFF_S`. It
-also starts again if the pages took longer than `MAX_READ_DURATION_S`, since a process that was frozen must
-not act on an old list.
+`InstanceListReader` returns the path of the next page to fetch, and the list once all pages are read. After a
+429 or any failure it starts again from the first page, with exponential backoff up to `MAX_BACKOFF_S`. It
+also starts again if reading the pages took longer than `MAX_READ_DURATION_S`, since a process that was frozen
+must not act on an old list.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Page(Struct, frozen=True):
-    """One page; `next_token` is None on the last."""
+    """A page of the list; `next_token` is None on the last page."""
 
     instances: tuple[Instance, ...]
     next_token: str | None
@@ -83,13 +83,13 @@
 
 
 class Fetch(Struct, frozen=True):
-    """Fetch this path and query now."""
+    """The next step is to fetch this path and query now."""
 
     path: str
 
 
 class Backoff(Struct, frozen=True):
-    """Fetch `path` at the time `until` (monotonic seconds); `reason` is that of the failure."""
+    """The next step is to fetch `path` at `until` (monotonic seconds), after a failure for `reason`."""
 
     until: float
     path: str
@@ -97,7 +97,7 @@
 
 
 class CompleteList(Struct, frozen=True):
-    """The complete list; not `is_consistent` if it had several pages, between which it may have changed."""
+    """The complete list; `is_consistent` unless it had several pages, between which it may change."""
 
     instances: tuple[Instance, ...]
     is_consistent: bool
@@ -107,19 +107,19 @@
 
 
 class InstanceListReader:
-    """Reads the pages of the list, again and again."""
+    """Reads the pages of the list repeatedly; the caller fetches them."""
 
     def __init__(self, zone: str | None = None) -> None:
         self._zone = zone
-        self._found: dict[str, Instance] = {}
+        self._instances_by_id: dict[str, Instance] = {}
         self._pages = 0
         self._failures = 0
         self._began_at: float | None = None
 
     def begin(self, now: float | None = None) -> Fetch:
-        """Start from the first page, and drop unfinished reads; without `now` there is no limit of time."""
+        """Start from the first page, and discard an unfinished read; without `now` there is no time limit."""
         self._began_at = now
-        self._found.clear()
+        self._instances_by_id.clear()
         self._pages = 0
         return Fetch(self._path(None))
 
@@ -128,7 +128,7 @@
         if status != OK:
             return self.on_failure(f"status {status}", now)
         if self._began_at is not None and now - self._began_at > MAX_READ_DURATION_S:
-            return self.on_failure("the walk took too long", now)
+            return self.on_failure("reading the pages took too long", now)
         try:
             page = parse_page(body)
         except PageError as error:
@@ -143,22 +143,22 @@
         return Fetch(self._path(page.next_token))
 
     def on_failure(self, reason: str, now: float) -> Backoff:
-        """Start again after a backoff, as there was no usable reply."""
+        """Start again after a backoff, because no usable reply was received."""
         backoff_s = min(INITIAL_BACKOFF_S * 2.0 ** min(self._failures, MAX_BACKOFF_DOUBLINGS), MAX_BACKOFF_S)
         self._failures += 1
         return Backoff(now + backoff_s, self.begin(now + backoff_s).path, reason)
 
     def _complete(self, now: float) -> CompleteList:
-        complete = CompleteList(tuple(self._found.values()), self._pages == 1)
+        complete = CompleteList(tuple(self._instances_by_id.values()), self._pages == 1)
         self._failures = 0
         self.begin(now)
         return complete
 
     def _record(self, instance: Instance) -> None:
-        """Record an instance; if a changing list names it twice, the higher state counts."""
-        known = self._found.get(instance.id)
+        """Record an instance; if a changing list contains it twice, the higher state wins."""
+        known = self._instances_by_id.get(instance.id)
         if known is None or instance.state > known.state:
-            self._found[instance.id] = instance
+            self._instances_by_id[instance.id] = instance
 
     def _path(self, token: str | None) -> str:
         query = []
@@ -203,4 +203,4 @@
 
 def _check_length(text: str) -> None:
     if len(text.encode()) > MAX_TEXT_BYTES:
-        raise PageError("a text is too long")
+        raise PageError("a string is too long")
