--- a/tests/fleet/controller/test_record_replicator.py
+++ b/tests/fleet/controller/test_record_replicator.py
@@ -70,7 +70,7 @@
     def item(self, key: bytes) -> Item | None:
         return self.items.get(key)
 
-    def merge(self, version: int) -> None:
+    def receive_published(self, version: int) -> None:
         item = Item(item_key(SERVICE), version, b"payload %d" % version)
         self.items[item.key] = item
         self.replicator.on_published(item)
@@ -85,7 +85,7 @@
     async def scene() -> None:
         rig = Rig()
         for version in (1, 2, 3):
-            rig.merge(version)
+            rig.receive_published(version)
         await rig.settle()
         assert rig.partitions[PART].version_of(SERVICE) == 3
         assert rig.proposals <= 2
@@ -99,7 +99,7 @@
     async def scene() -> None:
         rig = Rig()
         rig.own = False
-        rig.merge(1)
+        rig.receive_published(1)
         assert rig.tasks == []
         rig.own = True
         rig.replicator.replicate(PART)
@@ -113,7 +113,7 @@
     async def scene() -> None:
         rig = Rig()
         rig.ending = ProposalStatus.UNCLEAR
-        rig.merge(1)
+        rig.receive_published(1)
         await rig.settle()
         assert rig.proposals == 1
         rig.ending = ProposalStatus.COMMITTED
@@ -127,7 +127,7 @@
 def test_what_only_the_part_knows_is_published_again() -> None:
     async def scene() -> None:
         before, after = Rig(), Rig()
-        before.merge(4)
+        before.receive_published(4)
         await before.settle()
         after.partitions[PART].load(before.partitions[PART].save())
         assert after.restored == [Item(item_key(SERVICE), 4, b"payload 4")]
@@ -140,10 +140,10 @@
 def test_the_end_leaves_no_task() -> None:
     async def scene() -> None:
         rig = Rig()
-        rig.merge(1)
+        rig.receive_published(1)
         rig.replicator.close()
         await asyncio.gather(*rig.tasks, return_exceptions=True)
-        rig.merge(2)
+        rig.receive_published(2)
         assert rig.proposals == 0
         assert all(task.done() for task in rig.tasks)
 
