--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -238,7 +238,7 @@
         if item.key == CONFIGURATION_KEY and item.version > self.tenants_version:
             self._configure_tenants_from_item(item)
         if self.poller:
-            self.poller.merge(item)
+            self.poller.merge_published(item)
         self.replicator.on_published(item)
 
     def _configure_tenants_from_item(self, item: Item) -> None:
@@ -258,7 +258,7 @@
 
     def _on_restored(self, item: Item) -> None:
         if self.poller:
-            self.poller.merge(item)
+            self.poller.merge_published(item)
 
     def _on_message(self, sender: Address, channel: Channel, payload: bytes) -> None:
         if channel is Channel.REPLICATION:
--- a/firvane/fleet/controller/instance_poller.py
+++ b/firvane/fleet/controller/instance_poller.py
@@ -60,9 +60,9 @@
             self._task.cancel()
             self._task = None
 
-    def merge(self, item: Item) -> None:
+    def merge_published(self, item: Item) -> None:
         """Merge an item that another controller has published."""
-        for updated in self._records.merge(item):
+        for updated in self._records.merge_published(item):
             self._publish(updated)
 
     async def _run(self) -> None:
--- a/firvane/fleet/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -72,7 +72,7 @@
         self._publish_all_services = False
         return [item for item in map(self._item, sorted(services)) if item is not None]
 
-    def merge(self, item: Item) -> list[Item]:
+    def merge_published(self, item: Item) -> list[Item]:
         """Merge an item that another controller has published; returns the items to publish in turn."""
         service = service_of(item.key)
         if service is None:
--- a/tests/fleet/controller/test_instance_records.py
+++ b/tests/fleet/controller/test_instance_records.py
@@ -69,7 +69,7 @@
     other = last.observe(listed(instance(1, state=InstanceState.DRAINING)), 2.0)
     successor = InstanceRecords(QUIET)
     for item in [*drained, *other]:
-        assert successor.merge(item) == []
+        assert successor.merge_published(item) == []
     successor.acquire(2)
     # The list that the successor sees is older: nothing comes back.
     first, second = successor.observe(listed(instance(1), instance(2, "b")), 3.0)
@@ -82,10 +82,10 @@
     mine, other = holder(term=2), holder(term=1)
     mine.observe(listed(instance(1)), 0.0)
     (theirs,) = other.observe(listed(instance(1, state=InstanceState.DRAINING)), 0.0)
-    (merged,) = mine.merge(theirs)
+    (merged,) = mine.merge_published(theirs)
     assert states(merged) == {"i-1": InstanceState.DRAINING}
     assert merged.version > theirs.version
-    assert mine.merge(theirs) == []
+    assert mine.merge_published(theirs) == []
 
 
 def test_the_sequence_goes_on_within_a_term() -> None:
@@ -100,5 +100,5 @@
 @pytest.mark.parametrize("payload", [b"", b"\x01", b"\xff" * 20])
 def test_damaged_records_are_passed_over(payload: bytes) -> None:
     records = holder()
-    assert records.merge(Item(b"instances/a", 1, payload)) == []
-    assert records.merge(Item(b"configuration", 1, payload)) == []
+    assert records.merge_published(Item(b"instances/a", 1, payload)) == []
+    assert records.merge_published(Item(b"configuration", 1, payload)) == []
