--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -41,7 +41,7 @@
         "firvane/fleet/controller/controller.py",
         "            return not self.host.has_quorum_contact(partition_of(service))\n",
         "            return False\n",
-        f"{HAND_OUT}test_a_controller_without_a_majority_hands_out_nothing",
+        f"{HAND_OUT}test_a_controller_without_a_majority_disseminates_nothing",
     ),
     Mutant(
         "a controller without a majority refuses nothing",
--- a/tests/fleet/controller/fleet_rig.py
+++ b/tests/fleet/controller/fleet_rig.py
@@ -1,4 +1,4 @@
-"""The fleet service over a cluster and groups that are played."""
+"""The fleet service with a fake cluster and fake replication groups."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 OTHER: Address = ("10.0.0.2", 7300)
 ROUTER: Address = ("10.0.0.9", 7300)
 CONTROL_PORT = 8262
-OWN_PART, OTHER_PARTITION, CLOSED_PARTITION = ALL_PARTITIONS
+OWN_PARTITION, OTHER_PARTITION, CLOSED_PARTITION = ALL_PARTITIONS
 TERM = 4
 
 
@@ -30,8 +30,8 @@
     return KnownMember(MemberState(member, status, 12.3456), version, None if version is None else 0.25)
 
 
-class PlayedCluster:
-    """What the agent knows."""
+class FakeCluster:
+    """A fake cluster agent."""
 
     def __init__(self) -> None:
         self.known = [
@@ -51,12 +51,12 @@
         return Item(key, self.published, b"") if key == CONFIGURATION_KEY else None
 
 
-class PlayedGroups:
-    """Three parts: this controller owns the first, the other one the second, the third is not open."""
+class FakeGroups:
+    """Three fake groups: this controller owns the first, another the second; the third is not open."""
 
     def __init__(self) -> None:
         self.owners: dict[int, Address | None] = {
-            OWN_PART: OWN,
+            OWN_PARTITION: OWN,
             OTHER_PARTITION: OTHER,
             CLOSED_PARTITION: None,
         }
@@ -102,11 +102,11 @@
 
 
 class FleetRig:
-    """The service with what it stands on."""
+    """The fleet service with its fakes."""
 
     def __init__(self) -> None:
-        self.cluster, self.groups = PlayedCluster(), PlayedGroups()
-        applied = {OWN_PART: lambda: 7, OTHER_PARTITION: lambda: 3, CLOSED_PARTITION: lambda: 0}
+        self.cluster, self.groups = FakeCluster(), FakeGroups()
+        applied = {OWN_PARTITION: lambda: 7, OTHER_PARTITION: lambda: 3, CLOSED_PARTITION: lambda: 0}
         self.service = FleetService(
             OWN, self.cluster, self.groups, applied, lambda internal: (internal[0], CONTROL_PORT), QUIET
         )
--- a/tests/fleet/controller/test_backup.py
+++ b/tests/fleet/controller/test_backup.py
@@ -1,4 +1,4 @@
-"""Backups as docs/operations-fleet.md tells operators to make and to use them."""
+"""Backup and restore, as described for operators in docs/operations-fleet.md."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def back_up(core: Core, tmp_path: Path, number: int) -> None:
-    """Stop one machine in order, copy its folder, start it, and wait until it has caught up."""
+    """Stop one controller gracefully, copy its folder, restart it, and wait until it has caught up."""
     version = max(each.state.version for each in core.controllers.values())
     await core.controllers.pop(number).stop()
     shutil.copytree(tmp_path / "data" / str(number), tmp_path / "copies" / str(number))
@@ -35,7 +35,7 @@
         shutil.rmtree(tmp_path / "data" / str(number))
 
 
-def test_folders_of_all_machines_bring_back_what_they_held(tmp_path: Path) -> None:
+def test_backups_of_all_controllers_restore_the_configuration(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(*ALL, first=True)
         await core.replace(5, 0)
@@ -51,7 +51,7 @@
     play(tmp_path / "data", scene)
 
 
-def test_folders_of_a_majority_take_a_machine_with_an_empty_one_in(tmp_path: Path) -> None:
+def test_backups_of_a_majority_admit_a_controller_with_an_empty_disk(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(*ALL, first=True)
         await core.replace(5, 0)
@@ -72,7 +72,7 @@
     play(tmp_path / "data", scene)
 
 
-def test_what_the_rest_of_the_fleet_holds_is_replaced_by_a_higher_version_only(tmp_path: Path) -> None:
+def test_routers_replace_their_configuration_only_by_a_higher_version(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(*ALL, first=True)
         await core.replace(7, 0)
@@ -96,7 +96,7 @@
 
 
 def start_router(core: Core) -> ClusterAgent:
-    """A member of the cluster that outlives the controllers; not started."""
+    """Create, but don't start, a cluster member that keeps running when the controllers stop."""
     return ClusterAgent(
         asyncio.get_running_loop(),
         Member(("127.0.0.9", core.port), Role.ROUTER, "zone-1", None, 1),
@@ -117,7 +117,7 @@
     return version_at(core.controllers[number].agent)
 
 
-def test_a_new_system_takes_the_configuration_that_was_read(tmp_path: Path) -> None:
+def test_a_new_cluster_accepts_a_configuration_read_from_the_old_one(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(*ALL, first=True)
         await core.replace(8, 0, timeout_ms=1234)
--- a/tests/fleet/controller/test_changes.py
+++ b/tests/fleet/controller/test_changes.py
@@ -1,4 +1,4 @@
-"""After hundreds of changes: members that were away catch up, disks stay small, old orders are known."""
+"""After hundreds of changes, restarted controllers catch up, disks stay small, and old orders are known."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 from firvane.fleet.controller import replication_host as hosts
 from firvane.fleet.replication import group as groups
-from tests.fleet.controller.changes import ChangingCore, play_changes
+from tests.fleet.controller.changes import ChangeRun, play_changes
 from tests.fleet.controller.test_controller import Core
 
 CHANGES, ROUTES = 240, 20
-COMPACTION_BYTES = 20_000  # a snapshot every few dozen changes
-MOST_ON_DISK = 400_000  # bytes: three parts, each a snapshot and a segment, and those that are being replaced
+COMPACTION_BYTES = 20_000  # causes a snapshot every few dozen changes
+MAX_DISK_BYTES = 400_000  # a snapshot and a segment of each of three partitions, and those being replaced
 CATCH_UP = 4.0  # s: `catch_up_s`
 
 
-def test_hundreds_of_changes_leave_small_disks_and_members_that_catch_up(
+def test_disks_stay_small_and_restarted_controllers_catch_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(groups, "COMPACTION_BYTES", COMPACTION_BYTES)
     monkeypatch.setattr(groups, "RETAINED_LOG_BYTES", 2_000)
 
     async def scene() -> None:
-        day, core = await play_changes(tmp_path, CHANGES, ROUTES)
+        run, core = await play_changes(tmp_path, CHANGES, ROUTES)
         try:
-            await check(day, core)
+            await check(run, core)
         finally:
             core.close()
 
@@ -36,14 +36,16 @@
         runner.run(scene())
 
 
-async def check(day: ChangingCore, core: Core) -> None:
-    assert day.version == CHANGES + 1
-    assert day.figures.most_on_disk < MOST_ON_DISK
-    assert all(seconds < CATCH_UP for seconds in day.figures.catch_up.values()), day.figures.catch_up
+async def check(run: ChangeRun, core: Core) -> None:
+    assert run.version == CHANGES + 1
+    assert run.measurements.max_disk_bytes < MAX_DISK_BYTES
+    assert all(seconds < CATCH_UP for seconds in run.measurements.catch_up_s.values()), (
+        run.measurements.catch_up_s
+    )
     assert all(each.host.status(0) is not None for each in core.controllers.values())
-    for base, body in (day.bodies[0], day.bodies[CHANGES // 2], day.bodies[-1]):
+    for base, body in (run.bodies[0], run.bodies[CHANGES // 2], run.bodies[-1]):
         for number in core.controllers:
-            assert await day.status_of(number, base, body) == 200
-            assert await day.status_of(number, base, body + b" ") == 412
+            assert await run.status_of(number, base, body) == 200
+            assert await run.status_of(number, base, body + b" ") == 412
     assert len({each.state.document for each in core.controllers.values()}) == 1
     assert hosts.MAX_CONTACT_AGE_S < CATCH_UP
--- a/tests/fleet/controller/test_configuration_publisher.py
+++ b/tests/fleet/controller/test_configuration_publisher.py
@@ -1,4 +1,4 @@
-"""Who publishes the configuration, and when; the replicated state that tells of its changes."""
+"""Which controller publishes the configuration, and when, after changes of the replicated state."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Rig:
-    """A publisher over a cluster that keeps what is published, and timers run by hand."""
+    """A publisher with a fake cluster that records published versions, and timers fired manually."""
 
     def __init__(self, owner: bool) -> None:
         self.known: Item | None = None
@@ -62,7 +62,7 @@
             callback()
 
 
-def test_the_owner_publishes_at_once() -> None:
+def test_the_owner_publishes_immediately() -> None:
     rig = Rig(owner=True)
     rig.machine.apply(1, order(0, 3).pack())
     rig.machine.apply(2, order(3, 8).pack())
@@ -70,7 +70,7 @@
     assert rig.known and read_item(rig.known.payload).version == 8
 
 
-def test_what_is_refused_is_not_published() -> None:
+def test_a_rejected_order_is_not_published() -> None:
     rig = Rig(owner=True)
     rig.machine.apply(1, order(0, 3).pack())
     result = Result.unpack(rig.machine.apply(2, order(0, 4).pack()))
@@ -78,7 +78,7 @@
     assert rig.published == [3]
 
 
-def test_others_publish_what_has_not_arrived_by_then() -> None:
+def test_others_publish_a_version_not_received_within_the_delay() -> None:
     rig = Rig(owner=False)
     rig.machine.apply(1, order(0, 3).pack())
     assert rig.published == []
@@ -86,7 +86,7 @@
     assert rig.published == [3]
 
 
-def test_others_leave_out_what_has_arrived() -> None:
+def test_others_do_not_publish_a_version_already_received() -> None:
     rig = Rig(owner=False)
     rig.machine.apply(1, order(0, 3).pack())
     rig.known = Item(CONFIGURATION_KEY, 3, b"")
@@ -94,7 +94,7 @@
     assert rig.published == []
 
 
-def test_a_snapshot_that_is_loaded_is_published() -> None:
+def test_a_loaded_snapshot_is_published() -> None:
     first = Rig(owner=True)
     first.machine.apply(1, order(0, 3).pack())
     second = Rig(owner=False)
@@ -109,7 +109,7 @@
     assert rig.published == []
 
 
-def test_a_fault_in_applying_is_a_refusal(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_exception_in_apply_rejects_the_order(monkeypatch: pytest.MonkeyPatch) -> None:
     rig = Rig(owner=True)
 
     def fail(index: int, payload: bytes) -> bytes:
@@ -119,14 +119,14 @@
     assert Result.unpack(rig.machine.apply(1, b"")).code is ResultCode.UNREADABLE_RECORD
 
 
-def test_a_damaged_snapshot_is_refused() -> None:
+def test_a_malformed_snapshot_is_rejected() -> None:
     rig = Rig(owner=True)
     with pytest.raises(RecordError):
         rig.machine.load(b"damaged")
     assert rig.published == []
 
 
-def test_a_state_that_may_be_old_is_published_once_it_is_known_to_be_current() -> None:
+def test_a_possibly_outdated_state_is_published_once_it_is_current() -> None:
     first = Rig(owner=True)
     first.machine.apply(1, order(0, 3).pack())
     second = Rig(owner=False)
@@ -141,7 +141,7 @@
     assert second.timers == []
 
 
-def test_a_state_that_was_old_is_not_published_after_all() -> None:
+def test_an_outdated_state_is_not_published() -> None:
     rig = Rig(owner=False)
     rig.current = False
     rig.machine.apply(1, order(0, 3).pack())
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -1,4 +1,4 @@
-"""Whole controllers on loopback: orders, redirects, the poll, hand-over, restarts, a lost disk."""
+"""Complete controllers on loopback: orders, redirects, polling, transfers, restarts, a lost disk."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from firvane.fleet.partitions import ALL_PARTITIONS, partition_of
 from tests.fleet.controller.test_operator_api import document
 
-PATIENCE = 15.0  # s until something that must happen is missed
-LOOK_AGAIN = 0.02  # s between looks at what no event announces
+WAIT_TIMEOUT_S = 15.0  # for a condition that must come true
+CHECK_INTERVAL_S = 0.02  # for conditions without an event
 
 
 def free_port() -> int:
-    """A port that is free, and so is the one above it."""
+    """Return a free port whose successor is free too."""
     while True:
         with socket.socket() as first, socket.socket() as second:
             first.bind(("127.0.0.1", 0))
@@ -39,7 +39,7 @@
 
 
 class Platform:
-    """The platform's list, with one ready instance of each service."""
+    """A platform that lists one ready instance of each service."""
 
     def __init__(self) -> None:
         self.services = ["s"]
@@ -109,7 +109,7 @@
         return Controller(asyncio.get_running_loop(), options, logs.make(write=self.lines.append))
 
     def kill(self, *numbers: int) -> None:
-        """End controllers without a word to the others."""
+        """Close controllers without telling the cluster that they leave."""
         for number in numbers:
             controller = self.controllers.pop(number)
             controller.agent.close(leave=False)
@@ -127,7 +127,7 @@
     async def call(
         self, number: int, method: str, path: str, body: bytes = b"", base: int = 0
     ) -> tuple[int, bytes]:
-        """One call of an operator to one controller, redirects included; status 0 without an answer."""
+        """Call one controller and follow redirects; status 0 if there is no response."""
         address = (self.address(number)[0], self.port + 1)
         for _ in range(3):
             try:
@@ -141,10 +141,10 @@
         return 307, b""
 
     async def replace(self, version: int, base: int, **route: Any) -> None:
-        """Send a configuration to all in turn until it is acknowledged, as an operator does."""
+        """Send a configuration to each controller in turn until it is acknowledged, as an operator does."""
         body = json.dumps(document(version, **route)).encode()
 
-        async def taken() -> bool:
+        async def is_accepted() -> bool:
             for number in list(self.controllers):
                 status, answer = await self.call(number, "POST", "/v1/config/replace", body, base)
                 assert status in (0, 200, 307, 503), answer
@@ -152,13 +152,13 @@
                     return True
             return False
 
-        await until(taken)
+        await until(is_accepted)
 
     async def read(self) -> Any:
-        """The configuration as whichever controller answers first gives it."""
+        """The configuration, from the first controller that returns it."""
         found: list[Any] = []
 
-        async def answered() -> bool:
+        async def responded() -> bool:
             for number in list(self.controllers):
                 status, answer = await self.call(number, "GET", "/v1/config/read")
                 if status == 200:
@@ -166,7 +166,7 @@
                     return True
             return False
 
-        await until(answered)
+        await until(responded)
         return found[0]
 
 
@@ -179,21 +179,21 @@
     writer.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
     try:
         lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        answered = dict(line.split(": ", 1) for line in lines[1:] if line)
-        answer = await reader.readexactly(int(answered["Content-Length"]))
+        headers = dict(line.split(": ", 1) for line in lines[1:] if line)
+        answer = await reader.readexactly(int(headers["Content-Length"]))
     finally:
         writer.close()
-    return int(lines[0].split(" ")[1]), answered.get("Location", ""), answer
+    return int(lines[0].split(" ")[1]), headers.get("Location", ""), answer
 
 
 async def until(condition: Callable[[], Awaitable[bool]]) -> None:
-    """Return once the condition holds; nothing but the loop's timer passes the time between looks."""
+    """Return once the condition holds, which is checked at intervals by a timer of the event loop."""
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await condition():
-            look = loop.create_future()
-            loop.call_later(LOOK_AGAIN, look.set_result, None)
-            await look
+            timer = loop.create_future()
+            loop.call_later(CHECK_INTERVAL_S, timer.set_result, None)
+            await timer
 
 
 async def until_true(condition: Callable[[], bool]) -> None:
@@ -235,7 +235,7 @@
     play(tmp_path, scene)
 
 
-def test_the_list_is_polled_published_and_kept(tmp_path: Path) -> None:
+def test_the_list_is_polled_published_and_stored(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
 
@@ -250,7 +250,7 @@
     play(tmp_path, scene)
 
 
-def test_a_stop_hands_over_and_its_successor_acknowledges(tmp_path: Path) -> None:
+def test_stop_transfers_leadership_and_the_successor_acknowledges(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -260,7 +260,7 @@
         owned = [partition for partition in ALL_PARTITIONS if stopped.host.is_owner(partition)]
         began = len(core.lines)
         await stopped.stop()
-        # Successors take over before the owner has ended: nobody waits for an election's time-out.
+        # Successors are elected before the owner has stopped: no election timeout has to expire.
         elected = [line for line in core.lines[began:] if "leader_elected" in line]
         assert len(elected) >= len(owned)
         await core.replace(6, 5)
@@ -272,7 +272,7 @@
     assert any("controller_stopped" in line for line in core.lines)
 
 
-def test_what_was_acknowledged_outlives_the_end_of_all_processes(tmp_path: Path) -> None:
+def test_acknowledged_orders_survive_the_end_of_all_processes(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -285,7 +285,7 @@
     play(tmp_path, scene)
 
 
-def test_the_start_is_logged_with_the_version_found_on_the_disk(tmp_path: Path) -> None:
+def test_the_start_is_logged_with_the_version_on_disk(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         assert "version=0" in started_lines(core)[-1]
@@ -294,7 +294,7 @@
         owner = core.owner()
         assert owner
         core.kill(1, 2, 3)
-        await core.start(owner)  # alone: no majority tells it what is committed
+        await core.start(owner)  # alone: without a majority it does not know what is committed
         assert core.controllers[owner].state.version == 0
         assert "version=8" in started_lines(core)[-1]
 
@@ -305,7 +305,7 @@
     return [line for line in core.lines if "controller_started" in line]
 
 
-def test_a_machine_without_its_disk_is_taken_in_again(tmp_path: Path) -> None:
+def test_a_controller_that_lost_its_disk_rejoins(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
--- a/tests/fleet/controller/test_failure_domains.py
+++ b/tests/fleet/controller/test_failure_domains.py
@@ -20,7 +20,7 @@
     assert [by_region.domain_of(each.address) for each in live] == ["lagos", "lagos", "abuja"]
 
 
-def test_a_controller_that_has_gone_keeps_its_domain_and_an_unknown_one_stands_alone() -> None:
+def test_a_departed_controller_keeps_its_domain_and_an_unknown_one_has_its_own() -> None:
     live = [controller(1, "ikeja"), controller(2, "ikeja")]
     domains = FailureDomains(lambda: live, REGIONS, by_region=False)
     assert domains.domain_of(live[0].address) == "ikeja"
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -1,4 +1,4 @@
-"""The operators' view of whole controllers on loopback: members, parts, hand-over, lost machines."""
+"""Fleet endpoints of complete controllers on loopback: members, partitions, transfers, lost controllers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     await until(owned)
 
 
-def test_all_tell_the_same_members_and_the_owners(tmp_path: Path) -> None:
+def test_all_controllers_report_the_same_members_and_owners(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -66,7 +66,7 @@
     play(tmp_path, scene)
 
 
-def test_a_part_is_handed_to_the_controller_that_is_named(tmp_path: Path) -> None:
+def test_a_partition_is_transferred_to_the_named_controller(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -85,7 +85,9 @@
             return core.owner() == successor
 
         await until(taken_over)
-        status, answer = await core.call(asked, "POST", HAND_OVER, body)  # sent again: it stays there
+        status, answer = await core.call(
+            asked, "POST", HAND_OVER, body
+        )  # a repeated order does not move the partition
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
         body = json.dumps({"part": 0, "term": term}).encode()
         status, answer = await core.call(successor, "POST", HAND_OVER, body)
@@ -100,7 +102,7 @@
     assert any("leadership_transfer_ended" in line for line in core.lines)
 
 
-def test_malformed_calls_are_refused_and_change_nothing(tmp_path: Path) -> None:
+def test_malformed_calls_are_rejected_and_change_nothing(tmp_path: Path) -> None:
     calls = [
         ("POST", HAND_OVER, b"", 400),
         ("POST", HAND_OVER, b"\xff" * 100, 400),
@@ -131,7 +133,7 @@
     assert not any("leadership_transfer_ended" in line for line in core.lines)
 
 
-def test_lost_machines_are_seen_by_those_that_are_left(tmp_path: Path) -> None:
+def test_lost_controllers_are_reported_by_the_remaining_one(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
--- a/tests/fleet/controller/test_fleet_service.py
+++ b/tests/fleet/controller/test_fleet_service.py
@@ -1,4 +1,4 @@
-"""What operators are told of the fleet, and which hand-overs are carried out."""
+"""Reports of the fleet to operators, and transfers of leadership."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     CLOSED_PARTITION,
     OTHER,
     OTHER_PARTITION,
-    OWN_PART,
+    OWN_PARTITION,
     TERM,
     FleetRig,
     controller,
@@ -37,11 +37,11 @@
 
 
 def transfer_leadership(rig: FleetRig, **order: Any) -> Outcome:
-    body = {"part": OWN_PART, "term": TERM} | order
+    body = {"part": OWN_PARTITION, "term": TERM} | order
     return asyncio.run(rig.service.transfer_leadership(json.dumps(body).encode()))
 
 
-def test_members_are_told_with_role_zone_state_and_version() -> None:
+def test_members_are_reported_with_role_zone_state_and_version() -> None:
     outcome = FleetRig().service.members()
     assert outcome.code is ResultCode.FLEET_STATE
     assert json.loads(outcome.document) == {
@@ -93,7 +93,7 @@
     assert rig.service.members().version == 7
 
 
-def test_the_largest_fleet_is_told_within_bounds() -> None:
+def test_the_report_of_the_largest_fleet_is_bounded() -> None:
     rig = FleetRig()
     rig.cluster.known = [
         known(controller((f"10.1.{number >> 8}.{number & 255}", 65535), 2**64 - 1), Status.SUSPECT, 2**63)
@@ -104,7 +104,7 @@
     assert len(document) < 1_200_000
 
 
-def test_parts_are_told_with_owner_term_and_the_lag_of_each_replica() -> None:
+def test_partitions_are_reported_with_owner_term_and_lag_of_replicas() -> None:
     outcome = FleetRig().service.partitions()
     answer = msgspec.json.decode(outcome.document, type=PartsResponse)
     own, other, closed = answer.parts
@@ -130,22 +130,24 @@
     ("named", "internal"),
     [(None, None), ("10.0.0.2:7300", OTHER), ("10.0.0.2:8262", OTHER), ("10.0.0.7:1", ("10.0.0.7", 1))],
 )
-def test_the_owner_hands_over_to_whom_the_order_names(named: str | None, internal: Address | None) -> None:
+def test_the_owner_transfers_to_the_successor_in_the_order(
+    named: str | None, internal: Address | None
+) -> None:
     rig = FleetRig()
     outcome = transfer_leadership(rig, successor=named)
     assert outcome.code is ResultCode.HANDED_OVER
-    assert rig.groups.transfers == [(OWN_PART, internal)]
+    assert rig.groups.transfers == [(OWN_PARTITION, internal)]
     assert json.loads(outcome.document) == {
         "code": 1004,
         "result": "handed_over",
         "config_version": 8,
         "asked": "10.0.0.1:7300",
-        "part": OWN_PART,
+        "part": OWN_PARTITION,
         "owner": "10.0.0.2:7300",
     }
 
 
-def test_a_part_that_the_named_one_owns_stays_there() -> None:
+def test_a_partition_already_owned_by_the_successor_is_not_transferred() -> None:
     rig = FleetRig()
     for named in ("10.0.0.1:7300", "10.0.0.1:8262"):
         assert transfer_leadership(rig, successor=named, term=1).code is ResultCode.HANDED_OVER
@@ -160,13 +162,13 @@
     assert rig.groups.transfers == []
 
 
-def test_only_the_owner_hands_over() -> None:
+def test_only_the_owner_transfers_a_partition() -> None:
     rig = FleetRig()
     elsewhere = transfer_leadership(rig, part=OTHER_PARTITION)
     assert (elsewhere.code, elsewhere.owner) == (ResultCode.OTHER_PART_OWNER, OTHER)
     assert transfer_leadership(rig, part=CLOSED_PARTITION).code is ResultCode.NO_OWNER
     rig.groups.is_owner = lambda group: False  # type: ignore[method-assign]
-    assert transfer_leadership(rig).code is ResultCode.NO_OWNER  # its lease is over
+    assert transfer_leadership(rig).code is ResultCode.NO_OWNER  # its lease has expired
     assert rig.groups.transfers == []
 
 
@@ -179,7 +181,9 @@
         (TransferStart.NO_HEALTHY_VOTER, ResultCode.NO_SUCCESSOR),
     ],
 )
-def test_why_nothing_was_handed_over_is_told(start: TransferStart, code: ResultCode) -> None:
+def test_a_transfer_that_did_not_start_is_answered_with_the_reason(
+    start: TransferStart, code: ResultCode
+) -> None:
     rig = FleetRig()
     rig.groups.start = start
     outcome = transfer_leadership(rig, successor="10.0.0.2:7300")
@@ -187,7 +191,7 @@
     assert outcome.problems[0].detail == start.value
 
 
-def test_a_transfer_without_a_known_end_is_unclear() -> None:
+def test_a_transfer_without_a_known_new_owner_is_unclear() -> None:
     rig = FleetRig()
     rig.groups.successor = None
     assert transfer_leadership(rig).code is ResultCode.UNCLEAR
@@ -215,7 +219,7 @@
         (b'{"part":0,"term":1}' + b" " * MAX_ORDER_BYTES, ResultCode.OUT_OF_RANGE, ""),
     ],
 )
-def test_a_malformed_order_is_named(body: bytes, code: ResultCode, place: str) -> None:
+def test_a_malformed_order_is_rejected_with_its_problem(body: bytes, code: ResultCode, place: str) -> None:
     with pytest.raises(InvalidTransferOrderError) as raised:
         parse_transfer_order(body)
     assert (raised.value.problem.code, raised.value.problem.place) == (code, place)
@@ -227,12 +231,12 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.one_of(st.binary(max_size=60), st.text(max_size=60).map(str.encode)))
-def test_hostile_bytes_raise_the_one_error(body: bytes) -> None:
+def test_any_bytes_raise_the_same_error(body: bytes) -> None:
     with pytest.raises(InvalidTransferOrderError):
         parse_transfer_order(body)
 
 
-def test_an_order_is_read_as_it_was_meant() -> None:
+def test_a_valid_order_is_parsed() -> None:
     body = b'{"part":2,"term":9,"successor":"10.0.0.2:8262"}'
     assert parse_transfer_order(body) == TransferOrder(2, 9, ("10.0.0.2", 8262))
     assert parse_transfer_order(b'{"part":0,"term":1,"successor":null}') == TransferOrder(0, 1, None)
--- a/tests/fleet/controller/test_hand_out.py
+++ b/tests/fleet/controller/test_hand_out.py
@@ -1,4 +1,4 @@
-"""A controller that no majority is behind hands nothing out, confirms nothing and refuses nothing."""
+"""A controller without a majority disseminates nothing, acknowledges nothing and rejects nothing."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.fleet.controller.test_controller import Core, document, play, until, until_true
 
 ROUTER_NUMBER = 77
-MORE_THAN_A_DIGEST = 2.5  # s in which a process that is told anything has learned it
+DISSEMINATION_WAIT_S = 2.5  # longer than the interval of digests: available items arrive within it
 
 
-class Learner:
-    """A router's place in the cluster that has just started: what it is told of."""
+class RouterMember:
+    """A newly started router in the cluster, with the items that it received."""
 
     def __init__(self, core: Core, *seeds: int) -> None:
         self.items: dict[bytes, Item] = {}
@@ -41,9 +41,9 @@
 
     @staticmethod
     def _on_message(sender: object, channel: Channel, payload: bytes) -> None:
-        """Routers are sent nothing else here."""
+        """Ignore: this test sends no other messages."""
 
-    def knows_member(self) -> bool:
+    def knows_controller(self) -> bool:
         return len(self.agent.members(Role.CONTROLLER)) > 0
 
     def version(self) -> int:
@@ -61,7 +61,7 @@
     await until(over)
 
 
-def test_a_controller_without_a_majority_hands_out_nothing(tmp_path: Path) -> None:
+def test_a_controller_without_a_majority_disseminates_nothing(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -69,45 +69,45 @@
         await until_true(lambda: core.controllers[3].agent.item(item_key("s")) is not None)
         core.kill(1, 2)
 
-        def hears_nobody() -> bool:
+        def lost_majority() -> bool:
             return not any(
                 core.controllers[3].host.has_quorum_contact(partition) for partition in ALL_PARTITIONS
             )
 
-        await until_true(hears_nobody)
-        learner = Learner(core, 3)
-        await learner.agent.start()
-        await until_true(learner.knows_member)
-        await pass_time(MORE_THAN_A_DIGEST)
-        assert learner.items == {}
+        await until_true(lost_majority)
+        router = RouterMember(core, 3)
+        await router.agent.start()
+        await until_true(router.knows_controller)
+        await pass_time(DISSEMINATION_WAIT_S)
+        assert router.items == {}
         await core.start(1)
-        await until_true(lambda: learner.version() == 5)
-        await until_true(lambda: item_key("s") in learner.items)
-        learner.agent.close()
+        await until_true(lambda: router.version() == 5)
+        await until_true(lambda: item_key("s") in router.items)
+        router.agent.close()
 
     play(tmp_path, scene)
 
 
-def test_a_controller_that_starts_alone_hands_out_nothing_from_its_disk(tmp_path: Path) -> None:
+def test_a_controller_that_starts_alone_disseminates_nothing_from_disk(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
         await until_true(lambda: core.controllers[2].state.version == 5)
         core.kill(1, 2, 3)
         await core.start(2)
-        learner = Learner(core, 2)
-        await learner.agent.start()
-        await until_true(learner.knows_member)
-        await pass_time(MORE_THAN_A_DIGEST)
-        assert learner.items == {}
+        router = RouterMember(core, 2)
+        await router.agent.start()
+        await until_true(router.knows_controller)
+        await pass_time(DISSEMINATION_WAIT_S)
+        assert router.items == {}
         await core.start(3)
-        await until_true(lambda: learner.version() == 5)
-        learner.agent.close()
+        await until_true(lambda: router.version() == 5)
+        router.agent.close()
 
     play(tmp_path, scene)
 
 
-def test_controllers_with_a_majority_hand_out_at_once(tmp_path: Path) -> None:
+def test_controllers_with_a_majority_disseminate_immediately(tmp_path: Path) -> None:
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
@@ -116,18 +116,18 @@
             await until_true(
                 lambda controller=controller: controller.host.is_current(CONFIGURATION_PARTITION)
             )
-            learner = Learner(core, number)
+            router = RouterMember(core, number)
             loop = asyncio.get_running_loop()
             began = loop.time()
-            await learner.agent.start()
-            await until_true(lambda learner=learner: learner.version() == 5)
+            await router.agent.start()
+            await until_true(lambda router=router: router.version() == 5)
             assert loop.time() - began < MAX_CONTACT_AGE_S
-            learner.agent.close()
+            router.agent.close()
 
     play(tmp_path, scene)
 
 
-def test_a_controller_without_a_majority_refuses_nothing(tmp_path: Path) -> None:
+def test_a_controller_without_a_majority_rejects_nothing(tmp_path: Path) -> None:
     orders = {
         "late": (document(9), 0),
         "of another version": (document(9), 7),
@@ -139,18 +139,18 @@
     async def scene(core: Core) -> None:
         await core.start(1, 2, 3, first=True)
         await core.replace(5, 0)
-        alone = core.owner()
-        assert alone
+        remaining = core.owner()
+        assert remaining
         expected = {"late": 412, "of another version": 412, "invalid": 400, "not above": 400}
         for name, status in expected.items():
             body, base = orders[name]
-            answer = await core.call(alone, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
+            answer = await core.call(remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
             assert answer[0] == status, name
-        core.kill(*(number for number in (1, 2, 3) if number != alone))
-        await until_true(lambda: not core.controllers[alone].host.is_owner(CONFIGURATION_PARTITION))
+        core.kill(*(number for number in (1, 2, 3) if number != remaining))
+        await until_true(lambda: not core.controllers[remaining].host.is_owner(CONFIGURATION_PARTITION))
         for name, (body, base) in orders.items():
-            answer = await core.call(alone, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
+            answer = await core.call(remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
             assert answer[0] == 503, name
-        assert (await core.call(alone, "GET", "/v1/config/read"))[0] == 503
+        assert (await core.call(remaining, "GET", "/v1/config/read"))[0] == 503
 
     play(tmp_path, scene)
--- a/tests/fleet/controller/test_http_server.py
+++ b/tests/fleet/controller/test_http_server.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP server: requests cut anywhere, bounds, time-outs, hostile bytes."""
+"""The HTTP server of the operator API: fragmented requests, limits, timeouts, malformed input."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 __all__ = ["alive"]
 
-on_any_machine = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
+no_deadline = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 LoopFactory = Callable[[], asyncio.AbstractEventLoop]
 GET = b"GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
 
@@ -41,7 +41,7 @@
 
 
 class Clock:
-    """The part of an event loop that a connection uses, with a time of its own and tasks run by hand."""
+    """The methods of an event loop that a connection uses, with simulated time and tasks run manually."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -86,7 +86,7 @@
 
 
 class Pipe(asyncio.Transport):
-    """A transport that keeps what is written."""
+    """A transport that records the written data."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -123,7 +123,7 @@
     async def handle(self, request: Message) -> Response:
         self.requests.append(request)
         if request.url == b"/fault":
-            raise ValueError("a fault of the handler")
+            raise ValueError("handler failed")
         return Response(200, b"".join(request.body))
 
     def connect(self) -> tuple[Connection, Pipe]:
@@ -146,14 +146,14 @@
     return b"POST /x HTTP/1.1\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-@settings(on_any_machine, max_examples=60)
+@settings(no_deadline, max_examples=60)
 @given(
     bodies=st.lists(st.binary(max_size=40), min_size=1, max_size=4),
     size=st.integers(1, 20),
     cuts=st.lists(st.integers(0, 600), max_size=8),
     in_chunks=st.booleans(),
 )
-def test_requests_cut_anywhere_are_handled_in_order(
+def test_requests_split_anywhere_are_handled_in_order(
     bodies: list[bytes], size: int, cuts: list[int], in_chunks: bool
 ) -> None:
     rig = Rig()
@@ -171,7 +171,7 @@
     assert pipe.reading and not pipe.closed
 
 
-def test_a_large_body_in_chunks_arrives_whole() -> None:
+def test_a_large_chunked_body_is_received_completely() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     body = bytes(range(256)) * 12_000
@@ -183,9 +183,9 @@
     assert status_of(pipe) == 200
 
 
-@settings(on_any_machine, max_examples=100)
+@settings(no_deadline, max_examples=100)
 @given(st.lists(st.binary(min_size=1, max_size=60), max_size=6))
-def test_any_bytes_leave_the_server_standing(pieces: list[bytes]) -> None:
+def test_the_server_survives_any_bytes(pieces: list[bytes]) -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     for piece in pieces:
@@ -200,7 +200,7 @@
     assert pipe.closed or not rig.server.buffered_body_bytes()
 
 
-def test_hostile_bytes_are_answered_with_400_and_closed() -> None:
+def test_malformed_bytes_are_answered_with_400_and_closed() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     connection.data_received(b"\x16\x03\x01\x02\x00\x01")
@@ -210,7 +210,7 @@
     assert not rig.clock.tasks
 
 
-def test_a_body_above_the_bound_is_refused() -> None:
+def test_a_body_above_the_limit_is_rejected() -> None:
     rig = Rig(Bounds(body_bytes=1000))
     connection, pipe = rig.connect()
     connection.data_received(b"POST /x HTTP/1.1\r\nContent-Length: 1001\r\n\r\n")
@@ -218,7 +218,7 @@
     assert pipe.closed
 
 
-def test_all_bodies_together_are_bounded() -> None:
+def test_the_total_size_of_bodies_is_bounded() -> None:
     rig = Rig(Bounds(body_bytes=1000, total_bytes=1500))
     first, _ = rig.connect()
     second, pipe = rig.connect()
@@ -228,7 +228,7 @@
     assert first.state is ConnectionState.BODY
 
 
-def test_a_client_that_waits_is_told_to_go_on() -> None:
+def test_a_client_that_expects_100_continue_receives_it() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     connection.data_received(b"POST /x HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
@@ -238,7 +238,7 @@
     assert b"".join(rig.requests[0].body) == b"ab"
 
 
-def test_a_fault_of_the_handler_is_answered_with_500() -> None:
+def test_an_exception_of_the_handler_is_answered_with_500() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     connection.data_received(b"GET /fault HTTP/1.1\r\n\r\n")
@@ -254,7 +254,7 @@
         (b"POST /x HTTP/1.1\r\nContent-Length: 5\r\n\r\nab", Bounds().body_timeout_s, True),
     ],
 )
-def test_what_stays_unfinished_ends(received: bytes, span: float, answered: bool) -> None:
+def test_idle_and_incomplete_requests_time_out(received: bytes, span: float, answered: bool) -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     if received:
@@ -266,7 +266,7 @@
     assert (b" 408 " in pipe.sent) is answered
 
 
-def test_bytes_that_trickle_in_do_not_put_the_time_off() -> None:
+def test_slowly_received_bytes_do_not_extend_the_timeout() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     for byte in b"GET /x HTTP":
@@ -275,7 +275,7 @@
     assert pipe.closed
 
 
-def test_an_answer_that_nobody_reads_stops_reading_and_ends() -> None:
+def test_an_unread_response_pauses_reading_and_times_out() -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     connection.data_received(GET * 3)
@@ -293,7 +293,7 @@
     assert pipe.closed
 
 
-def test_connections_beyond_the_bound_take_the_place_of_idle_ones() -> None:
+def test_connections_above_the_limit_replace_idle_ones() -> None:
     rig = Rig(Bounds(connections=2))
     pipes = [rig.connect()[1] for _ in range(3)]
     assert sum(pipe.closed for pipe in pipes) == 1
@@ -305,7 +305,7 @@
     busy.clock.run_tasks()
 
 
-def test_the_end_lets_what_is_under_way_finish() -> None:
+def test_shutdown_lets_active_requests_finish() -> None:
     rig = Rig()
     idle, idle_pipe = rig.connect()
     busy, busy_pipe = rig.connect()
@@ -319,13 +319,13 @@
 
 
 @pytest.mark.parametrize("behind", [GET, with_length(b"order"), b"\r\n"])
-def test_the_end_answers_each_request_that_has_been_read(behind: bytes) -> None:
+def test_shutdown_answers_each_request_that_has_been_read(behind: bytes) -> None:
     rig = Rig()
     connection, pipe = rig.connect()
     connection.data_received(GET + behind)
     rig.server.stop_accepting()
     rig.clock.run_tasks()
-    rig.clock.run_tasks()  # the one behind it, if there is one
+    rig.clock.run_tasks()  # the pipelined request, if any
     expected = 1 if behind.isspace() else 2
     assert pipe.sent.count(b"HTTP/1.1 200 ") == expected
     assert pipe.sent.count(b"Connection: close") == expected - 1
@@ -361,7 +361,7 @@
 
 
 @pytest.mark.parametrize("loop_factory", [asyncio.new_event_loop, uvloop.new_event_loop])
-def test_the_end_waits_for_a_request_whose_last_byte_comes_only_then(loop_factory: LoopFactory) -> None:
+def test_drain_waits_for_a_request_that_is_still_being_received(loop_factory: LoopFactory) -> None:
     async def scene() -> bytes:
         loop = asyncio.get_running_loop()
         handled = asyncio.Event()
@@ -395,10 +395,10 @@
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"{}")
 
 
-def test_the_end_does_not_wait_for_ever() -> None:
+def test_drain_ends_at_its_timeout() -> None:
     async def scene() -> None:
         async def handle(request: Message) -> Response:
-            raise AssertionError("nothing whole comes")
+            raise AssertionError("no complete request is sent")
 
         server = HttpServer(asyncio.get_running_loop(), handle, QUIET)
         await server.start(("127.0.0.1", 0))
@@ -417,10 +417,10 @@
 
 @pytest.mark.parametrize("leaves", (False, True))
 @pytest.mark.parametrize("loop_factory", (asyncio.new_event_loop, uvloop.new_event_loop))
-def test_an_order_s_body_ends_with_its_call(
+def test_a_request_body_is_released_after_its_request(
     loop_factory: LoopFactory, leaves: bool, alive: LiveObjects
 ) -> None:
-    # Guards against: bodies of ended calls are kept until the collector of cycles runs.
+    # Guards against reference cycles that keep bodies of finished requests until the garbage collector runs.
     order = b"x" * 1_000_000
 
     async def handler(request: Message) -> Response:
--- a/tests/fleet/controller/test_instance_poller.py
+++ b/tests/fleet/controller/test_instance_poller.py
@@ -1,4 +1,4 @@
-"""The poll duty: when the list is asked for, what comes of failures, and when it stops."""
+"""The instance poller: poll intervals, retries after failures, and release of the poll role."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from firvane.fleet.controller.instance_records import InstanceRecords
 from firvane.fleet.controller.platform_client import PlatformError, PlatformReply
 
-Answer = PlatformReply | PlatformError
+ScriptedReply = PlatformReply | PlatformError
 
 
 def page(*ids: str, token: str | None = None) -> PlatformReply:
@@ -22,28 +22,28 @@
     return PlatformReply(200, json.dumps({"instances": instances, "next_token": token}).encode())
 
 
-class World:
-    """A platform that gives scripted answers, and a clock that only sleeping moves."""
+class FakePlatform:
+    """A platform with scripted replies, the published items, and a sleep that records its durations."""
 
-    def __init__(self, *answers: Answer) -> None:
-        self.answers = list(answers)
-        self.asked: list[str] = []
-        self.slept: list[float] = []
+    def __init__(self, *replies: ScriptedReply) -> None:
+        self.replies = list(replies)
+        self.requested: list[str] = []
+        self.sleeps: list[float] = []
         self.published: list[Item] = []
-        self.out_of_answers = asyncio.Event()
+        self.replies_exhausted = asyncio.Event()
 
     async def get(self, target: str) -> PlatformReply:
-        self.asked.append(target)
-        if not self.answers:
-            self.out_of_answers.set()
+        self.requested.append(target)
+        if not self.replies:
+            self.replies_exhausted.set()
             await asyncio.Event().wait()
-        answer = self.answers.pop(0)
-        if isinstance(answer, PlatformError):
-            raise answer
-        return answer
+        reply = self.replies.pop(0)
+        if isinstance(reply, PlatformError):
+            raise reply
+        return reply
 
     async def sleep(self, span: float) -> None:
-        self.slept.append(span)
+        self.sleeps.append(span)
         await asyncio.sleep(0)
 
     def poller(self) -> InstancePoller:
@@ -52,73 +52,73 @@
         return InstancePoller(loop, self, records, self.published.append, QUIET, self.sleep)
 
 
-def play(*answers: Answer) -> World:
-    """Hold the duty until all answers have been given, then release it."""
+def play(*replies: ScriptedReply) -> FakePlatform:
+    """Own the poll role until all scripted replies are sent, then release it."""
 
-    async def run() -> World:
-        world = World(*answers)
-        poller = world.poller()
+    async def run() -> FakePlatform:
+        platform = FakePlatform(*replies)
+        poller = platform.poller()
         poller.acquire(1)
-        await world.out_of_answers.wait()
+        await platform.replies_exhausted.wait()
         poller.release()
         await asyncio.sleep(0)
         assert len(asyncio.all_tasks()) == 1
-        return world
+        return platform
 
     return asyncio.run(run())
 
 
-def test_the_first_poll_is_at_once_and_others_follow() -> None:
-    world = play(page("i-1"), page("i-1"), page("i-1", "i-2"))
-    assert world.asked == ["/instances"] * 4
-    assert len(world.published) == 2
-    assert all(0.9 * POLL_INTERVAL_S < span <= POLL_INTERVAL_S for span in world.slept)
+def test_the_first_poll_is_immediate_and_others_follow_at_intervals() -> None:
+    platform = play(page("i-1"), page("i-1"), page("i-1", "i-2"))
+    assert platform.requested == ["/instances"] * 4
+    assert len(platform.published) == 2
+    assert all(0.9 * POLL_INTERVAL_S < span <= POLL_INTERVAL_S for span in platform.sleeps)
 
 
-def test_all_pages_make_one_list() -> None:
-    world = play(page("i-1", token="p 1"), page("i-2"))
-    assert world.asked[:2] == ["/instances", "/instances?page_token=p%201"]
-    assert len(world.published) == 1
+def test_all_pages_form_one_list() -> None:
+    platform = play(page("i-1", token="p 1"), page("i-2"))
+    assert platform.requested[:2] == ["/instances", "/instances?page_token=p%201"]
+    assert len(platform.published) == 1
 
 
-def test_failures_are_followed_by_pauses_and_change_nothing() -> None:
+def test_failures_cause_backoff_and_publish_nothing() -> None:
     failures = [PlatformError("timed out"), PlatformReply(429, b"", 30.0), PlatformReply(200, b"{")] * 3
-    world = play(page("i-1", token="t"), *failures, page("i-1", "i-2"))
-    assert len(world.published) == 1
-    assert world.asked == ["/instances", "/instances?page_token=t", *["/instances"] * 10]
-    assert all(0.2 < span <= MAX_BACKOFF_S for span in world.slept)
+    platform = play(page("i-1", token="t"), *failures, page("i-1", "i-2"))
+    assert len(platform.published) == 1
+    assert platform.requested == ["/instances", "/instances?page_token=t", *["/instances"] * 10]
+    assert all(0.2 < span <= MAX_BACKOFF_S for span in platform.sleeps)
 
 
-def test_a_fault_of_our_own_does_not_end_the_duty() -> None:
-    async def run() -> World:
-        world = World(page("i-1"), page("i-1", "i-2"))
-        poller = world.poller()
+def test_an_exception_while_publishing_does_not_stop_polling() -> None:
+    async def run() -> FakePlatform:
+        platform = FakePlatform(page("i-1"), page("i-1", "i-2"))
+        poller = platform.poller()
 
         def publish(item: Item) -> None:
-            world.published.append(item)
-            if len(world.published) == 1:
-                raise ValueError("a fault")
+            platform.published.append(item)
+            if len(platform.published) == 1:
+                raise ValueError("publishing failed")
 
         poller._publish = publish
         poller.acquire(1)
-        await world.out_of_answers.wait()
+        await platform.replies_exhausted.wait()
         poller.release()
-        return world
+        return platform
 
     assert len(asyncio.run(run()).published) == 2
 
 
-def test_taking_over_twice_polls_once() -> None:
-    async def run() -> World:
-        world = World(page("i-1"))
-        poller = world.poller()
+def test_acquiring_the_role_twice_starts_one_poll_task() -> None:
+    async def run() -> FakePlatform:
+        platform = FakePlatform(page("i-1"))
+        poller = platform.poller()
         poller.acquire(1)
         poller.acquire(2)
-        await world.out_of_answers.wait()
+        await platform.replies_exhausted.wait()
         poller.release()
         poller.release()
-        return world
+        return platform
 
-    world = asyncio.run(run())
-    assert len(world.asked) == 2
-    assert world.published[0].version >> 32 == 2
+    platform = asyncio.run(run())
+    assert len(platform.requested) == 2
+    assert platform.published[0].version >> 32 == 2
--- a/tests/fleet/controller/test_instance_records.py
+++ b/tests/fleet/controller/test_instance_records.py
@@ -1,4 +1,4 @@
-"""What is published of the instances, by whom, and under which versions."""
+"""Which instance records are published, by which controller, and under which versions."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return {each.id: each.state for each in decode_instances(item.payload)}
 
 
-def holder(term: int = 3) -> InstanceRecords:
+def owner(term: int = 3) -> InstanceRecords:
     records = InstanceRecords(QUIET)
     records.acquire(term)
     return records
@@ -36,8 +36,8 @@
     assert service_of(b"instances/\xff") is None
 
 
-def test_changes_are_published_with_rising_versions() -> None:
-    records = holder(term=3)
+def test_changes_are_published_with_increasing_versions() -> None:
+    records = owner(term=3)
     (first,) = records.observe(listed(instance(1)), 0.0)
     assert records.observe(listed(instance(1)), 1.0) == []
     (second,) = records.observe(listed(instance(1, state=InstanceState.DRAINING)), 2.0)
@@ -47,14 +47,14 @@
 
 
 def test_a_service_without_instances_left_is_published() -> None:
-    records = holder()
+    records = owner()
     records.observe(listed(instance(1), instance(2, "b")), 0.0)
     (item,) = records.observe(listed(instance(2, "b")), 1.0)
     assert item.key == b"instances/a"
     assert states(item) == {"i-1": InstanceState.GONE}
 
 
-def test_who_does_not_hold_the_duty_publishes_nothing() -> None:
+def test_a_controller_without_the_poll_role_publishes_nothing() -> None:
     records = InstanceRecords(QUIET)
     assert records.observe(listed(instance(1)), 0.0) == []
     records.acquire(1)
@@ -62,8 +62,8 @@
     assert records.observe(listed(instance(1), instance(2)), 1.0) == []
 
 
-def test_a_new_holder_publishes_everything_with_what_the_last_one_knew() -> None:
-    last = holder(term=1)
+def test_a_new_owner_publishes_every_service_with_the_merged_state() -> None:
+    last = owner(term=1)
     last.observe(listed(instance(1), instance(2, "b")), 0.0)
     drained = last.observe(listed(instance(1, state=InstanceState.DRAINING), instance(2, "b")), 1.0)
     other = last.observe(listed(instance(1, state=InstanceState.DRAINING)), 2.0)
@@ -71,15 +71,15 @@
     for item in [*drained, *other]:
         assert successor.merge_published(item) == []
     successor.acquire(2)
-    # The list that the successor sees is older: nothing comes back.
+    # The successor reads an older list: draining and gone instances do not become ready again.
     first, second = successor.observe(listed(instance(1), instance(2, "b")), 3.0)
     assert states(first) == {"i-1": InstanceState.DRAINING}
     assert states(second) == {"i-2": InstanceState.GONE}
     assert min(first.version, second.version) > max(drained[0].version, other[0].version)
 
 
-def test_a_holder_that_learns_of_another_publishes_both_together() -> None:
-    mine, other = holder(term=2), holder(term=1)
+def test_an_owner_that_merges_another_record_publishes_the_result() -> None:
+    mine, other = owner(term=2), owner(term=1)
     mine.observe(listed(instance(1)), 0.0)
     (theirs,) = other.observe(listed(instance(1, state=InstanceState.DRAINING)), 0.0)
     (merged,) = mine.merge_published(theirs)
@@ -88,8 +88,8 @@
     assert mine.merge_published(theirs) == []
 
 
-def test_the_sequence_goes_on_within_a_term() -> None:
-    records = holder(term=4)
+def test_the_sequence_continues_within_a_term() -> None:
+    records = owner(term=4)
     (first,) = records.observe(listed(instance(1)), 0.0)
     records.release()
     records.acquire(4)
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x01", b"\xff" * 20])
-def test_damaged_records_are_passed_over(payload: bytes) -> None:
-    records = holder()
+def test_malformed_records_are_ignored(payload: bytes) -> None:
+    records = owner()
     assert records.merge_published(Item(b"instances/a", 1, payload)) == []
     assert records.merge_published(Item(b"configuration", 1, payload)) == []
--- a/tests/fleet/controller/test_old_formats.py
+++ b/tests/fleet/controller/test_old_formats.py
@@ -1,4 +1,4 @@
-"""Folders that other versions of the program have written: opened, or left as they are and named."""
+"""Journals written by other program versions are opened, or left unchanged with an error."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from tests.fleet.controller.test_configuration_publisher import order
 
 FORMAT_1 = Path(__file__).parent / "data" / "journal_format_1" / "group-0"
-"""Written by the code before orders were remembered with their bases: versions 3, 4 in the snapshot, then 9
-and 10 as entries."""
+"""Written before the history recorded the bases of orders: versions 3, 4 in the snapshot, then 9 and 10 as
+entries."""
 SEED = ("127.0.0.1", 7300)
 
 
@@ -33,7 +33,7 @@
     return open_or_create(SystemFileSystem(), str(folder), False, 999, QUIET)
 
 
-def test_a_folder_of_the_first_format_is_opened_with_all_that_it_holds(tmp_path: Path) -> None:
+def test_a_journal_of_format_1_is_opened_with_its_state(tmp_path: Path) -> None:
     folder = tmp_path / "group-0"
     shutil.copytree(FORMAT_1, folder)
     found = opened(folder)
@@ -54,7 +54,7 @@
     found.journal.close()
 
 
-def test_a_segment_of_another_version_is_left_as_it_is(
+def test_a_segment_of_another_version_is_left_unchanged(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     folder = tmp_path / "group-0"
@@ -67,7 +67,7 @@
     assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
 
 
-def test_a_record_of_another_version_is_left_as_it_is(tmp_path: Path) -> None:
+def test_a_record_of_another_version_is_left_unchanged(tmp_path: Path) -> None:
     folder = tmp_path / "group-0"
     create_journal(SystemFileSystem(), str(folder), 7, [b"\x09\x01\x01"]).close()
     before = {path.name: path.read_bytes() for path in folder.iterdir()}
@@ -76,7 +76,7 @@
     assert {path.name: path.read_bytes() for path in folder.iterdir()} == before
 
 
-def test_a_damaged_folder_is_given_up_and_not_taken_for_another_version(tmp_path: Path) -> None:
+def test_a_corrupt_journal_is_replaced_and_not_taken_for_another_version(tmp_path: Path) -> None:
     folder = tmp_path / "group-0"
     shutil.copytree(FORMAT_1, folder)
     snapshot = folder / "snapshot-00000002"
--- a/tests/fleet/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -1,4 +1,4 @@
-"""The operators' calls: what is acknowledged, what is refused, and where an operator is sent."""
+"""The operator API: acknowledgements, rejections and redirects."""
 
 from __future__ import annotations
 
@@ -59,14 +59,14 @@
 
 
 class Group:
-    """One replica that commits at once, or ends proposals as it is told."""
+    """A fake replica that commits immediately, or ends proposals with the status in `status_of_proposals`."""
 
     def __init__(self, state: ConfigurationState) -> None:
         self.state = state
         self.owner_address: Address | None = OWN
-        self.ending: ProposalStatus | None = None  # of proposals
-        self.takes = True  # what it proposes, however the proposal ends
-        self.behind: list[bytes] = []  # committed, and applied here by the next read
+        self.status_of_proposals: ProposalStatus | None = None  # None commits them
+        self.applies_proposals = True  # whether proposals are applied, whatever their status
+        self.unapplied: list[bytes] = []  # committed elsewhere, applied here by the next read
         self.readable = True
         self.index = 0
         self.proposals = 0
@@ -79,9 +79,9 @@
 
     async def propose(self, group: int, payload: bytes, timeout: float) -> ProposalResult:
         self.proposals += 1
-        result = self.apply(payload) if self.takes else b""
-        if self.ending:
-            return ProposalResult(self.ending, owner=self.owner_address)
+        result = self.apply(payload) if self.applies_proposals else b""
+        if self.status_of_proposals:
+            return ProposalResult(self.status_of_proposals, owner=self.owner_address)
         return ProposalResult(ProposalStatus.COMMITTED, result)
 
     async def read(self, group: int, timeout: float) -> ProposalResult:
@@ -89,9 +89,9 @@
             return ProposalResult(ProposalStatus.NOT_OWNER, owner=self.owner_address)
         if not self.readable:
             return ProposalResult(ProposalStatus.UNCLEAR)
-        for payload in self.behind:
+        for payload in self.unapplied:
             self.apply(payload)
-        self.behind.clear()
+        self.unapplied.clear()
         return ProposalResult(ProposalStatus.COMMITTED)
 
     def apply(self, payload: bytes) -> bytes:
@@ -136,7 +136,7 @@
     return ResultCode(json.loads(response.body)["code"])
 
 
-def test_the_calls_are_those_of_the_protocol() -> None:
+def test_the_endpoints_are_those_of_the_protocol() -> None:
     assert {(endpoint.method, endpoint.path) for endpoint in ENDPOINTS} == {
         (b"POST", b"/v1/config/replace"),
         (b"POST", b"/v1/config/modify"),
@@ -147,7 +147,7 @@
     }
 
 
-def test_a_configuration_is_taken_and_read_back() -> None:
+def test_a_configuration_is_accepted_and_read_back() -> None:
     rig = Rig()
     sent = document(5, routes=40)
     response = rig.replace(sent, 0)
@@ -161,7 +161,7 @@
     assert json.loads(rig.read().body) == sent
 
 
-def test_a_change_is_taken_on_top() -> None:
+def test_a_modification_is_applied_to_its_base() -> None:
     rig = Rig()
     rig.replace(document(5, routes=2), 0)
     route = document(5, timeout_ms=100)["routes"][0]
@@ -172,7 +172,7 @@
     assert json.loads(rig.read().body)["routes"] == [route]
 
 
-def test_an_order_sent_again_is_acknowledged_again() -> None:
+def test_a_repeated_order_is_acknowledged_again() -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     rig.replace(document(6), 5)
@@ -181,7 +181,7 @@
     assert rig.group.proposals == 2
 
 
-def test_one_of_two_orders_on_one_base_wins() -> None:
+def test_one_of_two_orders_with_the_same_base_is_accepted() -> None:
     rig = Rig()
 
     async def race() -> list[Response]:
@@ -204,7 +204,7 @@
         document(5),
     ],
 )
-def test_what_is_invalid_is_refused_and_not_proposed(body: Any) -> None:
+def test_an_invalid_document_is_rejected_and_not_proposed(body: Any) -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     response = rig.replace(body, 5)
@@ -214,28 +214,28 @@
 
 
 @pytest.mark.parametrize("base", [None, "", "-1", "one", "5.0", "9" * 40])
-def test_a_base_that_is_no_version_is_refused(base: str | None) -> None:
+def test_a_base_that_is_not_a_version_is_rejected(base: str | None) -> None:
     rig = Rig()
     response = rig.replace(document(5), base)
     assert (response.status, code_of(response)) == (400, ResultCode.BAD_BASE)
 
 
-def test_an_order_on_an_older_version_is_a_conflict() -> None:
+def test_an_order_with_an_older_base_is_a_conflict() -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     response = rig.replace(document(9), 0)
     assert (response.status, json.loads(response.body)["config_version"]) == (412, 5)
 
 
-def test_an_order_on_a_version_that_has_not_arrived_here_waits_for_it() -> None:
+def test_an_order_with_a_base_not_yet_applied_here_waits_for_it() -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     newer = Order(OrderKind.REPLACE, 5, json.dumps(document(7)).encode())
-    rig.group.behind.append(newer.pack())
+    rig.group.unapplied.append(newer.pack())
     assert rig.replace(document(9), 7).status == 200
 
 
-def test_a_conflict_that_may_not_be_final_is_not_told() -> None:
+def test_an_unconfirmed_conflict_is_answered_as_unclear() -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     rig.group.readable = False
@@ -245,27 +245,27 @@
     assert rig.replace(document(9), 7).status == 412
 
 
-@pytest.mark.parametrize("takes", [True, False])
-def test_an_unclear_end_is_no_refusal_and_the_order_may_be_sent_again(takes: bool) -> None:
+@pytest.mark.parametrize("applies_proposals", [True, False])
+def test_an_order_with_an_unclear_result_may_be_repeated(applies_proposals: bool) -> None:
     rig = Rig()
-    rig.group.ending, rig.group.takes = ProposalStatus.UNCLEAR, takes
+    rig.group.status_of_proposals, rig.group.applies_proposals = ProposalStatus.UNCLEAR, applies_proposals
     response = rig.replace(document(5), 0)
     assert (response.status, code_of(response)) == (503, ResultCode.UNCLEAR)
     assert "Retry-After" in response.headers
-    rig.group.ending, rig.group.takes = None, True
+    rig.group.status_of_proposals, rig.group.applies_proposals = None, True
     assert rig.replace(document(5), 0).status == 200
     assert rig.state.version == 5
 
 
 def test_a_disk_that_refuses_writes() -> None:
     rig = Rig()
-    rig.group.ending, rig.group.takes = ProposalStatus.UNAVAILABLE, False
+    rig.group.status_of_proposals, rig.group.applies_proposals = ProposalStatus.UNAVAILABLE, False
     response = rig.replace(document(5), 0)
     assert (response.status, code_of(response)) == (503, ResultCode.STORAGE_REFUSED)
 
 
 @pytest.mark.parametrize("path", ["/v1/config/replace", "/v1/config/modify", "/v1/config/read"])
-def test_who_does_not_own_the_part_names_the_owner(path: str) -> None:
+def test_a_controller_that_is_not_the_owner_redirects_to_it(path: str) -> None:
     rig = Rig()
     rig.group.owner_address = OTHER
     method = "GET" if path.endswith("read") else "POST"
@@ -274,17 +274,17 @@
     assert response.headers["Location"] == f"http://10.0.0.2:8262{path}"
 
 
-def test_ownership_lost_on_the_way_names_the_next_owner() -> None:
+def test_ownership_lost_during_a_proposal_redirects_to_the_next_owner() -> None:
     rig = Rig()
-    rig.group.ending, rig.group.takes = ProposalStatus.NOT_OWNER, False
+    rig.group.status_of_proposals, rig.group.applies_proposals = ProposalStatus.NOT_OWNER, False
     rig.group.is_owner = lambda group: True  # type: ignore[method-assign]
     rig.group.owner_address = OTHER
     assert rig.replace(document(5), 0).status == 307
-    rig.group.owner_address = OWN  # the host does not know yet that another has taken over
+    rig.group.owner_address = OWN  # the host does not yet know the new owner
     assert code_of(rig.replace(document(5), 0)) is ResultCode.NO_OWNER
 
 
-def test_without_an_owner_the_operator_is_told_to_come_back() -> None:
+def test_without_an_owner_the_response_has_retry_after() -> None:
     rig = Rig()
     rig.group.owner_address = None
     for response in (rig.replace(document(5), 0), rig.read()):
@@ -292,7 +292,7 @@
         assert float(response.headers["Retry-After"]) > 0
 
 
-def test_a_read_without_a_majority_is_not_answered_from_memory() -> None:
+def test_a_read_without_a_majority_is_not_served_from_local_state() -> None:
     rig = Rig()
     rig.replace(document(5), 0)
     rig.group.readable = False
@@ -304,7 +304,7 @@
 
 
 @pytest.mark.parametrize("path", ["/v1/fleet/members", "/v1/fleet/parts"])
-def test_the_state_of_the_fleet_is_told_without_an_owner(path: str) -> None:
+def test_the_state_of_the_fleet_is_reported_without_an_owner(path: str) -> None:
     rig = Rig()
     rig.group.owner_address = None
     response = run(rig.call("GET", path))
@@ -312,7 +312,7 @@
     assert run(rig.call("POST", path)).status == 405
 
 
-def test_a_hand_over_elsewhere_names_the_owner() -> None:
+def test_a_transfer_of_another_owners_partition_redirects_to_it() -> None:
     rig = Rig()
     order = {"part": OTHER_PARTITION, "term": 4}
     response = run(rig.call("POST", "/v1/fleet/hand-over", order))
@@ -321,7 +321,7 @@
     assert run(rig.call("GET", "/v1/fleet/hand-over")).status == 405
 
 
-def test_a_hand_over_that_is_malformed_is_a_typed_refusal() -> None:
+def test_a_malformed_transfer_order_is_rejected_with_its_problem() -> None:
     rig = Rig()
     response = run(rig.call("POST", "/v1/fleet/hand-over", b"{"))
     assert (response.status, code_of(response)) == (400, ResultCode.BAD_ARGUMENT)
--- a/tests/fleet/controller/test_platform_client.py
+++ b/tests/fleet/controller/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's client: kept connections, answers of all forms, failures by name."""
+"""The platform client: persistent connections, all forms of replies, and failures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def play(script: Script, requests: int = 1, timeout: float = 5.0) -> list[PlatformReply | PlatformError]:
-    """Run requests one after the other against a server that answers each connection by the script."""
+    """Send requests sequentially to a server that runs the script on each connection."""
 
     async def scene() -> list[PlatformReply | PlatformError]:
         server = await asyncio.start_server(script, "127.0.0.1", 0)
@@ -35,7 +35,7 @@
 
 
 def answers(*texts: bytes, end: bool = False) -> tuple[Script, list[bytes]]:
-    """A script that gives these answers on one connection, and the heads that it has read."""
+    """Return a script that sends these replies on one connection, and the list of heads that it reads."""
     heads: list[bytes] = []
 
     async def script(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -75,31 +75,31 @@
     assert play(script) == [PlatformReply(200, b"{}")]
 
 
-def test_a_kept_connection_that_was_closed_is_replaced() -> None:
+def test_a_persistent_connection_that_was_closed_is_replaced() -> None:
     script, heads = answers(OK, end=True)
     assert play(script, 3) == [PlatformReply(200, b"{}")] * 3
     assert len(heads) == 3
 
 
-def test_too_many_calls() -> None:
+def test_a_429_reply_has_its_retry_after() -> None:
     script, _ = answers(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n")
     assert play(script) == [PlatformReply(429, b"", 0.5)]
 
 
 @pytest.mark.parametrize("text", [b"no answer\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}"])
-def test_no_whole_answer(text: bytes) -> None:
+def test_a_malformed_or_truncated_reply_is_an_error(text: bytes) -> None:
     script, _ = answers(text, end=True)
     (outcome,) = play(script)
     assert isinstance(outcome, PlatformError)
 
 
-def test_silence_times_out() -> None:
+def test_a_missing_reply_times_out() -> None:
     script, _ = answers(b"")
     (outcome,) = play(script, timeout=0.02)
     assert str(outcome) == "timed out"
 
 
-def test_nobody_listens() -> None:
+def test_a_refused_connection_is_an_error() -> None:
     async def scene() -> None:
         client = PlatformClient(asyncio.get_running_loop(), ("127.0.0.1", 1))
         with pytest.raises(PlatformError):
--- a/tests/fleet/controller/test_record_replicator.py
+++ b/tests/fleet/controller/test_record_replicator.py
@@ -1,4 +1,4 @@
-"""The parts keep what is published, and give it back after the end of every process."""
+"""Service partitions store published records, which are published again after all processes restart."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 from firvane.fleet.partitions import partition_of
 
 SERVICE = "a"
-PART = partition_of(SERVICE)
+PARTITION = partition_of(SERVICE)
 
 
 class Rig:
-    """A keeper over one part, a cluster that keeps items, and timers run by hand."""
+    """A replicator with one partition, fakes of the host, agent and event loop, and timers fired manually."""
 
     def __init__(self) -> None:
-        self.partitions = {PART: ServicePartition(lambda record: self.replicator.on_stored(record))}
+        self.partitions = {PARTITION: ServicePartition(lambda record: self.replicator.on_stored(record))}
         self.items: dict[bytes, Item] = {}
         self.published: list[Item] = []
         self.restored: list[Item] = []
-        self.own = True
+        self.owned = True
         self.current = True
-        self.ending = ProposalStatus.COMMITTED
+        self.status = ProposalStatus.COMMITTED
         self.proposals = 0
         self.timers: list[Callable[[], Any]] = []
         self.tasks: list[asyncio.Task[None]] = []
@@ -50,7 +50,7 @@
 
     # the replication host
     def is_owner(self, group: int) -> bool:
-        return self.own
+        return self.owned
 
     def is_current(self, group: int) -> bool:
         return self.current
@@ -58,9 +58,9 @@
     async def propose(self, group: int, payload: bytes, timeout: float) -> ProposalResult:
         self.proposals += 1
         await asyncio.sleep(0)
-        if self.ending is ProposalStatus.COMMITTED:
+        if self.status is ProposalStatus.COMMITTED:
             self.partitions[group].apply(self.proposals, payload)
-        return ProposalResult(self.ending)
+        return ProposalResult(self.status)
 
     # the cluster agent
     def publish(self, item: Item) -> None:
@@ -81,13 +81,13 @@
             self.tasks = [task for task in self.tasks if not task.done()]
 
 
-def test_the_owner_keeps_what_is_published() -> None:
+def test_the_owner_stores_published_records() -> None:
     async def scene() -> None:
         rig = Rig()
         for version in (1, 2, 3):
             rig.receive_published(version)
         await rig.settle()
-        assert rig.partitions[PART].version_of(SERVICE) == 3
+        assert rig.partitions[PARTITION].version_of(SERVICE) == 3
         assert rig.proposals <= 2
         rig.pass_time()
         assert rig.published == []
@@ -95,41 +95,41 @@
     asyncio.run(scene())
 
 
-def test_who_becomes_the_owner_proposes_what_is_missing() -> None:
+def test_a_new_owner_proposes_missing_records() -> None:
     async def scene() -> None:
         rig = Rig()
-        rig.own = False
+        rig.owned = False
         rig.receive_published(1)
         assert rig.tasks == []
-        rig.own = True
-        rig.replicator.replicate(PART)
+        rig.owned = True
+        rig.replicator.replicate(PARTITION)
         await rig.settle()
-        assert rig.partitions[PART].version_of(SERVICE) == 1
+        assert rig.partitions[PARTITION].version_of(SERVICE) == 1
 
     asyncio.run(scene())
 
 
-def test_a_proposal_that_is_not_committed_is_made_again_later() -> None:
+def test_a_proposal_that_is_not_committed_is_retried() -> None:
     async def scene() -> None:
         rig = Rig()
-        rig.ending = ProposalStatus.UNCLEAR
+        rig.status = ProposalStatus.UNCLEAR
         rig.receive_published(1)
         await rig.settle()
         assert rig.proposals == 1
-        rig.ending = ProposalStatus.COMMITTED
+        rig.status = ProposalStatus.COMMITTED
         rig.pass_time()
         await rig.settle()
-        assert rig.partitions[PART].version_of(SERVICE) == 1
+        assert rig.partitions[PARTITION].version_of(SERVICE) == 1
 
     asyncio.run(scene())
 
 
-def test_what_only_the_part_knows_is_published_again() -> None:
+def test_a_record_found_only_in_the_partition_is_published() -> None:
     async def scene() -> None:
         before, after = Rig(), Rig()
         before.receive_published(4)
         await before.settle()
-        after.partitions[PART].load(before.partitions[PART].save())
+        after.partitions[PARTITION].load(before.partitions[PARTITION].save())
         assert after.restored == [Item(item_key(SERVICE), 4, b"payload 4")]
         after.pass_time()
         assert after.published == after.restored
@@ -137,7 +137,7 @@
     asyncio.run(scene())
 
 
-def test_the_end_leaves_no_task() -> None:
+def test_close_leaves_no_task() -> None:
     async def scene() -> None:
         rig = Rig()
         rig.receive_published(1)
@@ -150,20 +150,20 @@
     asyncio.run(scene())
 
 
-def test_other_items_are_passed_over() -> None:
+def test_other_items_are_ignored() -> None:
     rig = Rig()
     rig.replicator.on_published(Item(b"configuration", 1, b""))
     assert rig.proposals == 0
 
 
-def test_a_record_that_may_be_old_waits_until_its_part_is_current() -> None:
+def test_a_possibly_outdated_record_waits_until_its_partition_is_current() -> None:
     rig = Rig()
     rig.current = False
-    rig.partitions[PART].apply(1, ServiceRecord(SERVICE, 7, b"kept").pack())
+    rig.partitions[PARTITION].apply(1, ServiceRecord(SERVICE, 7, b"kept").pack())
     for _ in range(4):
         rig.pass_time()
     assert rig.published == []
-    rig.partitions[PART].apply(2, ServiceRecord(SERVICE, 9, b"newer").pack())
+    rig.partitions[PARTITION].apply(2, ServiceRecord(SERVICE, 9, b"newer").pack())
     rig.current = True
     rig.pass_time()
     assert [item.version for item in rig.published] == [9]
--- a/tests/fleet/controller/test_service_partition.py
+++ b/tests/fleet/controller/test_service_partition.py
@@ -1,4 +1,4 @@
-"""A part of the services: the highest version of each service wins, in whatever order records come."""
+"""A service partition keeps the highest version of each service, in whatever order records are applied."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     ServiceRecord,
 )
 
-on_any_machine = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
+no_deadline = settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 RECORDS = st.builds(
     ServiceRecord,
     service=st.sampled_from(["", "a", "b", "d\u00e9j\u00e0"]),
@@ -26,7 +26,7 @@
 )
 
 
-@on_any_machine
+@no_deadline
 @given(st.lists(RECORDS))
 def test_the_highest_version_of_each_service_is_kept(records: list[ServiceRecord]) -> None:
     partition = ServicePartition()
@@ -42,9 +42,9 @@
     assert list(copy) == list(partition)
 
 
-@on_any_machine
+@no_deadline
 @given(st.binary(max_size=60))
-def test_any_bytes_are_a_record_or_refused(data: bytes) -> None:
+def test_any_bytes_are_a_record_or_rejected(data: bytes) -> None:
     partition = ServicePartition()
     assert partition.apply(1, data) in (STORED, SUPERSEDED)
     for decode in (service_partition.unpack_record, partition.load):
@@ -52,32 +52,32 @@
             decode(data)
 
 
-@on_any_machine
+@no_deadline
 @given(st.lists(RECORDS, max_size=3), st.data())
-def test_a_damaged_snapshot_changes_nothing(records: list[ServiceRecord], data: st.DataObject) -> None:
+def test_a_truncated_snapshot_changes_nothing(records: list[ServiceRecord], data: st.DataObject) -> None:
     partition = ServicePartition()
     for index, record in enumerate(records):
         partition.apply(index, record.pack())
-    whole = partition.save()
-    cut = data.draw(st.integers(0, len(whole) - 1))
+    snapshot = partition.save()
+    cut = data.draw(st.integers(0, len(snapshot) - 1))
     with pytest.raises(PartitionError):
-        partition.load(whole[:cut])
-    assert partition.save() == whole
+        partition.load(snapshot[:cut])
+    assert partition.save() == snapshot
 
 
-def test_changes_are_told() -> None:
-    told: list[ServiceRecord] = []
-    partition = ServicePartition(told.append)
+def test_changes_call_the_callback() -> None:
+    changes: list[ServiceRecord] = []
+    partition = ServicePartition(changes.append)
     record = ServiceRecord("a", 1, b"x")
     partition.apply(1, record.pack())
     partition.apply(2, record.pack())
-    assert told == [record]
-    copy = ServicePartition(told.append)
+    assert changes == [record]
+    copy = ServicePartition(changes.append)
     copy.load(partition.save())
-    assert told == [record, record]
+    assert changes == [record, record]
 
 
-def test_a_record_out_of_bounds_is_refused() -> None:
+def test_a_record_out_of_bounds_is_rejected() -> None:
     with pytest.raises(PartitionError):
         ServiceRecord("a" * 300, 1, b"").pack()
     with pytest.raises(PartitionError):
--- a/tests/fleet/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -1,4 +1,4 @@
-"""A controller proves and grants only while it surely may."""
+"""Freshness proofs only with recent contact to a majority, quota grants only under the lease."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 OTHER: Address = ("10.0.0.2", 1)
 ROUTER: Address = ("10.1.0.1", 1)
 TENANT = "t"
-PART = partition_of(TENANT)
+PARTITION = partition_of(TENANT)
 
 
 @dataclass
@@ -55,7 +55,7 @@
 
 
 class Service:
-    """A service whose answers are kept."""
+    """A tenant service with a record of the messages that it sent."""
 
     def __init__(self, replication: Replication) -> None:
         self.sent: list[tuple[Address, Record]] = []
@@ -79,7 +79,7 @@
 
 
 def ask() -> QuotaRequest:
-    return QuotaRequest(5, tenant_id(TENANT), PART, 10, 0, 0)
+    return QuotaRequest(5, tenant_id(TENANT), PARTITION, 10, 0, 0)
 
 
 def run(test: Callable[[], Awaitable[None]]) -> None:
@@ -89,7 +89,7 @@
     asyncio.run(inside())
 
 
-def test_the_age_of_the_state_is_told_with_its_version() -> None:
+def test_a_freshness_proof_has_the_age_and_version_of_the_state() -> None:
     async def test() -> None:
         proof = Service(Replication()).ask(FreshnessRequest(3))
         assert isinstance(proof, FreshnessProof)
@@ -99,7 +99,7 @@
     run(test)
 
 
-def test_who_has_not_heard_of_a_majority_lately_names_another() -> None:
+def test_without_recent_contact_to_a_majority_the_proof_names_the_owner() -> None:
     async def test() -> None:
         for age in (None, MAX_PROOF_AGE_S + 0.01):
             assert Service(Replication(age=age)).ask(FreshnessRequest(3)) == FreshnessProof(3, 0, None, OTHER)
@@ -107,7 +107,7 @@
     run(test)
 
 
-def test_who_knows_nobody_else_names_nobody() -> None:
+def test_without_another_known_owner_the_proof_names_none() -> None:
     async def test() -> None:
         for leader in (None, OWN):
             assert Service(Replication(None, leader=leader)).ask(FreshnessRequest(3)) == FreshnessProof(
@@ -121,45 +121,47 @@
     async def test() -> None:
         replication = Replication()
         service = Service(replication)
-        service.floors[PART][tenant_id(TENANT)] = 1_000
+        service.floors[PARTITION][tenant_id(TENANT)] = 1_000
         service.service.configure([Tenant(TENANT, rate=1e12, burst=1e12)])
         assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
-        replication.owned.add(PART)
-        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, None)  # not told of it yet
-        service.service.on_ownership_changed(PART, True)
+        replication.owned.add(PARTITION)
+        assert service.ask(ask()) == QuotaGrant(
+            5, GrantStatus.NOT_OWNER, 0, 0.0, None
+        )  # not yet notified of its ownership
+        service.service.on_ownership_changed(PARTITION, True)
         granted = service.ask(ask())
         assert isinstance(granted, QuotaGrant) and granted.status is GrantStatus.GRANTED
-        replication.owned.clear()  # its lease is over, before it was told so
+        replication.owned.clear()  # the lease has expired, before the notification
         assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
 
     run(test)
 
 
-def test_an_ask_waits_for_the_floor_that_it_needs_and_is_answered_once_that_is_committed() -> None:
+def test_a_request_waits_until_the_floor_that_it_needs_is_committed() -> None:
     async def test() -> None:
-        replication = Replication(owned={PART})
+        replication = Replication(owned={PARTITION})
         service = Service(replication)
         service.service.configure([Tenant(TENANT, rate=1e6, burst=1e6)])
-        service.service.on_ownership_changed(PART, True)
+        service.service.on_ownership_changed(PARTITION, True)
         service.service.receive(ROUTER, encode(ask()))
         assert not service.sent
         await asyncio.sleep(0)
         partition, record = replication.proposed.pop()
-        assert partition == PART
-        service.floors[PART].apply(record)
-        service.service.on_floors_applied(PART, record)
+        assert partition == PARTITION
+        service.floors[PARTITION].apply(record)
+        service.service.on_floors_applied(PARTITION, record)
         to, grant = service.sent.pop()
         assert to == ROUTER and isinstance(grant, QuotaGrant) and grant.status is GrantStatus.GRANTED
 
     run(test)
 
 
-def test_a_proposal_that_came_to_nothing_is_followed_by_another() -> None:
+def test_a_failed_proposal_is_followed_by_another() -> None:
     async def test() -> None:
-        replication = Replication(owned={PART})
+        replication = Replication(owned={PARTITION})
         service = Service(replication)
         service.service.configure([Tenant(TENANT, rate=1e6, burst=1e6)])
-        service.service.on_ownership_changed(PART, True)
+        service.service.on_ownership_changed(PARTITION, True)
         for _ in range(2):
             service.service.receive(ROUTER, encode(ask()))
             for _ in range(3):
@@ -171,7 +173,7 @@
     run(test)
 
 
-def test_what_is_no_record_is_dropped() -> None:
+def test_malformed_and_unexpected_messages_are_dropped() -> None:
     async def test() -> None:
         service = Service(Replication())
         service.service.receive(ROUTER, b"\x09 no record")
