--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -3,7 +3,7 @@
 from tests.crossings.mutants import Mutant
 
 CONTROLLER, CONFIGURATION = "tests/fleet/controller/", "tests/fleet/configuration/"
-HAND_OUT, STATE = f"{CONTROLLER}test_hand_out.py::", f"{CONFIGURATION}test_state.py::"
+MAJORITY_LOSS, STATE = f"{CONTROLLER}test_majority_loss.py::", f"{CONFIGURATION}test_state.py::"
 POLICY = "tests/fleet/replication/test_membership_policy.py"
 UPSTREAM = "tests/fleet/router/test_upstream_model.py"
 
@@ -41,7 +41,7 @@
         "firvane/fleet/controller/controller.py",
         "            return not self.host.has_quorum_contact(partition_of(service))\n",
         "            return False\n",
-        f"{HAND_OUT}test_a_controller_without_a_majority_disseminates_nothing",
+        f"{MAJORITY_LOSS}test_a_controller_without_a_majority_disseminates_nothing",
     ),
     Mutant(
         "a controller without a majority refuses nothing",
