--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -102,7 +102,7 @@
         "firvane/fleet/configuration/schema.py",
         "            _release_values(validator)",
         "            pass",
-        "tests/fleet/configuration/test_checker.py::test_nothing_of_an_order_is_left_once_it_is_checked",
+        "tests/fleet/configuration/test_checker.py::test_a_checked_order_is_released_from_memory",
     ),
     Mutant(
         "what was searched of an event is not searched again",
@@ -179,6 +179,6 @@
         "firvane/fleet/configuration/structure.py",
         "islice(_all_problems(document, current_version, accepted or {}), MAX_PROBLEMS)",
         "_all_problems(document, current_version, accepted or {})",
-        "tests/fleet/configuration/test_checker.py -k than_are_told",
+        "tests/fleet/configuration/test_checker.py -k than_are_reported",
     ),
 ]
--- a/tests/crossings/mutants/control.py
+++ b/tests/crossings/mutants/control.py
@@ -55,7 +55,7 @@
         "firvane/fleet/configuration/order_history.py",
         "return OrderStatus.NOT_APPLIED if order.base >= self._complete_from else OrderStatus.UNKNOWN",
         "return OrderStatus.NOT_APPLIED",
-        f"{STATE}test_remembered_orders_are_bounded",
+        f"{STATE}test_the_order_history_is_bounded",
     ),
     Mutant(
         "of two orders on one base one is taken",
--- a/tests/fleet/configuration/documents.py
+++ b/tests/fleet/configuration/documents.py
@@ -1,4 +1,4 @@
-"""Documents for the tests, in the shape that operators send."""
+"""Builders of configuration documents and orders for tests."""
 
 from __future__ import annotations
 
--- a/tests/fleet/configuration/test_checker.py
+++ b/tests/fleet/configuration/test_checker.py
@@ -1,4 +1,4 @@
-"""The check of an order before it is proposed: types and bounds of every field, in steps."""
+"""Validation of an order before it is proposed: types and bounds of every field, in steps."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 )
 
 
-class Counting(ItemSchemas):
-    """Notes each item that is checked."""
+class RecordingSchemas(ItemSchemas):
+    """Records the place of each item that is validated."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -77,9 +77,21 @@
         (whole(routes=[route(priority="1")]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
         (whole(routes=[route(priority=1.5)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
         (whole(routes=[route(priority=True)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
-        (whole(routes=[route(max_attempts=-1)]), ResultCode.OUT_OF_RANGE, "routes[chat].max_attempts"),
-        (whole(routes=[route(session_affinity=1)]), ResultCode.WRONG_TYPE, "routes[chat].session_affinity"),
-        (whole(routes=[route(stream_resume="no")]), ResultCode.WRONG_TYPE, "routes[chat].stream_resume"),
+        (
+            whole(routes=[route(max_attempts=-1)]),
+            ResultCode.OUT_OF_RANGE,
+            "routes[chat].max_attempts",
+        ),
+        (
+            whole(routes=[route(session_affinity=1)]),
+            ResultCode.WRONG_TYPE,
+            "routes[chat].session_affinity",
+        ),
+        (
+            whole(routes=[route(stream_resume="no")]),
+            ResultCode.WRONG_TYPE,
+            "routes[chat].stream_resume",
+        ),
         (
             whole(routes=[route(target_latency_ms=-1)]),
             ResultCode.OUT_OF_RANGE,
@@ -95,19 +107,35 @@
         ),
         (whole(services=[service(tls="x")]), ResultCode.WRONG_TYPE, "services[writer].tls"),
         (whole(services=[service(engine=3)]), ResultCode.WRONG_TYPE, "services[writer].engine"),
-        (whole(services=[engine(slots=True)]), ResultCode.WRONG_TYPE, "services[writer].engine.slots"),
+        (
+            whole(services=[engine(slots=True)]),
+            ResultCode.WRONG_TYPE,
+            "services[writer].engine.slots",
+        ),
         (whole(services=[engine(slots="x")]), ResultCode.WRONG_TYPE, "services[writer].engine.slots"),
         (
             whole(services=[engine(models=[{}])]),
             ResultCode.MISSING_FIELD,
             "services[writer].engine.models[0].name",
         ),
-        (whole(services=[engine(models="m")]), ResultCode.WRONG_TYPE, "services[writer].engine.models"),
-        (whole(limits={**LIMITS, "max_body_bytes": -1}), ResultCode.OUT_OF_RANGE, "limits.max_body_bytes"),
-        (whole(limits={**LIMITS, "idle_timeout_ms": "x"}), ResultCode.WRONG_TYPE, "limits.idle_timeout_ms"),
+        (
+            whole(services=[engine(models="m")]),
+            ResultCode.WRONG_TYPE,
+            "services[writer].engine.models",
+        ),
+        (
+            whole(limits={**LIMITS, "max_body_bytes": -1}),
+            ResultCode.OUT_OF_RANGE,
+            "limits.max_body_bytes",
+        ),
+        (
+            whole(limits={**LIMITS, "idle_timeout_ms": "x"}),
+            ResultCode.WRONG_TYPE,
+            "limits.idle_timeout_ms",
+        ),
     ],
 )
-def test_a_field_of_the_wrong_type_or_out_of_bounds_is_named(
+def test_a_field_of_wrong_type_or_out_of_bounds_is_reported(
     document: Any, code: ResultCode, place: str
 ) -> None:
     result = check(document)
@@ -127,26 +155,26 @@
         whole(tenants=[{"name": "t", "extra": nested(40)}]),
     ],
 )
-def test_deep_nesting_is_refused(document: Any) -> None:
+def test_deep_nesting_is_rejected(document: Any) -> None:
     assert [problem.code for problem in check(document).problems] == [ResultCode.TOO_DEEP]
 
 
-def test_what_the_state_refuses_is_refused_before_any_item_is_checked() -> None:
-    schemas = Counting()
+def test_an_order_that_the_state_rejects_is_rejected_before_any_item_is_checked() -> None:
+    schemas = RecordingSchemas()
     checker = Checker(ConfigurationState(), replacement(4, whole(9)), schemas)
     assert checker.finish() == Result(ResultCode.CONFLICT, 0)
     assert schemas.places == []
 
 
-def test_an_order_taken_before_is_not_checked_again() -> None:
-    state, schemas = started(whole(3)), Counting()
+def test_an_order_that_was_applied_is_not_checked_again() -> None:
+    state, schemas = started(whole(3)), RecordingSchemas()
     assert Checker(state, replacement(0, whole(3)), schemas).finish() == Result(ResultCode.REPEATED, 3)
     assert schemas.places == []
 
 
 def test_only_items_that_differ_are_checked() -> None:
     state = started(whole(3, routes=[route("a"), route("b"), route("c")]))
-    schemas = Counting()
+    schemas = RecordingSchemas()
     order = modification(3, change(4, upsert={"routes": [route("b"), route("c", priority=2), route("d")]}))
     assert Checker(state, order, schemas).finish() == Result(ResultCode.ACCEPTED, 4)
     assert schemas.places == ["routes[c]", "routes[d]"]
@@ -159,7 +187,7 @@
 
 
 def test_a_step_checks_a_bounded_number_of_items() -> None:
-    schemas = Counting()
+    schemas = RecordingSchemas()
     routes = [route(f"r{number}") for number in range(40)]
     checker = Checker(
         ConfigurationState(), replacement(0, whole(3, routes=routes)), schemas, items_per_step=4
@@ -173,8 +201,8 @@
     assert checker.result == Result(ResultCode.ACCEPTED, 3)
 
 
-def test_a_document_full_of_faults_ends_early() -> None:
-    schemas = Counting()
+def test_validation_stops_at_the_maximum_number_of_problems() -> None:
+    schemas = RecordingSchemas()
     routes = [route(f"r{number}", priority="high") for number in range(2 * MAX_PROBLEMS)]
     result = Checker(ConfigurationState(), replacement(0, whole(3, routes=routes)), schemas).finish()
     assert len(result.problems) == MAX_PROBLEMS
@@ -201,23 +229,25 @@
     ],
     ids=["empty routes", "numbers", "one name", "without names", "no names", "contradictions"],
 )
-def test_no_more_problems_are_made_than_are_told(order: Order, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against: an order of millions of faults held a controller's loop for half a minute.
-    made: list[Problem] = []
+def test_no_more_problems_are_created_than_are_reported(
+    order: Order, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Guards against unbounded problem lists: an order with millions of errors blocked the loop for 30 s.
+    created: list[Problem] = []
 
-    def make(code: ResultCode, place: str, detail: str) -> Problem:
-        made.append(Problem(code, place, detail))
-        return made[-1]
+    def create(code: ResultCode, place: str, detail: str) -> Problem:
+        created.append(Problem(code, place, detail))
+        return created[-1]
 
     for module in (structure, documents_module):
-        monkeypatch.setattr(module, "Problem", make)
+        monkeypatch.setattr(module, "Problem", create)
     result = Checker(ConfigurationState(), order).finish()
     assert len(result.problems) == MAX_PROBLEMS
-    assert len(made) <= MAX_PROBLEMS
+    assert len(created) <= MAX_PROBLEMS
 
 
-def test_names_that_are_removed_are_not_searched_one_by_one() -> None:
-    # Guards against: adding and removing 20,000 names each in one order held a controller for six seconds.
+def test_removed_names_are_not_searched_linearly() -> None:
+    # Guards against quadratic merging: an order that added and removed 20,000 names each took 6 s.
     class NotSearched(list[str]):
         def __contains__(self, name: object) -> bool:
             raise AssertionError("searched")
@@ -241,8 +271,8 @@
     ],
     ids=["too long", "too long in a list", "beside a wrong field", "valid"],
 )
-def test_nothing_of_an_order_is_left_once_it_is_checked(members: dict[str, Any]) -> None:
-    # Guards against: cycles kept the values of rejected orders, and a controller went over its memory.
+def test_a_checked_order_is_released_from_memory(members: dict[str, Any]) -> None:
+    # Guards against reference cycles that kept values of rejected orders until memory was exhausted.
     schemas = ItemSchemas()
     Checker(ConfigurationState(), replacement(0, whole(**members)), schemas).finish()
     gc.collect()
@@ -258,7 +288,7 @@
     assert kept_bytes < LONG_TEXT_BYTES / 2
 
 
-def test_routers_load_neither_cerberus_nor_the_checks() -> None:
+def test_routers_import_neither_cerberus_nor_the_validation() -> None:
     code = (
         "import sys, firvane.fleet.configuration.item, firvane.fleet.discovery.codec\n"
         "unwanted = {'cerberus', 'hashlib', 'asyncio', 'firvane.fleet.configuration.state'}\n"
--- a/tests/fleet/configuration/test_codes.py
+++ b/tests/fleet/configuration/test_codes.py
@@ -1,4 +1,4 @@
-"""The numbers of the result codes, and the table of them in the docs."""
+"""The numbers of the result codes, and their table in the docs."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 TABLE = Path(__file__).parents[3] / "docs" / "result-codes.md"
 
 
-def test_the_docs_hold_every_code_with_its_status_and_meaning() -> None:
+def test_the_docs_list_every_code_with_its_status_and_meaning() -> None:
     rows = re.findall(r"^\| (\d+) \| `(\w+)` \| (\d+) \| (.+) \|$", TABLE.read_text(), re.MULTILINE)
     written = [(int(number), name, int(status), meaning) for number, name, status, meaning in rows]
     assert written == [(code.value, code.name, code.http_status, code.meaning) for code in ResultCode]
 
 
-def test_a_number_leads_back_to_its_code() -> None:
+def test_a_code_is_found_by_its_number() -> None:
     for code in ResultCode:
         assert code_of(int(code)) is code
     with pytest.raises(ValueError, match="4711"):
         code_of(4711)
 
 
-def test_only_orders_that_are_in_force_are_acknowledged() -> None:
+def test_only_applied_orders_are_acknowledged() -> None:
     acknowledged = {code for code in ResultCode if code.is_acknowledgement}
     assert acknowledged == {ResultCode.ACCEPTED, ResultCode.REPEATED}
     assert all(code.http_status == 200 for code in acknowledged)
 
 
-def test_what_was_not_decided_is_never_a_4xx() -> None:
+def test_only_invalid_calls_have_a_4xx_status() -> None:
     assert all(code.http_status >= 500 for code in ResultCode if code >= 5000)
     assert all(400 <= code.http_status < 500 for code in ResultCode if 2000 <= code < 5000)
--- a/tests/fleet/configuration/test_delta.py
+++ b/tests/fleet/configuration/test_delta.py
@@ -1,4 +1,4 @@
-"""Differences between documents: made, applied, and refused where they do not fit."""
+"""Deltas between documents: encoding, application, and rejection on another text."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     assert apply_delta(old, make_delta(old, new)) == new
 
 
-def test_a_delta_is_refused_on_another_text() -> None:
+def test_a_delta_is_rejected_on_another_text() -> None:
     delta = make_delta(text(whole(7)), text(whole(9)))
     with pytest.raises(DeltaError):
         apply_delta(text(whole(8)), delta)
@@ -68,13 +68,13 @@
 
 @settings(max_examples=200, deadline=None)
 @given(old=documents, new=documents)
-def test_a_delta_leads_to_the_very_text(old: Any, new: Any) -> None:
+def test_a_delta_gives_the_exact_text(old: Any, new: Any) -> None:
     assert apply_delta(text(old), make_delta(text(old), text(new))) == text(new)
 
 
 @settings(max_examples=200, deadline=None)
 @given(old=documents, new=documents, data=st.data())
-def test_a_spoiled_delta_leads_to_the_very_text_or_is_named(old: Any, new: Any, data: st.DataObject) -> None:
+def test_a_corrupt_delta_gives_the_exact_text_or_an_error(old: Any, new: Any, data: st.DataObject) -> None:
     delta = bytearray(make_delta(text(old), text(new)))
     for _ in range(data.draw(st.integers(1, 3))):
         delta[data.draw(st.integers(0, len(delta) - 1))] = data.draw(st.integers(0, 255))
@@ -83,8 +83,8 @@
         assert apply_delta(text(old), cut) == text(new)
 
 
-def spoiled_changes(changes: Any) -> bytes:
-    """A delta whose checks of length and of the old text hold, with changes of the wrong form."""
+def malformed_changes(changes: Any) -> bytes:
+    """A delta with malformed changes, but with a valid length and checksum of the old text."""
     import struct
     import zlib
 
@@ -107,11 +107,14 @@
         {"set": {"routes": []}, "drop": [], "lists": []},
     ],
 )
-def test_changes_of_the_wrong_form_are_named(changes: Any) -> None:
+def test_malformed_changes_are_rejected(changes: Any) -> None:
     with pytest.raises(DeltaError):
-        apply_delta(b"{}", spoiled_changes(changes))
+        apply_delta(b"{}", malformed_changes(changes))
 
 
-def test_services_may_change_beside_routes() -> None:
-    old, new = whole(7), whole(9, services=[service(), service("reader")], routes=[route(service="reader")])
+def test_services_and_routes_may_change_together() -> None:
+    old, new = (
+        whole(7),
+        whole(9, services=[service(), service("reader")], routes=[route(service="reader")]),
+    )
     assert apply_delta(text(old), make_delta(text(old), text(new))) == text(new)
--- a/tests/fleet/configuration/test_docs.py
+++ b/tests/fleet/configuration/test_docs.py
@@ -1,4 +1,4 @@
-"""The examples of the operators' page are answered as the page says."""
+"""The examples in docs/configuration.md give the results on the page."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def examples() -> list[tuple[Order, int, object]]:
-    """Each order of the page with the status and the body of its answer."""
+    """Each order on the page, with the status and body of its response."""
     text = PAGE.read_text().split("## Examples")[1].split("## The client")[0]
     form = r"POST /v1/config/(\w+)\n +X-Base-Version: (\d+)\n\n(.+?)\n\n +(\d+)\n(.+?)\n\n"
     return [
@@ -24,7 +24,7 @@
     ]
 
 
-def test_the_examples_are_answered_as_the_page_says() -> None:
+def test_the_examples_have_the_results_on_the_page() -> None:
     state = ConfigurationState()
     assert len(examples()) == 2
     for order, status, answer in examples():
--- a/tests/fleet/configuration/test_oracle.py
+++ b/tests/fleet/configuration/test_oracle.py
@@ -1,4 +1,4 @@
-"""Random orders against a plain model of the rules: repeats, races, snapshots, and what routers then read."""
+"""Random orders against a simple model: repeated orders, races, snapshots, and decoding by routers."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class Model:
-    """The rules of the configuration in the words of the interface, without any care for speed."""
+    """A reference implementation of the rules of the configuration, without regard to speed."""
 
     def __init__(self) -> None:
         self.document: Document = {}
         self.version = 0
-        self.taken: set[tuple[OrderKind, int, bytes]] = set()
+        self.applied: set[tuple[OrderKind, int, bytes]] = set()
 
     def expect(self, order: Order) -> ResultCode:
-        if (order.kind, order.base, order.body) in self.taken:
+        if (order.kind, order.base, order.body) in self.applied:
             return ResultCode.REPEATED
         if order.base != self.version:
             return ResultCode.CONFLICT
@@ -39,7 +39,7 @@
         if document is None or not self.is_valid(document):
             return ResultCode.INVALID
         self.document, self.version = document, document["config_version"]
-        self.taken.add((order.kind, order.base, order.body))
+        self.applied.add((order.kind, order.base, order.body))
         return ResultCode.ACCEPTED
 
     def build(self, order: Order) -> Document | None:
@@ -93,7 +93,7 @@
 
 
 class Operator:
-    """Draws orders: valid ones, faulty ones, races on one base, and orders that were sent before."""
+    """Draws orders: valid ones, invalid ones, ones with the same base, and repeated ones."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -153,10 +153,10 @@
 
 
 def play(seed: int, orders: int) -> Counter[ResultCode]:
-    """Send orders to a state and to the model, with new lives now and then, and count the answers."""
+    """Send orders to a state and to the model, sometimes reload the state, and count the results."""
     operator, model, state = Operator(seed), Model(), ConfigurationState()
-    lives = random.Random(-seed)
-    answered: Counter[ResultCode] = Counter()
+    reloads = random.Random(-seed)
+    results: Counter[ResultCode] = Counter()
     for index in range(orders):
         order = operator.order(state.version)
         checked = state.check(order)
@@ -165,22 +165,22 @@
         assert (checked.code, result.code) == (expected, expected), result
         assert state.version == model.version == result.version
         assert json.loads(state.document) == model.document
-        answered[expected] += 1
-        if lives.random() < 0.1:
+        results[expected] += 1
+        if reloads.random() < 0.1:
             snapshot, state = state.save(), ConfigurationState()
             state.load(snapshot)
             assert state.save() == snapshot
-    return answered
+    return results
 
 
-def test_random_orders_are_answered_as_the_rules_say() -> None:
-    answered: Counter[ResultCode] = Counter()
+def test_random_orders_have_the_results_of_the_model() -> None:
+    results: Counter[ResultCode] = Counter()
     for seed in range(60):
-        answered += play(seed, orders=50)
-    assert answered[ResultCode.ACCEPTED] > 500
-    assert answered[ResultCode.INVALID] > 500
-    assert answered[ResultCode.CONFLICT] > 300
-    assert answered[ResultCode.REPEATED] > 100
+        results += play(seed, orders=50)
+    assert results[ResultCode.ACCEPTED] > 500
+    assert results[ResultCode.INVALID] > 500
+    assert results[ResultCode.CONFLICT] > 300
+    assert results[ResultCode.REPEATED] > 100
 
 
 @pytest.mark.parametrize("seed", range(10))
@@ -214,7 +214,7 @@
     engines=st.dictionaries(engine_fields, odd, max_size=2),
     limits=st.one_of(odd, st.dictionaries(st.sampled_from(list(LIMITS)), odd)),
 )
-def test_whatever_is_accepted_can_be_read_by_routers(
+def test_accepted_documents_can_be_decoded_by_routers(
     routes: Document, services: Document, engines: Document, limits: Any
 ) -> None:
     altered = {**service("reader", engine={**service()["engine"], **engines}), **services}
--- a/tests/fleet/configuration/test_orders.py
+++ b/tests/fleet/configuration/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders and results as records: there and back, and whatever else comes is named."""
+"""Records of orders and results: round trips, and errors for malformed records."""
 
 from __future__ import annotations
 
@@ -32,40 +32,40 @@
 
 
 @given(orders)
-def test_an_order_comes_back_as_it_was(order: Order) -> None:
+def test_an_order_survives_a_round_trip(order: Order) -> None:
     assert Order.unpack(order.pack()) == order
 
 
 @given(results)
-def test_a_result_comes_back_as_it_was(result: Result) -> None:
+def test_a_result_survives_a_round_trip(result: Result) -> None:
     assert Result.unpack(result.pack()) == result
 
 
 @settings(max_examples=200)
 @given(order=orders, data=st.data())
-def test_a_spoiled_order_is_read_or_named(order: Order, data: st.DataObject) -> None:
-    record = spoiled(order.pack(), data)
+def test_a_corrupt_order_is_decoded_or_rejected(order: Order, data: st.DataObject) -> None:
+    record = corrupted(order.pack(), data)
     with contextlib.suppress(RecordError):
         assert Order.unpack(record).pack() == record
 
 
 @settings(max_examples=200)
 @given(result=results, data=st.data())
-def test_a_spoiled_result_is_read_or_named(result: Result, data: st.DataObject) -> None:
-    record = spoiled(result.pack(), data)
+def test_a_corrupt_result_is_decoded_or_rejected(result: Result, data: st.DataObject) -> None:
+    record = corrupted(result.pack(), data)
     with contextlib.suppress(RecordError):
         assert Result.unpack(record).pack() == record
 
 
 @settings(max_examples=200)
 @given(st.binary(max_size=60).map(lambda tail: b"\x01" + tail))
-def test_any_bytes_are_read_or_named(record: bytes) -> None:
+def test_any_bytes_are_decoded_or_rejected(record: bytes) -> None:
     for unpack in (Order.unpack, Result.unpack):
         with contextlib.suppress(RecordError):
             unpack(record)
 
 
-def spoiled(record: bytes, data: st.DataObject) -> bytes:
+def corrupted(record: bytes, data: st.DataObject) -> bytes:
     bytes_ = bytearray(record)
     for _ in range(data.draw(st.integers(0, 3))):
         bytes_[data.draw(st.integers(0, len(bytes_) - 1))] = data.draw(st.integers(0, 255))
@@ -73,7 +73,7 @@
     return bytes(bytes_[:end]) + data.draw(st.binary(max_size=3))
 
 
-def test_bounds_hold_when_an_order_is_packed() -> None:
+def test_an_order_out_of_bounds_is_not_packed() -> None:
     for order in (
         Order(OrderKind.REPLACE, -1, b""),
         Order(OrderKind.REPLACE, MAX_VERSION + 1, b""),
@@ -83,14 +83,14 @@
             order.pack()
 
 
-def test_long_texts_and_many_problems_are_cut() -> None:
+def test_long_texts_and_many_problems_are_truncated() -> None:
     problem = Problem(ResultCode.WRONG_TYPE, "ü" * 300, "\ud800")
     result = Result.unpack(Result(ResultCode.INVALID, 3, (problem,) * (MAX_PROBLEMS + 5)).pack())
     assert len(result.problems) == MAX_PROBLEMS
     assert result.problems[0] == Problem(ResultCode.WRONG_TYPE, "ü" * 200, "?")
 
 
-def test_the_digest_tells_orders_apart_by_kind_base_and_body() -> None:
+def test_the_digest_differs_by_kind_base_and_body() -> None:
     all_orders = [
         Order(OrderKind.REPLACE, 1, b"x"),
         Order(OrderKind.MODIFY, 1, b"x"),
@@ -101,6 +101,6 @@
     assert all_orders[0].digest() == Order(OrderKind.REPLACE, 1, b"x").digest()
 
 
-def test_a_problem_reads_as_one_line() -> None:
+def test_a_problem_is_formatted_as_one_line() -> None:
     assert str(Problem(ResultCode.NO_TIMEOUT, "routes[a]", "must be")) == "2010 routes[a]: must be"
     assert str(Problem(ResultCode.NOT_JSON, "", "no JSON")) == "2001 no JSON"
--- a/tests/fleet/configuration/test_recovered.py
+++ b/tests/fleet/configuration/test_recovered.py
@@ -1,4 +1,4 @@
-"""The version that a disk holds is the one that its orders lead to."""
+"""The recovered version is the one that applying the recovered orders gives."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 @pytest.mark.parametrize("records", HISTORIES)
-def test_it_is_the_version_that_applying_the_orders_gives(records: list[bytes]) -> None:
+def test_the_recovered_version_is_that_of_applying_the_orders(records: list[bytes]) -> None:
     state = ConfigurationState()
     for index, record in enumerate(records, 1):
         state.apply(index, record)
     assert recovered_version(0, records) == state.version
 
 
-def test_it_goes_on_from_what_is_applied() -> None:
+def test_recovery_continues_from_the_applied_version() -> None:
     assert recovered_version(5, [SECOND]) == 8
     assert recovered_version(9, [FIRST, SECOND]) == 9
 
@@ -48,5 +48,5 @@
         Order(OrderKind.REPLACE, 5, b'{"config_version": 4}').pack(),
     ],
 )
-def test_what_cannot_be_read_changes_nothing(record: bytes) -> None:
+def test_a_malformed_order_does_not_change_the_version(record: bytes) -> None:
     assert recovered_version(5, [record]) == 5
--- a/tests/fleet/configuration/test_routes.py
+++ b/tests/fleet/configuration/test_routes.py
@@ -1,4 +1,4 @@
-"""The typed configuration of routers and the look-up of routes."""
+"""The typed configuration of routers, and the lookup of routes."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     assert configuration.limits == Limits(16384, 4194304, 3000, 15000)
 
 
-def test_targets_sum_the_weights_of_a_service_and_leave_out_zero() -> None:
+def test_targets_sum_the_weights_of_a_service_and_omit_zero() -> None:
     parts = (("writer", 60), ("reader", 0), ("other", 30), ("writer", 10))
     (only,) = read(whole(routes=[split(*parts)])).routes
     assert only.targets == (Target("writer", 70), Target("other", 30))
@@ -54,7 +54,7 @@
     assert configuration.limits == Limits()
 
 
-def test_an_unknown_kind_is_never_repeated() -> None:
+def test_an_unknown_kind_is_not_idempotent() -> None:
     assert read(whole(routes=[route(kind="novel")])).routes[0].kind is RouteKind.NON_IDEMPOTENT
 
 
@@ -97,7 +97,7 @@
     assert (found.name if found else None) == expected
 
 
-def test_a_path_of_many_slashes_is_quick() -> None:
+def test_a_path_of_many_slashes_is_matched_quickly() -> None:
     routes = table(route("chat"), route("rest", path_prefix="/"))
     started = time.process_time()
     for _ in range(1000):
@@ -118,7 +118,7 @@
     path=prefixes,
     tail=segments,
 )
-def test_the_table_finds_what_a_search_through_all_routes_finds(
+def test_the_table_agrees_with_a_linear_search(
     places: list[tuple[str, str]], host: str, path: str, tail: str
 ) -> None:
     routes = [route(str(number), host=h, path_prefix=p) for number, (h, p) in enumerate(places)]
@@ -143,12 +143,12 @@
         pack_item(1, b'{"x":' + b"[" * 100_000),
     ],
 )
-def test_a_payload_that_cannot_be_read_is_named(payload: bytes) -> None:
+def test_a_malformed_payload_is_rejected(payload: bytes) -> None:
     with pytest.raises(ItemError):
         read_item(payload)
 
 
-def test_a_bomb_is_not_inflated() -> None:
+def test_a_decompression_bomb_is_rejected() -> None:
     with pytest.raises(ItemError):
         pack_item(1, b"x" * (17 * 1024 * 1024))
     payload = bytearray(pack_item(1, b" " * (16 * 1024 * 1024)))
@@ -159,7 +159,7 @@
 
 @settings(max_examples=300, deadline=None)
 @given(data=st.data())
-def test_a_spoiled_payload_is_read_or_named(data: st.DataObject) -> None:
+def test_a_corrupt_payload_is_decoded_or_rejected(data: st.DataObject) -> None:
     payload = bytearray(pack_item(7, json.dumps(whole(7, services=[service()])).encode()))
     for _ in range(data.draw(st.integers(1, 4))):
         payload[data.draw(st.integers(0, len(payload) - 1))] = data.draw(st.integers(0, 255))
--- a/tests/fleet/configuration/test_state.py
+++ b/tests/fleet/configuration/test_state.py
@@ -1,4 +1,4 @@
-"""What the replicated state answers to orders, alone and in any order."""
+"""The results that the replicated state returns for orders, and its snapshots."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return [problem.code for problem in result.problems]
 
 
-def test_the_first_configuration_is_taken_on_base_0() -> None:
+def test_the_first_configuration_is_accepted_on_base_0() -> None:
     state = ConfigurationState()
     assert (state.version, state.document) == (0, b"{}")
     assert apply(state, replacement(0, whole(5))) == Result(ResultCode.ACCEPTED, 5)
@@ -48,7 +48,7 @@
     assert json.loads(state.document) == whole(5)
 
 
-def test_check_says_what_apply_would_say_and_changes_nothing() -> None:
+def test_check_returns_the_result_of_apply_without_changing_the_state() -> None:
     state = started()
     order = replacement(5, whole(9))
     assert state.check(order) == Result(ResultCode.ACCEPTED, 9)
@@ -56,53 +56,58 @@
     assert apply(state, order) == Result(ResultCode.ACCEPTED, 9)
 
 
-def test_of_two_orders_on_one_base_the_later_one_conflicts() -> None:
+def test_of_two_orders_with_the_same_base_the_later_one_conflicts() -> None:
     state = started()
-    first, second = replacement(5, whole(7)), replacement(5, whole(7, routes=[route("other")]))
+    first, second = (
+        replacement(5, whole(7)),
+        replacement(5, whole(7, routes=[route("other")])),
+    )
     assert state.check(first).code is state.check(second).code is ResultCode.ACCEPTED
     assert apply(state, first).code is ResultCode.ACCEPTED
     assert apply(state, second) == Result(ResultCode.CONFLICT, 7)
     assert json.loads(state.document) == whole(7)
 
 
-def test_an_order_taken_before_is_acknowledged_again_also_after_others_and_a_new_life() -> None:
+def test_an_applied_order_is_acknowledged_again_after_others_and_a_reload() -> None:
     state = started()
     order = modification(5, change(8, upsert={"routes": [route("new")]}))
     assert apply(state, order).code is ResultCode.ACCEPTED
     assert apply(state, order) == Result(ResultCode.REPEATED, 8)
     assert apply(state, replacement(8, whole(11))).code is ResultCode.ACCEPTED
-    other_life = ConfigurationState()
-    other_life.load(state.save())
-    for each in (state, other_life):
+    reloaded = ConfigurationState()
+    reloaded.load(state.save())
+    for each in (state, reloaded):
         assert apply(each, order) == Result(ResultCode.REPEATED, 11)
         assert apply(each, Order(OrderKind.REPLACE, order.base, order.body)).code is ResultCode.CONFLICT
         assert apply(each, Order(order.kind, 8, order.body)).code is ResultCode.CONFLICT
         assert each.version == 11
 
 
-def test_remembered_orders_are_bounded() -> None:
+def test_the_order_history_is_bounded() -> None:
     state = ConfigurationState()
     orders = [replacement(version, whole(version + 1)) for version in range(MAX_ORDERS + 1)]
     for order in orders:
         assert apply(state, order).code is ResultCode.ACCEPTED
-    other_life = ConfigurationState()
-    other_life.load(state.save())
-    for each in (state, other_life):
-        assert each.check(orders[0]).code is ResultCode.FORGOTTEN  # it was taken: never a refusal
+    reloaded = ConfigurationState()
+    reloaded.load(state.save())
+    for each in (state, reloaded):
+        assert (
+            each.check(orders[0]).code is ResultCode.FORGOTTEN
+        )  # the order was applied, so it must not be rejected
         assert each.check(orders[1]).code is ResultCode.REPEATED
         assert each.check(replacement(0, whole(7))).code is ResultCode.FORGOTTEN
         assert each.check(replacement(1, whole(7))).code is ResultCode.CONFLICT
     assert len(state.save()) < MAX_ORDERS * 24 + 1000
 
 
-def test_an_order_on_a_version_that_was_never_reached_is_a_conflict() -> None:
+def test_an_order_with_a_base_never_reached_is_a_conflict() -> None:
     state = started()
     assert apply(state, replacement(5, whole(9))).code is ResultCode.ACCEPTED
     assert state.check(replacement(7, whole(20))).code is ResultCode.CONFLICT
     assert state.check(replacement(12, whole(20))).code is ResultCode.CONFLICT
 
 
-def test_the_first_order_is_known_for_good_and_another_on_nothing_is_refused() -> None:
+def test_the_first_order_stays_known_and_another_with_its_base_conflicts() -> None:
     state = ConfigurationState()
     first = replacement(0, whole(3))
     assert apply(state, first).code is ResultCode.ACCEPTED
@@ -122,25 +127,25 @@
 
 
 def old_snapshot(digests: list[bytes], version: int) -> bytes:
-    """A snapshot as it was written before orders were remembered with their bases."""
+    """A snapshot of format 1, written before the history contained the bases of orders."""
     item = pack_item(version, json.dumps(whole(version)).encode())
     return struct.pack("!BHI", 1, len(digests), len(item)) + b"".join(digests) + item
 
 
-def test_a_snapshot_without_bases_keeps_what_it_knows() -> None:
+def test_a_snapshot_without_bases_keeps_its_history() -> None:
     orders = [replacement(version, whole(version + 1)) for version in range(5)]
     state = ConfigurationState()
     state.load(old_snapshot([order.digest() for order in orders], 5))
-    other_life = ConfigurationState()
-    other_life.load(state.save())
-    for each in (state, other_life):
+    reloaded = ConfigurationState()
+    reloaded.load(state.save())
+    for each in (state, reloaded):
         assert each.version == 5
         assert all(each.check(order).code is ResultCode.REPEATED for order in orders)
         assert each.check(replacement(2, whole(9))).code is ResultCode.CONFLICT
         assert each.check(replacement(5, whole(9))).code is ResultCode.ACCEPTED
 
 
-def test_a_full_snapshot_without_bases_refuses_nothing_that_it_may_have_forgotten() -> None:
+def test_a_full_snapshot_without_bases_does_not_reject_unknown_orders() -> None:
     digests = [bytes([1]) * 14 + number.to_bytes(2, "big") for number in range(1023)]
     kept = replacement(90, whole(95))
     state = ConfigurationState()
@@ -152,7 +157,7 @@
 
 
 @pytest.mark.parametrize("cut", [1, 4, 5, 12, 30])
-def test_a_snapshot_that_is_cut_off_changes_nothing(cut: int) -> None:
+def test_a_truncated_snapshot_changes_nothing(cut: int) -> None:
     state = started()
     snapshot = state.save()
     before = state.save()
@@ -161,7 +166,7 @@
     assert state.save() == before
 
 
-def test_a_snapshot_of_an_unknown_version_is_named() -> None:
+def test_a_snapshot_of_an_unknown_version_is_rejected() -> None:
     with pytest.raises(RecordError, match="unknown version 9 of a snapshot"):
         ConfigurationState().load(b"\x09" + bytes(40))
 
@@ -222,7 +227,7 @@
         (None, ResultCode.WRONG_TYPE),
     ],
 )
-def test_an_invalid_document_is_refused_and_named(document: Any, code: ResultCode) -> None:
+def test_an_invalid_document_is_rejected_with_its_problem(document: Any, code: ResultCode) -> None:
     state = started()
     before = state.save()
     result = apply(state, replacement(5, document))
@@ -231,7 +236,7 @@
     assert state.save() == before
 
 
-def test_a_body_that_is_cut_off_anywhere_is_invalid() -> None:
+def test_a_body_truncated_anywhere_is_invalid() -> None:
     state = started()
     body = replacement(5, whole(7)).body
     for end in range(len(body)):
@@ -240,14 +245,14 @@
 
 
 @pytest.mark.parametrize("body", [b"[" * 100_000, b'{"a":' * 5_000])
-def test_nesting_without_end_is_refused(body: bytes) -> None:
+def test_extreme_nesting_is_rejected(body: bytes) -> None:
     assert codes(started().check(Order(OrderKind.REPLACE, 5, body))) in (
         [ResultCode.TOO_DEEP],
         [ResultCode.NOT_JSON],
     )
 
 
-def test_every_fault_is_named() -> None:
+def test_every_problem_is_reported() -> None:
     routes = [
         route("a", timeout_ms=0),
         route("b", service="reader"),
@@ -264,7 +269,7 @@
     }
 
 
-def test_fields_that_are_not_known_stay_as_they_came() -> None:
+def test_unknown_fields_are_retained_unchanged() -> None:
     document = whole(
         5,
         routes=[route(colour={"a": [1, 2.5, None, "ü"]}, huge=12345678901234567890123)],
@@ -277,7 +282,7 @@
     assert json.loads(state.document) == document
 
 
-def test_a_document_without_limits_is_taken() -> None:
+def test_a_document_without_limits_is_accepted() -> None:
     state = started(limits=...)
     assert "limits" not in json.loads(state.document)
     assert read_item(state.item_payload()).limits.idle_timeout_ms == 15_000
@@ -301,7 +306,7 @@
     )
 
 
-def test_a_modification_may_carry_limits() -> None:
+def test_a_modification_may_contain_limits() -> None:
     state = started()
     limits = {**LIMITS, "idle_timeout_ms": 9000}
     assert apply(state, modification(5, change(6, limits=limits))).code is ResultCode.ACCEPTED
@@ -329,7 +334,7 @@
         ({"upsert": {"routes": [route("b")]}}, ResultCode.MISSING_FIELD),
     ],
 )
-def test_an_invalid_modification_is_refused_and_named(document: Any, code: ResultCode) -> None:
+def test_an_invalid_modification_is_rejected_with_its_problem(document: Any, code: ResultCode) -> None:
     state = started()
     before = state.save()
     result = apply(state, modification(5, document))
@@ -338,11 +343,11 @@
     assert state.save() == before
 
 
-def test_a_conflict_goes_before_an_invalid_document() -> None:
+def test_a_conflict_takes_precedence_over_an_invalid_document() -> None:
     assert started().check(Order(OrderKind.REPLACE, 4, b"{")).code is ResultCode.CONFLICT
 
 
-def test_an_oversized_order_or_document_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_oversized_order_or_document_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
     state = started()
     assert state.check(Order(OrderKind.REPLACE, 5, bytes(MAX_BODY_BYTES + 1))).code is ResultCode.TOO_LARGE
     monkeypatch.setattr(states, "MAX_DOCUMENT_BYTES", len(state.document) + 100)
@@ -351,7 +356,7 @@
     assert state.version == 5
 
 
-def test_a_record_that_cannot_be_read_changes_nothing() -> None:
+def test_a_malformed_record_changes_nothing() -> None:
     state = started()
     before = state.save()
     for payload in (b"", b"\x09", replacement(5, whole(9)).pack()[:-1]):
@@ -359,7 +364,7 @@
     assert state.save() == before
 
 
-def test_a_snapshot_that_cannot_be_read_leaves_the_state_as_it_was() -> None:
+def test_a_malformed_snapshot_leaves_the_state_unchanged() -> None:
     state = started()
     snapshot = state.save()
     for broken in (b"", snapshot[:-1], snapshot + b"x", b"\x07" + snapshot[1:], snapshot[:20]):
--- a/tests/fleet/configuration/test_stored_formats.py
+++ b/tests/fleet/configuration/test_stored_formats.py
@@ -1,7 +1,7 @@
-"""Fixed bytes of the configuration's records, which every later version must read.
+"""Fixed bytes of configuration records, which every later version must read.
 
 `data/snapshot_format_2` is a snapshot after two orders, with a tenant; `data/item_format_1` is its item, and
-`data/document.json` the document in both.
+`data/document.json` the document that both contain.
 `tests/fleet/controller/test_old_formats.py` reads snapshots of format 1.
 """
 
@@ -53,7 +53,7 @@
     assert state.check(modification(3, change(6))).code is ResultCode.CONFLICT
 
 
-def test_the_same_orders_lead_to_the_state_that_is_stored() -> None:
+def test_the_same_orders_lead_to_the_stored_state() -> None:
     state = ConfigurationState()
     for index, order in enumerate(ORDERS):
         assert Result.unpack(state.apply(index, order.pack())).code is ResultCode.ACCEPTED
--- a/tests/fleet/configuration/test_tenants.py
+++ b/tests/fleet/configuration/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants in a configuration: what is refused, what is kept, and what routers read."""
+"""Tenants in a configuration: validation, storage, and decoding by routers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def checked(state: ConfigurationState, order: Order) -> Result:
-    """The result of an order after the full check; it is taken if it was found good."""
+    """Validate an order fully, apply it if it is accepted, and return the result."""
     result = Checker(state, order).finish()
     if result.code is ResultCode.ACCEPTED:
         assert Result.unpack(state.apply(1, order.pack())) == result
@@ -54,7 +54,7 @@
     assert "huka270-1" not in repr(read)
 
 
-def test_the_tenants_alone_are_read_as_with_the_rest() -> None:
+def test_read_tenants_gives_the_tenants_of_the_complete_configuration() -> None:
     text = json.dumps(whole(tenants=[tenant(), {"name": "bare"}])).encode()
     assert read_tenants(text) == read_document(text, 1).tenants
     assert read_tenants(json.dumps(whole()).encode()) == ()
@@ -64,7 +64,7 @@
 
 
 @pytest.mark.parametrize(("given", "read"), [(..., None), (None, None), ([], ())])
-def test_no_tenants_are_not_an_empty_list_of_tenants(given: Any, read: tuple[Tenant, ...] | None) -> None:
+def test_absent_tenants_differ_from_an_empty_list(given: Any, read: tuple[Tenant, ...] | None) -> None:
     assert read_document(json.dumps(whole(tenants=given)).encode(), 1).tenants == read
 
 
@@ -85,7 +85,7 @@
         assert "a-2" not in str(result.problems)
 
 
-def test_a_change_that_brings_a_key_of_another_tenant_is_refused() -> None:
+def test_a_modification_with_a_key_of_another_tenant_is_rejected() -> None:
     state = ConfigurationState()
     assert checked(
         state, replacement(0, whole(1, tenants=[tenant("a"), tenant("b")]))
@@ -99,7 +99,7 @@
     assert (read_item(state.item_payload()).tenants or ())[0].key_digests == ()
 
 
-def test_one_tenant_may_name_a_key_twice() -> None:
+def test_one_tenant_may_list_a_key_twice() -> None:
     order = replacement(0, whole(tenants=[tenant("a", api_keys=["k", "k"])]))
     assert checked(ConfigurationState(), order).code is ResultCode.ACCEPTED
 
@@ -120,7 +120,7 @@
         ([tenant(uncached_tokens=True)], ResultCode.WRONG_TYPE),
     ],
 )
-def test_faults_of_tenants_are_told(tenants: Any, code: ResultCode) -> None:
+def test_problems_of_tenants_are_reported(tenants: Any, code: ResultCode) -> None:
     result = checked(ConfigurationState(), replacement(0, whole(tenants=tenants)))
     assert result.code is ResultCode.INVALID
     assert code in {each.code for each in result.problems}
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -204,7 +204,7 @@
 
 
 def play(folder: Path, scene: Callable[[Core], Awaitable[None]]) -> Core:
-    async def whole() -> Core:
+    async def run_scene() -> Core:
         core = Core(folder)
         try:
             await scene(core)
@@ -213,7 +213,7 @@
         return core
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        core = runner.run(whole())
+        core = runner.run(run_scene())
     assert not [line for line in core.lines if "exception=" in line]
     return core
 
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -85,9 +85,8 @@
             return core.owner() == successor
 
         await until(taken_over)
-        status, answer = await core.call(
-            asked, "POST", HAND_OVER, body
-        )  # a repeated order does not move the partition
+        # A repeated order does not move the partition.
+        status, answer = await core.call(asked, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
         body = json.dumps({"part": 0, "term": term}).encode()
         status, answer = await core.call(successor, "POST", HAND_OVER, body)
--- a/tests/fleet/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -125,9 +125,8 @@
         service.service.configure([Tenant(TENANT, rate=1e12, burst=1e12)])
         assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
         replication.owned.add(PARTITION)
-        assert service.ask(ask()) == QuotaGrant(
-            5, GrantStatus.NOT_OWNER, 0, 0.0, None
-        )  # not yet notified of its ownership
+        # Not yet notified of its ownership.
+        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, None)
         service.service.on_ownership_changed(PARTITION, True)
         granted = service.ask(ask())
         assert isinstance(granted, QuotaGrant) and granted.status is GrantStatus.GRANTED
--- a/tests/fleet/discovery/test_codec.py
+++ b/tests/fleet/discovery/test_codec.py
@@ -1,4 +1,4 @@
-"""The record of instances: there and back, and whatever else comes is named."""
+"""Instance records: round trips, and errors for malformed records."""
 
 from __future__ import annotations
 
@@ -45,13 +45,13 @@
 
 
 @given(lists)
-def test_instances_come_back_as_they_were(several: list[Instance]) -> None:
+def test_instances_survive_a_round_trip(several: list[Instance]) -> None:
     assert decode_instances(encode_instances(several)) == tuple(several)
 
 
 @settings(max_examples=200)
 @given(several=lists, data=st.data())
-def test_a_spoiled_record_is_read_or_named(several: list[Instance], data: st.DataObject) -> None:
+def test_a_corrupt_record_is_decoded_or_rejected(several: list[Instance], data: st.DataObject) -> None:
     record = bytearray(encode_instances(several))
     for _ in range(data.draw(st.integers(0, 3))):
         record[data.draw(st.integers(0, len(record) - 1))] = data.draw(st.integers(0, 255))
@@ -62,13 +62,13 @@
 
 @settings(max_examples=200)
 @given(count=st.integers(0, 3), body=st.binary(max_size=120))
-def test_any_body_is_read_or_named(count: int, body: bytes) -> None:
+def test_any_body_is_decoded_or_rejected(count: int, body: bytes) -> None:
     record = struct.pack("!BHI", 1, count, len(body)) + zlib.compress(body)
     with contextlib.suppress(InstanceRecordError):
         assert len(decode_instances(record)) == count
 
 
-def test_a_record_cut_off_anywhere_is_named() -> None:
+def test_a_record_truncated_anywhere_is_rejected() -> None:
     record = encode_instances([ONE, replace(ONE, models=(ModelVersion("m", 1, ("a",)),))])
     for end in range(len(record)):
         with pytest.raises(InstanceRecordError):
@@ -85,7 +85,7 @@
         struct.pack("!BHI", 1, 0, 10) + zlib.compress(bytes(1_000_000)),
     ],
 )
-def test_other_records_are_named(record: bytes) -> None:
+def test_malformed_records_are_rejected(record: bytes) -> None:
     with pytest.raises(InstanceRecordError):
         decode_instances(record)
 
--- a/tests/fleet/discovery/test_instances.py
+++ b/tests/fleet/discovery/test_instances.py
@@ -1,4 +1,4 @@
-"""The table of instances: states that only rise."""
+"""The instance table, whose states only increase."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def table(*instances: Instance) -> InstanceTable:
-    made = InstanceTable()
-    made.observe(instances, 0.0)
-    return made
+    instance_table = InstanceTable()
+    instance_table.observe(instances, 0.0)
+    return instance_table
 
 
-def test_a_list_brings_the_instances_of_each_service() -> None:
+def test_a_list_sets_the_instances_of_each_service() -> None:
     known = InstanceTable()
     listed = [instance("b"), instance("a"), instance("c", "reader")]
     assert known.observe(listed, 0.0) == {"writer", "reader"}
@@ -28,7 +28,7 @@
     assert known.observe(listed, 1.0) == frozenset()
 
 
-def test_the_cold_time_runs_down_without_a_change() -> None:
+def test_a_decreasing_warm_up_time_is_not_a_change() -> None:
     known = table(replace(instance("a"), cold_remaining_ms=900))
     assert known.observe([instance("a")], 1.0) == frozenset()
     assert known.of("writer")[0].cold_remaining_ms == 0
@@ -40,7 +40,7 @@
     assert known.state_of("a") is DRAINING
 
 
-def test_a_draining_instance_takes_new_fields_and_a_gone_one_takes_none() -> None:
+def test_a_draining_instance_is_updated_and_a_gone_one_is_not() -> None:
     known = table(instance("a", state=DRAINING), instance("b", state=GONE))
     assert known.merge("writer", [replace(instance("a"), slots=1)])
     assert not known.merge("writer", [replace(instance("b"), slots=1)])
@@ -55,7 +55,7 @@
     assert known.state_of("a") is GONE
 
 
-def test_a_list_that_may_have_shifted_ends_a_ready_id_only_the_second_time() -> None:
+def test_a_ready_id_missing_from_an_inconsistent_list_is_gone_the_second_time() -> None:
     known = table(instance("a"), instance("b"), instance("c", state=DRAINING))
     assert known.observe([instance("b")], 1.0, is_consistent=False) == {"writer"}
     assert (known.state_of("a"), known.state_of("c")) == (READY, GONE)
@@ -65,7 +65,7 @@
     assert known.state_of("a") is GONE
 
 
-def test_a_new_id_at_an_address_ends_the_one_before_also_while_it_is_listed() -> None:
+def test_a_new_id_at_an_address_replaces_the_previous_one_even_if_listed() -> None:
     old, new = instance("a", port=1), instance("b", "reader", port=1)
     known = table(old)
     assert known.observe([old, new], 1.0) == {"writer", "reader"}
@@ -74,7 +74,7 @@
     assert known.of("writer") == ()
 
 
-def test_gone_ids_are_forgotten_ten_minutes_after_they_were_last_listed() -> None:
+def test_gone_ids_are_evicted_ten_minutes_after_they_were_last_listed() -> None:
     known = table(instance("a"), instance("b"))
     known.observe([instance("b")], 1.0)
     known.observe([instance("a"), instance("b")], 100.0)
@@ -84,7 +84,7 @@
     assert known.state_of("a") is None
 
 
-def test_merging_takes_the_higher_state_and_leaves_absent_ids() -> None:
+def test_merging_keeps_the_higher_state_and_absent_ids() -> None:
     known = table(instance("a"), instance("b", state=DRAINING), instance("c"))
     other = [instance("a", state=DRAINING), instance("b"), instance("d", state=GONE), instance("e")]
     assert known.merge("writer", other)
@@ -93,7 +93,7 @@
     assert states == {"a": DRAINING, "b": DRAINING, "c": READY, "d": GONE, "e": READY}
 
 
-def test_a_merged_id_may_be_younger_than_the_list_that_lacks_it() -> None:
+def test_a_merged_id_may_be_newer_than_a_list_without_it() -> None:
     known = table(instance("a"))
     known.merge("writer", [instance("a"), instance("b")])
     assert known.observe([instance("a")], 1.0) == frozenset()
@@ -106,13 +106,13 @@
     assert known.state_of("c") is GONE
 
 
-def test_merging_takes_the_named_service_only() -> None:
+def test_merging_ignores_other_services() -> None:
     known = table(instance("a"))
     assert not known.merge("reader", [instance("b")])
     assert known.of("writer") == (instance("a"),)
 
 
-def test_a_merged_gone_id_is_kept_as_long_as_others() -> None:
+def test_a_merged_gone_id_is_retained_as_long_as_others() -> None:
     known = InstanceTable()
     known.merge("writer", [instance("a", state=GONE)])
     known.observe([], 5000.0)
@@ -122,7 +122,7 @@
     assert known.state_of("a") is None
 
 
-def test_a_newer_record_takes_the_place_of_an_older_one_but_states_stay() -> None:
+def test_a_newer_record_replaces_an_older_one_without_lowering_states() -> None:
     known = InstanceTable()
     assert known.replace("writer", [instance("a"), instance("b", state=DRAINING), instance("c")], 0.0)
     assert known.replace("writer", [instance("b"), instance("c", state=GONE)], 1.0)
--- a/tests/fleet/discovery/test_pages.py
+++ b/tests/fleet/discovery/test_pages.py
@@ -1,4 +1,4 @@
-"""Pages of the platform's list and the walk through them."""
+"""Pages of the platform's list, and the reader that requests them."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return json.dumps({"instances": entries, "next_token": token}).encode()
 
 
-def test_a_page_is_read_with_all_its_fields() -> None:
+def test_a_page_is_parsed_with_all_its_fields() -> None:
     read = parse_page(page(entry(colour="unknown"), token="p-50"))
     assert read.next_token == "p-50"
     (instance,) = read.instances
@@ -77,18 +77,18 @@
         {"models": [{"name": "m", "config_version": -1}]},
     ],
 )
-def test_a_malformed_entry_spoils_its_page(changes: dict[str, Any]) -> None:
+def test_a_page_with_a_malformed_entry_is_rejected(changes: dict[str, Any]) -> None:
     with pytest.raises(PageError):
         parse_page(page(entry("fine"), entry(**changes)))
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"instances":3}', b"\xff", b"[" * 50_000])
-def test_a_malformed_page_is_named(body: bytes) -> None:
+def test_a_malformed_page_is_rejected(body: bytes) -> None:
     with pytest.raises(PageError):
         parse_page(body)
 
 
-def test_the_largest_figures_are_read() -> None:
+def test_the_largest_values_are_parsed() -> None:
     model = {"name": "m", "config_version": 2**64 - 1}
     models = [model] * 254 + [{"name": "none"}]
     largest = entry("x" * 255, slots=2**32 - 1, cold_remaining_ms=1e300, models=models)
@@ -99,75 +99,75 @@
         parse_page(page(entry(models=[model] * 256)))
 
 
-def test_a_page_that_is_cut_off_anywhere_is_named() -> None:
+def test_a_page_truncated_anywhere_is_rejected() -> None:
     body = page(entry(), token="x")
     for end in range(len(body)):
         with pytest.raises(PageError):
             parse_page(body[:end])
 
 
-def test_a_list_of_one_page_is_certain() -> None:
-    walk = InstanceListReader()
-    assert walk.begin(0.0) == Fetch("/instances")
-    complete = walk.on_reply(200, page(entry()), 0.0)
+def test_a_list_of_one_page_is_consistent() -> None:
+    reader = InstanceListReader()
+    assert reader.begin(0.0) == Fetch("/instances")
+    complete = reader.on_reply(200, page(entry()), 0.0)
     assert isinstance(complete, CompleteList)
     assert complete.is_consistent
     assert [each.id for each in complete.instances] == ["i-1"]
 
 
-def test_the_walk_asks_for_each_page_and_quotes_what_it_asks() -> None:
-    walk = InstanceListReader(zone="north & south")
-    assert walk.begin(0.0) == Fetch("/instances?zone=north%20%26%20south")
-    step = walk.on_reply(200, page(entry("a"), token="p/1?"), 0.0)
+def test_the_reader_requests_each_page_with_a_quoted_query() -> None:
+    reader = InstanceListReader(zone="north & south")
+    assert reader.begin(0.0) == Fetch("/instances?zone=north%20%26%20south")
+    step = reader.on_reply(200, page(entry("a"), token="p/1?"), 0.0)
     assert step == Fetch("/instances?zone=north%20%26%20south&page_token=p%2F1%3F")
-    complete = walk.on_reply(200, page(entry("b", state="draining"), entry("a", state="draining")), 0.0)
+    complete = reader.on_reply(200, page(entry("b", state="draining"), entry("a", state="draining")), 0.0)
     assert isinstance(complete, CompleteList)
     assert not complete.is_consistent
     assert {each.id: each.state.name for each in complete.instances} == {"a": "DRAINING", "b": "DRAINING"}
 
 
-def test_a_failure_on_any_page_starts_again_and_yields_nothing() -> None:
-    walk = InstanceListReader()
-    walk.begin(0.0)
-    walk.on_reply(200, page(entry("a"), token="1"), 0.0)
-    step = walk.on_reply(429, b"", 10.0)
+def test_a_failure_on_any_page_restarts_the_read() -> None:
+    reader = InstanceListReader()
+    reader.begin(0.0)
+    reader.on_reply(200, page(entry("a"), token="1"), 0.0)
+    step = reader.on_reply(429, b"", 10.0)
     assert step == Backoff(10.0 + INITIAL_BACKOFF_S, "/instances", "status 429")
-    complete = walk.on_reply(200, page(entry("b")), 11.0)
+    complete = reader.on_reply(200, page(entry("b")), 11.0)
     assert isinstance(complete, CompleteList)
     assert [each.id for each in complete.instances] == ["b"]
 
 
-def test_pauses_double_to_a_bound_and_start_anew_after_a_list() -> None:
-    walk = InstanceListReader()
-    walk.begin(0.0)
-    pauses = [walk.on_failure("no answer", 0.0).until for _ in range(8)]
-    assert pauses[:3] == [INITIAL_BACKOFF_S, 2 * INITIAL_BACKOFF_S, 4 * INITIAL_BACKOFF_S]
-    assert pauses[-1] == MAX_BACKOFF_S
-    walk.on_reply(200, page(), 0.0)
-    assert walk.on_failure("no answer", 0.0).until == INITIAL_BACKOFF_S
+def test_backoff_doubles_up_to_a_limit_and_is_reset_by_a_list() -> None:
+    reader = InstanceListReader()
+    reader.begin(0.0)
+    backoff_times = [reader.on_failure("no answer", 0.0).until for _ in range(8)]
+    assert backoff_times[:3] == [INITIAL_BACKOFF_S, 2 * INITIAL_BACKOFF_S, 4 * INITIAL_BACKOFF_S]
+    assert backoff_times[-1] == MAX_BACKOFF_S
+    reader.on_reply(200, page(), 0.0)
+    assert reader.on_failure("no answer", 0.0).until == INITIAL_BACKOFF_S
 
 
 def test_a_malformed_page_is_a_failure() -> None:
-    walk = InstanceListReader()
-    walk.begin(0.0)
-    step = walk.on_reply(200, b"{", 0.0)
+    reader = InstanceListReader()
+    reader.begin(0.0)
+    step = reader.on_reply(200, b"{", 0.0)
     assert isinstance(step, Backoff)
     assert "cannot be read" in step.reason
 
 
-def test_pages_without_end_are_a_failure() -> None:
-    walk = InstanceListReader()
-    walk.begin(0.0)
+def test_too_many_pages_are_a_failure() -> None:
+    reader = InstanceListReader()
+    reader.begin(0.0)
     step = None
     for number in range(1000):
-        step = walk.on_reply(200, page(token=str(number)), 0.0)
+        step = reader.on_reply(200, page(token=str(number)), 0.0)
     assert isinstance(step, Backoff)
 
 
-def test_a_walk_that_took_too_long_yields_nothing() -> None:
-    walk = InstanceListReader()
-    walk.begin(0.0)
-    assert isinstance(walk.on_reply(200, page(token="1"), MAX_READ_DURATION_S), Fetch)
-    late = walk.on_reply(200, page(), MAX_READ_DURATION_S + 0.1)
+def test_a_read_that_took_too_long_is_a_failure() -> None:
+    reader = InstanceListReader()
+    reader.begin(0.0)
+    assert isinstance(reader.on_reply(200, page(token="1"), MAX_READ_DURATION_S), Fetch)
+    late = reader.on_reply(200, page(), MAX_READ_DURATION_S + 0.1)
     assert isinstance(late, Backoff)
-    assert isinstance(walk.on_reply(200, page(), late.until + MAX_READ_DURATION_S), CompleteList)
+    assert isinstance(reader.on_reply(200, page(), late.until + MAX_READ_DURATION_S), CompleteList)
--- a/tests/fleet/discovery/test_stored_formats.py
+++ b/tests/fleet/discovery/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""Fixed bytes of a record of instances, which service partitions store and every later version must read."""
+"""Fixed bytes of an instance record, as stored by partitions, which every later version must read."""
 
 from __future__ import annotations
 
--- a/tests/fleet/discovery/test_table_oracle.py
+++ b/tests/fleet/discovery/test_table_oracle.py
@@ -1,4 +1,4 @@
-"""Random lists against a plain model of the table, and pollers whose tables meet."""
+"""Random lists against a simple model of the table, and merges between tables of two pollers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Platform:
-    """Backends that start, drain, end and leave their address to another; the list that tells of them."""
+    """A platform whose backends start, drain, end, and reuse addresses, and its list of instances."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -59,13 +59,13 @@
     return {each.id: each.state for service in SERVICES for each in table.of(service)}
 
 
-def assert_rises(before: dict[str, InstanceState], after: dict[str, InstanceState]) -> None:
+def assert_not_lowered(before: dict[str, InstanceState], after: dict[str, InstanceState]) -> None:
     for name, state in before.items():
         assert after[name] >= state, name
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_table_follows_the_list_and_states_only_rise(seed: int) -> None:
+def test_the_table_follows_the_list_and_states_only_increase(seed: int) -> None:
     platform, table = Platform(seed), InstanceTable()
     before: dict[str, InstanceState] = {}
     for now in range(150):
@@ -75,10 +75,10 @@
         changed = table.observe(platform.list(), float(now))
         assert live(table) == {name: each.state for name, each in platform.listed.items()}
         for service in SERVICES:
-            then = [replace(each, cold_remaining_ms=0) for each in changed_before[service]]
-            today = [replace(each, cold_remaining_ms=0) for each in table.of(service)]
-            assert (service in changed) == (then != today)
-        assert_rises(before, states(table))
+            previous = [replace(each, cold_remaining_ms=0) for each in changed_before[service]]
+            expected = [replace(each, cold_remaining_ms=0) for each in table.of(service)]
+            assert (service in changed) == (previous != expected)
+        assert_not_lowered(before, states(table))
         before = states(table)
 
 
@@ -100,9 +100,9 @@
             table.merge(service, decode_instances(encode_instances(other.record_of(service))))
         after = [states(each) for each in tables]
         for earlier, later in zip(before, after, strict=True):
-            assert_rises(earlier, later)
+            assert_not_lowered(earlier, later)
         before = after
-    for service in SERVICES:  # after an exchange both ways they agree
+    for service in SERVICES:  # after merging in both directions the tables are equal
         tables[0].merge(service, tables[1].record_of(service))
         tables[1].merge(service, tables[0].record_of(service))
     assert states(tables[0]) == states(tables[1])
