--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -20,7 +20,7 @@
 from firvane.fleet.configuration.state import ConfigurationState
 from firvane.fleet.controller.configuration_service import Outcome
 from firvane.fleet.controller.operator_api import encode_outcome
-from tests.fleet.configuration.documents import change, route, whole
+from tests.fleet.configuration.documents import change, make_document, route
 
 A, B = "10.0.0.1:80", "10.0.0.2:80"
 KINDS = {"/v1/config/replace": OrderKind.REPLACE, "/v1/config/modify": OrderKind.MODIFY}
@@ -86,7 +86,7 @@
 def test_a_configuration_is_taken_changed_and_read(
     controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert run("replace", file(whole(5)), A, "--base", "0") == 0
+    assert run("replace", file(make_document(5)), A, "--base", "0") == 0
     assert "1000 The order was taken" in capsys.readouterr().out
     added = file(change(7, upsert={"routes": [route("new")]}))
     assert run("modify", added, A, "--base", "5", "--json") == 0
@@ -107,15 +107,15 @@
 def test_refusals_are_told_with_their_problems(
     controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    assert run("replace", file(whole(5, routes=[route(timeout_ms=0)])), B, "--base", "0") == 1
+    assert run("replace", file(make_document(5, routes=[route(timeout_ms=0)])), B, "--base", "0") == 1
     assert "2010 routes[chat].timeout_ms" in capsys.readouterr().out
-    assert run("replace", file(whole(5)), B, "--base", "3") == 1
+    assert run("replace", file(make_document(5)), B, "--base", "3") == 1
     assert capsys.readouterr().out.startswith("3000 ")
 
 
 def test_a_silent_controller_is_passed_over(controllers: Controllers, file: Callable[[Any], str]) -> None:
     controllers.down.add(A)
-    assert run("replace", file(whole(5)), A, B, "--base", "0") == 0
+    assert run("replace", file(make_document(5)), A, B, "--base", "0") == 0
     assert controllers.calls == [f"{A}/v1/config/replace", f"{B}/v1/config/replace"]
 
 
@@ -135,7 +135,7 @@
     assert run("read") == 2
     assert run("read", "localhost:80") == 2
     assert run("check", "/does/not/exist") == 2
-    assert run("replace", file(whole(5)), A) == 2
+    assert run("replace", file(make_document(5)), A) == 2
     assert controllers.calls == []
 
 
@@ -143,7 +143,7 @@
     monkeypatch: pytest.MonkeyPatch, file: Callable[[Any], str]
 ) -> None:
     monkeypatch.setattr(client, "send_over_http", lambda attempt, request: Reply(404, b"<html>"))
-    assert run("replace", file(whole(5)), A, "--base", "0") == 1
+    assert run("replace", file(make_document(5)), A, "--base", "0") == 1
     assert run("read", A) == 1
     monkeypatch.setattr(client, "send_over_http", lambda attempt, request: Reply(200, b"<html>"))
     assert run("read", A) == 3
@@ -153,20 +153,20 @@
 def test_a_file_is_checked_without_a_controller(
     controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
-    good = file(whole(5))
+    good = file(make_document(5))
     assert run("check", good) == 0
     assert run("check", file('{"config_version":5,"rou')) == 1
     assert "2001" in capsys.readouterr().out
-    bad = file(whole(5, routes=[route(timeout_ms=0, service="nobody")]))
+    bad = file(make_document(5, routes=[route(timeout_ms=0, service="nobody")]))
     assert run("check", bad, "--json") == 1
     problems = json.loads(capsys.readouterr().out)["problems"]
     assert {each["code"] for each in problems} == {2008, 2010}
-    assert run("check", file(whole(5, routes=[route(priority="high")]))) == 1
+    assert run("check", file(make_document(5, routes=[route(priority="high")]))) == 1
     assert "2002 routes[chat].priority" in capsys.readouterr().out
     assert run("check", file(change(7, upsert={"routes": [route("b")]})), "--on", good) == 0
     assert run("check", file(change(7, remove={"services": ["writer"]})), "--on", good) == 1
-    assert run("check", file(whole(7)), "--on", good) == 0
-    assert run("check", file(whole(5)), "--on", good) == 1
+    assert run("check", file(make_document(7)), "--on", good) == 0
+    assert run("check", file(make_document(5)), "--on", good) == 1
     assert run("check", good, "--on", bad) == 1
     assert controllers.calls == []
 
--- a/tests/admin/test_real_fleet.py
+++ b/tests/admin/test_real_fleet.py
@@ -14,7 +14,7 @@
 from firvane.simulation.localfleet.daemons import Daemon
 from firvane.simulation.localfleet.layout import Layout, find_free_ports, make_layout
 from firvane.simulation.localfleet.settings_files import PlatformTerms
-from tests.fleet.configuration.documents import whole
+from tests.fleet.configuration.documents import make_document
 
 PATIENCE = 15.0  # s until something that must happen is missed
 LOOK_AGAIN = 0.05  # s between looks at what no event announces
@@ -133,7 +133,7 @@
 
 def test_a_real_fleet_is_told_and_moved(tmp_path: Path) -> None:
     file = tmp_path / "configuration.json"
-    file.write_text(json.dumps(whole(5)))
+    file.write_text(json.dumps(make_document(5)))
     layout = make_layout(CONTROLLERS, ROUTERS, find_free_ports(CONTROLLERS, ROUTERS, 0))
 
     async def play() -> None:
--- a/tests/fleet/configuration/documents.py
+++ b/tests/fleet/configuration/documents.py
@@ -59,7 +59,7 @@
     return {**fields, **changes}
 
 
-def whole(version: int = 1, **changes: Any) -> dict[str, Any]:
+def make_document(version: int = 1, **changes: Any) -> dict[str, Any]:
     fields = {"config_version": version, "routes": [route()], "services": [service()], "limits": LIMITS}
     fields.update(changes)
     return {key: value for key, value in fields.items() if value is not ...}
--- a/tests/fleet/configuration/test_checker.py
+++ b/tests/fleet/configuration/test_checker.py
@@ -22,12 +22,12 @@
 from tests.fleet.configuration.documents import (
     LIMITS,
     change,
+    make_document,
     modification,
     replacement,
     route,
     service,
     split,
-    whole,
 )
 
 
@@ -54,7 +54,7 @@
 
 
 def test_a_valid_order_may_be_proposed() -> None:
-    document = whole(3, routes=[route(), split(("writer", 90), ("writer", 10), name="b")])
+    document = make_document(3, routes=[route(), split(("writer", 90), ("writer", 10), name="b")])
     assert check(document) == Result(ResultCode.ACCEPTED, 3)
 
 
@@ -63,7 +63,7 @@
 )
 def test_optional_fields_may_be_null_or_absent(field: str) -> None:
     for value in (None, ...):
-        assert check(whole(3, routes=[route(**{field: value})])).code is ResultCode.ACCEPTED
+        assert check(make_document(3, routes=[route(**{field: value})])).code is ResultCode.ACCEPTED
 
 
 def engine(**changes: Any) -> dict[str, Any]:
@@ -73,63 +73,63 @@
 @pytest.mark.parametrize(
     ("document", "code", "place"),
     [
-        (whole(routes=[route(kind=3)]), ResultCode.WRONG_TYPE, "routes[chat].kind"),
-        (whole(routes=[route(priority="1")]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
-        (whole(routes=[route(priority=1.5)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
-        (whole(routes=[route(priority=True)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
+        (make_document(routes=[route(kind=3)]), ResultCode.WRONG_TYPE, "routes[chat].kind"),
+        (make_document(routes=[route(priority="1")]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
+        (make_document(routes=[route(priority=1.5)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
+        (make_document(routes=[route(priority=True)]), ResultCode.WRONG_TYPE, "routes[chat].priority"),
         (
-            whole(routes=[route(max_attempts=-1)]),
+            make_document(routes=[route(max_attempts=-1)]),
             ResultCode.OUT_OF_RANGE,
             "routes[chat].max_attempts",
         ),
         (
-            whole(routes=[route(session_affinity=1)]),
+            make_document(routes=[route(session_affinity=1)]),
             ResultCode.WRONG_TYPE,
             "routes[chat].session_affinity",
         ),
         (
-            whole(routes=[route(stream_resume="no")]),
+            make_document(routes=[route(stream_resume="no")]),
             ResultCode.WRONG_TYPE,
             "routes[chat].stream_resume",
         ),
         (
-            whole(routes=[route(target_latency_ms=-1)]),
+            make_document(routes=[route(target_latency_ms=-1)]),
             ResultCode.OUT_OF_RANGE,
             "routes[chat].target_latency_ms",
         ),
-        (whole(routes=[route(gap_aim_ms=[])]), ResultCode.WRONG_TYPE, "routes[chat].gap_aim_ms"),
-        (whole(routes=[route(timeout_ms=2**60)]), ResultCode.OUT_OF_RANGE, "routes[chat].timeout_ms"),
-        (whole(routes=[route(host="h" * 5000)]), ResultCode.OUT_OF_RANGE, "routes[chat].host"),
+        (make_document(routes=[route(gap_aim_ms=[])]), ResultCode.WRONG_TYPE, "routes[chat].gap_aim_ms"),
+        (make_document(routes=[route(timeout_ms=2**60)]), ResultCode.OUT_OF_RANGE, "routes[chat].timeout_ms"),
+        (make_document(routes=[route(host="h" * 5000)]), ResultCode.OUT_OF_RANGE, "routes[chat].host"),
         (
-            whole(routes=[split(("writer", 2**60))]),
+            make_document(routes=[split(("writer", 2**60))]),
             ResultCode.OUT_OF_RANGE,
             "routes[chat].weighted_split[0].weight",
         ),
-        (whole(services=[service(tls="x")]), ResultCode.WRONG_TYPE, "services[writer].tls"),
-        (whole(services=[service(engine=3)]), ResultCode.WRONG_TYPE, "services[writer].engine"),
+        (make_document(services=[service(tls="x")]), ResultCode.WRONG_TYPE, "services[writer].tls"),
+        (make_document(services=[service(engine=3)]), ResultCode.WRONG_TYPE, "services[writer].engine"),
         (
-            whole(services=[engine(slots=True)]),
+            make_document(services=[engine(slots=True)]),
             ResultCode.WRONG_TYPE,
             "services[writer].engine.slots",
         ),
-        (whole(services=[engine(slots="x")]), ResultCode.WRONG_TYPE, "services[writer].engine.slots"),
+        (make_document(services=[engine(slots="x")]), ResultCode.WRONG_TYPE, "services[writer].engine.slots"),
         (
-            whole(services=[engine(models=[{}])]),
+            make_document(services=[engine(models=[{}])]),
             ResultCode.MISSING_FIELD,
             "services[writer].engine.models[0].name",
         ),
         (
-            whole(services=[engine(models="m")]),
+            make_document(services=[engine(models="m")]),
             ResultCode.WRONG_TYPE,
             "services[writer].engine.models",
         ),
         (
-            whole(limits={**LIMITS, "max_body_bytes": -1}),
+            make_document(limits={**LIMITS, "max_body_bytes": -1}),
             ResultCode.OUT_OF_RANGE,
             "limits.max_body_bytes",
         ),
         (
-            whole(limits={**LIMITS, "idle_timeout_ms": "x"}),
+            make_document(limits={**LIMITS, "idle_timeout_ms": "x"}),
             ResultCode.WRONG_TYPE,
             "limits.idle_timeout_ms",
         ),
@@ -150,9 +150,9 @@
 @pytest.mark.parametrize(
     "document",
     [
-        whole(routes=[route(extra=nested(40))]),
-        whole(extra=nested(40)),
-        whole(tenants=[{"name": "t", "extra": nested(40)}]),
+        make_document(routes=[route(extra=nested(40))]),
+        make_document(extra=nested(40)),
+        make_document(tenants=[{"name": "t", "extra": nested(40)}]),
     ],
 )
 def test_deep_nesting_is_rejected(document: Any) -> None:
@@ -161,19 +161,21 @@
 
 def test_an_order_that_the_state_rejects_is_rejected_before_any_item_is_checked() -> None:
     schemas = RecordingSchemas()
-    checker = Checker(ConfigurationState(), replacement(4, whole(9)), schemas)
+    checker = Checker(ConfigurationState(), replacement(4, make_document(9)), schemas)
     assert checker.finish() == Result(ResultCode.CONFLICT, 0)
     assert schemas.places == []
 
 
 def test_an_order_that_was_applied_is_not_checked_again() -> None:
-    state, schemas = started(whole(3)), RecordingSchemas()
-    assert Checker(state, replacement(0, whole(3)), schemas).finish() == Result(ResultCode.REPEATED, 3)
+    state, schemas = started(make_document(3)), RecordingSchemas()
+    assert Checker(state, replacement(0, make_document(3)), schemas).finish() == Result(
+        ResultCode.REPEATED, 3
+    )
     assert schemas.places == []
 
 
 def test_only_items_that_differ_are_checked() -> None:
-    state = started(whole(3, routes=[route("a"), route("b"), route("c")]))
+    state = started(make_document(3, routes=[route("a"), route("b"), route("c")]))
     schemas = RecordingSchemas()
     order = modification(3, change(4, upsert={"routes": [route("b"), route("c", priority=2), route("d")]}))
     assert Checker(state, order, schemas).finish() == Result(ResultCode.ACCEPTED, 4)
@@ -181,7 +183,7 @@
 
 
 def test_a_value_that_is_equal_but_of_another_type_is_checked() -> None:
-    state = started(whole(3, routes=[route(session_affinity=True)]))
+    state = started(make_document(3, routes=[route(session_affinity=True)]))
     order = modification(3, change(4, upsert={"routes": [route(session_affinity=1)]}))
     assert Checker(state, order).finish().code is ResultCode.INVALID
 
@@ -190,7 +192,7 @@
     schemas = RecordingSchemas()
     routes = [route(f"r{number}") for number in range(40)]
     checker = Checker(
-        ConfigurationState(), replacement(0, whole(3, routes=routes)), schemas, items_per_step=4
+        ConfigurationState(), replacement(0, make_document(3, routes=routes)), schemas, items_per_step=4
     )
     before = 0
     for _ in checker:
@@ -204,7 +206,7 @@
 def test_validation_stops_at_the_maximum_number_of_problems() -> None:
     schemas = RecordingSchemas()
     routes = [route(f"r{number}", priority="high") for number in range(2 * MAX_PROBLEMS)]
-    result = Checker(ConfigurationState(), replacement(0, whole(3, routes=routes)), schemas).finish()
+    result = Checker(ConfigurationState(), replacement(0, make_document(3, routes=routes)), schemas).finish()
     assert len(result.problems) == MAX_PROBLEMS
     assert len(schemas.places) < MAX_PROBLEMS + 2 * checkers.ITEMS_PER_STEP
     assert Result.unpack(result.pack()) == result
@@ -213,9 +215,9 @@
 @pytest.mark.parametrize(
     "order",
     [
-        replacement(0, whole(3, routes=[{}] * 5_000)),
-        replacement(0, whole(3, routes=[1] * 5_000)),
-        replacement(0, whole(3, tenants=[{"name": "a"}] * 5_000)),
+        replacement(0, make_document(3, routes=[{}] * 5_000)),
+        replacement(0, make_document(3, routes=[1] * 5_000)),
+        replacement(0, make_document(3, tenants=[{"name": "a"}] * 5_000)),
         modification(0, change(3, upsert={"routes": [{}] * 5_000})),
         modification(0, change(3, remove={"routes": [1] * 5_000})),
         modification(
@@ -274,12 +276,12 @@
 def test_a_checked_order_is_released_from_memory(members: dict[str, Any]) -> None:
     # Guards against reference cycles that kept values of rejected orders until memory was exhausted.
     schemas = ItemSchemas()
-    Checker(ConfigurationState(), replacement(0, whole(**members)), schemas).finish()
+    Checker(ConfigurationState(), replacement(0, make_document(**members)), schemas).finish()
     gc.collect()
     gc.disable()
     tracemalloc.start()
     for version in range(2, 5):
-        document = whole(version, **members)
+        document = make_document(version, **members)
         Checker(ConfigurationState(), replacement(0, document), schemas).finish()
         del document
     kept_bytes, _ = tracemalloc.get_traced_memory()
--- a/tests/fleet/configuration/test_delta.py
+++ b/tests/fleet/configuration/test_delta.py
@@ -12,7 +12,7 @@
 
 from firvane.fleet.configuration.delta import DeltaError, apply_delta, make_delta
 from firvane.fleet.configuration.document import encode
-from tests.fleet.configuration.documents import route, service, whole
+from tests.fleet.configuration.documents import make_document, route, service
 
 
 def text(document: Any) -> bytes:
@@ -21,9 +21,9 @@
 
 def test_a_change_of_one_route_among_many_is_small() -> None:
     routes = [route(f"r{number}", host=f"h{number * 7919 % 1009}.example") for number in range(1400)]
-    old = text(whole(7, routes=routes))
+    old = text(make_document(7, routes=routes))
     routes[77] = route("r77", timeout_ms=5)
-    new = text(whole(9, routes=[*routes[:500], *routes[501:], route("new")]))
+    new = text(make_document(9, routes=[*routes[:500], *routes[501:], route("new")]))
     delta = make_delta(old, new)
     assert apply_delta(old, delta) == new
     assert len(delta) < 1000
@@ -32,17 +32,17 @@
 @pytest.mark.parametrize(
     "new",
     [
-        whole(9, routes=[route("b"), route("a")]),
-        whole(9, routes=[route("new"), route("a"), route("b")]),
-        whole(9, routes=[route("a", session_affinity=1), route("b")]),
-        whole(9, services=[], routes=[]),
-        whole(9, tenants=[{"name": "t"}], routes=[route("a"), 3]),
-        whole(9, limits=...),
+        make_document(9, routes=[route("b"), route("a")]),
+        make_document(9, routes=[route("new"), route("a"), route("b")]),
+        make_document(9, routes=[route("a", session_affinity=1), route("b")]),
+        make_document(9, services=[], routes=[]),
+        make_document(9, tenants=[{"name": "t"}], routes=[route("a"), 3]),
+        make_document(9, limits=...),
         {"routes": [], "config_version": 9},
     ],
 )
 def test_any_change_can_be_expressed(new: Any) -> None:
-    old = text(whole(7, routes=[route("a"), route("b")]))
+    old = text(make_document(7, routes=[route("a"), route("b")]))
     assert apply_delta(old, make_delta(old, text(new))) == text(new)
 
 
@@ -53,9 +53,9 @@
 
 
 def test_a_delta_is_rejected_on_another_text() -> None:
-    delta = make_delta(text(whole(7)), text(whole(9)))
+    delta = make_delta(text(make_document(7)), text(make_document(9)))
     with pytest.raises(DeltaError):
-        apply_delta(text(whole(8)), delta)
+        apply_delta(text(make_document(8)), delta)
 
 
 names = st.sampled_from("abcdef")
@@ -114,7 +114,7 @@
 
 def test_services_and_routes_may_change_together() -> None:
     old, new = (
-        whole(7),
-        whole(9, services=[service(), service("reader")], routes=[route(service="reader")]),
+        make_document(7),
+        make_document(9, services=[service(), service("reader")], routes=[route(service="reader")]),
     )
     assert apply_delta(text(old), make_delta(text(old), text(new))) == text(new)
--- a/tests/fleet/configuration/test_oracle.py
+++ b/tests/fleet/configuration/test_oracle.py
@@ -17,7 +17,7 @@
 from firvane.fleet.configuration.item import read_item
 from firvane.fleet.configuration.orders import Order, OrderKind, Result
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import LIMITS, route, service, split, whole
+from tests.fleet.configuration.documents import LIMITS, make_document, route, service, split
 
 Document = dict[str, Any]
 
@@ -114,7 +114,7 @@
     def replacement(self, base: int) -> Document:
         routes = [self.route(name) for name in self.names("abcdef", 3)]
         services = [service(name) for name in self.names(("writer", "reader", "painter"), 2)]
-        document = whole(self.version(base), routes=routes, services=services)
+        document = make_document(self.version(base), routes=routes, services=services)
         if self.random.random() < 0.05:
             del document[self.random.choice(("routes", "services", "limits", "config_version"))]
         return document
@@ -218,7 +218,7 @@
     routes: Document, services: Document, engines: Document, limits: Any
 ) -> None:
     altered = {**service("reader", engine={**service()["engine"], **engines}), **services}
-    document = whole(3, routes=[{**route(), **routes}], services=[service(), altered], limits=limits)
+    document = make_document(3, routes=[{**route(), **routes}], services=[service(), altered], limits=limits)
     state = ConfigurationState()
     order = Order(OrderKind.REPLACE, 0, json.dumps(document).encode())
     if Checker(state, order).finish().code is not ResultCode.ACCEPTED:
--- a/tests/fleet/configuration/test_recovered.py
+++ b/tests/fleet/configuration/test_recovered.py
@@ -10,16 +10,16 @@
 from firvane.fleet.configuration.orders import Order, OrderKind
 from firvane.fleet.configuration.recovered import recovered_version
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import change, route, whole
+from tests.fleet.configuration.documents import change, make_document, route
 
 
 def order(kind: OrderKind, base: int, document: Any) -> bytes:
     return Order(kind, base, json.dumps(document).encode()).pack()
 
 
-FIRST = order(OrderKind.REPLACE, 0, whole(5))
+FIRST = order(OrderKind.REPLACE, 0, make_document(5))
 SECOND = order(OrderKind.MODIFY, 5, change(8, upsert={"routes": [route("new")]}))
-LATE = order(OrderKind.REPLACE, 0, whole(9))
+LATE = order(OrderKind.REPLACE, 0, make_document(9))
 HISTORIES = [[], [FIRST], [FIRST, SECOND], [FIRST, LATE], [FIRST, FIRST, SECOND, SECOND], [SECOND]]
 
 
--- a/tests/fleet/configuration/test_routes.py
+++ b/tests/fleet/configuration/test_routes.py
@@ -13,7 +13,7 @@
 
 from firvane.fleet.configuration.item import ItemError, pack_item, read_document, read_item
 from firvane.fleet.configuration.routes import Configuration, Engine, Limits, RouteKind, RouteTable, Target
-from tests.fleet.configuration.documents import route, service, split, whole
+from tests.fleet.configuration.documents import make_document, route, service, split
 
 
 def read(document: Any) -> Configuration:
@@ -22,7 +22,7 @@
 
 
 def test_a_configuration_is_read_with_all_its_fields() -> None:
-    configuration = read(whole(7))
+    configuration = read(make_document(7))
     assert configuration.version == 7
     (only,) = configuration.routes
     assert (only.name, only.host, only.path_prefix) == ("chat", "api.example", "/chat/")
@@ -38,14 +38,14 @@
 
 def test_targets_sum_the_weights_of_a_service_and_omit_zero() -> None:
     parts = (("writer", 60), ("reader", 0), ("other", 30), ("writer", 10))
-    (only,) = read(whole(routes=[split(*parts)])).routes
+    (only,) = read(make_document(routes=[split(*parts)])).routes
     assert only.targets == (Target("writer", 70), Target("other", 30))
 
 
 def test_absent_and_null_fields_have_defaults() -> None:
     absent = {"name": "a", "host": "h", "path_prefix": "/", "timeout_ms": 5, "service": "writer"}
     null = {**absent, "name": "b", "kind": None, "priority": None, "max_attempts": None, "gap_aim_ms": None}
-    document = whole(routes=[absent, null], services=[{"name": "writer", "engine": None}], limits=...)
+    document = make_document(routes=[absent, null], services=[{"name": "writer", "engine": None}], limits=...)
     configuration = read(document)
     for each in configuration.routes:
         assert (each.kind, each.priority, each.max_attempts) == (RouteKind.NON_IDEMPOTENT, 0, 1)
@@ -55,11 +55,11 @@
 
 
 def test_an_unknown_kind_is_not_idempotent() -> None:
-    assert read(whole(routes=[route(kind="novel")])).routes[0].kind is RouteKind.NON_IDEMPOTENT
+    assert read(make_document(routes=[route(kind="novel")])).routes[0].kind is RouteKind.NON_IDEMPOTENT
 
 
 def table(*routes: dict[str, Any]) -> RouteTable:
-    return RouteTable(read(whole(routes=list(routes))))
+    return RouteTable(read(make_document(routes=list(routes))))
 
 
 @pytest.mark.parametrize(
@@ -160,7 +160,7 @@
 @settings(max_examples=300, deadline=None)
 @given(data=st.data())
 def test_a_corrupt_payload_is_decoded_or_rejected(data: st.DataObject) -> None:
-    payload = bytearray(pack_item(7, json.dumps(whole(7, services=[service()])).encode()))
+    payload = bytearray(pack_item(7, json.dumps(make_document(7, services=[service()])).encode()))
     for _ in range(data.draw(st.integers(1, 4))):
         payload[data.draw(st.integers(0, len(payload) - 1))] = data.draw(st.integers(0, 255))
     with contextlib.suppress(ItemError):
@@ -168,4 +168,4 @@
 
 
 def test_a_document_can_be_read_without_a_payload() -> None:
-    assert read_document(json.dumps(whole(3)).encode(), 3).version == 3
+    assert read_document(json.dumps(make_document(3)).encode(), 3).version == 3
--- a/tests/fleet/configuration/test_stored_formats.py
+++ b/tests/fleet/configuration/test_stored_formats.py
@@ -14,12 +14,12 @@
 from firvane.fleet.configuration.orders import Order, OrderKind, Problem, Result
 from firvane.fleet.configuration.routes import Tenant, key_digest
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import LIMITS, change, modification, replacement, whole
+from tests.fleet.configuration.documents import LIMITS, change, make_document, modification, replacement
 from tests.fleet.configuration.test_tenants import tenant
 
 DATA = Path(__file__).parent / "data"
 ORDERS = (
-    replacement(0, whole(3, tenants=[tenant()])),
+    replacement(0, make_document(3, tenants=[tenant()])),
     modification(3, change(5, limits={**LIMITS, "idle_timeout_ms": 20000})),
 )
 TENANT = Tenant(
--- a/tests/fleet/configuration/test_tenants.py
+++ b/tests/fleet/configuration/test_tenants.py
@@ -13,7 +13,7 @@
 from firvane.fleet.configuration.orders import Order, Result
 from firvane.fleet.configuration.routes import Tenant, key_digest
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import change, modification, replacement, route, whole
+from tests.fleet.configuration.documents import change, make_document, modification, replacement, route
 
 
 def tenant(name: str = "huka270", **changes: Any) -> dict[str, Any]:
@@ -38,7 +38,7 @@
 
 
 def test_tenants_are_read_with_the_digests_of_their_keys() -> None:
-    read = read_document(json.dumps(whole(tenants=[tenant(), {"name": "bare"}])).encode(), 1)
+    read = read_document(json.dumps(make_document(tenants=[tenant(), {"name": "bare"}])).encode(), 1)
     assert read.tenants == (
         Tenant(
             "huka270",
@@ -55,9 +55,9 @@
 
 
 def test_read_tenants_gives_the_tenants_of_the_complete_configuration() -> None:
-    text = json.dumps(whole(tenants=[tenant(), {"name": "bare"}])).encode()
+    text = json.dumps(make_document(tenants=[tenant(), {"name": "bare"}])).encode()
     assert read_tenants(text) == read_document(text, 1).tenants
-    assert read_tenants(json.dumps(whole()).encode()) == ()
+    assert read_tenants(json.dumps(make_document()).encode()) == ()
     for bad in (b"", b"[]", b'{"tenants":7}'):
         with pytest.raises(ItemError):
             read_tenants(bad)
@@ -65,18 +65,20 @@
 
 @pytest.mark.parametrize(("given", "read"), [(..., None), (None, None), ([], ())])
 def test_absent_tenants_differ_from_an_empty_list(given: Any, read: tuple[Tenant, ...] | None) -> None:
-    assert read_document(json.dumps(whole(tenants=given)).encode(), 1).tenants == read
+    assert read_document(json.dumps(make_document(tenants=given)).encode(), 1).tenants == read
 
 
 def test_a_route_may_be_anonymous() -> None:
-    read = read_document(json.dumps(whole(routes=[route("a", anonymous=True), route("b")])).encode(), 1)
+    read = read_document(
+        json.dumps(make_document(routes=[route("a", anonymous=True), route("b")])).encode(), 1
+    )
     assert [each.anonymous for each in read.routes] == [True, False]
 
 
 def test_two_tenants_that_share_a_key_make_a_configuration_invalid() -> None:
     shared = [tenant("a"), tenant("b", api_keys=["b-1", "a-2"])]
     state = ConfigurationState()
-    order = replacement(0, whole(tenants=shared))
+    order = replacement(0, make_document(tenants=shared))
     for result in (Checker(state, order).finish(), state.check(order)):
         assert result.code is ResultCode.INVALID
         assert [(each.code, each.place) for each in result.problems] == [
@@ -88,7 +90,7 @@
 def test_a_modification_with_a_key_of_another_tenant_is_rejected() -> None:
     state = ConfigurationState()
     assert checked(
-        state, replacement(0, whole(1, tenants=[tenant("a"), tenant("b")]))
+        state, replacement(0, make_document(1, tenants=[tenant("a"), tenant("b")]))
     ).code.is_acknowledgement
     stolen = modification(1, change(2, upsert={"tenants": [tenant("c", api_keys=["a-1"])]}))
     assert checked(state, stolen).code is ResultCode.INVALID
@@ -100,7 +102,7 @@
 
 
 def test_one_tenant_may_list_a_key_twice() -> None:
-    order = replacement(0, whole(tenants=[tenant("a", api_keys=["k", "k"])]))
+    order = replacement(0, make_document(tenants=[tenant("a", api_keys=["k", "k"])]))
     assert checked(ConfigurationState(), order).code is ResultCode.ACCEPTED
 
 
@@ -121,6 +123,6 @@
     ],
 )
 def test_problems_of_tenants_are_reported(tenants: Any, code: ResultCode) -> None:
-    result = checked(ConfigurationState(), replacement(0, whole(tenants=tenants)))
+    result = checked(ConfigurationState(), replacement(0, make_document(tenants=tenants)))
     assert result.code is ResultCode.INVALID
     assert code in {each.code for each in result.problems}
