--- a/firvane/fleet/controller/instance_records.py
+++ b/firvane/fleet/controller/instance_records.py
@@ -92,7 +92,7 @@
     def _item(self, service: str) -> Item | None:
         assert self._term is not None
         try:
-            payload = encode_instances(self.table.record_of(service))
+            payload = encode_instances(self.table.instances_of(service))
         except InstanceRecordError as error:
             self._log.error("instance_record_not_published", service=service, reason=str(error))
             return None
--- a/firvane/fleet/discovery/instances.py
+++ b/firvane/fleet/discovery/instances.py
@@ -71,17 +71,19 @@
     def services(self) -> frozenset[str]:
         """The names of services that have an instance that is not gone."""
         return frozenset(
-            each.service for each in self._by_id.values() if each.state is not InstanceState.GONE
+            instance.service for instance in self._by_id.values() if instance.state is not InstanceState.GONE
         )
 
-    def of(self, service: str) -> tuple[Instance, ...]:
+    def live_instances_of(self, service: str) -> tuple[Instance, ...]:
         """The ready and draining instances of a service, ordered by id."""
-        return tuple(each for each in self.record_of(service) if each.state is not InstanceState.GONE)
+        return tuple(
+            instance for instance in self.instances_of(service) if instance.state is not InstanceState.GONE
+        )
 
-    def record_of(self, service: str) -> tuple[Instance, ...]:
+    def instances_of(self, service: str) -> tuple[Instance, ...]:
         """All instances of a service to publish, including those that are gone, ordered by id."""
-        found = [each for each in self._by_id.values() if each.service == service]
-        return tuple(sorted(found, key=lambda each: each.id))
+        found = [instance for instance in self._by_id.values() if instance.service == service]
+        return tuple(sorted(found, key=lambda instance: instance.id))
 
     def state_of(self, instance_id: str) -> InstanceState | None:
         """The state of an id; None if it is not known."""
@@ -96,7 +98,7 @@
         """
         changed: set[str] = set()
         self._retire_replaced(complete, now, changed)
-        listed = {each.id for each in complete}
+        listed = {instance.id for instance in complete}
         for instance in complete:
             self._merge_instance(instance, changed)
         self._retire_absent(listed, now, is_consistent, changed)
@@ -126,8 +128,8 @@
         changed: set[str] = set()
         if self.merge(service, instances):
             changed.add(service)
-        recorded = {each.id for each in instances}
-        for known in self.of(service):
+        recorded = {instance.id for instance in instances}
+        for known in self.live_instances_of(service):
             if known.id in recorded:
                 continue
             if known.state is InstanceState.DRAINING:
@@ -158,7 +160,9 @@
 
     def _retire_replaced(self, complete: Sequence[Instance], now: float, changed: set[str]) -> None:
         """Mark as gone the known ids whose address belongs to a new id in the list."""
-        new_owners = {each.address: each.id for each in complete if each.id not in self._by_id}
+        new_owners = {
+            instance.address: instance.id for instance in complete if instance.id not in self._by_id
+        }
         if not new_owners:
             return
         for known in list(self._by_id.values()):
--- a/firvane/fleet/router/backends.py
+++ b/firvane/fleet/router/backends.py
@@ -27,18 +27,18 @@
             return
         self.services.add(service)
         self._update_upstreams()
-        self.engine.dispatch(InstancesChanged(service, self.table.of(service)))
+        self.engine.dispatch(InstancesChanged(service, self.table.live_instances_of(service)))
 
     def any_ready(self) -> bool:
         """Return whether any service has a ready backend."""
         return any(
             instance.state is InstanceState.READY
             for service in self.services
-            for instance in self.table.of(service)
+            for instance in self.table.live_instances_of(service)
         )
 
     def _update_upstreams(self) -> None:
-        known = [instance for service in self.services for instance in self.table.of(service)]
+        known = [instance for service in self.services for instance in self.table.live_instances_of(service)]
         ready = {backend.id: backend.address for backend in known if backend.state is InstanceState.READY}
         draining = {
             backend.id: backend.address for backend in known if backend.state is InstanceState.DRAINING
--- a/tests/fleet/discovery/test_instances.py
+++ b/tests/fleet/discovery/test_instances.py
@@ -23,7 +23,7 @@
     known = InstanceTable()
     listed = [instance("b"), instance("a"), instance("c", "reader")]
     assert known.observe(listed, 0.0) == {"writer", "reader"}
-    assert known.of("writer") == (listed[1], listed[0])
+    assert known.live_instances_of("writer") == (listed[1], listed[0])
     assert known.services() == {"writer", "reader"}
     assert known.observe(listed, 1.0) == frozenset()
 
@@ -31,7 +31,7 @@
 def test_a_decreasing_warm_up_time_is_not_a_change() -> None:
     known = table(replace(instance("a"), cold_remaining_ms=900))
     assert known.observe([instance("a")], 1.0) == frozenset()
-    assert known.of("writer")[0].cold_remaining_ms == 0
+    assert known.live_instances_of("writer")[0].cold_remaining_ms == 0
 
 
 def test_a_draining_instance_never_becomes_ready_again() -> None:
@@ -44,14 +44,14 @@
     known = table(instance("a", state=DRAINING), instance("b", state=GONE))
     assert known.merge("writer", [replace(instance("a"), slots=1)])
     assert not known.merge("writer", [replace(instance("b"), slots=1)])
-    assert [(each.slots, each.state) for each in known.record_of("writer")] == [(1, DRAINING), (64, GONE)]
+    assert [(each.slots, each.state) for each in known.instances_of("writer")] == [(1, DRAINING), (64, GONE)]
 
 
 def test_an_absent_id_is_gone_and_never_returns() -> None:
     known = table(instance("a"), instance("b"))
     assert known.observe([instance("b")], 1.0) == {"writer"}
     assert known.observe([instance("a"), instance("b")], 2.0) == frozenset()
-    assert [each.id for each in known.of("writer")] == ["b"]
+    assert [each.id for each in known.live_instances_of("writer")] == ["b"]
     assert known.state_of("a") is GONE
 
 
@@ -69,9 +69,9 @@
     old, new = instance("a", port=1), instance("b", "reader", port=1)
     known = table(old)
     assert known.observe([old, new], 1.0) == {"writer", "reader"}
-    assert (known.of("writer"), known.of("reader")) == ((), (new,))
+    assert (known.live_instances_of("writer"), known.live_instances_of("reader")) == ((), (new,))
     assert known.observe([old, new], 2.0) == frozenset()
-    assert known.of("writer") == ()
+    assert known.live_instances_of("writer") == ()
 
 
 def test_gone_ids_are_evicted_ten_minutes_after_they_were_last_listed() -> None:
@@ -89,7 +89,7 @@
     other = [instance("a", state=DRAINING), instance("b"), instance("d", state=GONE), instance("e")]
     assert known.merge("writer", other)
     assert not known.merge("writer", other)
-    states = {each.id: each.state for each in known.record_of("writer")}
+    states = {each.id: each.state for each in known.instances_of("writer")}
     assert states == {"a": DRAINING, "b": DRAINING, "c": READY, "d": GONE, "e": READY}
 
 
@@ -109,7 +109,7 @@
 def test_merging_ignores_other_services() -> None:
     known = table(instance("a"))
     assert not known.merge("reader", [instance("b")])
-    assert known.of("writer") == (instance("a"),)
+    assert known.live_instances_of("writer") == (instance("a"),)
 
 
 def test_a_merged_gone_id_is_retained_as_long_as_others() -> None:
@@ -126,8 +126,8 @@
     known = InstanceTable()
     assert known.replace("writer", [instance("a"), instance("b", state=DRAINING), instance("c")], 0.0)
     assert known.replace("writer", [instance("b"), instance("c", state=GONE)], 1.0)
-    assert [(each.id, each.state) for each in known.of("writer")] == [("b", DRAINING)]
+    assert [(each.id, each.state) for each in known.live_instances_of("writer")] == [("b", DRAINING)]
     assert known.replace("writer", [instance("a"), instance("c")], 2.0)
-    assert [(each.id, each.state) for each in known.of("writer")] == [("a", READY)]
+    assert [(each.id, each.state) for each in known.live_instances_of("writer")] == [("a", READY)]
     assert known.state_of("b") is GONE
     assert not known.replace("writer", [instance("a"), instance("b")], 3.0)
--- a/tests/fleet/discovery/test_table_oracle.py
+++ b/tests/fleet/discovery/test_table_oracle.py
@@ -52,11 +52,11 @@
 
 
 def states(table: InstanceTable) -> dict[str, InstanceState]:
-    return {each.id: each.state for service in SERVICES for each in table.record_of(service)}
+    return {each.id: each.state for service in SERVICES for each in table.instances_of(service)}
 
 
 def live(table: InstanceTable) -> dict[str, InstanceState]:
-    return {each.id: each.state for service in SERVICES for each in table.of(service)}
+    return {each.id: each.state for service in SERVICES for each in table.live_instances_of(service)}
 
 
 def assert_not_lowered(before: dict[str, InstanceState], after: dict[str, InstanceState]) -> None:
@@ -71,12 +71,12 @@
     for now in range(150):
         for _ in range(platform.random.randrange(3)):
             platform.step()
-        changed_before = {service: table.of(service) for service in SERVICES}
+        changed_before = {service: table.live_instances_of(service) for service in SERVICES}
         changed = table.observe(platform.list(), float(now))
         assert live(table) == {name: each.state for name, each in platform.listed.items()}
         for service in SERVICES:
             previous = [replace(each, cold_remaining_ms=0) for each in changed_before[service]]
-            expected = [replace(each, cold_remaining_ms=0) for each in table.of(service)]
+            expected = [replace(each, cold_remaining_ms=0) for each in table.live_instances_of(service)]
             assert (service in changed) == (previous != expected)
         assert_not_lowered(before, states(table))
         before = states(table)
@@ -97,14 +97,14 @@
         else:
             other = tables[0] if table is tables[1] else tables[1]
             service = platform.random.choice(SERVICES)
-            table.merge(service, decode_instances(encode_instances(other.record_of(service))))
+            table.merge(service, decode_instances(encode_instances(other.instances_of(service))))
         after = [states(each) for each in tables]
         for earlier, later in zip(before, after, strict=True):
             assert_not_lowered(earlier, later)
         before = after
     for service in SERVICES:  # after merging in both directions the tables are equal
-        tables[0].merge(service, tables[1].record_of(service))
-        tables[1].merge(service, tables[0].record_of(service))
+        tables[0].merge(service, tables[1].instances_of(service))
+        tables[1].merge(service, tables[0].instances_of(service))
     assert states(tables[0]) == states(tables[1])
 
 
@@ -120,7 +120,7 @@
             for service in changed:
                 if platform.random.random() < 0.6:
                     router.replace(
-                        service, decode_instances(encode_instances(poller.record_of(service))), now
+                        service, decode_instances(encode_instances(poller.instances_of(service))), now
                     )
             for name, state in live(router).items():
                 assert not (state is InstanceState.READY and name in seen)
@@ -128,5 +128,5 @@
                     seen.add(name)
     for router in routers:
         for service in SERVICES:
-            router.replace(service, poller.record_of(service), 150.0)
+            router.replace(service, poller.instances_of(service), 150.0)
         assert live(router) == live(poller)
