--- a/firvane/fleet/configuration/checker.py
+++ b/firvane/fleet/configuration/checker.py
@@ -112,9 +112,9 @@
 
 
 def _changed_list_items(key: str, items: list[Any], before: Any) -> Iterator[_ChangedItem]:
-    known = {name_of(item): item for item in before} if isinstance(before, list) else {}
+    accepted_by_name = {name_of(item): item for item in before} if isinstance(before, list) else {}
     for position, item in enumerate(items):
-        if not is_same_json(item, known.get(name_of(item))):
+        if not is_same_json(item, accepted_by_name.get(name_of(item))):
             yield _ChangedItem(key, item_place(key, position, item), item)
 
 
--- a/firvane/fleet/controller/configuration_publisher.py
+++ b/firvane/fleet/controller/configuration_publisher.py
@@ -77,8 +77,8 @@
     def publish(self) -> None:
         """Publish the applied version, unless the cluster already has this or a newer version."""
         version = self._state.version
-        known = self._agent.item(CONFIGURATION_KEY)
-        if version == 0 or (known is not None and known.version >= version):
+        published = self._agent.item(CONFIGURATION_KEY)
+        if version == 0 or (published is not None and published.version >= version):
             return
         if not self._is_current():
             self._schedule_retry()
--- a/firvane/fleet/controller/http_server.py
+++ b/firvane/fleet/controller/http_server.py
@@ -301,12 +301,12 @@
         if self._timer:
             self._timer.cancel()
             self._timer = None
-        bounds = self.server.bounds
+        limits = self.server.bounds
         timeouts_s = {
-            ConnectionState.IDLE: bounds.idle_timeout_s,
-            ConnectionState.HEAD: bounds.head_timeout_s,
-            ConnectionState.BODY: bounds.body_timeout_s,
-            ConnectionState.WRITING: bounds.write_timeout_s,
+            ConnectionState.IDLE: limits.idle_timeout_s,
+            ConnectionState.HEAD: limits.head_timeout_s,
+            ConnectionState.BODY: limits.body_timeout_s,
+            ConnectionState.WRITING: limits.write_timeout_s,
         }
         if state in timeouts_s:
             self._timer = self.server.loop.call_later(timeouts_s[state], self._on_timeout)
--- a/firvane/fleet/controller/journal_opener.py
+++ b/firvane/fleet/controller/journal_opener.py
@@ -58,10 +58,10 @@
         OSError: If the file system fails.
     """
     try:
-        found = open_journal(files, folder)
-        if found is not None:
-            recovered = decode_journal(found.contents.snapshot, found.contents.records)
-            return OpenedJournal(found.journal, recovered, False)
+        opened = open_journal(files, folder)
+        if opened is not None:
+            recovered = decode_journal(opened.contents.snapshot, opened.contents.records)
+            return OpenedJournal(opened.journal, recovered, False)
     except UnsupportedRecordError as error:
         raise UnsupportedFormatError(str(error)) from error
     except (CorruptJournalError, DecodeError) as error:
--- a/firvane/fleet/controller/record_replicator.py
+++ b/firvane/fleet/controller/record_replicator.py
@@ -104,9 +104,9 @@
             task.cancel()
 
     def _publish(self, item: Item) -> None:
-        known = self._agent.item(item.key)
+        published = self._agent.item(item.key)
         service = service_of(item.key)
-        if self._closed or service is None or (known is not None and known.version >= item.version):
+        if self._closed or service is None or (published is not None and published.version >= item.version):
             return
         partition = partition_of(service)
         if item.version < self._partitions[partition].version_of(service):
--- a/firvane/fleet/controller/replication_host.py
+++ b/firvane/fleet/controller/replication_host.py
@@ -172,12 +172,12 @@
         return replicated_group.state_age(time.monotonic()) if replicated_group is not None else None
 
     def owner(self, group: int) -> Address | None:
-        """The owner, as far as it is known here."""
+        """The owner, if this controller knows it."""
         replicated_group = self._groups.get(group)
         return replicated_group.owner if replicated_group is not None else None
 
     def term(self, group: int) -> int:
-        """The term, as far as it is known here; 0 before the first."""
+        """The newest term that this controller knows; 0 before the first."""
         replicated_group = self._groups.get(group)
         return replicated_group.replica.term if replicated_group is not None else 0
 
