--- a/firvane/fleet/discovery/instances.py
+++ b/firvane/fleet/discovery/instances.py
@@ -98,7 +98,7 @@
         """
         changed: set[str] = set()
         self._retire_replaced(complete, now, changed)
-        listed = {instance.id for instance in complete}
+        listed = {entry.id for entry in complete}
         for instance in complete:
             self._merge_instance(instance, changed)
         self._retire_absent(listed, now, is_consistent, changed)
