--- a/tests/fleet/controller/changes.py
+++ b/tests/fleet/controller/changes.py
@@ -17,7 +17,7 @@
 import uvloop
 
 from firvane.fleet.partitions import CONFIGURATION_PARTITION
-from tests.fleet.controller.test_controller import Core, document, until_true
+from tests.fleet.controller.test_controller import ControllerCluster, document, until_true
 
 CHANGES_PER_SIZE_CHECK = 10  # changes between two measurements of disk use
 
@@ -47,8 +47,8 @@
 class ChangeRun:
     """Three controllers whose configuration is changed repeatedly."""
 
-    def __init__(self, core: Core, folder: Path, measurements: Measurements) -> None:
-        self.core, self.folder, self.measurements = core, folder, measurements
+    def __init__(self, cluster: ControllerCluster, folder: Path, measurements: Measurements) -> None:
+        self.cluster, self.folder, self.measurements = cluster, folder, measurements
         self.version = 0
         self.bodies: list[tuple[int, bytes]] = []  # base and body of each change, in order
 
@@ -71,8 +71,8 @@
         """Send one order until it is acknowledged."""
 
         async def is_accepted() -> bool:
-            for number in list(self.core.controllers):
-                status, answer = await self.core.call(number, "POST", path, body, self.version)
+            for number in list(self.cluster.controllers):
+                status, answer = await self.cluster.call(number, "POST", path, body, self.version)
                 assert status in (0, 200, 307, 503), (status, answer)
                 if status == 200:
                     return True
@@ -84,27 +84,27 @@
 
     async def restart_after(self, count: int, name: str) -> None:
         """Let a controller miss `count` changes, and time its restart until it is current."""
-        owner = self.core.owner()
+        owner = self.cluster.owner()
         stopped = next(number for number in (1, 2, 3) if number != owner)
-        self.core.kill(stopped)
+        self.cluster.kill(stopped)
         await self.change(count)
         began = time.monotonic()
-        await self.core.start(stopped)
-        controller = self.core.controllers[stopped]
+        await self.cluster.start(stopped)
+        controller = self.cluster.controllers[stopped]
         await until_true(lambda: controller.state.version == self.version)
         await until_true(lambda: controller.host.is_current(CONFIGURATION_PARTITION))
         self.measurements.catch_up_s[name] = time.monotonic() - began
 
     async def status_of(self, number: int, base: int, body: bytes) -> int:
         """The HTTP status that one controller returns for a repeated change."""
-        return (await self.core.call(number, "POST", "/v1/config/modify", body, base))[0]
+        return (await self.cluster.call(number, "POST", "/v1/config/modify", body, base))[0]
 
 
-async def play_changes(folder: Path, changes: int, routes: int) -> tuple[ChangeRun, Core]:
+async def run_changes(folder: Path, changes: int, routes: int) -> tuple[ChangeRun, ControllerCluster]:
     """Submit a third of the changes to all controllers, the rest while one controller is stopped."""
-    core = Core(folder)
-    run = ChangeRun(core, folder, Measurements(changes, routes))
-    await core.start(1, 2, 3, first=True)
+    cluster = ControllerCluster(folder)
+    run = ChangeRun(cluster, folder, Measurements(changes, routes))
+    await cluster.start(1, 2, 3, first=True)
     began = time.monotonic()
     await run.replace_first(routes)
     await run.change(changes // 3)
@@ -112,15 +112,15 @@
     await run.restart_after(changes // 6, str(changes // 6))
     await run.restart_after(changes - 1 - changes // 3 - changes // 6, "the rest")
     run.measurements.duration_s = time.monotonic() - began
-    return run, core
+    return run, cluster
 
 
 def main(changes: int, routes: int) -> None:
     """Run the measurement and print the results."""
 
     async def measure(folder: Path) -> None:
-        run, core = await play_changes(folder, changes, routes)
-        core.close()
+        run, cluster = await run_changes(folder, changes, routes)
+        cluster.close()
         measurements = run.measurements
         peak = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
         print(
--- a/tests/fleet/controller/test_changes.py
+++ b/tests/fleet/controller/test_changes.py
@@ -10,8 +10,8 @@
 
 from firvane.fleet.controller import replication_host as hosts
 from firvane.fleet.replication import group as groups
-from tests.fleet.controller.changes import ChangeRun, play_changes
-from tests.fleet.controller.test_controller import Core
+from tests.fleet.controller.changes import ChangeRun, run_changes
+from tests.fleet.controller.test_controller import ControllerCluster
 
 CHANGES, ROUTES = 240, 20
 COMPACTION_BYTES = 20_000  # causes a snapshot every few dozen changes
@@ -25,27 +25,27 @@
     monkeypatch.setattr(groups, "COMPACTION_BYTES", COMPACTION_BYTES)
     monkeypatch.setattr(groups, "RETAINED_LOG_BYTES", 2_000)
 
-    async def scene() -> None:
-        run, core = await play_changes(tmp_path, CHANGES, ROUTES)
+    async def scenario() -> None:
+        run, cluster = await run_changes(tmp_path, CHANGES, ROUTES)
         try:
-            await check(run, core)
+            await check(run, cluster)
         finally:
-            core.close()
+            cluster.close()
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(scene())
+        runner.run(scenario())
 
 
-async def check(run: ChangeRun, core: Core) -> None:
+async def check(run: ChangeRun, cluster: ControllerCluster) -> None:
     assert run.version == CHANGES + 1
     assert run.measurements.max_disk_bytes < MAX_DISK_BYTES
     assert all(seconds < CATCH_UP for seconds in run.measurements.catch_up_s.values()), (
         run.measurements.catch_up_s
     )
-    assert all(each.host.status(0) is not None for each in core.controllers.values())
+    assert all(each.host.status(0) is not None for each in cluster.controllers.values())
     for base, body in (run.bodies[0], run.bodies[CHANGES // 2], run.bodies[-1]):
-        for number in core.controllers:
+        for number in cluster.controllers:
             assert await run.status_of(number, base, body) == 200
             assert await run.status_of(number, base, body + b" ") == 412
-    assert len({each.state.document for each in core.controllers.values()}) == 1
+    assert len({each.state.document for each in cluster.controllers.values()}) == 1
     assert hosts.MAX_CONTACT_AGE_S < CATCH_UP
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -68,7 +68,7 @@
         writer.close()
 
 
-class Core:
+class ControllerCluster:
     """Three controllers and their platform."""
 
     def __init__(self, folder: Path) -> None:
@@ -203,133 +203,133 @@
     await until(holds)
 
 
-def play(folder: Path, scene: Callable[[Core], Awaitable[None]]) -> Core:
-    async def run_scene() -> Core:
-        core = Core(folder)
+def run_cluster(folder: Path, scenario: Callable[[ControllerCluster], Awaitable[None]]) -> ControllerCluster:
+    async def run_scenario() -> ControllerCluster:
+        cluster = ControllerCluster(folder)
         try:
-            await scene(core)
+            await scenario(cluster)
         finally:
-            core.close()
-        return core
+            cluster.close()
+        return cluster
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        core = runner.run(run_scene())
-    assert not [line for line in core.lines if "exception=" in line]
-    return core
+        cluster = runner.run(run_scenario())
+    assert not [line for line in cluster.lines if "exception=" in line]
+    return cluster
 
 
 def test_the_first_configuration_is_acknowledged_published_and_read_everywhere(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        for number in core.controllers:
-            status, answer = await core.call(number, "GET", "/v1/config/read")
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        for number in cluster.controllers:
+            status, answer = await cluster.call(number, "GET", "/v1/config/read")
             assert (status, json.loads(answer)) == (200, document(5))
 
         def everywhere() -> bool:
-            items = [each.agent.item(CONFIGURATION_KEY) for each in core.controllers.values()]
+            items = [each.agent.item(CONFIGURATION_KEY) for each in cluster.controllers.values()]
             return all(item is not None and item.version == 5 for item in items)
 
         await until_true(everywhere)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_the_list_is_polled_published_and_stored(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
 
         def kept_everywhere() -> bool:
-            partitions = [each.partitions[partition_of("s")] for each in core.controllers.values()]
+            partitions = [each.partitions[partition_of("s")] for each in cluster.controllers.values()]
             return all(partition.version_of("s") > 0 for partition in partitions)
 
         await until_true(kept_everywhere)
-        item = core.controllers[1].agent.item(item_key("s"))
+        item = cluster.controllers[1].agent.item(item_key("s"))
         assert item and [each.id for each in decode_instances(item.payload)] == ["i-s"]
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_stop_transfers_leadership_and_the_successor_acknowledges(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        owner = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        owner = cluster.owner()
         assert owner
-        stopped = core.controllers.pop(owner)
+        stopped = cluster.controllers.pop(owner)
         owned = [partition for partition in ALL_PARTITIONS if stopped.host.is_owner(partition)]
-        began = len(core.lines)
+        began = len(cluster.lines)
         await stopped.stop()
         # Successors are elected before the owner has stopped: no election timeout has to expire.
-        elected = [line for line in core.lines[began:] if "leader_elected" in line]
+        elected = [line for line in cluster.lines[began:] if "leader_elected" in line]
         assert len(elected) >= len(owned)
-        await core.replace(6, 5)
-        assert core.owner() not in (None, owner)
-        await core.start(owner)
-        await until_true(lambda: core.controllers[owner].state.version == 6)
+        await cluster.replace(6, 5)
+        assert cluster.owner() not in (None, owner)
+        await cluster.start(owner)
+        await until_true(lambda: cluster.controllers[owner].state.version == 6)
 
-    core = play(tmp_path, scene)
-    assert any("controller_stopped" in line for line in core.lines)
+    cluster = run_cluster(tmp_path, scenario)
+    assert any("controller_stopped" in line for line in cluster.lines)
 
 
 def test_acknowledged_orders_survive_the_end_of_all_processes(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await core.replace(8, 5, timeout_ms=1234)
-        core.kill(1, 2, 3)
-        core.platform.services = []
-        await core.start(1, 2, 3)
-        assert await core.read() == document(8, timeout_ms=1234)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await cluster.replace(8, 5, timeout_ms=1234)
+        cluster.kill(1, 2, 3)
+        cluster.platform.services = []
+        await cluster.start(1, 2, 3)
+        assert await cluster.read() == document(8, timeout_ms=1234)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_the_start_is_logged_with_the_version_on_disk(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        assert "version=0" in started_lines(core)[-1]
-        await core.replace(5, 0)
-        await core.replace(8, 5)
-        owner = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        assert "version=0" in started_lines(cluster)[-1]
+        await cluster.replace(5, 0)
+        await cluster.replace(8, 5)
+        owner = cluster.owner()
         assert owner
-        core.kill(1, 2, 3)
-        await core.start(owner)  # alone: without a majority it does not know what is committed
-        assert core.controllers[owner].state.version == 0
-        assert "version=8" in started_lines(core)[-1]
+        cluster.kill(1, 2, 3)
+        await cluster.start(owner)  # alone: without a majority it does not know what is committed
+        assert cluster.controllers[owner].state.version == 0
+        assert "version=8" in started_lines(cluster)[-1]
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
-def started_lines(core: Core) -> list[str]:
-    return [line for line in core.lines if "controller_started" in line]
+def started_lines(cluster: ControllerCluster) -> list[str]:
+    return [line for line in cluster.lines if "controller_started" in line]
 
 
 def test_a_controller_that_lost_its_disk_rejoins(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        owner = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        owner = cluster.owner()
         assert owner
-        core.kill(owner)
+        cluster.kill(owner)
         shutil.rmtree(tmp_path / str(owner))
-        await core.start(owner)
-        await core.replace(6, 5)
-        await until_true(lambda: core.controllers[owner].state.version == 6)
+        await cluster.start(owner)
+        await cluster.replace(6, 5)
+        await until_true(lambda: cluster.controllers[owner].state.version == 6)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_without_a_majority_nothing_is_acknowledged(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        alone = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        alone = cluster.owner()
         assert alone
-        core.kill(*(number for number in (1, 2, 3) if number != alone))
+        cluster.kill(*(number for number in (1, 2, 3) if number != alone))
         body = json.dumps(document(6)).encode()
         for _ in range(2):
-            assert (await core.call(alone, "POST", "/v1/config/replace", body, 5))[0] == 503
-        assert (await core.call(alone, "GET", "/v1/config/read"))[0] == 503
+            assert (await cluster.call(alone, "POST", "/v1/config/replace", body, 5))[0] == 503
+        assert (await cluster.call(alone, "GET", "/v1/config/read"))[0] == 503
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -10,95 +10,95 @@
 from firvane.fleet.cluster.reports import MemberReport, MembersResponse, PartReport, PartsResponse
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.partitions import ALL_PARTITIONS
-from tests.fleet.controller.test_controller import Core, play, until, until_true
+from tests.fleet.controller.test_controller import ControllerCluster, run_cluster, until, until_true
 
 HAND_OVER = "/v1/fleet/hand-over"
 
 
-async def members(core: Core, number: int) -> dict[str, MemberReport]:
-    status, body = await core.call(number, "GET", "/v1/fleet/members")
+async def members(cluster: ControllerCluster, number: int) -> dict[str, MemberReport]:
+    status, body = await cluster.call(number, "GET", "/v1/fleet/members")
     assert status == 200
     answer = msgspec.json.decode(body, type=MembersResponse)
-    assert answer.asked == answer.members[0].address == f"127.0.0.{number}:{core.port}"
+    assert answer.asked == answer.members[0].address == f"127.0.0.{number}:{cluster.port}"
     return {each.address.partition(":")[0]: each for each in answer.members}
 
 
-async def partitions(core: Core, number: int) -> list[PartReport]:
-    status, body = await core.call(number, "GET", "/v1/fleet/parts")
+async def partitions(cluster: ControllerCluster, number: int) -> list[PartReport]:
+    status, body = await cluster.call(number, "GET", "/v1/fleet/parts")
     assert status == 200
     return msgspec.json.decode(body, type=PartsResponse).parts
 
 
-async def until_owned(core: Core) -> None:
+async def until_owned(cluster: ControllerCluster) -> None:
     async def owned() -> bool:
-        return all(core.owner(partition) for partition in ALL_PARTITIONS)
+        return all(cluster.owner(partition) for partition in ALL_PARTITIONS)
 
     await until(owned)
 
 
 def test_all_controllers_report_the_same_members_and_owners(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_owned(core)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_owned(cluster)
 
         async def reported() -> bool:
-            known = await members(core, 1)
+            known = await members(cluster, 1)
             return [known[f"127.0.0.{number}"].config_version for number in (1, 2, 3)] == [5, 5, 5]
 
         await until(reported)
         for number in (1, 2, 3):
-            known = await members(core, number)
+            known = await members(cluster, number)
             assert sorted(known) == ["127.0.0.1", "127.0.0.2", "127.0.0.3"]
             for host, member in known.items():
                 assert (member.role, member.zone, member.state) == ("controller", f"zone-{host[-1]}", "alive")
-                assert member.control == f"{host}:{core.port + 1}"
+                assert member.control == f"{host}:{cluster.port + 1}"
         for partition in ALL_PARTITIONS:
-            owner = core.owner(partition)
-            views = {number: (await partitions(core, number))[partition] for number in (1, 2, 3)}
-            assert {view.owner for view in views.values()} == {f"127.0.0.{owner}:{core.port}"}
-            assert {view.owner_control for view in views.values()} == {f"127.0.0.{owner}:{core.port + 1}"}
+            owner = cluster.owner(partition)
+            views = {number: (await partitions(cluster, number))[partition] for number in (1, 2, 3)}
+            assert {view.owner for view in views.values()} == {f"127.0.0.{owner}:{cluster.port}"}
+            assert {view.owner_control for view in views.values()} == {f"127.0.0.{owner}:{cluster.port + 1}"}
             assert [number for number, view in views.items() if view.owned] == [owner]
             assert len({view.term for view in views.values()}) == 1
             assert {replica.kind for replica in views[owner or 0].replicas} == {"voter"}
-        assert (await partitions(core, 1))[0].applied_version == 5
+        assert (await partitions(cluster, 1))[0].applied_version == 5
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_a_partition_is_transferred_to_the_named_controller(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_owned(core)
-        owner = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_owned(cluster)
+        owner = cluster.owner()
         assert owner
         successor = next(number for number in (1, 2, 3) if number != owner)
-        term = (await partitions(core, owner))[0].term
-        order = {"part": 0, "term": term, "successor": f"127.0.0.{successor}:{core.port + 1}"}
+        term = (await partitions(cluster, owner))[0].term
+        order = {"part": 0, "term": term, "successor": f"127.0.0.{successor}:{cluster.port + 1}"}
         body = json.dumps(order).encode()
         asked = next(number for number in (1, 2, 3) if number not in (owner, successor))
-        status, answer = await core.call(asked, "POST", HAND_OVER, body)
+        status, answer = await cluster.call(asked, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
 
         async def taken_over() -> bool:
-            return core.owner() == successor
+            return cluster.owner() == successor
 
         await until(taken_over)
         # A repeated order does not move the partition.
-        status, answer = await core.call(asked, "POST", HAND_OVER, body)
+        status, answer = await cluster.call(asked, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
         body = json.dumps({"part": 0, "term": term}).encode()
-        status, answer = await core.call(successor, "POST", HAND_OVER, body)
+        status, answer = await cluster.call(successor, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (412, ResultCode.OTHER_TERM)
-        await core.replace(6, 5)
-        assert core.owner() == successor
-        assert {replica.kind for replica in (await partitions(core, successor))[0].replicas} == {"voter"}
+        await cluster.replace(6, 5)
+        assert cluster.owner() == successor
+        assert {replica.kind for replica in (await partitions(cluster, successor))[0].replicas} == {"voter"}
 
-    core = play(tmp_path, scene)
+    cluster = run_cluster(tmp_path, scenario)
     for event in ("leadership_transfer_started", "leadership_transferred"):
-        assert any(f"event={event} " in line for line in core.lines)
-    assert any("leadership_transfer_ended" in line for line in core.lines)
+        assert any(f"event={event} " in line for line in cluster.lines)
+    assert any("leadership_transfer_ended" in line for line in cluster.lines)
 
 
 def test_malformed_calls_are_rejected_and_change_nothing(tmp_path: Path) -> None:
@@ -116,43 +116,43 @@
         ("POST", "/v1/fleet/remove", b"{}", 404),
     ]
 
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_owned(core)
-        owners = [core.owner(partition) for partition in ALL_PARTITIONS]
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_owned(cluster)
+        owners = [cluster.owner(partition) for partition in ALL_PARTITIONS]
         for number in (1, 2, 3):
             for method, path, body, expected in calls:
-                status, answer = await core.call(number, method, path, body)
+                status, answer = await cluster.call(number, method, path, body)
                 assert status == expected, (method, path, answer)
                 assert 2000 <= json.loads(answer)["code"] < 3000
-        assert [core.owner(partition) for partition in ALL_PARTITIONS] == owners
+        assert [cluster.owner(partition) for partition in ALL_PARTITIONS] == owners
 
-    core = play(tmp_path, scene)
-    assert not any("leadership_transfer_ended" in line for line in core.lines)
+    cluster = run_cluster(tmp_path, scenario)
+    assert not any("leadership_transfer_ended" in line for line in cluster.lines)
 
 
 def test_lost_controllers_are_reported_by_the_remaining_one(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_owned(core)
-        await until_true(lambda: core.controllers[3].state.version == 5)
-        core.kill(1, 2)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_owned(cluster)
+        await until_true(lambda: cluster.controllers[3].state.version == 5)
+        cluster.kill(1, 2)
 
         async def noticed() -> bool:
-            known = await members(core, 3)
+            known = await members(cluster, 3)
             return all(not known[f"127.0.0.{number}"].is_live for number in (1, 2))
 
         await until(noticed)
 
         async def unowned() -> bool:
-            return not any(partition.owned or partition.owner for partition in await partitions(core, 3))
+            return not any(partition.owned or partition.owner for partition in await partitions(cluster, 3))
 
         await until(unowned)
-        assert (await partitions(core, 3))[0].applied_version == 5
+        assert (await partitions(cluster, 3))[0].applied_version == 5
         body = json.dumps({"part": 0, "term": 1}).encode()
-        status, answer = await core.call(3, "POST", HAND_OVER, body)
+        status, answer = await cluster.call(3, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (503, ResultCode.NO_OWNER)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
--- a/tests/fleet/controller/test_http_server.py
+++ b/tests/fleet/controller/test_http_server.py
@@ -334,7 +334,7 @@
 
 @pytest.mark.parametrize("loop_factory", [asyncio.new_event_loop, uvloop.new_event_loop])
 def test_over_a_real_socket(loop_factory: LoopFactory) -> None:
-    async def scene() -> bytes:
+    async def scenario() -> bytes:
         loop = asyncio.get_running_loop()
 
         async def handle(request: Message) -> Response:
@@ -354,7 +354,7 @@
         return head + body + rest
 
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        answer = runner.run(scene())
+        answer = runner.run(scenario())
     assert answer.startswith(b"HTTP/1.1 307 Temporary Redirect\r\n")
     assert b"Location: http://127.0.0.1:1/x\r\n" in answer
     assert answer.endswith(b"{}")
@@ -362,7 +362,7 @@
 
 @pytest.mark.parametrize("loop_factory", [asyncio.new_event_loop, uvloop.new_event_loop])
 def test_drain_waits_for_a_request_that_is_still_being_received(loop_factory: LoopFactory) -> None:
-    async def scene() -> bytes:
+    async def scenario() -> bytes:
         loop = asyncio.get_running_loop()
         handled = asyncio.Event()
 
@@ -391,12 +391,12 @@
         return answer
 
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        answer = runner.run(scene())
+        answer = runner.run(scenario())
     assert answer.startswith(b"HTTP/1.1 200 ") and answer.endswith(b"{}")
 
 
 def test_drain_ends_at_its_timeout() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         async def handle(request: Message) -> Response:
             raise AssertionError("no complete request is sent")
 
@@ -412,7 +412,7 @@
         server.close()
         writer.close()
 
-    asyncio.run(asyncio.wait_for(scene(), 10))
+    asyncio.run(asyncio.wait_for(scenario(), 10))
 
 
 @pytest.mark.parametrize("leaves", (False, True))
@@ -426,7 +426,7 @@
     async def handler(request: Message) -> Response:
         return Response(200, b"taken")
 
-    async def scene() -> dict[str, int]:
+    async def scenario() -> dict[str, int]:
         server = HttpServer(asyncio.get_running_loop(), handler, QUIET)
         await server.start(("127.0.0.1", 0))
         reader, writer = await asyncio.open_connection(*server.address())
@@ -447,4 +447,4 @@
         return left
 
     with asyncio.Runner(loop_factory=loop_factory) as runner:
-        assert runner.run(asyncio.wait_for(scene(), 10)) == {}
+        assert runner.run(asyncio.wait_for(scenario(), 10)) == {}
--- a/tests/fleet/controller/test_instance_poller.py
+++ b/tests/fleet/controller/test_instance_poller.py
@@ -42,8 +42,8 @@
             raise reply
         return reply
 
-    async def sleep(self, span: float) -> None:
-        self.sleeps.append(span)
+    async def sleep(self, duration_s: float) -> None:
+        self.sleeps.append(duration_s)
         await asyncio.sleep(0)
 
     def poller(self) -> InstancePoller:
@@ -72,7 +72,7 @@
     platform = play(page("i-1"), page("i-1"), page("i-1", "i-2"))
     assert platform.requested == ["/instances"] * 4
     assert len(platform.published) == 2
-    assert all(0.9 * POLL_INTERVAL_S < span <= POLL_INTERVAL_S for span in platform.sleeps)
+    assert all(0.9 * POLL_INTERVAL_S < duration_s <= POLL_INTERVAL_S for duration_s in platform.sleeps)
 
 
 def test_all_pages_form_one_list() -> None:
@@ -86,7 +86,7 @@
     platform = play(page("i-1", token="t"), *failures, page("i-1", "i-2"))
     assert len(platform.published) == 1
     assert platform.requested == ["/instances", "/instances?page_token=t", *["/instances"] * 10]
-    assert all(0.2 < span <= MAX_BACKOFF_S for span in platform.sleeps)
+    assert all(0.2 < duration_s <= MAX_BACKOFF_S for duration_s in platform.sleeps)
 
 
 def test_an_exception_while_publishing_does_not_stop_polling() -> None:
--- a/tests/fleet/controller/test_majority_loss.py
+++ b/tests/fleet/controller/test_majority_loss.py
@@ -13,7 +13,7 @@
 from firvane.fleet.controller.instance_records import item_key
 from firvane.fleet.controller.replication_host import MAX_CONTACT_AGE_S
 from firvane.fleet.partitions import ALL_PARTITIONS, CONFIGURATION_PARTITION
-from tests.fleet.controller.test_controller import Core, document, play, until, until_true
+from tests.fleet.controller.test_controller import ControllerCluster, document, run_cluster, until, until_true
 
 ROUTER_NUMBER = 77
 DISSEMINATION_WAIT_S = 2.5  # longer than the interval of digests: available items arrive within it
@@ -22,14 +22,14 @@
 class RouterMember:
     """A newly started router in the cluster, with the items that it received."""
 
-    def __init__(self, core: Core, *seeds: int) -> None:
+    def __init__(self, cluster: ControllerCluster, *seeds: int) -> None:
         self.items: dict[bytes, Item] = {}
-        address = core.address(ROUTER_NUMBER)
+        address = cluster.address(ROUTER_NUMBER)
         identity = Member(address, Role.ROUTER, "zone-1", None, random.getrandbits(48))
         self.agent = ClusterAgent(
             asyncio.get_running_loop(),
             identity,
-            [core.address(seed) for seed in seeds],
+            [cluster.address(seed) for seed in seeds],
             QUIET,
             on_item=self._on_item,
             on_members=lambda: None,
@@ -62,61 +62,61 @@
 
 
 def test_a_controller_without_a_majority_disseminates_nothing(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_true(lambda: core.controllers[3].agent.item(CONFIGURATION_KEY) is not None)
-        await until_true(lambda: core.controllers[3].agent.item(item_key("s")) is not None)
-        core.kill(1, 2)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_true(lambda: cluster.controllers[3].agent.item(CONFIGURATION_KEY) is not None)
+        await until_true(lambda: cluster.controllers[3].agent.item(item_key("s")) is not None)
+        cluster.kill(1, 2)
 
         def lost_majority() -> bool:
             return not any(
-                core.controllers[3].host.has_quorum_contact(partition) for partition in ALL_PARTITIONS
+                cluster.controllers[3].host.has_quorum_contact(partition) for partition in ALL_PARTITIONS
             )
 
         await until_true(lost_majority)
-        router = RouterMember(core, 3)
+        router = RouterMember(cluster, 3)
         await router.agent.start()
         await until_true(router.knows_controller)
         await pass_time(DISSEMINATION_WAIT_S)
         assert router.items == {}
-        await core.start(1)
+        await cluster.start(1)
         await until_true(lambda: router.version() == 5)
         await until_true(lambda: item_key("s") in router.items)
         router.agent.close()
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_a_controller_that_starts_alone_disseminates_nothing_from_disk(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await until_true(lambda: core.controllers[2].state.version == 5)
-        core.kill(1, 2, 3)
-        await core.start(2)
-        router = RouterMember(core, 2)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await until_true(lambda: cluster.controllers[2].state.version == 5)
+        cluster.kill(1, 2, 3)
+        await cluster.start(2)
+        router = RouterMember(cluster, 2)
         await router.agent.start()
         await until_true(router.knows_controller)
         await pass_time(DISSEMINATION_WAIT_S)
         assert router.items == {}
-        await core.start(3)
+        await cluster.start(3)
         await until_true(lambda: router.version() == 5)
         router.agent.close()
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_controllers_with_a_majority_disseminate_immediately(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
         for number in (1, 2, 3):
-            controller = core.controllers[number]
+            controller = cluster.controllers[number]
             await until_true(
                 lambda controller=controller: controller.host.is_current(CONFIGURATION_PARTITION)
             )
-            router = RouterMember(core, number)
+            router = RouterMember(cluster, number)
             loop = asyncio.get_running_loop()
             began = loop.time()
             await router.agent.start()
@@ -124,7 +124,7 @@
             assert loop.time() - began < MAX_CONTACT_AGE_S
             router.agent.close()
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_a_controller_without_a_majority_rejects_nothing(tmp_path: Path) -> None:
@@ -136,21 +136,25 @@
         "valid": (document(9), 5),
     }
 
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        remaining = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        remaining = cluster.owner()
         assert remaining
         expected = {"late": 412, "of another version": 412, "invalid": 400, "not above": 400}
         for name, status in expected.items():
             body, base = orders[name]
-            answer = await core.call(remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
+            answer = await cluster.call(
+                remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base
+            )
             assert answer[0] == status, name
-        core.kill(*(number for number in (1, 2, 3) if number != remaining))
-        await until_true(lambda: not core.controllers[remaining].host.is_owner(CONFIGURATION_PARTITION))
+        cluster.kill(*(number for number in (1, 2, 3) if number != remaining))
+        await until_true(lambda: not cluster.controllers[remaining].host.is_owner(CONFIGURATION_PARTITION))
         for name, (body, base) in orders.items():
-            answer = await core.call(remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base)
+            answer = await cluster.call(
+                remaining, "POST", "/v1/config/replace", json.dumps(body).encode(), base
+            )
             assert answer[0] == 503, name
-        assert (await core.call(remaining, "GET", "/v1/config/read"))[0] == 503
+        assert (await cluster.call(remaining, "GET", "/v1/config/read"))[0] == 503
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
--- a/tests/fleet/controller/test_operator_api.py
+++ b/tests/fleet/controller/test_operator_api.py
@@ -126,10 +126,10 @@
 
 
 def run(answer: Awaitable[Response]) -> Response:
-    async def scene() -> Response:
+    async def scenario() -> Response:
         return await answer
 
-    return asyncio.run(scene())
+    return asyncio.run(scenario())
 
 
 def code_of(response: Response) -> ResultCode:
--- a/tests/fleet/controller/test_platform_client.py
+++ b/tests/fleet/controller/test_platform_client.py
@@ -16,7 +16,7 @@
 def play(script: Script, requests: int = 1, timeout: float = 5.0) -> list[PlatformReply | PlatformError]:
     """Send requests sequentially to a server that runs the script on each connection."""
 
-    async def scene() -> list[PlatformReply | PlatformError]:
+    async def scenario() -> list[PlatformReply | PlatformError]:
         server = await asyncio.start_server(script, "127.0.0.1", 0)
         address = server.sockets[0].getsockname()[:2]
         client = PlatformClient(asyncio.get_running_loop(), address, timeout)
@@ -31,7 +31,7 @@
         return outcomes
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(scene())
+        return runner.run(scenario())
 
 
 def answers(*texts: bytes, end: bool = False) -> tuple[Script, list[bytes]]:
@@ -100,16 +100,16 @@
 
 
 def test_a_refused_connection_is_an_error() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         client = PlatformClient(asyncio.get_running_loop(), ("127.0.0.1", 1))
         with pytest.raises(PlatformError):
             await client.get("/instances")
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_another_address_is_used_from_the_next_request_on() -> None:
-    async def scene() -> list[int]:
+    async def scenario() -> list[int]:
         counts = [0, 0]
 
         def counting(number: int) -> Script:
@@ -133,4 +133,4 @@
             server.close()
         return counts
 
-    assert asyncio.run(scene()) == [1, 1]
+    assert asyncio.run(scenario()) == [1, 1]
--- a/tests/fleet/controller/test_record_replicator.py
+++ b/tests/fleet/controller/test_record_replicator.py
@@ -82,7 +82,7 @@
 
 
 def test_the_owner_stores_published_records() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         rig = Rig()
         for version in (1, 2, 3):
             rig.receive_published(version)
@@ -92,11 +92,11 @@
         rig.pass_time()
         assert rig.published == []
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_new_owner_proposes_missing_records() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         rig = Rig()
         rig.owned = False
         rig.receive_published(1)
@@ -106,11 +106,11 @@
         await rig.settle()
         assert rig.partitions[PARTITION].version_of(SERVICE) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_proposal_that_is_not_committed_is_retried() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         rig = Rig()
         rig.status = ProposalStatus.UNCLEAR
         rig.receive_published(1)
@@ -121,11 +121,11 @@
         await rig.settle()
         assert rig.partitions[PARTITION].version_of(SERVICE) == 1
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_a_record_found_only_in_the_partition_is_published() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         before, after = Rig(), Rig()
         before.receive_published(4)
         await before.settle()
@@ -134,11 +134,11 @@
         after.pass_time()
         assert after.published == after.restored
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_close_leaves_no_task() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         rig = Rig()
         rig.receive_published(1)
         rig.replicator.close()
@@ -147,7 +147,7 @@
         assert rig.proposals == 0
         assert all(task.done() for task in rig.tasks)
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 def test_other_items_are_ignored() -> None:
--- a/tests/fleet/controller/test_tenant_service.py
+++ b/tests/fleet/controller/test_tenant_service.py
@@ -71,14 +71,14 @@
             QUIET,
         )
 
-    def ask(self, record: Record) -> Record:
+    def request(self, record: Record) -> Record:
         self.service.receive(ROUTER, encode(record))
         to, answer = self.sent.pop()
         assert to == ROUTER and not self.sent
         return answer
 
 
-def ask() -> QuotaRequest:
+def quota_request() -> QuotaRequest:
     return QuotaRequest(5, tenant_id(TENANT), PARTITION, 10, 0, 0)
 
 
@@ -91,7 +91,7 @@
 
 def test_a_freshness_proof_has_the_age_and_version_of_the_state() -> None:
     async def test() -> None:
-        proof = Service(Replication()).ask(FreshnessRequest(3))
+        proof = Service(Replication()).request(FreshnessRequest(3))
         assert isinstance(proof, FreshnessProof)
         assert proof.nonce == 3 and proof.version == 7
         assert proof.age is not None and 0.2 <= proof.age <= 0.202
@@ -102,7 +102,9 @@
 def test_without_recent_contact_to_a_majority_the_proof_names_the_owner() -> None:
     async def test() -> None:
         for age in (None, MAX_PROOF_AGE_S + 0.01):
-            assert Service(Replication(age=age)).ask(FreshnessRequest(3)) == FreshnessProof(3, 0, None, OTHER)
+            assert Service(Replication(age=age)).request(FreshnessRequest(3)) == FreshnessProof(
+                3, 0, None, OTHER
+            )
 
     run(test)
 
@@ -110,7 +112,7 @@
 def test_without_another_known_owner_the_proof_names_none() -> None:
     async def test() -> None:
         for leader in (None, OWN):
-            assert Service(Replication(None, leader=leader)).ask(FreshnessRequest(3)) == FreshnessProof(
+            assert Service(Replication(None, leader=leader)).request(FreshnessRequest(3)) == FreshnessProof(
                 3, 0, None, None
             )
 
@@ -123,15 +125,15 @@
         service = Service(replication)
         service.floors[PARTITION][tenant_id(TENANT)] = 1_000
         service.service.configure([Tenant(TENANT, rate=1e12, burst=1e12)])
-        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
+        assert service.request(quota_request()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
         replication.owned.add(PARTITION)
         # Not yet notified of its ownership.
-        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, None)
+        assert service.request(quota_request()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, None)
         service.service.on_ownership_changed(PARTITION, True)
-        granted = service.ask(ask())
+        granted = service.request(quota_request())
         assert isinstance(granted, QuotaGrant) and granted.status is GrantStatus.GRANTED
         replication.owned.clear()  # the lease has expired, before the notification
-        assert service.ask(ask()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
+        assert service.request(quota_request()) == QuotaGrant(5, GrantStatus.NOT_OWNER, 0, 0.0, OTHER)
 
     run(test)
 
@@ -142,7 +144,7 @@
         service = Service(replication)
         service.service.configure([Tenant(TENANT, rate=1e6, burst=1e6)])
         service.service.on_ownership_changed(PARTITION, True)
-        service.service.receive(ROUTER, encode(ask()))
+        service.service.receive(ROUTER, encode(quota_request()))
         assert not service.sent
         await asyncio.sleep(0)
         partition, record = replication.proposed.pop()
@@ -162,7 +164,7 @@
         service.service.configure([Tenant(TENANT, rate=1e6, burst=1e6)])
         service.service.on_ownership_changed(PARTITION, True)
         for _ in range(2):
-            service.service.receive(ROUTER, encode(ask()))
+            service.service.receive(ROUTER, encode(quota_request()))
             for _ in range(3):
                 await asyncio.sleep(0)
         assert len(replication.proposed) == 2
