--- a/tests/fleet/controller/test_backup.py
+++ b/tests/fleet/controller/test_backup.py
@@ -76,7 +76,7 @@
     async def scenario(cluster: ControllerCluster) -> None:
         await cluster.start(*ALL, first=True)
         await cluster.replace(7, 0)
-        kept = await cluster.read()
+        saved = await cluster.read()
         await cluster.replace(8, 7, timeout_ms=1234)
         router = start_router(cluster)
         await router.start()
@@ -84,7 +84,7 @@
             await until_true(lambda: version_at(router) == 8)
             lose_disks(cluster, tmp_path, *ALL)
             await cluster.start(*ALL, first=True)
-            await cluster.replace(kept["config_version"], 0)
+            await cluster.replace(saved["config_version"], 0)
             await until_true(lambda: newest_at(cluster, 1) == 8)
             assert (cluster.controllers[1].state.version, version_at(router)) == (7, 8)
             await cluster.replace(9, 7)
@@ -121,16 +121,18 @@
     async def scenario(cluster: ControllerCluster) -> None:
         await cluster.start(*ALL, first=True)
         await cluster.replace(8, 0, timeout_ms=1234)
-        kept = await cluster.read()
+        saved = await cluster.read()
         lose_disks(cluster, tmp_path, *ALL)
         await cluster.start(*ALL, first=True)
 
-        async def taken() -> bool:
-            status, answer = await cluster.call(1, "POST", "/v1/config/replace", json.dumps(kept).encode(), 0)
+        async def is_accepted() -> bool:
+            status, answer = await cluster.call(
+                1, "POST", "/v1/config/replace", json.dumps(saved).encode(), 0
+            )
             assert status in (0, 200, 307, 503), answer
             return status == 200
 
-        await until(taken)
+        await until(is_accepted)
         assert await cluster.read() == document(8, timeout_ms=1234)
 
     run_cluster(tmp_path / "data", scenario)
--- a/tests/fleet/controller/test_fleet_calls.py
+++ b/tests/fleet/controller/test_fleet_calls.py
@@ -81,10 +81,10 @@
         status, answer = await cluster.call(asked, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
 
-        async def taken_over() -> bool:
+        async def is_transferred() -> bool:
             return cluster.owner() == successor
 
-        await until(taken_over)
+        await until(is_transferred)
         # A repeated order does not move the partition.
         status, answer = await cluster.call(asked, "POST", HAND_OVER, body)
         assert (status, json.loads(answer)["code"]) == (200, ResultCode.HANDED_OVER)
--- a/tests/fleet/controller/test_http_server.py
+++ b/tests/fleet/controller/test_http_server.py
@@ -300,8 +300,8 @@
     busy = Rig(Bounds(connections=1))
     connection, _ = busy.connect()
     connection.data_received(GET)
-    _, refused = busy.connect()
-    assert refused.closed
+    _, rejected = busy.connect()
+    assert rejected.closed
     busy.clock.run_tasks()
 
 
@@ -378,13 +378,13 @@
         while not any(connection.state is ConnectionState.BODY for connection in server.connections):
             await asyncio.sleep(0)
         server.stop_accepting()
-        ending = loop.create_task(server.drain(5.0))
+        drain_task = loop.create_task(server.drain(5.0))
         writer.write(order[-1:])
         while not any(connection.state is ConnectionState.HANDLING for connection in server.connections):
             await asyncio.sleep(0)
-        assert not ending.done()
+        assert not drain_task.done()
         handled.set()
-        await ending
+        await drain_task
         server.close()
         answer = await reader.read()
         writer.close()
--- a/tests/fleet/controller/test_platform_client.py
+++ b/tests/fleet/controller/test_platform_client.py
@@ -34,7 +34,7 @@
         return runner.run(scenario())
 
 
-def answers(*texts: bytes, end: bool = False) -> tuple[Script, list[bytes]]:
+def scripted_replies(*texts: bytes, end: bool = False) -> tuple[Script, list[bytes]]:
     """Return a script that sends these replies on one connection, and the list of heads that it reads."""
     heads: list[bytes] = []
 
@@ -56,7 +56,7 @@
 
 
 def test_requests_share_one_connection() -> None:
-    script, heads = answers(OK, OK)
+    script, heads = scripted_replies(OK, OK)
     replies = play(script, 2)
     assert replies == [PlatformReply(200, b"{}"), PlatformReply(200, b"{}")]
     assert heads[0].startswith(b"GET /instances?page_token=a HTTP/1.1\r\nHost: 127.0.0.1:")
@@ -71,30 +71,32 @@
     ],
 )
 def test_bodies_of_all_forms(text: bytes) -> None:
-    script, _ = answers(text, end=True)
+    script, _ = scripted_replies(text, end=True)
     assert play(script) == [PlatformReply(200, b"{}")]
 
 
 def test_a_persistent_connection_that_was_closed_is_replaced() -> None:
-    script, heads = answers(OK, end=True)
+    script, heads = scripted_replies(OK, end=True)
     assert play(script, 3) == [PlatformReply(200, b"{}")] * 3
     assert len(heads) == 3
 
 
 def test_a_429_reply_has_its_retry_after() -> None:
-    script, _ = answers(b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n")
+    script, _ = scripted_replies(
+        b"HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n"
+    )
     assert play(script) == [PlatformReply(429, b"", 0.5)]
 
 
 @pytest.mark.parametrize("text", [b"no answer\r\n\r\n", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}"])
 def test_a_malformed_or_truncated_reply_is_an_error(text: bytes) -> None:
-    script, _ = answers(text, end=True)
+    script, _ = scripted_replies(text, end=True)
     (outcome,) = play(script)
     assert isinstance(outcome, PlatformError)
 
 
 def test_a_missing_reply_times_out() -> None:
-    script, _ = answers(b"")
+    script, _ = scripted_replies(b"")
     (outcome,) = play(script, timeout=0.02)
     assert str(outcome) == "timed out"
 
