--- a/firvane/fleet/controller/configuration_service.py
+++ b/firvane/fleet/controller/configuration_service.py
@@ -81,9 +81,9 @@
             return self._redirect_to_owner(self._replication.owner(CONFIGURATION_PARTITION))
         result = await self._validate(order)
         if not result.code.is_acknowledgement:
-            read = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
-            if read.status is not ProposalStatus.COMMITTED:
-                return self._uncommitted_outcome(read)
+            quorum_read = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
+            if quorum_read.status is not ProposalStatus.COMMITTED:
+                return self._uncommitted_outcome(quorum_read)
             if self._state.version != result.version:
                 result = await self._validate(order)
         if result.code is ResultCode.ACCEPTED:
@@ -94,9 +94,9 @@
 
     async def read(self) -> Outcome:
         """The newest configuration that was committed before this call."""
-        read = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
-        if read.status is not ProposalStatus.COMMITTED:
-            return self._uncommitted_outcome(read)
+        quorum_read = await self._replication.read(CONFIGURATION_PARTITION, READ_TIMEOUT_S)
+        if quorum_read.status is not ProposalStatus.COMMITTED:
+            return self._uncommitted_outcome(quorum_read)
         if self._state.version == 0:
             return Outcome(ResultCode.NO_CONFIGURATION, 0)
         return Outcome(ResultCode.CURRENT, self._state.version, document=self._state.document)
