--- a/firvane/fleet/controller/controller.py
+++ b/firvane/fleet/controller/controller.py
@@ -169,16 +169,16 @@
 
     async def stop(self) -> None:
         """Transfer leaderships, finish pending requests, and leave the cluster, within the grace period."""
-        grace = self.options.grace
+        grace_period_s = self.options.grace_period_s
         owned = [partition for partition in ALL_PARTITIONS if self.host.is_owner(partition)]
         self.log.info("controller_stopping", owned=len(owned))
         try:
-            await self.host.drain(REPLICATION_DRAIN_FRACTION * grace)
+            await self.host.drain(REPLICATION_DRAIN_FRACTION * grace_period_s)
             await self._wait_for_successors(owned)
         except Exception:
             self.log.exception("controller_drain_failed")
         self.server.stop_accepting()
-        await self.server.drain(REQUEST_DRAIN_FRACTION * grace)
+        await self.server.drain(REQUEST_DRAIN_FRACTION * grace_period_s)
         self.close()
         self.log.info("controller_stopped")
 
--- a/firvane/fleet/controller/options.py
+++ b/firvane/fleet/controller/options.py
@@ -27,7 +27,7 @@
     region_of_zone: Mapping[str, str]
     tolerates_region_loss: bool  # whether whole regions may be lost at the same time
     platform: Address | None
-    grace: float  # seconds from SIGTERM to SIGKILL
+    grace_period_s: float  # from SIGTERM to SIGKILL
     quota: QuotaRules = field(default_factory=QuotaRules)
 
     @property
--- a/firvane/programs/controller.py
+++ b/firvane/programs/controller.py
@@ -52,7 +52,7 @@
         region_of_zone=settings.zones,
         tolerates_region_loss=tolerance.regions > 0,
         platform=settings.cloud_api.address,
-        grace=settings.bounds.grace_s,
+        grace_period_s=settings.bounds.grace_s,
         quota=QuotaRules(
             settings.bounds.quota_window_s, settings.bounds.quota_overage, settings.bounds.quota_slack
         ),
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -104,7 +104,7 @@
             region_of_zone={},
             tolerates_region_loss=False,
             platform=self.platform_address,
-            grace=5.0,
+            grace_period_s=5.0,
         )
         return Controller(asyncio.get_running_loop(), options, logs.make(write=self.lines.append))
 
--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -34,7 +34,7 @@
     assert options.seeds == (("10.2.0.41", 7300),)
     assert options.platform == ("10.200.0.4", 8266)
     assert options.directory == Path("/data/core")
-    assert options.grace == 5
+    assert options.grace_period_s == 5
     assert options.first_start
     assert options.group_size == 5
 
