--- a/tests/fleet/configuration/test_codes.py
+++ b/tests/fleet/configuration/test_codes.py
@@ -31,6 +31,6 @@
     assert all(code.http_status == 200 for code in acknowledged)
 
 
-def test_only_invalid_calls_have_a_4xx_status() -> None:
+def test_undecided_results_are_5xx_and_invalid_calls_4xx() -> None:
     assert all(code.http_status >= 500 for code in ResultCode if code >= 5000)
     assert all(400 <= code.http_status < 500 for code in ResultCode if 2000 <= code < 5000)
