--- a/tests/fleet/configuration/test_recovered.py
+++ b/tests/fleet/configuration/test_recovered.py
@@ -1,4 +1,4 @@
-"""The version that a disk holds is the one that its orders lead to."""
+"""The recovered version is the one that applying the recovered orders gives."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from firvane.fleet.configuration.orders import Order, OrderKind
 from firvane.fleet.configuration.recovered import recovered_version
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import change, route, whole
+from tests.fleet.configuration.documents import change, make_document, route
 
 
 def order(kind: OrderKind, base: int, document: Any) -> bytes:
     return Order(kind, base, json.dumps(document).encode()).pack()
 
 
-FIRST = order(OrderKind.REPLACE, 0, whole(5))
+FIRST = order(OrderKind.REPLACE, 0, make_document(5))
 SECOND = order(OrderKind.MODIFY, 5, change(8, upsert={"routes": [route("new")]}))
-LATE = order(OrderKind.REPLACE, 0, whole(9))
+LATE = order(OrderKind.REPLACE, 0, make_document(9))
 HISTORIES = [[], [FIRST], [FIRST, SECOND], [FIRST, LATE], [FIRST, FIRST, SECOND, SECOND], [SECOND]]
 
 
 @pytest.mark.parametrize("records", HISTORIES)
-def test_it_is_the_version_that_applying_the_orders_gives(records: list[bytes]) -> None:
+def test_the_recovered_version_is_that_of_applying_the_orders(records: list[bytes]) -> None:
     state = ConfigurationState()
     for index, record in enumerate(records, 1):
         state.apply(index, record)
     assert recovered_version(0, records) == state.version
 
 
-def test_it_goes_on_from_what_is_applied() -> None:
+def test_recovery_continues_from_the_applied_version() -> None:
     assert recovered_version(5, [SECOND]) == 8
     assert recovered_version(9, [FIRST, SECOND]) == 9
 
@@ -48,5 +48,5 @@
         Order(OrderKind.REPLACE, 5, b'{"config_version": 4}').pack(),
     ],
 )
-def test_what_cannot_be_read_changes_nothing(record: bytes) -> None:
+def test_a_malformed_order_does_not_change_the_version(record: bytes) -> None:
     assert recovered_version(5, [record]) == 5
--- a/tests/fleet/configuration/test_stored_formats.py
+++ b/tests/fleet/configuration/test_stored_formats.py
@@ -1,7 +1,7 @@
-"""Fixed bytes of the configuration's records, which every later version must read.
+"""Fixed bytes of configuration records, which every later version must read.
 
 `data/snapshot_format_2` is a snapshot after two orders, with a tenant; `data/item_format_1` is its item, and
-`data/document.json` the document in both.
+`data/document.json` the document that both contain.
 `tests/fleet/controller/test_old_formats.py` reads snapshots of format 1.
 """
 
@@ -14,12 +14,12 @@
 from firvane.fleet.configuration.orders import Order, OrderKind, Problem, Result
 from firvane.fleet.configuration.routes import Tenant, key_digest
 from firvane.fleet.configuration.state import ConfigurationState
-from tests.fleet.configuration.documents import LIMITS, change, modification, replacement, whole
+from tests.fleet.configuration.documents import LIMITS, change, make_document, modification, replacement
 from tests.fleet.configuration.test_tenants import tenant
 
 DATA = Path(__file__).parent / "data"
 ORDERS = (
-    replacement(0, whole(3, tenants=[tenant()])),
+    replacement(0, make_document(3, tenants=[tenant()])),
     modification(3, change(5, limits={**LIMITS, "idle_timeout_ms": 20000})),
 )
 TENANT = Tenant(
@@ -53,7 +53,7 @@
     assert state.check(modification(3, change(6))).code is ResultCode.CONFLICT
 
 
-def test_the_same_orders_lead_to_the_state_that_is_stored() -> None:
+def test_the_same_orders_lead_to_the_stored_state() -> None:
     state = ConfigurationState()
     for index, order in enumerate(ORDERS):
         assert Result.unpack(state.apply(index, order.pack())).code is ResultCode.ACCEPTED
--- a/tests/fleet/controller/test_controller.py
+++ b/tests/fleet/controller/test_controller.py
@@ -1,4 +1,4 @@
-"""Whole controllers on loopback: orders, redirects, the poll, hand-over, restarts, a lost disk."""
+"""Complete controllers on loopback: orders, redirects, polling, transfers, restarts, a lost disk."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from firvane.fleet.partitions import ALL_PARTITIONS, partition_of
 from tests.fleet.controller.test_operator_api import document
 
-PATIENCE = 15.0  # s until something that must happen is missed
-LOOK_AGAIN = 0.02  # s between looks at what no event announces
+WAIT_TIMEOUT_S = 15.0  # for a condition that must come true
+CHECK_INTERVAL_S = 0.02  # for conditions without an event
 
 
 def free_port() -> int:
-    """A port that is free, and so is the one above it."""
+    """Return a free port whose successor is free too."""
     while True:
         with socket.socket() as first, socket.socket() as second:
             first.bind(("127.0.0.1", 0))
@@ -39,7 +39,7 @@
 
 
 class Platform:
-    """The platform's list, with one ready instance of each service."""
+    """A platform that lists one ready instance of each service."""
 
     def __init__(self) -> None:
         self.services = ["s"]
@@ -68,7 +68,7 @@
         writer.close()
 
 
-class Core:
+class ControllerCluster:
     """Three controllers and their platform."""
 
     def __init__(self, folder: Path) -> None:
@@ -102,14 +102,14 @@
             incarnation=self.incarnation,
             tolerated_losses=1,
             region_of_zone={},
-            loses_regions=False,
+            tolerates_region_loss=False,
             platform=self.platform_address,
-            grace=5.0,
+            grace_period_s=5.0,
         )
         return Controller(asyncio.get_running_loop(), options, logs.make(write=self.lines.append))
 
     def kill(self, *numbers: int) -> None:
-        """End controllers without a word to the others."""
+        """Close controllers without telling the cluster that they leave."""
         for number in numbers:
             controller = self.controllers.pop(number)
             controller.agent.close(leave=False)
@@ -127,7 +127,7 @@
     async def call(
         self, number: int, method: str, path: str, body: bytes = b"", base: int = 0
     ) -> tuple[int, bytes]:
-        """One call of an operator to one controller, redirects included; status 0 without an answer."""
+        """Call one controller and follow redirects; status 0 if there is no response."""
         address = (self.address(number)[0], self.port + 1)
         for _ in range(3):
             try:
@@ -141,10 +141,10 @@
         return 307, b""
 
     async def replace(self, version: int, base: int, **route: Any) -> None:
-        """Send a configuration to all in turn until it is acknowledged, as an operator does."""
+        """Send a configuration to each controller in turn until it is acknowledged, as an operator does."""
         body = json.dumps(document(version, **route)).encode()
 
-        async def taken() -> bool:
+        async def is_accepted() -> bool:
             for number in list(self.controllers):
                 status, answer = await self.call(number, "POST", "/v1/config/replace", body, base)
                 assert status in (0, 200, 307, 503), answer
@@ -152,13 +152,13 @@
                     return True
             return False
 
-        await until(taken)
+        await until(is_accepted)
 
     async def read(self) -> Any:
-        """The configuration as whichever controller answers first gives it."""
+        """The configuration, from the first controller that returns it."""
         found: list[Any] = []
 
-        async def answered() -> bool:
+        async def responded() -> bool:
             for number in list(self.controllers):
                 status, answer = await self.call(number, "GET", "/v1/config/read")
                 if status == 200:
@@ -166,7 +166,7 @@
                     return True
             return False
 
-        await until(answered)
+        await until(responded)
         return found[0]
 
 
@@ -179,21 +179,21 @@
     writer.write(f"{method} {path} HTTP/1.1\r\n{head}\r\n".encode() + body)
     try:
         lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
-        answered = dict(line.split(": ", 1) for line in lines[1:] if line)
-        answer = await reader.readexactly(int(answered["Content-Length"]))
+        headers = dict(line.split(": ", 1) for line in lines[1:] if line)
+        answer = await reader.readexactly(int(headers["Content-Length"]))
     finally:
         writer.close()
-    return int(lines[0].split(" ")[1]), answered.get("Location", ""), answer
+    return int(lines[0].split(" ")[1]), headers.get("Location", ""), answer
 
 
 async def until(condition: Callable[[], Awaitable[bool]]) -> None:
-    """Return once the condition holds; nothing but the loop's timer passes the time between looks."""
+    """Return once the condition holds, which is checked at intervals by a timer of the event loop."""
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not await condition():
-            look = loop.create_future()
-            loop.call_later(LOOK_AGAIN, look.set_result, None)
-            await look
+            timer = loop.create_future()
+            loop.call_later(CHECK_INTERVAL_S, timer.set_result, None)
+            await timer
 
 
 async def until_true(condition: Callable[[], bool]) -> None:
@@ -203,133 +203,133 @@
     await until(holds)
 
 
-def play(folder: Path, scene: Callable[[Core], Awaitable[None]]) -> Core:
-    async def whole() -> Core:
-        core = Core(folder)
+def run_cluster(folder: Path, scenario: Callable[[ControllerCluster], Awaitable[None]]) -> ControllerCluster:
+    async def run_scenario() -> ControllerCluster:
+        cluster = ControllerCluster(folder)
         try:
-            await scene(core)
+            await scenario(cluster)
         finally:
-            core.close()
-        return core
+            cluster.close()
+        return cluster
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        core = runner.run(whole())
-    assert not [line for line in core.lines if "exception=" in line]
-    return core
+        cluster = runner.run(run_scenario())
+    assert not [line for line in cluster.lines if "exception=" in line]
+    return cluster
 
 
 def test_the_first_configuration_is_acknowledged_published_and_read_everywhere(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        for number in core.controllers:
-            status, answer = await core.call(number, "GET", "/v1/config/read")
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        for number in cluster.controllers:
+            status, answer = await cluster.call(number, "GET", "/v1/config/read")
             assert (status, json.loads(answer)) == (200, document(5))
 
         def everywhere() -> bool:
-            items = [each.agent.item(CONFIGURATION_KEY) for each in core.controllers.values()]
+            items = [each.agent.item(CONFIGURATION_KEY) for each in cluster.controllers.values()]
             return all(item is not None and item.version == 5 for item in items)
 
         await until_true(everywhere)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
-def test_the_list_is_polled_published_and_kept(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
+def test_the_list_is_polled_published_and_stored(tmp_path: Path) -> None:
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
 
         def kept_everywhere() -> bool:
-            partitions = [each.partitions[partition_of("s")] for each in core.controllers.values()]
+            partitions = [each.partitions[partition_of("s")] for each in cluster.controllers.values()]
             return all(partition.version_of("s") > 0 for partition in partitions)
 
         await until_true(kept_everywhere)
-        item = core.controllers[1].agent.item(item_key("s"))
+        item = cluster.controllers[1].agent.item(item_key("s"))
         assert item and [each.id for each in decode_instances(item.payload)] == ["i-s"]
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
-def test_a_stop_hands_over_and_its_successor_acknowledges(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        owner = core.owner()
+def test_stop_transfers_leadership_and_the_successor_acknowledges(tmp_path: Path) -> None:
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        owner = cluster.owner()
         assert owner
-        stopped = core.controllers.pop(owner)
+        stopped = cluster.controllers.pop(owner)
         owned = [partition for partition in ALL_PARTITIONS if stopped.host.is_owner(partition)]
-        began = len(core.lines)
+        began = len(cluster.lines)
         await stopped.stop()
-        # Successors take over before the owner has ended: nobody waits for an election's time-out.
-        elected = [line for line in core.lines[began:] if "leader_elected" in line]
+        # Successors are elected before the owner has stopped: no election timeout has to expire.
+        elected = [line for line in cluster.lines[began:] if "leader_elected" in line]
         assert len(elected) >= len(owned)
-        await core.replace(6, 5)
-        assert core.owner() not in (None, owner)
-        await core.start(owner)
-        await until_true(lambda: core.controllers[owner].state.version == 6)
-
-    core = play(tmp_path, scene)
-    assert any("controller_stopped" in line for line in core.lines)
-
-
-def test_what_was_acknowledged_outlives_the_end_of_all_processes(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        await core.replace(8, 5, timeout_ms=1234)
-        core.kill(1, 2, 3)
-        core.platform.services = []
-        await core.start(1, 2, 3)
-        assert await core.read() == document(8, timeout_ms=1234)
-
-    play(tmp_path, scene)
-
-
-def test_the_start_is_logged_with_the_version_found_on_the_disk(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        assert "version=0" in started_lines(core)[-1]
-        await core.replace(5, 0)
-        await core.replace(8, 5)
-        owner = core.owner()
+        await cluster.replace(6, 5)
+        assert cluster.owner() not in (None, owner)
+        await cluster.start(owner)
+        await until_true(lambda: cluster.controllers[owner].state.version == 6)
+
+    cluster = run_cluster(tmp_path, scenario)
+    assert any("controller_stopped" in line for line in cluster.lines)
+
+
+def test_acknowledged_orders_survive_the_end_of_all_processes(tmp_path: Path) -> None:
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        await cluster.replace(8, 5, timeout_ms=1234)
+        cluster.kill(1, 2, 3)
+        cluster.platform.services = []
+        await cluster.start(1, 2, 3)
+        assert await cluster.read() == document(8, timeout_ms=1234)
+
+    run_cluster(tmp_path, scenario)
+
+
+def test_the_start_is_logged_with_the_version_on_disk(tmp_path: Path) -> None:
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        assert "version=0" in started_lines(cluster)[-1]
+        await cluster.replace(5, 0)
+        await cluster.replace(8, 5)
+        owner = cluster.owner()
         assert owner
-        core.kill(1, 2, 3)
-        await core.start(owner)  # alone: no majority tells it what is committed
-        assert core.controllers[owner].state.version == 0
-        assert "version=8" in started_lines(core)[-1]
+        cluster.kill(1, 2, 3)
+        await cluster.start(owner)  # alone: without a majority it does not know what is committed
+        assert cluster.controllers[owner].state.version == 0
+        assert "version=8" in started_lines(cluster)[-1]
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
-def started_lines(core: Core) -> list[str]:
-    return [line for line in core.lines if "controller_started" in line]
+def started_lines(cluster: ControllerCluster) -> list[str]:
+    return [line for line in cluster.lines if "controller_started" in line]
 
 
-def test_a_machine_without_its_disk_is_taken_in_again(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        owner = core.owner()
+def test_a_controller_that_lost_its_disk_rejoins(tmp_path: Path) -> None:
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        owner = cluster.owner()
         assert owner
-        core.kill(owner)
+        cluster.kill(owner)
         shutil.rmtree(tmp_path / str(owner))
-        await core.start(owner)
-        await core.replace(6, 5)
-        await until_true(lambda: core.controllers[owner].state.version == 6)
+        await cluster.start(owner)
+        await cluster.replace(6, 5)
+        await until_true(lambda: cluster.controllers[owner].state.version == 6)
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
 
 
 def test_without_a_majority_nothing_is_acknowledged(tmp_path: Path) -> None:
-    async def scene(core: Core) -> None:
-        await core.start(1, 2, 3, first=True)
-        await core.replace(5, 0)
-        alone = core.owner()
+    async def scenario(cluster: ControllerCluster) -> None:
+        await cluster.start(1, 2, 3, first=True)
+        await cluster.replace(5, 0)
+        alone = cluster.owner()
         assert alone
-        core.kill(*(number for number in (1, 2, 3) if number != alone))
+        cluster.kill(*(number for number in (1, 2, 3) if number != alone))
         body = json.dumps(document(6)).encode()
         for _ in range(2):
-            assert (await core.call(alone, "POST", "/v1/config/replace", body, 5))[0] == 503
-        assert (await core.call(alone, "GET", "/v1/config/read"))[0] == 503
+            assert (await cluster.call(alone, "POST", "/v1/config/replace", body, 5))[0] == 503
+        assert (await cluster.call(alone, "GET", "/v1/config/read"))[0] == 503
 
-    play(tmp_path, scene)
+    run_cluster(tmp_path, scenario)
