--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -106,7 +106,7 @@
     turns, packs, data = [], [], b""
     for _ in range(times):
         begun = time.perf_counter()
-        listed, kept = group.listed(), recovery.recall(servers, ("k",))
+        listed, kept = group.listed(), recovery.estimates_to_save(servers, ("k",))
         turns.append(time.perf_counter() - begun)
         begun = time.perf_counter()
         data = format.encode(make_snapshot("p", 1e9, listed(), kept))
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -131,7 +131,7 @@
             self.actions.append(api.CloseIdle(outcome.server))
         if server:
             if self.recovery:
-                self.recovery.ended(server, job, outcome, now)
+                self.recovery.handle_attempt_end(server, job, outcome, now)
             self.large.mark_changed(server)
         if job:
             job.attempts.pop(outcome.attempt, None)
@@ -174,7 +174,7 @@
         self.update_shares(now)
         if self.recovery:
             peers = {n: row for n, row in self.rows.items() if n != self.settings.me}
-            self.actions += self.recovery.window(self.own_slice, peers, now)
+            self.actions += self.recovery.end_window(self.own_slice, peers, now)
         if not self.watching and now >= self.watch_at:  # only where the list must be subscribed to
             self.watch_at = now + WATCH_RETRY_S
             self.actions.append(api.Watch(True))
@@ -253,7 +253,7 @@
         retry_after = RETRY_AFTER_FRACTION * cls.latency_target * self.rng.uniform(0.5, 1.5)
         retry_after = min(retry_after, self.settings.limits.max_retry_after)
         if self.recovery:
-            retry_after = self.recovery.pause(job, retry_after, now)
+            retry_after = self.recovery.adjust_retry_after(job, retry_after, now)
         self.actions.append(api.Reject(job.request.id, retry_after) if harmless else api.Fail(job.request.id))
         self.close_request(job)
 
@@ -283,7 +283,7 @@
         """Whether hedged attempts are permitted now."""
         if not self.hedging_allowed or self.estimates.rejected_fraction >= MAX_HEDGE_REJECTIONS:
             return False
-        return not (self.recovery and self.recovery.on)
+        return not (self.recovery and self.recovery.is_recovering)
 
     def retry_lost(
         self, job: OpenRequest, number: int, attempt: InFlightAttempt, server: Backend, now: float
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -159,7 +159,7 @@
         if not (restored and recovery):
             return config
         memory, listed = restored
-        recovery.remember(memory, {name: number for number, name in enumerate(config.kinds)})
+        recovery.restore(memory, {name: number for number, name in enumerate(config.kinds)})
         self.log.info(
             "snapshot_restored",
             age_s=round(memory.age, 1),
@@ -175,7 +175,7 @@
         return (
             self.wall(),
             self.target_group.listed(),
-            recovery.recall(balancer.servers.values(), self.config.kinds),
+            recovery.estimates_to_save(balancer.servers.values(), self.config.kinds),
         )
 
     def _store_snapshot(self, due: float) -> None:
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -84,16 +84,16 @@
         self.sources: dict[str, str] = {}  # what was trusted, and from whom
 
     @property
-    def on(self) -> bool:
+    def is_recovering(self) -> bool:
         return self.state_machine.is_active
 
     # What is asked
 
-    def holds(self, server: Backend, is_mine: bool, now: float) -> bool | None:
+    def is_blocked(self, server: Backend, is_mine: bool, now: float) -> bool | None:
         """Whether nothing is sent to a box from here now; None where that is as in ordinary times."""
         if server in self.begun:
             return False
-        if not self.on:
+        if not self.is_recovering:
             return None
         if self._is_known(server, now):
             return None
@@ -116,36 +116,36 @@
         span = rules.slow_start * min(1.0, need / max(1e-9, 1.0 - rules.start_capacity))
         return server.started_at is not None or now >= self.proven.get(server, now) + span
 
-    def stepped(self, server: Backend) -> bool:
+    def is_stepped(self, server: Backend) -> bool:
         """Whether its room is found by steps."""
         return server in self.begun
 
-    def part(self, job: OpenRequest) -> float:
+    def capacity_share(self, job: OpenRequest) -> float:
         """The part of its room that a request may fill."""
-        return AGAIN if self.on and self.parts.first_tries and job.request.is_retry else 1.0
+        return AGAIN if self.is_recovering and self.parts.first_tries and job.request.is_retry else 1.0
 
-    def foreign(self) -> float:
+    def foreign_key_share(self) -> float:
         """The same for a key whose own box has another home."""
-        return FOREIGN if self.on and self.parts.first_tries else 1.0
+        return FOREIGN if self.is_recovering and self.parts.first_tries else 1.0
 
-    def fits(self, job: OpenRequest, server: Backend) -> bool:
+    def fits_latency_target(self, job: OpenRequest, server: Backend) -> bool:
         return (
-            not self.stepped(server)
+            not self.is_stepped(server)
             or job.attempts_sent > 0
             or steps.fits_target(server, job.request.work, job.request_class.latency_target)
         )
 
-    def pause(self, job: OpenRequest, pause: float, now: float) -> float:
+    def adjust_retry_after(self, job: OpenRequest, pause: float, now: float) -> float:
         """For how long who is refused is to stay away, where that would be `pause` otherwise."""
         self.turned_away = now
-        if not (self.on and self.parts.first_tries):
+        if not (self.is_recovering and self.parts.first_tries):
             return pause
         most = self.settings.limits.max_retry_after
         return self.dice.uniform(min(job.request_class.latency_target, most), most)
 
     # What is heard
 
-    def remember(self, memory: api.RestoredEstimates, kinds: Mapping[str, int]) -> None:
+    def restore(self, memory: api.RestoredEstimates, kinds: Mapping[str, int]) -> None:
         """What was kept from the life before this one; `kinds` numbers their names."""
         self.memory, evidence = memory, self.evidence
         evidence.fleet_rate = max(evidence.fleet_rate, memory.scale)
@@ -158,7 +158,7 @@
             f"scale {memory.scale:.3g}, {len(memory.capacities)} rooms, {memory.age:.0f} s old"
         )
 
-    def recall(self, servers: Iterable[Backend], kinds: Sequence[str]) -> api.RestoredEstimates:
+    def estimates_to_save(self, servers: Iterable[Backend], kinds: Sequence[str]) -> api.RestoredEstimates:
         """What is to be kept for a life after this one; `kinds` names their numbers.
 
         Rooms that are still being found, or were never tried, say less than what was kept before."""
@@ -166,13 +166,17 @@
         listed = list(servers)
         rates = {kinds[n]: rate for n, rate in evidence.best_rate.items() if n < len(kinds) and rate > 0.0}
         known = {
-            s.entry.id: s.capacity for s in listed if s in self.proven and not (self.on and s in self.begun)
+            s.entry.id: s.capacity
+            for s in listed
+            if s in self.proven and not (self.is_recovering and s in self.begun)
         }
         before = {s.entry.id: kept.capacities[s.entry.id] for s in listed if s.entry.id in kept.capacities}
         starts = {s.entry.id: s.entry.up_since for s in listed if s.entry.up_since is not None}
         return api.RestoredEstimates(0.0, evidence.fleet_rate, rates, before | known, starts)
 
-    def ended(self, server: Backend, job: OpenRequest | None, outcome: api.Outcome, now: float) -> None:
+    def handle_attempt_end(
+        self, server: Backend, job: OpenRequest | None, outcome: api.Outcome, now: float
+    ) -> None:
         """An attempt has ended, which the evidence has seen already."""
         if outcome.result is api.Result.OK:
             self.answered_at = now
@@ -196,7 +200,7 @@
             if outcome.result is api.Result.CONNECT_FAILED and self.parts.trials:
                 server.retry_at = min(server.retry_at, now + self.dice.uniform(*TRIAL))
 
-    def listed(self, servers: Collection[Backend], news: api.ServerList, now: float) -> None:
+    def handle_list(self, servers: Collection[Backend], news: api.ServerList, now: float) -> None:
         """The list has changed; `servers` are those that are up."""
         if news.kind is not api.ListKind.CACHED:
             self.version = news.version
@@ -231,7 +235,7 @@
         settings = self.settings
         for server in mine:
             home = self.dealt or server.id_hash % settings.proxies == settings.me
-            if self.on and home and server not in self.begun and not self._is_known(server, now):
+            if self.is_recovering and home and server not in self.begun and not self._is_known(server, now):
                 self._step(server, self._first_room(server))
 
     def _step(self, server: Backend, room: float) -> None:
@@ -239,7 +243,7 @@
             self.begun[server] = server.started_at
             steps.begin(server, room)
 
-    def heard(
+    def handle_message(
         self,
         message: api.PeerMessage,
         up: Collection[Backend],
@@ -257,13 +261,13 @@
                 if self.evidence.is_in_slow_start(s, now)
             }
             since = now - self.answered_at
-            held = StateReply(self.version, self.evidence.fleet_rate, since, not self.on, cold)
+            held = StateReply(self.version, self.evidence.fleet_rate, since, not self.is_recovering, cold)
             return [api.SendToPeer(sender, messages.encode(held, now))]
         if isinstance(said, StateReply):
             self.reports.add(sender, at, said, now)
             self._believe(up, now)
             self._listen(now)
-        elif (server := meant(said.tag)) and server.owner == sender and self.on:
+        elif (server := meant(said.tag)) and server.owner == sender and self.is_recovering:
             self.loans.borrow(server, said.max_attempts, now)
             server.capacity = max(1.0, float(said.max_attempts))
         return []
@@ -283,7 +287,7 @@
 
     # What is done
 
-    def window(self, mine: Collection[Backend], rows: Mapping[int, Row], now: float) -> list[api.Action]:
+    def end_window(self, mine: Collection[Backend], rows: Mapping[int, Row], now: float) -> list[api.Action]:
         """Once a window: `mine` are this proxy's boxes, `rows` the peers'."""
         machine = self.state_machine
         heard = len(rows) + 1 >= self.settings.proxies
--- a/firvane/proxy/server_selection.py
+++ b/firvane/proxy/server_selection.py
@@ -51,7 +51,7 @@
     def is_send_blocked(self, server: Backend, now: float) -> bool:
         """Whether this proxy must not send to a server that has (or may have) just started."""
         if self.recovery:
-            blocked = self.recovery.holds(server, server in self.own_slice, now)
+            blocked = self.recovery.is_blocked(server, server in self.own_slice, now)
             if blocked is not None:
                 return blocked
         return self.estimates.is_in_slow_start(server, now) and not self.refill_budget(server, now)
@@ -68,7 +68,7 @@
             ):
                 value *= self.settings.over_quota_value
         if self.recovery:
-            value *= self.recovery.part(job)
+            value *= self.recovery.capacity_share(job)
         highest = max(cls.value for cls in self.settings.classes)
         return MIN_CAPACITY_FRACTION + (1.0 - MIN_CAPACITY_FRACTION) * value / highest
 
@@ -97,7 +97,7 @@
                 return server
         # No capacity there: a response from a cold cache is better than a rejection while servers are idle.
         order = sorted(self.slices)
-        limit *= self.recovery.foreign() if self.recovery else 1.0
+        limit *= self.recovery.foreign_key_share() if self.recovery else 1.0
         others = (order[(job.key_hash + step) % len(order)] for step in range(len(order)))
         return next((s for n in others if (s := self.find_in_slice(job, None, n, now, limit))), None)
 
@@ -128,7 +128,9 @@
         def eligible(server: Backend) -> bool:
             if server.retry_at > now or server.id_hash in job.tried_servers:
                 return False
-            return self.may_send(job, server, now) and (not recovery or recovery.fits(job, server))
+            return self.may_send(job, server, now) and (
+                not recovery or recovery.fits_latency_target(job, server)
+            )
 
         if owner == self.settings.me and (
             spare := self.large.spares.least_utilized(1.0, lambda s: eligible(s) and s.tokens >= SPARE_TOKENS)
@@ -164,7 +166,7 @@
             for s in candidates
             if s.retry_at <= now and s.id_hash not in job.tried_servers and self.may_send(job, s, now)
         ]
-        free = [s for s in free if self.recovery.fits(job, s)] if self.recovery else free
+        free = [s for s in free if self.recovery.fits_latency_target(job, s)] if self.recovery else free
         spare = [
             s
             for s in free
--- a/firvane/proxy/slice_table.py
+++ b/firvane/proxy/slice_table.py
@@ -112,7 +112,7 @@
         if touched:
             self.apply_list_change(touched)
         if self.recovery:
-            self.recovery.listed(self.up, update, now)
+            self.recovery.handle_list(self.up, update, now)
 
     def apply_list_change(self, touched: Iterable[Backend]) -> None:
         """Recount the peers' attempts, update the ring and reassign the slices after a list change."""
@@ -200,7 +200,7 @@
             if self.estimates.on_peer_message(message.sender, message.payload):
                 return
             if self.recovery and message.payload[:1] == messages.MESSAGE_PREFIX:
-                self.actions += self.recovery.heard(message, self.up, self.listing.by_tag, now)
+                self.actions += self.recovery.handle_message(message, self.up, self.listing.by_tag, now)
                 return
             row = decode_row(message.payload, now)
         except (ValueError, struct.error):
@@ -246,7 +246,7 @@
         )
         refresh_at = now + POWER_REFRESH_S if is_slow else math.inf
         is_warm = not self.estimates.is_in_slow_start(server, now)
-        if is_warm or (self.recovery and self.recovery.stepped(server)):
+        if is_warm or (self.recovery and self.recovery.is_stepped(server)):
             return IndexValues(power, ready_at, math.inf, refresh_at)
         warm_at = (server.started_at or 0.0) + self.settings.rules.slow_start
         if not (senders := self.slow_start_senders(server)):
--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -69,7 +69,7 @@
         self.lives[me] += 1
         balancer = self.balancers[me] = Balancer(told, self.draw.randrange(1 << 30), self.now)
         if memory and balancer.recovery:
-            balancer.recovery.remember(memory, {"k": 0})
+            balancer.recovery.restore(memory, {"k": 0})
         self._act(me, balancer.start(self.now))
         self._give(me, api.ServerList(api.ListKind.CACHED, self.version, tuple(self.entries.values())))
 
@@ -79,7 +79,7 @@
         for call in [call for call, (whose, *_) in self.calls.items() if whose == me]:
             self.boxes[self.calls.pop(call)[1].server].cancel(self.now, call)
         recovery = balancer.recovery if balancer else None
-        return recovery.recall(balancer.servers.values(), ["k"]) if balancer and recovery else None
+        return recovery.estimates_to_save(balancer.servers.values(), ["k"]) if balancer and recovery else None
 
     def tell(self, name: str, **changes: Any) -> None:
         """Discovery has news of a box for all that are on."""
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -69,7 +69,7 @@
     Mutant("no cut", steps, "_cut", lambda *more: None, cut),
     Mutant("boundless growth", steps, "on_attempt_ended", grows, back),
     Mutant("a room as remembered", Recovery, "_first_room", lambda self, server: 1e4, back),
-    Mutant("all try a box", Recovery, "holds", lambda *more: None,
+    Mutant("all try a box", Recovery, "is_blocked", lambda *more: None,
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
     Mutant("trials too rare", recovery, "TRIAL", (5.0, 6.0),
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
--- a/tests/proxy/recovery/test_peers.py
+++ b/tests/proxy/recovery/test_peers.py
@@ -137,7 +137,7 @@
 def test_a_question_is_answered_within_a_rate() -> None:
     own = recovery()
     ask = api.PeerMessage(2, messages.encode(StateRequest(), 1.0))
-    answers = [own.heard(ask, [], lambda tag: None, 1.0) for _ in range(100)]
+    answers = [own.handle_message(ask, [], lambda tag: None, 1.0) for _ in range(100)]
     assert 0 < sum(map(len, answers)) <= 20
 
 
@@ -146,6 +146,6 @@
     own, box = recovery(), Backend(api.Server("a"), 77, 1.0, None)
     box.owner = 3
     loan = api.PeerMessage(sender, messages.encode(CapacityLoan(77, 2), 1.0))
-    assert own.heard(loan, [box], lambda tag: box, 1.0) == []
+    assert own.handle_message(loan, [box], lambda tag: box, 1.0) == []
     assert own.loans.borrowed_attempts(box, 1.5) == taken
-    assert own.holds(box, False, 1.5) is (taken == 0)
+    assert own.is_blocked(box, False, 1.5) is (taken == 0)
