--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -94,7 +94,7 @@
     evidence = BackendEstimates(SETTINGS, random.Random(1), 0.0)
     recovery = Recovery(api.RecoveryOptions(), SETTINGS, evidence, random.Random(1), 0.0)
     servers = [Backend(api.Server(f"box-{n}", up_since=1e9 + n), n, 1.0, 1e9 + n) for n in range(boxes)]
-    recovery.proven = set(servers)
+    recovery.responding_since = set(servers)
     reader = EndpointListReader(("a",), ("k",))
     group = TargetGroup(asyncio.new_event_loop(), None, reader, lambda *a: None, lambda news: None)
     group.addresses = {}
--- a/firvane/proxy/balancer.py
+++ b/firvane/proxy/balancer.py
@@ -283,7 +283,7 @@
         """Whether hedged attempts are permitted now."""
         if not self.hedging_allowed or self.estimates.rejected_fraction >= MAX_HEDGE_REJECTIONS:
             return False
-        return not (self.recovery and self.recovery.is_recovering)
+        return not (self.recovery and self.recovery.on)
 
     def retry_lost(
         self, job: OpenRequest, number: int, attempt: InFlightAttempt, server: Backend, now: float
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -1,22 +1,25 @@
-"""One proxy's recovery: its state, which boxes it may send to, and whose requests go first.
-
-Rules that hold here and nowhere else:
-
-1. While it lasts, a box that has just started, or whose start nobody tells, or that nobody is known to have
-   had an answer from, is sent to by its homes alone, and by them as `steps` allows; by others within what a
-   home has lent them. Any other box is as in ordinary times.
-2. Until all peers have been heard, or have had `PATIENCE` to be, slices are not dealt alike: each proxy would
-   take itself for the home of all. Till then a box's home is the proxy that its salt names.
-3. Trials of boxes that do not answer come at even, short times: an attempt that finds nobody costs no box
-   anything, one proxy alone makes it, and an exponential pause would sleep through the return.
-4. First tries go before those that come again, which the aim of most has passed: these may fill a part of
-   each room. So may keys whose own box has another home: what a box remembers is worth a third of its work.
-5. Who is sent away is told to come back after his aim at the earliest, spread over all of the time allowed.
-6. A box that took no connection for `DOWN` seconds and answers again has started anew, whatever the list says
-   yet, in ordinary times too: it is cold from then on, and its home finds its room by steps. What was cold
-   when a recovery ended is no cause for the next one.
-7. What is remembered and what peers say are priors: a scale where the evidence has none, a first room of a
-   few attempts, a box taken for colder than the list says. None of them opens a box or closes one for good.
+"""Recovery of one proxy after a power loss: its state, which backends it may send to, and request priorities.
+
+Invariants:
+
+1. During a recovery a backend that has just started, has an unknown start time, or has not responded to this
+   process, receives requests only from its owner, as `steps` allows, and from other proxies only within the
+   capacity that its owner has lent them. All other backends are handled as in ordinary operation.
+2. Until rows of all peers have arrived, or `PEER_TIMEOUT_S` has passed, slices are not computed from live
+   proxies: each proxy would consider itself the owner of every backend. Until then the owner of a backend is the
+   proxy that the hash of its id selects.
+3. Unresponsive backends are retried at short, even intervals: a failed connection attempt costs no backend
+   anything, only the owner makes it, and an exponential backoff would delay the detection of their return.
+4. First attempts have priority over retries, most of which have missed their latency target: retries may use
+   only a part of each capacity. So may keys whose own backend has another owner: a cache hit there saves a
+   third of the work.
+5. A rejected client gets a Retry-After of at least the latency target, spread up to the permitted maximum.
+6. A backend that accepted no connection for `RESTART_GAP_S` and responds again counts as restarted, whatever
+   the endpoint list says, also in ordinary operation: it is cold from then on, and its owner finds its
+   capacity by steps. Backends that were cold when a recovery ended do not begin the next one.
+7. Restored and reported values are priors: a scale where this process has no estimate, a first capacity of a
+   few attempts, a backend that is taken for colder than the list says. None of them opens a backend or closes
+   it for good.
 """
 
 from __future__ import annotations
@@ -46,328 +49,376 @@
     RecoveryStateMachine,
 )
 
-TRIAL = (0.15, 0.25)  # s from one trial of a box that does not answer to the next
-AGAIN, FOREIGN = 0.4, 0.7  # part of a room for who comes again; for keys of boxes of other homes
-DOWN = 1.0  # s without a connection that are a process's end
-STRUCK = 0.5  # part of its boxes' weight that is cold
-SETTLED = 0.5  # s in which nothing was turned away here, before room is lent
-WINDOW = 0.25  # s that a row's arrivals stand for
+TRIAL_INTERVAL_S = (0.15, 0.25)  # bounds of the time between attempts at a backend that does not respond
+# The part of a capacity that may be used by retries, and by keys whose own backend has another owner.
+RETRY_SHARE, FOREIGN_KEY_SHARE = 0.4, 0.7
+RESTART_GAP_S = 1.0  # without a connection, after which a backend counts as restarted
+COLD_WEIGHT_SHARE = 0.5  # of the weight of this proxy's slice that is cold: power has failed for it
+LENDING_DELAY_S = 0.5  # without a rejection here, before capacity is lent
+WINDOW_S = 0.25  # in which the arrivals of a row were counted
 
 
 class Recovery:
-    """Of a proxy that has been told to have one; `dice` draws pauses and whom to ask, times are s."""
+    """The recovery of a proxy that has it enabled. Times are seconds on one clock.
+
+    Attributes:
+        is_slice_known: Slices are computed from all live proxies.
+        rejected_at: When a request was last rejected for lack of capacity.
+        last_response_at: When a backend last responded.
+        responding_since: When the backends that have responded since their start first did.
+        stepped_starts: Backends whose capacity is found by steps, with their start times as the steps began.
+        own_slice: The backends of this proxy, as of the last window.
+        unreachable_since: Since when connections to a backend have failed.
+        cold_at_end: The start times of the backends that were cold when the last recovery ended.
+        is_mostly_cold: At least `COLD_WEIGHT_SHARE` of this proxy's slice is cold.
+        are_peers_warm: Peers are warm: backends that are not listed as just started are not cold.
+        restored: The estimates of an earlier process.
+        version: Of the endpoint list, as last sent by discovery itself.
+        request_count: State requests sent; `last_round_size` of them in the last round.
+        sources: The values that are in use, and where they come from, for operators.
+    """
 
     def __init__(
         self,
-        parts: api.RecoveryOptions,
+        options: api.RecoveryOptions,
         settings: api.Settings,
-        evidence: BackendEstimates,
-        dice: random.Random,
+        estimates: BackendEstimates,
+        rng: random.Random,
         now: float,
     ) -> None:
-        self.parts, self.settings, self.evidence, self.dice = parts, settings, evidence, dice
-        self.state_machine, self.started = RecoveryStateMachine(now), now
-        self.dealt = settings.proxies <= 1 or not settings.limits.peers  # slices are dealt with all that live
-        self.turned_away = now  # when a request last found no room
-        self.answered_at = now - messages.NEVER_S  # when a box last did
-        self.proven = dict[Backend, float]()  # since when they have answered in this life
-        self.begun = dict[Backend, float | None]()  # whose rooms are found by steps, and their starts then
-        self.mine = set[Backend]()  # this proxy's, as of the last window
-        self.down = dict[Backend, float]()  # since when no connection has come up
-        self.settled = dict[Backend, float | None]()  # the starts of boxes that were cold at the last end
-        self.struck = False  # half of this proxy's boxes are cold
-        self.trusting = False  # peers are warm: what the list says has not just started has not
-        self.memory: api.RestoredEstimates | None = None
-        self.version = 0  # of the list, by discovery's own word
+        self.options, self.settings, self.estimates, self.rng = options, settings, estimates, rng
+        self.state_machine, self.created_at = RecoveryStateMachine(now), now
+        self.is_slice_known = settings.proxies <= 1 or not settings.limits.peers
+        self.rejected_at = now
+        self.last_response_at = now - messages.NEVER_S
+        self.responding_since = dict[Backend, float]()
+        self.stepped_starts = dict[Backend, float | None]()
+        self.own_slice = set[Backend]()
+        self.unreachable_since = dict[Backend, float]()
+        self.cold_at_end = dict[Backend, float | None]()
+        self.is_mostly_cold = False
+        self.are_peers_warm = False
+        self.restored: api.RestoredEstimates | None = None
+        self.version = 0
         self.reports, self.loans = PeerReports(), CapacityLoans()
-        self.ask_at, self.asked, self.rounds, self.few = now, 0, 0, 0
-        self.sources: dict[str, str] = {}  # what was trusted, and from whom
+        self.next_request_at, self.request_count, self.request_rounds, self.last_round_size = now, 0, 0, 0
+        self.sources: dict[str, str] = {}
 
     @property
-    def is_recovering(self) -> bool:
+    def on(self) -> bool:
+        """Whether the recovery is not over."""
         return self.state_machine.is_active
 
-    # What is asked
+    # Queries of the balancer
 
     def is_blocked(self, server: Backend, is_mine: bool, now: float) -> bool | None:
-        """Whether nothing is sent to a box from here now; None where that is as in ordinary times."""
-        if server in self.begun:
+        """Return whether this proxy may not send to a backend now; None to decide as in ordinary operation."""
+        if server in self.stepped_starts:
             return False
-        if not self.is_recovering:
+        if not self.on:
             return None
         if self._is_known(server, now):
             return None
-        if is_mine and self.dealt:
-            return True if self.parts.steps else None  # the next window begins with it
-        return server.in_flight >= self.loans.borrowed_attempts(server, now) if self.parts.trials else None
+        if is_mine and self.is_slice_known:
+            return True if self.options.steps else None  # the next window begins its steps
+        return server.in_flight >= self.loans.borrowed_attempts(server, now) if self.options.trials else None
 
     def _is_known(self, server: Backend, now: float) -> bool:
-        """Whether a box is as in ordinary times: warm by its age, and there; or on peers' word."""
-        aged = self.trusting or (server in self.proven and self._is_old(server, now))
-        return aged and not self.evidence.is_in_slow_start(server, now)
+        """Return whether a backend is handled as in ordinary operation: it is warm and responds.
+
+        It counts as warm by its age, or since peers are warm.
+        """
+        aged = self.are_peers_warm or (server in self.responding_since and self._is_old(server, now))
+        return aged and not self.estimates.is_in_slow_start(server, now)
 
     def _is_old(self, server: Backend, now: float) -> bool:
-        """Whether its start is known, or lies too far back to matter: it is before the first answer.
+        """Return whether a backend's start is known, or precedes its first response by enough time.
 
-        That is where even a box that was cold then could not be pushed over by what a warm one bears.
+        Enough is the time after which even a backend that was cold at that response could not be overloaded
+        by the load of a warm one.
         """
         rules = self.settings.rules
         need = max(0.0, 1.0 / max(1.0, rules.fall_multiple) - rules.start_capacity)
         span = rules.slow_start * min(1.0, need / max(1e-9, 1.0 - rules.start_capacity))
-        return server.started_at is not None or now >= self.proven.get(server, now) + span
+        return server.started_at is not None or now >= self.responding_since.get(server, now) + span
 
     def is_stepped(self, server: Backend) -> bool:
-        """Whether its room is found by steps."""
-        return server in self.begun
+        """Return whether the capacity of a backend is found by steps."""
+        return server in self.stepped_starts
 
     def capacity_share(self, job: OpenRequest) -> float:
-        """The part of its room that a request may fill."""
-        return AGAIN if self.is_recovering and self.parts.first_tries and job.request.is_retry else 1.0
+        """Return the part of a backend's capacity that a request may use."""
+        return RETRY_SHARE if self.on and self.options.first_tries and job.request.is_retry else 1.0
 
     def foreign_key_share(self) -> float:
-        """The same for a key whose own box has another home."""
-        return FOREIGN if self.is_recovering and self.parts.first_tries else 1.0
+        """Return the part of a capacity that may be used by keys whose own backend has another owner."""
+        return FOREIGN_KEY_SHARE if self.on and self.options.first_tries else 1.0
 
     def fits_latency_target(self, job: OpenRequest, server: Backend) -> bool:
+        """Return whether a request may be sent to a backend by its expected response time."""
         return (
             not self.is_stepped(server)
             or job.attempts_sent > 0
             or steps.fits_target(server, job.request.work, job.request_class.latency_target)
         )
 
-    def adjust_retry_after(self, job: OpenRequest, pause: float, now: float) -> float:
-        """For how long who is refused is to stay away, where that would be `pause` otherwise."""
-        self.turned_away = now
-        if not (self.is_recovering and self.parts.first_tries):
-            return pause
-        most = self.settings.limits.max_retry_after
-        return self.dice.uniform(min(job.request_class.latency_target, most), most)
-
-    # What is heard
-
-    def restore(self, memory: api.RestoredEstimates, kinds: Mapping[str, int]) -> None:
-        """What was kept from the life before this one; `kinds` numbers their names."""
-        self.memory, evidence = memory, self.evidence
-        evidence.fleet_rate = max(evidence.fleet_rate, memory.scale)
-        for name, rate in memory.kinds.items():
+    def adjust_retry_after(self, job: OpenRequest, retry_after: float, now: float) -> float:
+        """Return the Retry-After of a rejected request: `retry_after`, or a longer one in a recovery."""
+        self.rejected_at = now
+        if not (self.on and self.options.first_tries):
+            return retry_after
+        longest = self.settings.limits.max_retry_after
+        return self.rng.uniform(min(job.request_class.latency_target, longest), longest)
+
+    # Events
+
+    def restore(self, restored: api.RestoredEstimates, kinds: Mapping[str, int]) -> None:
+        """Use the estimates of an earlier process; `kinds` has the numbers of server kinds by name."""
+        self.restored, estimates = restored, self.estimates
+        estimates.fleet_rate = max(estimates.fleet_rate, restored.scale)
+        for name, rate in restored.kinds.items():
             if name in kinds and rate > 0.0:
-                evidence.best_rate.setdefault(kinds[name], rate)
-                if memory.scale:
-                    evidence.relative_rate.setdefault(kinds[name], rate / memory.scale)
+                estimates.best_rate.setdefault(kinds[name], rate)
+                if restored.scale:
+                    estimates.relative_rate.setdefault(kinds[name], rate / restored.scale)
         self.sources["memory"] = (
-            f"scale {memory.scale:.3g}, {len(memory.capacities)} rooms, {memory.age:.0f} s old"
+            f"scale {restored.scale:.3g}, {len(restored.capacities)} rooms, {restored.age:.0f} s old"
         )
 
     def estimates_to_save(self, servers: Iterable[Backend], kinds: Sequence[str]) -> api.RestoredEstimates:
-        """What is to be kept for a life after this one; `kinds` names their numbers.
+        """Return the estimates for a later process; `kinds` has the names of server kinds by number.
 
-        Rooms that are still being found, or were never tried, say less than what was kept before."""
-        kept, evidence = self.memory or api.RestoredEstimates(0.0), self.evidence
+        Capacities that are still being found, or were never tried, are less reliable than the restored ones.
+        """
+        earlier, estimates = self.restored or api.RestoredEstimates(0.0), self.estimates
         listed = list(servers)
-        rates = {kinds[n]: rate for n, rate in evidence.best_rate.items() if n < len(kinds) and rate > 0.0}
-        known = {
+        rates = {kinds[n]: rate for n, rate in estimates.best_rate.items() if n < len(kinds) and rate > 0.0}
+        measured = {
             s.entry.id: s.capacity
             for s in listed
-            if s in self.proven and not (self.is_recovering and s in self.begun)
+            if s in self.responding_since and not (self.on and s in self.stepped_starts)
+        }
+        retained = {
+            s.entry.id: earlier.capacities[s.entry.id] for s in listed if s.entry.id in earlier.capacities
         }
-        before = {s.entry.id: kept.capacities[s.entry.id] for s in listed if s.entry.id in kept.capacities}
         starts = {s.entry.id: s.entry.up_since for s in listed if s.entry.up_since is not None}
-        return api.RestoredEstimates(0.0, evidence.fleet_rate, rates, before | known, starts)
+        return api.RestoredEstimates(0.0, estimates.fleet_rate, rates, retained | measured, starts)
 
     def handle_attempt_end(
         self, server: Backend, job: OpenRequest | None, outcome: api.Outcome, now: float
     ) -> None:
-        """An attempt has ended, which the evidence has seen already."""
+        """Handle the end of an attempt, which the estimates include already."""
         if outcome.result is api.Result.OK:
-            self.answered_at = now
-            self.proven.setdefault(server, now)
+            self.last_response_at = now
+            self.responding_since.setdefault(server, now)
             self.state_machine.apply(RecoveryEvent.ANSWERED, now, server.entry.id)
-            if now > self.down.pop(server, now) + DOWN:
-                if not self.evidence.is_in_slow_start(server, now):
+            if now > self.unreachable_since.pop(server, now) + RESTART_GAP_S:
+                if not self.estimates.is_in_slow_start(server, now):
                     server.started_at, server.response_count = now, 0.0
-                if server in self.mine:
-                    self._step(server, 1.0)
+                if server in self.own_slice:
+                    self._restart_steps(server, 1.0)
         elif outcome.result is api.Result.CONNECT_FAILED:
-            self.down.setdefault(server, now)
-            if server.failures > 1 and server in self.mine and server not in self.begun:
-                self._step(server, 1.0)
-        if server in self.begun and outcome.result is not api.Result.CANCELLED:
+            self.unreachable_since.setdefault(server, now)
+            if server.failures > 1 and server in self.own_slice and server not in self.stepped_starts:
+                self._restart_steps(server, 1.0)
+        if server in self.stepped_starts and outcome.result is not api.Result.CANCELLED:
             request = job.request if job else None
-            aim = job.request_class.latency_target if job else self.settings.classes[0].latency_target
+            latency_target = (
+                job.request_class.latency_target if job else self.settings.classes[0].latency_target
+            )
             lent = self.loans.lent_attempts(server, now)
-            steps.on_attempt_ended(server, request, aim, outcome, lent, now)
+            steps.on_attempt_ended(server, request, latency_target, outcome, lent, now)
             server.capacity = max(1.0, server.stepped_capacity - lent)
-            if outcome.result is api.Result.CONNECT_FAILED and self.parts.trials:
-                server.retry_at = min(server.retry_at, now + self.dice.uniform(*TRIAL))
-
-    def handle_list(self, servers: Collection[Backend], news: api.ServerList, now: float) -> None:
-        """The list has changed; `servers` are those that are up."""
-        if news.kind is not api.ListKind.CACHED:
-            self.version = news.version
-            self.sources["list"] = f"discovery, version {news.version}"
+            if outcome.result is api.Result.CONNECT_FAILED and self.options.trials:
+                server.retry_at = min(server.retry_at, now + self.rng.uniform(*TRIAL_INTERVAL_S))
+
+    def handle_list(self, servers: Collection[Backend], update: api.ServerList, now: float) -> None:
+        """Handle a change of the endpoint list; `servers` are the backends that are up."""
+        if update.kind is not api.ListKind.CACHED:
+            self.version = update.version
+            self.sources["list"] = f"discovery, version {update.version}"
         else:
-            self.sources.setdefault("list", f"as last known, version {news.version}")
+            self.sources.setdefault("list", f"as last known, version {update.version}")
         self.state_machine.apply(
             RecoveryEvent.LISTED if servers else RecoveryEvent.ENDPOINTS_LOST, now, f"{len(servers)} boxes"
         )
         up = set(servers)
-        self.proven = {s: since for s, since in self.proven.items() if s in up}
-        for server in self.begun.keys() - up:
-            del self.begun[server]
-        for server, start in self.begun.items():
-            if server.started_at != start:  # it has started anew: what was found of it is void
-                self._step(server, 1.0)
-        for gone in self.down.keys() - up:
-            del self.down[gone]
-        if not self.dealt:
-            self._begin(servers, now)
-
-    def _listen(self, now: float) -> None:
-        """Whether peers are warm by what they have told."""
+        self.responding_since = {s: since for s, since in self.responding_since.items() if s in up}
+        for server in self.stepped_starts.keys() - up:
+            del self.stepped_starts[server]
+        for server, start in self.stepped_starts.items():
+            if server.started_at != start:  # it has restarted, which invalidates its capacity
+                self._restart_steps(server, 1.0)
+        for gone in self.unreachable_since.keys() - up:
+            del self.unreachable_since[gone]
+        if not self.is_slice_known:
+            self._begin_steps(servers, now)
+
+    def _check_warm_peers(self, now: float) -> None:
+        """Update whether peers are warm by their reports; end the recovery if they are."""
         if self.state_machine.state in (RecoveryState.ASKING_PEERS, RecoveryState.PROBING):
-            warm = self.reports.count_warm(now, self.few)
-            self.trusting = warm > 0
-            if warm and not self.struck:
+            warm = self.reports.count_warm(now, self.last_round_size)
+            self.are_peers_warm = warm > 0
+            if warm and not self.is_mostly_cold:
                 self.state_machine.apply(RecoveryEvent.PEERS_WARM, now, f"{warm} say so")
 
-    def _begin(self, mine: Iterable[Backend], now: float) -> None:
-        """Find the rooms by steps of those of this proxy's boxes that are not known."""
+    def _begin_steps(self, servers: Iterable[Backend], now: float) -> None:
+        """Begin the steps of this proxy's backends that are not handled as in ordinary operation."""
         settings = self.settings
-        for server in mine:
-            home = self.dealt or server.id_hash % settings.proxies == settings.me
-            if self.is_recovering and home and server not in self.begun and not self._is_known(server, now):
-                self._step(server, self._first_room(server))
+        for server in servers:
+            is_owner = self.is_slice_known or server.id_hash % settings.proxies == settings.me
+            if self.on and is_owner and server not in self.stepped_starts and not self._is_known(server, now):
+                self._restart_steps(server, self._first_capacity(server))
 
-    def _step(self, server: Backend, room: float) -> None:
-        if self.parts.steps:
-            self.begun[server] = server.started_at
-            steps.begin(server, room)
+    def _restart_steps(self, server: Backend, capacity: float) -> None:
+        if self.options.steps:
+            self.stepped_starts[server] = server.started_at
+            steps.begin(server, capacity)
 
     def handle_message(
         self,
         message: api.PeerMessage,
         up: Collection[Backend],
-        meant: Callable[[int], Backend | None],
+        find_by_tag: Callable[[int], Backend | None],
         now: float,
     ) -> list[api.Action]:
-        """What follows from a peer's message, beginning with its mark; raises as `unpack` does."""
-        sender, (at, said) = message.sender, messages.decode(message.payload)
-        if isinstance(said, StateRequest):
-            if not self.parts.ask or not self.reports.may_answer(now):
+        """Handle a peer's message; return the reply, if any. Raises what `messages.decode` raises."""
+        sender, (sent_at_ms, content) = message.sender, messages.decode(message.payload)
+        if isinstance(content, StateRequest):
+            if not self.options.ask or not self.reports.may_answer(now):
                 return []
             cold = {
                 s.id_hash & 0xFFFF: now - (s.started_at or now)
                 for s in up
-                if self.evidence.is_in_slow_start(s, now)
+                if self.estimates.is_in_slow_start(s, now)
             }
-            since = now - self.answered_at
-            held = StateReply(self.version, self.evidence.fleet_rate, since, not self.is_recovering, cold)
-            return [api.SendToPeer(sender, messages.encode(held, now))]
-        if isinstance(said, StateReply):
-            self.reports.add(sender, at, said, now)
-            self._believe(up, now)
-            self._listen(now)
-        elif (server := meant(said.tag)) and server.owner == sender and self.is_recovering:
-            self.loans.borrow(server, said.max_attempts, now)
-            server.capacity = max(1.0, float(said.max_attempts))
+            idle_s = now - self.last_response_at
+            reply = StateReply(self.version, self.estimates.fleet_rate, idle_s, not self.on, cold)
+            return [api.SendToPeer(sender, messages.encode(reply, now))]
+        if isinstance(content, StateReply):
+            self.reports.add(sender, sent_at_ms, content, now)
+            self._adopt_reports(up, now)
+            self._check_warm_peers(now)
+        elif (server := find_by_tag(content.tag)) and server.owner == sender and self.on:
+            self.loans.borrow(server, content.max_attempts, now)
+            server.capacity = max(1.0, float(content.max_attempts))
         return []
 
-    def _believe(self, up: Collection[Backend], now: float) -> None:
-        """Take what peers agree on: a scale where the evidence has none of its own, and starts."""
-        if self.answered_at < self.state_machine.since:  # nothing of this life says better
-            remembered = self.memory.scale if self.memory else 0.0
-            if scale := self.reports.agreed_scale(now, remembered):
-                self.evidence.fleet_rate = scale
+    def _adopt_reports(self, up: Collection[Backend], now: float) -> None:
+        """Adopt the values that peers agree on: a scale, unless one was measured here, and start times."""
+        if self.last_response_at < self.state_machine.since:  # this process has measured none
+            restored_scale = self.restored.scale if self.restored else 0.0
+            if scale := self.reports.agreed_scale(now, restored_scale):
+                self.estimates.fleet_rate = scale
                 self.sources["scale"] = f"{scale:.3g}, the median of {len(self.reports.fresh(now))} peers"
         cold = self.reports.cold_starts(now)
         for server in up:
             start = cold.get(server.id_hash & 0xFFFF)
-            if start is not None and server not in self.proven and start > (server.started_at or 0.0):
+            if (
+                start is not None
+                and server not in self.responding_since
+                and start > (server.started_at or 0.0)
+            ):
                 server.started_at = start
 
-    # What is done
+    # Windows
+
+    def end_window(
+        self, own_slice: Collection[Backend], rows: Mapping[int, Row], now: float
+    ) -> list[api.Action]:
+        """Update the recovery at the end of a window.
 
-    def end_window(self, mine: Collection[Backend], rows: Mapping[int, Row], now: float) -> list[api.Action]:
-        """Once a window: `mine` are this proxy's boxes, `rows` the peers'."""
+        `own_slice` has this proxy's backends, `rows` the rows of its peers.
+        """
         machine = self.state_machine
-        heard = len(rows) + 1 >= self.settings.proxies
-        self.dealt = self.dealt or heard or now >= self.started + PEER_TIMEOUT_S
-        self.mine = set(mine)
-        cold = {s for s in mine if self.evidence.is_in_slow_start(s, now)}
-        if not (machine.is_active or cold or self.begun or machine.transitions):
+        all_rows_received = len(rows) + 1 >= self.settings.proxies
+        self.is_slice_known = (
+            self.is_slice_known or all_rows_received or now >= self.created_at + PEER_TIMEOUT_S
+        )
+        self.own_slice = set(own_slice)
+        cold = {s for s in own_slice if self.estimates.is_in_slow_start(s, now)}
+        if not (machine.is_active or cold or self.stepped_starts or machine.transitions):
             return []
-        weight = sum(s.weight for s in mine)
-        colds = sum(s.weight for s in cold if s not in self.settled or self.settled[s] != s.started_at)
-        self.struck = weight > 0 and colds >= STRUCK * weight
-        self._listen(now)
+        weight = sum(s.weight for s in own_slice)
+        cold_weight = sum(
+            s.weight for s in cold if s not in self.cold_at_end or self.cold_at_end[s] != s.started_at
+        )
+        self.is_mostly_cold = weight > 0 and cold_weight >= COLD_WEIGHT_SHARE * weight
+        self._check_warm_peers(now)
         if machine.state is RecoveryState.ASKING_PEERS and now >= machine.since + PEER_TIMEOUT_S:
             machine.apply(RecoveryEvent.NOBODY_WARM, now)
-        if self.struck:
-            machine.apply(RecoveryEvent.BACKENDS_COLD, now, f"{colds / weight:.0%}")
+        if self.is_mostly_cold:
+            machine.apply(RecoveryEvent.BACKENDS_COLD, now, f"{cold_weight / weight:.0%}")
         if machine.state is RecoveryState.GROWING and weight:
-            # That a box has answered shows little of its age, and that no steps have begun, nothing: a slice
-            # dealt anew, by a drain or a loss, has boxes that begin now.
-            if not cold and (not self.parts.steps or all(self._is_old(s, now) for s in mine)):
+            # A response says little about the age of a backend, and the absence of steps nothing: a slice
+            # that a drain or a lost proxy has changed contains backends whose steps begin now.
+            if not cold and (not self.options.steps or all(self._is_old(s, now) for s in own_slice)):
                 machine.apply(RecoveryEvent.WARM, now)
-            elif now >= max(self.turned_away, machine.since) + CALM_PERIOD_S:
+            elif now >= max(self.rejected_at, machine.since) + CALM_PERIOD_S:
                 machine.apply(RecoveryEvent.CALM, now)
         actions: list[api.Action] = []
         if machine.is_active:
-            if self.dealt:  # what has another home now is its to find
-                self._leave(self.begun.keys() - self.mine)
-            self._begin(mine, now)
-            for server in self.begun:
+            if self.is_slice_known:  # the capacity of a backend is found by its current owner
+                self._remove_stepped(self.stepped_starts.keys() - self.own_slice)
+            self._begin_steps(own_slice, now)
+            for server in self.stepped_starts:
                 steps.decay_pace(server)
-            actions += self._ask(now) + self._lend(rows, now)
+            actions += self._request_states(now) + self._lend_capacity(rows, now)
         else:
-            self.settled = {s: s.started_at for s in cold}
-            self._leave(self.begun.keys() - self.mine)
+            self.cold_at_end = {s: s.started_at for s in cold}
+            self._remove_stepped(self.stepped_starts.keys() - self.own_slice)
             self.loans.clear()
-        for change in machine.take_transitions():
-            fields = {"now": change.new.value, "was": change.old.value, "why": change.reason}
+        for transition in machine.take_transitions():
+            fields = {"now": transition.new.value, "was": transition.old.value, "why": transition.reason}
             actions.append(api.Log(event="recovery", fields=fields))
         return actions
 
-    def _leave(self, servers: Iterable[Backend]) -> None:
-        """These have another home now, which finds their rooms."""
+    def _remove_stepped(self, servers: Iterable[Backend]) -> None:
+        """Stop the steps of backends that have another owner now, which finds their capacity."""
         for server in list(servers):
-            del self.begun[server]
-            self.proven.pop(server, None)
+            del self.stepped_starts[server]
+            self.responding_since.pop(server, None)
 
-    def _first_room(self, server: Backend) -> float:
-        """Where the steps begin: at one, or at what is remembered of a box that is the same still."""
-        if not self.memory or server in self.proven:
+    def _first_capacity(self, server: Backend) -> float:
+        """Return the capacity at which the steps begin: 1, or the restored one, less after a restart."""
+        if not self.restored or server in self.responding_since:
             return 1.0
-        room = self.memory.capacities.get(server.entry.id, 1.0)
-        if self.memory.start_times.get(server.entry.id) != server.entry.up_since or server.failures:
-            room *= self.settings.rules.start_capacity
-        return max(1.0, min(steps.MAX_FIRST_CAPACITY, room))
+        capacity = self.restored.capacities.get(server.entry.id, 1.0)
+        if self.restored.start_times.get(server.entry.id) != server.entry.up_since or server.failures:
+            capacity *= self.settings.rules.start_capacity
+        return max(1.0, min(steps.MAX_FIRST_CAPACITY, capacity))
 
-    def _ask(self, now: float) -> list[api.Action]:
-        """Ask a few peers, anew in each round, until a box has answered."""
+    def _request_states(self, now: float) -> list[api.Action]:
+        """Return state requests to random peers, drawn anew in each round, until a backend has responded."""
         peers = [n for n in range(self.settings.proxies) if n != self.settings.me]
         wanted = self.state_machine.state is not RecoveryState.GROWING and self.settings.limits.peers
-        if not (wanted and peers and self.parts.ask and now >= self.ask_at):
+        if not (wanted and peers and self.options.ask and now >= self.next_request_at):
             return []
-        self.ask_at = now + ASK_INTERVAL_S * 2 ** min(3, self.rounds) * self.dice.uniform(0.8, 1.2)
-        few = self.dice.sample(peers, min(MAX_ASKED_PEERS, len(peers)))
-        self.rounds, self.few, self.asked = self.rounds + 1, len(few), self.asked + len(few)
-        return [api.SendToPeer(peer, messages.encode(StateRequest(), now)) for peer in few]
-
-    def _lend(self, rows: Mapping[int, Row], now: float) -> list[api.Action]:
-        """Lend the room that is left over at a box to who lacks most, one box to each."""
-        if not self.parts.trials or not rows or now < self.turned_away + SETTLED:
+        self.next_request_at = now + ASK_INTERVAL_S * 2 ** min(3, self.request_rounds) * self.rng.uniform(
+            0.8, 1.2
+        )
+        chosen = self.rng.sample(peers, min(MAX_ASKED_PEERS, len(peers)))
+        self.request_rounds, self.last_round_size, self.request_count = (
+            self.request_rounds + 1,
+            len(chosen),
+            self.request_count + len(chosen),
+        )
+        return [api.SendToPeer(peer, messages.encode(StateRequest(), now)) for peer in chosen]
+
+    def _lend_capacity(self, rows: Mapping[int, Row], now: float) -> list[api.Action]:
+        """Lend the spare capacity of backends to the peers that lack most, of one backend to each peer."""
+        if not self.options.trials or not rows or now < self.rejected_at + LENDING_DELAY_S:
             return []
-        needy, actions = most_unserved(rows.items(), WINDOW), list[api.Action]()
-        for server in sorted(self.mine & self.begun.keys(), key=lambda s: s.entry.id):
+        unserved_peers, actions = most_unserved(rows.items(), WINDOW_S), list[api.Action]()
+        for server in sorted(self.own_slice & self.stepped_starts.keys(), key=lambda s: s.entry.id):
             spare = int(
                 server.stepped_capacity
                 - server.in_flight
                 - self.loans.lent_attempts(server, now)
                 - RESERVED_ATTEMPTS
             )
-            if spare >= 1 and needy and server in self.proven:
-                peer = needy.pop(0)
+            if spare >= 1 and unserved_peers and server in self.responding_since:
+                peer = unserved_peers.pop(0)
                 self.loans.lend(server, peer, spare, now)
                 server.capacity = max(1.0, server.stepped_capacity - self.loans.lent_attempts(server, now))
                 actions.append(
@@ -375,20 +426,21 @@
                 )
         return actions
 
-    # What operators ask
+    # Status
 
     def status(self, now: float) -> dict[str, str]:
-        """State, why, since when, what was trusted and from whom."""
+        """Return the state, its reason and age, and the sources of the values in use, for operators."""
         machine = self.state_machine
-        rooms = ", ".join(
-            f"{s.entry.id} {s.stepped_capacity:.0f}" for s in sorted(self.begun, key=lambda s: s.entry.id)
+        capacities = ", ".join(
+            f"{s.entry.id} {s.stepped_capacity:.0f}"
+            for s in sorted(self.stepped_starts, key=lambda s: s.entry.id)
         )
         return {
             "state": machine.state.value,
             "why": machine.reason,
             "for_s": f"{now - machine.since:.1f}",
-            "trusted": "; ".join(f"{what}: {whose}" for what, whose in sorted(self.sources.items()))
+            "trusted": "; ".join(f"{name}: {source}" for name, source in sorted(self.sources.items()))
             or "nothing",
-            "asked": str(self.asked),
-            "rooms": rooms or "none by steps",
+            "asked": str(self.request_count),
+            "rooms": capacities or "none by steps",
         }
--- a/tests/proxy/recovery/test_histories.py
+++ b/tests/proxy/recovery/test_histories.py
@@ -133,7 +133,7 @@
         left = set[int]()
         for _ in range(20):
             fleet.run(fleet.now + 1.0)
-            left |= {me for me, one in enumerate(fleet.balancers) if not one.recovery.is_recovering}
+            left |= {me for me, one in enumerate(fleet.balancers) if not one.recovery.on}
         served = fleet.served
         fleet.run(fleet.now + 2.0)
         self.cold_boxes_hold_and_what_drained_is_left_alone()
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -61,17 +61,17 @@
 
 def known(self: Recovery, server: Backend, now: float) -> bool:
     """Whatever has answered is as in ordinary times."""
-    return server in self.proven
+    return server in self.responding_since
 
 
 back = test_histories.many_histories
 MUTANTS = (
     Mutant("no cut", steps, "_cut", lambda *more: None, cut),
     Mutant("boundless growth", steps, "on_attempt_ended", grows, back),
-    Mutant("a room as remembered", Recovery, "_first_room", lambda self, server: 1e4, back),
+    Mutant("a room as remembered", Recovery, "_first_capacity", lambda self, server: 1e4, back),
     Mutant("all try a box", Recovery, "is_blocked", lambda *more: None,
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
-    Mutant("trials too rare", recovery, "TRIAL", (5.0, 6.0),
+    Mutant("trials too rare", recovery, "TRIAL_INTERVAL_S", (5.0, 6.0),
            test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
     Mutant("the highest scale", peers, "median", max,
            test_peers.test_a_third_of_liars_moves_the_scale_no_further_than_honest_peers),
