--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -6,8 +6,8 @@
    process, receives requests only from its owner, as `steps` allows, and from other proxies only within the
    capacity that its owner has lent them. All other backends are handled as in ordinary operation.
 2. Until rows of all peers have arrived, or `PEER_TIMEOUT_S` has passed, slices are not computed from live
-   proxies: each proxy would consider itself the owner of every backend. Until then the owner of a backend is the
-   proxy that the hash of its id selects.
+   proxies: each proxy would consider itself the owner of every backend. Until then the owner of a backend is
+   the proxy that the hash of its id selects.
 3. Unresponsive backends are retried at short, even intervals: a failed connection attempt costs no backend
    anything, only the owner makes it, and an exponential backoff would delay the detection of their return.
 4. First attempts have priority over retries, most of which have missed their latency target: retries may use
@@ -112,7 +112,7 @@
     # Queries of the balancer
 
     def is_blocked(self, server: Backend, is_mine: bool, now: float) -> bool | None:
-        """Return whether this proxy may not send to a backend now; None to decide as in ordinary operation."""
+        """Return whether this proxy may not send to a backend now; None: as in ordinary operation."""
         if server in self.stepped_starts:
             return False
         if not self.on:
@@ -163,7 +163,7 @@
         )
 
     def adjust_retry_after(self, job: OpenRequest, retry_after: float, now: float) -> float:
-        """Return the Retry-After of a rejected request: `retry_after`, or a longer one in a recovery."""
+        """Return the Retry-After of a rejected request: `retry_after` unless first attempts have priority."""
         self.rejected_at = now
         if not (self.on and self.options.first_tries):
             return retry_after
@@ -223,11 +223,9 @@
                 self._restart_steps(server, 1.0)
         if server in self.stepped_starts and outcome.result is not api.Result.CANCELLED:
             request = job.request if job else None
-            latency_target = (
-                job.request_class.latency_target if job else self.settings.classes[0].latency_target
-            )
+            target_s = job.request_class.latency_target if job else self.settings.classes[0].latency_target
             lent = self.loans.lent_attempts(server, now)
-            steps.on_attempt_ended(server, request, latency_target, outcome, lent, now)
+            steps.on_attempt_ended(server, request, target_s, outcome, lent, now)
             server.capacity = max(1.0, server.stepped_capacity - lent)
             if outcome.result is api.Result.CONNECT_FAILED and self.options.trials:
                 server.retry_at = min(server.retry_at, now + self.rng.uniform(*TRIAL_INTERVAL_S))
