--- a/firvane/proxy/recovery/__init__.py
+++ b/firvane/proxy/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Coming back from a loss of power: what is trusted, what is asked, in which order service returns."""
+"""Recovery of the proxies after a power loss."""
--- a/firvane/proxy/recovery/messages.py
+++ b/firvane/proxy/recovery/messages.py
@@ -2,11 +2,12 @@
 
 Invariants:
 
-1. Each begins with `MESSAGE_PREFIX`, which the readers of other datagrams do not know and ignore: a proxy
-   without a recovery, or of an older version, loses nothing by it.
-2. Backends are identified by their tag, the 16 bits that rows use. Messages hold ages, never times: no two
-   clocks need agree.
-3. A message that does not fit its own counts is rejected, and changes nothing. None exceeds a datagram.
+1. Each message begins with `MESSAGE_PREFIX`. Readers of other datagrams ignore this prefix, so that proxies
+   without a recovery, or of an older version, are not affected.
+2. Backends are identified by their tag, the 16 bits that rows use. Messages contain ages, never times: clocks
+   of proxies need not agree.
+3. A message whose length does not match its counts is rejected, and changes nothing. No message exceeds a
+   datagram.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 
 WIRE_VERSION = 4
 MESSAGE_PREFIX = bytes((WIRE_VERSION,))
-HEADER = struct.Struct("<BBQ")  # version, kind, time in ms: a later one of a sender supersedes an earlier one
-REPLY = struct.Struct("<IffBB")  # list version, scale, s since a response, warm, how many cold backends
-COLD_BACKEND = struct.Struct("<HH")  # a tag, and its age in tenths of a second
-LOAN = struct.Struct("<HB")  # a tag, and how many attempts may be in flight there
+HEADER = struct.Struct("<BBQ")  # version, kind, time in ms: later messages of a sender supersede earlier ones
+REPLY = struct.Struct("<IffBB")  # list version, scale, s since a response, warm, number of cold backends
+COLD_BACKEND = struct.Struct("<HH")  # tag, age in tenths of a second
+LOAN = struct.Struct("<HB")  # tag, attempts that may be in flight
 MAX_COLD_BACKENDS = 55  # in one message
 REQUEST_KIND = 1
 REPLY_KIND = 2
 LOAN_KIND = 3
-NEVER_S = 1e6  # time since a response, where there was none
+NEVER_S = 1e6  # time since the last response, if there was none
 MAX_SCALE = 1e9
 MAX_AGE = 0xFFFF  # in tenths of a second
 MAX_LOAN = 255
@@ -32,31 +33,31 @@
 
 
 class StateRequest(NamedTuple):
-    """Asks a peer for its state."""
+    """A request for the state of a peer."""
 
 
 class StateReply(NamedTuple):
     """The state of a proxy."""
 
-    list_version: int  # of the endpoint list; 0: none from discovery itself
-    scale: float  # responses a second and weight of a warm backend; 0: not known
-    idle_s: float  # since its last response from any backend
-    is_warm: bool  # it is in no recovery itself
+    list_version: int  # of the endpoint list; 0: not received from discovery yet
+    scale: float  # responses per second and unit of weight of a warm backend; 0: unknown
+    idle_s: float  # since the last response of any backend
+    is_warm: bool  # the proxy is in no recovery
     cold_ages_s: dict[int, float]  # time since the start of backends that are cold, by tag
 
 
 class CapacityLoan(NamedTuple):
-    """The owner of a backend has capacity to spare there."""
+    """Capacity of a backend that its owner lends to a peer."""
 
     tag: int
-    max_attempts: int  # that may be in flight; 0 takes it back
+    max_attempts: int  # that may be in flight; 0 ends the loan
 
 
 Message = StateRequest | StateReply | CapacityLoan
 
 
 class ReceivedMessage(NamedTuple):
-    """A message, and when it was sent by its sender's clock."""
+    """A message, and its send time on the sender's clock."""
 
     sent_at_ms: int
     message: Message
@@ -65,7 +66,7 @@
 def encode(message: Message, now: float) -> bytes:
     """Return the payload of a message that is sent at `now`, in seconds.
 
-    Of the cold backends of a reply those with the lowest ages are sent where not all fit.
+    A reply contains the youngest cold backends if not all fit.
     """
     at_ms = int(now * 1000)
     if isinstance(message, StateRequest):
@@ -86,21 +87,21 @@
     """Return the message of a payload.
 
     Raises:
-        ValueError: The payload is no message of a recovery.
-        struct.error: It is cut off.
+        ValueError: The payload is not a recovery message.
+        struct.error: The payload is truncated.
     """
     version, kind, at_ms = HEADER.unpack_from(payload)
     body = payload[HEADER.size :]
     if version != WIRE_VERSION:
-        raise ValueError("not a message of a recovery")
+        raise ValueError("not a recovery message")
     if kind == REQUEST_KIND and not body:
         return ReceivedMessage(at_ms, StateRequest())
     if kind == LOAN_KIND:
         return ReceivedMessage(at_ms, CapacityLoan(*LOAN.unpack(body)))
     if kind != REPLY_KIND:
-        raise ValueError("a message that is not known")
+        raise ValueError("unknown kind of recovery message")
     list_version, scale, idle_s, warm, count = REPLY.unpack_from(body)
     cold = {tag: age / AGES_PER_S for tag, age in COLD_BACKEND.iter_unpack(body[REPLY.size :])}
     if len(cold) != count or not (0.0 <= scale < MAX_SCALE) or not (0.0 <= idle_s <= NEVER_S):
-        raise ValueError("an answer that does not fit itself")
+        raise ValueError("state reply with a wrong count or a number out of range")
     return ReceivedMessage(at_ms, StateReply(list_version, scale, idle_s, warm == 1, cold))
--- a/firvane/proxy/recovery/state_machine.py
+++ b/firvane/proxy/recovery/state_machine.py
@@ -2,13 +2,13 @@
 
 Invariants:
 
-1. What is in `TRANSITIONS` happens; an event that is not in it for a state changes nothing.
-2. No state ends by time alone. A recovery is over when its backends are shown to be warm, or when for
-   `CALM_PERIOD_S` all that was asked found capacity; a wait for peers ends because they have reported
-   nothing, which is an event: then nobody is known to be warm.
-3. A proxy that starts is not over until it has reports of warm peers or has found its backends itself. One
-   that runs comes back into the table when half of its backends are cold: power can fail for them alone, and
-   again.
+1. All transitions are in `TRANSITIONS`; an event without an entry for the current state changes nothing.
+2. No state ends by time alone. A recovery ends when its backends are known to be warm, or when no request was
+   rejected for lack of capacity for `CALM_PERIOD_S`. A wait for peers ends with the event that they have not
+   reported: no peer is known to be warm then.
+3. A starting proxy stays in recovery until peers report that they are warm or its own backends have
+   recovered. A running proxy enters recovery again when half of its backends are cold: power can fail for the
+   backends alone, and repeatedly.
 4. Each transition has a reason in words, for the log and the admin API.
 """
 
@@ -17,22 +17,22 @@
 from enum import Enum
 from typing import NamedTuple
 
-CALM_PERIOD_S = 3.0  # in which everything found capacity
-PEER_TIMEOUT_S = 0.5  # for peers to report that they are warm: ten times what a datagram takes
+CALM_PERIOD_S = 3.0  # without a request that found no capacity
+PEER_TIMEOUT_S = 0.5  # for peers to report that they are warm: ten times the transit time of a datagram
 
 
 class RecoveryState(Enum):
     """The state of a recovery; the values are shown to operators."""
 
-    NO_ENDPOINTS = "listless"  # no endpoint list yet: all requests are rejected
-    ASKING_PEERS = "asking"  # backends are tried meanwhile; peers may report that they are warm
-    PROBING = "trials"  # each backend is tried by its owner; none has answered
-    GROWING = "growing"  # capacities are found by steps
+    NO_ENDPOINTS = "listless"  # no endpoint list yet, so all requests are rejected
+    ASKING_PEERS = "asking"  # waiting for reports of warm peers; backends are tried meanwhile
+    PROBING = "trials"  # each backend is tried by its owner; none has responded
+    GROWING = "growing"  # capacities are increased by steps
     OVER = "over"  # ordinary operation
 
 
 class RecoveryEvent(Enum):
-    """What leads from one state to the next; the values are shown to operators."""
+    """The causes of transitions; the values are shown to operators."""
 
     LISTED = "listed"
     PEERS_WARM = "peers are warm"
@@ -76,13 +76,13 @@
 
 
 class RecoveryStateMachine:
-    """The state that a proxy is in, since when, and why. Times are seconds on one clock."""
+    """The current state of a recovery, its start and its reason. Times are seconds on one clock."""
 
     def __init__(self, now: float) -> None:
         self.state = RecoveryState.NO_ENDPOINTS
         self.since = now
         self.reason = "it has just started"
-        self.transitions: list[Transition] = []  # that have not been taken
+        self.transitions: list[Transition] = []  # since the last `take_transitions`
 
     @property
     def is_active(self) -> bool:
@@ -90,7 +90,7 @@
         return self.state is not RecoveryState.OVER
 
     def apply(self, event: RecoveryEvent, now: float, detail: str = "") -> bool:
-        """Handle an event; return whether it has changed the state."""
+        """Handle an event; return whether the state has changed."""
         new = TRANSITIONS[self.state].get(event)
         if new is None:
             return False
--- a/firvane/proxy/recovery/steps.py
+++ b/firvane/proxy/recovery/steps.py
@@ -2,18 +2,18 @@
 
 Invariants:
 
-1. A backend has one sender while its capacity is found, its owner. So what is in flight there is known here,
-   and no estimate of a peer is added to it.
-2. It begins with one attempt in flight. Each quick response while its capacity is used allows one more, which
-   doubles the capacity with each round trip; after the first response that is not quick it grows additively.
-3. A response that takes most of the latency target cuts the capacity, once in the time that a response takes;
-   a rejection and a failure cut it deeper. It never falls below one.
-4. Only responses count: within any time a backend is sent no more than it has answered in it, its capacity,
-   and what clients gave up, each of which cuts the capacity. That keeps it from being overloaded, whatever
-   its size, and whatever was restored of it.
-5. The work pace of a backend is what its last responses took for their work. A request that would exceed its
-   latency target there is not sent: its response is worth nothing, and would slow all others. That holds for
-   as long as responses come: a backend that nothing is sent to would never show that it has warmed up.
+1. During its slow start only the owner of a backend sends to it. So the owner knows all attempts in flight,
+   and adds no estimates of peers.
+2. The capacity begins at one attempt in flight. While it is used, each quick response raises it by one, which
+   doubles it with each round trip; after the first response that is not quick it grows additively.
+3. A response that takes most of the latency target cuts the capacity, at most once per response time; a
+   rejection or a failure cuts it more. The capacity never falls below one.
+4. Only responses raise the capacity: within any period a backend receives no more attempts than its responses
+   in that period, plus its capacity, plus the attempts that clients gave up, each of which cuts the capacity.
+   That prevents overload, whatever the backend's size and the restored capacity.
+5. The work pace of a backend is the time per unit of work of its last responses. A request that would exceed
+   its latency target there is not sent: its response would be useless, and would slow all others. The pace
+   decays while no responses arrive: a backend that receives no requests could never show that it is warm.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 
-QUICK_SHARE = 0.55  # of the latency target: a response up to it allows more
-LATE_SHARE = 0.8  # of the latency target: a response above it cuts the capacity
-LATE_FACTOR = 0.85  # what a late response leaves of the capacity
-FAILURE_FACTOR = 0.6  # what a failure or a rejection leaves of it
-PACE_DECAY = 0.84  # of the work pace, in a window without attempts: half of it after a second
+QUICK_SHARE = 0.55  # of the latency target: faster responses raise the capacity
+LATE_SHARE = 0.8  # of the latency target: slower responses cut the capacity
+LATE_FACTOR = 0.85  # by which a late response multiplies the capacity
+FAILURE_FACTOR = 0.6  # by which a failure or a rejection multiplies it
+PACE_DECAY = 0.84  # of the work pace, per window without attempts: halves it in a second
 MIN_CUT_INTERVAL_S = 0.1
-MIN_USED_SHARE = 0.7  # of the capacity in flight, for a response to say anything of it
-PACE_WEIGHT = 0.25  # of one response in the work pace
-MAX_FIRST_CAPACITY = 8.0  # attempts that a backend may begin with, whatever was restored
-MAX_LATENCY_SHARE = 1.0  # of the latency target that a request may be expected to take
+MIN_USED_SHARE = 0.7  # of the capacity in flight, below which a response does not raise the capacity
+PACE_WEIGHT = 0.25  # of one response in the moving average of the work pace
+MAX_FIRST_CAPACITY = 8.0  # attempts: bound on a restored capacity at the start
+MAX_LATENCY_SHARE = 1.0  # of the latency target: bound on the expected time of a request
 
 
 def begin(server: Backend, capacity: float = 1.0) -> None:
-    """Begin the slow start of a backend, with a capacity of so many attempts."""
+    """Begin the slow start of a backend with a capacity in attempts, at least 1."""
     server.stepped_capacity, server.is_stepping, server.stepped_at, server.work_pace = (
         max(1.0, capacity),
         True,
@@ -55,11 +55,11 @@
     """Adapt the capacity to the end of an attempt.
 
     Args:
-        server: The backend, whose `in_flight` does not count the attempt any more.
-        request: The request, where it is known.
+        server: The backend; its `in_flight` no longer counts the attempt.
+        request: The request, if it is known.
         latency_target: The latency target of its class, in seconds.
         outcome: How the attempt ended.
-        lent: How many attempts peers may have in flight there.
+        lent: Attempts that peers may have in flight at the backend.
         now: The current time, in seconds.
     """
     if outcome.result is api.Result.OK:
@@ -76,22 +76,24 @@
     elif outcome.result in (api.Result.OVERLOADED, api.Result.TIMEOUT, api.Result.CONNECTIONS_FULL):
         _cut(server, FAILURE_FACTOR, outcome.duration, now)
     elif outcome.result in (api.Result.CONNECT_FAILED, api.Result.RESET):
-        begin(server)  # whatever it was, another process answers next
+        begin(server)  # the process has probably ended: the next response will come from a new one
 
 
 def _cut(server: Backend, factor: float, duration_s: float, now: float) -> None:
-    """Cut the capacity, once for all that was in flight together: they were late together."""
+    """Cut the capacity, once for all attempts that were in flight together: their delays have one cause."""
     server.is_stepping = False
-    if now >= server.stepped_at + max(duration_s, MIN_CUT_INTERVAL_S):  # rejections and resets take no time
+    if now >= server.stepped_at + max(
+        duration_s, MIN_CUT_INTERVAL_S
+    ):  # rejections and resets are instantaneous
         server.stepped_capacity, server.stepped_at = max(1.0, factor * server.stepped_capacity), now
 
 
 def decay_pace(server: Backend) -> None:
-    """Once a window: decay the work pace where nothing is in flight."""
+    """Decay the work pace if nothing is in flight; called once per window."""
     if not server.in_flight:
         server.work_pace *= PACE_DECAY
 
 
 def fits_target(server: Backend, work: float | None, left: float) -> bool:
-    """Whether a request of so much work is expected to take no more than `left` seconds."""
+    """Return whether a request with this amount of work is expected to take at most `left` seconds."""
     return not work or server.work_pace * work <= MAX_LATENCY_SHARE * left
--- a/firvane/proxy/snapshots/__init__.py
+++ b/firvane/proxy/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""What a proxy keeps over its end: its types and how they age, their form on disk, the file."""
+"""Estimates and endpoint lists that a proxy stores on disk for its next process."""
--- a/firvane/proxy/snapshots/file.py
+++ b/firvane/proxy/snapshots/file.py
@@ -1,13 +1,13 @@
-"""The file of a proxy's snapshots: read at the start, written beside the loop, and once more at the end.
+"""The snapshot file of a proxy: read at the start, written off the event loop, and once more at the end.
 
 Invariants:
 
-1. The file is one complete snapshot or the one before it. Two processes on one file each write complete ones;
-   the later one stands.
-2. A file that cannot be read or used is logged once, and the start goes on without it. It stays as it is
+1. The file always contains one complete snapshot. If two processes use one file, each writes complete
+   snapshots, and the last write wins.
+2. A file that cannot be read or used is logged once, and the start continues without it. It stays unchanged
    until the first snapshot of this process replaces it.
-3. A write that fails (a full disk, a read-only folder) is logged once, and again only after one has
-   succeeded; the next is tried at its time. Nothing waits for a write but the next one.
+3. A failed write (a full disk, a read-only folder) is logged once, and again only after a successful write.
+   The next write is tried at its regular time. Only the next write waits for one in progress.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from firvane.proxy.snapshots import format
 from firvane.proxy.snapshots.types import Snapshot, make_snapshot, restore_estimates
 
-LEFTOVER_AGE_S = 60.0  # after which a temporary file is no process's any more: a write takes a moment
-RunOffLoop = Callable[[Callable[[], None]], None]  # runs the work, off the loop where there is a way
+LEFTOVER_AGE_S = 60.0  # after which a temporary file counts as abandoned: writes take far less
+RunOffLoop = Callable[[Callable[[], None]], None]  # runs the work, off the event loop if possible
 
 
 class RestoredSnapshot(NamedTuple):
-    """What a proxy restores."""
+    """The restored content of a snapshot."""
 
     estimates: api.RestoredEstimates
-    listed: Any  # the endpoint list in discovery's form; None: none was known
+    listed: Any  # the endpoint list in discovery's format; None if none was known
 
 
 def read(path: str | os.PathLike[str]) -> Snapshot:
@@ -44,14 +44,14 @@
 
     Raises:
         OSError: The file cannot be read.
-        DamagedDataError: It holds no valid snapshot.
+        DamagedDataError: The file does not contain a valid snapshot.
     """
     with Path(path).open("rb") as file:
         if not stat.S_ISREG(os.fstat(file.fileno()).st_mode):
-            raise DamagedDataError("it is no file")
+            raise DamagedDataError("not a regular file")
         data = file.read(format.MAX_SNAPSHOT_BYTES + 1)
     if len(data) > format.MAX_SNAPSHOT_BYTES:
-        raise DamagedDataError(f"it is longer than {format.MAX_SNAPSHOT_BYTES >> 20} MB")
+        raise DamagedDataError(f"longer than {format.MAX_SNAPSHOT_BYTES >> 20} MB")
     return format.decode(data)
 
 
@@ -65,13 +65,13 @@
         log: Log,
         run_off_loop: RunOffLoop | None = None,
     ) -> None:
-        """Touch no file yet.
+        """Create a store; no file is accessed yet.
 
         Args:
             path: The file.
             proxy: The name of the proxy.
-            log: Takes a line for a file that is rejected or cannot be written.
-            run_off_loop: Runs the writes; None gives them a thread of their own.
+            log: For files that are rejected or cannot be written.
+            run_off_loop: Runs the writes; None for a dedicated thread.
         """
         self.path = Path(path)
         self.proxy = proxy
@@ -79,13 +79,13 @@
         self.thread = None if run_off_loop else make_worker("snapshot")
         self.run_off_loop: RunOffLoop = run_off_loop or self._run_in_thread
         self.writing = False
-        self.failed = False  # the last write
+        self.failed = False  # whether the last write failed
         self.written = 0
 
     def load(self, now: float) -> RestoredSnapshot | None:
-        """Return what the file holds, `now` in Unix time; None where that is of no use, which is logged.
+        """Return the content of the file, aged to `now` in Unix time; log and return None if it is unusable.
 
-        Temporary files that killed processes have left are removed.
+        Removes temporary files of killed processes.
         """
         for temporary in self.path.parent.glob(f".{self.path.name}.*"):
             with contextlib.suppress(OSError):
@@ -102,19 +102,19 @@
         return None
 
     def save(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
-        """Write a snapshot, unless the one before is still being written.
+        """Write a snapshot, unless the previous one is still being written.
 
         Args:
             now: Unix time.
-            make_list: Returns the endpoint list in discovery's form; called where the file is written.
-            estimates: What is restored by the next process.
+            make_list: Returns the endpoint list in discovery's format; called in the thread that writes.
+            estimates: The estimates that the next process restores.
         """
         if not self.writing:
             self.writing = True
             self.run_off_loop(lambda: self._write(now, make_list, estimates))
 
     def close(self, now: float, make_list: Callable[[], Any], estimates: api.RestoredEstimates) -> None:
-        """Write the last snapshot: it is on disk, or has failed, when this returns."""
+        """Write the last snapshot, and return once it is on disk or has failed."""
         if self.thread:
             self.thread.shutdown(wait=True)
         self._write(now, make_list, estimates)
@@ -140,7 +140,7 @@
 
 
 def describe(snapshot: Snapshot, age_s: float) -> dict[str, Any]:
-    """Return the figures of a snapshot for operators, by the names that the command shows."""
+    """Return a summary of a snapshot, by the names that the command shows to operators."""
     listed = snapshot.listed or {}
     return {
         "proxy": snapshot.proxy,
--- a/firvane/proxy/snapshots/format.py
+++ b/firvane/proxy/snapshots/format.py
@@ -2,8 +2,8 @@
 
 Invariants:
 
-1. A version above `types.FORMAT_VERSION` is rejected; older ones are read, each by a conversion of its own.
-2. Every rejection is one `DamagedDataError` with a reason of one line.
+1. A version above `types.FORMAT_VERSION` is rejected; older ones are converted when they are read.
+2. Every rejection raises one `DamagedDataError` with a reason of one line.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Return the content of a snapshot's file."""
+    """Return the content of a snapshot file."""
     return add_header(MAGIC, FORMAT_VERSION, msgspec.msgpack.encode(snapshot))
 
 
 def decode(data: bytes) -> Snapshot:
-    """Return the snapshot in a file's content.
+    """Return the snapshot in the content of a file.
 
     Raises:
-        DamagedDataError: It holds no valid snapshot.
+        DamagedDataError: The content is not a valid snapshot.
     """
     version, body = verify(data, MAGIC, FORMAT_VERSION, "snapshot")
     try:
@@ -38,11 +38,11 @@
             raw = convert_format_1(raw)
         snapshot = msgspec.convert(raw, Snapshot)
     except (msgspec.MsgspecError, TypeError, KeyError, ValueError, RecursionError) as error:
-        raise DamagedDataError(f"its words do not fit: {error}") from None
+        raise DamagedDataError(f"its fields are invalid: {error}") from None
     numbers = [snapshot.saved_at, snapshot.scale, *snapshot.kinds.values()]
     numbers += [number for box in snapshot.boxes.values() for number in (box.room, box.start or 0.0)]
     if not all(isfinite(number) and number >= 0.0 for number in numbers):
-        raise DamagedDataError("it holds a number that is below 0 or none")
+        raise DamagedDataError("it contains a number that is negative or not finite")
     return snapshot
 
 
@@ -54,7 +54,7 @@
 
 
 def make_older(data: bytes, seconds: float) -> bytes:
-    """Return the same snapshot as if it were that much older: for simulations."""
+    """Return a snapshot that is older by a number of seconds, for simulations."""
     snapshot = decode(data)
     saved_at = max(0.0, snapshot.saved_at - seconds)
     return encode(msgspec.structs.replace(snapshot, saved_at=saved_at))
--- a/firvane/proxy/snapshots/types.py
+++ b/firvane/proxy/snapshots/types.py
@@ -1,14 +1,14 @@
-"""The content of a snapshot, and how each field is restored.
+"""The content of a snapshot, and the rules for restoring each field.
 
 Invariants:
 
-1. `RESTORE_RULES` says of each field how it is restored, until when, and what confirms it. What is not in it
-   is neither stored nor read.
-2. No health verdict is stored: no suspicion, time-out, failure or full table.
-3. What is restored is a prior: it says where to begin, and the first observation of this process overrules
-   it. It opens no backend's budget; the steps of a recovery start a little higher.
-4. An age below 0 (the clock has stepped back) counts as unknown, which is `MAX_AGE_S`: priors are gone by
-   then, the endpoint list stands until discovery updates it.
+1. `RESTORE_RULES` lists for each field how it is restored, for how long, and what confirms it. No other field
+   is stored or read.
+2. No health state is stored: no suspicion, time-out, failure or exhausted connection table.
+3. Restored values are priors: initial values that the first observation of this process replaces. They open
+   no backend; a recovery only begins its steps at a slightly higher capacity.
+4. A negative age (the clock was set back) is treated as `MAX_AGE_S`: no priors are restored, and the endpoint
+   list is valid until discovery updates it.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 SECONDS_PER_DAY = 86_400
 SECONDS_PER_HOUR = 3600
 SECONDS_PER_MINUTE = 60
-MAX_AGE_S = 7.0 * SECONDS_PER_DAY  # from which on only the endpoint list is restored
+MAX_AGE_S = 7.0 * SECONDS_PER_DAY  # from this age on only the endpoint list is restored
 SCALE_HALF_LIFE_S = 6.0 * SECONDS_PER_HOUR
 CAPACITY_HALF_LIFE_S = 600.0
-DEFAULT_CAPACITY = 4.0  # attempts, of a backend that nothing is known of
+DEFAULT_CAPACITY = 4.0  # attempts, of an unknown backend
 
 
 class RestoreMode(Enum):
-    """How a field is restored; the values are shown to operators."""
+    """Ways to restore a field; the values are shown to operators."""
 
     AS_IS = "as it is"
     PRIOR = "as a prior that evidence overrules"
@@ -40,7 +40,7 @@
 
 
 class RestoreRule(NamedTuple):
-    """One row of the table, as it is shown to operators."""
+    """How one field is restored, as it is shown to operators."""
 
     field: str
     mode: RestoreMode
@@ -71,20 +71,20 @@
 
 
 class StoredBackend(Struct, frozen=True, kw_only=True):
-    """One backend; the names of the fields are the file's format."""
+    """A stored backend; the names of the fields are part of the file format."""
 
     room: float  # the capacity for this proxy, in attempts
-    start: float | None = None  # the last start in Unix time, where that is known
+    start: float | None = None  # the last start in Unix time, if known
 
 
 class Snapshot(Struct, frozen=True, kw_only=True):
-    """What is stored of a proxy; the names of the fields are the file's format."""
+    """The stored state of a proxy; the names of the fields are part of the file format."""
 
     saved_at: float  # Unix time
     proxy: str
-    listed: dict[str, Any] | None = None  # the endpoint list in discovery's form; None: none was known
-    scale: float = 0.0  # answers a second and weight of a warm backend; 0: not known
-    kinds: dict[str, float] = {}  # the same by kind
+    listed: dict[str, Any] | None = None  # the endpoint list in discovery's format; None if none was known
+    scale: float = 0.0  # responses per second and unit of weight of a warm backend; 0: unknown
+    kinds: dict[str, float] = {}  # the scale by kind of backend
     boxes: dict[str, StoredBackend] = {}  # backends by name
 
 
@@ -108,13 +108,13 @@
 
 
 def age_s(snapshot: Snapshot, now: float) -> float:
-    """Return the seconds since it was saved; `MAX_AGE_S` where the clocks do not fit."""
+    """Return the seconds since a snapshot was saved; `MAX_AGE_S` if its time is after `now`."""
     age = now - snapshot.saved_at
     return age if isfinite(age) and 0.0 <= age < MAX_AGE_S else MAX_AGE_S
 
 
 def restore_estimates(snapshot: Snapshot, now: float) -> api.RestoredEstimates:
-    """Return what the decisions get of a snapshot at `now`, in Unix time."""
+    """Return the estimates of a snapshot, aged to `now`, in Unix time."""
     age = age_s(snapshot, now)
     if age >= MAX_AGE_S:
         return api.RestoredEstimates(age)
--- a/tests/proxy/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -88,12 +88,12 @@
     [
         (FORMAT_VERSION + 1, {}, "reads up to"),
         (0, {}, "of format 0"),
-        (FORMAT_VERSION, {"scale": float("nan")}, "below 0 or none"),
-        (FORMAT_VERSION, {"kinds": {"big": -1.0}}, "below 0 or none"),
-        (FORMAT_VERSION, {"boxes": 3}, "words do not fit"),
-        (FORMAT_VERSION, {"saved_at": None}, "words do not fit"),
-        (1, {"rooms": {"a": "x"}, "starts": {}}, "words do not fit"),
-        (1, {}, "words do not fit"),
+        (FORMAT_VERSION, {"scale": float("nan")}, "negative or not finite"),
+        (FORMAT_VERSION, {"kinds": {"big": -1.0}}, "negative or not finite"),
+        (FORMAT_VERSION, {"boxes": 3}, "fields are invalid"),
+        (FORMAT_VERSION, {"saved_at": None}, "fields are invalid"),
+        (1, {"rooms": {"a": "x"}, "starts": {}}, "fields are invalid"),
+        (1, {}, "fields are invalid"),
     ],
 )
 def test_words_that_do_not_fit_are_refused(version: int, change: dict[str, Any], why: str) -> None:
@@ -137,11 +137,11 @@
     own = Recovery(
         api.RecoveryOptions(), told, BackendEstimates(told, random.Random(1), 0.0), random.Random(1), 0.0
     )
-    own.remember(api.RestoredEstimates(0.0, scale, {}, {"a": room}, {"a": 5.0 if same else 1.0}), {})
+    own.restore(api.RestoredEstimates(0.0, scale, {}, {"a": room}, {"a": 5.0 if same else 1.0}), {})
     box = Backend(api.Server(name, up_since=5.0), 1, 1.0, None)
     box.failures = fails
-    own.listed([box], api.ServerList(api.ListKind.CACHED, 1), 0.0)
-    own.window({box}, {}, 0.1)
+    own.handle_list([box], api.ServerList(api.ListKind.CACHED, 1), 0.0)
+    own.end_window({box}, {}, 0.1)
     assert 1.0 <= box.capacity <= MAX_FIRST_CAPACITY
     if name != "a":  # a new id gets nothing of another's, wherever it is
         assert box.capacity == 1.0
