--- a/benchmarks/snapshots.py
+++ b/benchmarks/snapshots.py
@@ -102,11 +102,11 @@
         {"name": s.entry.id, "address": f"127.0.{n // 250}.{n % 250 + 1}:80", "status": "up", "zone": "a"}
         for n, s in enumerate(servers)
     ]
-    group.learn({"index": 1, "snapshot": True, "endpoints": endpoints})
+    group.apply_list({"index": 1, "snapshot": True, "endpoints": endpoints})
     turns, packs, data = [], [], b""
     for _ in range(times):
         begun = time.perf_counter()
-        listed, kept = group.listed(), recovery.estimates_to_save(servers, ("k",))
+        listed, kept = group.list_formatter(), recovery.estimates_to_save(servers, ("k",))
         turns.append(time.perf_counter() - begun)
         begun = time.perf_counter()
         data = format.encode(make_snapshot("p", 1e9, listed(), kept))
--- a/firvane/core/loop_delay.py
+++ b/firvane/core/loop_delay.py
@@ -5,7 +5,7 @@
 from bisect import bisect_left
 
 BOUNDS_MS = (5, 20, 50, 100, 500)  # upper bounds of the histogram's buckets; the last bucket has none
-HELD_S = 0.1  # a delay above it is worth an event of its own
+LONG_DELAY_S = 0.1  # a delay above it is worth an event of its own
 
 
 class LoopDelays:
@@ -24,7 +24,7 @@
         """Record a delay, and return whether the loop was held for long."""
         self.counts[bisect_left(BOUNDS_MS, 1000 * delay)] += 1
         self.longest = max(self.longest, delay)
-        return delay > HELD_S
+        return delay > LONG_DELAY_S
 
     def take(self) -> dict[str, float]:
         """Return the longest delay and the histogram as fields of a log event, and begin anew."""
--- a/firvane/core/net/http_message.py
+++ b/firvane/core/net/http_message.py
@@ -52,7 +52,7 @@
         "keep_alive",
         "method",
         "repeated_fields",
-        "sender_waits",
+        "is_sender_connected",
         "size",
         "status",
         "stream",
@@ -75,7 +75,9 @@
         self.version = b"1.1"
         self.exceeds_buffer = False  # its body is not buffered: it is passed on as it arrives
         self.stream: Stream | None = None  # the source of the rest of the body
-        self.sender_waits: PeerOpenCheck = always_true  # whether its sender still waits for the response
+        self.is_sender_connected: PeerOpenCheck = (
+            always_true  # whether its sender still waits for the response
+        )
 
     def content_length(self) -> int | None:
         """Bytes of its body by its header fields, or None where they do not say."""
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -154,7 +154,7 @@
                 await self.loop.create_datagram_endpoint(partial(_identity, peers), local_addr=own)
         self.core.start()
         if config.known:
-            self.group.learn(config.known)
+            self.group.apply_list(config.known)
         self.group.start()
         self.ads.start()
         self.server = grpc.aio.server(
@@ -206,9 +206,9 @@
             counts_as=old.counts_as,
         )
         if config.discovery and self.config.discovery:
-            self.group.move(config.discovery)
+            self.group.set_address(config.discovery)
         elif config.known and not self.config.discovery:
-            self.group.learn(config.known)
+            self.group.apply_list(config.known)
         self.log.info("config_reloaded", targets=len(self.group.servers))
         self.core.apply_settings(places(config, control_settings), control_settings)
 
--- a/firvane/proxy/limits/loop_budget.py
+++ b/firvane/proxy/limits/loop_budget.py
@@ -36,10 +36,10 @@
 
     queued: bool
 
-    def go_on(self, given: bool = False) -> None:
-        """Work as long as `spend` allows; `given`: whether it was queued for this iteration."""
+    def process_input(self, has_turn: bool = False) -> None:
+        """Work as long as `spend` allows; `has_turn`: whether it was queued for this iteration."""
 
-    def refuse(self) -> None:
+    def reject_unparsed(self) -> None:
         """Reject the pending request."""
 
 
@@ -117,7 +117,7 @@
         for _ in range(min(waiting, REJECTIONS_PER_ITERATION + min(MAX_EXTRA_REJECTIONS, waiting // 32))):
             worker = self.rejections.popleft()
             worker.queued = False
-            worker.refuse()
+            worker.reject_unparsed()
         if self.queue or self.low_priority or self.rejections:
             self._schedule()
 
@@ -127,4 +127,4 @@
                 return
             worker = queue.popleft()
             worker.queued = False
-            worker.go_on(given=True)
+            worker.process_input(has_turn=True)
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -100,7 +100,7 @@
             self.transport.abort()
             self._abort_upload()
 
-    def client_waits(self) -> bool:
+    def is_client_connected(self) -> bool:
         """Whether the client is still connected, asked before an attempt is sent for it."""
         if is_open := self.is_peer_open():
             return is_open
@@ -146,7 +146,7 @@
         if self.upload and not self.upload_paused:
             self.error = HttpError(408)  # the upload has stalled
             self._abort_upload()
-            self.go_on()
+            self.process_input()
         elif self.request_started and not self.flow and self._makes_progress(now):
             self.expires_at = now + PROGRESS_INTERVAL_S
         elif self.ending or self.write_blocked:
@@ -155,7 +155,7 @@
             self.expires_at = self.context.loop.time() + REQUEST_TIMEOUT_S
         elif self.request_started:
             self.error = HttpError(408)
-            self.go_on()
+            self.process_input()
         elif (
             self.has_no_input()
         ):  # else a request has come that the loop does not know of yet, and would be lost
@@ -165,7 +165,7 @@
         """Close the connection where it is idle, and reject a request that is incomplete."""
         if self.request_started and not self.has_pending_work():
             self.error = HttpError(503)
-            self.go_on()
+            self.process_input()
         elif self.is_idle() and self.has_no_input():
             self.transport.close()
 
@@ -209,9 +209,9 @@
                     context.loop_budget.queue_rejection(self)
                     return
         self.unparsed, self.offset = (self.unparsed[self.offset :] + data if self.unparsed else data), 0
-        self.go_on()
+        self.process_input()
 
-    def refuse(self) -> None:
+    def reject_unparsed(self) -> None:
         """Reject a request before it is parsed (called by `LoopBudget`)."""
         if self.ending:
             return
@@ -225,16 +225,16 @@
         if self.write_blocked:
             self._count_unread(self.idle_since + LINGER_TIMEOUT_S)
         if self.unparsed:
-            self.go_on()
+            self.process_input()
 
-    def go_on(self, given: bool = False) -> None:
-        """Process input as far as the turn allows; `given` where it has waited for this turn."""
+    def process_input(self, has_turn: bool = False) -> None:
+        """Process input as far as the turn allows; `has_turn` where it has waited for this turn."""
         if self.working:
             return
         self.working, loop_budget = True, self.context.loop_budget
         loop_budget.begin()
         while not self.queued and self._has_work():
-            if not given and (self.pipelined or self.context.exceeds_fair_rate(self)):
+            if not has_turn and (self.pipelined or self.context.exceeds_fair_rate(self)):
                 loop_budget.wait(self, low_priority=True)
             elif loop_budget.spend(self._cost()):
                 self._work()
@@ -263,7 +263,7 @@
 
     def _leased(self) -> None:
         self.awaiting_lease = False
-        self.go_on()
+        self.process_input()
 
     def _cost(self) -> int:
         """The cost of the next step, in units of the turn's budget."""
@@ -359,7 +359,7 @@
         if paused is not self.upload_paused:
             self.upload_paused = paused
             self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
-            self.go_on()
+            self.process_input()
 
     def _handle(self, message: Message) -> None:
         """Take up a request: reject it, or hand it to the engine."""
@@ -403,7 +403,7 @@
         deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
         self.flow.response_time = left if self.upload else 0.0
-        message.sender_waits = self.client_waits
+        message.is_sender_connected = self.is_client_connected
         self.charged_flow = FLOW_BYTES + (STREAM_WINDOW_BYTES if self.upload else message.size)
         context.account.charge(MemoryUse.FLOWS, self.charged_flow)
         self.request_count += 1
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -38,7 +38,7 @@
         charged_input: Bytes of memory charged for input that is no flow yet.
         charged_flow: The same for the flow.
         charged_output: The same for a response that the client has yet to read.
-        awaiting_lease: Reading is paused until a lease on memory for a large body is given.
+        awaiting_lease: Reading is paused until a lease on memory for a large body is granted.
         queued: It waits for its turn in the event loop (set by `LoopBudget`).
         pipelined: The input was sent behind a request that is in flight.
         policy_field: A header line for the response that names the policy, or b"".
@@ -48,7 +48,7 @@
         response_stream: The rest of the flow's response.
         chunked: That response is written in chunks.
         closes_after: The connection ends with it.
-        working: `go_on` is running.
+        working: `process_input` is running.
         counts: Counters of the class of a request that is to be rejected unparsed.
     """
 
@@ -84,8 +84,8 @@
         self.working = False
         self.counts: ClassCounters | None = None
 
-    def go_on(self, given: bool = False) -> None:
-        """Process input as far as the turn allows; `given` where it has waited for this turn."""
+    def process_input(self, has_turn: bool = False) -> None:
+        """Process input as far as the turn allows; `has_turn` where it has waited for this turn."""
         raise NotImplementedError
 
     def on_response_started(self, answer: Message) -> None:
@@ -209,7 +209,7 @@
                 self.transport.write_eof()
             else:
                 self.transport.close()
-        self.go_on()
+        self.process_input()
 
     def _count_unread(self, expires: float) -> None:
         """Charge what the client has yet to read, and abort at loop time `expires` in s if it has not."""
--- a/firvane/proxy/net/connection_limiter.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -15,7 +15,7 @@
 # request and stay would keep out clients that use theirs.
 SHORT_IDLE_TIMEOUTS_S = (0.5, 0.1, 2.0)
 SHORTEST_IDLE_TIMEOUTS_S = (0.2, 0.1, 1.0)  # where nothing but idle connections can be given up
-EVICTION_PART = 1 / 32  # of all connections, closed at once where none is free
+EVICTION_FRACTION = 1 / 32  # of all connections, closed at once where none is free
 EVICTION_INTERVAL_S = 0.02
 
 
@@ -31,7 +31,7 @@
     def sweep(self) -> None:
         """End connections that have been idle, or have left a request incomplete, for too long."""
         now = self.loop.time()
-        self.monitor.see_descriptors()
+        self.monitor.record_descriptor_usage()
         self.over_capacity = self.monitor.descriptors.free(Use.CLIENTS) < 0
         timeouts = (IDLE_TIMEOUT_S, IDLE_TIMEOUT_S, IDLE_TIMEOUT_S)
         if self.monitor.is_active(OverloadAction.SHORTEN_IDLE_TIMEOUT):
@@ -62,7 +62,7 @@
         """Close the connections with the least retention priority, the oldest first among equals."""
         descriptors = self.monitor.descriptors
         free = descriptors.free(Use.CLIENTS)
-        wanted = 1 + int((descriptors.open[Use.CLIENTS] + free) * EVICTION_PART)
+        wanted = 1 + int((descriptors.open[Use.CLIENTS] + free) * EVICTION_FRACTION)
         if free < wanted:
             others = (c for c in self.connections if not c.transport.get_write_buffer_size())
             spare = [(c.retention_priority(), n, c) for n, c in enumerate(others)]
--- a/firvane/proxy/net/discovery_watch.py
+++ b/firvane/proxy/net/discovery_watch.py
@@ -92,7 +92,7 @@
         head_complete: The head of the response is complete.
         response_complete: The response has ended.
         over: The watch has ended.
-        heard: When parts of the response arrived.
+        progress: When parts of the response arrived.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
         self.head_complete = self.response_complete = False
         self.transport: asyncio.Transport | None = None
         self.over = False
-        self.heard = WatchProgress(clock(), None, None, None)
+        self.progress = WatchProgress(clock(), None, None, None)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request (asyncio)."""
@@ -127,7 +127,7 @@
         if self.over:  # it was ended while it was dialled
             self.transport.abort()
             return
-        self.heard = self.heard._replace(requested_at=self.clock())
+        self.progress = self.progress._replace(requested_at=self.clock())
         self.transport.write(self.request)
 
     def on_headers_complete(self) -> None:
@@ -147,7 +147,7 @@
         """Parse part of the response (asyncio)."""
         if self.over:
             return
-        self.heard = self.heard._replace(last_byte_at=self.clock())
+        self.progress = self.progress._replace(last_byte_at=self.clock())
         try:
             self.parser.feed_data(data)
             if self.head_complete and self.parser.get_status_code() != HTTP_OK:
@@ -155,7 +155,7 @@
                 return
             received, self.received = self.received, []
             for line in self.splitter.feed(b"".join(received)):
-                self.heard = self.heard._replace(last_line_at=self.clock())
+                self.progress = self.progress._replace(last_line_at=self.clock())
                 self.on_line(line)
                 if self.over:  # `on_line` has ended it
                     return
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -22,9 +22,9 @@
 from firvane.proxy.limits.overload import Level, Overload, OverloadAction, Resource
 
 SAMPLE_INTERVAL_S = 0.25
-LAG_PART = 0.25  # of the shortest latency target: a loop that lags more is under pressure
+LAG_FRACTION = 0.25  # of the shortest latency target: a loop that lags more is under pressure
 MIN_LAG_S = 0.01  # the loop counts whole ms, and a turn with requests takes some 3
-TURN_WAIT_PART = 0.1  # of the shortest latency target: the longest that a request may wait for its turn
+TURN_WAIT_FRACTION = 0.1  # of the shortest latency target: the longest that a request may wait for its turn
 INITIAL_RATE_PER_CORE = 1500.0  # requests a second, until the rate is measured
 STATM = "/proc/self/statm"
 PAGE_BYTES = resource.getpagesize()
@@ -110,7 +110,10 @@
         """Set the bounds on lag and waiting by the shortest latency target of the settings."""
         target = min(cls.latency_target for cls in settings.classes)
         # Targets shorter than a turn of the loop must not make each turn a sign of overload.
-        self.max_lag, self.loop_budget.max_wait_s = max(MIN_LAG_S, LAG_PART * target), TURN_WAIT_PART * target
+        self.max_lag, self.loop_budget.max_wait_s = (
+            max(MIN_LAG_S, LAG_FRACTION * target),
+            TURN_WAIT_FRACTION * target,
+        )
 
     def start(self) -> None:
         """Sample regularly from now on."""
@@ -118,7 +121,7 @@
             self.loop.time() + SAMPLE_INTERVAL_S, self._sample, self.loop.time() + SAMPLE_INTERVAL_S
         )
 
-    def see(self, what: Resource, figure: float) -> None:
+    def record_usage(self, what: Resource, figure: float) -> None:
         """Take in the usage of a resource, as a part of its limit; log a change of level."""
         step = self.overload.update(what, figure, self.loop.time())
         if step:
@@ -136,11 +139,11 @@
         """Whether an action against overload is in force."""
         return action in self.overload.active_actions
 
-    def see_descriptors(self) -> None:
+    def record_descriptor_usage(self) -> None:
         """Take in how many of the clients' descriptors are used."""
-        self.see(Resource.DESCRIPTORS, self.descriptors.usage(Use.CLIENTS))
+        self.record_usage(Resource.DESCRIPTORS, self.descriptors.usage(Use.CLIENTS))
 
-    def late_by(self, lag: float) -> None:
+    def record_lag(self, lag: float) -> None:
         """The event loop ran a timer `lag` seconds late."""
         self.lag = max(self.lag, lag)
         self._worst_lag = max(self._worst_lag, lag)
@@ -153,13 +156,13 @@
     def _sample(self, due: float) -> None:
         now = self.loop.time()
         span, self._sampled_at = now - self._sampled_at, now
-        self.late_by(now - due)
+        self.record_lag(now - due)
         used = self.usage()
         cpu, self._cpu = used.cpu - self._cpu, used.cpu
-        self.see(Resource.MEMORY, max(self.account.usage(), used.memory / self.limit))
-        self.see(Resource.LAG, self.lag / self.max_lag)
-        self.see(Resource.CPU, cpu / span / self.cores if span > 0 else 0.0)
-        self.see_descriptors()
+        self.record_usage(Resource.MEMORY, max(self.account.usage(), used.memory / self.limit))
+        self.record_usage(Resource.LAG, self.lag / self.max_lag)
+        self.record_usage(Resource.CPU, cpu / span / self.cores if span > 0 else 0.0)
+        self.record_descriptor_usage()
         self.lag = 0.0
         self._admit(span)
         self.loop.call_at(now + SAMPLE_INTERVAL_S, self._sample, now + SAMPLE_INTERVAL_S)
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -2,7 +2,7 @@
 
 Invariants:
 
-1. `move` and `stop` end the watch themselves rather than the task that they cancel: a line of the old
+1. `set_address` and `stop` end the watch themselves rather than the task that they cancel: a line of the old
    discovery that the loop reads before the task's turn would set the version that is asked of the new one.
 2. `limits/discovery_timing.py` decides when a watch has timed out, by what was received on it. A loop that
    was suspended finds the time over before it has read what arrived meanwhile: a watch is given up only where
@@ -38,14 +38,14 @@
 class TargetGroup:
     """Keeps the current endpoint list of discovery, and passes on every change.
 
-    Without an address there is no discovery: the list is the one given to `learn`.
+    Without an address there is no discovery: the list is the one given to `apply_list`.
 
     Attributes:
         index: The version of the list, or 0 for unknown.
         servers: The listed targets, by name.
         addresses: Their addresses, where the list is to be stored; else None.
         known: Some list was taken in, possibly a stored one.
-        heard: Set once discovery itself has sent the list.
+        progress: Set once discovery itself has sent the list.
         watch: The current watch.
         logged_at: Loop time in s of the last warning.
     """
@@ -85,7 +85,7 @@
         self.watch: DiscoveryWatch | None = None
         self.logged_at = float("-inf")
 
-    def learn(self, data: Any, cached: bool = False) -> None:
+    def apply_list(self, data: Any, cached: bool = False) -> None:
         """Take in a list or changes of it; where `EndpointListError` is raised nothing has changed.
 
         Args:
@@ -121,8 +121,8 @@
         self.index, self.known = update.version, True
         self.on_list(update)
 
-    def listed(self) -> Callable[[], dict[str, Any] | None]:
-        """A function that makes the current list in discovery's form, for `learn` of a later process.
+    def list_formatter(self) -> Callable[[], dict[str, Any] | None]:
+        """A function that makes the current list in discovery's form, for `apply_list` of a later process.
 
         It may be called in another thread: entries are never changed, only replaced.
         """
@@ -156,7 +156,7 @@
         if self.watch:  # at once: it could be read before the task is cancelled
             self.watch.end("it is no longer followed")
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Follow discovery at another address from now on.
 
         Its versions need not match those of the old one, so that the complete list is asked for; until it
@@ -184,45 +184,45 @@
         request = f"GET /discovery/hosts?watch=1&from={self.index} HTTP/1.1\r\nHost: {host}\r\n\r\n"
         on_end = partial(self._ended, ended)
         watch = DiscoveryWatch(
-            request.encode(), self.reader.max_line_bytes, self._take_in_line, on_end, self.loop.time
+            request.encode(), self.reader.max_line_bytes, self._handle_line, on_end, self.loop.time
         )
         self.watch = watch
         dial = self.loop.create_task(self._dial(watch, address))
         try:
             while not watch.over:
-                heard = watch.heard
-                if await self._times_out(ended, self.backoff.times_out_at(heard)):
+                progress = watch.progress
+                if await self._times_out(ended, self.backoff.times_out_at(progress)):
                     timed_out = True
-                    self.backoff.on_timeout(heard)
+                    self.backoff.on_timeout(progress)
                     watch.end("discovery has fallen silent")
         finally:
             dial.cancel()
             watch.end(f"it is no longer followed at {host}")
         return timed_out
 
-    def _heard(self) -> WatchProgress | None:
+    def _progress(self) -> WatchProgress | None:
         """What was received on the current watch."""
-        return self.watch.heard if self.watch else None
+        return self.watch.progress if self.watch else None
 
     async def _times_out(self, event: asyncio.Event, until: float) -> bool:
         """Whether loop time `until` passes without the event, and without anything received since."""
-        before = self._heard()
+        before = self._progress()
         try:
             async with asyncio.timeout_at(until):
                 await event.wait()
         except TimeoutError:
             await asyncio.sleep(SETTLE_DELAY_S)
         # The same object as before the delay, not only as old: the loop may have been suspended in it, too.
-        return not event.is_set() and self._heard() is before
+        return not event.is_set() and self._progress() is before
 
-    async def is_told(self, timeout: float) -> bool:
+    async def wait_until_listed(self, timeout: float) -> bool:
         """Whether discovery sends its list within `timeout` s, or in response to a call in flight then."""
         await self._times_out(self.list_received, self.loop.time() + timeout)
         # Where the loop was suspended the clock alone does not decide: a line that has arrived is read first,
         # and a call that could be made only now has the time that every call has.
         while not self.list_received.is_set():
             watch = self.watch
-            if await self._times_out(self.list_received, self.backoff.answer_deadline(self._heard())):
+            if await self._times_out(self.list_received, self.backoff.answer_deadline(self._progress())):
                 return False
             if watch and (
                 watch.over or watch is not self.watch
@@ -236,7 +236,7 @@
         except OSError as error:
             watch.end(str(error) or type(error).__name__)
 
-    def _take_in_line(self, line: bytes) -> None:
+    def _handle_line(self, line: bytes) -> None:
         if line.strip():
             # The version stays 0, unknown, where the line cannot be taken in for whatever reason: the next
             # watch begins with the complete list then.
@@ -244,7 +244,7 @@
             try:
                 data = json.loads(line)
                 self._check_version(data, index)
-                self.learn(data)
+                self.apply_list(data)
             except (ValueError, RecursionError) as error:
                 self.index = 0
                 raise EndpointListError(f"bad line from discovery: {error}") from None
@@ -263,7 +263,7 @@
 
     def _ended(self, ended: asyncio.Event, why: str) -> None:
         ended.set()
-        up = self.watch and self.watch.heard.requested_at is not None
+        up = self.watch and self.watch.progress.requested_at is not None
         self._warn("discovery_watch_ended" if up else "discovery_unreachable", why)
 
     def _warn(self, event: str, why: str) -> None:
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -1,16 +1,17 @@
-"""Connections to the targets: a pool for each target, with one exchange at a time on a connection.
-
-Rules of a run (an exchange on its way) and its connection:
-
-1. A run ends once. A cancelled run reports no end, and nothing more of it is written: its dial is cancelled,
-   or its connection is closed with whatever of the request the kernel has not taken.
-2. Each way to the first byte of a run, over an idle connection or a new one, passes `UpstreamPools._barred`:
-   neither the grace of its target nor its own time may be over, nor that in which it may begin, and its
-   client must still be there as far as the kernel knows. A run that is barred has not run.
-3. A request is written once its last byte is with the kernel. Where the connection breaks before that it has
-   not run; where it breaks later, or it is not known when, it may have run.
-4. A connection is not used again for `REUSE_DELAY_S` after a response: a second response would come within
-   milliseconds, and no response names its request. Until then a run dials.
+"""Connection pools for the targets, with one exchange at a time on a connection.
+
+Invariants of a run (an exchange on the network) and its connection:
+
+1. A run ends once. A cancelled run reports no end and writes nothing more: its dial is cancelled, or its
+   connection is closed with the part of the request that the kernel has not accepted.
+2. Before the first byte of a run is written, to an idle connection or a new one,
+   `UpstreamPools._reason_not_to_send` checks that the drain grace of its target, its deadline and its latest
+   start time have not passed, and that its client is still connected as far as the kernel knows. A run that
+   fails this check has not been executed.
+3. A request is written when the kernel has accepted its last byte. If the connection breaks before that, the
+   request was not executed; if it breaks later, or at an unknown time, the request may have been executed.
+4. A connection is not reused for `REUSE_DELAY_S` after a response: an unsolicited second response would arrive
+   within milliseconds, and responses do not name their requests. Until then runs dial new connections.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from firvane.proxy.limits.memory_costs import IDLE_TARGET_BYTES, STREAM_WINDOW_BYTES
 from firvane.proxy.net.resource_monitor import ResourceMonitor
 
-IDLE_PART = 0.5  # of the idle timeout in the settings, after which targets may close connections
-STREAM_TIMEOUT_S = 10.0  # without a byte of a streamed response whose reading is not paused
-BUFFERING_S = 0.2  # after its head for which a response of unknown length is buffered
+IDLE_TIMEOUT_FRACTION = 0.5  # of the idle timeout in the settings, by which targets may close connections
+STREAM_TIMEOUT_S = 10.0  # without a byte of a streamed response while reading is not paused
+BUFFERING_S = 0.2  # after its head, for which a response of unknown length is buffered
 MAX_INTERIM_RESPONSES: Final = 8  # 1xx
-REUSE_DELAY_S = 0.02  # after a response, in which more of it or the connection's end may still arrive
-GRACE_PART = 0.9  # of a target's grace: a first byte sent at the very end could arrive after it
+REUSE_DELAY_S = 0.02  # after a response, while more data or the end of the connection may arrive
+DRAIN_GRACE_FRACTION = 0.9  # of the drain grace: a first byte sent at its very end could arrive after it
 HTTP_SWITCHING_PROTOCOLS: Final = 101
 HTTP_OK: Final = 200  # and the first status of a final response
 REJECTED_STATUSES = (503, 504)
@@ -48,7 +49,7 @@
 
 
 class Pool:
-    """One target: its address, whether it takes requests, and its idle connections, newest last.
+    """One target: its address, whether it drains, and its idle connections, newest last.
 
     Attributes:
         draining_since: Loop time in s at which the target was listed as draining or removed, or None.
@@ -60,15 +61,15 @@
         self.draining_since: float | None = None
         self.idle: list[Connection] = []
 
-    def take(self, settled: float) -> Connection | None:
-        """Remove and return the newest connection that has been idle since loop time `settled` (rule 4)."""
+    def take(self, idle_before: float) -> Connection | None:
+        """Remove and return the newest connection that became idle by loop time `idle_before` (invariant 4)."""
         for position in range(len(self.idle) - 1, -1, -1):
-            if self.idle[position].idle_since <= settled:
+            if self.idle[position].idle_since <= idle_before:
                 return self.idle.pop(position)
         return None
 
     def close_idle(self, before: float = float("inf")) -> None:
-        """Close the connections that fell idle before a loop time in s."""
+        """Close the connections that became idle before a loop time in s."""
         close_idle(self.idle, before)
 
 
@@ -77,21 +78,21 @@
 
 
 class Connection(BoundedReadProtocol):
-    """One connection to a target; it is in its pool whenever it is idle.
+    """One connection to a target; while idle it is in the pool.
 
     Attributes:
-        malformed: The last input was no valid response.
+        malformed: The last input was not a valid response.
         interim_count: 1xx responses to the current request.
         run: The run that uses the connection.
-        written: The last byte of the request is with the kernel.
+        written: The kernel has accepted the last byte of the request.
         charged: Bytes charged for a response that is incomplete.
-        awaiting_lease: Reading is paused until a lease on memory for a large response is given.
+        awaiting_lease: Reading is paused until a memory lease for a large response is granted.
         head_received_at: When the head of the response arrived.
-        response_stream: A long response that is being passed on to its client.
-        paused: The client takes no more of it now.
-        progress_at: When some of it last arrived.
-        upload: A long request that is being passed on from its client.
-        chunked: That request is written in chunks.
+        response_stream: A long response that is being forwarded to its client.
+        paused: Reading is paused because the client does not accept more of the response.
+        progress_at: When data of the response last arrived.
+        upload: A long request that is being forwarded from its client.
+        chunked: The long request is written with chunked transfer coding.
     """
 
     def __init__(self, owner: UpstreamPools, pool: Pool, has_no_input: NoInputCheck) -> None:
@@ -113,18 +114,18 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has its transport (asyncio)."""
+        """Set the transport of the connection (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.owner.monitor.account.charge(MemoryUse.TARGETS, IDLE_TARGET_BYTES)
-        # Without a buffer, writes go to the kernel at once, and `resume_writing` reports when the rest has
-        # gone: only so is it known whether the connection broke before or after the last byte.
+        # Without a write buffer, writes go to the kernel at once, and `resume_writing` reports when the kernel
+        # has accepted the rest. That tells whether the connection broke before or after the last byte.
         self.transport.set_write_buffer_limits(0)
 
     def send(self, run: Run) -> None:
         """Write the request of a run."""
         now = self.owner.loop.time()
         left = max(1, int((run.exchange.deadline - now) * 1000))
-        if run.request.stream:  # its time is counted from its last byte
+        if run.request.stream:  # its budget is counted from its last byte
             left = min(left, int(run.request.fields.get(b"x-budget-ms", b"1")))
         self.run, run.connection, self.written, self.interim_count = run, self, False, 0
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
@@ -142,10 +143,10 @@
             run.exchange.on_request_sent()
 
     def usable(self) -> bool:
-        """Whether nothing has arrived on it while it was idle.
+        """Return whether nothing has arrived on the connection while it was idle.
 
-        The end of the connection would reset the next request, and more of the last response would pass for
-        the response to it.
+        If it has ended, the next request would be reset; more data of the last response would be taken for the
+        next response.
         """
         return not self.transport.is_closing() and self.has_no_input()
 
@@ -171,7 +172,7 @@
             (self.transport.pause_reading if paused else self.transport.resume_reading)()
 
     def resume_writing(self) -> None:
-        """All that was written is with the kernel (asyncio)."""
+        """Handle that the kernel has accepted all written data (asyncio)."""
         if self.upload:
             self.upload.set_paused(False)
         elif self.run and not self.written:
@@ -181,14 +182,14 @@
         """Parse the response (asyncio)."""
         run = self.run
         if run is None:
-            self.close()  # unsolicited data could not be told from the next response
+            self.close()  # unsolicited data could be taken for the next response
             return
         at = 0
         while at < len(data) and not self.malformed:
             try:
                 at = self.reader.step(data, at)
             except HttpError:
-                self.malformed = True  # a response that was complete before still counts
+                self.malformed = True  # a response completed before the error is still used
             if self._begin_stream() and not self.run:
                 return  # the run has ended
             if self.reader.completed:
@@ -196,7 +197,7 @@
                 if message.status >= HTTP_OK:  # an interim response is followed by the final one
                     self._complete(message, at < len(data))
                     return
-                # No request asks for another protocol, and interim responses must come to an end.
+                # No request asks for another protocol, and the number of interim responses is bounded.
                 self.interim_count += 1
                 too_many = self.interim_count > MAX_INTERIM_RESPONSES
                 self.malformed = too_many or message.status == HTTP_SWITCHING_PROTOCOLS
@@ -206,10 +207,10 @@
             self._update_account()
 
     def _begin_stream(self) -> bool:
-        """Pass on what has arrived of a response that is too long to be buffered, or may be.
+        """Forward the received part of a response that is, or may be, too long to be buffered.
 
         Returns:
-            Whether the response is such a one, or has ended the run.
+            Whether the response is forwarded as a stream, or has ended the run.
         """
         message = self.reader.message
         if self.response_stream is None and (
@@ -238,7 +239,7 @@
         return True
 
     def _end_stream(self) -> None:
-        """No long response is being passed on any more."""
+        """End the forwarding of a long response, if any."""
         self.head_received_at, self.paused = 0.0, False
         if self.response_stream:
             self.response_stream = None
@@ -246,12 +247,12 @@
             self.owner.monitor.account.charge(MemoryUse.ANSWERS, -STREAM_WINDOW_BYTES)
 
     def check_progress(self, now: float) -> None:
-        """End the run of a long response that has made no progress for too long by loop time `now` in s."""
+        """End the run of a long response that has stalled by loop time `now` in s."""
         if not self.paused and now > self.progress_at + STREAM_TIMEOUT_S:
             self._end(Termination.DEADLINE_EXCEEDED)
 
     def _update_account(self) -> None:
-        """Charge the incomplete response; a large one is read on only with a lease on memory."""
+        """Charge memory for the incomplete response; request a lease, or pause reading, if it is large."""
         monitor, message = self.owner.monitor, self.reader.message
         size = self.reader.raw_size if message else 0
         if size != self.charged:
@@ -268,7 +269,7 @@
             self.transport.resume_reading()
 
     def _release(self) -> None:
-        """Return what was charged for the response, which is no longer kept here."""
+        """Release the memory charged for the response, which is no longer buffered."""
         monitor = self.owner.monitor
         monitor.leases.release(self)
         if self.charged:
@@ -277,7 +278,7 @@
 
     def _complete(self, message: Message, followed: bool) -> None:
         self._release()
-        ending = self._classify(message)
+        termination = self._classify(message)
         if self.response_stream:
             self.response_stream.feed(message.take_body())
             self.response_stream.end()
@@ -289,31 +290,31 @@
             run, self.run = self.run, None
             self.owner.park(self)
             if run:
-                run.end(ending, message)
+                run.end(termination, message)
         else:
-            self._end(ending, message)
+            self._end(termination, message)
 
     def _classify(self, message: Message) -> Termination:
-        """What a response means by its head."""
+        """Return the termination that a response stands for, by its head."""
         if message.status == HTTP_OK:
             return Termination.SERVED
         if message.status in CLIENT_ERROR_STATUSES:
             return Termination.BAD_REQUEST
         if message.status in REJECTED_STATUSES and message.fields.get(b"x-rejected") == b"1":
-            # A rejection that ends a connection which was never used before rejects the connection.
+            # A rejection that closes a new connection rejects the connection, not only the request.
             new = not message.keep_alive and not self.idle_since
             return Termination.CONNECTION_REJECTED if new else Termination.REJECTED
         return Termination.SERVER_ERROR
 
-    def _end(self, ending: Termination, message: Message | None = None) -> None:
+    def _end(self, termination: Termination, message: Message | None = None) -> None:
         run, self.run = self.run, None
         self.upload = None
         self.close()
         if run:
-            run.end(ending, message)
+            run.end(termination, message)
 
     def eof_received(self) -> None:
-        """The target has ended the connection (asyncio)."""
+        """Handle the end of the input from the target (asyncio)."""
         message = self.reader.message
         if (
             self.run
@@ -322,14 +323,14 @@
             and not self.reader.in_head
             and not message.is_framed
         ):
-            # A body that ends with the connection: unless the head announces that, it may be truncated.
+            # A body that ends with the connection may be truncated, unless the head announces the close.
             announced = message.fields.get(b"connection", b"").lower() == b"close"
             if announced and self.response_stream:
                 self.response_stream.end()
             self._end(Termination.SERVED if announced else Termination.BROKEN_AFTER_SENT, message)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed (asyncio)."""
+        """Release the resources of the closed connection and end its run (asyncio)."""
         monitor = self.owner.monitor
         monitor.descriptors.release(Use.TARGETS)
         monitor.account.charge(MemoryUse.TARGETS, -IDLE_TARGET_BYTES)
@@ -349,10 +350,10 @@
 
 
 class UpstreamPools:
-    """The pools of all targets, within one bound on sockets.
+    """The pools of all targets, with a common bound on sockets.
 
     Attributes:
-        streams: The connections with a long response that is being passed on.
+        streams: The connections with a long response that is being forwarded.
         dials: Connection attempts since the start.
     """
 
@@ -371,7 +372,7 @@
         self.dials = 0
 
     def apply_settings(self, limits: Limits, rules: Rules) -> None:
-        """Use other settings from now on."""
+        """Replace the settings."""
         self.limits, self.rules = limits, rules
 
     # Called by the engine
@@ -381,8 +382,8 @@
         pool = self.pools.get(target) or Pool(target)
         run: Run = UpstreamRun(request, pool, exchange)
         now = self.loop.time()
-        if barred := self._barred(run, now):
-            run.end(barred)
+        if reason := self._reason_not_to_send(run, now):
+            run.end(reason)
             return run
         while pool.idle and (connection := pool.take(now - REUSE_DELAY_S)):
             if connection.usable():
@@ -405,18 +406,18 @@
 
     # Called by the target group
 
-    def listed(self, name: str, address: tuple[str, int] | None, up: bool) -> None:
-        """Take in how a target is listed; without an address it is removed."""
+    def update_target(self, name: str, address: tuple[str, int] | None, up: bool) -> None:
+        """Update a target from the endpoint list: its address (None: removed), and whether it accepts requests."""
         pool = self.pools.get(name) or Pool(name)
         if address and pool.address and address != pool.address:
-            # The connections to the old address must not get into the pool of the new one, nor may a dial
-            # that is under way send requests beyond the grace: the old pool ends as one that was removed.
-            self.listed(name, None, False)
+            # Connections to the old address must not get into the new pool, nor may a pending dial send
+            # requests after the drain grace: the old pool is treated as that of a removed target.
+            self.update_target(name, None, False)
             pool = Pool(name)
         if address:
             self.pools[name], pool.address = pool, address
         else:
-            self.pools.pop(name, None)  # its runs keep it until they end
+            self.pools.pop(name, None)  # its runs refer to it until they end
         if up:
             pool.draining_since = None
         elif pool.draining_since is None:
@@ -425,14 +426,20 @@
 
     # Connections
 
-    def _barred(self, run: Run, now: float) -> Termination | None:
-        """Why the first byte of a run may not be sent at loop time `now`, or None (rule 2)."""
+    def _reason_not_to_send(self, run: Run, now: float) -> Termination | None:
+        """Return why the first byte of a run may not be sent at loop time `now`, or None (invariant 2)."""
         draining_since = run.pool.draining_since
-        if draining_since is not None and now >= draining_since + GRACE_PART * self.rules.drain_grace:
+        if (
+            draining_since is not None
+            and now >= draining_since + DRAIN_GRACE_FRACTION * self.rules.drain_grace
+        ):
             return Termination.TARGET_DRAINED
-        # The time of a request may run out in the very turn in which its dial succeeds; its client may have
-        # left behind bytes that were not read; and targets recognize repeated requests only up to a time.
-        over = now >= min(run.exchange.deadline, run.exchange.start_before) or not run.request.sender_waits()
+        # The deadline of a request may pass in the iteration in which its dial succeeds; its client may have
+        # closed the connection behind unread bytes; and targets deduplicate retries only for some time.
+        over = (
+            now >= min(run.exchange.deadline, run.exchange.start_before)
+            or not run.request.is_sender_connected()
+        )
         return Termination.NOT_SENT if over else None
 
     def _dial(self, run: Run) -> None:
@@ -444,9 +451,7 @@
             if not self._close_oldest_idle():
                 run.end(Termination.NO_FREE_SOCKET)
                 return
-            self.monitor.descriptors.count(
-                Use.TARGETS
-            )  # the one that was closed has yet to give its own back
+            self.monitor.descriptors.count(Use.TARGETS)  # the closed connection releases its own later
         self.dials += 1
         run.dial = self.dialer.dial(
             pool.address,
@@ -461,19 +466,19 @@
         if run.over or connection.transport.is_closing():
             connection.close()
             run.end(Termination.BROKEN_BEFORE_SENT)
-        elif barred := self._barred(run, self.loop.time()):
+        elif reason := self._reason_not_to_send(run, self.loop.time()):
             self.park(connection)
-            run.end(barred)
+            run.end(reason)
         else:
             connection.send(run)
 
-    def _dial_failed(self, run: Run, ending: Termination) -> None:
+    def _dial_failed(self, run: Run, termination: Termination) -> None:
         self.monitor.descriptors.release(Use.TARGETS)
         run.on_dial_ended()
-        run.end(ending)
+        run.end(termination)
 
     def park(self, connection: Connection) -> None:
-        """Keep a connection for later runs, unless its target drains."""
+        """Add a connection to its pool for later runs, or close it if its target drains."""
         pool = connection.pool
         if pool.draining_since is not None:
             connection.close()
@@ -482,7 +487,7 @@
             pool.idle.append(connection)
 
     def _close_oldest_idle(self) -> bool:
-        """Close the connection that has been idle longest, and return whether there was one."""
+        """Close the connection that has been idle for longest; return whether there was one."""
         idle = (pool for pool in self.pools.values() if pool.idle)
         oldest = min(idle, key=lambda pool: pool.idle[0].idle_since, default=None)
         if oldest:
@@ -491,7 +496,7 @@
 
     def sweep(self) -> None:
         """Close connections that have been idle for long, and end streams that make no progress."""
-        before = self.loop.time() - IDLE_PART * self.limits.connection_idle_timeout
+        before = self.loop.time() - IDLE_TIMEOUT_FRACTION * self.limits.connection_idle_timeout
         for pool in self.pools.values():
             pool.close_idle(before)
         for connection in list(self.streams):
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -124,7 +124,7 @@
         """Apply the stored endpoint list, and wait for a list from discovery if one may arrive soon."""
         if config.known:
             try:
-                self.target_group.learn(config.known, cached=config.discovery is not None)
+                self.target_group.apply_list(config.known, cached=config.discovery is not None)
             except ValueError as error:
                 self.log.warning("stored_list_rejected", why=str(error))
             self.config = replace(config, known=None)  # the target group has its own copy
@@ -133,7 +133,7 @@
         timeout = 0.0 if config.settings.ask else SNAPSHOT_LIST_TIMEOUT_S
         if not self.target_group.servers:
             await self.target_group.list_received.wait()
-        elif not await self.target_group.is_told(timeout):
+        elif not await self.target_group.wait_until_listed(timeout):
             self.log.warning("discovery_timed_out", targets=len(self.target_group.servers))
 
     def _log_limits(self, config: Config) -> None:
@@ -174,7 +174,7 @@
         assert recovery  # a store is created only with recovery
         return (
             self.wall(),
-            self.target_group.listed(),
+            self.target_group.list_formatter(),
             recovery.estimates_to_save(balancer.servers.values(), self.config.kinds),
         )
 
@@ -256,13 +256,13 @@
             old, static = self.config, config.discovery is None
             # First, as it is the only step that can still fail: an invalid list changes nothing.
             if static and old.discovery is None:
-                self.target_group.learn(config.known)  # a complete list: missing targets are removed
+                self.target_group.apply_list(config.known)  # a complete list: missing targets are removed
         except (ValueError, OSError) as error:
             self._reject_config(error)
             return
         self.reload_counts.taken += 1
         if config.discovery and old.discovery:
-            self.target_group.move(config.discovery)
+            self.target_group.set_address(config.discovery)
         at = "{}:{}".format(*config.discovery) if config.discovery else None
         self.log.info("config_reloaded", discovery=at, targets=len(self.target_group.servers))
         if waiting := waiting_for_start(self.engine.settings, old, config):
@@ -323,7 +323,7 @@
 
     def _sweep(self, due: float) -> None:
         """Close connections that have timed out; runs every `SWEEP_INTERVAL_S`."""
-        self.monitor.late_by(self.loop.time() - due)
+        self.monitor.record_lag(self.loop.time() - due)
         self.upstream_pools.sweep()
         self.limiter.sweep()
         self.admin_server.sweep()
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -127,7 +127,7 @@
             loop,
             config.discovery,
             reader,
-            self.upstream_pools.listed,
+            self.upstream_pools.update_target,
             self._on_server_list,
             self.log,
             backoff,
--- a/tests/core/test_loop_delay.py
+++ b/tests/core/test_loop_delay.py
@@ -1,6 +1,6 @@
 """The histogram of the loop's delays."""
 
-from firvane.core.loop_delay import BOUNDS_MS, HELD_S, LoopDelays
+from firvane.core.loop_delay import BOUNDS_MS, LONG_DELAY_S, LoopDelays
 
 
 def test_each_delay_is_counted_once_in_its_bucket_and_the_longest_is_kept() -> None:
@@ -19,5 +19,5 @@
 
 def test_only_a_long_delay_is_an_event() -> None:
     delays = LoopDelays()
-    assert not delays.record(HELD_S) and delays.record(HELD_S + 0.001)
-    assert int(1000 * HELD_S) in BOUNDS_MS
+    assert not delays.record(LONG_DELAY_S) and delays.record(LONG_DELAY_S + 0.001)
+    assert int(1000 * LONG_DELAY_S) in BOUNDS_MS
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -83,8 +83,8 @@
         "nothing is written once its time is over",
         FORWARD,
         "over = now >= min(run.exchange.deadline, run.exchange.start_before) "
-        "or not run.request.sender_waits()",
-        "over = not run.request.sender_waits()",
+        "or not run.request.is_sender_connected()",
+        "over = not run.request.is_sender_connected()",
         f"{FILE} -k time_is_over",
     ),
     Mutant(
@@ -97,8 +97,8 @@
     Mutant(
         "a connection that has just been given back is not used yet",
         FORWARD,
-        "            if self.idle[position].idle_since <= settled:\n",
-        "            if self.idle[position].idle_since <= settled or not position:\n",
+        "            if self.idle[position].idle_since <= idle_before:\n",
+        "            if self.idle[position].idle_since <= idle_before or not position:\n",
         f"{FILE} -k second_answer",
     ),
     Mutant(
@@ -188,7 +188,7 @@
     Mutant(
         "a target that moves leaves nothing to its new address",
         FORWARD,
-        "            self.listed(name, None, False)\n            pool = Pool(name)\n",
+        "            self.update_target(name, None, False)\n            pool = Pool(name)\n",
         "            pool.close_idle()\n",
         f"{FILE} -k moves",
     ),
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -137,8 +137,8 @@
     ),
     Mutant(
         "a dial that comes up late sends nothing to what drains by then", FORWARD,
-        "elif barred := self._barred(run, self.loop.time()):\n",
-        "elif (barred := self._barred(run, self.loop.time())) and False:\n",
+        "elif reason := self._reason_not_to_send(run, self.loop.time()):\n",
+        "elif (reason := self._reason_not_to_send(run, self.loop.time())) and False:\n",
         f"{TESTS}::test_a_dial_that_comes_up_late_sends_nothing_to_what_drains_by_then",
     ),
     Mutant(
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -110,8 +110,8 @@
     Mutant(
         "a short aim is no overload",
         "firvane/proxy/net/resource_monitor.py",
-        "max(MIN_LAG_S, LAG_PART * target)",
-        "LAG_PART * target",
+        "max(MIN_LAG_S, LAG_FRACTION * target)",
+        "LAG_FRACTION * target",
         f"{TEST}::test_what_any_turn_takes_is_no_pressure_however_short_the_aim",
     ),
     Mutant(
--- a/tests/crossings/test_attempts.py
+++ b/tests/crossings/test_attempts.py
@@ -67,7 +67,7 @@
 def listed(made: Rig, **statuses: str) -> None:
     """The list's next word, at this very moment."""
     group = made.proxy.target_group
-    group.learn({"index": group.index + 1, "snapshot": True, "endpoints": made.entries(**statuses)})
+    group.apply_list({"index": group.index + 1, "snapshot": True, "endpoints": made.entries(**statuses)})
 
 
 async def left(made: Rig, client: Link, how: str) -> None:
@@ -516,7 +516,7 @@
         making = Making(SocketDialer(loop, transports))
         limits = api.Limits(max_attempts=3, connect_timeout=5.0, connection_idle_timeout=30.0)
         pools = UpstreamPools(loop, limits, RULES, make_monitor(loop, 10), making)
-        pools.listed("s", ("127.0.0.1", target.port), True)
+        pools.update_target("s", ("127.0.0.1", target.port), True)
         pools.forward(message(), "s", over := Ended(loop.time()))
         assert over.endings == [Termination.NOT_SENT] and not making.ups  # not even a dial
         pools.forward(message(), "s", late := Ended(loop.time() + 0.03))
@@ -980,7 +980,7 @@
                 made.proxy.upstream_pools.dialer = made.dialer  # type: ignore[assignment]
             group, entries = made.proxy.target_group, [entry("s1", new)]
             pool = made.proxy.upstream_pools.pools["s1"]
-            group.learn({"index": group.index + 1, "snapshot": True, "endpoints": entries})
+            group.apply_list({"index": group.index + 1, "snapshot": True, "endpoints": entries})
             if at == "in-a-late-dial":  # the grace is over
                 assert pool.draining_since is not None
                 pool.draining_since -= made.proxy.upstream_pools.rules.drain_grace
@@ -1025,7 +1025,7 @@
             kept = {name: pool.address for name, pool in pools.pools.items()}
             drains = [n for n, t in zip(("s1", "s2"), made.targets, strict=True) if first_at not in t.links]
             for name in drains:
-                pools.listed(name, kept[name], False)
+                pools.update_target(name, kept[name], False)
                 pool = pools.pools[name]
                 assert pool.draining_since is not None and not pool.idle
                 pool.draining_since -= pools.rules.drain_grace
--- a/tests/crossings/test_lists.py
+++ b/tests/crossings/test_lists.py
@@ -230,7 +230,7 @@
             group = made.proxy.target_group
             assert (
                 group.watch
-                and group.backoff.times_out_at(group.watch.heard)
+                and group.backoff.times_out_at(group.watch.progress)
                 > asked + discovery_timing.WATCH_TIMEOUT_S - 1.0
             )
             await asyncio.sleep(3 * discovery_timing.FIRST_BYTE_TIMEOUT_S)
@@ -474,7 +474,7 @@
 
             def moved() -> None:
                 made.loop.remove_reader(ours)
-                group.move(("127.0.0.1", new.port))
+                group.set_address(("127.0.0.1", new.port))
 
             made.loop.add_reader(ours, moved)
             await asyncio.sleep(0.01)  # it is listened to
@@ -500,7 +500,7 @@
             other, group = Agent(), made.proxy.target_group
             here, there = ("127.0.0.1", made.agent.port), ("127.0.0.1", other.port)
             for address in (there, here):
-                group.move(address)
+                group.set_address(address)
             watch = await made.agent.watch()
             assert watch.query == "watch=1&from=0" and await old.gone()
             await watch.tell(5, *made.entries())
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -503,9 +503,9 @@
     async def work() -> None:
         async with rig(tmp_path, 1, params(classes=[cls])) as made:
             monitor = made.proxy.monitor
-            monitor.see(Resource.LAG, 0.003 / monitor.max_lag)
+            monitor.record_usage(Resource.LAG, 0.003 / monitor.max_lag)
             assert monitor.is_active(OverloadAction.SHED_LOAD) is False
-            monitor.see(Resource.LAG, 0.25 * max(aim, 40) / 1000 / monitor.max_lag)  # this one is
+            monitor.record_usage(Resource.LAG, 0.25 * max(aim, 40) / 1000 / monitor.max_lag)  # this one is
             assert monitor.is_active(OverloadAction.SHED_LOAD)
 
     play(work())
@@ -746,7 +746,7 @@
         held.holding = True
         proxy.engine.start()
         with contextlib.suppress(ValueError):  # as `start` takes it
-            proxy.target_group.learn(config.known, cached=True)
+            proxy.target_group.apply_list(config.known, cached=True)
         for cls in config.settings.classes:
             for ending in (Termination.REJECTED, Termination.SERVED, Termination.SERVER_ERROR):
                 asks(proxy, cls, ending.value.encode(), ending)
--- a/tests/proxy/limits/test_overload.py
+++ b/tests/proxy/limits/test_overload.py
@@ -86,7 +86,7 @@
         self.loop_budget, self.left, self.queued = loop_budget, requests, False
         self.done = self.rejections = 0
 
-    def go_on(self, given: bool = False) -> None:
+    def process_input(self, has_turn: bool = False) -> None:
         self.loop_budget.begin()
         while self.left:
             if not self.loop_budget.spend(READ_UNITS + DECISION_UNITS):
@@ -95,7 +95,7 @@
             self.left -= 1
             self.done += 1
 
-    def refuse(self) -> None:
+    def reject_unparsed(self) -> None:
         self.rejections += 1
 
 
@@ -104,7 +104,7 @@
     loop_budget = LoopBudget(due.append, max_wait_s=0.02)
     greedy, others = QueuedWorker(loop_budget, 10_000), [QueuedWorker(loop_budget, 1) for _ in range(20)]
     for worker in (greedy, *others):
-        worker.go_on()
+        worker.process_input()
     assert (
         greedy.done == CONNECTION_UNITS // (READ_UNITS + DECISION_UNITS)
         and loop_budget.spent <= ITERATION_UNITS
--- a/tests/proxy/net/test_target_group.py
+++ b/tests/proxy/net/test_target_group.py
@@ -58,7 +58,7 @@
     made, lists, _ = group()
     ends: list[str] = []
 
-    watch = DiscoveryWatch(b"GET", 1 << 20, made._take_in_line, ends.append)
+    watch = DiscoveryWatch(b"GET", 1 << 20, made._handle_line, ends.append)
     wire = Wire(watch)
     for piece in cut(chunked(data + b"\n") if framed else data, where):
         if not wire.closed:
@@ -82,18 +82,20 @@
 def test_a_bad_entry_leaves_the_list_as_it_was(change: dict[str, Any]) -> None:
     made, lists, told = group()
     with pytest.raises(EndpointListError):
-        made.learn({"index": 1, "endpoints": [endpoint("s0", 1), {**endpoint("s1", 1), **change}]})
+        made.apply_list({"index": 1, "endpoints": [endpoint("s0", 1), {**endpoint("s1", 1), **change}]})
     assert not lists and not told and not made.index
 
 
 def test_absent_from_a_snapshot_is_removed_and_unix_time_is_kept() -> None:
     made, lists, told = group()
-    made.learn(json.loads(news(1, endpoint("s1", 1), endpoint("s2", 2), snapshot=True)), cached=True)
-    made.learn(json.loads(news(2, endpoint("s1", 1, since_ms=1_700_000_000_500, zone="b"), snapshot=True)))
+    made.apply_list(json.loads(news(1, endpoint("s1", 1), endpoint("s2", 2), snapshot=True)), cached=True)
+    made.apply_list(
+        json.loads(news(2, endpoint("s1", 1, since_ms=1_700_000_000_500, zone="b"), snapshot=True))
+    )
     assert told == {"s1": (("127.0.0.1", 1), True), "s2": (None, False)}
     assert [n.kind for n in lists] == [api.ListKind.CACHED, api.ListKind.COMPLETE]
     assert lists[1].servers[0].up_since == 1_700_000_000.5 and lists[1].servers[0].zone == 1
-    made.learn(json.loads(news(3, endpoint("s1", 1, status="removed", address=None))))
+    made.apply_list(json.loads(news(3, endpoint("s1", 1, status="removed", address=None))))
     assert not made.servers and told["s1"] == (None, False)
 
 
@@ -103,7 +105,7 @@
     made, lists, _ = group()
     clock: Any = made.loop
     made.refresh()
-    made.learn(json.loads(news(1, endpoint("s1", 1), snapshot=True)), cached=True)
+    made.apply_list(json.loads(news(1, endpoint("s1", 1), snapshot=True)), cached=True)
     clock.advance(0.0)
     assert [(n.kind, len(n.servers)) for n in lists] == [
         (api.ListKind.CACHED, 1),
@@ -125,7 +127,7 @@
     told: list[bool] = []
     made.on_target = lambda name, address, up: told.append(up)
     for since in (5000, 5000, 9000):
-        made.learn(json.loads(news(1, endpoint("s1", 1, since_ms=since))))
+        made.apply_list(json.loads(news(1, endpoint("s1", 1, since_ms=since))))
     assert told == [True, True, False, True]
 
 
@@ -184,7 +186,7 @@
         for _ in range(2):
             await heard.wait()
             heard.clear()
-            made.move(servers[1].sockets[0].getsockname())
+            made.set_address(servers[1].sockets[0].getsockname())
         assert asked == ["/discovery/hosts?watch=1&from=0"] * 2
         assert [news.version for news in lists] == [41, 7] and made.index == 7
         made.stop()
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -81,7 +81,7 @@
             writer.close()
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        self.pools.listed("s", server.sockets[0].getsockname()[:2], True)
+        self.pools.update_target("s", server.sockets[0].getsockname()[:2], True)
 
     async def rested(self) -> None:
         """What is idle may be used again."""
@@ -175,7 +175,7 @@
         bench = Bench()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            bench.pools.listed("s", free.getsockname(), True)
+            bench.pools.update_target("s", free.getsockname(), True)
             assert (await bench.send()).endings == [Termination.CONNECTION_REFUSED]
         assert bench.pools.monitor.descriptors.open[Use.TARGETS] == 0
         bench.transports.close()
@@ -189,7 +189,7 @@
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)  # nobody accepts, and two wait at the most
-            bench.pools.listed("s", full.getsockname(), True)
+            bench.pools.update_target("s", full.getsockname(), True)
             waiting = [socket.socket() for _ in range(4)]
             for one in waiting:
                 one.setblocking(False)
@@ -209,7 +209,7 @@
         await bench.target(OK)
         ended = Ended(bench.loop.time() + LEFT)
         bench.pools.forward(request(), "s", ended)
-        bench.pools.listed("s", bench.pools.pools["s"].address, False)
+        bench.pools.update_target("s", bench.pools.pools["s"].address, False)
         bench.pools.pools["s"].draining_since = bench.loop.time() - RULES.drain_grace
         await ended.over.wait()
         assert ended.endings == [Termination.TARGET_DRAINED] and not bench.heads
@@ -225,7 +225,7 @@
         await bench.target(OK)
         address = bench.pools.pools["s"].address
         assert (await bench.send()).endings == [Termination.SERVED]
-        bench.pools.listed("t", address, True)
+        bench.pools.update_target("t", address, True)
         held = Ended(bench.loop.time() + LEFT)
         bench.pools.forward(request(), "t", held)
         await held.over.wait()
@@ -252,7 +252,7 @@
 def test_idle_connections_are_closed_well_before_the_target_would() -> None:
     clock = Clock()
     pools = unwired(clock)
-    pools.listed("s", ("127.0.0.1", 1), True)
+    pools.update_target("s", ("127.0.0.1", 1), True)
     wires = []
     for _ in range(2):
         connection = connected(pools, pools.pools["s"])
@@ -274,7 +274,7 @@
         with socket.socket() as target:
             target.bind(("127.0.0.1", 0))
             target.listen()
-            bench.pools.listed("s", target.getsockname(), True)
+            bench.pools.update_target("s", target.getsockname(), True)
             for _ in range(2):
                 ended = Ended(bench.loop.time() + LEFT)
                 bench.pools.forward(request(), "s", ended)
@@ -309,13 +309,13 @@
 
 def test_a_target_that_is_gone_is_forgotten_and_its_successor_inherits_nothing() -> None:
     pools = unwired(Clock())
-    pools.listed("s", ("127.0.0.1", 1), True)
+    pools.update_target("s", ("127.0.0.1", 1), True)
     idle = connected(pools, pools.pools["s"])
     out = connected(pools, pools.pools["s"])
     wires = [Wire(idle), Wire(out)]
     pools.park(idle)
-    pools.listed("s", None, False)
-    pools.listed("t", ("127.0.0.1", 1), True)
+    pools.update_target("s", None, False)
+    pools.update_target("t", ("127.0.0.1", 1), True)
     pools.park(out)  # what was out ends later
     assert [wire.closed for wire in wires] == [True, True]
     assert list(pools.pools) == ["t"] and not pools.pools["t"].idle
