--- a/firvane/core/net/http_message.py
+++ b/firvane/core/net/http_message.py
@@ -52,7 +52,7 @@
         "keep_alive",
         "method",
         "repeated_fields",
-        "is_sender_connected",
+        "sender_is_connected",
         "size",
         "status",
         "stream",
@@ -75,7 +75,7 @@
         self.version = b"1.1"
         self.exceeds_buffer = False  # its body is not buffered: it is passed on as it arrives
         self.stream: Stream | None = None  # the source of the rest of the body
-        self.is_sender_connected: PeerOpenCheck = (
+        self.sender_is_connected: PeerOpenCheck = (
             always_true  # whether its sender still waits for the response
         )
 
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -403,7 +403,7 @@
         deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
         self.flow.response_time = left if self.upload else 0.0
-        message.is_sender_connected = self.is_client_connected
+        message.sender_is_connected = self.is_client_connected
         self.charged_flow = FLOW_BYTES + (STREAM_WINDOW_BYTES if self.upload else message.size)
         context.account.charge(MemoryUse.FLOWS, self.charged_flow)
         self.request_count += 1
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -8,8 +8,8 @@
    `UpstreamPools._reason_not_to_send` checks that the drain grace of its target, its deadline and its latest
    start time have not passed, and that its client is still connected as far as the kernel knows. A run that
    fails this check has not been executed.
-3. A request is written when the kernel has accepted its last byte. If the connection breaks before that, the
-   request was not executed; if it breaks later, or at an unknown time, the request may have been executed.
+3. A request is written when the kernel has accepted its last byte. If the connection breaks before that, it
+   was not executed; if it breaks later, or at an unknown time, it may have been executed.
 4. A connection is not reused for `REUSE_DELAY_S` after a response: an unsolicited second response would arrive
    within milliseconds, and responses do not name their requests. Until then runs dial new connections.
 """
@@ -41,7 +41,7 @@
 BUFFERING_S = 0.2  # after its head, for which a response of unknown length is buffered
 MAX_INTERIM_RESPONSES: Final = 8  # 1xx
 REUSE_DELAY_S = 0.02  # after a response, while more data or the end of the connection may arrive
-DRAIN_GRACE_FRACTION = 0.9  # of the drain grace: a first byte sent at its very end could arrive after it
+GRACE_FRACTION = 0.9  # of the drain grace: a first byte sent at its very end could arrive after it
 HTTP_SWITCHING_PROTOCOLS: Final = 101
 HTTP_OK: Final = 200  # and the first status of a final response
 REJECTED_STATUSES = (503, 504)
@@ -62,7 +62,7 @@
         self.idle: list[Connection] = []
 
     def take(self, idle_before: float) -> Connection | None:
-        """Remove and return the newest connection that became idle by loop time `idle_before` (invariant 4)."""
+        """Remove and return the newest connection that was idle at loop time `idle_before` (invariant 4)."""
         for position in range(len(self.idle) - 1, -1, -1):
             if self.idle[position].idle_since <= idle_before:
                 return self.idle.pop(position)
@@ -117,8 +117,8 @@
         """Set the transport of the connection (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.owner.monitor.account.charge(MemoryUse.TARGETS, IDLE_TARGET_BYTES)
-        # Without a write buffer, writes go to the kernel at once, and `resume_writing` reports when the kernel
-        # has accepted the rest. That tells whether the connection broke before or after the last byte.
+        # Without a write buffer, writes go to the kernel at once, and `resume_writing` reports when it has
+        # accepted the rest. That tells whether the connection broke before or after the last byte.
         self.transport.set_write_buffer_limits(0)
 
     def send(self, run: Run) -> None:
@@ -145,8 +145,8 @@
     def usable(self) -> bool:
         """Return whether nothing has arrived on the connection while it was idle.
 
-        If it has ended, the next request would be reset; more data of the last response would be taken for the
-        next response.
+        If it has ended, the next request would be reset; more data of the last response would be taken for
+        the next response.
         """
         return not self.transport.is_closing() and self.has_no_input()
 
@@ -407,7 +407,7 @@
     # Called by the target group
 
     def update_target(self, name: str, address: tuple[str, int] | None, up: bool) -> None:
-        """Update a target from the endpoint list: its address (None: removed), and whether it accepts requests."""
+        """Update a target from the endpoint list: its address (None: removed), and whether it is up."""
         pool = self.pools.get(name) or Pool(name)
         if address and pool.address and address != pool.address:
             # Connections to the old address must not get into the new pool, nor may a pending dial send
@@ -429,16 +429,13 @@
     def _reason_not_to_send(self, run: Run, now: float) -> Termination | None:
         """Return why the first byte of a run may not be sent at loop time `now`, or None (invariant 2)."""
         draining_since = run.pool.draining_since
-        if (
-            draining_since is not None
-            and now >= draining_since + DRAIN_GRACE_FRACTION * self.rules.drain_grace
-        ):
+        if draining_since is not None and now >= draining_since + GRACE_FRACTION * self.rules.drain_grace:
             return Termination.TARGET_DRAINED
         # The deadline of a request may pass in the iteration in which its dial succeeds; its client may have
         # closed the connection behind unread bytes; and targets deduplicate retries only for some time.
         over = (
             now >= min(run.exchange.deadline, run.exchange.start_before)
-            or not run.request.is_sender_connected()
+            or not run.request.sender_is_connected()
         )
         return Termination.NOT_SENT if over else None
 
--- a/tests/crossings/mutants/attempts.py
+++ b/tests/crossings/mutants/attempts.py
@@ -82,9 +82,9 @@
     Mutant(
         "nothing is written once its time is over",
         FORWARD,
-        "over = now >= min(run.exchange.deadline, run.exchange.start_before) "
-        "or not run.request.is_sender_connected()",
-        "over = not run.request.is_sender_connected()",
+        "            now >= min(run.exchange.deadline, run.exchange.start_before)\n"
+        "            or not run.request.sender_is_connected()\n",
+        "            not run.request.sender_is_connected()\n",
         f"{FILE} -k time_is_over",
     ),
     Mutant(
--- a/tests/crossings/mutants/client_gone.py
+++ b/tests/crossings/mutants/client_gone.py
@@ -37,9 +37,8 @@
     Mutant(
         "nothing more is written for whom the kernel knows to have gone",
         "firvane/proxy/net/upstream_pool.py",
-        "over = now >= min(run.exchange.deadline, run.exchange.start_before) "
-        "or not run.request.is_sender_connected()",
-        "over = now >= min(run.exchange.deadline, run.exchange.start_before)",
+        "            or not run.request.sender_is_connected()\n",
+        "",
         f"{HERE} -k between_two_sweeps",
     ),
     Mutant(
