--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -1,4 +1,4 @@
-"""Client connections: requests are parsed, shed or taken up, within the budget of each turn."""
+"""Client connections: parse, shed or accept requests within the time budget of an event-loop iteration."""
 
 from __future__ import annotations
 
@@ -23,12 +23,12 @@
 from firvane.proxy.net.managed_connection import BUSY, IDLE_TIMEOUT_S
 
 READY_PATH = b"/up"
-FIRST_REQUEST_TIMEOUT_S = 2.85  # from connecting on, for the head of the first request
+FIRST_REQUEST_TIMEOUT_S = 2.85  # after the connection was made, for the head of the first request
 MIN_BODY_RATE = 24_000.0  # bytes a second
-PROGRESS_INTERVAL_S = 0.4  # between checks of that rate
+PROGRESS_INTERVAL_S = 0.4  # between checks of `MIN_BODY_RATE`
 UPLOAD_STALL_TIMEOUT_S = 10.0  # without a byte of a long request
-UPLOAD_TIME_S = 45.0  # for a long request to arrive, beside its budget
-FIRST_REQUEST_GRACE_S = 0.2  # after connecting, in which the first request may well be in transit
+UPLOAD_TIME_S = 45.0  # for a long request to arrive, in addition to its budget
+FIRST_REQUEST_GRACE_S = 0.2  # after the connection was made, while the first request is probably in transit
 # Ranks of `retention_priority`, below `BUSY`.
 UNUSED: Final = 0
 INCOMPLETE: Final = 1
@@ -38,26 +38,26 @@
 
 
 class ClientConnection(RespondingConnection):
-    """One client's connection, which serves requests in their order, one at a time.
+    """A client connection, which serves requests in order, one at a time.
 
     Invariants:
 
-    1. Its memory is bounded whatever its client does: the unparsed bytes of one read (reading is paused while
-       there are any that cannot be parsed yet), one request, and one response. While the response is not with
-       the kernel the next request is not taken up.
-    2. After the last response only the sending side is closed, and the connection once the client has closed
-       it, too, or has had its time. It is closed at once only where no part of the response could be lost.
-       Input behind a last response is dropped.
-    3. A client that closes its connection has gone, and its requests end. The event loop reports that only
-       while it reads, after all input before. So the kernel is asked as well: when a request is taken up, at
-       the first byte of each attempt, and, of a connection that is not read, at each sweep. Its requests end
-       within that call, so that the decisions start no further attempt.
+    1. Its memory is bounded: the unparsed bytes of one read (reading is paused while they cannot be parsed),
+       one request, and one response. The next request is not accepted until the kernel has the whole
+       response.
+    2. After the last response only the sending side is closed; the connection is closed when the client
+       closes its side or a timeout expires. It is closed at once only if no part of the response could be
+       lost. Input after a last response is dropped.
+    3. When a client closes its connection, its requests end. The event loop reports the close only while it
+       reads, after all earlier input. So the kernel is checked as well: when a request is accepted, before
+       the first byte of each attempt, and, if reading is paused, at each sweep. The requests end within that
+       call, so that the balancer starts no further attempt.
     """
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has its transport (asyncio)."""
+        """Register the connection, and reject it if the proxy is overloaded (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        # Without a buffer, writes go to the kernel at once, and `pause_writing` reports those that cannot.
+        # Without a buffer, writes go to the kernel at once; `pause_writing` reports what it does not accept.
         self.transport.set_write_buffer_limits(0)
         context = self.context
         context.connections[self] = None
@@ -72,7 +72,7 @@
             self._respond(503, [b"refused\n"], 8, [])
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed (asyncio)."""
+        """Release the resources of the closed connection and end its request (asyncio)."""
         context = self.context
         if self in context.connections:
             del context.connections[self]
@@ -93,36 +93,36 @@
             self._abandon(flow)
 
     def on_client_gone(self) -> None:
-        """The client has closed the connection: abort it, and end its request."""
+        """Abort the connection, which the client has closed, and end its request."""
         if not self.ending:
             self.context.engine.event_counts["client left unread"] += 1
-            self.ending = True  # no input is taken up until `connection_lost`
+            self.ending = True  # no input is processed until `connection_lost`
             self.transport.abort()
             self._abort_upload()
 
     def is_client_connected(self) -> bool:
-        """Whether the client is still connected, asked before an attempt is sent for it."""
+        """Return whether the client is still connected; called before each attempt for it."""
         if is_open := self.is_peer_open():
             return is_open
         self.on_client_gone()
         return False
 
     def _abandon(self, flow: Flow[Message, Message]) -> None:
-        """End a request whose client has gone."""
+        """End a request whose client has disconnected."""
         if self.context.metrics is not None:
             self.context.metrics.on_disconnect(flow)
         self.context.engine.on_client_disconnected(flow)
 
     def has_pending_work(self) -> bool:
-        """Whether a request that has arrived, or may have, is still to be answered."""
+        """Return whether the connection may have a request without a response."""
         return bool(self.flow or self.queued or self.unparsed or self.reader.completed)
 
     def is_idle(self) -> bool:
-        """Whether it has no part of a request or of a response."""
+        """Return whether the connection has no part of a request or response."""
         return not (self.has_pending_work() or self.request_started or self.ending or self.write_blocked)
 
     def retention_priority(self) -> tuple[int, float]:
-        """How far it is worth keeping, as a rank (`BUSY` for one in use) and `idle_since`."""
+        """Return the retention priority: a rank (`BUSY` if the connection is in use) and `idle_since`."""
         if self.has_pending_work():
             return BUSY, self.idle_since
         if not self.request_count or self.ending:
@@ -134,14 +134,14 @@
         return (IDLE_AFTER_ONE if self.request_count == 1 else IDLE_REGULAR), self.idle_since
 
     def _makes_progress(self, now: float) -> bool:
-        """Whether a body is arriving at `MIN_BODY_RATE` at least, by loop time `now` in s."""
+        """Return whether the body has arrived at `MIN_BODY_RATE` or faster, by loop time `now` in s."""
         message = self.reader.message
         if message is None or self.reader.in_head:
             return False
         return message.size > MIN_BODY_RATE * (now - self.head_received_at)
 
     def expire(self) -> None:
-        """End the connection, whose time is over, or extend its time where it makes progress."""
+        """End the connection, whose timeout has expired, or extend the timeout if it makes progress."""
         now = self.context.loop.time()
         if self.upload and not self.upload_paused:
             self.error = HttpError(408)  # the upload has stalled
@@ -158,11 +158,11 @@
             self.process_input()
         elif (
             self.has_no_input()
-        ):  # else a request has come that the loop does not know of yet, and would be lost
+        ):  # else the kernel has a request that the loop has not read, and a close loses
             self.transport.close()
 
     def close_or_reject(self) -> None:
-        """Close the connection where it is idle, and reject a request that is incomplete."""
+        """Close the connection if it is idle, or reject its request if that is incomplete."""
         if self.request_started and not self.has_pending_work():
             self.error = HttpError(503)
             self.process_input()
@@ -170,11 +170,11 @@
             self.transport.close()
 
     def pause_writing(self) -> None:
-        """Part of what was written is not with the kernel (asyncio)."""
+        """Note that the kernel has not accepted all written data (asyncio)."""
         self.write_blocked = True
 
     def resume_writing(self) -> None:
-        """All that was written is with the kernel (asyncio)."""
+        """Continue after the kernel has accepted all written data (asyncio)."""
         self.write_blocked = False
         self._release_output()
         if self.response_stream:
@@ -187,9 +187,9 @@
             self.context.loop_budget.wait(self)
 
     def data_received(self, data: bytes) -> None:
-        """Reject a request unparsed where the proxy sheds load, or process it (asyncio)."""
+        """Process a request, or reject it unparsed if the proxy sheds load (asyncio)."""
         if self.ending or self.error:
-            return  # input behind the last response is dropped, so that no reset destroys the response
+            return  # input after the last response is dropped, so that no reset destroys the response
         context = self.context
         gate = context.gate
         idle = not (self.flow or self.unparsed or self.request_started or self.queued or self.write_blocked)
@@ -228,7 +228,7 @@
             self.process_input()
 
     def process_input(self, has_turn: bool = False) -> None:
-        """Process input as far as the turn allows; `has_turn` where it has waited for this turn."""
+        """Process input within the budget of the iteration; `has_turn`: it was queued for this iteration."""
         if self.working:
             return
         self.working, loop_budget = True, self.context.loop_budget
@@ -242,14 +242,14 @@
                 loop_budget.wait(self)
         self.working = False
         self._update_account()
-        # Reading pauses while input cannot be processed, but not behind the last response.
+        # Reading is paused while input cannot be processed, but not after the last response.
         pause = (bool(self.unparsed) or self.awaiting_lease or self.upload_paused) and not self.ending
         if pause is not self.reading_paused and not self.transport.is_closing():
             self.reading_paused = pause
             (self.transport.pause_reading if pause else self.transport.resume_reading)()
 
     def _update_account(self) -> None:
-        """Charge the input that is kept, and ask for a lease on memory where a body grows large."""
+        """Charge memory for the buffered input, and request a lease if a body grows large."""
         size = len(self.unparsed) - self.offset
         if (message := self.reader.message) and not self.upload:
             size += self.reader.raw_size
@@ -266,7 +266,7 @@
         self.process_input()
 
     def _cost(self) -> int:
-        """The cost of the next step, in units of the turn's budget."""
+        """Return the cost of the next step, in units of the iteration's budget."""
         if self.reader.completed:
             return DECISION_UNITS
         return CHUNKED_READ_UNITS if self.reader.in_unsized_body() else READ_UNITS
@@ -279,7 +279,7 @@
         return bool(self.unparsed or self.reader.completed or self.error)
 
     def _work(self) -> None:
-        """Take one step: take up a request, parse to the end of one, or reject malformed input."""
+        """Do one step: accept a request, parse to the end of one, or reject malformed input."""
         if self.reader.completed:
             self._handle(self.reader.completed.pop(0))
         elif self.unparsed:
@@ -291,7 +291,7 @@
         try:
             self.offset = self.reader.step(self.unparsed, self.offset)
         except HttpError as fault:
-            # Made anew: the traceback of the one that was raised holds the message and this connection.
+            # A new error: the traceback of the raised one refers to the message and this connection.
             self.error, self.offset = HttpError(fault.status), len(self.unparsed)
             if self.upload:
                 self._abort_upload()
@@ -321,18 +321,18 @@
     # Long requests
 
     def _begin_upload(self, message: Message) -> None:
-        """Take up a long request before it is complete: the rest is passed on as it arrives."""
+        """Accept a long request before it is complete: the rest is forwarded as it arrives."""
         self.context.monitor.leases.release(self)
         self.awaiting_lease = False
         self.upload = message.stream = Stream(self)
-        # What has arrived of the body goes through the stream like the rest: a target with an idle connection
-        # is written to within this call, and would get it without chunked framing, and then again.
+        # The received part of the body goes through the stream like the rest: an idle connection to a target
+        # is written to within this call, and would send this part without chunked framing, and then again.
         self.upload.feed(message.take_body())
         self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
         self._handle(message)
 
     def _continue_upload(self, upload: Stream) -> None:
-        """Pass on what has been parsed of a long request."""
+        """Forward the parsed part of a long request."""
         message = self.reader.message or (self.reader.completed.pop(0) if self.reader.completed else None)
         if message is None:
             return
@@ -348,31 +348,33 @@
             upload.end()
 
     def _abort_upload(self) -> None:
-        """End a long request whose rest will not arrive or is malformed."""
+        """End a long request whose remainder is malformed or will not arrive."""
         flow = self._detach_flow()
         self.upload, self.upload_paused = None, False
         if flow:
             self._abandon(flow)
 
     def set_paused(self, paused: bool) -> None:
-        """Pause reading a long request while its target takes no more, or resume."""
+        """Pause reading a long request while its target does not accept more of it, or resume."""
         if paused is not self.upload_paused:
             self.upload_paused = paused
             self.expires_at = self.context.loop.time() + UPLOAD_STALL_TIMEOUT_S
             self.process_input()
 
     def _handle(self, message: Message) -> None:
-        """Take up a request: reject it, or hand it to the engine."""
+        """Reject a request, or pass it to the engine."""
         self.keep_alive = message.keep_alive
-        if message.url == READY_PATH and b"x-call-id" not in message.fields:  # else of a class of that name
+        if (
+            message.url == READY_PATH and b"x-call-id" not in message.fields
+        ):  # else a request of a class of that name
             self._handle_ready(message)
             return
-        # The client may have closed the connection while the request waited for a turn, a lease or a response
-        # before it, and unread input hides that.
+        # The client may have closed the connection while the request waited for the event loop, a lease or an
+        # earlier response, and unread input hides that.
         if not self.is_peer_open():
             self.on_client_gone()
             return
-        # Asked at each request: the process may have been suspended since it was read.
+        # Checked at each request: the process may have been suspended since the lease was renewed.
         policy_lease = self.context.policy_lease
         if policy_lease is not None and self.context.ready:
             if not policy_lease.may_accept():
@@ -384,7 +386,7 @@
         except HttpError as error:
             self._reject_malformed(error)
             return
-        # No request is taken up before the endpoint list is known, nor while memory is short.
+        # No request is accepted before the endpoint list is known, nor while memory is short.
         if not self.context.ready or self.context.account.under_pressure:
             cls = self.context.settings.classes[request.class_id]
             self.context.engine.request_counters.for_class(cls.name).dropped += 1
@@ -397,7 +399,7 @@
             self._start_flow(message, request, left)
 
     def _start_flow(self, message: Message, request: api.Request, left: float) -> None:
-        """Hand a request to the engine; its client allows `left` s for it."""
+        """Pass a request to the engine; `left` is its time budget in s."""
         context = self.context
         upload_time = UPLOAD_TIME_S if self.upload else 0.0
         deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -1,4 +1,4 @@
-"""What all client connections of a proxy share: their state, the parsing of requests, and load shedding."""
+"""The common context of the client connections: shared state, request parsing and load shedding."""
 
 from __future__ import annotations
 
@@ -20,41 +20,41 @@
 from firvane.proxy.net.managed_connection import ManagedConnection
 from firvane.proxy.net.resource_monitor import ResourceMonitor
 
-# Fields that may not be repeated: the proxy and a target could go by different values.
+# Fields that may not be repeated: the proxy and a target could use different values.
 SINGLE_FIELDS = frozenset(
     (b"host", b"x-call-id", b"x-caller", b"x-budget-ms", b"x-route-hash", b"x-call-cost")
 )
-# Retry-After of a proxy without a lease on the policy, spread: it may have its next lease soon.
+# Successive Retry-After values without a policy lease, spread: the next lease may come soon.
 LEASE_BACKOFFS_S = tuple(0.25 + step / 16 for step in (3, 11, 7, 15, 1, 9, 5, 13, 0, 8, 4, 12, 2, 10, 6, 14))
-EXCESSIVE_RATE_FACTOR = 4.0  # times the mean of other connections
+EXCESSIVE_RATE_FACTOR = 4.0  # times the mean rate of active connections
 MAX_BUDGET_DIGITS: Final = 9
 MAX_COST_DIGITS: Final = 12
 
 
 class PolicyLease(Protocol):
-    """Whether requests may be decided now, and by which policy."""
+    """A lease that permits requests to be accepted under a policy."""
 
-    epoch_header: bytes  # a header line that names the policy in each response, or b""
+    epoch_header: bytes  # a header line for each response that names the policy, or b""
 
     def may_accept(self) -> bool:
-        """Whether a new request may be decided now."""
+        """Return whether a new request may be accepted now."""
 
 
 class RequestMetrics(Protocol):
     """Counts of requests by class and tenant."""
 
     def on_request(self, flow: Flow[Message, Message], request: api.Request, settings: api.Settings) -> None:
-        """A request is taken up."""
+        """Count an accepted request."""
 
     def on_disconnect(self, flow: Flow[Message, Message]) -> None:
-        """The client of a request has gone."""
+        """Count a request whose client has disconnected."""
 
     def on_unparsed_rejection(self, cls: str, tenant: str | None) -> None:
-        """A request was rejected before it was parsed."""
+        """Count a request that was rejected before it was parsed."""
 
 
 def request_method(cls: api.RequestClass) -> bytes:
-    """The HTTP method of the requests of a class."""
+    """Return the HTTP method of the requests of a class."""
     return b"GET" if cls.idempotency is api.Idempotency.SAFE else b"POST"
 
 
@@ -63,22 +63,23 @@
 
     Attributes:
         classes: The current request classes and their numbers, by the first segment of the path.
-        previous_classes: Those before the last change of the settings, for a while, by path and method.
+        previous_classes: The classes before the last change of the settings, kept for a time, by path and
+            method.
         counts: Counters of the current classes.
         tenants: The numbers of the tenants, by name.
-        connections: All client connections, in the order of their arrival (a set's order would differ from
-            run to run).
-        policy_lease: The lease on the policy that all proxies agree on, where there is one.
-        metrics: Counts by class and tenant, where they are configured.
+        connections: All client connections, in order of arrival (the order of a set would not be
+            reproducible).
+        policy_lease: The lease on the policy that all proxies agree on, if configured.
+        metrics: Counts by class and tenant, if configured.
         set_accepting: Pauses or resumes the acceptance of connections.
-        accepting_paused: It is paused.
+        accepting_paused: The acceptance of connections is paused.
         over_capacity: There are more connections than descriptors for them.
         rate_second: The current second of loop time.
-        active_connections: Connections that have sent requests in it.
-        request_count: Their requests in it.
-        mean_requests: Requests of an active connection in the second before.
+        active_connections: Connections that have sent requests in the current second.
+        request_count: Requests in the current second.
+        mean_requests: Mean requests of an active connection in the previous second.
         open_ids: The ids of the requests that are in flight.
-        ready: New requests are taken up.
+        ready: New requests are accepted.
         draining: The proxy is no longer ready for new clients.
         closing: Each response is the last one of its connection.
         drain_deadline: Loop time in s by which all requests must have ended.
@@ -132,11 +133,11 @@
         self.gate.set_tenants(tuple(self.tenants))
 
     def forget_previous_settings(self) -> None:
-        """Accept no more requests by the settings before the current ones."""
+        """Stop accepting requests of the classes before the last change of the settings."""
         self.previous_classes.clear()
 
     def parse_request(self, message: Message) -> tuple[api.Request, float]:
-        """The request that a message holds, and its deadline in s; raises `HttpError` where it is invalid."""
+        """Return the request in a message, and its deadline in s; raises `HttpError` if it is invalid."""
         number, cls = self._find_class(message)
         fields = message.fields
         if not SINGLE_FIELDS.isdisjoint(message.repeated_fields) or (
@@ -144,9 +145,9 @@
         ):
             raise HttpError(400)
         if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise HttpError(400)  # another coding would pass for the body itself
+            raise HttpError(400)  # another coding would be taken for part of the body
         if fields.get(b"x-call-id") in self.open_ids:
-            raise HttpError(409)  # a target's response must belong to one request only
+            raise HttpError(409)  # a response of a target must match exactly one request
         budget, tenant = fields.get(b"x-budget-ms", b""), None
         if not fields.get(b"x-call-id") or not budget.isdigit() or len(budget) > MAX_BUDGET_DIGITS:
             raise HttpError(400)
@@ -168,7 +169,7 @@
         return request, min(int(budget) / 1000, cls.deadline)
 
     def _find_class(self, message: Message) -> tuple[int, api.RequestClass]:
-        """The number and the class that a request's path and method name."""
+        """Return the number and the class for the path and method of a request."""
         path = message.url.split(b"?", 1)[0]
         if not path.startswith(b"/"):  # the absolute form (RFC 9112, 3.2.2)
             try:
@@ -189,7 +190,7 @@
         return known
 
     def count_request(self, connection: ManagedConnection) -> None:
-        """Count a request for the rates of its connection and of the others, second by second."""
+        """Count a request in the per-second rates of its connection and of all connections."""
         second = int(self.loop.time())
         if second != self.rate_second:
             active = self.active_connections
@@ -202,17 +203,17 @@
         self.request_count += 1
 
     def exceeds_fair_rate(self, connection: ManagedConnection) -> bool:
-        """Whether a connection has sent far more in this second than others did in the last."""
+        """Return whether a connection has sent far more requests in this second than the mean in the last."""
         if connection.rate_second != self.rate_second:
             return False
         return connection.rate_count > EXCESSIVE_RATE_FACTOR * (1.0 + self.mean_requests)
 
     def shed(self, parts: Sequence[float], retry_after: float, again: bool = False) -> None:
-        """Set what part of each tenant's requests is rejected before it is parsed (called by the engine).
+        """Set the fraction of each tenant's requests that is rejected unparsed (called by the engine).
 
         Args:
-            parts: The part to reject, from 0 to 1, for each tenant.
-            retry_after: Mean seconds after which rejected clients are to retry; 0 for none.
+            parts: The fraction to reject, from 0 to 1, for each tenant.
+            retry_after: Mean Retry-After of rejections in seconds; 0 for none.
             again: Whether retries are rejected first.
         """
         self.gate.set_fractions(parts, again)
@@ -221,7 +222,7 @@
         self.rejections = itertools.cycle(make_rejections(pause, limits.max_retry_after))
 
     def count_rejected(self, message: Message) -> float:
-        """Count a request that is rejected for want of a lease on the policy; return its Retry-After in s."""
+        """Count a request that is rejected without a policy lease; return its Retry-After in s."""
         name = message.url.split(b"?", 1)[0].split(b"/", 2)[1:2]
         if counts := self.counts.get(name[0] if name else b""):
             counts.dropped += 1
@@ -232,11 +233,11 @@
         return min(limits.max_retry_after, next(self.lease_backoffs)) if limits.retry_after else 0.0
 
     def count_unparsed(self, cls: bytes, tenant: bytes) -> None:
-        """Count a request that is rejected before any decision, by its class and tenant on the wire."""
+        """Count a request that is rejected unparsed, by its class and tenant on the wire."""
         if self.metrics is not None:
             known = tenant.decode("latin-1") if tenant in self.tenants else None
             self.metrics.on_unparsed_rejection(cls.decode("latin-1"), known)
 
     def pause_accepting(self) -> None:
-        """All descriptors for client connections are in use."""
+        """Stop accepting connections, because all descriptors for them are in use."""
         raise NotImplementedError
--- a/firvane/proxy/net/client_responses.py
+++ b/firvane/proxy/net/client_responses.py
@@ -1,4 +1,4 @@
-"""The responses on a client's connection, and its end after the last one."""
+"""Writing the responses on a client connection, and closing it after the last one."""
 
 from __future__ import annotations
 
@@ -16,40 +16,40 @@
 from firvane.proxy.net.client_context import ClientContext
 from firvane.proxy.net.managed_connection import IDLE_TIMEOUT_S, ManagedConnection
 
-REQUEST_TIMEOUT_S = 2.4  # for a complete request, the first one from connecting on
+REQUEST_TIMEOUT_S = 2.4  # for a complete request; for the first, from the time the connection was made
 LINGER_TIMEOUT_S = 2.0  # for the client to read the last response
-INITIAL_WINDOW_BYTES = 8 * 1024  # of a response that a new connection sends at once: ten packets
-CLIENT_STALL_TIMEOUT_S = 30.0  # in which a client reads nothing of a long response
+INITIAL_WINDOW_BYTES = 8 * 1024  # that a new connection sends without acknowledgements: ten packets
+CLIENT_STALL_TIMEOUT_S = 30.0  # while a client reads nothing of a long response
 METHOD_NOT_ALLOWED = 405
 
 
 class RespondingConnection(ManagedConnection):
-    """A client's connection with the state of its request, and the writing of the response.
+    """A client connection with the state of its request, which writes the responses.
 
     Attributes:
         flow: The request that is in flight.
-        keep_alive: The connection stays open after the current response, as far as the request goes.
-        error: The input is malformed: it is answered after the requests before it.
-        discarding: That is being answered: further input is dropped.
+        keep_alive: The request allows the connection to stay open after its response.
+        error: The error of malformed input, which is answered after the earlier requests.
+        discarding: The response to an error or an incomplete request is written: further input is dropped.
         ending: The last response is written.
-        request_started: A request has arrived in part.
+        request_started: Part of a request has arrived.
         unparsed: Input that is not parsed yet, from `offset` on.
-        write_blocked: Part of a response is not with the kernel yet.
-        charged_input: Bytes of memory charged for input that is no flow yet.
-        charged_flow: The same for the flow.
-        charged_output: The same for a response that the client has yet to read.
-        awaiting_lease: Reading is paused until a lease on memory for a large body is granted.
-        queued: It waits for its turn in the event loop (set by `LoopBudget`).
-        pipelined: The input was sent behind a request that is in flight.
+        write_blocked: The kernel has not accepted all of a response yet.
+        charged_input: Bytes of memory charged for input without a flow.
+        charged_flow: Bytes of memory charged for the flow.
+        charged_output: Bytes of memory charged for a response that the client has not read.
+        awaiting_lease: Reading is paused until a memory lease for a large body is granted.
+        queued: The connection is queued for a later iteration of the event loop (set by `LoopBudget`).
+        pipelined: The input was sent while an earlier request was in flight.
         policy_field: A header line for the response that names the policy, or b"".
         head_received_at: When the head of the current request arrived, in loop time.
         upload: The rest of the flow's request, which is still arriving.
-        upload_paused: The target takes no more of it now.
+        upload_paused: Reading is paused because the target does not accept more of the request.
         response_stream: The rest of the flow's response.
-        chunked: That response is written in chunks.
-        closes_after: The connection ends with it.
+        chunked: The response is written with chunked transfer coding.
+        closes_after: The connection is closed after the response.
         working: `process_input` is running.
-        counts: Counters of the class of a request that is to be rejected unparsed.
+        counts: Counters of the class of a request that will be rejected unparsed.
     """
 
     def __init__(
@@ -85,11 +85,11 @@
         self.counts: ClassCounters | None = None
 
     def process_input(self, has_turn: bool = False) -> None:
-        """Process input as far as the turn allows; `has_turn` where it has waited for this turn."""
+        """Process input within the budget of the iteration; `has_turn`: it was queued for this iteration."""
         raise NotImplementedError
 
     def on_response_started(self, answer: Message) -> None:
-        """Write the head of a long response; its body follows as it arrives and as the client reads it."""
+        """Write the head of a long response; its body follows as it arrives and the client reads it."""
         flow, stream = self.flow, answer.stream
         if flow is None or stream is None:
             return
@@ -124,14 +124,14 @@
             self.transport.write(LAST_CHUNK)
 
     def on_response_finished(self) -> None:
-        """A long response is complete."""
+        """Finish a long response, which is complete."""
         self.response_stream = None
         self._response_written(self.closes_after, CLIENT_STALL_TIMEOUT_S, True)
 
     def on_response_aborted(self) -> None:
         """Abort a long response.
 
-        Its client can tell that it is truncated: by its length, the missing last chunk, or the reset.
+        The client can detect the truncation: by the length, the missing last chunk, or the reset.
         """
         self.response_stream = None
         self.transport.abort()
@@ -146,15 +146,15 @@
         self._respond(503, [b"refused\n"], 8, extra)
 
     def on_failed(self) -> None:
-        """Respond that no target has served the request."""
+        """Write the response for a request that no target has served."""
         self._respond(502, [b"failed\n"], 7, [])
 
     def on_bad_request(self) -> None:
-        """Respond that the request is invalid, as a target found."""
+        """Write the response for a request that a target has found invalid."""
         self._reject_malformed(HttpError(400))
 
     def _respond_status(self, status: int) -> None:
-        """Write a response of the proxy's own, whose body is its status."""
+        """Write a response of the proxy itself, whose body is the status code."""
         headers = [b"Content-Type: text/plain\r\n"] + (
             [b"Allow: GET\r\n"] if status == METHOD_NOT_ALLOWED else []
         )
@@ -168,8 +168,8 @@
         self._response_written(close, LINGER_TIMEOUT_S, size > INITIAL_WINDOW_BYTES)
 
     def _closes_connection(self) -> bool:
-        """Whether the connection ends with this response."""
-        # The rest of a request that is still arriving is dropped: it must not pass for another request.
+        """Return whether the connection is closed after this response."""
+        # The rest of an incomplete request is dropped: it must not be taken for another request.
         return (
             not self.keep_alive
             or self.context.closing
@@ -181,9 +181,9 @@
         """Finish the response, which is written but may still be unread.
 
         Args:
-            close: The connection ends with it.
-            patience: Seconds that the client has to read it.
-            long: Part of it may still be in the kernel.
+            close: Whether the connection is closed after the response.
+            patience: Seconds that the client has to read the response.
+            long: Whether part of the response may still be in the kernel.
         """
         context = self.context
         if self.upload:
@@ -192,7 +192,7 @@
         flow = self._detach_flow()
         context.monitor.leases.release(self)
         self.idle_since = context.loop.time()
-        # A request that has begun to arrive behind this one has its own timeout.
+        # A pipelined request that has begun to arrive has its own timeout.
         self.expires_at = self.idle_since + (
             REQUEST_TIMEOUT_S if self.request_started else 2 * IDLE_TIMEOUT_S
         )
@@ -201,9 +201,9 @@
             self.ending = True
             self.reader.completed.clear()
             self.unparsed, self.offset = b"", 0
-            # A close would reset the connection and destroy the response in transit where input is unread
-            # (malformed, pipelined, or not seen by the loop yet), or where more arrives before the last of
-            # the response has left.
+            # A close would reset the connection and destroy the response in transit if input is unread
+            # (malformed, pipelined, or not yet read by the loop), or if more input arrives before the end of
+            # the response has been sent.
             self.expires_at = context.loop.time() + patience
             if self.discarding or self.reading_paused or long or not self.has_no_input():
                 self.transport.write_eof()
@@ -212,7 +212,7 @@
         self.process_input()
 
     def _count_unread(self, expires: float) -> None:
-        """Charge what the client has yet to read, and abort at loop time `expires` in s if it has not."""
+        """Charge memory for the unread response; the connection expires at loop time `expires` in s."""
         if self.write_blocked and not self.charged_output:
             self.expires_at = expires
             self.charged_output = self.transport.get_write_buffer_size()
@@ -227,13 +227,13 @@
         return flow
 
     def _reject_malformed(self, fault: HttpError) -> None:
-        """Respond to malformed input and close: what follows it cannot be trusted."""
+        """Respond to malformed input and close the connection: what follows cannot be parsed reliably."""
         self.keep_alive, self.discarding = False, True
         self.context.engine.event_counts[f"turned down {fault.status}"] += 1
         self._respond_status(fault.status)
 
     def _release_output(self) -> None:
-        """Return the charge for an unread response, which is with the kernel now, or lost."""
+        """Release the memory charged for an unread response, which was accepted by the kernel or lost."""
         if self.charged_output:
             self.context.account.charge(MemoryUse.WRITING, -self.charged_output)
             self.charged_output = 0
--- a/firvane/proxy/net/connection_limiter.py
+++ b/firvane/proxy/net/connection_limiter.py
@@ -1,4 +1,4 @@
-"""Limits the number of client connections, and closes them in order."""
+"""Limits the number of client connections, and closes them by priority."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from firvane.proxy.net.client_context import ClientContext
 from firvane.proxy.net.managed_connection import BUSY, IDLE_TIMEOUT_S
 
-# The idle timeout where connections run short, after no, one and more requests: connections that send one
-# request and stay would keep out clients that use theirs.
+# Idle timeouts when connections run short, after zero, one, and more requests: idle connections with a single
+# request would take the place of connections that are in use.
 SHORT_IDLE_TIMEOUTS_S = (0.5, 0.1, 2.0)
-SHORTEST_IDLE_TIMEOUTS_S = (0.2, 0.1, 1.0)  # where nothing but idle connections can be given up
-EVICTION_FRACTION = 1 / 32  # of all connections, closed at once where none is free
+SHORTEST_IDLE_TIMEOUTS_S = (0.2, 0.1, 1.0)  # when only idle connections can be closed
+EVICTION_FRACTION = 1 / 32  # of all connections, closed at once when no descriptor is free
 EVICTION_INTERVAL_S = 0.02
 
 
@@ -25,11 +25,11 @@
     def accept(
         self, has_no_input: NoInputCheck = always_true, is_peer_open: PeerOpenCheck = always_true
     ) -> ClientConnection:
-        """Make the protocol of an accepted connection."""
+        """Return the protocol of an accepted connection."""
         return ClientConnection(self, has_no_input, is_peer_open)
 
     def sweep(self) -> None:
-        """End connections that have been idle, or have left a request incomplete, for too long."""
+        """End connections that have been idle, or have had an incomplete request, for too long."""
         now = self.loop.time()
         self.monitor.record_descriptor_usage()
         self.over_capacity = self.monitor.descriptors.free(Use.CLIENTS) < 0
@@ -50,8 +50,8 @@
     def pause_accepting(self) -> None:
         """Accept no connections until some have been evicted or closed.
 
-        Several are evicted at once and only every `EVICTION_INTERVAL_S`: to search for the least priority at
-        each new connection would let a flood of them use up the event loop.
+        Several are evicted at once, at most every `EVICTION_INTERVAL_S`: a search for the lowest priority at
+        each new connection would let a flood of connections saturate the event loop.
         """
         if not self.accepting_paused:
             self.accepting_paused = True
@@ -59,7 +59,7 @@
             self.loop.call_at(self.loop.time() + EVICTION_INTERVAL_S, self._evict)
 
     def _evict(self) -> None:
-        """Close the connections with the least retention priority, the oldest first among equals."""
+        """Close the connections with the lowest retention priority, the oldest first among equals."""
         descriptors = self.monitor.descriptors
         free = descriptors.free(Use.CLIENTS)
         wanted = 1 + int((descriptors.open[Use.CLIENTS] + free) * EVICTION_FRACTION)
@@ -68,7 +68,7 @@
             spare = [(c.retention_priority(), n, c) for n, c in enumerate(others)]
             for (priority, _), _, least in heapq.nsmallest(wanted - free, spare):
                 if priority < BUSY and least.has_no_input():
-                    least.transport.abort()  # nothing of an answer is left on it
+                    least.transport.abort()  # no part of a response is pending on it
         self.loop.call_at(self.loop.time() + EVICTION_INTERVAL_S, self._reopen)
 
     def _reopen(self) -> None:
@@ -82,8 +82,8 @@
     def close_idle(self) -> None:
         """Close idle connections on which a request was served.
 
-        A close may cross the next request, which its client then retries. Clients do not retry the first
-        request of a connection, so that connections without one are left open.
+        A close may cross the next request, which the client then retries. Clients do not retry the first
+        request of a connection, so connections without a request are left open.
         """
         for connection in list(self.connections):
             if connection.request_count and connection.is_idle() and connection.has_no_input():
--- a/firvane/proxy/net/discovery_watch.py
+++ b/firvane/proxy/net/discovery_watch.py
@@ -1,12 +1,12 @@
-"""One watch on discovery: a chunked HTTP response, split into the JSON objects that it consists of.
+"""One watch on discovery: a chunked HTTP response, which is split into JSON objects.
 
 Invariants:
 
 1. A watch ends once, in `DiscoveryWatch.end`, whatever the reason: its connection, a malformed line, a
-   timeout, a move, a stop. Nothing that it received is taken in after that, not even what came before.
-2. An endpoint list is one JSON object, on one line or on many: lines are joined until its brackets are
-   closed. A line that cannot be part of one, and an object that is too large, end the watch at once. Empty
-   lines between objects are heartbeats.
+   timeout, another address, a stop. After that no received data is processed, not even earlier data.
+2. An endpoint list is one JSON object on one or more lines: lines are joined until its brackets are closed. A
+   line that cannot be part of an object, or an object that is too large, ends the watch at once. Empty lines
+   between objects are heartbeats.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def scan_brackets(lines: list[bytes]) -> list[bytes | None]:
-    """The brackets of each line that stand outside of strings; None for a line that is not part of JSON.
+    """Return the brackets outside of strings for each line; None for a line that cannot be part of JSON.
 
     A JSON string never spans lines, so that each line is scanned only once.
     """
@@ -38,7 +38,7 @@
 
 
 class JsonObjectSplitter:
-    """Splits the body of discovery's response into JSON objects, each on one line or on many."""
+    """Splits the body of discovery's response into JSON objects of one or more lines."""
 
     def __init__(self, max_bytes: int) -> None:
         """Create a splitter for objects of at most `max_bytes`."""
@@ -48,7 +48,7 @@
         self.open_brackets = 0  # of the partial object
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Yield the objects that are complete with these bytes, malformed lines, and empty lines between.
+        """Yield the objects that these bytes complete, malformed lines, and the empty lines between objects.
 
         Raises:
             EndpointListError: An object is too large.
@@ -77,7 +77,7 @@
         self.partial_line += rest
 
     def _check_size(self, size: int) -> None:
-        """Raise `EndpointListError` where `size` more bytes would make the object too large."""
+        """Raise `EndpointListError` if `size` more bytes would make the object too large."""
         if len(self.partial_object) + size > self.max_bytes:
             raise EndpointListError(
                 f"a line of more than the {self.max_bytes} bytes that fit in limits.memory_mb"
@@ -92,7 +92,7 @@
         head_complete: The head of the response is complete.
         response_complete: The response has ended.
         over: The watch has ended.
-        progress: When parts of the response arrived.
+        progress: The times at which parts of the response arrived.
     """
 
     def __init__(
@@ -106,7 +106,7 @@
         """Create a watch.
 
         Args:
-            request: The HTTP request that opens it.
+            request: The HTTP request that opens the watch.
             max_bytes: Bytes that one object may have.
             on_line: Called with each object, and with each empty line between objects.
             on_end: Called once with the reason for the end of the watch.
@@ -124,7 +124,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the request (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        if self.over:  # it was ended while it was dialled
+        if self.over:  # ended while connecting
             self.transport.abort()
             return
         self.progress = self.progress._replace(requested_at=self.clock())
@@ -140,7 +140,7 @@
             self.received.append(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the response, which ends the watch though its connection may stay open."""
+        """Note the end of the response, which ends the watch even if its connection stays open."""
         self.response_complete = True
 
     def data_received(self, data: bytes) -> None:
@@ -157,13 +157,13 @@
             for line in self.splitter.feed(b"".join(received)):
                 self.progress = self.progress._replace(last_line_at=self.clock())
                 self.on_line(line)
-                if self.over:  # `on_line` has ended it
+                if self.over:  # ended by `on_line`
                     return
             if self.response_complete:
                 self.end("the answer ended")
         except (httptools.HttpParserError, EndpointListError) as error:
             self.end(str(error) or type(error).__name__)
-        except BaseException:  # of the code behind `on_line`: the list may be half taken in
+        except BaseException:  # from the callback `on_line`: the list may be partly applied
             self.end("a line could not be taken in")
             raise
 
@@ -172,7 +172,7 @@
         self.end("the connection ended")
 
     def end(self, why: str) -> None:
-        """End the watch, once: nothing is passed on from here on."""
+        """End the watch, once; no more lines are reported after that."""
         if self.over:
             return
         self.over = True
--- a/firvane/proxy/net/endpoint_list.py
+++ b/firvane/proxy/net/endpoint_list.py
@@ -1,4 +1,4 @@
-"""Discovery's JSON form of endpoint lists: read, and written again for the list that is kept on disk."""
+"""The JSON format of discovery's endpoint lists: parsing, and formatting for the list stored on disk."""
 
 from __future__ import annotations
 
@@ -20,11 +20,11 @@
 
 
 class EndpointListError(ValueError):
-    """A list of endpoints, or a line of one, that is not in discovery's form."""
+    """An endpoint list, or a line of it, is not in discovery's format."""
 
 
 class EndpointListReader:
-    """Reads lists of endpoints, with the names of zones and kinds as the settings number them."""
+    """Parses endpoint lists, and maps the names of zones and kinds to their numbers in the settings."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self.kinds = {name: i for i, name in enumerate(kinds)}
 
     def read(self, data: Any) -> tuple[api.ServerList, dict[str, Address]]:
-        """The list, and the addresses of its targets; raises `EndpointListError` where it is none."""
+        """Return the list and the addresses of its targets; raises `EndpointListError` if it is invalid."""
         if not isinstance(data, dict) or not isinstance(data.get("endpoints"), list):
             raise EndpointListError("no list of endpoints")
         index = data.get("index")
@@ -94,7 +94,7 @@
 def format_endpoint_list(
     index: int, servers: list[api.Server], addresses: Mapping[str, Address], reader: EndpointListReader
 ) -> dict[str, Any]:
-    """A complete list in discovery's form, as `EndpointListReader` reads it."""
+    """Return a complete list in discovery's format, as `EndpointListReader` parses it."""
     zones, kinds = list(reader.zones), list(reader.kinds)
     endpoints = [
         {
--- a/firvane/proxy/net/listening_socket.py
+++ b/firvane/proxy/net/listening_socket.py
@@ -1,4 +1,4 @@
-"""Listening sockets for clients: accepting, paused while connections queue in the kernel, or closed."""
+"""Listening sockets for clients, which accept connections or leave them queued in the kernel."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 LISTEN_BACKLOG = 1024  # connections that the kernel queues until they are accepted
 MAX_ACCEPTS_PER_TURN = 32  # of the event loop
-ACCEPT_BACKOFF_S = 0.1  # after descriptors have run out: accept would fail at once again
+ACCEPT_BACKOFF_S = 0.1  # after descriptors have run out, when accept would fail again at once
 EXHAUSTED_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
@@ -31,17 +31,17 @@
         """Listen on a numeric host and port; `accept` makes the protocol of each connection."""
 
     def address(self) -> tuple[str, int]:
-        """The host and port that it listens on; the actual port where 0 was asked for."""
+        """Return the host and port it listens on; the actual port if 0 was requested."""
 
     def set_accepting(self, accepting: bool) -> None:
-        """Accept connections, or pause: they queue in the kernel then."""
+        """Accept connections, or pause and leave them queued in the kernel."""
 
     def close(self) -> bool:
         """Stop listening.
 
         Returns:
-            False where queued connections have to be accepted first, over further turns of the loop: it still
-            listens then, and the call is to be repeated.
+            False if queued connections must be accepted first, in further iterations of the loop: the
+            acceptor still listens then, and the call must be repeated.
         """
 
 
@@ -52,21 +52,21 @@
         self.sock, self.accept = sock, accept
 
     def make_protocol(self) -> asyncio.BaseProtocol:
-        """The protocol of the connection."""
+        """Return the protocol of the connection."""
         return self.accept(partial(has_no_input, self.sock), partial(is_peer_open, self.sock))
 
     def made(self, protocol: asyncio.BaseProtocol) -> None:
-        """The connection has its transport."""
+        """Do nothing when the transport is made."""
 
     def failed(self) -> None:
-        """The client has gone; its socket is closed."""
+        """Do nothing when the client has disconnected; the socket is closed."""
 
 
 class SocketAcceptor:
-    """Accepts from a listening socket, many connections in a turn of the event loop.
+    """Accepts many connections from a listening socket in an iteration of the event loop.
 
-    The loop's own servers accept one connection in a turn. Under overload turns are long, and most clients
-    would time out in the kernel's queue.
+    The loop's own servers accept one connection per iteration. Under overload iterations are long, and most
+    clients would time out in the kernel's queue.
     """
 
     def __init__(
@@ -82,8 +82,8 @@
             loop: The event loop.
             transports: Makes the transports of accepted sockets.
             log: For failures to accept.
-            inherited: A socket that listens already; other processes may accept from it, too, so it is never
-                bound or shut down.
+            inherited: A socket that is already listening; other processes may accept from it as well, so it
+                is neither bound nor shut down.
         """
         self.loop, self.transports, self.log = loop, transports, log
         self.inherited = inherited is not None
@@ -91,7 +91,7 @@
         self.accepting = self.reading = False
 
     async def open(self, address: tuple[str, int], accept: ConnectionFactory) -> None:
-        """Listen; `OSError` where the address cannot be bound."""
+        """Listen; raises `OSError` if the address cannot be bound."""
         self.accept = accept
         if not self.inherited:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -100,7 +100,7 @@
         self.set_accepting(True)
 
     def address(self) -> tuple[str, int]:
-        """The host and port that it listens on."""
+        """Return the host and port of the socket."""
         host, port = self.sock.getsockname()[:2]
         return host, port
 
@@ -118,7 +118,7 @@
                 self.loop.remove_reader(self.sock.fileno())
 
     def _accept(self) -> bool:
-        """Accept what is queued, within the bounds of a turn; whether more may be queued."""
+        """Accept queued connections, within the bound of an iteration; return whether more may be queued."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self.transports.queue.qsize() >= MAX_ACCEPTS_PER_TURN:
                 return True
@@ -144,9 +144,10 @@
         self._update_reader(self.accepting)
 
     def close(self) -> bool:
-        """Stop listening once the queue is empty; False until then."""
-        # A close resets the queued connections, whose clients may have sent requests already. What is queued
-        # on an inherited socket is for the processes that share it. Paused, there is no capacity for more.
+        """Stop listening once the queue is empty; return False until then."""
+        # A close resets the queued connections, whose clients may have sent requests already. Connections
+        # queued on an inherited socket are accepted by the processes that share it. While accepting is paused
+        # there is no capacity for more.
         if self.reading and not self.inherited and self._accept():
             return False
         self.set_accepting(False)
@@ -155,9 +156,9 @@
 
 
 def adopt_listening_socket(number: int) -> socket.socket:
-    """The listening socket inherited as a descriptor; raises `OSError` where it is none.
+    """Return the listening socket of an inherited descriptor; raises `OSError` if it is not one.
 
-    Processes that share the socket share its mode, too: non-blocking suits all of them.
+    Processes that share the socket share its mode as well: all of them use it as non-blocking.
     """
     try:
         sock = socket.socket(fileno=number)
@@ -171,7 +172,7 @@
 
 
 class LoopAcceptor:
-    """Accepts by the event loop's own server, for loops in virtual time that have no sockets."""
+    """Accepts with the event loop's own server, for loops in virtual time without sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -182,7 +183,7 @@
         self.server = await self.loop.create_server(lambda: accept(always_true, always_true), *address)
 
     def address(self) -> tuple[str, int]:
-        """The host and port that it listens on; `OSError` where it does not."""
+        """Return the host and port of the server; raises `OSError` if it is not listening."""
         if self.server is None:
             raise OSError("not open")
         host, port = self.server.sockets[0].getsockname()[:2]
--- a/firvane/proxy/net/managed_connection.py
+++ b/firvane/proxy/net/managed_connection.py
@@ -1,4 +1,4 @@
-"""What the connection limiter sees of one client's connection."""
+"""The interface of a client connection for the connection limiter."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class ManagedConnection(BoundedReadProtocol):
-    """One client's connection, as far as the limiter that may close it is concerned.
+    """A client connection, as the limiter that may close it sees it.
 
     Attributes:
-        reading_paused: Nothing more is read from the kernel.
-        request_count: Requests that were taken up on it.
-        rate_second: The last second (of loop time) in which it sent a request.
+        reading_paused: Reading from the kernel is paused.
+        request_count: Requests accepted on the connection.
+        rate_second: The last second (of loop time) in which a request arrived.
         rate_count: Requests in that second.
-        idle_since: Loop time in s at which it was made or last fell idle.
+        idle_since: Loop time in s at which the connection was made or last became idle.
         expires_at: Loop time in s after which `expire` is called.
     """
 
@@ -27,8 +27,8 @@
         """Create a connection.
 
         Args:
-            has_no_input: Whether the kernel holds nothing that the loop has yet to hand over.
-            is_peer_open: Whether the client has not ended the connection behind whatever is unread.
+            has_no_input: Whether the kernel has no input that the loop has not read.
+            is_peer_open: Whether the client has not closed the connection, even behind unread input.
         """
         self.has_no_input, self.is_peer_open = has_no_input, is_peer_open
         self.reading_paused = False
@@ -39,24 +39,24 @@
         self.transport: asyncio.Transport
 
     def is_idle(self) -> bool:
-        """Whether it has no part of a request or of a response."""
+        """Return whether the connection has no part of a request or response."""
         raise NotImplementedError
 
     def retention_priority(self) -> tuple[int, float]:
-        """How far it is worth keeping where connections run short, as a rank and `idle_since`.
+        """Return the priority for keeping the connection when descriptors run short: a rank and `idle_since`.
 
-        The least is closed first: connections without requests before those of regular clients.
+        The lowest is closed first: connections without requests before those of regular clients.
         """
         raise NotImplementedError
 
     def on_client_gone(self) -> None:
-        """The client has closed the connection, which unread bytes hid from the event loop."""
+        """Abort the connection, which the client has closed; unread bytes hid that from the loop."""
         raise NotImplementedError
 
     def close_or_reject(self) -> None:
-        """Close the connection where it is idle, and reject a request that is incomplete."""
+        """Close the connection if it is idle, or reject its request if that is incomplete."""
         raise NotImplementedError
 
     def expire(self) -> None:
-        """End the connection, whose time is over, or extend its time where it makes progress."""
+        """End the connection, whose timeout has expired, or extend the timeout if it makes progress."""
         raise NotImplementedError
--- a/firvane/proxy/net/peer_datagrams.py
+++ b/firvane/proxy/net/peer_datagrams.py
@@ -9,12 +9,12 @@
 from firvane.proxy.limits.token_buckets import TokenBuckets
 
 MAX_DATAGRAM_BYTES = 256
-DATAGRAM_RATE_PER_S = 20.0  # that a peer may send: ten times what it needs
+DATAGRAM_RATE_PER_S = 20.0  # accepted from a peer: ten times what it needs
 DATAGRAM_BURST = 20.0
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
-    """Sends datagrams to the peers and passes on theirs; anything else on the port is dropped."""
+    """Sends datagrams to the peers and reports those it receives from them; others are dropped."""
 
     def __init__(
         self,
@@ -29,9 +29,9 @@
         Args:
             me: This proxy's number among the peers.
             peers: The addresses of all proxies, in the order of their numbers.
-            everyone: An address that reaches all peers, where there is one.
-            on_message: Called with the number of the sender and the payload. A peer's messages beyond its
-                rate are dropped.
+            everyone: A multicast or broadcast address that reaches all peers, if there is one.
+            on_message: Called with the number of the sender and the payload. Messages of a peer beyond its
+                rate limit are dropped.
             time: Seconds on a monotonic clock.
         """
         self.time, self.rates = time, TokenBuckets(DATAGRAM_RATE_PER_S, DATAGRAM_BURST)
@@ -40,11 +40,11 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The socket is open (asyncio)."""
+        """Set the transport of the open socket (asyncio)."""
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass on a datagram of a peer (asyncio)."""
+        """Report a datagram of a peer (asyncio)."""
         sender = self.numbers.get((addr[0], addr[1]))
         if sender is None or sender == self.me or len(data) > MAX_DATAGRAM_BYTES:
             return
@@ -52,7 +52,7 @@
             self.on_message(sender, data)
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore the ICMP errors of peers that are down (asyncio): datagrams may be lost in any case."""
+        """Ignore ICMP errors of peers that are down: datagrams may be lost in any case (asyncio)."""
 
     def close(self) -> None:
         """Close the socket."""
@@ -63,7 +63,7 @@
     def send_datagram(self, peer: int | None, payload: bytes) -> None:
         """Send a datagram to a peer, or to all of them for None."""
         if self.transport is None or len(payload) > MAX_DATAGRAM_BYTES:
-            return  # the protocol allows no longer one
+            return  # longer datagrams violate the protocol
         if peer is not None:
             if 0 <= peer < len(self.peers):
                 self.transport.sendto(payload, self.peers[peer])
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -1,4 +1,4 @@
-"""Monitors what the process uses against its limits, and passes pressure on to the decisions."""
+"""Monitors the resource usage of the process against its limits, and reports overload to the balancer."""
 
 from __future__ import annotations
 
@@ -22,20 +22,22 @@
 from firvane.proxy.limits.overload import Level, Overload, OverloadAction, Resource
 
 SAMPLE_INTERVAL_S = 0.25
-LAG_FRACTION = 0.25  # of the shortest latency target: a loop that lags more is under pressure
-MIN_LAG_S = 0.01  # the loop counts whole ms, and a turn with requests takes some 3
-TURN_WAIT_FRACTION = 0.1  # of the shortest latency target: the longest that a request may wait for its turn
+LAG_FRACTION = 0.25  # of the shortest latency target: more lag of the event loop counts as overload
+MIN_LAG_S = 0.01  # the loop's clock has a resolution of 1 ms, and an iteration with requests takes some 3 ms
+TURN_WAIT_FRACTION = (
+    0.1  # of the shortest latency target: the longest time that a request may be queued for the loop
+)
 INITIAL_RATE_PER_CORE = 1500.0  # requests a second, until the rate is measured
 STATM = "/proc/self/statm"
 PAGE_BYTES = resource.getpagesize()
 
 
 class Usage(NamedTuple):
-    """What the process uses.
+    """The resource usage of the process.
 
     Attributes:
-        cpu: CPU seconds since its start.
-        memory: Bytes of memory that are its own, without shared pages.
+        cpu: CPU seconds since the start of the process.
+        memory: Bytes of private memory, without shared pages.
     """
 
     cpu: float
@@ -47,7 +49,7 @@
 
     def __init__(self) -> None:
         self.file: io.FileIO | None = None  # stays open for the life of the process
-        with contextlib.suppress(OSError):  # without this file only the memory account counts
+        with contextlib.suppress(OSError):  # without this file only the memory account is used
             self.file = io.FileIO(STATM)
 
     def __call__(self) -> Usage:
@@ -61,7 +63,7 @@
 
 
 class ResourceMonitor:
-    """All resource limits of one proxy, and how far each is used."""
+    """The resource limits of one proxy and the usage of each."""
 
     def __init__(
         self,
@@ -74,16 +76,16 @@
         usage: Callable[[], Usage],
         log: Log = QUIET,
     ) -> None:
-        """Create a monitor; raises `ValueError` where the limits are too small for a proxy.
+        """Create a monitor; raises `ValueError` if the limits are too small for a proxy.
 
         Args:
             loop: The event loop.
-            settings: The settings of the decisions.
+            settings: The settings of the balancer.
             cores: CPU cores that the process may use.
-            memory_mb: Megabytes of memory that it may use.
-            sockets: File descriptors that it may open.
-            usage: Samples what the process uses.
-            log: For changes of pressure.
+            memory_mb: Megabytes of memory that the process may use.
+            sockets: File descriptors that the process may open.
+            usage: Samples the usage of the process.
+            log: For changes of the load level.
         """
         self.log = log
         self.loop, self.usage, self.cores = loop, usage, cores
@@ -99,30 +101,30 @@
         self.admission = AdmissionController()
         self.report_pressure: Callable[[api.OverloadSignal], None] = lambda pressure: None
         self.counts: Callable[[], tuple[int, int, tuple[int, ...]]] = lambda: (0, 0, ())
-        self.lag = 0.0  # s, the worst since the last sample
+        self.lag = 0.0  # s, the maximum since the last sample
         self._worst_lag = 0.0  # s, since `worst_lag` was last called
         self._sampled_at = loop.time()
         self._cpu = usage().cpu
-        self._last_counts = (0, 0, 0)  # requests taken, wished, overflowed at the last sample
+        self._last_counts = (0, 0, 0)  # requests decided, shed and overflowed up to the last sample
         self._reported = api.OverloadSignal(0.0, False, True)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Set the bounds on lag and waiting by the shortest latency target of the settings."""
+        """Set the bounds on lag and queueing by the shortest latency target of the settings."""
         target = min(cls.latency_target for cls in settings.classes)
-        # Targets shorter than a turn of the loop must not make each turn a sign of overload.
+        # If the target is shorter than an iteration of the loop, not every iteration may count as overload.
         self.max_lag, self.loop_budget.max_wait_s = (
             max(MIN_LAG_S, LAG_FRACTION * target),
             TURN_WAIT_FRACTION * target,
         )
 
     def start(self) -> None:
-        """Sample regularly from now on."""
+        """Start sampling regularly."""
         self.loop.call_at(
             self.loop.time() + SAMPLE_INTERVAL_S, self._sample, self.loop.time() + SAMPLE_INTERVAL_S
         )
 
     def record_usage(self, what: Resource, figure: float) -> None:
-        """Take in the usage of a resource, as a part of its limit; log a change of level."""
+        """Record the usage of a resource, as a fraction of its limit; log a change of its load level."""
         step = self.overload.update(what, figure, self.loop.time())
         if step:
             actions = sorted(action.value for action in self.overload.active_actions)
@@ -136,20 +138,20 @@
             )
 
     def is_active(self, action: OverloadAction) -> bool:
-        """Whether an action against overload is in force."""
+        """Return whether an action against overload is active."""
         return action in self.overload.active_actions
 
     def record_descriptor_usage(self) -> None:
-        """Take in how many of the clients' descriptors are used."""
+        """Record the usage of the descriptors for client connections."""
         self.record_usage(Resource.DESCRIPTORS, self.descriptors.usage(Use.CLIENTS))
 
     def record_lag(self, lag: float) -> None:
-        """The event loop ran a timer `lag` seconds late."""
+        """Record that the event loop ran a timer `lag` seconds late."""
         self.lag = max(self.lag, lag)
         self._worst_lag = max(self._worst_lag, lag)
 
     def worst_lag(self) -> float:
-        """The worst lag in seconds since the last call."""
+        """Return the largest lag in seconds since the last call."""
         worst, self._worst_lag = self._worst_lag, 0.0
         return worst
 
@@ -168,7 +170,7 @@
         self.loop.call_at(now + SAMPLE_INTERVAL_S, self._sample, now + SAMPLE_INTERVAL_S)
 
     def _admit(self, span: float) -> None:
-        """Estimate what part of the arriving requests can be served, and report it to the decisions."""
+        """Estimate the fraction of requests that exceeds the capacity, and report it to the balancer."""
         shed, overflowed, unseen = self.counts()
         before, self._last_counts = self._last_counts, (self.loop_budget.decided, shed, overflowed)
         taken, shed, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -1,18 +1,19 @@
-"""The targets of a proxy: the endpoint list of discovery, followed by a watch that is renewed when it ends.
+"""The targets of a proxy: follows the endpoint list of discovery by a watch that is renewed when it ends.
 
 Invariants:
 
-1. `set_address` and `stop` end the watch themselves rather than the task that they cancel: a line of the old
-   discovery that the loop reads before the task's turn would set the version that is asked of the new one.
-2. `limits/discovery_timing.py` decides when a watch has timed out, by what was received on it. A loop that
-   was suspended finds the time over before it has read what arrived meanwhile: a watch is given up only where
-   the loop has read its connections after that time and nothing has arrived. The start goes on with the list
-   as last known by the same rule, and not while a call still has its time to be answered.
-3. Where a line was malformed or could not be taken in, its content is unknown; and so is the base of changes
-   that have an older version than the current list. The next watch asks for the complete list then. A
-   complete list is taken in whatever its version.
-4. A list with one invalid entry is refused as a whole (`endpoint_list`), and the current list stays in force.
-   Nobody behind the reader checks entries again.
+1. `set_address` and `stop` end the watch themselves instead of leaving that to the task that they cancel: if
+   the loop read a line of the old discovery before the task runs, its version would be requested from the new
+   one.
+2. `limits/discovery_timing.py` decides by the data received when a watch has timed out. After the loop was
+   suspended, timeouts expire before it has read what arrived meanwhile: a watch times out only if the loop
+   has read its connections after the deadline and nothing has arrived. By the same rule the start continues
+   with the cached list, and not before the deadline of a pending request to discovery.
+3. If a line is malformed or cannot be processed, its content is unknown; so is the base of changes with an
+   older version than the current list. The next watch requests the complete list then. A complete list is
+   accepted whatever its version.
+4. A list with one invalid entry is rejected as a whole (`endpoint_list`), and the current list stays in
+   effect. Entries are not checked again after the reader.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 from firvane.proxy.net.discovery_watch import DiscoveryWatch
 from firvane.proxy.net.endpoint_list import EndpointListError, EndpointListReader, format_endpoint_list
 
-SETTLE_DELAY_S = 0.001  # any delay has the loop read what had arrived before it
+SETTLE_DELAY_S = 0.001  # any delay lets the loop read what arrived before it
 LOG_INTERVAL_S = 1.0
 
 
 class TargetGroup:
-    """Keeps the current endpoint list of discovery, and passes on every change.
+    """Keeps the current endpoint list of discovery, and reports every change.
 
-    Without an address there is no discovery: the list is the one given to `apply_list`.
+    Without an address there is no discovery: the list is the one passed to `apply_list`.
 
     Attributes:
         index: The version of the list, or 0 for unknown.
         servers: The listed targets, by name.
-        addresses: Their addresses, where the list is to be stored; else None.
-        known: Some list was taken in, possibly a stored one.
-        progress: Set once discovery itself has sent the list.
+        addresses: The addresses of the targets if the list is stored, else None.
+        known: Some list was applied, possibly a stored one.
+        list_received: Set once discovery itself has sent the list.
         watch: The current watch.
         logged_at: Loop time in s of the last warning.
     """
@@ -66,11 +67,11 @@
             loop: The event loop.
             address: Discovery's address.
             reader: Reads endpoint lists.
-            on_target: Called with the name, address and readiness of each target that is listed anew, and
-                with no address for one that was removed.
+            on_target: Called with the name, the address and whether it is up for each target of an update;
+                the address is None if the target was removed.
             on_list: Called with each list.
             log: For failures of discovery.
-            backoff: When discovery is called; without it, calls are free.
+            backoff: Decides when discovery is called; None: without delays for the size of the fleet.
         """
         self.log = log
         self.backoff = backoff or DiscoveryBackoff(0, random.Random(0))
@@ -86,11 +87,11 @@
         self.logged_at = float("-inf")
 
     def apply_list(self, data: Any, cached: bool = False) -> None:
-        """Take in a list or changes of it; where `EndpointListError` is raised nothing has changed.
+        """Apply a list or changes of it; if `EndpointListError` is raised, nothing has changed.
 
         Args:
             data: The list in discovery's form.
-            cached: It was stored by an earlier process.
+            cached: Whether the list was stored by an earlier process.
         """
         update, addresses = self.reader.read(data)
         if update.kind is api.ListKind.INCREMENTAL:
@@ -109,7 +110,7 @@
         for server in update.servers:
             old, up = before.get(server.id), server.state is api.ServerState.UP
             if old and up and old.up_since != server.up_since:
-                # It was restarted: connections to the old process would only be reset.
+                # The target was restarted: connections to the old process would be reset.
                 self.on_target(server.id, None, False)
             self.on_target(server.id, addresses.get(server.id), up)
             if self.addresses is not None and server.id in addresses:
@@ -122,9 +123,9 @@
         self.on_list(update)
 
     def list_formatter(self) -> Callable[[], dict[str, Any] | None]:
-        """A function that makes the current list in discovery's form, for `apply_list` of a later process.
+        """Return a function that formats the current list for `apply_list` of a later process.
 
-        It may be called in another thread: entries are never changed, only replaced.
+        The function may be called in another thread: entries are never changed, only replaced.
         """
         if not self.known or self.addresses is None:
             return lambda: None
@@ -134,51 +135,51 @@
         )
 
     def refresh(self) -> None:
-        """Pass the complete list on again, as the decisions ask for it."""
+        """Report the complete list again; called by the balancer."""
         self.loop.call_soon(self._pass_on_list)
 
     def _pass_on_list(self) -> None:
-        """Pass on the list as it is by now, where any is known."""
+        """Report the current list, if any is known."""
         if self.known:
             self.on_list(api.ServerList(api.ListKind.COMPLETE, self.index, tuple(self.servers.values())))
 
     def start(self) -> None:
-        """Follow discovery from now on."""
+        """Start following discovery."""
         if self.address:
             self.task = self.loop.create_task(self.follow())
         else:
             self.list_received.set()
 
     def stop(self) -> None:
-        """Follow it no longer."""
+        """Stop following discovery."""
         if self.task:
             self.task.cancel()
         if self.watch:  # at once: it could be read before the task is cancelled
             self.watch.end("it is no longer followed")
 
     def set_address(self, address: Address) -> None:
-        """Follow discovery at another address from now on.
+        """Follow discovery at another address.
 
-        Its versions need not match those of the old one, so that the complete list is asked for; until it
-        arrives, the current list stays in force.
+        Its versions may differ from those at the old address, so that the complete list is requested; until
+        it arrives, the current list stays in effect.
         """
         if address == self.address:
             return
         self.address, self.index = address, 0
         self.backoff.reset()
-        if self.task:  # else it has not been started
+        if self.task:  # else the target group has not been started
             self.stop()
             self.start()
 
     async def follow(self) -> None:
-        """Renew the watch for as long as the proxy runs, or until discovery moves."""
+        """Renew the watch until the task is cancelled."""
         await asyncio.sleep(self.backoff.first_delay(self.known))
         while self.address:
             silent = await self._watch_once(self.address)
             await asyncio.sleep(self.backoff.next_delay(silent))
 
     async def _watch_once(self, address: Address) -> bool:
-        """Watch until the watch ends; return whether it has timed out."""
+        """Run one watch to its end; return whether it has timed out."""
         ended, timed_out = asyncio.Event(), False
         host = f"{address[0]}:{address[1]}"
         request = f"GET /discovery/hosts?watch=1&from={self.index} HTTP/1.1\r\nHost: {host}\r\n\r\n"
@@ -201,32 +202,30 @@
         return timed_out
 
     def _progress(self) -> WatchProgress | None:
-        """What was received on the current watch."""
+        """Return the progress of the current watch."""
         return self.watch.progress if self.watch else None
 
     async def _times_out(self, event: asyncio.Event, until: float) -> bool:
-        """Whether loop time `until` passes without the event, and without anything received since."""
+        """Wait until loop time `until`; return whether neither the event was set nor data received."""
         before = self._progress()
         try:
             async with asyncio.timeout_at(until):
                 await event.wait()
         except TimeoutError:
             await asyncio.sleep(SETTLE_DELAY_S)
-        # The same object as before the delay, not only as old: the loop may have been suspended in it, too.
+        # Compares identity, not age: the loop may have been suspended during the delay, too.
         return not event.is_set() and self._progress() is before
 
     async def wait_until_listed(self, timeout: float) -> bool:
-        """Whether discovery sends its list within `timeout` s, or in response to a call in flight then."""
+        """Wait up to `timeout` s, or to the end of a pending request; return whether the list came."""
         await self._times_out(self.list_received, self.loop.time() + timeout)
-        # Where the loop was suspended the clock alone does not decide: a line that has arrived is read first,
-        # and a call that could be made only now has the time that every call has.
+        # After a suspension of the loop the clock alone does not decide: lines that have arrived are read
+        # first, and a request that could be sent only now has its full timeout.
         while not self.list_received.is_set():
             watch = self.watch
             if await self._times_out(self.list_received, self.backoff.answer_deadline(self._progress())):
                 return False
-            if watch and (
-                watch.over or watch is not self.watch
-            ):  # it is judged by what was read, or has ended
+            if watch and (watch.over or watch is not self.watch):  # the pending request has ended
                 break
         return self.list_received.is_set()
 
@@ -238,8 +237,8 @@
 
     def _handle_line(self, line: bytes) -> None:
         if line.strip():
-            # The version stays 0, unknown, where the line cannot be taken in for whatever reason: the next
-            # watch begins with the complete list then.
+            # The version stays 0 (unknown) if the line cannot be processed for any reason: the next watch
+            # begins with the complete list then.
             index, self.index = self.index, 0
             try:
                 data = json.loads(line)
@@ -250,12 +249,12 @@
                 raise EndpointListError(f"bad line from discovery: {error}") from None
             except BaseException:
                 self.index = 0
-                raise  # from the code behind `on_list`: the list may be half taken in
+                raise  # from the callback `on_list`: the list may be partly applied
             self.list_received.set()
         self.backoff.reset()
 
     def _check_version(self, data: Any, current: int) -> None:
-        """Raise `EndpointListError` for changes that are older than the current list."""
+        """Raise `EndpointListError` if changes are older than the current list."""
         if isinstance(data, dict) and data.get("snapshot") is not True:
             index = data.get("index")
             if isinstance(index, int) and index < current:
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -8,10 +8,10 @@
    `UpstreamPools._reason_not_to_send` checks that the drain grace of its target, its deadline and its latest
    start time have not passed, and that its client is still connected as far as the kernel knows. A run that
    fails this check has not been executed.
-3. A request is written when the kernel has accepted its last byte. If the connection breaks before that, it
+3. A request is written when the kernel has accepted its last byte. If the connection breaks earlier, it
    was not executed; if it breaks later, or at an unknown time, it may have been executed.
-4. A connection is not reused for `REUSE_DELAY_S` after a response: an unsolicited second response would arrive
-   within milliseconds, and responses do not name their requests. Until then runs dial new connections.
+4. A connection is not reused for `REUSE_DELAY_S` after a response: an unsolicited second response would
+   arrive within milliseconds, and responses do not name their requests. Until then runs dial new connections.
 """
 
 from __future__ import annotations
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -101,12 +101,12 @@
     ),
     Mutant(
         "a watch that was given up while dialled asks nothing", WATCH,
-        "        if self.over:  # it was ended while it was dialled\n", "        if False:\n",
+        "        if self.over:  # ended while connecting\n", "        if False:\n",
         f"{TESTS}::test_who_was_given_up_while_dialled_asks_nothing",
     ),
     Mutant(
         "nothing that has come is learnt after the end", WATCH,
-        "if self.over:  # `on_line` has ended it\n", "if False:\n",
+        "if self.over:  # ended by `on_line`\n", "if False:\n",
         f"{TESTS}::test_nothing_that_has_come_is_learnt_after_the_end",
     ),
     Mutant(
