--- a/firvane/core/atomic_write.py
+++ b/firvane/core/atomic_write.py
@@ -11,14 +11,14 @@
 
 
 def write_atomically(path: str | os.PathLike[str], data: bytes) -> None:
-    """Write a file so that it has either all of the data or what was there before, whatever stops this.
+    """Write a file atomically: after an interruption it has either all of the data or its old content.
 
     Args:
-        path: The file; its folder exists.
-        data: The whole content.
+        path: The file; its folder must exist.
+        data: The new content.
 
     Raises:
-        OSError: It cannot be written; the file is as it was before.
+        OSError: The file cannot be written; it is unchanged.
     """
     target = Path(path)
     descriptor, name = tempfile.mkstemp(prefix=f".{target.name}.", dir=target.parent)
--- a/firvane/core/checksum.py
+++ b/firvane/core/checksum.py
@@ -2,9 +2,9 @@
 
 Invariants:
 
-1. A version above the program's is rejected; what older ones mean is up to the reader of the body.
-2. Data that is cut, longer than its header says, or of another checksum is rejected: nothing of it is read.
-3. Every rejection is one `DamagedDataError` with a reason of one line.
+1. A version above the program's is rejected; the reader of the body handles older versions.
+2. Data with another length than its header states, or with another checksum, is rejected as a whole.
+3. Every rejection raises one `DamagedDataError` with a reason of one line.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class DamagedDataError(ValueError):
-    """The data cannot be read; the text is one line."""
+    """The data is damaged or of an unknown format; the text is one line."""
 
 
 def add_header(magic: bytes, version: int, body: bytes) -> bytes:
@@ -38,17 +38,17 @@
     Args:
         data: The whole content.
         magic: The expected kind of file.
-        newest: The newest version that the program reads.
-        name: What the file should be, for the reason of a rejection.
+        newest: The newest version that the program supports.
+        name: The kind of file in words, for the reason of a rejection.
 
     Returns:
         The version and the body.
 
     Raises:
-        DamagedDataError: The header is missing, or does not fit.
+        DamagedDataError: The header is missing or does not match the body.
     """
     if len(data) < HEADER.size or data[:MAGIC_BYTES] != magic:
-        raise DamagedDataError(f"it is no {name}")
+        raise DamagedDataError(f"it is not a {name}")
     _, version, length, checksum = HEADER.unpack_from(data)
     body = data[HEADER.size :]
     if not 1 <= version <= newest:
--- a/firvane/core/logs.py
+++ b/firvane/core/logs.py
@@ -1,16 +1,16 @@
-"""Structured logging: an event's name and its fields on one line, as logfmt or JSON.
+"""Structured logging: one line per event, with its name and fields, as logfmt or JSON.
 
 Invariants:
 
-1. An event is a name in snake case; whatever varies is a field.
-2. An event below the level costs one call and formats nothing. Code on the path of requests that would have
-   to gather fields first asks `is_enabled_for` once and keeps the answer.
-3. Logging never fails: a line that cannot be written is lost.
-4. There is no global state: a proxy is given its log, with its name bound to it, so that several proxies in
-   one process have their own. The clock is given as well: lines of virtual time carry virtual times.
+1. An event has a fixed name in snake case; all variable parts are fields.
+2. An event below the level costs one call and formats nothing. Code on the request path that would have to
+   collect fields first calls `is_enabled_for` once and caches the result.
+3. Logging never fails: a line that cannot be written is dropped.
+4. There is no global state: each proxy is passed its log with its name bound, so that several proxies in one
+   process have separate logs. The clock is a parameter as well: simulations log virtual time.
 
-The interface is structlog's, so that an application which has structlog hands the proxy a logger of its own.
-structlog itself is not imported, for the memory that it takes.
+The interface is that of structlog, so that an application that uses structlog can pass its own logger.
+structlog itself is not imported, because of its memory use.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
 
 
 class LineLog:
-    """A log that renders each event into a line."""
+    """A log that renders each event as a line."""
 
     def __init__(
         self,
@@ -69,10 +69,10 @@
 
         Args:
             level: The lowest level that is written, of `LEVELS`.
-            render: Makes a line of the fields.
+            render: Formats the fields as a line.
             write: Writes a line.
-            wall: Unix time in s.
-            fields: Those that each line has.
+            wall: Returns Unix time in s.
+            fields: The fields of every line.
         """
         self.level, self.render, self.write, self.wall, self.fields = level, render, write, wall, fields
 
@@ -116,7 +116,7 @@
 
 
 def to_stderr(line: str) -> None:
-    """Write a line to standard error at once; one that is closed is ignored."""
+    """Write a line to standard error and flush it; does nothing if standard error is closed."""
     try:
         sys.stderr.write(line + "\n")
         sys.stderr.flush()
@@ -125,7 +125,7 @@
 
 
 def logfmt(fields: dict[str, Any]) -> str:
-    """Fields as logfmt (`key=value`)."""
+    """Return the fields as logfmt (`key=value`)."""
     return " ".join(f"{key}={_value(value)}" for key, value in fields.items())
 
 
@@ -142,7 +142,7 @@
 
 
 def as_json(fields: dict[str, Any]) -> str:
-    """Fields as a JSON object."""
+    """Return the fields as a JSON object."""
     return json.dumps(fields, default=str)
 
 
@@ -167,7 +167,7 @@
 
 
 class LoggingBridge(logging.Handler):
-    """Passes on what libraries log by the standard module, such as asyncio's errors in callbacks."""
+    """Forwards records that libraries log with the standard module, such as asyncio's errors in callbacks."""
 
     def __init__(self, log: Log) -> None:
         super().__init__(logging.WARNING)
--- a/firvane/core/net/__init__.py
+++ b/firvane/core/net/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP, dials and transports, as both the proxy and the router use them."""
+"""HTTP messages, dialing and transports for both the proxy and the router."""
--- a/firvane/core/net/connection_checks.py
+++ b/firvane/core/net/connection_checks.py
@@ -1,16 +1,16 @@
-"""Questions about a connection that only its socket can answer, for code that holds no socket itself."""
+"""Types of checks on the socket of a connection, for code that has no access to the socket."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-# Whether the kernel holds no unread input of a connection, neither bytes nor its end: the event loop may not
-# know of either yet.
+# Returns whether the kernel has no unread input of a connection, neither bytes nor its end, which the event
+# loop may not have read yet.
 NoInputCheck = Callable[[], bool]
-# Whether the peer has not ended the connection, however many of its bytes are unread.
+# Returns whether the peer has not closed the connection, even if bytes of it are unread.
 PeerOpenCheck = Callable[[], bool]
 
 
 def always_true() -> bool:
-    """The answer for connections without a kernel behind them, where nothing arrives unseen."""
+    """Return True: the check for connections without a socket, where the loop sees all input at once."""
     return True
--- a/firvane/core/net/dialer.py
+++ b/firvane/core/net/dialer.py
@@ -1,4 +1,4 @@
-"""Outgoing TCP connections: the interface of a dialer, and the dialer on real sockets."""
+"""Outgoing TCP connections: the interface of a dialer, and its implementation with sockets."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
     """A connection attempt."""
 
     def close(self) -> None:
-        """Cancel the attempt. Where its transport is already being made, `up` is still called."""
+        """Cancel the attempt. If its transport is already being made, `up` is still called."""
 
 
 class Dialer(Protocol):
-    """Makes connections. For each dial exactly one of `up` and `ended` is called, once."""
+    """Makes connections. For each dial exactly one of `up` and `ended` is called, exactly once."""
 
     def dial(
         self,
@@ -42,8 +42,8 @@
             deadline: Loop time in seconds at which the attempt fails.
             factory: Makes the protocol of the connection.
             up: Called with that protocol once it has its transport.
-            ended: Called with the reason where there will be no connection; possibly before this call
-                returns, and after a close as well.
+            ended: Called with the reason if no connection is made; possibly before this call returns, and
+                also after a close.
         """
 
 
@@ -78,11 +78,11 @@
             self._stop_waiting()
             self.dialer.transports.submit(self)
 
-    def _fail(self, ending: Termination) -> None:
+    def _fail(self, termination: Termination) -> None:
         if self.connecting:
             self._stop_waiting()
             self.sock.close()
-            self.ended(ending)
+            self.ended(termination)
 
     def close(self) -> None:
         """Cancel the attempt."""
@@ -90,20 +90,20 @@
         self._fail(Termination.CANCELLED)
 
     def make_protocol(self) -> P | None:
-        """The protocol of the connection, or None where the attempt was cancelled meanwhile."""
+        """Return the protocol of the connection, or None if the attempt was cancelled."""
         return None if self.closed else self.factory(partial(has_no_input, self.sock))
 
     def made(self, protocol: P) -> None:
-        """The connection has its transport."""
+        """Report the connection, whose transport is made."""
         self.up(protocol)
 
     def failed(self) -> None:
-        """No transport could be made."""
+        """Report that no transport could be made."""
         self.ended(Termination.BROKEN_BEFORE_SENT)
 
 
 class SocketDialer:
-    """Dials by non-blocking connects, whose sockets get their transports from a pool."""
+    """Dials with non-blocking sockets; a pool makes their transports."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, transports: TransportPool) -> None:
         self.loop, self.transports = loop, transports
@@ -134,14 +134,14 @@
     """A connection attempt that failed at once."""
 
     def close(self) -> None:
-        """Nothing is left to cancel."""
+        """Do nothing: the attempt has ended."""
 
 
 NO_DIAL = NoDial()
 
 
 def has_no_input(sock: socket.socket) -> bool:
-    """Whether nothing is to be read from a socket, neither bytes nor its end."""
+    """Return whether a socket has nothing to read, neither bytes nor the end of the input."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -152,19 +152,19 @@
 
 
 def reset_on_close(transport: asyncio.Transport) -> None:
-    """Make any close from now on reset the connection, also the close at process exit, but not `write_eof`.
+    """Make any later close reset the connection, also the close at process exit, but not `write_eof`.
 
-    A body that ends with its connection would otherwise pass for complete where it was truncated.
+    Otherwise a truncated body that ends with its connection would be taken for complete.
     """
     if sock := transport.get_extra_info("socket"):
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
-TCP_ESTABLISHED = 1  # tcpi_state, the first byte of TCP_INFO: neither side has ended the connection
+TCP_ESTABLISHED = 1  # tcpi_state, the first byte of TCP_INFO: neither side has closed the connection
 
 
 def is_peer_open(sock: socket.socket) -> bool:
-    """Whether the peer has neither closed nor reset the connection, as far as the kernel knows.
+    """Return whether the peer has neither closed nor reset the connection, as far as the kernel knows.
 
     Unread bytes hide the end of a connection from reads and from the event loop, but not from TCP_INFO.
     """
--- a/firvane/core/net/http_message.py
+++ b/firvane/core/net/http_message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages, and bodies that are passed on from one connection to another while they arrive."""
+"""HTTP/1.1 messages, and bodies that are forwarded from one connection to another as they arrive."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from firvane.core.net.connection_checks import PeerOpenCheck, always_true
 
 BytesLike = bytes | bytearray
-# Fields that apply to one connection only (RFC 9110, 7.6.1), and the framing, which each side writes anew.
+# Fields that apply to one connection only (RFC 9110, 7.6.1), and the framing, which the proxy writes itself.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -30,7 +30,7 @@
     """A message that cannot be used.
 
     Attributes:
-        status: The status code of the response, where the message is a client's request.
+        status: The status code to respond with, if the message is a client's request.
     """
 
     def __init__(self, status: int) -> None:
@@ -39,7 +39,7 @@
 
 
 class Message:
-    """One request or response: its start line, its header fields as they came, and its body."""
+    """One request or response: its start line, its header fields as received, and its body."""
 
     __slots__ = (
         "body",
@@ -64,28 +64,26 @@
         self.method = self.url = b""
         self.status = 0
         self.headers: list[tuple[bytes, bytes]] = []
-        self.fields: dict[bytes, bytes] = {}  # by lower-case name; of those repeated, the last
+        self.fields: dict[bytes, bytes] = {}  # by lower-case name; the last one if repeated
         self.repeated_fields: list[bytes] = []
         self.body: list[BytesLike] = []
         self.size = 0  # bytes of the body received so far
-        self.continue_sent = False  # its sender was sent "100 Continue"
-        self.is_framed = False  # its head says how its body ends
+        self.continue_sent = False  # "100 Continue" was sent to its sender
+        self.is_framed = False  # its head defines how its body ends
         self.keep_alive = False
         self.complete = False
         self.version = b"1.1"
-        self.exceeds_buffer = False  # its body is not buffered: it is passed on as it arrives
+        self.exceeds_buffer = False  # its body is not buffered but forwarded as it arrives
         self.stream: Stream | None = None  # the source of the rest of the body
-        self.sender_is_connected: PeerOpenCheck = (
-            always_true  # whether its sender still waits for the response
-        )
+        self.sender_is_connected: PeerOpenCheck = always_true  # for the response
 
     def content_length(self) -> int | None:
-        """Bytes of its body by its header fields, or None where they do not say."""
+        """Return the bytes of its body by its Content-Length, or None if that is missing or invalid."""
         given = self.fields.get(b"content-length")
         return int(given) if given and given.strip().isdigit() else None
 
     def take_body(self) -> list[BytesLike]:
-        """Remove and return what has arrived of its body."""
+        """Remove and return the received part of its body."""
         buffers, self.body = self.body, []
         return buffers
 
@@ -105,27 +103,27 @@
 
 
 class Producer(Protocol):
-    """The connection that a body arrives on."""
+    """The connection on which a body arrives."""
 
     def set_paused(self, paused: bool) -> None:
-        """Stop reading the body, or resume."""
+        """Pause reading the body, or resume."""
 
 
 class Consumer(Protocol):
-    """The connection that a body is written to."""
+    """The connection to which a body is written."""
 
     def write_body(self, buffers: list[BytesLike]) -> None:
         """Write more of the body."""
 
     def end_body(self) -> None:
-        """Write what ends the body: all of it has been written."""
+        """Write the end of the body, after all of its data."""
 
 
 class Stream:
-    """A body that passes from one connection to another, with at most one read of it in memory.
+    """A body that is forwarded from one connection to another, with at most the data of one read in memory.
 
-    Until a consumer is connected, what has arrived is buffered and the producer is paused. From then on the
-    consumer pauses the producer whenever its own kernel buffer is full.
+    Until a consumer is connected, received data is buffered and the producer is paused. From then on the
+    consumer pauses the producer whenever the kernel buffer of the consumer is full.
     """
 
     def __init__(self, producer: Producer) -> None:
@@ -135,7 +133,7 @@
         self.ended = False
 
     def feed(self, buffers: list[BytesLike]) -> None:
-        """Pass on more of the body."""
+        """Forward more of the body."""
         if not buffers:
             return
         if self.consumer:
@@ -145,13 +143,13 @@
             self.producer.set_paused(True)
 
     def end(self) -> None:
-        """The body is complete."""
+        """End the body, which is complete."""
         self.ended = True
         if self.consumer:
             self.consumer.end_body()
 
     def connect(self, consumer: Consumer) -> None:
-        """Pass what is buffered, and all that arrives, to this consumer."""
+        """Forward the buffered data, and all later data, to this consumer."""
         buffers, self.buffers = self.buffers, []
         self.consumer = consumer
         if buffers:
--- a/firvane/core/net/http_reader.py
+++ b/firvane/core/net/http_reader.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages parsed from bytes that are cut anywhere, with bounds on all that is kept in memory."""
+"""An incremental parser of HTTP/1.1 messages, with bounds on everything that is kept in memory."""
 
 from __future__ import annotations
 
@@ -12,16 +12,18 @@
 
 Parser = httptools.HttpRequestParser | httptools.HttpResponseParser
 MAX_BODY_BYTES = 64 * 1024  # of a body that is buffered
-MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024  # of one that is passed on as it arrives
+MAX_STREAMED_BODY_BYTES = 32 * 1024 * 1024  # of a body that is forwarded as it arrives
 MAX_HEAD_BYTES = 16 * 1024
-MAX_HEADER_FIELDS = 128  # a field of two bytes costs a hundred times as many once it is parsed
+MAX_HEADER_FIELDS = 128  # a field of two bytes takes a hundred times as much memory once parsed
 MAX_LENGTH_DIGITS = 12  # of a Content-Length
-CHUNK_OVERHEAD = 6  # bytes of framing that a byte of a body may bring: a chunk of one has five
-CHUNKED_STEP_BYTES = 1024  # of a body in chunks that are parsed in one step
-STREAMED_STEP_BYTES = 8 * CHUNKED_STEP_BYTES  # the same where the body is passed on
-SMALL_BUFFER_BYTES = 1024  # body data below is merged: a buffer of its own would cost more than it holds
+CHUNK_OVERHEAD = 6  # maximum bytes of framing per byte of a body: a chunk of one byte has five
+CHUNKED_STEP_BYTES = 1024  # of a chunked body that are parsed in one step
+STREAMED_STEP_BYTES = 8 * CHUNKED_STEP_BYTES  # the same if the body is forwarded as it arrives
+SMALL_BUFFER_BYTES = (
+    1024  # shorter body data is merged: a separate buffer would take more memory than the data
+)
 MAX_READ_BYTES = 16 * 1024  # read from a connection at once; the rest waits in the kernel
-READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))  # shared by all connections, and emptied at once
+READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))  # shared by all connections, and copied from at once
 HTTP_BAD_REQUEST = 400
 HTTP_CONTENT_TOO_LARGE = 413
 HTTP_HEADERS_TOO_LARGE = 431
@@ -31,34 +33,34 @@
     """A connection that reads at most `MAX_READ_BYTES` at once."""
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """The buffer to read into, for asyncio."""
+        """Return the buffer to read into (asyncio)."""
         return READ_BUFFER
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Pass on what was read, for asyncio."""
+        """Process the data that was read (asyncio)."""
         self.data_received(bytes(READ_BUFFER[:nbytes]))
 
     def data_received(self, data: bytes) -> None:
-        """Bytes were read."""
+        """Process bytes that were read."""
         raise NotImplementedError
 
 
 class MessageReader:
     """Parses messages. Complete ones are queued in `completed`; `step` raises on malformed ones.
 
-    The caller of `step` decides how far to parse: a step goes to the end of one message at the most, wherever
-    the bytes are cut, so that what is not needed yet stays unparsed, which costs least memory. Only behind a
-    response it may go on.
+    The caller of `step` decides how far to parse: a step parses at most to the end of one message, however
+    the data is split, so that data that is not needed yet stays unparsed, which takes the least memory. Only
+    after the end of a response a step may parse further.
 
-    The parser's callbacks only collect: an exception of the proxy's own code would otherwise come out of the
-    parser as an error of the peer.
+    The parser's callbacks only collect data: an exception of the proxy's own code would otherwise be reported
+    by the parser as an error of the peer.
 
     Attributes:
-        raw_size: Bytes of the message that is being parsed, its framing included.
-        tail: The last three of them, since an empty line may be cut.
+        raw_size: Bytes of the message that is being parsed, including its framing.
+        tail: The last three of these bytes: an empty line may be split across reads.
         message: The message that is being parsed.
-        in_head: Whether its head is incomplete.
-        closed: Whether nothing more is parsed.
+        in_head: Whether the head of the message is incomplete.
+        closed: Whether the reader is closed.
     """
 
     def __init__(
@@ -71,8 +73,8 @@
 
         Args:
             parser: Makes the parser, for requests or for responses.
-            buffer_limit: Bytes of a body; a longer one is passed on as it arrives (`exceeds_buffer`).
-            body_limit: Bytes of a body; a longer one is an error.
+            buffer_limit: Bytes of a body; longer ones are forwarded as they arrive (`exceeds_buffer`).
+            body_limit: Bytes of a body; longer ones are an error.
         """
         self._parser = parser(self)
         self.buffer_limit, self.body_limit = buffer_limit, body_limit
@@ -84,7 +86,7 @@
         self.closed = False
 
     def step(self, data: bytes, start: int = 0) -> int:
-        """Parse `data` from `start`, to the end of a message at the most.
+        """Parse `data` from `start`, at most to the end of a message.
 
         Returns:
             The offset in `data` up to which it was parsed.
@@ -107,8 +109,8 @@
             raise HttpError(HTTP_BAD_REQUEST) from None
         self.tail = (self.tail + data[max(start, end - 3) : end])[-3:] if self.message else b""
         if self.message:
-            # Bounds heads, chunk extensions and trailers without an end: what the parser itself gathers or
-            # skips is counted nowhere else.
+            # Bounds endless heads, chunk extensions and trailers: data that the parser itself buffers or
+            # skips is not counted elsewhere.
             if self.raw_size > MAX_HEAD_BYTES + (1 + CHUNK_OVERHEAD) * self.message.size:
                 raise HttpError(HTTP_HEADERS_TOO_LARGE if self.in_head else HTTP_CONTENT_TOO_LARGE)
         elif not self.completed:  # empty lines between messages
@@ -116,16 +118,16 @@
         return end
 
     def _step_end(self, data: bytes, start: int) -> int:
-        """The offset up to which the next step may parse."""
+        """Return the offset up to which the next step may parse."""
         message, end = self.message, len(data)
         if message and not self.in_head and b"content-length" in message.fields:
             return min(end, start + max(1, int(message.fields[b"content-length"]) - message.size))
         if self.in_unsized_body():
             streamed = message is not None and message.exceeds_buffer
             end = min(end, start + (STREAMED_STEP_BYTES if streamed else CHUNKED_STEP_BYTES))
-        # A head ends with an empty line, and so does a chunked body. A step must not go on behind that body:
-        # the next request would begin before this one is taken up, and pass for more of it. Responses are not
-        # pipelined.
+        # A head ends with an empty line, and so does a chunked body. A step must not parse beyond that body:
+        # the next request would begin before this one is accepted, and be taken for a part of it. Responses
+        # are not pipelined.
         if not (message and message.status):
             seam = (self.tail + data[start : start + 3]).find(END_OF_HEAD) if self.tail else -1
             if seam >= 0:
@@ -135,17 +137,17 @@
         return end
 
     def in_unsized_body(self) -> bool:
-        """Whether a body of unknown length is being parsed, where each byte may cost a chunk."""
+        """Return whether a body of unknown length is being parsed, where each byte may be a chunk."""
         message = self.message
         return message is not None and not self.in_head and b"content-length" not in message.fields
 
     def close(self) -> None:
-        """Drop what is parsed, complete or not: no step follows."""
+        """Drop all messages, complete or not; `step` must not be called any more."""
         self.message, self.raw_size = None, 0
         self.completed.clear()
         if not self.closed:
             self.closed = True
-            del self._parser  # it holds the reader, by its callbacks
+            del self._parser  # its callbacks refer to the reader
 
     def feed(self, data: bytes) -> None:
         """Parse all of `data`; raises `HttpError` as `step` does."""
--- a/firvane/core/net/http_writer.py
+++ b/firvane/core/net/http_writer.py
@@ -1,4 +1,4 @@
-"""Heads and framing of HTTP/1.1 messages as they are written, in lists of buffers for `writelines`."""
+"""Formats heads and framing of HTTP/1.1 messages, as lists of buffers for `writelines`."""
 
 from __future__ import annotations
 
@@ -24,36 +24,36 @@
 }
 STATUS_LINES = {code: b"HTTP/1.1 %d %s\r\n" % (code, reason) for code, reason in REASONS.items()}
 BUDGET_FIELD = frozenset((b"x-budget-ms",))
-# Retry-After of successive rejections in sixteenths of their mean, above its lower end: a permutation.
+# Retry-After of successive rejections in sixteenths of the mean, above the minimum: a permutation.
 RETRY_AFTER_STEPS = (3, 11, 7, 15, 1, 9, 5, 13, 0, 8, 4, 12, 2, 10, 6, 14)
 MIN_RETRY_AFTER_PART = 0.53
 
 
 def frame_chunk(buffers: list[BytesLike], chunked: bool) -> list[BytesLike]:
-    """Body data as it is written: in one chunk of its own where the transfer coding is chunked."""
+    """Return body data with its framing: one chunk if the transfer coding is chunked."""
     if not chunked:
         return buffers
     return [b"%x\r\n" % sum(map(len, buffers)), *buffers, b"\r\n"]
 
 
 def status_line(status: int) -> bytes:
-    """The status line of a response, with its line end."""
+    """Return the status line of a response, with its line end."""
     return STATUS_LINES.get(status) or b"HTTP/1.1 %d Status\r\n" % status
 
 
 def format_body_framing(length: int | None) -> bytes:
-    """The header line that says how a body ends: after `length` bytes, or None for chunked coding."""
+    """Return the header line for a body of `length` bytes, or with chunked transfer coding for None."""
     return b"Transfer-Encoding: chunked\r\n" if length is None else b"Content-Length: %d\r\n" % length
 
 
 def format_response_head(message: Message, chunked: bool, close: bool) -> list[BytesLike]:
-    """The head of a forwarded response whose body follows as it arrives.
+    """Return the head of a forwarded response whose body follows as it arrives.
 
     Args:
-        message: The response as it came from the target.
-        chunked: Whether its body is written in chunks. A body that is not, and has no length, ends with the
-            connection.
-        close: Whether the connection ends with the response.
+        message: The response as received from the target.
+        chunked: Whether the body is written with chunked transfer coding. Without it, a body without a length
+            ends with the connection.
+        close: Whether the connection is closed after the response.
     """
     buffers: list[BytesLike] = [status_line(message.status), *message.end_to_end_fields()]
     length = message.content_length()
@@ -66,20 +66,20 @@
 
 
 def format_request_head(request: Message, budget_ms: int, host: bytes) -> list[bytes]:
-    """The head of a forwarded request: the client's end-to-end fields, with the time left written anew."""
+    """Return the head of a forwarded request: the client's end-to-end fields and the remaining budget."""
     return format_forwarded_head(request, host, BUDGET_FIELD, (b"X-Budget-Ms: %d\r\n" % budget_ms,))
 
 
 def format_forwarded_head(
     request: Message, host: bytes, without: frozenset[bytes], written: Iterable[bytes]
 ) -> list[bytes]:
-    """The head of a forwarded request.
+    """Return the head of a forwarded request.
 
     Args:
         request: The client's request.
-        host: The value of the Host field where the client sent none.
-        without: Lower-case names of the client's fields that are left out.
-        written: Header lines that are added.
+        host: The value of the Host field if the client sent none.
+        without: Lower-case names of the client's fields to leave out.
+        written: Header lines to add.
     """
     buffers = [request.method, b" ", request.url, b" HTTP/1.1\r\n"]
     if b"host" not in request.fields:
@@ -97,13 +97,13 @@
 def format_response(
     status: int, body: list[BytesLike], size: int, close: bool, headers: Iterable[bytes]
 ) -> list[BytesLike]:
-    """A complete response.
+    """Return a complete response.
 
     Args:
-        status: Its status code.
-        body: Its body.
-        size: Bytes of that body.
-        close: Whether the connection ends with it.
+        status: The status code.
+        body: The body.
+        size: Bytes of the body.
+        close: Whether the connection is closed after the response.
         headers: Further header lines.
     """
     buffers: list[BytesLike] = [status_line(status), *headers, b"Content-Length: %d\r\n" % size]
@@ -115,10 +115,10 @@
 
 
 def make_rejections(retry_after: float, most: float) -> list[bytes]:
-    """Complete rejections to be sent in turn, spread so that rejected clients do not return at once.
+    """Return complete rejections to be sent in turn, spread so that clients do not retry simultaneously.
 
     Args:
-        retry_after: Their mean Retry-After in seconds; 0 for none.
+        retry_after: The mean Retry-After in seconds; 0 for none.
         most: The largest Retry-After in seconds.
     """
     if retry_after <= 0:
--- a/firvane/core/net/listening.py
+++ b/firvane/core/net/listening.py
@@ -5,12 +5,12 @@
 import contextlib
 import socket
 
-TCP_NOTSENT_LOWAT = 25  # option of Linux, which the socket module of Python does not name
-MAX_UNSENT_BYTES = 128 * 1024  # of a connection that wait in the kernel; what is sent is not counted
+TCP_NOTSENT_LOWAT = 25  # Linux option, which Python's socket module does not define
+MAX_UNSENT_BYTES = 128 * 1024  # of a connection that the kernel has not sent yet
 
 
 def limit_unsent(sock: socket.socket) -> None:
-    """Bound what the kernel takes of a connection before it can be sent, where the kernel knows such a bound.
+    """Bound the unsent data of a connection in the kernel, if the kernel supports this bound.
 
     Otherwise its send buffer grows to megabytes for a peer that reads nothing. Connections inherit the bound
     from the socket that accepted them.
--- a/firvane/core/net/request_scan.py
+++ b/firvane/core/net/request_scan.py
@@ -1,4 +1,4 @@
-"""Requests inspected without a parser, for load shedding: a rejection costs less than a parsed request."""
+"""Inspects requests without a parser, for load shedding: a rejection costs less than a parsed request."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 END_OF_HEAD = b"\r\n\r\n"
 TENANT_FIELD = b"\nx-caller:"
 RETRY_FIELD = b"\nx-again: 1\r"
-CLASS_START: Final = 5  # behind "GET /"
+CLASS_START: Final = 5  # after "GET /"
 
 
 def scan_tenant(data: bytes) -> bytes | None:
-    """The tenant that these bytes name ("" for none), where they are exactly one request without a body.
+    """Return the tenant of bytes that are exactly one request without a body; b"" if it has no tenant.
 
-    None where they may be anything else: only the parser can tell. This and `scan_is_retry` run for each
-    rejection under overload, so they search for bytes and build nothing.
+    Returns None for any other bytes, which need the parser. This function and `scan_is_retry` run for each
+    rejection under overload, so they search for bytes and create no objects that they do not need.
     """
     if data.find(END_OF_HEAD) != len(data) - len(END_OF_HEAD) or not data.startswith(b"GET /"):
         return None
@@ -37,18 +37,18 @@
 
 
 def scan_request_class(data: bytes) -> bytes:
-    """The request class in the path of a request that `scan_tenant` accepts."""
+    """Return the request class in the path of a request that `scan_tenant` accepts."""
     end = data.find(b" ", CLASS_START)
     return data[CLASS_START:end].split(b"?", 1)[0].split(b"/", 1)[0]
 
 
 def scan_is_retry(data: bytes) -> bool:
-    """Whether a request says that it is a retry."""
+    """Return whether a request is marked as a retry."""
     return RETRY_FIELD in data.lower()
 
 
 def percent_decode(text: bytes) -> bytes:
-    """A path segment with its percent-encoding decoded, or as it is where that is malformed."""
+    """Return a path segment with its percent-encoding decoded, or unchanged if that is malformed."""
     first, *rest = text.split(b"%")
     try:
         return first + b"".join(bytes.fromhex(part[:2].decode()) + part[2:] for part in rest)
--- a/firvane/core/net/transport_pool.py
+++ b/firvane/core/net/transport_pool.py
@@ -1,8 +1,8 @@
-"""Transports for sockets that are connected already: accepted ones, and dials that have come up.
+"""Makes transports for connected sockets: accepted ones and successful dials.
 
-Making a transport is a coroutine that takes a turn of the event loop, and no task is started for a request or
-a connection: a few workers that live as long as the process serve all of them. With a single one, a loop at
-its limit would take in one connection a turn, and clients would time out before they are served.
+Making a transport is a coroutine that takes an iteration of the event loop. No task is started per request or
+connection; a few workers that live as long as the process make all transports. With a single worker, a loop
+at its limit would accept one connection per iteration, and clients would time out before they are served.
 """
 
 from __future__ import annotations
@@ -21,17 +21,17 @@
     sock: socket.socket
 
     def make_protocol(self) -> asyncio.BaseProtocol | None:
-        """The protocol of the connection, or None where it is no longer needed."""
+        """Return the protocol of the connection, or None if the connection is no longer needed."""
 
     def made(self, protocol: Any) -> None:
-        """The connection has its transport."""
+        """Handle that the transport of the connection was made."""
 
     def failed(self) -> None:
-        """No transport could be made; the socket is closed."""
+        """Handle that no transport could be made; the socket is closed."""
 
 
 class TransportPool:
-    """The workers that make transports, and the queue of sockets before them."""
+    """Workers that make transports, and their queue of sockets."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -40,7 +40,7 @@
         self.in_progress = 0  # sockets whose transport is being made
 
     def has_work(self) -> bool:
-        """Whether sockets wait for their transports."""
+        """Return whether sockets wait for their transports."""
         return self.in_progress > 0 or not self.queue.empty()
 
     def start(self) -> None:
@@ -61,14 +61,16 @@
             await self._make_next()
 
     async def _make_next(self) -> None:
-        """Make the next transport; a worker that waits keeps nothing of the last one."""
+        """Make the next transport; a coroutine of its own, so that a waiting worker refers to no old socket."""
         pending = await self.queue.get()
         self.in_progress += 1
         try:
             await self._make(pending)
         except Exception as error:
-            # A fault in a callback must not end the worker: without workers nobody could connect.
-            self.loop.call_exception_handler({"message": "a socket is lost", "exception": error})
+            # An error in a callback must not end the worker: without workers no connection would be served.
+            self.loop.call_exception_handler(
+                {"message": "error in the callback of a new transport", "exception": error}
+            )
         finally:
             self.in_progress -= 1
 
@@ -76,8 +78,10 @@
         try:
             protocol = pending.make_protocol()
             if protocol is not None:
-                await self.loop.connect_accepted_socket(partial(_itself, protocol), pending.sock)
-        except Exception as error:  # by a protocol's own code, too: its socket is closed in any case
+                await self.loop.connect_accepted_socket(partial(_identity, protocol), pending.sock)
+        except (
+            Exception
+        ) as error:  # including errors of the protocol's own code: the socket is closed in any case
             pending.sock.close()
             pending.failed()
             if not isinstance(error, OSError):
@@ -90,5 +94,5 @@
             pending.made(protocol)
 
 
-def _itself(protocol: asyncio.BaseProtocol) -> asyncio.BaseProtocol:
+def _identity(protocol: asyncio.BaseProtocol) -> asyncio.BaseProtocol:
     return protocol
--- a/firvane/core/net/upstream_exchange.py
+++ b/firvane/core/net/upstream_exchange.py
@@ -1,4 +1,4 @@
-"""One exchange with a server: what the upstream connections of the proxy and of the router share."""
+"""One exchange with a server: the common part of the upstream connections of the proxy and the router."""
 
 from __future__ import annotations
 
@@ -28,8 +28,9 @@
 class UpstreamRun(Generic[RequestT, ConnectionT, PoolT]):
     """An attempt of the engine on the network, over an idle connection of its pool or a new one.
 
-    A run and its dial know each other until the dial reports, a run and its connection until the exchange has
-    ended. The run lets go of both: neither keeps the request once it is over.
+    A run and its dial refer to each other until the dial has ended, a run and its connection until the
+    exchange has ended. The run drops both references, so that neither keeps the request in memory after its
+    end.
     """
 
     __slots__ = ("connection", "dial", "exchange", "over", "pool", "request")
@@ -41,7 +42,7 @@
         self.over = False
 
     def cancel(self) -> None:
-        """Cancel the run and close its connection, by which the server learns of it."""
+        """Cancel the run and close its connection, which tells the server."""
         self.over = True
         connection, dial = self.connection, self.dial
         self.release()
@@ -52,22 +53,22 @@
             dial.close()
 
     def on_dial_ended(self) -> None:
-        """The dial has reported: nothing of it is left to cancel."""
+        """Drop the reference to the dial, which has ended."""
         self.dial = None
 
     def release(self) -> None:
-        """Let go of the dial and the connection."""
+        """Drop the references to the dial and the connection."""
         self.connection = self.dial = None
 
-    def end(self, ending: Termination, answer: Message | None = None) -> None:
+    def end(self, termination: Termination, answer: Message | None = None) -> None:
         """Report to the engine how the run ended, once."""
         if not self.over:
             self.over = True
             self.release()
-            self.exchange.on_ended(ending, answer)
+            self.exchange.on_ended(termination, answer)
 
 
 def close_idle(idle: list[ConnectionT], before: float = float("inf")) -> None:
-    """Close and remove the connections that fell idle before a loop time in s; the oldest come first."""
+    """Close and remove the connections that became idle before a loop time in s; the oldest come first."""
     while idle and idle[0].idle_since < before:
         idle.pop(0).close()
--- a/firvane/core/printable.py
+++ b/firvane/core/printable.py
@@ -1,10 +1,10 @@
-"""Untrusted text made safe for a line of a log or a terminal."""
+"""Escapes untrusted text for log lines and terminals."""
 
 from __future__ import annotations
 
 
 def plain(text: str) -> str:
-    """The text with line ends, control characters and the like escaped."""
+    """Return the text with line ends, control characters and other unprintable characters escaped."""
     if text.isprintable():
         return text
     return "".join(c if c.isprintable() else c.encode("unicode_escape").decode() for c in text)
--- a/firvane/core/process_signals.py
+++ b/firvane/core/process_signals.py
@@ -1,16 +1,17 @@
 """Signals that control this process: blocked while no event loop handles them.
 
-From its first line until its loop handles signals, and again once the loop has closed, a signal would meet
-the system's default action, which ends the process at once: SIGHUP during the start would be a crash, SIGTERM
-an end with another exit status. Blocked signals stay pending in the kernel and are delivered at `unblock`.
+Before the event loop handles signals, and after it has closed, a signal would trigger the default action,
+which ends the process at once: SIGHUP during the start would be a crash, SIGTERM would end the process with
+another exit status. Blocked signals stay pending in the kernel and are delivered at `unblock`.
 
 A signal to a process may be delivered to any thread that does not block it. So every other thread blocks them
-for as long as it lives: it is started while they are blocked, or calls `block` first (`worker_threads`).
+during its whole life: it is started while they are blocked, or calls `block` first (`worker_threads`).
 
-Nothing that takes time may be imported here: this module is imported before signals are blocked.
+This module must not import slow modules: it is imported before signals are blocked.
 
-`run` of the deployment ignores SIGHUP until then, and the settings file is read after that line. A blocked
-signal stays pending whether it is ignored or not, and the loop's handler takes the place of that action.
+The deployment's `run` command ignores SIGHUP until `block` is called, and the settings file is read after
+that. A blocked signal stays pending whether it is ignored or not, and the loop's handler replaces the ignore
+action.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 def block() -> None:
-    """Keep signals pending in the calling thread, and in all threads that it starts from here on."""
+    """Block the signals in the calling thread, and in all threads that it starts later."""
     signal.pthread_sigmask(signal.SIG_BLOCK, SIGNALS)
 
 
 def unblock() -> None:
-    """Deliver pending signals to the calling thread, and later ones as they come."""
+    """Unblock the signals in the calling thread, which delivers pending ones."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, SIGNALS)
--- a/firvane/core/validation.py
+++ b/firvane/core/validation.py
@@ -2,11 +2,11 @@
 
 Invariants:
 
-1. Whatever the bytes, the outcome is a value or `ValidationError`; nothing else is raised.
-2. A violation is one line: file, key, what is wrong, the value; for an unknown key the nearest known one.
-3. An invalid part hides no violation of another. Checks across keys run in each part whose own keys are
-   valid, whatever other checks find.
-4. What is read is bounded: `MAX_FILE_BYTES` bytes, `MAX_KEY_DEPTH` levels of dotted keys,
+1. For any input the result is a value or `ValidationError`; no other exception is raised.
+2. A violation is one line: file, key, reason, value; for an unknown key the most similar known one.
+3. A violation in one part does not hide those in others. Checks across keys run in each part whose own keys
+   are valid, whatever other checks find.
+4. The input is bounded: `MAX_FILE_BYTES` bytes, `MAX_KEY_DEPTH` levels of dotted keys,
    `MAX_LISTED_VIOLATIONS` violations in full.
 """
 
@@ -24,32 +24,34 @@
 
 from firvane.core.printable import plain
 
-MAX_FILE_BYTES = 512 * 1024  # bytes of a file: far beyond any that somebody writes
-MAX_KEY_DEPTH = 32  # parts of a dotted key: the standard library's parser takes memory by their square
-MAX_LISTED_VIOLATIONS = 100  # faults named one by one
+MAX_FILE_BYTES = 512 * 1024  # bytes of a file: far beyond any hand-written one
+MAX_KEY_DEPTH = (
+    32  # parts of a dotted key: the memory of the standard library's parser grows with their square
+)
+MAX_LISTED_VIOLATIONS = 100  # listed individually
 MAX_SHOWN_CHARS = 60  # of a value
 MAX_SHOWN_BITS = 64  # of a number
 MAX_FLOAT = 1e300
-# One part of such a key, wherever it stands, in strings too. Possessive and bounded, so linear in time.
+# One part of a dotted key anywhere in the text, also in strings. Possessive and bounded, so linear in time.
 KEY_PART_PATTERN = r"""(?:[A-Za-z0-9_-]++|"(?:\\.|[^"\\\n]){0,200}+"|'[^'\n]{0,200}+')"""
 TOO_DEEP_PATTERN = re.compile(rf"(?<![A-Za-z0-9_-])(?:{KEY_PART_PATTERN}[ \t]*+\.[ \t]*+){{{MAX_KEY_DEPTH}}}")
 LOCATION_PATTERN = re.compile(r" \(at (line \d+, column \d+|end of document)\)$")
 
 T = TypeVar("T")
-# Checks a struct whose keys are each valid: yields pairs of a key in it ("" for all of it) and a reason.
+# Checks a struct whose keys are valid: yields pairs of a key in it ("" for the whole struct) and a reason.
 Check = Callable[[Any], Iterable[tuple[str, str]]]
 Checks = Mapping[type, Check]
 
 
 class Violation(NamedTuple):
-    """One thing that is wrong in a file.
+    """One error in a file.
 
     Attributes:
         file: The name of the file.
         key: A dotted path with indices, or "" for the file as a whole.
-        reason: What is wrong.
-        given: The value as it is shown.
-        nearest: The known key that an unknown one was probably meant to be.
+        reason: The error in words.
+        given: The formatted value.
+        nearest: The known key that is most similar to an unknown one.
     """
 
     file: str
@@ -66,14 +68,14 @@
 
 
 class ValidationError(ValueError):
-    """A file is invalid: every violation, in the order of the file's struct."""
+    """A file is invalid; has all violations, in the order of the file's struct."""
 
     def __init__(self, violations: Sequence[Violation]) -> None:
         self.violations = tuple(violations)
         super().__init__("\n".join(self.lines()))
 
     def lines(self) -> Iterator[str]:
-        """One line for each violation, and a last one for all beyond `MAX_LISTED_VIOLATIONS`."""
+        """Yield one line for each violation, and a last one for those beyond `MAX_LISTED_VIOLATIONS`."""
         yield from map(str, self.violations[:MAX_LISTED_VIOLATIONS])
         if len(self.violations) > MAX_LISTED_VIOLATIONS:
             unlisted = len(self.violations) - MAX_LISTED_VIOLATIONS
@@ -104,7 +106,7 @@
         reason = "nested too deep"
     except UnicodeDecodeError as error:
         reason = f"not UTF-8 at byte {error.start}"
-    except ValueError as error:  # TOML's and msgspec's errors are among these
+    except ValueError as error:  # includes TOML's and msgspec's errors
         reason = str(error).partition("; use sys.")[0]
         if place := LOCATION_PATTERN.search(reason):
             reason = f"{place[1]}: {reason[: place.start()]}"
@@ -116,8 +118,8 @@
         raise ValueError(f"larger than {MAX_FILE_BYTES // 1024} KiB, the most that is read")
     data = data.removeprefix(b"\xef\xbb\xbf")
     if data.lstrip()[:1] == b"{":
-        return _json(data)  # a JSON object is no TOML
-    import tomllib  # only where there is TOML to read
+        return _json(data)  # TOML never begins with a brace
+    import tomllib  # imported only if there is TOML to parse
 
     text = data.decode("utf-8")
     if TOO_DEEP_PATTERN.search(text):
@@ -146,7 +148,7 @@
 
 
 def format_value(value: Any) -> str:
-    """A value, short and on one line."""
+    """Return a value as short text on one line."""
     match value:
         case bool():
             return "true" if value else "false"
@@ -167,18 +169,18 @@
 
 
 def join_key(path: str, key: str) -> str:
-    """The path of a key in the value at another path."""
+    """Return the path of a key in the value at `path`."""
     if not re.fullmatch(r"[\w.\[\]-]+", key):
         key = json.dumps(key[:MAX_SHOWN_CHARS], ensure_ascii=False)
     return f"{path}.{key}" if path and key[:1] != "[" else path + key
 
 
 class _Validator:
-    """Compares plain data with a type, and collects violations with their paths.
+    """Validates plain data against a type, and collects violations with their paths.
 
     Attributes:
-        violations: All that were found.
-        blocking: How many of them keep a struct from being built.
+        violations: All violations found so far.
+        blocking: The number of violations that prevent the struct from being built.
     """
 
     def __init__(self, file: str, checks: Checks) -> None:
@@ -191,7 +193,7 @@
         self.blocking += 1
 
     def value(self, raw: Any, type_: mi.Type, path: str, means: str = "") -> None:
-        """Compare a value with a type; `means` describes the type's pattern."""
+        """Validate a value against a type; `means` describes the type's pattern."""
         match type_:
             case mi.Metadata():
                 self.value(raw, type_.type, path, _form(type_) or means)
@@ -249,19 +251,20 @@
             self.value(item, type_.value_type, join_key(path, str(key)))
 
     def _union(self, raw: Any, type_: mi.UnionType, path: str, means: str) -> None:
-        """Valid where one of the types matches; else the violations of the nearest type count."""
+        """Validate against each type; if none matches, report the violations of the nearest type."""
         attempts: list[list[Violation]] = []
         violations, blocking = self.violations, self.blocking
         for one in type_.types:
             self.violations, self.blocking = [], 0
             self.value(raw, one, path, means)
-            if not self.blocking:  # it has this type, though checks may have found something
+            if not self.blocking:  # the value has this type, though checks may have found violations
                 self.violations, self.blocking = violations + self.violations, blocking
                 return
             attempts.append(self.violations)
         self.violations, self.blocking = violations, blocking
         if attempts:
-            # A violation further down means that the value is of that type; their order means nothing.
+            # A violation in a nested key suggests that this type is meant; the order of the types is
+            # arbitrary.
             deep = [violations for violations in attempts if any(one.key != path for one in violations)]
             if deep:
                 least = min(deep, key=len)
@@ -272,7 +275,7 @@
 
 
 def _form(type_: mi.Metadata) -> str:
-    """The description beside a pattern: `Meta(pattern=..., extra={"form": "an address"})`."""
+    """Return the description of a pattern: `Meta(pattern=..., extra={"form": "an address"})`."""
     return str((type_.extra or {}).get("form", ""))
 
 
@@ -300,7 +303,7 @@
             return any(raw == one.value and type(raw) is type(one.value) for one in type_.cls)
         case mi.NoneType():
             return raw is None
-    try:  # a type that has no rules of its own here
+    try:  # a type without its own rule here
         msgspec.convert(raw, _python(type_))
     except (msgspec.MsgspecError, ValueError, RecursionError):
         return False
@@ -316,7 +319,7 @@
 
 
 def _python(type_: mi.Type) -> Any:
-    """The Python type, where msgspec names one."""
+    """Return the Python type, if msgspec has one."""
     return getattr(type_, "cls", Any)
 
 
@@ -331,7 +334,7 @@
 
 
 def expected(type_: mi.Type, means: str = "") -> str:
-    """What a type allows, in words."""
+    """Return a description of the values that a type allows."""
     match type_:
         case mi.Metadata():
             return expected(type_.type, _form(type_) or means)
--- a/firvane/core/worker_threads.py
+++ b/firvane/core/worker_threads.py
@@ -1,4 +1,4 @@
-"""Threads beside an event loop's own, all of which block the process's signals (`process_signals`)."""
+"""Worker threads of a process with an event loop; they block the process's signals (`process_signals`)."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 def make_worker(name: str) -> ThreadPoolExecutor:
-    """An executor with one thread, which blocks signals whenever it is started."""
+    """Return an executor with one thread, which blocks signals when it starts."""
     return ThreadPoolExecutor(1, name, initializer=process_signals.block)
 
 
 async def start_loop_threads(loop: asyncio.AbstractEventLoop) -> None:
-    """Have an event loop start the threads that it keeps for address lookups, while signals are blocked.
+    """Make an event loop start its threads for address lookups while signals are blocked.
 
-    It starts them at its first lookup, and also looks up addresses that are numbers.
+    The loop starts them at its first lookup, also if the address is numeric.
     """
     await loop.getnameinfo(("127.0.0.1", 0), socket.NI_NUMERICHOST | socket.NI_NUMERICSERV)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -121,7 +121,7 @@
         self.drain_deadline = float("inf")
 
     def apply_settings(self, settings: api.Settings, current: Sequence[int]) -> None:
-        """Use other settings; clients may name the classes with the numbers in `current`."""
+        """Replace the settings; clients may use the classes with the numbers in `current`."""
         known = self.classes.items()
         self.previous_classes = {(name, request_method(cls)): (number, cls) for name, (number, cls) in known}
         self.settings = settings
--- a/firvane/proxy/net/discovery_watch.py
+++ b/firvane/proxy/net/discovery_watch.py
@@ -151,7 +151,7 @@
         try:
             self.parser.feed_data(data)
             if self.head_complete and self.parser.get_status_code() != HTTP_OK:
-                self.end(f"discovery's answer is {self.parser.get_status_code()}, not 200")
+                self.end(f"discovery responded with status {self.parser.get_status_code()}, not 200")
                 return
             received, self.received = self.received, []
             for line in self.splitter.feed(b"".join(received)):
@@ -160,16 +160,16 @@
                 if self.over:  # ended by `on_line`
                     return
             if self.response_complete:
-                self.end("the answer ended")
+                self.end("the response ended")
         except (httptools.HttpParserError, EndpointListError) as error:
             self.end(str(error) or type(error).__name__)
         except BaseException:  # from the callback `on_line`: the list may be partly applied
-            self.end("a line could not be taken in")
+            self.end("a line could not be processed")
             raise
 
     def connection_lost(self, error: Exception | None) -> None:
         """End the watch with its connection (asyncio)."""
-        self.end("the connection ended")
+        self.end("the connection was closed")
 
     def end(self, why: str) -> None:
         """End the watch, once; no more lines are reported after that."""
--- a/firvane/proxy/net/endpoint_list.py
+++ b/firvane/proxy/net/endpoint_list.py
@@ -69,8 +69,8 @@
             raise EndpointListError(f"endpoint {name!r} has status {entry.get('status')!r}")
         try:
             name.encode()
-        except UnicodeEncodeError:  # a lone surrogate, which JSON can express
-            raise EndpointListError(f"endpoint {name!r} has half a character in its name") from None
+        except UnicodeEncodeError:  # a lone surrogate, which JSON escapes can express
+            raise EndpointListError(f"endpoint {name!r} has a lone surrogate in its name") from None
         numbers = [entry.get("since_ms") or 0, entry.get("group") or 0, entry.get("weight", 1.0)]
         if not all(isinstance(n, int | float) and 0 <= n < MAX_NUMBER for n in numbers):
             raise EndpointListError(f"endpoint {name!r} has a number out of range")
--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -155,7 +155,7 @@
         if self.task:
             self.task.cancel()
         if self.watch:  # at once: it could be read before the task is cancelled
-            self.watch.end("it is no longer followed")
+            self.watch.end("the watch was stopped")
 
     def set_address(self, address: Address) -> None:
         """Follow discovery at another address.
@@ -195,10 +195,10 @@
                 if await self._times_out(ended, self.backoff.times_out_at(progress)):
                     timed_out = True
                     self.backoff.on_timeout(progress)
-                    watch.end("discovery has fallen silent")
+                    watch.end("discovery sent nothing before the timeout")
         finally:
             dial.cancel()
-            watch.end(f"it is no longer followed at {host}")
+            watch.end(f"the watch on {host} was stopped")
         return timed_out
 
     def _progress(self) -> WatchProgress | None:
@@ -246,7 +246,7 @@
                 self.apply_list(data)
             except (ValueError, RecursionError) as error:
                 self.index = 0
-                raise EndpointListError(f"bad line from discovery: {error}") from None
+                raise EndpointListError(f"invalid line from discovery: {error}") from None
             except BaseException:
                 self.index = 0
                 raise  # from the callback `on_list`: the list may be partly applied
--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -72,7 +72,7 @@
     Mutant(
         "a reader lets go of its parser",
         "firvane/core/net/http_reader.py",
-        "            del self._parser  # it holds",
+        "            del self._parser  # its callbacks",
         "            pass  # it holds",
         f"{MEMORY}::test_all_objects_of_a_request_are_freed_when_it_ends",
     ),
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -125,8 +125,8 @@
     Mutant(
         "a fault at a connection costs no hand",
         "firvane/core/net/transport_pool.py",
-        "        except Exception as error:\n            # A fault",
-        "        except OSError as error:\n            # A fault",
+        "        except Exception as error:\n            # An error",
+        "        except OSError as error:\n            # An error",
         f"{ENDS}test_a_fault_at_a_connection_costs_none_of_the_makers",
     ),
     Mutant(
