--- a/firvane/core/net/transport_pool.py
+++ b/firvane/core/net/transport_pool.py
@@ -61,7 +61,7 @@
             await self._make_next()
 
     async def _make_next(self) -> None:
-        """Make the next transport; a coroutine of its own, so that a waiting worker refers to no old socket."""
+        """Make the next transport; a separate coroutine, so that a waiting worker keeps no old socket."""
         pending = await self.queue.get()
         self.in_progress += 1
         try:
--- a/tests/crossings/mutants/answers.py
+++ b/tests/crossings/mutants/answers.py
@@ -73,7 +73,7 @@
         "a reader lets go of its parser",
         "firvane/core/net/http_reader.py",
         "            del self._parser  # its callbacks",
-        "            pass  # it holds",
+        "            pass  # its callbacks",
         f"{MEMORY}::test_all_objects_of_a_request_are_freed_when_it_ends",
     ),
     Mutant(
