--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -1,4 +1,4 @@
-"""Some balancers and some boxes without a socket: events and messages between them, on one heap of times."""
+"""A simulation of balancers and backends without sockets, with their events and messages in one queue."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class SmallFleet:
-    """`proxies` balancers that have just started, and boxes of these cores, off or cold from 0 s on."""
+    """`proxies` balancers that have just started, and cold backends with these numbers of cores."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         lies: Callable[[int, bytes], bytes | None] = lambda sender, payload: payload,
         back: float = 0.0,
     ) -> None:
-        """`lies` is what becomes of a message; None: it is lost. Boxes hear nothing before `back` s."""
+        """Start all balancers; `lies` may change or drop messages; backends are unreachable until `back` s."""
         self.now, self.draw, self.lies, self.rate = 0.0, random.Random(seed), lies, rate
-        self.loss = self.late = self.twice = 0.0  # parts of the datagrams lost, 1 s late, and twice there
+        self.loss = self.late = self.twice = 0.0  # fractions of datagrams lost, 1 s late, and duplicated
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count().__next__
         self.boxes: dict[str, Box] = {}
@@ -47,7 +47,7 @@
             kind = Kind(name="k", share=1.0, cores=count, speed=(0.8, 0.8))
             self.boxes[name] = Box(name, kind, WARM, "z", seed + number, back, False)
         self.sent: dict[str, int] = dict.fromkeys(self.boxes, 0)
-        self.after_drain = list[str]()  # attempts at boxes that had drained
+        self.after_drain = list[str]()  # attempts at draining backends
         self.calls: dict[str, tuple[int, api.Send, int, float]] = {}
         self.asked: dict[tuple[int, int], tuple[float, str]] = {}
         self.attempts: dict[tuple[int, int], int] = {}
@@ -63,7 +63,7 @@
     # Faults
 
     def start(self, me: int, memory: api.RestoredEstimates | None = None) -> None:
-        """A proxy begins its life with the list as last known."""
+        """Start a proxy process with the cached list."""
         count, wanted = len(self.lives), api.RecoveryOptions()
         told = settings(me=me, proxies=count, classes=(READ,), rules=RULES, limits=LIMITS, recovery=wanted)
         self.lives[me] += 1
@@ -74,7 +74,7 @@
         self._give(me, api.ServerList(api.ListKind.CACHED, self.version, tuple(self.entries.values())))
 
     def end(self, me: int) -> api.RestoredEstimates | None:
-        """Power goes from a proxy, and its connections with it; what it would have kept."""
+        """Stop a proxy and close its connections; return the estimates that it would have saved."""
         balancer, self.balancers[me] = self.balancers[me], None
         for call in [call for call, (whose, *_) in self.calls.items() if whose == me]:
             self.boxes[self.calls.pop(call)[1].server].cancel(self.now, call)
@@ -82,14 +82,14 @@
         return recovery.estimates_to_save(balancer.servers.values(), ["k"]) if balancer and recovery else None
 
     def tell(self, name: str, **changes: Any) -> None:
-        """Discovery has news of a box for all that are on."""
+        """Send an update of a backend from discovery to all running proxies."""
         self.version += 1
         self.entries[name] = entry = replace(self.entries[name], **changes)
         for me in range(len(self.lives)):
             self._give(me, api.ServerList(api.ListKind.INCREMENTAL, self.version, (entry,)))
 
     def stop(self, name: str) -> None:
-        """Power goes from a box; what it had is broken off."""
+        """Stop a backend, which breaks its requests."""
         self.boxes[name].silence(self.now)
         self._advance(name)
 
@@ -115,7 +115,7 @@
         self._give(me, request)
 
     def _give(self, me: int, event: api.Event, life: int = 0) -> None:
-        """To this life of a proxy alone, where one is meant."""
+        """Deliver an event to a proxy; with `life`, only to that process of it."""
         balancer = self.balancers[me]
         if balancer and life in (0, self.lives[me]):
             self._act(me, balancer.handle(event, self.now))
--- a/tests/proxy/recovery/test_histories.py
+++ b/tests/proxy/recovery/test_histories.py
@@ -1,4 +1,4 @@
-"""Whatever befalls a small fleet, remembers or is said by a third of its proxies: what holds all the time."""
+"""Invariants of a small fleet over random faults, restored estimates and false messages of a third of it."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 from tests.proxy.recovery.small_fleet import WARM, SmallFleet
 
 CORES = [4, 2, 4, 2, 2, 8]
-APART = 0.25  # s from one event to the next
-GONE = 1.5  # s for which a box is away at the least of whose return the list says nothing
+APART = 0.25  # s between events
+GONE = 1.5  # s: minimum downtime of a backend whose restart the list does not report
 DRAINING = api.ServerState.DRAINING
 SOME = st.sets(st.integers(0, 11), min_size=1, max_size=12)
 BOXES = st.sampled_from([f"box-{number}" for number in range(len(CORES))])
@@ -32,7 +32,7 @@
 
 
 def liars(count: int, seed: int, times: float) -> Callable[[int, bytes], bytes | None]:
-    """The first `count` proxies tell scales so many times too high, colder and warmer boxes, and loans."""
+    """Return a filter that makes the first `count` proxies send false scales, cold backends and loans."""
     draw = random.Random(seed)
 
     def lie(sender: int, payload: bytes) -> bytes | None:
@@ -63,8 +63,8 @@
     ) -> None:
         rooms = {f"box-{n}": room for n in range(len(CORES))}
         self.wild = api.RestoredEstimates(9.0, scale, {"k": scale}, rooms, {})
-        self.kept: dict[int, api.RestoredEstimates | None] = {}  # of the proxies that are off
-        self.away: dict[str, float] = {}  # boxes that are off, and since when
+        self.kept: dict[int, api.RestoredEstimates | None] = {}  # of stopped proxies
+        self.away: dict[str, float] = {}  # stopped backends, and since when
         self.fleet = SmallFleet(
             proxies, CORES, seed, 600.0, self.wild, liars(proxies // 3, seed, times), back
         )
@@ -127,9 +127,10 @@
         self.proxies_return("lost")
         self.boxes_return_cold(True)
         fleet = self.fleet
-        fleet.rate = 30.0  # what any two of them can do once they are warm
+        fleet.rate = 30.0  # the capacity of any two warm backends
         fleet.run(fleet.now + WARM.warm_s)
-        # At some time each: who first asks a box again that it saw down takes it for cold, however late.
+        # Each at some time, not all at once: a proxy that reconnects late to a restarted backend takes it for
+        # cold.
         left = set[int]()
         for _ in range(20):
             fleet.run(fleet.now + 1.0)
@@ -146,14 +147,14 @@
 )
 
 
-def test_whatever_befalls_a_fleet_no_box_falls_and_all_proxies_come_back() -> None:
+def test_no_backend_is_overloaded_and_all_proxies_recover_in_any_history() -> None:
     run_state_machine_as_test(Histories, settings=FEW)
 
 
 def many_histories() -> None:
-    """The same over a hundred histories: a mutant must be met whatever they are.
+    """Run a hundred histories, which must detect each mutant.
 
-    Hypothesis draws constants from the modules that are loaded, so that ten fixed histories differ with what
-    else a run collects.
+    Hypothesis draws constants from the loaded modules, so that ten histories differ with the modules that a
+    run collects. It derives the seed from the source of `Histories`, names included.
     """
     run_state_machine_as_test(Histories, settings=settings(FEW, max_examples=100))
--- a/tests/proxy/recovery/test_mutants.py
+++ b/tests/proxy/recovery/test_mutants.py
@@ -1,4 +1,4 @@
-"""Each promise of a recovery broken on purpose, and the test that catches it."""
+"""Mutants of the recovery: each breaks one invariant, and a test must detect it."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 
 class Mutant(NamedTuple):
-    """One way to break it: whose, which, and what takes its place."""
+    """A mutant: the owner and name of the replaced attribute, and the test that detects it."""
 
     name: str
     owner: Any
     attribute: str
-    instead: Any
-    caught_by: Callable[[], None]
+    replacement: Any
+    detected_by: Callable[[], None]
 
 
-def grows(server: Backend, *more: Any) -> None:
-    """Room grows with each answer, whatever it says."""
+def grow_always(server: Backend, *more: Any) -> None:
+    """Raise the capacity with each ended attempt, whatever its result."""
     server.stepped_capacity += 1.0
 
 
-def writes(path: Path, data: bytes) -> None:
-    """In place, as one would at first."""
+def write_in_place(path: Path, data: bytes) -> None:
+    """Write a file in place."""
     Path(path).write_bytes(data)
 
 
@@ -46,57 +46,56 @@
 
 
 def cut() -> None:
-    test_steps.test_what_cuts_a_room_does_so_once_for_all_that_was_out_together(
-        api.Result.OVERLOADED, 0.01, 4.8
-    )
+    test_steps.test_attempts_that_fail_together_cut_the_capacity_once(api.Result.OVERLOADED, 0.01, 4.8)
 
 
 def failing_write() -> None:
     import tempfile
 
-    caught_by = test_snapshots.test_a_write_that_fails_is_one_line_and_leaves_the_file
+    detected_by = test_snapshots.test_a_failed_write_logs_one_event_and_leaves_the_file
     with tempfile.TemporaryDirectory() as folder, pytest.MonkeyPatch.context() as patch:
-        caught_by("read-only", Path(folder), patch)
+        detected_by("read-only", Path(folder), patch)
 
 
-def known(self: Recovery, server: Backend, now: float) -> bool:
-    """Whatever has answered is as in ordinary times."""
+def has_responded(self: Recovery, server: Backend, now: float) -> bool:
+    """Treat every backend that has responded as warm."""
     return server in self.responding_since
 
 
-back = test_histories.many_histories
+many_histories = test_histories.many_histories
 MUTANTS = (
     Mutant("no cut", steps, "_cut", lambda *more: None, cut),
-    Mutant("boundless growth", steps, "on_attempt_ended", grows, back),
-    Mutant("a room as remembered", Recovery, "_first_capacity", lambda self, server: 1e4, back),
-    Mutant("all try a box", Recovery, "is_blocked", lambda *more: None,
-           test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
+    Mutant("boundless growth", steps, "on_attempt_ended", grow_always, many_histories),
+    Mutant("a restored capacity without a bound", Recovery, "_first_capacity", lambda self, server: 1e4,
+           many_histories),
+    Mutant("all proxies try a backend", Recovery, "is_blocked", lambda *more: None,
+           test_small_fleet.test_each_backend_is_tried_by_one_proxy_while_none_responds),
     Mutant("trials too rare", recovery, "TRIAL_INTERVAL_S", (5.0, 6.0),
-           test_small_fleet.test_each_box_is_tried_by_one_proxy_while_none_answers),
+           test_small_fleet.test_each_backend_is_tried_by_one_proxy_while_none_responds),
     Mutant("the highest scale", peers, "median", max,
-           test_peers.test_a_third_of_liars_moves_the_scale_no_further_than_honest_peers),
+           test_peers.test_a_minority_of_false_reports_keeps_the_scale_within_correct_ones),
     Mutant("one warm peer is enough", PeerReports, "count_warm", any_is_warm,
-           test_peers.test_peers_are_warm_when_most_say_so_and_have_had_answers),
-    Mutant("answers without a rate", PeerReports, "may_answer", lambda self, now: True,
-           test_peers.test_a_question_is_answered_within_a_rate),
-    Mutant("a pace that stays", steps, "decay_pace", lambda server: None,
-           test_steps.test_work_that_would_take_more_than_its_aim_is_not_sent),
-    Mutant("an answer shows that a box is warm", Recovery, "_is_old", known, back),
-    Mutant("a table without an end", TRANSITIONS, RecoveryState.GROWING.value,
-           {RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS}, back),
-    Mutant("a checksum that says nothing", checksum.google_crc32c, "value", lambda data: 0,
-           test_snapshots.test_whatever_is_cut_flipped_or_added_is_refused_in_one_line),
-    Mutant("written in place", file, "write_atomically", writes, failing_write),
-    Mutant("nothing ages", types, "CAPACITY_HALF_LIFE_S", 1e18,
-           lambda: test_snapshots.test_each_field_is_read_back_as_the_table_says(600.0, None, 8.0)),
+           test_peers.test_peers_are_warm_when_most_report_it_with_recent_responses),
+    Mutant("replies without a rate limit", PeerReports, "may_answer", lambda self, now: True,
+           test_peers.test_the_rate_of_replies_to_state_requests_is_limited),
+    Mutant("a work pace that does not decay", steps, "decay_pace", lambda server: None,
+           test_steps.test_a_request_expected_to_miss_its_latency_target_is_not_sent),
+    Mutant("a response shows that a backend is warm", Recovery, "_is_old", has_responded, many_histories),
+    Mutant("a state machine without an end", TRANSITIONS, RecoveryState.GROWING.value,
+           {RecoveryEvent.ENDPOINTS_LOST: RecoveryState.NO_ENDPOINTS}, many_histories),
+    Mutant("a constant checksum", checksum.google_crc32c, "value", lambda data: 0,
+           test_snapshots.test_truncated_changed_or_extended_data_is_rejected_with_one_line),
+    Mutant("written in place", file, "write_atomically", write_in_place, failing_write),
+    Mutant("capacities do not age", types, "CAPACITY_HALF_LIFE_S", 1e18,
+           lambda: test_snapshots.test_each_field_is_restored_as_the_rules_say(600.0, None, 8.0)),
 )  # fmt: skip
 
 
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
-def test_a_broken_promise_is_caught(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_mutant_is_detected(mutant: Mutant, monkeypatch: pytest.MonkeyPatch) -> None:
     if isinstance(mutant.owner, dict):
-        monkeypatch.setitem(mutant.owner, RecoveryState(mutant.attribute), mutant.instead)
+        monkeypatch.setitem(mutant.owner, RecoveryState(mutant.attribute), mutant.replacement)
     else:
-        monkeypatch.setattr(mutant.owner, mutant.attribute, mutant.instead)
+        monkeypatch.setattr(mutant.owner, mutant.attribute, mutant.replacement)
     with pytest.raises((AssertionError, Failed)):
-        mutant.caught_by()
+        mutant.detected_by()
--- a/tests/proxy/recovery/test_state_machine.py
+++ b/tests/proxy/recovery/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The table of states: each row, and nothing beside it."""
+"""The state machine: each transition of its table, and no others."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     RecoveryStateMachine,
 )
 
-WAY = {  # events that lead to each state from the start
+EVENTS_TO = {  # events that lead from the initial state to each state
     RecoveryState.NO_ENDPOINTS: [],
     RecoveryState.ASKING_PEERS: [RecoveryEvent.LISTED],
     RecoveryState.PROBING: [RecoveryEvent.LISTED, RecoveryEvent.NOBODY_WARM],
@@ -22,7 +22,7 @@
 
 def at(state: RecoveryState) -> RecoveryStateMachine:
     machine = RecoveryStateMachine(0.0)
-    for number, event in enumerate(WAY[state]):
+    for number, event in enumerate(EVENTS_TO[state]):
         assert machine.apply(event, float(number))
     assert machine.state is state
     machine.take_transitions()
@@ -31,9 +31,7 @@
 
 @pytest.mark.parametrize("state", RecoveryState)
 @pytest.mark.parametrize("event", RecoveryEvent)
-def test_what_stands_in_the_table_happens_and_nothing_else(
-    state: RecoveryState, event: RecoveryEvent
-) -> None:
+def test_only_transitions_of_the_table_happen(state: RecoveryState, event: RecoveryEvent) -> None:
     machine = at(state)
     following = TRANSITIONS[state].get(event)
     assert machine.apply(event, 9.0, "a reason") is (following is not None)
@@ -44,11 +42,11 @@
     assert all(c.reason == f"{event.value} (a reason)" for c in told) and not machine.take_transitions()
 
 
-def test_every_state_leads_to_the_end() -> None:
-    ways = {state: set(TRANSITIONS[state].values()) for state in RecoveryState}
+def test_every_state_can_reach_the_end() -> None:
+    successors = {state: set(TRANSITIONS[state].values()) for state in RecoveryState}
     for state in RecoveryState:
         reached, new = set[RecoveryState](), {state}
         while new:
             reached |= new
-            new = {one for now in new for one in ways[now]} - reached
+            new = {one for now in new for one in successors[now]} - reached
         assert RecoveryState.OVER in reached
--- a/tests/proxy/snapshots/test_snapshots.py
+++ b/tests/proxy/snapshots/test_snapshots.py
@@ -1,4 +1,4 @@
-"""What is kept: its form whatever is done to it, how each field is read back, and a file that is whole."""
+"""Snapshots: damaged data, the restoration of each field, and atomic writes."""
 
 from __future__ import annotations
 
@@ -58,33 +58,33 @@
 """
 
 
-def test_a_snapshot_comes_back_as_it_went() -> None:
+def test_a_snapshot_is_decoded_as_encoded() -> None:
     assert format.decode(format.encode(SNAPSHOT)) == SNAPSHOT
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.data())
-def test_whatever_is_cut_flipped_or_added_is_refused_in_one_line(data: st.DataObject) -> None:
-    whole = bytearray(format.encode(SNAPSHOT))
-    place = data.draw(st.integers(0, len(whole) - 1))
+def test_truncated_changed_or_extended_data_is_rejected_with_one_line(data: st.DataObject) -> None:
+    encoded = bytearray(format.encode(SNAPSHOT))
+    place = data.draw(st.integers(0, len(encoded) - 1))
     match data.draw(st.sampled_from(["cut", "flip", "more", "noise"])):
         case "cut":
-            del whole[place:]
+            del encoded[place:]
         case "flip":
-            if place in (10, 11):  # of the head, and without a meaning
+            if place in (10, 11):  # padding of the header
                 return
-            whole[place] ^= 1 << data.draw(st.integers(0, 7))
+            encoded[place] ^= 1 << data.draw(st.integers(0, 7))
         case "more":
-            whole += data.draw(st.binary(min_size=1, max_size=50))
+            encoded += data.draw(st.binary(min_size=1, max_size=50))
         case _:
-            whole = bytearray(data.draw(st.binary(max_size=300)))
-    with pytest.raises(checksum.DamagedDataError) as refused:
-        format.decode(bytes(whole))
-    assert "\n" not in str(refused.value)
+            encoded = bytearray(data.draw(st.binary(max_size=300)))
+    with pytest.raises(checksum.DamagedDataError) as raised:
+        format.decode(bytes(encoded))
+    assert "\n" not in str(raised.value)
 
 
 @pytest.mark.parametrize(
-    ("version", "change", "why"),
+    ("version", "change", "reason"),
     [
         (FORMAT_VERSION + 1, {}, "reads up to"),
         (0, {}, "of format 0"),
@@ -96,13 +96,13 @@
         (1, {}, "fields are invalid"),
     ],
 )
-def test_words_that_do_not_fit_are_refused(version: int, change: dict[str, Any], why: str) -> None:
+def test_invalid_fields_are_rejected(version: int, change: dict[str, Any], reason: str) -> None:
     import google_crc32c
     import msgspec
 
     body = msgspec.msgpack.encode({**msgspec.to_builtins(SNAPSHOT), **change})
     head = checksum.HEADER.pack(format.MAGIC, version, len(body), google_crc32c.value(body))
-    with pytest.raises(checksum.DamagedDataError, match=why):
+    with pytest.raises(checksum.DamagedDataError, match=reason):
         format.decode(head + body)
 
 
@@ -116,9 +116,7 @@
         (-3600.0, 0.0, None),
     ],
 )
-def test_each_field_is_read_back_as_the_table_says(
-    age: float, scale: float | None, room: float | None
-) -> None:
+def test_each_field_is_restored_as_the_rules_say(age: float, scale: float | None, room: float | None) -> None:
     memory = restore_estimates(SNAPSHOT, NOW + age)
     assert scale is None or memory.scale == pytest.approx(scale)
     assert memory.capacities.get("a") == (None if room is None else pytest.approx(room, abs=0.01))
@@ -130,12 +128,12 @@
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.floats(0, 1e9), st.floats(0, 1e9), st.booleans(), st.integers(0, 5), st.sampled_from("ab"))
-def test_whatever_was_remembered_a_room_begins_within_its_bound(
+def test_a_first_capacity_is_within_its_bound_whatever_was_restored(
     scale: float, room: float, same: bool, fails: int, name: str
 ) -> None:
-    told = made(proxies=1, recovery=api.RecoveryOptions())
+    config = made(proxies=1, recovery=api.RecoveryOptions())
     own = Recovery(
-        api.RecoveryOptions(), told, BackendEstimates(told, random.Random(1), 0.0), random.Random(1), 0.0
+        api.RecoveryOptions(), config, BackendEstimates(config, random.Random(1), 0.0), random.Random(1), 0.0
     )
     own.restore(api.RestoredEstimates(0.0, scale, {}, {"a": room}, {"a": 5.0 if same else 1.0}), {})
     box = Backend(api.Server(name, up_since=5.0), 1, 1.0, None)
@@ -143,13 +141,13 @@
     own.handle_list([box], api.ServerList(api.ListKind.CACHED, 1), 0.0)
     own.end_window({box}, {}, 0.1)
     assert 1.0 <= box.capacity <= MAX_FIRST_CAPACITY
-    if name != "a":  # a new id gets nothing of another's, wherever it is
+    if name != "a":  # a new id inherits no capacity
         assert box.capacity == 1.0
     if not same or fails:
-        assert box.capacity <= max(1.0, told.rules.start_capacity * room)
+        assert box.capacity <= max(1.0, config.rules.start_capacity * room)
 
 
-def keeper(path: Path, events: list[str]) -> SnapshotStore:
+def make_store(path: Path, events: list[str]) -> SnapshotStore:
     class Log:
         def info(self, event: str, **fields: Any) -> None:
             events.append(event)
@@ -159,34 +157,35 @@
     return SnapshotStore(path, "edge", Log(), run_off_loop=lambda work: work())  # type: ignore[arg-type]
 
 
-HELD = api.RestoredEstimates(0.0, 20.0, {"big": 30.0}, {"a": 12.0}, {"a": NOW - 90.0})
+ESTIMATES = api.RestoredEstimates(0.0, 20.0, {"big": 30.0}, {"a": 12.0}, {"a": NOW - 90.0})
 
 
-def test_a_keeper_keeps_and_recalls(tmp_path: Path) -> None:
+def test_a_store_saves_and_loads(tmp_path: Path) -> None:
     events: list[str] = []
-    one = keeper(tmp_path / "s", events)
+    one = make_store(tmp_path / "s", events)
     assert one.load(NOW) is None and events == ["snapshot_none"]
-    one.save(NOW, lambda: LISTED, HELD)
+    one.save(NOW, lambda: LISTED, ESTIMATES)
     memory, listed = one.load(NOW + 1.0) or (None, None)
     assert listed == LISTED and memory and memory.scale == pytest.approx(20.0, rel=1e-3)
     assert os.listdir(tmp_path) == ["s"] and events == ["snapshot_none"]
-    left, mine = tmp_path / ".s.killed", tmp_path / ".s.other"  # of a kill long ago, and of one at work
-    for file, age in ((left, 3600.0), (mine, 0.0)):
+    # Temporary files of a process that was killed long ago, and of a running one.
+    abandoned, recent = tmp_path / ".s.killed", tmp_path / ".s.other"
+    for file, age in ((abandoned, 3600.0), (recent, 0.0)):
         file.touch()
         os.utime(file, (time.time() - age, time.time() - age))
     one.load(NOW)
-    assert not left.exists() and mine.exists()
+    assert not abandoned.exists() and recent.exists()
 
 
 @pytest.mark.parametrize("fault", ["no folder", "a folder in its place", "full", "read-only"])
-def test_a_write_that_fails_is_one_line_and_leaves_the_file(
+def test_a_failed_write_logs_one_event_and_leaves_the_file(
     fault: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     events: list[str] = []
     place = tmp_path / "d" / "s"
     place.parent.mkdir()
-    one = keeper(place, events)
-    one.save(NOW, lambda: LISTED, HELD)
+    one = make_store(place, events)
+    one.save(NOW, lambda: LISTED, ESTIMATES)
     before = place.read_bytes()
     calls = {"full": ("fsync", 28), "read-only": ("replace", 30)}
     if fault in calls:
@@ -203,16 +202,16 @@
         place.unlink()
         place.mkdir()
     for _ in range(3):
-        one.save(NOW, lambda: LISTED, HELD)
+        one.save(NOW, lambda: LISTED, ESTIMATES)
     assert events == ["snapshot_save_failed"]
     if fault in calls:
         assert place.read_bytes() == before and os.listdir(place.parent) == ["s"]
         monkeypatch.undo()
-        one.save(NOW, lambda: LISTED, HELD)
+        one.save(NOW, lambda: LISTED, ESTIMATES)
         assert one.written == 2 and not one.failed
 
 
-def test_killed_at_random_moments_of_the_writing_it_is_one_or_the_other(tmp_path: Path) -> None:
+def test_a_process_killed_while_writing_leaves_a_complete_snapshot(tmp_path: Path) -> None:
     place, draw = tmp_path / "s", random.Random(3)
     last = 0.0
     for _ in range(12):
@@ -230,7 +229,7 @@
     assert last > 1.0
 
 
-def test_two_processes_on_one_file_each_write_whole_ones(tmp_path: Path) -> None:
+def test_two_processes_on_one_file_write_complete_snapshots(tmp_path: Path) -> None:
     place = tmp_path / "s"
     run = [sys.executable, "-c", WRITER, str(place)]
     children = [subprocess.Popen(run, stdout=subprocess.DEVNULL) for _ in range(2)]
@@ -247,7 +246,7 @@
             child.wait()
 
 
-def test_the_command_shows_and_checks(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_command_shows_and_checks_snapshots(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     good, bad = tmp_path / "good", tmp_path / "bad"
     good.write_bytes(format.encode(SNAPSHOT))
     bad.write_bytes(format.encode(SNAPSHOT)[:-1])
@@ -257,9 +256,9 @@
     assert main(["snapshot", "show", "--json", str(good)]) == 0
     assert '"list_version": 7' in capsys.readouterr().out
     assert main(["snapshot", "check", str(good), str(bad), str(tmp_path / "none")]) == 2
-    told = capsys.readouterr()
-    assert "a snapshot of edge, 1 boxes listed" in told.out
-    assert [line.partition(": ")[2] for line in told.err.splitlines()] == [
+    output = capsys.readouterr()
+    assert "a snapshot of edge, 1 boxes listed" in output.out
+    assert [line.partition(": ")[2] for line in output.err.splitlines()] == [
         f"it has {len(good.read_bytes()) - checksum.HEADER.size - 1} bytes of "
         f"{len(good.read_bytes()) - checksum.HEADER.size}",
         "cannot be read: No such file or directory",
--- a/tests/proxy/snapshots/test_stored_formats.py
+++ b/tests/proxy/snapshots/test_stored_formats.py
@@ -1,4 +1,4 @@
-"""The bytes of snapshots are fixed: a proxy of another version can read them."""
+"""The encoding of snapshots is fixed, so that proxies of other versions can read them."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 
-def test_a_snapshot_keeps_its_bytes() -> None:
+def test_the_encoding_of_a_snapshot_is_unchanged() -> None:
     assert format.encode(SNAPSHOT).hex() == FORMAT_2
     assert format.decode(bytes.fromhex(FORMAT_2)) == SNAPSHOT
 
