--- a/tests/core/test_address.py
+++ b/tests/core/test_address.py
@@ -1,4 +1,4 @@
-"""The packed form of hosts is that of the socket library."""
+"""Hosts are packed as by the socket library."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 
 @pytest.mark.parametrize("host", ["", "nowhere", "10.0.0", "10.0.0.256", "10.0.0.-1", "10.0.0.0.1", "::1"])
-def test_what_is_no_ipv4_host_is_not_packed(host: str) -> None:
+def test_packing_another_text_raises(host: str) -> None:
     with pytest.raises(ValueError, match="not a numeric IPv4 host"):
         pack_host(host)
 
 
 @pytest.mark.parametrize("packed", [b"", b"\x0a\x00\x00", b"\x0a\x00\x00\x01\x01"])
-def test_other_lengths_are_not_unpacked(packed: bytes) -> None:
+def test_unpacking_another_length_raises(packed: bytes) -> None:
     with pytest.raises(ValueError, match="not an IPv4 host"):
         unpack_host(packed)
--- a/tests/core/test_loop_delay.py
+++ b/tests/core/test_loop_delay.py
@@ -1,4 +1,4 @@
-"""The histogram of the loop's delays."""
+"""The histogram of event-loop delays."""
 
 from firvane.core.loop_delay import BOUNDS_MS, LONG_DELAY_S, LoopDelays
 
@@ -17,7 +17,7 @@
     assert delays.take() == {"loop_delay_max_ms": 0.0}
 
 
-def test_only_a_long_delay_is_an_event() -> None:
+def test_only_a_long_delay_is_reported() -> None:
     delays = LoopDelays()
     assert not delays.record(LONG_DELAY_S) and delays.record(LONG_DELAY_S + 0.001)
     assert int(1000 * LONG_DELAY_S) in BOUNDS_MS
--- a/tests/core/test_process_signals.py
+++ b/tests/core/test_process_signals.py
@@ -1,4 +1,4 @@
-"""No thread but the first one takes a process's signals, whenever the thread is started."""
+"""All threads but the main thread block the signals of the process, whenever they are started."""
 
 from __future__ import annotations
 
@@ -26,41 +26,41 @@
 
 @pytest.fixture(autouse=True)
 def unblocked() -> None:
-    """As in a process whose loop handles signals already; `tests/conftest.py` restores the mask."""
+    """Unblock signals, as after the loop has begun to handle them; `tests/conftest.py` restores the mask."""
     process_signals.unblock()
 
 
-def mask_here() -> set[signal.Signals]:
+def own_mask() -> set[signal.Signals]:
     return {signal.Signals(number) for number in signal.pthread_sigmask(signal.SIG_BLOCK, ())}
 
 
-def through_worker(submit: Callable[[Callable[[], None]], None]) -> set[signal.Signals]:
-    """The mask of the thread that runs what is submitted."""
+def worker_mask(submit: Callable[[Callable[[], None]], None]) -> set[signal.Signals]:
+    """Return the signal mask of the thread that runs submitted work."""
     found: list[set[signal.Signals]] = []
     ran = threading.Event()
 
-    def look() -> None:
-        found.append(mask_here())
+    def record_mask() -> None:
+        found.append(own_mask())
         ran.set()
 
-    submit(look)
+    submit(record_mask)
     assert ran.wait(TIME_LIMIT)
     return found[0]
 
 
 def test_the_thread_that_writes_snapshots_blocks_signals(tmp_path: Path) -> None:
-    keeper = SnapshotStore(tmp_path / "snapshot", "edge", logs.QUIET)
-    assert through_worker(keeper.run_off_loop) >= set(SIGNALS)
-    assert not mask_here() & set(SIGNALS)
+    store = SnapshotStore(tmp_path / "snapshot", "edge", logs.QUIET)
+    assert worker_mask(store.run_off_loop) >= set(SIGNALS)
+    assert not own_mask() & set(SIGNALS)
 
 
 def test_the_thread_that_writes_the_policy_blocks_signals(tmp_path: Path) -> None:
     store = Store(tmp_path, logs.QUIET, lambda follow: follow())
-    assert through_worker(store.run_off_loop) >= set(SIGNALS)
+    assert worker_mask(store.run_off_loop) >= set(SIGNALS)
 
 
 def test_the_thread_that_writes_journals_blocks_signals() -> None:
-    """It is started late where the controller's start takes longer than signals are held."""
+    """The thread may start after the main thread has unblocked signals, if the controller starts slowly."""
     writer = JournalWriter(lambda *_: None, lambda *_: None)
     writer.start()
     thread = next(one for one in threading.enumerate() if one.name == "journal-writer")
@@ -71,8 +71,8 @@
     writer.close(TIME_LIMIT)
 
 
-def test_the_module_that_blocks_signals_imports_nothing_that_takes_time() -> None:
-    """Until it is imported a signal meets the default action."""
+def test_the_module_that_blocks_signals_imports_no_slow_modules() -> None:
+    """Until the module is imported, a signal triggers the default action."""
     code = "import sys, firvane.core.process_signals; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert not SLOW_MODULES & set(done.stdout.split())
@@ -83,7 +83,7 @@
     opened = threading.Event()
 
     def on_open(group: int, journal: OpenedJournal) -> None:
-        found.append(mask_here())
+        found.append(own_mask())
         opened.set()
 
     JournalOpener(tmp_path, True, on_open, logs.QUIET).start(0)
--- a/tests/core/test_validation.py
+++ b/tests/core/test_validation.py
@@ -1,4 +1,4 @@
-"""Files of every kind of fault: all are told, one line each, and no bytes bring about more than that."""
+"""Invalid files: every violation is reported on one line, and no input raises another error."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     return str(caught.value).splitlines()
 
 
-def test_all_faults_are_told_at_once_each_with_its_key_and_what_was_given() -> None:
-    # The faulty first part hides neither its own other fault nor what does not fit together in the second.
+def test_all_violations_are_reported_with_key_and_value() -> None:
+    # The invalid first part hides neither its other violations nor those of checks in the second part.
     text = """
         count = 12
         pair = [1, "2"]
@@ -90,12 +90,12 @@
         ("y" * (validation.MAX_FILE_BYTES + 1), "larger than"),
     ],
 )
-def test_a_file_of_no_use_is_one_line(text: str, words: str) -> None:
+def test_an_unusable_file_is_reported_on_one_line(text: str, words: str) -> None:
     found = [line for line in lines(text) if "count: is missing" not in line]
     assert len(found) == 1 and words in found[0] and len(found[0]) < 300
 
 
-def test_very_many_faults_are_counted() -> None:
+def test_violations_beyond_the_limit_are_counted() -> None:
     found = lines("\n".join(f"k{i} = 1" for i in range(500)))
     assert (
         len(found) == validation.MAX_LISTED_VIOLATIONS + 1
@@ -104,12 +104,12 @@
 
 
 @pytest.mark.parametrize("name", ["missing.toml", ".", "a\0b", "\udcff"])
-def test_what_cannot_be_opened_is_a_fault(name: str, tmp_path: Path) -> None:
+def test_an_unreadable_file_is_a_violation(name: str, tmp_path: Path) -> None:
     with pytest.raises(validation.ValidationError, match="cannot be read"):
         validation.read(f"{tmp_path}/{name}", Whole)
 
 
-def test_bytes_that_are_not_text_are_a_fault_and_a_mark_in_front_is_none(tmp_path: Path) -> None:
+def test_invalid_utf_8_is_a_violation_and_a_byte_order_mark_is_not(tmp_path: Path) -> None:
     path = tmp_path / "f.toml"
     path.write_bytes(b"count = 1 # \xff")
     with pytest.raises(validation.ValidationError, match="not UTF-8 at byte 12"):
@@ -120,7 +120,7 @@
 
 @seeded
 @given(st.binary(max_size=300) | st.text(alphabet='abc=.[]{}"\n\\ 1#\x00\u2028', max_size=80).map(str.encode))
-def test_any_bytes_give_a_value_or_faults_of_one_line_each(data: bytes) -> None:
+def test_any_bytes_give_a_value_or_violations_of_one_line(data: bytes) -> None:
     try:
         validation.build(validation.parse(data, "f"), Whole, "f", {Part: order})
     except validation.ValidationError as faults:
@@ -140,8 +140,8 @@
 
 @seeded
 @given(whole)
-def test_what_is_found_faulty_is_what_msgspec_turns_down(raw: dict[str, Any]) -> None:
-    # Its word is the measure for all but numbers that are not finite, which it lets pass.
+def test_the_values_that_msgspec_rejects_are_violations(raw: dict[str, Any]) -> None:
+    # msgspec decides for all values but non-finite numbers, which it accepts.
     finite = "Infinity" not in (text := json.dumps(raw)) and "NaN" not in text
     try:
         wanted = msgspec.convert(raw, Whole) if finite else None
@@ -162,7 +162,7 @@
         ({"snapshot_every": 0}, "recovery.snapshot_every is 0"),
     ],
 )
-def test_the_platform_s_form_of_recovery_is_checked(given: object, why: str) -> None:
+def test_the_recovery_section_of_the_platform_settings_is_checked(given: object, why: str) -> None:
     from firvane.proxy.config.platform import _recovery
 
     with pytest.raises(ValueError, match=f"^{why}$"):
--- a/tests/proxy/limits/test_bounds.py
+++ b/tests/proxy/limits/test_bounds.py
@@ -28,7 +28,7 @@
 from firvane.proxy.net.managed_connection import BUSY
 from firvane.proxy.net.peer_datagrams import DATAGRAM_BURST, PeerDatagrams
 from firvane.proxy.net.upstream_pool import Pool, Run
-from tests.core.net.test_http import GET, POST, Taken, answer, listener, statuses, turn
+from tests.core.net.test_http import GET, POST, RecordingEngine, answer, make_connection, statuses, turn
 from tests.helpers import settings
 from tests.proxy.net.helpers import (
     PAY,
@@ -42,14 +42,14 @@
     run,
     seeded,
 )
-from tests.proxy.net.test_upstream_pool import connected, unwired
+from tests.proxy.net.test_upstream_pool import make_pools, make_target_connection
 from tests.proxy.net.test_upstream_pool import request as make_request
 
 LARGE = POST.replace(b"Length: 4", b"Length: 20000").replace(b"body", b"")
 
 
-def make_limiter(places: int = 100) -> tuple[ConnectionLimiter, Taken, Clock]:
-    clock, taken = Clock(), Taken()
+def make_limiter(places: int = 100) -> tuple[ConnectionLimiter, RecordingEngine, Clock]:
+    clock, taken = Clock(), RecordingEngine()
     limiter = ConnectionLimiter(clock, taken, settings(classes=(READ, PAY)), make_monitor(clock, places))  # type: ignore[arg-type]
     limiter.ready = True
     return limiter, taken, clock
@@ -152,11 +152,11 @@
 
 
 def test_a_large_response_waits_for_a_lease_too() -> None:
-    pools = unwired(Clock())
+    pools = make_pools(Clock())
     pools.monitor.leases = BodyLeases(1, 1)
     pool, wires, ended = Pool("s"), [], []
     for _ in range(2):
-        connection = connected(pools, pool)
+        connection = make_target_connection(pools, pool)
         wires.append(Wire(connection))
         ended.append(Ended(1001.0))
         connection.send(Run(make_request(), pool, ended[-1]))
@@ -175,7 +175,7 @@
 
 
 def test_no_request_is_accepted_while_the_memory_account_is_under_pressure() -> None:
-    connection, wire, taken = listener()
+    connection, wire, taken = make_connection()
     connection.context.account.under_pressure = True
     connection.data_received(GET)
     connection.data_received(POST)  # a request with a body is read before it is rejected
@@ -210,7 +210,7 @@
 
 
 def test_marked_retries_are_rejected_while_shedding_includes_them() -> None:
-    connection, wire, taken = listener()
+    connection, wire, taken = make_connection()
     connection.context.shed((0.0001,), 1.2, again=True)
     for n, form in enumerate((GET, GET.replace(b"X-Again: 1", b"X-Again: 0"))):
         connection.data_received(form.replace(b"9b1f", b"%d" % n))
@@ -220,7 +220,7 @@
 
 def test_a_connection_that_waits_for_a_rejection_is_neither_idle_nor_evicted() -> None:
     # Nothing of its request is kept, so the connection looked idle and was closed before its response.
-    connection, wire, _ = listener()
+    connection, wire, _ = make_connection()
     connection.context.shed((1.0,), 0.2)
     connection.data_received(GET)
     make_places(connection.context.monitor, 1)
@@ -235,7 +235,7 @@
 
 
 def test_requests_shed_by_the_fractions_do_not_reach_the_decisions() -> None:
-    connection, wire, taken = listener()
+    connection, wire, taken = make_connection()
     connection.context.settings = settings(
         limits=api.Limits(max_attempts=3, retry_after=True, max_retry_after=1.2)
     )
--- a/tests/proxy/net/helpers.py
+++ b/tests/proxy/net/helpers.py
@@ -1,4 +1,4 @@
-"""What the tests of the network code share: cuts, transports and parties that are not there, and a clock."""
+"""Helpers of the network tests: split input, a fake transport, fake targets and a virtual clock."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def cut(data: bytes, places: list[int]) -> list[bytes]:
-    """The same bytes in pieces, cut at these places wherever they fall."""
+    """Return the bytes in pieces, split at these places modulo the length."""
     ends = sorted({place % (len(data) + 1) for place in places} | {0, len(data)})
     return [data[a:b] for a, b in itertools.pairwise(ends)]
 
@@ -32,11 +32,11 @@
 places = st.lists(st.integers(0, 10_000), max_size=12)
 
 
-HANG = 120.0  # s: far beyond what busy cores make of any work; nothing is judged by it but a hang
+HANG = 120.0  # s: far above the duration of any test on a busy machine; only detects hangs
 
 
 def run(work: Coroutine[Any, Any, None]) -> None:
-    """One test's work on the loop that the program uses; a hang is a failure."""
+    """Run the work of a test on the event loop of the program; a hang is a failure."""
 
     async def guarded() -> None:
         async with asyncio.timeout(HANG):
@@ -55,7 +55,7 @@
 
 
 class Clock:
-    """Time that passes only when told, with the loop's calls that the code under test makes."""
+    """A virtual event loop: time passes only when the test advances it."""
 
     def __init__(self) -> None:
         self.at = 1000.0
@@ -74,7 +74,7 @@
         return self.call_at(self.at, callback, *args)
 
     def turn(self) -> None:
-        """One turn of the loop: what was due when it began."""
+        """Run one iteration of the loop: the callbacks that were due when it began."""
         for _ in range(sum(when <= self.at for when, *_ in self.due)):
             _, _, timer, callback, args = heapq.heappop(self.due)
             if not timer.cancelled:
@@ -91,7 +91,7 @@
 
 
 class Wire:
-    """A transport that keeps what is written to it."""
+    """A transport that records the written data."""
 
     def __init__(self, protocol: Any) -> None:
         self.protocol, self.written, self.closed, self.eof, self.paused = protocol, b"", False, False, False
@@ -102,7 +102,7 @@
         self.writelines([data])
 
     def writelines(self, pieces: Any) -> None:
-        """Written at once, unless the test has put something in the way."""
+        """Record data as written at once, unless the test has blocked the transport."""
         self.written += b"".join(pieces)
         if self.stuck and not self.buffered:
             self.buffered = 1
@@ -138,7 +138,7 @@
 
 
 class Ended:
-    """An exchange that notes how it ended."""
+    """An exchange that records its termination."""
 
     def __init__(self, deadline: float, start_before: float = math.inf) -> None:
         self.deadline, self.start_before = deadline, start_before
@@ -167,7 +167,7 @@
 
 
 class Parties:
-    """Targets, peers, directory and clients in one, all of them only lists of what was asked."""
+    """Targets, peers, discovery and client in one object, which records all calls."""
 
     def __init__(self) -> None:
         self.forwards: list[tuple[str, Any, Handle]] = []
@@ -177,7 +177,7 @@
     def forward(self, request: Any, target: str, exchange: Any) -> Handle:
         handle = Handle()
         self.forwards.append((target, exchange, handle))
-        exchange.on_request_sent()  # it is out at once: what is not yet would be withdrawn with its flow
+        exchange.on_request_sent()  # sent at once: an unsent request would be withdrawn with its flow
         return handle
 
     def probe(self, target: str, exchange: Any) -> Handle:
@@ -213,7 +213,7 @@
 
 
 def make_monitor(clock: Any, places: int = 100) -> ResourceMonitor:
-    """Limits that bind nowhere but in the places for clients, and for targets; nothing is measured."""
+    """Return a monitor that limits only the descriptors for clients and for targets."""
     made = ResourceMonitor(
         clock, settings(), cores=1.0, memory_mb=192, sockets=1024, usage=lambda: Usage(clock.time() / 10, 0)
     )
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -1,4 +1,4 @@
-"""Long messages through a whole proxy on real sockets: what arrives, is held, and what a break looks like."""
+"""Long messages through a complete proxy on real sockets: integrity, memory use and broken connections."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from tests.proxy.test_simulator_adapter import PARAMS
 
 BODY = bytes(range(256)) * 4096  # 1 MiB
-BUDGET = 60_000  # ms: nothing here ends because a busy machine was late
+BUDGET = 60_000  # ms: long, so that no test depends on the speed of the machine
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
 class Stage:
-    """A proxy with one target, which the test serves."""
+    """A proxy with one target, whose behavior the test defines."""
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
@@ -56,8 +56,10 @@
         alone = {"discovery": "push", "siblings": 1, "me": 0, "dcs": ["a"], "machine-types": ["big"]}
         settings = {**PARAMS, **alone,
                     "classes": classes, "tenants": []}  # fmt: skip
-        given = replace(read_config(config(self.folder, known=known, settings=settings)), discovery=None)
-        self.proxy = Proxy(asyncio.get_running_loop(), given, log=QUIET)
+        read_settings = replace(
+            read_config(config(self.folder, known=known, settings=settings)), discovery=None
+        )
+        self.proxy = Proxy(asyncio.get_running_loop(), read_settings, log=QUIET)
         await self.proxy.start()
 
     async def client(
@@ -89,13 +91,13 @@
 
 
 async def until(found: Callable[[], object]) -> None:
-    """Wait for it, which `run` gives up in the end."""
+    """Wait until the condition holds; `run` bounds the time."""
     while not found():
         await asyncio.sleep(0.001)
 
 
 async def whole(reader: asyncio.StreamReader) -> tuple[bytes, bytes]:
-    """Head and body of an answer, by whatever framing it has."""
+    """Return the head and the body of a response with any framing."""
     head = await reader.readuntil(b"\r\n\r\n")
     if b"Content-Length" in head:
         return head, await reader.readexactly(int(head.split(b"Content-Length: ")[1].split(b"\r")[0]))
@@ -126,8 +128,8 @@
         b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + BODY,
     ],
 )
-def test_a_long_answer_arrives_as_it_was_sent(reply: bytes, client: bytes, tmp_path: Path) -> None:
-    # Guards every framing that a target may use, for clients that know chunks and that do not.
+def test_a_long_response_is_forwarded_unchanged(reply: bytes, client: bytes, tmp_path: Path) -> None:
+    # Guards every framing that a target may use, for clients with and without support for chunked coding.
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(reply)
@@ -145,8 +147,8 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_a_long_request_goes_on_as_it_comes(chunked: bool, tmp_path: Path) -> None:
-    # Guards the body, its framing, the time that counts from its last byte, and the next request behind it.
+def test_a_long_request_is_forwarded_as_it_arrives(chunked: bool, tmp_path: Path) -> None:
+    # Guards the body, its framing, the budget counted from its last byte, and the request that follows.
     async def work() -> None:
         got: list[bytes] = []
 
@@ -171,7 +173,7 @@
         writer.write(small + b"\r\nabc")
         assert (await whole(reader))[1] == b"hi"
         assert got == [BODY, b"abc"]
-        # Of its time no more is gone than passed since its last byte was sent.
+        # The budget has decreased by no more than the time since the last byte was sent.
         left = int(stage.heads[0].split(b"X-Budget-Ms: ")[1].split(b"\r")[0])
         assert BUDGET - 1000 * took - 1 <= left <= BUDGET
         assert stage.proxy.collect_metrics().tries() == 2
@@ -181,7 +183,7 @@
 
 
 def reader_with(head: bytes, reader: asyncio.StreamReader) -> Any:
-    """A reader that gives the head once more."""
+    """Return a reader that yields the head again."""
 
     class Again:
         async def readuntil(self, end: bytes) -> bytes:
@@ -193,8 +195,8 @@
     return Again()
 
 
-def test_a_long_answer_that_breaks_is_cut_and_has_failed(tmp_path: Path) -> None:
-    # Guards against a cut answer that passes for a whole one, and against a second attempt behind its back.
+def test_a_broken_long_response_is_truncated_and_counted_as_failed(tmp_path: Path) -> None:
+    # Guards against a truncated response that is taken for complete, and against a hidden second attempt.
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(
@@ -213,8 +215,8 @@
     run(work())
 
 
-def test_a_body_that_is_gone_is_not_sent_again(tmp_path: Path) -> None:
-    # Guards the one attempt: half of a body must never go out as another request's.
+def test_a_streamed_body_is_not_sent_again(tmp_path: Path) -> None:
+    # Guards the single attempt: a partial body must never be sent in another request.
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readexactly(200_000)
@@ -229,8 +231,8 @@
     run(work())
 
 
-def test_a_client_that_does_not_read_holds_its_target(tmp_path: Path) -> None:
-    # Guards the memory: it must not depend on how long an answer is, nor on how slowly it is read.
+def test_a_client_that_does_not_read_pauses_its_target(tmp_path: Path) -> None:
+    # Guards the memory, which must not depend on the length of a response or on how slowly it is read.
     async def work() -> None:
         sent = 0
 
@@ -270,7 +272,7 @@
         b"Content-Length: 9%s\r\n" % (b"9" * 40),
     ],
 )
-def test_what_is_announced_too_long_is_refused_at_once(framing: bytes, tmp_path: Path) -> None:
+def test_a_request_with_too_large_a_length_is_rejected_at_once(framing: bytes, tmp_path: Path) -> None:
     async def work() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None: ...
 
@@ -283,14 +285,15 @@
     run(work())
 
 
-def test_a_drain_lets_a_long_answer_end_and_then_the_connection(tmp_path: Path) -> None:
-    # Guards against a drain that cuts what is under way, and against a connection that is then held idle.
+def test_a_drain_completes_a_long_response_and_closes_the_connection(tmp_path: Path) -> None:
+    # Guards against a drain that truncates a response in transit, and against a connection left idle after
+    # it.
     async def work() -> None:
-        go_on = asyncio.Event()
+        may_continue = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY[:100_000])
-            await go_on.wait()
+            await may_continue.wait()
             writer.write(BODY[100_000:])
             await writer.drain()
 
@@ -300,9 +303,9 @@
         assert head.startswith(b"HTTP/1.1 200 ")
         assert stage.proxy._apply_event(Event.DRAIN)
         stage.proxy._close_drained(stage.proxy.drain_started_at)
-        go_on.set()
+        may_continue.set()
         assert await reader.readexactly(len(BODY)) == BODY
-        assert await reader.read() == b""  # the sweep ends what is idle
+        assert await reader.read() == b""  # the sweep closes idle connections
         assert stage.counted() == {"get": {"passed": 1, "dropped": 0, "bad_gateway": 0}}
         stage.close()
 
--- a/tests/proxy/net/test_request_memory.py
+++ b/tests/proxy/net/test_request_memory.py
@@ -1,4 +1,4 @@
-"""In the proxy in service too a request's memory ends with the request, without the collector of cycles."""
+"""The memory of a request in a complete proxy is freed at its end, without the cyclic garbage collector."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
 
 
-def reads(length: int, answer: bytes = OK) -> Serve:
+def respond_after(length: int, answer: bytes = OK) -> Serve:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readexactly(length)
         writer.write(answer)
@@ -32,28 +32,28 @@
     return serve
 
 
-async def stays_silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def never_respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     await reader.read()
 
 
-async def breaks_off(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+async def break_response(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks(BODY)[: len(BODY) // 2])
     await writer.drain()
 
 
-async def answered(stage: Stage) -> None:
+async def served(stage: Stage) -> None:
     assert (await whole(await stage.client(SHORT_PUT, SHORT_BODY)))[1] == b"done"
 
 
-async def answered_behind_a_long_body(stage: Stage) -> None:
+async def served_after_a_long_body(stage: Stage) -> None:
     assert (await whole(await stage.client(LONG_PUT, BODY)))[1] == b"done"
 
 
-async def answered_at_length(stage: Stage) -> None:
+async def served_with_a_long_body(stage: Stage) -> None:
     assert (await whole(await stage.client(GET)))[1] == BODY
 
 
-async def broken_off(stage: Stage) -> None:
+async def truncated(stage: Stage) -> None:
     with pytest.raises((asyncio.IncompleteReadError, ConnectionError, ValueError)):
         await whole(await stage.client(GET))
 
@@ -68,39 +68,39 @@
     assert head.split()[1] == b"413"
 
 
-async def client_gone(stage: Stage) -> None:
+async def client_disconnects(stage: Stage) -> None:
     await stage.client(SHORT_PUT, SHORT_BODY)
     await wait_until(lambda: bool(stage.heads))
     stage.writers[-1].transport.abort()
 
 
-async def client_gone_during_its_body(stage: Stage) -> None:
+async def client_disconnects_during_its_body(stage: Stage) -> None:
     await stage.client(SHORT_PUT, SHORT_BODY[:20_000])
     await settle()
     stage.writers[-1].transport.abort()
 
 
-COURSES: dict[str, tuple[Callable[[Stage], Awaitable[None]], Serve]] = {
-    "answered": (answered, reads(len(SHORT_BODY))),
-    "answered behind a long body": (answered_behind_a_long_body, reads(len(BODY))),
-    "answered at length": (
-        answered_at_length,
-        reads(0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY),
+SCENARIOS: dict[str, tuple[Callable[[Stage], Awaitable[None]], Serve]] = {
+    "served": (served, respond_after(len(SHORT_BODY))),
+    "served behind a long body": (served_after_a_long_body, respond_after(len(BODY))),
+    "served at length": (
+        served_with_a_long_body,
+        respond_after(0, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY) + BODY),
     ),
-    "broken off": (broken_off, breaks_off),
-    "failed": (failed, reads(len(SHORT_BODY), b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")),
-    "too long": (rejected_as_too_long, reads(0)),
-    "client gone": (client_gone, stays_silent),
-    "client gone during its body": (client_gone_during_its_body, stays_silent),
+    "broken off": (truncated, break_response),
+    "failed": (failed, respond_after(len(SHORT_BODY), b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")),
+    "too long": (rejected_as_too_long, respond_after(0)),
+    "client gone": (client_disconnects, never_respond),
+    "client gone during its body": (client_disconnects_during_its_body, never_respond),
 }
 
 
-@pytest.mark.parametrize("course", COURSES)
-def test_nothing_of_a_request_is_left_once_it_has_ended(
-    course: str, alive: LiveObjects, tmp_path: Path
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_all_objects_of_a_request_are_freed_at_its_end(
+    scenario: str, alive: LiveObjects, tmp_path: Path
 ) -> None:
-    # Guards against: cycles keep the bodies of ended requests until the collector runs.
-    act, serve = COURSES[course]
+    # Guards against reference cycles that keep the bodies of ended requests until the collector runs.
+    act, serve = SCENARIOS[scenario]
 
     async def work() -> None:
         stage = await opened(tmp_path, serve)
--- a/tests/proxy/net/test_target_group.py
+++ b/tests/proxy/net/test_target_group.py
@@ -1,4 +1,4 @@
-"""Discovery's list and the peers' datagrams: valid news however cut, garbage, and what follows from each."""
+"""Discovery's list and the peers' datagrams: valid and invalid input, split anywhere, and its effects."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 
 def group() -> tuple[TargetGroup, list[api.ServerList], dict[str, tuple[Any, bool]]]:
     lists: list[api.ServerList] = []
-    told: dict[str, tuple[Any, bool]] = {}
+    reported: dict[str, tuple[Any, bool]] = {}
     loop: Any = Clock()
     made = TargetGroup(
-        loop, ("127.0.0.1", 1), READER, lambda n, a, up: told.update({n: (a, up)}), lists.append
+        loop, ("127.0.0.1", 1), READER, lambda n, a, up: reported.update({n: (a, up)}), lists.append
     )
-    return made, lists, told
+    return made, lists, reported
 
 
 def chunked(body: bytes) -> bytes:
@@ -42,7 +42,7 @@
 
 @seeded
 @given(places)
-def test_lines_come_out_whole_however_they_are_cut(where: list[int]) -> None:
+def test_lines_are_complete_however_they_are_split(where: list[int]) -> None:
     body = news(4, endpoint("s1", 1), snapshot=True) + b"\n" + news(5, endpoint("s1", 1, status="draining"))
     lines: list[bytes] = []
     watch = DiscoveryWatch(b"GET", 1 << 20, lines.append, lambda why: None)
@@ -54,7 +54,7 @@
 
 @seeded
 @given(garbage, places, st.booleans())
-def test_garbage_from_discovery_only_ends_the_watch(data: bytes, where: list[int], framed: bool) -> None:
+def test_invalid_data_from_discovery_only_ends_the_watch(data: bytes, where: list[int], framed: bool) -> None:
     made, lists, _ = group()
     ends: list[str] = []
 
@@ -79,29 +79,29 @@
         {"weight": "x"},
     ],
 )
-def test_a_bad_entry_leaves_the_list_as_it_was(change: dict[str, Any]) -> None:
-    made, lists, told = group()
+def test_an_invalid_entry_leaves_the_list_unchanged(change: dict[str, Any]) -> None:
+    made, lists, reported = group()
     with pytest.raises(EndpointListError):
         made.apply_list({"index": 1, "endpoints": [endpoint("s0", 1), {**endpoint("s1", 1), **change}]})
-    assert not lists and not told and not made.index
+    assert not lists and not reported and not made.index
 
 
-def test_absent_from_a_snapshot_is_removed_and_unix_time_is_kept() -> None:
-    made, lists, told = group()
+def test_targets_absent_from_a_complete_list_are_removed_and_start_times_kept() -> None:
+    made, lists, reported = group()
     made.apply_list(json.loads(news(1, endpoint("s1", 1), endpoint("s2", 2), snapshot=True)), cached=True)
     made.apply_list(
         json.loads(news(2, endpoint("s1", 1, since_ms=1_700_000_000_500, zone="b"), snapshot=True))
     )
-    assert told == {"s1": (("127.0.0.1", 1), True), "s2": (None, False)}
+    assert reported == {"s1": (("127.0.0.1", 1), True), "s2": (None, False)}
     assert [n.kind for n in lists] == [api.ListKind.CACHED, api.ListKind.COMPLETE]
     assert lists[1].servers[0].up_since == 1_700_000_000.5 and lists[1].servers[0].zone == 1
     made.apply_list(json.loads(news(3, endpoint("s1", 1, status="removed", address=None))))
-    assert not made.servers and told["s1"] == (None, False)
+    assert not made.servers and reported["s1"] == (None, False)
 
 
-def test_a_whole_list_that_is_asked_for_is_told_as_it_is_known_then() -> None:
-    # Forty proxies asked before the list they were started with was read, were told an empty one after it,
-    # and refused everything from then on.
+def test_a_requested_list_is_reported_in_its_state_at_the_callback() -> None:
+    # Guards against an empty list reported after the first one, because it was requested before that was
+    # read: forty proxies rejected all requests from then on.
     made, lists, _ = group()
     clock: Any = made.loop
     made.refresh()
@@ -113,7 +113,7 @@
     ]
 
 
-def test_no_list_is_not_an_empty_list() -> None:
+def test_an_unknown_list_is_not_reported_as_an_empty_list() -> None:
     made, lists, _ = group()
     clock: Any = made.loop
     made.refresh()
@@ -121,32 +121,32 @@
     assert not lists
 
 
-def test_a_restarted_target_is_gone_before_it_is_back() -> None:
-    # Connections to the old process are of no use: each would cost an attempt a reset.
+def test_a_restarted_target_is_removed_before_it_is_added() -> None:
+    # Connections to the old process are useless: each would reset an attempt.
     made, _, _ = group()
-    told: list[bool] = []
-    made.on_target = lambda name, address, up: told.append(up)
+    reported: list[bool] = []
+    made.on_target = lambda name, address, up: reported.append(up)
     for since in (5000, 5000, 9000):
         made.apply_list(json.loads(news(1, endpoint("s1", 1, since_ms=since))))
-    assert told == [True, True, False, True]
+    assert reported == [True, True, False, True]
 
 
 @pytest.mark.parametrize("text", ["1.2.3.4", "1.2.3:80", "1.2.3.400:80", "a.b.c.d:80", "1.2.3.4:99999", 7])
-def test_only_numeric_addresses_with_a_port_are_taken(text: Any) -> None:
+def test_only_numeric_addresses_with_a_port_are_accepted(text: Any) -> None:
     with pytest.raises(ValueError, match="address"):
         parse_address(text)
 
 
-def test_a_watch_that_breaks_is_taken_up_from_where_it_was() -> None:
+def test_a_broken_watch_is_renewed_from_the_current_version() -> None:
     async def work() -> None:
-        asked: list[str] = []
+        requests: list[str] = []
         second = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readline()).decode().split()[1])
-            if len(asked) == 1:
+            requests.append((await reader.readline()).decode().split()[1])
+            if len(requests) == 1:
                 writer.write(chunked(news(41, endpoint("s1", 1), snapshot=True)))
-            elif len(asked) == 2:
+            elif len(requests) == 2:
                 writer.write(chunked(b"not json\n"))
             else:
                 second.set()
@@ -159,35 +159,35 @@
         await second.wait()
         follow.cancel()
         server.close()
-        # A line that made no sense may have held anything: after it the whole list is asked for.
-        assert asked[:3] == [f"/discovery/hosts?watch=1&from={n}" for n in (0, 41, 0)]
+        # The content of an invalid line is unknown: the complete list is requested after it.
+        assert requests[:3] == [f"/discovery/hosts?watch=1&from={n}" for n in (0, 41, 0)]
         assert lists[0].version == 41
 
     run(work())
 
 
-def test_discovery_that_moves_is_asked_for_the_whole_list_at_once() -> None:
-    # The versions of the two need not match, and what the old one still says no longer counts.
+def test_discovery_at_a_new_address_is_asked_for_the_complete_list() -> None:
+    # The versions at the two addresses may differ, and later lines of the old one are ignored.
     async def work() -> None:
-        asked: list[str] = []
-        heard = asyncio.Event()
+        requests: list[str] = []
+        received = asyncio.Event()
         writers: list[asyncio.StreamWriter] = []
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            asked.append((await reader.readline()).decode().split()[1])
+            requests.append((await reader.readline()).decode().split()[1])
             writers.append(writer)
-            writer.write(chunked(news(41 if len(asked) == 1 else 7, endpoint("s1", 1), snapshot=True)))
+            writer.write(chunked(news(41 if len(requests) == 1 else 7, endpoint("s1", 1), snapshot=True)))
 
         servers = [await asyncio.start_server(serve, "127.0.0.1", 0) for _ in range(2)]
         made, lists, _ = group()
-        made.on_list = lambda news: (lists.append(news), heard.set())  # type: ignore[func-returns-value]
+        made.on_list = lambda news: (lists.append(news), received.set())  # type: ignore[func-returns-value]
         made.loop, made.address = asyncio.get_running_loop(), servers[0].sockets[0].getsockname()
         made.start()
         for _ in range(2):
-            await heard.wait()
-            heard.clear()
+            await received.wait()
+            received.clear()
             made.set_address(servers[1].sockets[0].getsockname())
-        assert asked == ["/discovery/hosts?watch=1&from=0"] * 2
+        assert requests == ["/discovery/hosts?watch=1&from=0"] * 2
         assert [news.version for news in lists] == [41, 7] and made.index == 7
         made.stop()
         for writer in writers:
@@ -196,30 +196,32 @@
     run(work())
 
 
-def _given(protocol: asyncio.DatagramProtocol) -> asyncio.DatagramProtocol:
+def _identity(protocol: asyncio.DatagramProtocol) -> asyncio.DatagramProtocol:
     return protocol
 
 
-def test_datagrams_are_told_apart_by_their_sender() -> None:
+def test_datagrams_are_identified_by_their_sender() -> None:
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        heard: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        seats = [
-            PeerDatagrams(i, [], None, lambda n, data: heard.put_nowait((n, data)), loop.time)
+        received: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
+        proxies = [
+            PeerDatagrams(i, [], None, lambda n, data: received.put_nowait((n, data)), loop.time)
             for i in range(2)
         ]
         stranger = asyncio.DatagramProtocol()
         here = ("127.0.0.1", 0)
-        made = [await loop.create_datagram_endpoint(partial(_given, p), here) for p in (*seats, stranger)]
+        made = [
+            await loop.create_datagram_endpoint(partial(_identity, p), here) for p in (*proxies, stranger)
+        ]
         ends = [transport for transport, _ in made]
         addresses = [end.get_extra_info("sockname")[:2] for end in ends[:2]]
-        for seat in seats:
-            seat.peers, seat.numbers = addresses, {address: n for n, address in enumerate(addresses)}
+        for proxy in proxies:
+            proxy.peers, proxy.numbers = addresses, {address: n for n, address in enumerate(addresses)}
         ends[2].sendto(b"foreign", addresses[1])
         ends[0].sendto(b"x" * 300, addresses[1])
-        seats[0].send_datagram(1, b"y" * 257)  # one longer than the rules allow is never sent
-        seats[0].send_datagram(None, b"row")
-        assert await heard.get() == (0, b"row") and heard.empty()
+        proxies[0].send_datagram(1, b"y" * 257)  # a datagram above the size limit is never sent
+        proxies[0].send_datagram(None, b"row")
+        assert await received.get() == (0, b"row") and received.empty()
         for end in ends:
             end.close()
 
--- a/tests/proxy/net/test_upstream_pool.py
+++ b/tests/proxy/net/test_upstream_pool.py
@@ -1,4 +1,4 @@
-"""UpstreamPools over real sockets on this machine: how each ends, and what becomes of its connection."""
+"""UpstreamPools over local sockets: the termination of runs, and the reuse of their connections."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 TOO_MANY = b"HTTP/1.1 503 No\r\nX-Rejected: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-NOBODY = SocketDialer(Clock(), TransportPool(Clock()))  # type: ignore[arg-type]  # never asked to dial
+UNUSED_DIALER = SocketDialer(Clock(), TransportPool(Clock()))  # type: ignore[arg-type]  # never dials
 Target = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -30,13 +30,13 @@
     return True
 
 
-def unwired(clock: Clock) -> UpstreamPools:
-    """UpstreamPools whose connections are made by hand."""
+def make_pools(clock: Clock) -> UpstreamPools:
+    """Return UpstreamPools whose connections the test makes itself."""
     limits = api.Limits(max_attempts=3, connection_idle_timeout=30.0)
-    return UpstreamPools(clock, limits, RULES, make_monitor(clock), NOBODY)  # type: ignore
+    return UpstreamPools(clock, limits, RULES, make_monitor(clock), UNUSED_DIALER)  # type: ignore
 
 
-def connected(pools: UpstreamPools, pool: Pool) -> Connection:
+def make_target_connection(pools: UpstreamPools, pool: Pool) -> Connection:
     pools.monitor.descriptors.count(Use.TARGETS)
     return Connection(pools, pool, has_no_input)
 
@@ -47,13 +47,13 @@
     return reader.completed[0]
 
 
-LEFT = 1000.0  # s that a forward has: what ends it is never that a busy machine was late
+TIME_LEFT_S = 1000.0  # deadline of requests: long, so that no test depends on the speed of the machine
 
 
-class Bench:
-    """UpstreamPools with one target `s` that behaves as the test says."""
+class Harness:
+    """UpstreamPools with one target `s`, whose responses the test sets."""
 
-    def __init__(self, max_sockets: int = 10, connect_timeout: float = LEFT) -> None:
+    def __init__(self, max_sockets: int = 10, connect_timeout: float = TIME_LEFT_S) -> None:
         self.loop = asyncio.get_running_loop()
         limits = api.Limits(max_attempts=3, connect_timeout=connect_timeout, connection_idle_timeout=30.0)
         self.transports = TransportPool(self.loop)
@@ -83,22 +83,22 @@
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         self.pools.update_target("s", server.sockets[0].getsockname()[:2], True)
 
-    async def rested(self) -> None:
-        """What is idle may be used again."""
+    async def wait_until_reusable(self) -> None:
+        """Wait until the idle connections may be reused."""
         for connection in self.pools.pools["s"].idle:
             while self.loop.time() <= connection.idle_since + REUSE_DELAY_S:
                 await asyncio.sleep(0)
 
     async def send(self) -> Ended:
-        await self.rested()
-        ended = Ended(self.loop.time() + LEFT)
+        await self.wait_until_reusable()
+        ended = Ended(self.loop.time() + TIME_LEFT_S)
         self.pools.forward(request(), "s", ended)
         await ended.over.wait()
         return ended
 
 
 @pytest.mark.parametrize(
-    ("reply", "close", "ending"),
+    ("reply", "close", "termination"),
     [
         (OK, False, Termination.SERVED),
         (b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK, False, Termination.SERVED),
@@ -128,134 +128,134 @@
         (b"", True, Termination.BROKEN_AFTER_SENT),
     ],
 )
-def test_what_comes_back_decides_the_ending(reply: bytes, close: bool, ending: Termination) -> None:
+def test_the_response_determines_the_termination(reply: bytes, close: bool, termination: Termination) -> None:
     async def work() -> None:
-        bench = Bench()
-        await bench.target(reply, close)
-        ended = await bench.send()
-        assert ended.endings == [ending]
-        assert b"X-Call-Id: 1\r\n" in bench.heads[0]
-        assert 0 < int(bench.heads[0].split(b"X-Budget-Ms: ")[1]) <= 1000 * LEFT
-        bench.transports.close()
+        harness = Harness()
+        await harness.target(reply, close)
+        ended = await harness.send()
+        assert ended.endings == [termination]
+        assert b"X-Call-Id: 1\r\n" in harness.heads[0]
+        assert 0 < int(harness.heads[0].split(b"X-Budget-Ms: ")[1]) <= 1000 * TIME_LEFT_S
+        harness.transports.close()
 
     run(work())
 
 
-def test_on_a_connection_that_was_used_what_turns_away_and_closes_is_a_full_queue() -> None:
+def test_a_rejection_with_close_on_a_used_connection_rejects_the_request() -> None:
     async def work() -> None:
-        bench = Bench()
-        await bench.target(OK)
-        await bench.send()
-        bench.reply = TOO_MANY
-        assert (await bench.send()).endings == [Termination.REJECTED] and bench.connections == 1
-        bench.transports.close()
+        harness = Harness()
+        await harness.target(OK)
+        await harness.send()
+        harness.reply = TOO_MANY
+        assert (await harness.send()).endings == [Termination.REJECTED] and harness.connections == 1
+        harness.transports.close()
 
     run(work())
 
 
 def test_connections_are_reused_and_a_cancel_closes_one() -> None:
     async def work() -> None:
-        bench = Bench()
-        await bench.target(OK)
-        await bench.send()
-        await bench.send()
-        assert bench.connections == 1 and bench.pools.monitor.descriptors.open[Use.TARGETS] == 1
-        await bench.rested()
-        bench.pools.forward(request(), "s", ended := Ended(bench.loop.time() + LEFT)).cancel()
-        assert not bench.pools.pools["s"].idle
-        await bench.send()
-        assert bench.connections == 2 and not ended.endings
-        bench.transports.close()
+        harness = Harness()
+        await harness.target(OK)
+        await harness.send()
+        await harness.send()
+        assert harness.connections == 1 and harness.pools.monitor.descriptors.open[Use.TARGETS] == 1
+        await harness.wait_until_reusable()
+        harness.pools.forward(request(), "s", ended := Ended(harness.loop.time() + TIME_LEFT_S)).cancel()
+        assert not harness.pools.pools["s"].idle
+        await harness.send()
+        assert harness.connections == 2 and not ended.endings
+        harness.transports.close()
 
     run(work())
 
 
-def test_a_refused_dial_could_not_connect() -> None:
+def test_a_refused_dial_ends_as_connection_refused() -> None:
     async def work() -> None:
-        bench = Bench()
+        harness = Harness()
         with socket.socket() as free:
             free.bind(("127.0.0.1", 0))
-            bench.pools.update_target("s", free.getsockname(), True)
-            assert (await bench.send()).endings == [Termination.CONNECTION_REFUSED]
-        assert bench.pools.monitor.descriptors.open[Use.TARGETS] == 0
-        bench.transports.close()
+            harness.pools.update_target("s", free.getsockname(), True)
+            assert (await harness.send()).endings == [Termination.CONNECTION_REFUSED]
+        assert harness.pools.monitor.descriptors.open[Use.TARGETS] == 0
+        harness.transports.close()
 
     run(work())
 
 
-def test_a_dial_that_never_comes_up_expires() -> None:
+def test_a_dial_without_an_answer_times_out() -> None:
     async def work() -> None:
-        bench = Bench(connect_timeout=0.2)
+        harness = Harness(connect_timeout=0.2)
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
-            full.listen(0)  # nobody accepts, and two wait at the most
-            bench.pools.update_target("s", full.getsockname(), True)
+            full.listen(0)  # nothing is accepted, and at most two connections are queued
+            harness.pools.update_target("s", full.getsockname(), True)
             waiting = [socket.socket() for _ in range(4)]
             for one in waiting:
                 one.setblocking(False)
                 one.connect_ex(full.getsockname())
-            assert (await bench.send()).endings == [Termination.CONNECT_TIMEOUT]
+            assert (await harness.send()).endings == [Termination.CONNECT_TIMEOUT]
             for one in waiting:
                 one.close()
-        bench.transports.close()
+        harness.transports.close()
 
     run(work())
 
 
-def test_no_first_byte_after_the_grace_of_a_drain() -> None:
-    # The dial may outlast the grace; what it was for must then not be sent.
+def test_no_request_is_sent_after_the_drain_grace() -> None:
+    # The dial may take longer than the drain grace; its request must not be sent then.
     async def work() -> None:
-        bench = Bench()
-        await bench.target(OK)
-        ended = Ended(bench.loop.time() + LEFT)
-        bench.pools.forward(request(), "s", ended)
-        bench.pools.update_target("s", bench.pools.pools["s"].address, False)
-        bench.pools.pools["s"].draining_since = bench.loop.time() - RULES.drain_grace
+        harness = Harness()
+        await harness.target(OK)
+        ended = Ended(harness.loop.time() + TIME_LEFT_S)
+        harness.pools.forward(request(), "s", ended)
+        harness.pools.update_target("s", harness.pools.pools["s"].address, False)
+        harness.pools.pools["s"].draining_since = harness.loop.time() - RULES.drain_grace
         await ended.over.wait()
-        assert ended.endings == [Termination.TARGET_DRAINED] and not bench.heads
-        assert (await bench.send()).endings == [Termination.TARGET_DRAINED]
-        bench.transports.close()
+        assert ended.endings == [Termination.TARGET_DRAINED] and not harness.heads
+        assert (await harness.send()).endings == [Termination.TARGET_DRAINED]
+        harness.transports.close()
 
     run(work())
 
 
-def test_sockets_are_bounded_and_idle_ones_give_way() -> None:
+def test_sockets_are_bounded_and_idle_ones_are_closed_for_new_dials() -> None:
     async def work() -> None:
-        bench = Bench(max_sockets=1)
-        await bench.target(OK)
-        address = bench.pools.pools["s"].address
-        assert (await bench.send()).endings == [Termination.SERVED]
-        bench.pools.update_target("t", address, True)
-        held = Ended(bench.loop.time() + LEFT)
-        bench.pools.forward(request(), "t", held)
+        harness = Harness(max_sockets=1)
+        await harness.target(OK)
+        address = harness.pools.pools["s"].address
+        assert (await harness.send()).endings == [Termination.SERVED]
+        harness.pools.update_target("t", address, True)
+        held = Ended(harness.loop.time() + TIME_LEFT_S)
+        harness.pools.forward(request(), "t", held)
         await held.over.wait()
-        assert held.endings == [Termination.SERVED] and not bench.pools.pools["s"].idle
-        bench.transports.close()
+        assert held.endings == [Termination.SERVED] and not harness.pools.pools["s"].idle
+        harness.transports.close()
 
     run(work())
 
 
 @pytest.mark.parametrize(
-    ("buffered", "ending"), [(0, Termination.BROKEN_AFTER_SENT), (9, Termination.BROKEN_BEFORE_SENT)]
+    ("buffered", "termination"), [(0, Termination.BROKEN_AFTER_SENT), (9, Termination.BROKEN_BEFORE_SENT)]
 )
-def test_a_break_before_the_last_byte_could_not_connect(buffered: int, ending: Termination) -> None:
-    pools = unwired(Clock())
-    connection = connected(pools, Pool("s"))
+def test_a_break_before_the_last_byte_means_not_executed(buffered: int, termination: Termination) -> None:
+    pools = make_pools(Clock())
+    connection = make_target_connection(pools, Pool("s"))
     wire = Wire(connection)
     wire.buffered = buffered
     ended = Ended(1001.0)
     connection.send(Run(request(), connection.pool, ended))
     wire.close()
-    assert ended.endings == [ending]
+    assert ended.endings == [termination]
 
 
-def test_idle_connections_are_closed_well_before_the_target_would() -> None:
+def test_idle_connections_are_closed_before_the_target_closes_them() -> None:
     clock = Clock()
-    pools = unwired(clock)
+    pools = make_pools(clock)
     pools.update_target("s", ("127.0.0.1", 1), True)
     wires = []
     for _ in range(2):
-        connection = connected(pools, pools.pools["s"])
+        connection = make_target_connection(pools, pools.pools["s"])
         wires.append(Wire(connection))
         pools.park(connection)
         clock.advance(10.0)
@@ -266,39 +266,39 @@
 
 
 @pytest.mark.parametrize("left", [b"", OK])
-def test_a_connection_on_which_anything_came_while_idle_is_not_used(left: bytes) -> None:
-    # The kernel knows of the end, or of a second answer, the loop does not yet: the next forward would end
-    # as a reset that may have run, or be answered with what was made for another.
+def test_a_connection_with_input_while_idle_is_not_reused(left: bytes) -> None:
+    # The kernel has the end or a second response that the loop has not read yet: the next request would end
+    # with a reset after it may have been executed, or with the response to another request.
     async def work() -> None:
-        bench = Bench()
+        harness = Harness()
         with socket.socket() as target:
             target.bind(("127.0.0.1", 0))
             target.listen()
-            bench.pools.update_target("s", target.getsockname(), True)
+            harness.pools.update_target("s", target.getsockname(), True)
             for _ in range(2):
-                ended = Ended(bench.loop.time() + LEFT)
-                bench.pools.forward(request(), "s", ended)
-                peer, _ = target.accept()  # also the second is a new one
+                ended = Ended(harness.loop.time() + TIME_LEFT_S)
+                harness.pools.forward(request(), "s", ended)
+                peer, _ = target.accept()  # the second connection is new as well
                 peer.setblocking(False)
-                assert b"X-Call-Id: 1" in await bench.loop.sock_recv(peer, 4096)
-                await bench.loop.sock_sendall(peer, OK)
+                assert b"X-Call-Id: 1" in await harness.loop.sock_recv(peer, 4096)
+                await harness.loop.sock_sendall(peer, OK)
                 await ended.over.wait()
                 assert ended.endings == [Termination.SERVED]
                 if left:
                     peer.send(left)
                 else:
                     peer.close()
-        bench.transports.close()
+        harness.transports.close()
 
     run(work())
 
 
-def test_a_connection_rests_before_it_is_used_again() -> None:
-    # More than belongs to an answer may come right behind it; the next flow's must not be taken from there.
+def test_a_connection_is_not_reused_immediately() -> None:
+    # Extra data may follow a response immediately; it must not be taken for the next response.
     clock = Clock()
-    pools = unwired(clock)
+    pools = make_pools(clock)
     pool = Pool("s")
-    made = [connected(pools, pool) for _ in range(4)]
+    made = [make_target_connection(pools, pool) for _ in range(4)]
     for connection in made:
         Wire(connection)
         pools.park(connection)
@@ -307,15 +307,15 @@
     assert order == [made[1], made[0], None, None] and pool.idle == made[2:]
 
 
-def test_a_target_that_is_gone_is_forgotten_and_its_successor_inherits_nothing() -> None:
-    pools = unwired(Clock())
+def test_a_removed_target_is_dropped_with_its_connections() -> None:
+    pools = make_pools(Clock())
     pools.update_target("s", ("127.0.0.1", 1), True)
-    idle = connected(pools, pools.pools["s"])
-    out = connected(pools, pools.pools["s"])
+    idle = make_target_connection(pools, pools.pools["s"])
+    out = make_target_connection(pools, pools.pools["s"])
     wires = [Wire(idle), Wire(out)]
     pools.park(idle)
     pools.update_target("s", None, False)
     pools.update_target("t", ("127.0.0.1", 1), True)
-    pools.park(out)  # what was out ends later
+    pools.park(out)  # the connection in use ends later
     assert [wire.closed for wire in wires] == [True, True]
     assert list(pools.pools) == ["t"] and not pools.pools["t"].idle
--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -35,7 +35,7 @@
         lies: Callable[[int, bytes], bytes | None] = lambda sender, payload: payload,
         back: float = 0.0,
     ) -> None:
-        """Start all balancers; `lies` may change or drop messages; backends are unreachable until `back` s."""
+        """Start all balancers; `lies` may change or drop messages; backends start at `back` s."""
         self.now, self.draw, self.lies, self.rate = 0.0, random.Random(seed), lies, rate
         self.loss = self.late = self.twice = 0.0  # fractions of datagrams lost, 1 s late, and duplicated
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
