--- a/firvane/core/logs.py
+++ b/firvane/core/logs.py
@@ -33,10 +33,10 @@
     """The part of structlog's bound logger that the proxy uses."""
 
     def bind(self, **fields: Any) -> Log:
-        """The same log, with these fields in each line."""
+        """Return a log that adds these fields to each line."""
 
     def is_enabled_for(self, level: int) -> bool:
-        """Whether events of a level of `LEVELS` are written."""
+        """Return whether events of this level are written."""
 
     def debug(self, event: str, **fields: Any) -> Any:
         """Log an event for debugging."""
@@ -77,11 +77,11 @@
         self.level, self.render, self.write, self.wall, self.fields = level, render, write, wall, fields
 
     def bind(self, **fields: Any) -> LineLog:
-        """The same log, with these fields in each line."""
+        """Return a log that adds these fields to each line."""
         return LineLog(self.level, self.render, self.write, self.wall, {**self.fields, **fields})
 
     def is_enabled_for(self, level: int) -> bool:
-        """Whether events of a level of `LEVELS` are written."""
+        """Return whether events of this level are written."""
         return level >= self.level
 
     def _write_event(self, level: str, event: str, fields: dict[str, Any]) -> None:
--- a/firvane/proxy/net/client_connection.py
+++ b/firvane/proxy/net/client_connection.py
@@ -198,10 +198,10 @@
             is_excessive = context.exceeds_fair_rate(self)
             if gate.is_shedding or gate.is_queue_full(is_excessive) or context.account.under_pressure:
                 tenant = scan_tenant(data)
-                again = gate.rejects_retries and scan_is_retry(data)
+                is_retry = gate.rejects_retries and scan_is_retry(data)
                 counts = None if tenant is None else context.counts.get(scan_request_class(data))
                 if (tenant is not None and counts) and (
-                    gate.rejects(tenant, is_excessive, again) or context.account.under_pressure
+                    gate.rejects(tenant, is_excessive, is_retry) or context.account.under_pressure
                 ):
                     self.counts = counts
                     if context.metrics is not None:
@@ -382,7 +382,7 @@
                 return
             self.policy_field = policy_lease.epoch_header
         try:
-            request, left = self.context.parse_request(message)
+            request, budget_s = self.context.parse_request(message)
         except HttpError as error:
             self._reject_malformed(error)
             return
@@ -396,15 +396,15 @@
         elif message.exceeds_buffer and message.method == b"GET":
             self._reject_malformed(HttpError(400))
         else:
-            self._start_flow(message, request, left)
+            self._start_flow(message, request, budget_s)
 
-    def _start_flow(self, message: Message, request: api.Request, left: float) -> None:
-        """Pass a request to the engine; `left` is its time budget in s."""
+    def _start_flow(self, message: Message, request: api.Request, budget_s: float) -> None:
+        """Pass a request to the engine; `budget_s` is its time budget in s."""
         context = self.context
         upload_time = UPLOAD_TIME_S if self.upload else 0.0
-        deadline = min(context.loop.time() + left + upload_time, context.drain_deadline)
+        deadline = min(context.loop.time() + budget_s + upload_time, context.drain_deadline)
         self.flow = Flow(message, self, deadline, message.fields[b"x-call-id"])
-        self.flow.response_time = left if self.upload else 0.0
+        self.flow.response_time = budget_s if self.upload else 0.0
         message.sender_is_connected = self.is_client_connected
         self.charged_flow = FLOW_BYTES + (STREAM_WINDOW_BYTES if self.upload else message.size)
         context.account.charge(MemoryUse.FLOWS, self.charged_flow)
--- a/firvane/proxy/net/client_context.py
+++ b/firvane/proxy/net/client_context.py
@@ -145,7 +145,7 @@
         ):
             raise HttpError(400)
         if fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
-            raise HttpError(400)  # another coding would be taken for part of the body
+            raise HttpError(400)  # data in another coding would be taken for the body itself
         if fields.get(b"x-call-id") in self.open_ids:
             raise HttpError(409)  # a response of a target must match exactly one request
         budget, tenant = fields.get(b"x-budget-ms", b""), None
--- a/firvane/proxy/net/resource_monitor.py
+++ b/firvane/proxy/net/resource_monitor.py
@@ -123,17 +123,17 @@
             self.loop.time() + SAMPLE_INTERVAL_S, self._sample, self.loop.time() + SAMPLE_INTERVAL_S
         )
 
-    def record_usage(self, what: Resource, figure: float) -> None:
+    def record_usage(self, kind: Resource, fraction: float) -> None:
         """Record the usage of a resource, as a fraction of its limit; log a change of its load level."""
-        step = self.overload.update(what, figure, self.loop.time())
+        step = self.overload.update(kind, fraction, self.loop.time())
         if step:
             actions = sorted(action.value for action in self.overload.active_actions)
             (self.log.warning if step.after > Level.BUSY else self.log.info)(
                 "pressure",
-                resource=what.value,
+                resource=kind.value,
                 load_level=step.after.name.lower(),
                 previous_load_level=step.before.name.lower(),
-                usage=figure,
+                usage=fraction,
                 active_actions=",".join(actions) or "none",
             )
 
@@ -173,18 +173,18 @@
         """Estimate the fraction of requests that exceeds the capacity, and report it to the balancer."""
         shed, overflowed, unseen = self.counts()
         before, self._last_counts = self._last_counts, (self.loop_budget.decided, shed, overflowed)
-        taken, shed, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
-        part = self.admission.update(span, taken, shed, overflowed, bool(self.loop_budget.queue))
+        accepted, shed, overflowed = (new - old for new, old in zip(self._last_counts, before, strict=True))
+        excess = self.admission.update(span, accepted, shed, overflowed, bool(self.loop_budget.queue))
         self.loop_budget.rate = self.admission.capacity or INITIAL_RATE_PER_CORE * self.cores
         pressure = api.OverloadSignal(
-            part,
+            excess,
             self.is_active(OverloadAction.SHED_LOAD),
             not self.is_active(OverloadAction.DISABLE_HEDGING),
             unseen,
         )
-        known = self._reported
+        previous = self._reported
         switches = pressure.shed_over_quota, pressure.hedging_allowed
-        changed = switches != (known.shed_over_quota, known.hedging_allowed)
-        if changed or part or known.excess_fraction or pressure.shed_over_quota:
+        changed = switches != (previous.shed_over_quota, previous.hedging_allowed)
+        if changed or excess or previous.excess_fraction or pressure.shed_over_quota:
             self._reported = pressure
             self.report_pressure(pressure)
--- a/firvane/proxy/net/upstream_pool.py
+++ b/firvane/proxy/net/upstream_pool.py
@@ -124,12 +124,12 @@
     def send(self, run: Run) -> None:
         """Write the request of a run."""
         now = self.owner.loop.time()
-        left = max(1, int((run.exchange.deadline - now) * 1000))
+        budget_ms = max(1, int((run.exchange.deadline - now) * 1000))
         if run.request.stream:  # its budget is counted from its last byte
-            left = min(left, int(run.request.fields.get(b"x-budget-ms", b"1")))
+            budget_ms = min(budget_ms, int(run.request.fields.get(b"x-budget-ms", b"1")))
         self.run, run.connection, self.written, self.interim_count = run, self, False, 0
         host = b"%s:%d" % (self.pool.address[0].encode(), self.pool.address[1]) if self.pool.address else b""
-        self.transport.writelines([*format_request_head(run.request, left, host), *run.request.body])
+        self.transport.writelines([*format_request_head(run.request, budget_ms, host), *run.request.body])
         if run.request.stream:
             run.exchange.on_body_consumed()
             self.upload, self.chunked = run.request.stream, run.request.content_length() is None
--- a/firvane/proxy/recovery/recovery.py
+++ b/firvane/proxy/recovery/recovery.py
@@ -163,7 +163,10 @@
         )
 
     def adjust_retry_after(self, job: OpenRequest, retry_after: float, now: float) -> float:
-        """Return the Retry-After of a rejected request: `retry_after` unless first attempts have priority."""
+        """Return the Retry-After of a rejected request: random while first attempts have priority.
+
+        It is then between the latency target and the permitted maximum, otherwise `retry_after`.
+        """
         self.rejected_at = now
         if not (self.on and self.options.first_tries):
             return retry_after
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -132,8 +132,8 @@
     Mutant(
         "what comes after the last moment is answered at once",
         "firvane/proxy/net/client_connection.py",
-        "min(context.loop.time() + left + upload_time, context.drain_deadline)",
-        "context.loop.time() + left + upload_time",
+        "min(context.loop.time() + budget_s + upload_time, context.drain_deadline)",
+        "context.loop.time() + budget_s + upload_time",
         f"{ENDS}test_what_comes_after_the_last_moment_is_refused_at_once",
     ),
     Mutant(
