--- a/firvane/proxy/net/target_group.py
+++ b/firvane/proxy/net/target_group.py
@@ -172,7 +172,7 @@
             self.start()
 
     async def follow(self) -> None:
-        """Renew the watch until the task is cancelled."""
+        """Renew the watch while there is an address, until the task is cancelled."""
         await asyncio.sleep(self.backoff.first_delay(self.known))
         while self.address:
             silent = await self._watch_once(self.address)
