--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -31,14 +31,14 @@
         cores: list[int],
         seed: int = 1,
         rate: float = 100.0,
-        memory: api.RestoredEstimates | None = None,
-        lies: Callable[[int, bytes], bytes | None] = lambda sender, payload: payload,
+        restored: api.RestoredEstimates | None = None,
+        tamper: Callable[[int, bytes], bytes | None] = lambda sender, payload: payload,
         back: float = 0.0,
     ) -> None:
-        """Start all balancers; `lies` may change or drop messages; backends start at `back` s."""
-        self.now, self.draw, self.lies, self.rate = 0.0, random.Random(seed), lies, rate
+        """Start all balancers; `tamper` may change or drop messages; backends start at `back` s."""
+        self.now, self.rng, self.tamper, self.rate = 0.0, random.Random(seed), tamper, rate
         self.loss = self.late = self.twice = 0.0  # fractions of datagrams lost, 1 s late, and duplicated
-        self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count().__next__
         self.boxes: dict[str, Box] = {}
         self.back = back
@@ -49,29 +49,29 @@
         self.sent: dict[str, int] = dict.fromkeys(self.boxes, 0)
         self.after_drain = list[str]()  # attempts at draining backends
         self.calls: dict[str, tuple[int, api.Send, int, float]] = {}
-        self.asked: dict[tuple[int, int], tuple[float, str]] = {}
+        self.requests: dict[tuple[int, int], tuple[float, str]] = {}
         self.attempts: dict[tuple[int, int], int] = {}
         self.served = self.refused = 0
-        self.looked: dict[str, float] = {}
+        self.scheduled: dict[str, float] = {}
         self.entries = {name: api.Server(name, up_since=None) for name in self.boxes}
         self.version, self.lives = 1, [0] * proxies
         self.balancers: list[Balancer | None] = [None] * proxies
         for me in range(proxies):
-            self.start(me, memory)
-        self._ask(0)
+            self.start(me, restored)
+        self._new_request(0)
 
     # Faults
 
-    def start(self, me: int, memory: api.RestoredEstimates | None = None) -> None:
+    def start(self, me: int, restored: api.RestoredEstimates | None = None) -> None:
         """Start a proxy process with the cached list."""
-        count, wanted = len(self.lives), api.RecoveryOptions()
-        told = settings(me=me, proxies=count, classes=(READ,), rules=RULES, limits=LIMITS, recovery=wanted)
+        count, options = len(self.lives), api.RecoveryOptions()
+        config = settings(me=me, proxies=count, classes=(READ,), rules=RULES, limits=LIMITS, recovery=options)
         self.lives[me] += 1
-        balancer = self.balancers[me] = Balancer(told, self.draw.randrange(1 << 30), self.now)
-        if memory and balancer.recovery:
-            balancer.recovery.restore(memory, {"k": 0})
-        self._act(me, balancer.start(self.now))
-        self._give(me, api.ServerList(api.ListKind.CACHED, self.version, tuple(self.entries.values())))
+        balancer = self.balancers[me] = Balancer(config, self.rng.randrange(1 << 30), self.now)
+        if restored and balancer.recovery:
+            balancer.recovery.restore(restored, {"k": 0})
+        self._perform(me, balancer.start(self.now))
+        self._deliver(me, api.ServerList(api.ListKind.CACHED, self.version, tuple(self.entries.values())))
 
     def end(self, me: int) -> api.RestoredEstimates | None:
         """Stop a proxy and close its connections; return the estimates that it would have saved."""
@@ -86,7 +86,7 @@
         self.version += 1
         self.entries[name] = entry = replace(self.entries[name], **changes)
         for me in range(len(self.lives)):
-            self._give(me, api.ServerList(api.ListKind.INCREMENTAL, self.version, (entry,)))
+            self._deliver(me, api.ServerList(api.ListKind.INCREMENTAL, self.version, (entry,)))
 
     def stop(self, name: str) -> None:
         """Stop a backend, which breaks its requests."""
@@ -94,11 +94,11 @@
         self._advance(name)
 
     def at(self, when: float, act: Callable[..., None], *more: Any) -> None:
-        heapq.heappush(self.due, (when, self.order(), act, more))
+        heapq.heappush(self.queue, (when, self.order(), act, more))
 
     def run(self, seconds: float) -> SmallFleet:
-        while self.due and self.due[0][0] <= seconds:
-            self.now, _, act, more = heapq.heappop(self.due)
+        while self.queue and self.queue[0][0] <= seconds:
+            self.now, _, act, more = heapq.heappop(self.queue)
             act(*more)
         self.now = seconds
         return self
@@ -106,43 +106,43 @@
     def states(self) -> set[RecoveryState]:
         return {one.recovery.state_machine.state for one in self.balancers if one and one.recovery}
 
-    def _ask(self, number: int) -> None:
-        me, work = self.draw.randrange(len(self.lives)), self.draw.uniform(0.03, 0.05)
-        request = api.Request(number + 1, 0, 2.0, key=f"k{self.draw.randrange(50)}", work=work)
-        self.asked[me, request.id] = work, request.key or ""
+    def _new_request(self, number: int) -> None:
+        me, work = self.rng.randrange(len(self.lives)), self.rng.uniform(0.03, 0.05)
+        request = api.Request(number + 1, 0, 2.0, key=f"k{self.rng.randrange(50)}", work=work)
+        self.requests[me, request.id] = work, request.key or ""
         self.attempts[me, request.id] = 0
-        self.at(self.now + self.draw.expovariate(self.rate), self._ask, number + 1)
-        self._give(me, request)
+        self.at(self.now + self.rng.expovariate(self.rate), self._new_request, number + 1)
+        self._deliver(me, request)
 
-    def _give(self, me: int, event: api.Event, life: int = 0) -> None:
+    def _deliver(self, me: int, event: api.Event, life: int = 0) -> None:
         """Deliver an event to a proxy; with `life`, only to that process of it."""
         balancer = self.balancers[me]
         if balancer and life in (0, self.lives[me]):
-            self._act(me, balancer.handle(event, self.now))
+            self._perform(me, balancer.handle(event, self.now))
 
-    def _act(self, me: int, actions: list[api.Action]) -> None:
+    def _perform(self, me: int, actions: list[api.Action]) -> None:
         for action in actions:
             if isinstance(action, api.Send):
                 self._send(me, action)
             elif isinstance(action, api.SetTimer):
                 fired = api.TimerFired(action.token)
-                self.at(self.now + action.delay, self._give, me, fired, self.lives[me])
+                self.at(self.now + action.delay, self._deliver, me, fired, self.lives[me])
             elif isinstance(action, api.SendToPeer):
-                self._tell(me, action)
+                self._send_to_peers(me, action)
             elif isinstance(action, api.Cancel):
                 self._cancel(me, action)
             elif isinstance(action, api.Reject | api.Fail):
                 self.refused += 1
 
-    def _tell(self, me: int, told: api.SendToPeer) -> None:
+    def _send_to_peers(self, me: int, message: api.SendToPeer) -> None:
         for other in range(len(self.lives)):
-            payload = self.lies(me, told.payload)
-            if other == me or told.peer not in (None, other) or payload is None:
+            payload = self.tamper(me, message.payload)
+            if other == me or message.peer not in (None, other) or payload is None:
                 continue
-            for _ in range(1 + (self.draw.random() < self.twice)):
-                late = self.draw.uniform(0.002, 0.04) + (self.draw.random() < self.late)
-                if self.draw.random() >= self.loss:
-                    self.at(self.now + late, self._give, other, api.PeerMessage(me, payload))
+            for _ in range(1 + (self.rng.random() < self.twice)):
+                late = self.rng.uniform(0.002, 0.04) + (self.rng.random() < self.late)
+                if self.rng.random() >= self.loss:
+                    self.at(self.now + late, self._deliver, other, api.PeerMessage(me, payload))
 
     def _send(self, me: int, send: api.Send) -> None:
         number = self.attempts[me, send.id]
@@ -155,11 +155,11 @@
         if self.now < self.back or not box.is_up:
             self.at(self.now + 0.001, self._end, call, api.Result.CONNECT_FAILED)
             return
-        work, key = self.asked[me, send.id]
+        work, key = self.requests[me, send.id]
         verdict = box.offer(self.now, call, key, work).verdict
         if verdict == "turned away":
             self.at(self.now + 0.001, self._end, call, api.Result.OVERLOADED)
-        self._look(send.server)
+        self._schedule(send.server)
 
     def _cancel(self, me: int, cancel: api.Cancel) -> None:
         call = f"{me}/{cancel.id}/{cancel.attempt}"
@@ -173,17 +173,17 @@
             ok = result is api.Result.OK
             self.served += ok
             outcome = api.Outcome(send.id, number, send.server, result, self.now - since, ok)
-            self._give(me, outcome)
+            self._deliver(me, outcome)
 
-    def _look(self, name: str) -> None:
+    def _schedule(self, name: str) -> None:
         at = self.boxes[name].next_at()
-        if at < self.looked.get(name, float("inf")):
-            self.looked[name] = at
+        if at < self.scheduled.get(name, float("inf")):
+            self.scheduled[name] = at
             self.at(at, self._advance, name)
 
     def _advance(self, name: str) -> None:
-        if self.looked.get(name) == self.now:
-            del self.looked[name]
+        if self.scheduled.get(name) == self.now:
+            del self.scheduled[name]
         for done in self.boxes[name].advance(self.now):
             self._end(done.call, api.Result.OK if done.end is End.WHOLE else api.Result.RESET)
-        self._look(name)
+        self._schedule(name)
--- a/tests/proxy/recovery/test_small_fleet.py
+++ b/tests/proxy/recovery/test_small_fleet.py
@@ -20,13 +20,13 @@
 @pytest.mark.parametrize("lost", [False, True])
 def test_requests_and_replies_are_bounded_for_any_number_of_proxies(lost: bool) -> None:
     for proxies in (3, 12, 40):
-        said: list[int] = []
+        sizes: list[int] = []
 
-        def count(sender: int, payload: bytes, said: list[int] = said) -> bytes | None:
+        def count(sender: int, payload: bytes, sizes: list[int] = sizes) -> bytes | None:
             if payload[:1] == messages.MESSAGE_PREFIX:
-                said.append(len(payload))
+                sizes.append(len(payload))
             return None if lost else payload
 
-        SmallFleet(proxies, [4] * max(6, proxies), rate=20.0, lies=count, back=100.0).run(5.0)
+        SmallFleet(proxies, [4] * max(6, proxies), rate=20.0, tamper=count, back=100.0).run(5.0)
         # Each message is counted once per possible receiver; there are three rounds in that time.
-        assert said and len(said) / proxies <= 3 * 2 * MAX_ASKED_PEERS * proxies and max(said) <= 256
+        assert sizes and len(sizes) / proxies <= 3 * 2 * MAX_ASKED_PEERS * proxies and max(sizes) <= 256
