--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -125,15 +125,15 @@
     Mutant(
         "a fault at a connection costs no hand",
         "firvane/core/net/transport_pool.py",
-        "        except Exception as error:\n            # A fault",
-        "        except OSError as error:\n            # A fault",
+        "        except Exception as error:\n            # An error",
+        "        except OSError as error:\n            # An error",
         f"{ENDS}test_a_fault_at_a_connection_costs_none_of_the_makers",
     ),
     Mutant(
         "what comes after the last moment is answered at once",
         "firvane/proxy/net/client_connection.py",
-        "min(context.loop.time() + left + upload_time, context.drain_deadline)",
-        "context.loop.time() + left + upload_time",
+        "min(context.loop.time() + budget_s + upload_time, context.drain_deadline)",
+        "context.loop.time() + budget_s + upload_time",
         f"{ENDS}test_what_comes_after_the_last_moment_is_refused_at_once",
     ),
     Mutant(
--- a/tests/crossings/mutants/lists.py
+++ b/tests/crossings/mutants/lists.py
@@ -101,12 +101,12 @@
     ),
     Mutant(
         "a watch that was given up while dialled asks nothing", WATCH,
-        "        if self.over:  # it was ended while it was dialled\n", "        if False:\n",
+        "        if self.over:  # ended while connecting\n", "        if False:\n",
         f"{TESTS}::test_who_was_given_up_while_dialled_asks_nothing",
     ),
     Mutant(
         "nothing that has come is learnt after the end", WATCH,
-        "if self.over:  # `on_line` has ended it\n", "if False:\n",
+        "if self.over:  # ended by `on_line`\n", "if False:\n",
         f"{TESTS}::test_nothing_that_has_come_is_learnt_after_the_end",
     ),
     Mutant(
@@ -137,8 +137,8 @@
     ),
     Mutant(
         "a dial that comes up late sends nothing to what drains by then", FORWARD,
-        "elif barred := self._barred(run, self.loop.time()):\n",
-        "elif (barred := self._barred(run, self.loop.time())) and False:\n",
+        "elif reason := self._reason_not_to_send(run, self.loop.time()):\n",
+        "elif (reason := self._reason_not_to_send(run, self.loop.time())) and False:\n",
         f"{TESTS}::test_a_dial_that_comes_up_late_sends_nothing_to_what_drains_by_then",
     ),
     Mutant(
