--- a/firvane/proxy/control/certificates.py
+++ b/firvane/proxy/control/certificates.py
@@ -1,7 +1,7 @@
 """TLS credentials: loaded from files, reloaded when they change, and generated for tests.
 
-gRPC asks for them at each handshake. An invalid change is logged once, and the last valid files stay in
-force; existing streams are not affected by either.
+gRPC requests them at each handshake. An invalid change is logged once, and the last valid files stay in use;
+reloads don't affect existing streams.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 TEST_DAYS = 30
 KEY_FILE_MODE = 0o600
-EXPIRY_WARNING = timedelta(days=14)  # before the end of a certificate
+EXPIRY_WARNING = timedelta(days=14)  # before a certificate expires
 
 
 class TlsFileError(ControlError, ValueError):
@@ -32,7 +32,7 @@
 
 
 class TlsFiles(NamedTuple):
-    """The content of valid TLS files in PEM, and the end of the certificate."""
+    """The contents of valid TLS files in PEM, and the time at which the certificate expires."""
 
     key: bytes
     certificate: bytes
@@ -42,34 +42,38 @@
 
 def load(tls: Tls, now: datetime) -> TlsFiles:
     """Read and validate the TLS files; raises `TlsFileError` if one is unreadable, invalid or expired."""
-    read = {}
+    contents = {}
     for name in ("key", "certificate", "authority"):
         path = getattr(tls, name)
         try:
-            read[name] = Path(path).read_bytes()
+            contents[name] = Path(path).read_bytes()
         except OSError as error:
             raise TlsFileError(f"control.tls.{name}: {path}: {error.strerror}") from None
     try:
-        key = serialization.load_pem_private_key(read["key"], None)
+        key = serialization.load_pem_private_key(contents["key"], None)
     except (ValueError, TypeError) as error:
         raise TlsFileError(f"control.tls.key: {tls.key}: no private key in PEM ({error})") from None
     try:
-        chain = x509.load_pem_x509_certificates(read["certificate"])
-        authorities = x509.load_pem_x509_certificates(read["authority"])
+        chain = x509.load_pem_x509_certificates(contents["certificate"])
+        authorities = x509.load_pem_x509_certificates(contents["authority"])
     except ValueError as error:
         raise TlsFileError(
             f"control.tls: no certificate in PEM in certificate or authority ({error})"
         ) from None
-    form = serialization.PublicFormat.SubjectPublicKeyInfo
-    der = serialization.Encoding.DER
-    if chain[0].public_key().public_bytes(der, form) != key.public_key().public_bytes(der, form):
+    key_format = serialization.PublicFormat.SubjectPublicKeyInfo
+    encoding = serialization.Encoding.DER
+    if chain[0].public_key().public_bytes(encoding, key_format) != key.public_key().public_bytes(
+        encoding, key_format
+    ):
         raise TlsFileError(f"control.tls.key: {tls.key} is not the key of {tls.certificate}")
     if chain[0].not_valid_after_utc <= now:
-        ended = f"{chain[0].not_valid_after_utc:%Y-%m-%d}"
-        raise TlsFileError(f"control.tls.certificate: {tls.certificate} ended {ended}")
-    if all(one.not_valid_after_utc <= now for one in authorities):
+        end_date = f"{chain[0].not_valid_after_utc:%Y-%m-%d}"
+        raise TlsFileError(f"control.tls.certificate: {tls.certificate} ended {end_date}")
+    if all(certificate.not_valid_after_utc <= now for certificate in authorities):
         raise TlsFileError(f"control.tls.authority: every certificate in {tls.authority} has ended")
-    return TlsFiles(read["key"], read["certificate"], read["authority"], chain[0].not_valid_after_utc)
+    return TlsFiles(
+        contents["key"], contents["certificate"], contents["authority"], chain[0].not_valid_after_utc
+    )
 
 
 class TlsCredentials:
@@ -78,23 +82,23 @@
     def __init__(self, tls: Tls, log: Log = QUIET) -> None:
         self.tls = tls
         self.log = log
-        self._stamp = self._stamps()
-        files = load(tls, datetime.now(UTC))  # a `TlsFileError` here ends the start
+        self._loaded_stamps = self._file_stamps()
+        files = load(tls, datetime.now(UTC))  # a `TlsFileError` aborts the start
         self._config = self._configuration(files)
-        self._warn(files.expires_at)
+        self._warn_of_expiry(files.expires_at)
 
     def credentials(self) -> Any:
-        """Credentials that are reloaded at handshakes."""
+        """Return credentials that are reloaded at handshakes."""
         return grpc.dynamic_ssl_server_credentials(
             self._config, self._fetch, require_client_authentication=True
         )
 
     def _fetch(self) -> Any:
-        """Called by gRPC at a handshake, on a thread of its own; returns the new configuration or None."""
-        stamp = self._stamps()
-        if stamp == self._stamp:
+        """Return the new configuration or None; gRPC calls this at each handshake, on its own thread."""
+        stamps = self._file_stamps()
+        if stamps == self._loaded_stamps:
             return None
-        self._stamp = stamp
+        self._loaded_stamps = stamps
         try:
             files = load(self.tls, datetime.now(UTC))
         except TlsFileError as error:
@@ -102,32 +106,32 @@
             return None
         self._config = self._configuration(files)
         self.log.info("tls_files_reloaded", ends=f"{files.expires_at:%Y-%m-%d}")
-        self._warn(files.expires_at)
+        self._warn_of_expiry(files.expires_at)
         return self._config
 
     def _log_invalid(self, error: TlsFileError) -> None:
-        self.log.error("tls_files_invalid", why=str(error), text="those of before stay in force")
+        self.log.error("tls_files_invalid", why=str(error), text="the last valid files stay in use")
 
-    def _stamps(self) -> tuple[tuple[int, int] | None, ...]:
-        found: list[tuple[int, int] | None] = []
+    def _file_stamps(self) -> tuple[tuple[int, int] | None, ...]:
+        file_stamps: list[tuple[int, int] | None] = []
         for path in (self.tls.key, self.tls.certificate, self.tls.authority):
             try:
                 info = Path(path).stat()
-                found.append((info.st_mtime_ns, info.st_size))
+                file_stamps.append((info.st_mtime_ns, info.st_size))
             except OSError:
-                found.append(None)
-        return tuple(found)
+                file_stamps.append(None)
+        return tuple(file_stamps)
 
     @staticmethod
     def _configuration(files: TlsFiles) -> Any:
         return grpc.ssl_server_certificate_configuration([(files.key, files.certificate)], files.authority)
 
-    def _warn(self, expires_at: datetime) -> None:
+    def _warn_of_expiry(self, expires_at: datetime) -> None:
         if expires_at - datetime.now(UTC) < EXPIRY_WARNING:
             self.log.warning("certificate_expires_soon", at=f"{expires_at:%Y-%m-%d %H:%M}")
 
 
-# For tests and rehearsals: a self-made authority
+# A certificate authority for tests and trial deployments
 
 
 def _name(name: str) -> x509.Name:
@@ -164,25 +168,25 @@
 def make_certificate(
     folder: Path, name: str, hosts: Sequence[str] = (), days: float = TEST_DAYS, file: str = ""
 ) -> None:
-    """Write a certificate signed by the authority in the folder; `file` is its files' name, if not `name`."""
-    root = x509.load_pem_x509_certificate((folder / "authority.pem").read_bytes())
-    signer: Any = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
+    """Write a certificate signed by the authority in the folder; `file` overrides the file name."""
+    authority = x509.load_pem_x509_certificate((folder / "authority.pem").read_bytes())
+    authority_key: Any = serialization.load_pem_private_key((folder / "authority.key").read_bytes(), None)
     key, now = ec.generate_private_key(ec.SECP256R1()), datetime.now(UTC)
-    others: list[x509.GeneralName] = [x509.DNSName(name)]
+    alternative_names: list[x509.GeneralName] = [x509.DNSName(name)]
     for host in hosts:
         try:
-            others.append(x509.IPAddress(ip_address(host)))
+            alternative_names.append(x509.IPAddress(ip_address(host)))
         except ValueError:
-            others.append(x509.DNSName(host))
+            alternative_names.append(x509.DNSName(host))
     certificate = (
         x509.CertificateBuilder()
         .subject_name(_name(name))
-        .issuer_name(root.subject)
+        .issuer_name(authority.subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
         .not_valid_before(now - timedelta(days=1))
         .not_valid_after(now + timedelta(days=days))
-        .add_extension(x509.SubjectAlternativeName(others), critical=False)
-        .sign(signer, hashes.SHA256())
+        .add_extension(x509.SubjectAlternativeName(alternative_names), critical=False)
+        .sign(authority_key, hashes.SHA256())
     )
     _write(folder, file or name, key, certificate)
--- a/firvane/proxy/control/debounce.py
+++ b/firvane/proxy/control/debounce.py
@@ -1,8 +1,8 @@
-"""Debouncing of changes before they are pushed to receivers.
+"""Debounces changes before they are pushed to receivers.
 
 1. A change that removes a backend (draining, removed, ejected) is due at once, with all pending changes.
-2. Other changes wait until none has come for `quiet_s`, at most `max_delay_s` after the first, and until
-   `min_interval_s` has passed since the last push, which bounds the cost of pushes.
+2. Other changes wait until there has been no change for `quiet_s`, at most `max_delay_s` after the first,
+   and until `min_interval_s` has passed since the last push, to bound the cost of pushes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
             self.due = max(settled_at, self._pushed_at + self.min_interval_s)
 
     def take(self, now: float) -> bool:
-        """Whether the pending changes are due; if so, they count as pushed."""
+        """Return whether the pending changes are due, and if so record them as pushed."""
         if now < self.due:
             return False
         self.due = self._first_change_at = math.inf
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -1,4 +1,4 @@
-"""The process of a control service: from its file until a signal ends it."""
+"""The process of a control service: reads its configuration file and runs until a signal stops it."""
 
 from __future__ import annotations
 
@@ -41,18 +41,18 @@
     service = Control(loop, *settings)
     logging.getLogger().addHandler(LoggingBridge(service.log))
     service.log.info("native", **native.state()._asdict())
-    ended = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, service.reload, read_again)
     await service.start()
-    await ended.wait()
+    await stop_requested.wait()
     service.log.info("stopping", streams=len(service.ads.sessions))
     await service.stop()
 
 
 def serve(file: str, settings: ServiceSettings) -> int:
-    """Run one service until a signal ends it; returns the exit code."""
+    """Run a service until a signal stops it; returns the exit code."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             runner.run(run(settings, partial(read, file)))
--- a/firvane/proxy/control/route_settings.py
+++ b/firvane/proxy/control/route_settings.py
@@ -1,11 +1,11 @@
 """Routes and concurrency limits for receivers, from the settings: timeouts, retries, circuit breakers.
 
 1. A class is the first segment of a path. A path of no class has no route.
-2. Retries follow the settings: after any failure if the class is idempotent or all targets deduplicate
-   together, else only if the request was not processed; never more than the settings' attempts.
+2. Retries follow the settings: after any failure if the class is idempotent or all targets share one
+   deduplication scope, else only if the request was not processed; at most the configured attempts.
 3. The timeout of a route is the deadline of its class.
 4. A receiver's limit of open requests is its share of the estimated capacity, times `HEADROOM`, as a power of
-   two: it changes rarely, since receivers treat a changed cluster as a new one.
+   two, so that it rarely changes: receivers treat a changed cluster as a new one.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from firvane.core import interface as api
 from firvane.proxy.control.types import BackendEstimate
 
-HEADROOM = 2.0  # times the receiver's share of the capacity
-MIN_OPEN_REQUESTS = 64  # that a receiver is always allowed
+HEADROOM = 2.0  # factor on the receiver's share of the capacity
+MIN_OPEN_REQUESTS = 64  # lower bound of a receiver's limit
 
 
 class Route(NamedTuple):
@@ -27,11 +27,11 @@
     name: str  # the first segment of the path
     deadline: float  # seconds
     retries: int
-    retry_any: bool  # retried after any failure; else only if it was not processed
+    retry_any: bool  # retry after any failure; else only if the request was not processed
 
 
 def routes(settings: api.Settings) -> tuple[Route, ...]:
-    """The routes of the classes in force, in the order of the settings."""
+    """Return the routes of the configured classes, in the order of the settings."""
     return tuple(
         Route(
             cls.name,
@@ -45,7 +45,7 @@
 
 
 def max_open_requests(backends: Iterable[BackendEstimate], share: float) -> int:
-    """The most requests that a receiver may have open; `share` is its share of the total demand."""
+    """Return a receiver's limit of open requests; `share` is its share of the total demand."""
     capacity = sum(backend.capacity for backend in backends)
-    wanted = max(float(MIN_OPEN_REQUESTS), HEADROOM * capacity * min(1.0, max(0.0, share)))
-    return int(2 ** math.ceil(math.log2(wanted)))
+    min_limit = max(float(MIN_OPEN_REQUESTS), HEADROOM * capacity * min(1.0, max(0.0, share)))
+    return int(2 ** math.ceil(math.log2(min_limit)))
