--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -512,7 +512,7 @@
     def on_server_list(self, update: api.ServerList) -> None:
         for one in update.servers:
             up = one.state is not api.ServerState.GONE
-            self.core.target(one.id, ("127.0.0.1", self.world.ports[one.id]) if up else None, up)
+            self.core.set_backend_address(one.id, ("127.0.0.1", self.world.ports[one.id]) if up else None, up)
             if one.state is not api.ServerState.UP:
                 self.drained.setdefault(one.id, self.world.clock.now)
         self.core.on_server_list(update)
@@ -523,7 +523,9 @@
                 self.write(receiver)
 
     def write(self, receiver: XdsReceiver) -> None:
-        while (state := self.core.state(receiver.group)) and (push := receiver.stream.next_response(state)):
+        while (state := self.core.snapshot(receiver.group)) and (
+            push := receiver.stream.next_response(state)
+        ):
             data = self.writer.write(push, receiver.stream.delta)
             self.world.clock.call_at(self.world.clock.now + LINK_LATENCY_S, receiver.hear, data)
 
@@ -531,7 +533,7 @@
         form: Any = discovery_pb2.DeltaDiscoveryRequest
         if not receiver.stream.delta:
             form = discovery_pb2.DiscoveryRequest
-        stream_codec.read(receiver.stream, form.FromString(data))
+        stream_codec.apply_request(receiver.stream, form.FromString(data))
         self.write(receiver)
 
     def report(self, receiver: XdsReceiver, data: bytes) -> None:
--- a/firvane/proxy/control/ads.py
+++ b/firvane/proxy/control/ads.py
@@ -45,7 +45,7 @@
     def zone_of(self, name: str) -> int:
         """The number of a zone by name."""
 
-    def state(self, zone: int) -> Snapshot | None:
+    def snapshot(self, zone: int) -> Snapshot | None:
         """The current snapshot for a zone; None until there is a server list."""
 
     def decided_at(self, zone: int) -> float:
@@ -225,7 +225,7 @@
     def on_published(self, zones: list[int]) -> None:
         """Schedule the sessions of these zones, which have new snapshots."""
         for session in self.sessions:
-            if session.zone in zones and (state := self.service.state(session.zone)):
+            if session.zone in zones and (state := self.service.snapshot(session.zone)):
                 rank = RANK_URGENT if session.stream.is_urgent(state) else RANK_USUAL
                 self.scheduler.wake(session, rank)
 
@@ -237,7 +237,7 @@
                 session.end(f"has not read for {WRITE_TIMEOUT_S:g} s")
 
     def _next(self, session: Session) -> bytes | None:
-        state = self.service.state(session.zone)
+        state = self.service.snapshot(session.zone)
         if state is None or session.node is None:
             return None
         wait = session.began + STALE_WAIT_S - self.loop.time()
@@ -326,7 +326,7 @@
     def _on_request(self, session: Session, request: Any) -> None:
         stream = session.stream
         nacks = stream.nacks
-        kind = stream_codec.read(stream, request)
+        kind = stream_codec.apply_request(stream, request)
         if (at := session.sent_at.pop(request.response_nonce, None)) is not None:
             session.acked_at = self.loop.time()
             session.age = session.acked_at - at
--- a/firvane/proxy/control/catalog.py
+++ b/firvane/proxy/control/catalog.py
@@ -88,7 +88,7 @@
         assignment = self._assignments.get(zone) or self._assignments.get(UNKNOWN_ZONE)
         return assignment.localities if assignment else ()
 
-    def state(self, zone: int) -> Snapshot | None:
+    def snapshot(self, zone: int) -> Snapshot | None:
         """The current snapshot of a group; None until there is a server list."""
         zone = zone if zone in self._assignments else UNKNOWN_ZONE
         if due := self._due.pop(zone, None):
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -133,7 +133,7 @@
 
     # Server list
 
-    def target(self, name: str, address: Address | None, up: bool) -> None:
+    def set_backend_address(self, name: str, address: Address | None, up: bool) -> None:
         """Set the address of a backend; None: it is removed."""
         old = self.addresses.pop(name, None)
         if old is not None and self.names.get(old) == name:
@@ -164,9 +164,9 @@
 
     # Snapshots
 
-    def state(self, zone: int) -> Snapshot | None:
+    def snapshot(self, zone: int) -> Snapshot | None:
         """The current snapshot for a zone; None until there is a server list."""
-        return self.catalog.state(zone)
+        return self.catalog.snapshot(zone)
 
     def decided_at(self, zone: int) -> float:
         """When that snapshot was decided, on the clock."""
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -82,7 +82,7 @@
         self.port = 0
 
     def _target(self, *target: Any) -> None:
-        self.core.target(*target)
+        self.core.set_backend_address(*target)
 
     def _listed(self, update: api.ServerList) -> None:
         self.core.on_server_list(update)
@@ -96,9 +96,9 @@
         """The number of a zone by name."""
         return self.core.catalog.zone_of(name)
 
-    def state(self, zone: int) -> Snapshot | None:
+    def snapshot(self, zone: int) -> Snapshot | None:
         """The current snapshot for a zone."""
-        return self.core.state(zone)
+        return self.core.snapshot(zone)
 
     def decided_at(self, zone: int) -> float:
         """When that snapshot was decided."""
@@ -261,7 +261,7 @@
 
     def _receiver_status(self, session: Session, node: stream_codec.Node) -> dict[str, Any]:
         now = self.loop.time()
-        state = self.state(session.zone)
+        snapshot = self.snapshot(session.zone)
         stream = session.stream
         one = self.core.registry.receivers.get(node.id)
         refused = {
@@ -272,7 +272,7 @@
         return {
             "id": node.id, "zone": node.zone, "agent": node.agent,
             "peer": session.peer, "protocol": "delta" if stream.delta else "state of the world",
-            "current": state is not None and stream.converged(state),
+            "current": snapshot is not None and stream.converged(snapshot),
             "told": stream.responses_sent, "refused": refused, "ack_ms": round(1e3 * session.age, 1),
             "heard_s": round(now - session.acked_at, 1) if session.acked_at else None,
             "rps": round(one.rate, 1) if one else 0.0, "reports": one.reports if one else 0,
--- a/firvane/proxy/control/stream_codec.py
+++ b/firvane/proxy/control/stream_codec.py
@@ -41,7 +41,7 @@
     )
 
 
-def read(stream: Stream, request: Any) -> ResourceType | None:
+def apply_request(stream: Stream, request: Any) -> ResourceType | None:
     """Apply a request of either protocol to a stream; returns its type, None if it is not served."""
     kind = RESOURCE_TYPES.get(request.type_url)
     if kind is None:
--- a/tests/proxy/control/helpers.py
+++ b/tests/proxy/control/helpers.py
@@ -62,7 +62,7 @@
         if not self.receiver.delta:
             form = discovery_pb2.DiscoveryRequest
         for data in self.receiver.requests():
-            stream_codec.read(self.stream, form.FromString(data))
+            stream_codec.apply_request(self.stream, form.FromString(data))
 
     def push(self, now: Snapshot) -> bool:
         """One answer, if one is due."""
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -288,13 +288,13 @@
 def test_a_catalog_keeps_reasons_and_tells_states_apart() -> None:
     catalog = Catalog("web", ["a", "b"], made_settings())
     boxes = [box(n) for n in range(4)]
-    assert catalog.make([], {}, {}, 1, 0.0) == [] and catalog.state(0) is None  # not without a box
+    assert catalog.make([], {}, {}, 1, 0.0) == [] and catalog.snapshot(0) is None  # not without a box
     assert set(catalog.make(boxes, {0: 10.0}, {}, 1, 1.0)) == {UNKNOWN_ZONE, 0, 1}
-    assert catalog.state(0) is not None and not catalog.history.get(1)  # made when somebody asks
+    assert catalog.snapshot(0) is not None and not catalog.history.get(1)  # made when somebody asks
     assert catalog.make(boxes, {0: 10.2}, {}, 1, 2.0) == []
     later = [*boxes[1:], box(7, budget_rps=1.0, warming_up=True)]
     assert catalog.make(later, {0: 10.0}, {}, 2, 3.0) and catalog.urgent == 1
-    assert catalog.state(0) is not None
+    assert catalog.snapshot(0) is not None
     first, last = catalog.entry(0, "1"), catalog.entry(0, str(catalog.serial))
     assert first and last and last.causes == ("b0 gone or draining", "b7 listed, cold")
     told = differences(first.assignment, last.assignment, catalog.zones)
--- a/tests/proxy/control/test_service.py
+++ b/tests/proxy/control/test_service.py
@@ -31,7 +31,7 @@
 
 
 def at_rest(service: Control) -> bool:
-    state = service.state(0)
+    state = service.snapshot(0)
     return state is not None and all(one.stream.converged(state) for one in service.ads.sessions)
 
 
@@ -117,8 +117,8 @@
             link = here.receiver(one, other)
             here.discovery.tell(**UP)
             await here.until(lambda: len(ports(link)) == 3)
-            await here.until(lambda: other.state(0) is not None)
-            assert one.state(0).versions == other.state(0).versions  # by content
+            await here.until(lambda: other.snapshot(0) is not None)
+            assert one.snapshot(0).versions == other.snapshot(0).versions  # by content
             # The other is cut off from discovery, and the receiver has heard of a newer list.
             other.group.stop()
             await here.until(lambda: other.group.task and other.group.task.done())
@@ -131,7 +131,9 @@
             await here.until(lambda: session.stream.known_list_version == 2)
             assert len(ports(link)) == 2 and not session.stream.subscriptions[ResourceType.ENDPOINTS].sent
             other.group.start()
-            await here.until(lambda: other.state(0).number == 2 and session.stream.converged(other.state(0)))
+            await here.until(
+                lambda: other.snapshot(0).number == 2 and session.stream.converged(other.snapshot(0))
+            )
             assert len(ports(link)) == 2
 
     run(work())
--- a/tests/proxy/control/test_stream.py
+++ b/tests/proxy/control/test_stream.py
@@ -142,7 +142,7 @@
     push = one.next_response(now)
     assert push and not one.on_request(ResourceType.ENDPOINTS, [], "", "77", "refused") and one.nacks == 0
     assert one.subscriptions[ResourceType.ENDPOINTS].names == {"web"}
-    assert stream_codec.read(one, discovery_pb2.DiscoveryRequest(type_url="of/nobody")) is None
+    assert stream_codec.apply_request(one, discovery_pb2.DiscoveryRequest(type_url="of/nobody")) is None
     with pytest.raises(ReceiverLimitError):
         one.on_request(ResourceType.ENDPOINTS, map(str, range(20_000)), "", push.nonce, None)
 
