--- a/tests/proxy/control/test_config.py
+++ b/tests/proxy/control/test_config.py
@@ -1,4 +1,4 @@
-"""What `[control]` may say, and who may read it."""
+"""Validation of `[control]`, and which programs accept a file with it."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("control", "more", "says"),
+    ("control", "other_tables", "message"),
     [
         ({"service": ""}, {}, "control.service: must be a text that is not empty"),
         ({"setle_ms": 1}, {}, "did you mean settle_ms?"),
@@ -31,14 +31,14 @@
         ({"tls": {"certificate": "a", "key": "b"}}, {}, "control.tls.authority: is missing"),
     ],
 )
-def test_each_fault_of_a_control_table_is_named(
-    control: dict[str, Any], more: dict[str, Any], says: str
+def test_invalid_control_settings_are_reported(
+    control: dict[str, Any], other_tables: dict[str, Any], message: str
 ) -> None:
-    given = {"target_group": {"discovery": "127.0.0.1:1"}, "control": {"service": "web", **control}}
-    raw = {**FILE, **given, **more}
-    with pytest.raises(validation.ValidationError) as found:
+    fields = {"target_group": {"discovery": "127.0.0.1:1"}, "control": {"service": "web", **control}}
+    raw = {**FILE, **fields, **other_tables}
+    with pytest.raises(validation.ValidationError) as raised:
         validation.build(raw, File, "test.toml", CHECKS)
-    assert says in str(found.value) and len(found.value.violations) == 1
+    assert message in str(raised.value) and len(raised.value.violations) == 1
 
 
 def test_the_example_is_read_by_the_service_and_not_by_a_proxy(tmp_path: Path) -> None:
