--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -523,10 +523,10 @@
                 self.write(receiver)
 
     def write(self, receiver: XdsReceiver) -> None:
-        while (state := self.core.snapshot(receiver.group)) and (
-            push := receiver.stream.next_response(state)
+        while (snapshot := self.core.snapshot(receiver.group)) and (
+            response := receiver.stream.next_response(snapshot)
         ):
-            data = self.writer.write(push, receiver.stream.delta)
+            data = self.writer.write(response, receiver.stream.delta)
             self.world.clock.call_at(self.world.clock.now + LINK_LATENCY_S, receiver.hear, data)
 
     def read(self, receiver: XdsReceiver, data: bytes) -> None:
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -1,7 +1,7 @@
-"""Feeds the receivers' load reports into the decision module, as if the requests were its own.
+"""Feeds the receivers' load reports into the decision module, as if the service had forwarded the requests.
 
-The service forwards no requests itself, so the counts of its own row are the receivers'. Peers of the tier
-read its rows like those of any proxy.
+The service forwards no requests itself: the counts in its row of the tier's shared table are those of its
+receivers. Other members read the row like that of any proxy.
 """
 
 from __future__ import annotations
@@ -17,36 +17,36 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReported:
-    """An event: the sums of all receivers' reports since the last one, by backend."""
+    """An event with the sums of all receivers' load reports since the last event, by backend."""
 
     backends: Mapping[str, LoadSummary]
 
 
-def split(sums: Mapping[str, LoadSummary], places: int, turn: int) -> list[LoadReported]:
-    """Split sums evenly over several places in the tier; whole numbers lose nothing.
+def split(summaries: Mapping[str, LoadSummary], members: int, rotation: int) -> list[LoadReported]:
+    """Split sums evenly over several members of the tier; integer counts add up to the original.
 
-    `turn` must differ between calls: it rotates who gets the remainder.
+    `rotation` must differ between calls: it rotates which members get the remainder.
     """
-    if places == 1:
-        return [LoadReported(sums)]
+    if members == 1:
+        return [LoadReported(summaries)]
 
-    def share(count: int, place: int) -> int:
-        return count // places + ((place + turn) % places < count % places)
+    def share(count: int, member: int) -> int:
+        return count // members + ((member + rotation) % members < count % members)
 
     return [
         LoadReported(
             {
-                name: one._replace(
-                    served=share(one.served, place),
-                    failed=share(one.failed, place),
-                    issued=share(one.issued, place),
-                    pending=one.pending / places,
-                    rate=one.rate / places,
+                name: summary._replace(
+                    served=share(summary.served, member),
+                    failed=share(summary.failed, member),
+                    issued=share(summary.issued, member),
+                    pending=summary.pending / members,
+                    rate=summary.rate / members,
                 )
-                for name, one in sums.items()
+                for name, summary in summaries.items()
             }
         )
-        for place in range(places)
+        for member in range(members)
     ]
 
 
@@ -55,20 +55,20 @@
 
     def __init__(self, balancer: Balancer) -> None:
         self.balancer = balancer
-        self.took: dict[str, float] = {}  # response time in seconds, by backend
+        self.response_times: dict[str, float] = {}  # seconds, by backend
         balancer.handlers[LoadReported] = self.on_reported
 
-    def on_reported(self, reported: LoadReported, now: float) -> None:
+    def on_reported(self, event: LoadReported, now: float) -> None:
         """Add the sums to the balancer's counts and estimates."""
         balancer = self.balancer
-        aim = min(cls.latency_target for cls in balancer.settings.classes)
-        for name, counts in reported.backends.items():
+        latency_target = min(cls.latency_target for cls in balancer.settings.classes)
+        for name, counts in event.backends.items():
             balancer.arrivals[-1] += counts.issued
             balancer.served[-1] += counts.served
             if server := balancer.servers.get(name):
-                if took := apply_summary(balancer.estimates, server, counts, aim, now):
-                    known = self.took.get(name, took)
-                    self.took[name] = known + LATENCY_SMOOTHING * (took - known)
+                if response_time := apply_summary(balancer.estimates, server, counts, latency_target, now):
+                    smoothed = self.response_times.get(name, response_time)
+                    self.response_times[name] = smoothed + LATENCY_SMOOTHING * (response_time - smoothed)
                 balancer.large.mark_changed(server)
-        for name in self.took.keys() - balancer.servers.keys():
-            del self.took[name]
+        for name in self.response_times.keys() - balancer.servers.keys():
+            del self.response_times[name]
--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -1,15 +1,15 @@
-"""The registry of receivers: their demand, and their reports about the backends.
+"""The registry of receivers: their demand and their load reports.
 
 1. A receiver is identified by its node id. It is registered from its first stream until `retention_s` after
-   its last stream has ended: for so long its share of the demand is reserved, since it continues to use its
+   its last stream has ended: its share of the demand stays reserved meanwhile, since it continues to use its
    last assignment.
-2. Its demand is its reported rate, smoothed, and at least `assumed_rps` until its second report. Without
-   further reports it keeps its last rate.
+2. A receiver's demand is its reported rate, smoothed, and at least `assumed_rps` until its second report.
+   Without further reports the demand stays at the last rate.
 3. Reports are validated: the receiver must be registered, counts are clipped at `max_rps`, backends must be
-   listed. `clipped` counts what was clipped or ignored.
+   listed. `clipped` counts the clipped or ignored reports of backends.
 4. The failure ratio of a backend is the median over the receivers with enough attempts there if there are at
-   least three, else the minimum. So a single faulty receiver cannot take a backend away from the others.
-5. Counts are released evenly over the interval between reports, in whole numbers, and none is lost.
+   least three, else the minimum. So a single faulty receiver cannot get a backend ejected for the others.
+5. Counts are released evenly over the interval between reports, as integers that add up to the reported sums.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 from firvane.proxy.control.types import UNKNOWN_ZONE, Report
 
 RETENTION_S = 15.0  # of a receiver without a stream
-ASSUMED_RPS = 10.0  # of a receiver without reports
+ASSUMED_RPS = 10.0  # of a receiver with fewer than MIN_REPORTS reports
 MAX_RPS = 100_000.0  # that a receiver may report
 RATE_SMOOTHING = 0.5  # weight of each report
-MIN_ATTEMPTS = 3  # at a backend, for a receiver's failure ratio to count
+MIN_ATTEMPTS = 3  # at a backend, for a receiver's failure ratio to be used
 MIN_RECEIVERS_FOR_MEDIAN = 3
-MIN_BACKENDS_FOR_USUAL = 3
-MIN_REPORTS = 2  # before the reported rate alone counts
-MIN_COMPLETION_RPS = 0.01  # of a backend that is responsive
-UNRESPONSIVE_INTERVALS = 2.5  # of reports with requests in progress and none completed
+MIN_BACKENDS_FOR_TYPICAL_RATIO = 3
+MIN_REPORTS = 2  # before the reported rate alone is used
+MIN_COMPLETION_RPS = 0.01  # observed by a receiver, of a responsive backend
+UNRESPONSIVE_INTERVALS = 2.5  # report intervals with requests in progress and none completed
 MAX_RECEIVERS = 20_000
 MIN_REPORT_SPAN_S = 0.1
 MAX_REPORT_SPAN_S = 60.0
@@ -76,7 +76,7 @@
         self.max_rps = max_rps
         self.receivers: dict[str, Receiver] = {}
         self.clipped = 0
-        self._pending: dict[str, list[float]] = {}  # served, failed, issued: not released yet, by backend
+        self._pending: dict[str, list[float]] = {}  # unreleased counts (served, failed, issued) by backend
         self._taken_at: float | None = None
 
     def connect(self, name: str, zone: int, now: float) -> bool:
@@ -101,148 +101,175 @@
         name: str,
         reports: Mapping[str, Report],
         listed: Collection[str],
-        span: float,
+        span_s: float,
         now: float,
         dropped: int = 0,
     ) -> None:
-        """Take a load report over `span` seconds; requests `dropped` by assignment count as demand."""
+        """Record a load report over `span_s` seconds; requests `dropped` by assignment count as demand."""
         receiver = self.receivers.get(name)
         if receiver is None:
             self.clipped += 1
             return
-        span = min(max(span, MIN_REPORT_SPAN_S), MAX_REPORT_SPAN_S)
-        max_count = self.max_rps * span
+        span_s = min(max(span_s, MIN_REPORT_SPAN_S), MAX_REPORT_SPAN_S)
+        max_count = self.max_rps * span_s
         total = 0.0
-        for backend, one in reports.items():
+        for backend, backend_report in reports.items():
             if backend not in listed:
                 self.clipped += 1
                 continue
-            counts = [float(max(0, n)) for n in (one.served, one.failed, one.issued)]
-            left = max(0.0, max_count - total)
-            if counts[2] > left or max(counts[:2]) > max_count:
+            counts = [
+                float(max(0, count))
+                for count in (backend_report.served, backend_report.failed, backend_report.issued)
+            ]
+            remaining = max(0.0, max_count - total)
+            if counts[2] > remaining or max(counts[:2]) > max_count:
                 self.clipped += 1
-                counts = [min(n, left) for n in counts]
+                counts = [min(count, remaining) for count in counts]
             total += counts[2]
-            self._observe(receiver, backend, counts, min(max(0, one.out), int(max_count)), span, now)
+            self._observe(
+                receiver,
+                backend,
+                counts,
+                min(max(0, backend_report.in_progress), int(max_count)),
+                span_s,
+                now,
+            )
         for backend in receiver.backends.keys() - reports.keys():
-            self._observe(receiver, backend, [0.0, 0.0, 0.0], 0, span, now)
+            self._observe(receiver, backend, [0.0, 0.0, 0.0], 0, span_s, now)
         total = min(max_count, total + max(0, dropped))
-        first = receiver.reports == 0
+        is_first = receiver.reports == 0
         receiver.reports += 1
         receiver.reported_at = now
-        rate = total / span
-        receiver.rate = rate if first else receiver.rate + RATE_SMOOTHING * (rate - receiver.rate)
+        rate = total / span_s
+        receiver.rate = rate if is_first else receiver.rate + RATE_SMOOTHING * (rate - receiver.rate)
 
     def _observe(
-        self, receiver: Receiver, backend: str, counts: list[float], in_progress: int, span: float, now: float
+        self,
+        receiver: Receiver,
+        backend: str,
+        counts: list[float],
+        in_progress: int,
+        span_s: float,
+        now: float,
     ) -> None:
-        seen = receiver.backends.get(backend)
-        if seen is None:
-            seen = receiver.backends[backend] = BackendObservations()
+        observations = receiver.backends.get(backend)
+        if observations is None:
+            observations = receiver.backends[backend] = BackendObservations()
         served, failed, issued = counts
-        seen.served += RATE_SMOOTHING * (served / span - seen.served)
-        seen.failed += RATE_SMOOTHING * (failed / span - seen.failed)
-        seen.issued += RATE_SMOOTHING * (issued / span - seen.issued)
-        seen.in_progress += RATE_SMOOTHING * (in_progress - seen.in_progress)
+        observations.served += RATE_SMOOTHING * (served / span_s - observations.served)
+        observations.failed += RATE_SMOOTHING * (failed / span_s - observations.failed)
+        observations.issued += RATE_SMOOTHING * (issued / span_s - observations.issued)
+        observations.in_progress += RATE_SMOOTHING * (in_progress - observations.in_progress)
         if served or failed or not in_progress:
-            seen.stalled_since = 0.0
-        elif not seen.stalled_since:
-            seen.stalled_since = now
+            observations.stalled_since = 0.0
+        elif not observations.stalled_since:
+            observations.stalled_since = now
         pending = self._pending.setdefault(backend, [0.0, 0.0, 0.0])
-        for i, n in enumerate(counts):
-            pending[i] += n
+        for i, count in enumerate(counts):
+            pending[i] += count
 
     def sweep(self, listed: Collection[str], now: float) -> list[str]:
         """Remove expired receivers and unlisted backends; returns the names of the receivers."""
-        gone = [
+        expired = [
             name
-            for name, one in self.receivers.items()
-            if not one.streams and now > one.disconnected_at + self.retention_s
+            for name, receiver in self.receivers.items()
+            if not receiver.streams and now > receiver.disconnected_at + self.retention_s
         ]
-        for name in gone:
+        for name in expired:
             del self.receivers[name]
-        known = set(listed)
+        listed_backends = set(listed)
         for receiver in self.receivers.values():
-            for backend in receiver.backends.keys() - known:
+            for backend in receiver.backends.keys() - listed_backends:
                 del receiver.backends[backend]
-        for backend in self._pending.keys() - known:
+        for backend in self._pending.keys() - listed_backends:
             del self._pending[backend]
-        return gone
+        return expired
 
     def rate(self, receiver: Receiver) -> float:
-        """A receiver's demand in requests a second."""
+        """Return a receiver's demand in requests a second."""
         return max(receiver.rate, self.assumed_rps) if receiver.reports < MIN_REPORTS else receiver.rate
 
     def demand(self) -> dict[int, float]:
-        """The demand in requests a second, by zone of the receivers."""
-        found: dict[int, float] = {}
+        """Return the demand in requests a second, by zone of the receivers."""
+        by_zone: dict[int, float] = {}
         for receiver in self.receivers.values():
-            found[receiver.zone] = found.get(receiver.zone, 0.0) + self.rate(receiver)
-        return found
+            by_zone[receiver.zone] = by_zone.get(receiver.zone, 0.0) + self.rate(receiver)
+        return by_zone
 
-    def largest(self) -> dict[int, float]:
-        """The largest share of the total demand that one receiver has, by zone."""
+    def largest_shares(self) -> dict[int, float]:
+        """Return the largest share of the total demand that a single receiver has, by zone."""
         total = sum(self.demand().values()) or 1.0
-        found = {UNKNOWN_ZONE: 0.0}
+        by_zone = {UNKNOWN_ZONE: 0.0}
         for receiver in self.receivers.values():
-            found[receiver.zone] = max(found.get(receiver.zone, 0.0), self.rate(receiver) / total)
-        return found
+            by_zone[receiver.zone] = max(by_zone.get(receiver.zone, 0.0), self.rate(receiver) / total)
+        return by_zone
 
     def take(self, now: float) -> dict[str, LoadSummary]:
         """Release the counts that are due since the last call, by backend."""
-        span = min(self.interval_s, now - self._taken_at) if self._taken_at is not None else 0.0
+        span_s = min(self.interval_s, now - self._taken_at) if self._taken_at is not None else 0.0
         self._taken_at = now
-        part = min(1.0, max(0.0, span / self.interval_s))
+        fraction = min(1.0, max(0.0, span_s / self.interval_s))
         by_backend: dict[str, list[BackendObservations]] = {}
         for receiver in self.receivers.values():
-            for backend, seen in receiver.backends.items():
-                by_backend.setdefault(backend, []).append(seen)
-        found = {}
+            for backend, backend_observations in receiver.backends.items():
+                by_backend.setdefault(backend, []).append(backend_observations)
+        summaries = {}
         for backend, observations in by_backend.items():
-            found[backend] = self._sum(self._release(backend, part), observations, now)
-        bad = [one.failure_ratio for one in found.values() if one.rate]
-        usual = median(bad) if len(bad) >= MIN_BACKENDS_FOR_USUAL else 0.0
+            summaries[backend] = self._sum(self._release(backend, fraction), observations, now)
+        failure_ratios = [summary.failure_ratio for summary in summaries.values() if summary.rate]
+        typical_ratio = (
+            median(failure_ratios) if len(failure_ratios) >= MIN_BACKENDS_FOR_TYPICAL_RATIO else 0.0
+        )
         return {
-            backend: one._replace(excess_failure_ratio=_beyond(one.failure_ratio, usual))
-            for backend, one in found.items()
+            backend: summary._replace(
+                excess_failure_ratio=_excess_ratio(summary.failure_ratio, typical_ratio)
+            )
+            for backend, summary in summaries.items()
         }
 
-    def _release(self, backend: str, part: float) -> tuple[int, int, int]:
+    def _release(self, backend: str, fraction: float) -> tuple[int, int, int]:
         pending = self._pending.get(backend)
         if pending is None:
             return 0, 0, 0
-        out = []
-        for i, n in enumerate(pending):
-            released = int(min(n, max(1.0, n * part)))
-            pending[i] = n - released
-            out.append(released)
-        return out[0], out[1], out[2]
+        released_counts = []
+        for i, count in enumerate(pending):
+            released = int(min(count, max(1.0, count * fraction)))
+            pending[i] = count - released
+            released_counts.append(released)
+        return released_counts[0], released_counts[1], released_counts[2]
 
     def _sum(
         self, counts: tuple[int, int, int], observations: list[BackendObservations], now: float
     ) -> LoadSummary:
-        ratios = []
+        failure_ratios = []
         stalled = responsive = 0
-        for seen in observations:
-            ended = seen.served + seen.failed
-            if (ended or seen.issued) * self.interval_s * 2 >= MIN_ATTEMPTS and ended:
-                ratios.append(seen.failed / ended)
-            if seen.stalled_since and now > seen.stalled_since + UNRESPONSIVE_INTERVALS * self.interval_s:
+        for observed in observations:
+            completed = observed.served + observed.failed
+            if (completed or observed.issued) * self.interval_s * 2 >= MIN_ATTEMPTS and completed:
+                failure_ratios.append(observed.failed / completed)
+            if (
+                observed.stalled_since
+                and now > observed.stalled_since + UNRESPONSIVE_INTERVALS * self.interval_s
+            ):
                 stalled += 1
-            elif seen.served + seen.failed > MIN_COMPLETION_RPS:
+            elif observed.served + observed.failed > MIN_COMPLETION_RPS:
                 responsive += 1
-        bad = 0.0
-        if ratios:
-            bad = float(median(ratios)) if len(ratios) >= MIN_RECEIVERS_FOR_MEDIAN else min(ratios)
+        failure_ratio = 0.0
+        if failure_ratios:
+            failure_ratio = (
+                float(median(failure_ratios))
+                if len(failure_ratios) >= MIN_RECEIVERS_FOR_MEDIAN
+                else min(failure_ratios)
+            )
         return LoadSummary(
             *counts,
-            pending=sum(seen.in_progress for seen in observations),
-            rate=sum(seen.served + seen.failed for seen in observations),
-            failure_ratio=bad,
+            pending=sum(observed.in_progress for observed in observations),
+            rate=sum(observed.served + observed.failed for observed in observations),
+            failure_ratio=failure_ratio,
             silent=stalled > responsive,
         )
 
 
-def _beyond(bad: float, usual: float) -> float:
-    """The failure ratio beyond the usual one."""
-    return max(0.0, (bad - usual) / (1.0 - usual)) if usual < 1.0 else 0.0
+def _excess_ratio(failure_ratio: float, typical_ratio: float) -> float:
+    """Return how far a failure ratio exceeds the typical one, as a fraction of the possible excess."""
+    return max(0.0, (failure_ratio - typical_ratio) / (1.0 - typical_ratio)) if typical_ratio < 1.0 else 0.0
--- a/firvane/proxy/control/resource_codec.py
+++ b/firvane/proxy/control/resource_codec.py
@@ -41,8 +41,8 @@
 HOST_SELECTION_ATTEMPTS = 3
 MAX_DROP_NUMERATOR = 10_000
 MIN_RING_SIZE = 1024
-MAX_RING_SIZE = 4096  # gRPC's clients accept no more
-# gRPC's clients know only the conditions without a dash.
+MAX_RING_SIZE = 4096  # the largest size that gRPC clients accept
+# gRPC clients support only the conditions without a dash.
 RETRY_ON_UNPROCESSED = "connect-failure,refused-stream"
 RETRY_ON_ANY = f"{RETRY_ON_UNPROCESSED},reset,gateway-error,unavailable"
 HEALTH_STATUSES = {
@@ -52,12 +52,12 @@
 
 
 def digest(*parts: bytes) -> str:
-    """A digest of the parts, as hexadecimal digits."""
-    known = blake2b(digest_size=8)
+    """Return a digest of the parts, as hexadecimal digits."""
+    hasher = blake2b(digest_size=8)
     for part in parts:
-        known.update(b"%d " % len(part))
-        known.update(part)
-    return known.hexdigest()
+        hasher.update(b"%d " % len(part))
+        hasher.update(part)
+    return hasher.hexdigest()
 
 
 def pack(message: Any) -> Any:
@@ -74,44 +74,44 @@
     return Resource(name, digest(body), body, on_demand, frozenset(references))
 
 
-def _seconds(span: float) -> Any:
-    seconds = int(span)
-    return duration_pb2.Duration(seconds=seconds, nanos=round((span - seconds) * 1e6) * 1000)
+def _seconds(duration_s: float) -> Any:
+    seconds = int(duration_s)
+    return duration_pb2.Duration(seconds=seconds, nanos=round((duration_s - seconds) * 1e6) * 1000)
 
 
-class Endpoints:
-    """Encodes assignments; messages of endpoints are cached as long as they are listed."""
+class EndpointsEncoder:
+    """Encodes assignments; an endpoint's message is cached as long as the endpoint is assigned."""
 
     def __init__(self, zones: Sequence[str]) -> None:
-        """Create the encoder; `zones` are names by number."""
+        """Create the encoder; `zones` are zone names, indexed by zone number."""
         self.zones = zones
         self._cache: dict[WeightedEndpoint, Any] = {}
 
-    def make(self, name: str, assignment: Assignment) -> Resource:
+    def encode(self, name: str, assignment: Assignment) -> Resource:
         """Encode the assignment of a group as the endpoints of a cluster."""
         cached = self._cache
         self._cache = {}
         message = endpoint_pb2.ClusterLoadAssignment(cluster_name=name)
         for locality in assignment.localities:
-            self._locality(message, locality, cached)
+            self._add_locality(message, locality, cached)
         if assignment.dropped:
             drop = message.policy.drop_overloads.add(category=DROP_CATEGORY)
             drop.drop_percentage.numerator = min(MAX_DROP_NUMERATOR, assignment.dropped)
             drop.drop_percentage.denominator = percent_pb2.FractionalPercent.TEN_THOUSAND
         return resource(name, message)
 
-    def _locality(self, message: Any, locality: Locality, cached: dict[WeightedEndpoint, Any]) -> None:
+    def _add_locality(self, message: Any, locality: Locality, cached: dict[WeightedEndpoint, Any]) -> None:
         if not locality.weight:  # xDS has no weight 0: the locality is omitted
             return
-        made = message.endpoints.add()
+        locality_message = message.endpoints.add()
         if 0 <= locality.zone < len(self.zones):
-            made.locality.zone = self.zones[locality.zone]
-        made.load_balancing_weight.value = locality.weight
+            locality_message.locality.zone = self.zones[locality.zone]
+        locality_message.load_balancing_weight.value = locality.weight
         entries = []
         for endpoint in locality.endpoints:
             self._cache[endpoint] = entry = cached.get(endpoint) or _endpoint(endpoint)
             entries.append(entry)
-        made.lb_endpoints.extend(entries)
+        locality_message.lb_endpoints.extend(entries)
 
 
 def _endpoint(endpoint: WeightedEndpoint) -> Any:
@@ -136,7 +136,7 @@
 
 
 def cluster(name: str, keyed: bool, max_open_requests: int, connect_timeout_s: float) -> Resource:
-    """Encode the cluster; with `keyed` requests of a key go to the same backend."""
+    """Encode the cluster; with `keyed`, requests with the same key go to the same backend."""
     thresholds = circuit_breaker_pb2.CircuitBreakers.Thresholds(
         max_requests=wrappers_pb2.UInt32Value(value=max_open_requests),
         max_pending_requests=wrappers_pb2.UInt32Value(value=max_open_requests),
@@ -156,7 +156,7 @@
             self=config_source_pb2.SelfConfigSource(transport_api_version=config_source_pb2.ApiVersion.V3)
         ),
         common_lb_config=cluster_pb2.Cluster.CommonLbConfig(
-            # The assignment decides: receivers must not fall back to all endpoints.
+            # The control service has its own panic threshold: receivers must not fall back to all endpoints.
             healthy_panic_threshold=percent_pb2.Percent(value=0.0),
             locality_weighted_lb_config=cluster_pb2.Cluster.CommonLbConfig.LocalityWeightedLbConfig(),
         ),
@@ -169,43 +169,43 @@
     return resource(name, message)
 
 
-def route_configuration(name: str, to: str, routes: Sequence[Route], keyed: bool) -> Resource:
-    """Encode the classes as routes to the cluster `to`."""
-    made = []
+def route_configuration(name: str, cluster_name: str, routes: Sequence[Route], keyed: bool) -> Resource:
+    """Encode the routes of the request classes to the cluster `cluster_name`."""
+    encoded_routes = []
     for route in routes:
         for match in ({"path": f"/{route.name}"}, {"prefix": f"/{route.name}/"}):
-            action = route_components_pb2.RouteAction(cluster=to, timeout=_seconds(route.deadline))
+            action = route_components_pb2.RouteAction(cluster=cluster_name, timeout=_seconds(route.deadline))
             if keyed:
                 policy = action.hash_policy.add()
                 policy.header.header_name = KEY_HEADER
             if route.retries:
-                again = action.retry_policy
-                again.retry_on = RETRY_ON_ANY if route.retry_any else RETRY_ON_UNPROCESSED
-                again.num_retries.value = route.retries
-                again.retry_back_off.base_interval.CopyFrom(_seconds(RETRY_BACKOFF_MIN_S))
-                again.retry_back_off.max_interval.CopyFrom(_seconds(RETRY_BACKOFF_MAX_S))
-                again.host_selection_retry_max_attempts = HOST_SELECTION_ATTEMPTS
-                again.retry_host_predicate.add(
+                retry_policy = action.retry_policy
+                retry_policy.retry_on = RETRY_ON_ANY if route.retry_any else RETRY_ON_UNPROCESSED
+                retry_policy.num_retries.value = route.retries
+                retry_policy.retry_back_off.base_interval.CopyFrom(_seconds(RETRY_BACKOFF_MIN_S))
+                retry_policy.retry_back_off.max_interval.CopyFrom(_seconds(RETRY_BACKOFF_MAX_S))
+                retry_policy.host_selection_retry_max_attempts = HOST_SELECTION_ATTEMPTS
+                retry_policy.retry_host_predicate.add(
                     name="envoy.retry_host_predicates.previous_hosts",
                     typed_config=pack(previous_hosts_pb2.PreviousHostsPredicate()),
                 )
-            made.append(
+            encoded_routes.append(
                 route_components_pb2.Route(
                     name=route.name, match=route_components_pb2.RouteMatch(**match), route=action
                 )
             )
     message = route_pb2.RouteConfiguration(
         name=name,
-        virtual_hosts=[route_components_pb2.VirtualHost(name=name, domains=["*"], routes=made)],
+        virtual_hosts=[route_components_pb2.VirtualHost(name=name, domains=["*"], routes=encoded_routes)],
     )
-    return resource(name, message, references=[to])
+    return resource(name, message, references=[cluster_name])
 
 
-def listener(name: str, routes: str) -> Resource:
-    """Encode the API listener of clients without a proxy, which subscribe to it by their target's name."""
+def listener(name: str, route_name: str) -> Resource:
+    """Encode the API listener for proxyless clients, which subscribe to it by the name of their target."""
     manager = http_connection_manager_pb2.HttpConnectionManager(
         stat_prefix=name,
-        rds=http_connection_manager_pb2.Rds(config_source=_ads(), route_config_name=routes),
+        rds=http_connection_manager_pb2.Rds(config_source=_ads(), route_config_name=route_name),
         http_filters=[
             http_connection_manager_pb2.HttpFilter(
                 name="envoy.filters.http.router", typed_config=pack(router_pb2.Router())
@@ -218,11 +218,13 @@
     return resource(name, message, on_demand=True)
 
 
-def by_kind(resources: Mapping[ResourceType, Sequence[Resource]]) -> dict[ResourceType, dict[str, Resource]]:
+def index_by_type(
+    resources: Mapping[ResourceType, Sequence[Resource]],
+) -> dict[ResourceType, dict[str, Resource]]:
     """Index resources by type and name."""
-    return {kind: {one.name: one for one in resources.get(kind, ())} for kind in ResourceType}
+    return {kind: {encoded.name: encoded for encoded in resources.get(kind, ())} for kind in ResourceType}
 
 
-def set_version(resources: Mapping[str, Resource]) -> str:
-    """The digest of all resources of a type."""
-    return digest(*(f"{name}={one.version}".encode() for name, one in sorted(resources.items())))
+def collection_version(resources: Mapping[str, Resource]) -> str:
+    """Return the digest of all resources of a type."""
+    return digest(*(f"{name}={encoded.version}".encode() for name, encoded in sorted(resources.items())))
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -1,4 +1,4 @@
-"""Assembly and life cycle of a control service: discovery, decision module, streams, operators' calls."""
+"""Assembly and life cycle of a control service: discovery, decision module, xDS streams, operator API."""
 
 from __future__ import annotations
 
@@ -29,16 +29,16 @@
 from firvane.proxy.net.peer_datagrams import PeerDatagrams
 from firvane.proxy.net.target_group import TargetGroup
 
-METRICS_INTERVAL_S = 5.0  # of the `metrics` log event
-STOP_GRACE_S = 1.0  # for streams to end
+METRICS_INTERVAL_S = 5.0  # between `metrics` log events
+STOP_GRACE_S = 1.0  # for streams to end before the server stops
 
 
-def places(config: Config, control_settings: ControlSettings) -> list[api.Settings]:
-    """The settings of each place that the service has in its tier, with consecutive zones from its own."""
+def member_settings(config: Config, control_settings: ControlSettings) -> list[api.Settings]:
+    """Return the settings of each tier member that the service counts as, in consecutive zones."""
     own = config.settings
     return [
-        replace(own, me=own.me + place, zone=(own.zone + place) % own.zones)
-        for place in range(control_settings.counts_as)
+        replace(own, me=own.me + member, zone=(own.zone + member) % own.zones)
+        for member in range(control_settings.counts_as)
     ]
 
 
@@ -68,12 +68,12 @@
             loop, config.discovery, reader, self._target, self._listed, self.log, backoff
         )
         self.peers = [
-            PeerDatagrams(own.me, config.peers, config.peers_all, partial(self._peer, place), loop.time)
-            for place, own in enumerate(places(config, control_settings))
+            PeerDatagrams(own.me, config.peers, config.peers_all, partial(self._peer, member), loop.time)
+            for member, own in enumerate(member_settings(config, control_settings))
         ]
         self.ads = DiscoveryServer(loop, self, control_settings.report_s, self.log)
         self.core = Core(
-            places(config, control_settings), control_settings, config.seed, config.zones, loop,
+            member_settings(config, control_settings), control_settings, config.seed, config.zones, loop,
             self.peers, self.group, self.ads,
             wall, self.log,
         )  # fmt: skip
@@ -87,22 +87,22 @@
     def _listed(self, update: api.ServerList) -> None:
         self.core.on_server_list(update)
 
-    def _peer(self, place: int, sender: int, payload: bytes) -> None:
-        self.core.engines[place].dispatch(api.PeerMessage(sender, payload))
+    def _peer(self, member: int, sender: int, payload: bytes) -> None:
+        self.core.engines[member].dispatch(api.PeerMessage(sender, payload))
 
-    # Calls of the streams (`ads.Service`)
+    # Interface for the streams (`ads.Service`)
 
     def zone_of(self, name: str) -> int:
-        """The number of a zone by name."""
+        """Return the number of a zone by name."""
         return self.core.catalog.zone_of(name)
 
     def snapshot(self, zone: int) -> Snapshot | None:
-        """The current snapshot for a zone."""
+        """Return the current snapshot for a zone."""
         return self.core.snapshot(zone)
 
-    def decided_at(self, zone: int) -> float:
-        """When that snapshot was decided."""
-        return self.core.decided_at(zone)
+    def snapshot_computed_at(self, zone: int) -> float:
+        """Return the loop time at which the current snapshot of a zone was computed."""
+        return self.core.snapshot_computed_at(zone)
 
     def connect(self, name: str, zone: int) -> bool:
         """Register a stream of a receiver."""
@@ -113,12 +113,12 @@
         self.core.registry.disconnect(name, self.loop.time())
 
     def is_allowed(self, names: frozenset[str]) -> bool:
-        """Whether the owner of a certificate with these names may use the service."""
+        """Return whether the owner of a certificate with these names may use the service."""
         tls = self.core.control_settings.tls
         return not (tls and tls.allow) or bool(names & set(tls.allow))
 
     def on_report(self, node: stream_codec.Node, request: Any) -> None:
-        """Take a load report of a receiver."""
+        """Record a load report of a receiver."""
         shares = partial(self.core.shares, self.zone_of(node.zone))
         self.core.on_report(node.id, *stream_codec.read_reports(request, self.name, self.core.names, shares))
 
@@ -127,16 +127,16 @@
         self.loop.call_later(1.0, self._sweep)
 
     def _report(self) -> None:
-        ages = sorted(self.ads.ages)
-        self.ads.ages.clear()
-        cuts = quantiles(ages, n=100, method="inclusive") if len(ages) > 1 else [0.0] * 99
+        ack_delays = sorted(self.ads.ack_delays)
+        self.ads.ack_delays.clear()
+        cuts = quantiles(ack_delays, n=100, method="inclusive") if len(ack_delays) > 1 else [0.0] * 99
         scheduler = self.ads.scheduler
         self.log.info(
             "metrics",
             receivers=len(self.core.registry.receivers), streams=len(self.ads.sessions),
             demand_rps=round(sum(self.core.registry.demand().values()), 1), backends=len(self.core.addresses),
-            written=scheduler.written, written_mb=round(scheduler.bytes / 1e6, 2), acks=self.ads.acks,
-            nacks=self.ads.nacks,
+            written=scheduler.responses_written, written_mb=round(scheduler.bytes_written / 1e6, 2),
+            acks=self.ads.acks, nacks=self.ads.nacks,
             ack_p50_ms=round(1e3 * cuts[49], 1), ack_p99_ms=round(1e3 * cuts[98], 1),
             clipped=self.core.registry.clipped, held_back_lists=self.core.panic.trips,
             serial=self.core.catalog.serial,
@@ -146,11 +146,11 @@
     # Life cycle
 
     async def start(self) -> None:
-        """Start all parts and listen; receivers get nothing before there is a server list."""
+        """Start all components and listen; receivers get no response before the first server list."""
         config = self.config
         if config.peer_listen:
-            for place, peers in enumerate(self.peers):
-                own = config.peer_listen if not place else config.peers[peers.me]
+            for member, peers in enumerate(self.peers):
+                own = config.peer_listen if not member else config.peers[peers.me]
                 await self.loop.create_datagram_endpoint(partial(_identity, peers), local_addr=own)
         self.core.start()
         if config.known:
@@ -183,7 +183,7 @@
         self.log.info("ready", listen=where, tls=self.keys is not None, targets=len(self.group.servers))
 
     def reload(self, read: Callable[[], tuple[Config, ControlSettings]]) -> None:
-        """Reload settings, the static list or discovery's address; an invalid file changes nothing."""
+        """Reload the settings, the static server list and the discovery address; ignore an invalid file."""
         try:
             config, control_settings = read()
         except (ValueError, OSError) as error:
@@ -197,7 +197,7 @@
             waiting.append("control")
         if waiting:
             self.log.warning(
-                "config_restart_required", text="the next start is needed for " + ", ".join(waiting)
+                "config_restart_required", text="a restart is required to change " + ", ".join(waiting)
             )
         control_settings = msgspec.structs.replace(
             control_settings,
@@ -210,14 +210,14 @@
         elif config.known and not self.config.discovery:
             self.group.learn(config.known)
         self.log.info("config_reloaded", targets=len(self.group.servers))
-        self.core.apply_settings(places(config, control_settings), control_settings)
+        self.core.apply_settings(member_settings(config, control_settings), control_settings)
 
     def _log_invalid(self, error: Exception) -> None:
         for line in str(error).splitlines():
             self.log.error("config_invalid", why=line)
 
     async def stop(self) -> None:
-        """End all streams with a status; receivers keep their last snapshot and reconnect elsewhere."""
+        """End all streams with a status; receivers keep their last snapshot and then try another service."""
         self.group.stop()
         for peers in self.peers:
             peers.close()
@@ -225,32 +225,36 @@
         if self.server is not None:
             await self.server.stop(STOP_GRACE_S)
 
-    # Operators' calls
+    # Operator API
 
-    def show(self, asked: bytes) -> bytes:
+    def show(self, request: bytes) -> bytes:
         """Answer `{"what": "status"}`, or `{"what": "diff", "node": ..., "before": ..., "after": ...}`."""
         try:
-            question = msgspec.json.decode(asked, type=dict[str, str])
-            found = self._status() if question.get("what") == "status" else self._diff(question)
+            query = msgspec.json.decode(request, type=dict[str, str])
+            answer = self._status() if query.get("what") == "status" else self._diff(query)
         except (msgspec.MsgspecError, LookupError) as error:
-            found = {"error": str(error.args[0]) if error.args else "cannot be read"}
-        return msgspec.json.encode(found)
+            answer = {"error": str(error.args[0]) if error.args else "cannot be read"}
+        return msgspec.json.encode(answer)
 
     def _status(self) -> dict[str, Any]:
-        sessions = sorted(self.ads.sessions, key=lambda one: one.node.id if one.node else "")
-        receivers = [self._receiver_status(one, one.node) for one in sessions if one.node is not None]
+        sessions = sorted(self.ads.sessions, key=lambda session: session.node.id if session.node else "")
+        receivers = [
+            self._receiver_status(session, session.node) for session in sessions if session.node is not None
+        ]
         groups = []
         for zone, entries in sorted(self.core.catalog.history.items()):
             last = entries[-1]
             groups.append(
                 {
                     "zone": self.core.zone_name(zone), "serial": last.serial,
-                    "version": f"{last.number}.{last.version}", "at": last.at,
+                    "version": f"{last.list_version}.{last.version}", "at": last.at,
                     "boxes": len(last.assignment.backends()), "dropped": last.assignment.dropped / 1e4,
                     "why": list(last.causes[:10]), "serials": [entry.serial for entry in entries],
                 }
             )  # fmt: skip
-        disconnected = sorted(name for name, one in self.core.registry.receivers.items() if not one.streams)
+        disconnected = sorted(
+            name for name, receiver in self.core.registry.receivers.items() if not receiver.streams
+        )
         return {
             "service": self.name,
             "list": self.group.index,
@@ -263,7 +267,7 @@
         now = self.loop.time()
         snapshot = self.snapshot(session.zone)
         stream = session.stream
-        one = self.core.registry.receivers.get(node.id)
+        receiver = self.core.registry.receivers.get(node.id)
         refused = {
             name: subscription.nack_reason
             for subscription in stream.subscriptions.values()
@@ -272,27 +276,28 @@
         return {
             "id": node.id, "zone": node.zone, "agent": node.agent,
             "peer": session.peer, "protocol": "delta" if stream.delta else "state of the world",
-            "current": snapshot is not None and stream.converged(snapshot),
-            "told": stream.responses_sent, "refused": refused, "ack_ms": round(1e3 * session.age, 1),
+            "current": snapshot is not None and stream.is_converged(snapshot),
+            "told": stream.responses_sent, "refused": refused, "ack_ms": round(1e3 * session.ack_delay_s, 1),
             "heard_s": round(now - session.acked_at, 1) if session.acked_at else None,
-            "rps": round(one.rate, 1) if one else 0.0, "reports": one.reports if one else 0,
+            "rps": round(receiver.rate, 1) if receiver else 0.0,
+            "reports": receiver.reports if receiver else 0,
         }  # fmt: skip
 
-    def _diff(self, question: dict[str, str]) -> dict[str, Any]:
+    def _diff(self, query: dict[str, str]) -> dict[str, Any]:
         zone = -1
-        if node := question.get("node"):
+        if node := query.get("node"):
             session = next((one for one in self.ads.sessions if one.node and one.node.id == node), None)
             receiver = self.core.registry.receivers.get(node)
             if session is None and receiver is None:
                 raise LookupError(f"no receiver {node!r} follows")
             zone = session.zone if session else receiver.zone if receiver else -1
-        found = []
+        entries_found = []
         for end in ("before", "after"):
-            entry = self.core.catalog.entry(zone, question.get(end, ""))
+            entry = self.core.catalog.entry(zone, query.get(end, ""))
             if entry is None:
-                raise LookupError(f"{question.get(end, '')!r} is no state of that group that is kept")
-            found.append(entry)
-        before, after = found
+                raise LookupError(f"{query.get(end, '')!r} is no state of that group that is kept")
+            entries_found.append(entry)
+        before, after = entries_found
         entries = self.core.catalog.history[zone]
         passed = [one for one in entries if before.serial < one.serial <= after.serial]
         return {
--- a/firvane/proxy/control/stream.py
+++ b/firvane/proxy/control/stream.py
@@ -1,17 +1,17 @@
-"""The xDS state of one receiver: its subscriptions, what it has, and its next response.
+"""The xDS state of one receiver: its subscriptions, the resources that it has, and its next response.
 
 Invariants:
 
 1. The next response is computed when it can be sent, from the newest snapshot: nothing is queued, and a slow
    receiver skips intermediate snapshots.
 2. One response of a type is unacknowledged at a time. The next waits for its ACK or NACK, unless it removes a
-   backend: that is sent at once, up to `MAX_UNACKNOWLEDGED` responses ahead; a receiver that acknowledges
-   none of them is disconnected.
+   backend: such a response is sent at once, up to `MAX_UNACKNOWLEDGED` unacknowledged responses; a receiver
+   that exceeds this limit is disconnected.
 3. A rejected resource (NACK) is not sent again until it changes; the receiver keeps its last version, and
-   other resources go on. After a NACK of several resources each is sent once more alone, to find the bad
-   one. A request that answers an older response than the last has no effect.
-4. Make before break: types go in the order of `ResourceType`. A cluster to which the receiver's routes still
-   refer is not removed, and routes are sent only when their clusters are acknowledged.
+   other resources are still sent. After a NACK of several resources each is sent once more in a response of
+   its own, to identify the invalid one. A request with the nonce of an older response has no effect.
+4. Make before break: types are sent in the order of `ResourceType`. A cluster to which the receiver's routes
+   still refer is not removed, and routes are sent only when their clusters are acknowledged.
 5. A version is the version of the server list and a digest: the list version orders snapshots of different
    control services (`known_list_version`), the digest shows that a receiver already has a resource.
 6. A subscribed resource that does not exist is reported as removed in the delta protocol; the
@@ -31,72 +31,77 @@
 from firvane.proxy.control.types import Resource, ResourceType, Snapshot
 
 MAX_UNACKNOWLEDGED = 8  # responses of one type
-MAX_NAMES = 10_000  # that a receiver may subscribe to, of one type
+MAX_NAMES = 10_000  # subscribed by a receiver, of one type
 MAX_VERSION_DIGITS = 18
 WILDCARD = "*"
 
 
 class Response(NamedTuple):
-    """One discovery response; `removed` are names of resources, in the delta protocol only."""
+    """One discovery response; `removed` are names of resources (delta protocol only)."""
 
     kind: ResourceType
-    number: int  # version of the server list
+    list_version: int  # of the server list
     version: str  # digest of all resources of the type
     nonce: str
     resources: tuple[Resource, ...]
     removed: tuple[str, ...] = ()
-    urgent: bool = False  # whether a backend is removed
+    urgent: bool = False  # whether it removes a backend
 
 
-def write_version(number: int, digest: str) -> str:
+def write_version(list_version: int, digest: str) -> str:
     """Encode a version."""
-    return f"{number}.{digest}"
+    return f"{list_version}.{digest}"
 
 
 class Version(NamedTuple):
-    """A decoded version; `number` is -1 if it is not of a control service."""
+    """A decoded version; `list_version` is -1 if no control service encoded it."""
 
-    number: int
+    list_version: int
     digest: str
 
 
 def read_version(text: str) -> Version:
     """Decode a version of a resource or a response."""
-    number, dot, digest = text.partition(".")
-    known = dot and number.isascii() and number.isdigit() and len(number) <= MAX_VERSION_DIGITS
-    return Version(int(number), digest) if known else Version(-1, text)
+    version_number, dot, digest = text.partition(".")
+    is_valid = (
+        dot
+        and version_number.isascii()
+        and version_number.isdigit()
+        and len(version_number) <= MAX_VERSION_DIGITS
+    )
+    return Version(int(version_number), digest) if is_valid else Version(-1, text)
 
 
 class ReceiverLimitError(ControlError, ValueError):
-    """A receiver subscribes to too much, acknowledges nothing, or does not identify itself."""
+    """A receiver exceeds a limit: too many names, no acknowledgements, or no node id."""
 
 
 class Subscription:
-    """A receiver's subscription to one resource type, and what it has of it."""
+    """A receiver's subscription to one resource type, and the versions that it has."""
 
     def __init__(self) -> None:
         self.wildcard = False
         self.names: set[str] = set()
-        self.sent: dict[str, Resource] = {}  # as last sent
-        self.initial_versions: dict[str, str] = {}  # that it had when the stream began
+        self.sent: dict[str, Resource] = {}  # the last version sent, by name
+        self.initial_versions: dict[str, str] = {}  # that the receiver had when the stream began
         self.reported_missing: set[str] = set()
-        self.rejected: dict[str, str] = {}  # versions, by name
-        self.suspects: deque[str] = deque()  # of a rejected response: sent again one by one
+        self.rejected: dict[str, str] = {}  # rejected version, by name
+        self.suspects: deque[str] = deque()  # names in a rejected response: each is sent again alone
         self.unacknowledged: deque[Response] = deque()  # neither ACKed nor NACKed
-        self.last_nonce = ""  # of the last response that it has answered
-        self.nack_reason = ""  # of a rejected resource that it still lacks
-        self.response_due = True  # whether a request of this type has had no response
-        self.urgent = -1  # `urgent` of the last snapshot that was sent
+        self.last_nonce = ""  # of the last response that was ACKed or NACKed
+        self.nack_reason = ""  # of a rejected resource that is still rejected
+        self.response_due = True  # whether a request of this type is unanswered
+        self.urgent = -1  # `Snapshot.urgent` of the last snapshot sent
 
-    def wants(self, resource: Resource) -> bool:
-        """Whether the receiver subscribes to a resource."""
+    def includes(self, resource: Resource) -> bool:
+        """Return whether the receiver subscribes to a resource."""
         return resource.name in self.names or (self.wildcard and not resource.on_demand)
 
     def add(self, names: set[str]) -> None:
-        """Subscribe to names (delta); names that were subscribed already are sent again."""
+        """Subscribe to names (delta); resources that were subscribed already are sent again."""
         for name in names:
             if name in self.names or self.wildcard:
-                self.sent.pop(name, None)  # subscribed again: the receiver has lost it
+                self.sent.pop(name, None)  # subscribed again: the receiver no longer has it
             self.reported_missing.discard(name)
             self.rejected.pop(name, None)
         self.names |= names
@@ -112,14 +117,14 @@
 
 
 class Stream:
-    """The subscriptions of one receiver's stream: takes requests, and makes responses."""
+    """The subscriptions of one receiver's stream: handles requests and creates responses."""
 
     def __init__(self, delta: bool = False) -> None:
         self.delta = delta
         self.subscriptions: dict[ResourceType, Subscription] = {}
         self.responses_sent = 0
         self.nacks = 0
-        self.known_list_version = -1  # of the server list, from this or another control service
+        self.known_list_version = -1  # newest server list of which it has resources, from any control service
         self._nonce = 0
 
     # Requests
@@ -127,31 +132,35 @@
     def on_request(
         self, kind: ResourceType, names: Iterable[str], version: str, nonce: str, error: str | None
     ) -> bool:
-        """Take a state-of-the-world request, with all subscribed names; none at first, or `*`: wildcard.
+        """Handle a state-of-the-world request, which has all subscribed names.
+
+        `*`, or no names in the first request, subscribes to all resources of the type (wildcard).
 
         `error` is the reason of a NACK of the response `nonce`. Returns whether the request had an effect.
         """
         subscription = self.subscriptions.get(kind)
-        wanted = set(names)
-        first = False
+        requested = set(names)
+        is_first = False
         if subscription is None:
             subscription = self.subscriptions.setdefault(kind, Subscription())
-            first = True
-            self.known_list_version = max(self.known_list_version, read_version(version).number)
-        if not first and nonce and not self._on_answered(subscription, nonce, error):
+            is_first = True
+            self.known_list_version = max(self.known_list_version, read_version(version).list_version)
+        if not is_first and nonce and not self._on_ack(subscription, nonce, error):
             return False
-        self._check_limit(wanted)
+        self._check_limit(requested)
         if kind.is_full_state:
-            subscription.wildcard = WILDCARD in wanted or (not wanted and (first or subscription.wildcard))
-        wanted.discard(WILDCARD)
-        if wanted - subscription.names and not first:
+            subscription.wildcard = WILDCARD in requested or (
+                not requested and (is_first or subscription.wildcard)
+            )
+        requested.discard(WILDCARD)
+        if requested - subscription.names and not is_first:
             subscription.response_due = True
-            for name in wanted - subscription.names:
+            for name in requested - subscription.names:
                 subscription.sent.pop(name, None)
                 subscription.rejected.pop(name, None)
-        for name in subscription.names - wanted:
+        for name in subscription.names - requested:
             subscription.sent.pop(name, None)
-        subscription.names = wanted
+        subscription.names = requested
         return True
 
     def on_delta_request(
@@ -163,23 +172,23 @@
         nonce: str,
         error: str | None,
     ) -> bool:
-        """Take a delta request: names to subscribe and unsubscribe, and the initial versions of resources."""
+        """Handle a delta request: names to subscribe and unsubscribe, and initial resource versions."""
         subscription = self.subscriptions.get(kind)
-        added = set(subscribe)
-        dropped = set(unsubscribe)
+        subscribed = set(subscribe)
+        unsubscribed = set(unsubscribe)
         if subscription is None:
             subscription = self._begin_delta(kind, versions)
-            subscription.wildcard = not added and kind.is_full_state
+            subscription.wildcard = not subscribed and kind.is_full_state
         elif nonce:
-            self._on_answered(subscription, nonce, error)  # names have effect in any case: each is sent once
-        if WILDCARD in added:
+            self._on_ack(subscription, nonce, error)  # names count with any nonce: each is sent once
+        if WILDCARD in subscribed:
             subscription.wildcard = True
-        if WILDCARD in dropped:
+        if WILDCARD in unsubscribed:
             subscription.wildcard = False
-        self._check_limit(subscription.names | added)
-        subscription.add(added - {WILDCARD})
-        subscription.remove(dropped)
-        if added:
+        self._check_limit(subscription.names | subscribed)
+        subscription.add(subscribed - {WILDCARD})
+        subscription.remove(unsubscribed)
+        if subscribed:
             subscription.response_due = True
         return True
 
@@ -187,128 +196,139 @@
         subscription = self.subscriptions.setdefault(kind, Subscription())
         self._check_limit(versions)
         for name, version in versions.items():
-            number, subscription.initial_versions[name] = read_version(version)
-            self.known_list_version = max(self.known_list_version, number)
+            list_version, subscription.initial_versions[name] = read_version(version)
+            self.known_list_version = max(self.known_list_version, list_version)
         return subscription
 
     def _check_limit(self, names: Collection[str]) -> None:
         if len(names) > MAX_NAMES:
             raise ReceiverLimitError(f"asks for {len(names)} names, and {MAX_NAMES} are the most")
 
-    def _on_answered(self, subscription: Subscription, nonce: str, error: str | None) -> bool:
-        """Take an ACK or a NACK, also of all responses before; returns whether it is of the last response."""
-        index = next((i for i, push in enumerate(subscription.unacknowledged) if push.nonce == nonce), None)
+    def _on_ack(self, subscription: Subscription, nonce: str, error: str | None) -> bool:
+        """Handle an ACK or a NACK of a response and all before it; returns whether it is of the last one."""
+        index = next(
+            (i for i, response in enumerate(subscription.unacknowledged) if response.nonce == nonce), None
+        )
         if index is None:
-            # A nonce that was answered before comes with changed names; an unknown nonce has no effect.
+            # A request that changes names repeats the last nonce; an unknown nonce has no effect.
             return not subscription.unacknowledged and nonce == subscription.last_nonce
-        push = subscription.unacknowledged[index]
+        response = subscription.unacknowledged[index]
         for _ in range(index + 1):
             subscription.unacknowledged.popleft()
-        subscription.last_nonce = push.nonce
+        subscription.last_nonce = response.nonce
         if error is None:
-            for one in push.resources:
-                subscription.rejected.pop(one.name, None)
+            for resource in response.resources:
+                subscription.rejected.pop(resource.name, None)
             subscription.nack_reason = (
                 subscription.nack_reason if subscription.rejected or subscription.suspects else ""
             )
         else:
             self.nacks += 1
             subscription.nack_reason = error
-            if len(push.resources) > 1 and (self.delta or not push.kind.is_full_state):
-                subscription.suspects.extend(one.name for one in push.resources)
+            if len(response.resources) > 1 and (self.delta or not response.kind.is_full_state):
+                subscription.suspects.extend(resource.name for resource in response.resources)
             else:
-                subscription.rejected.update((one.name, one.version) for one in push.resources)
+                subscription.rejected.update(
+                    (resource.name, resource.version) for resource in response.resources
+                )
         return not subscription.unacknowledged
 
     # Responses
 
-    def next_response(self, state: Snapshot) -> Response | None:
-        """The response that is due, which counts as sent; None if there is none."""
+    def next_response(self, snapshot: Snapshot) -> Response | None:
+        """Return the response that is due and record it as sent; None if no response is due."""
         for kind in ResourceType:
             subscription = self.subscriptions.get(kind)
-            if subscription is None or not self._may_send(kind, subscription, state):
+            if subscription is None or not self._may_send(kind, subscription, snapshot):
                 continue
-            push = self._isolate_suspect(kind, subscription, state)
-            if push is None:
-                push = (self._delta_response if self.delta else self._full_response)(
-                    kind, subscription, state
+            response = self._isolate_suspect(kind, subscription, snapshot)
+            if response is None:
+                response = (self._delta_response if self.delta else self._full_response)(
+                    kind, subscription, snapshot
                 )
-                subscription.urgent = state.urgent
-            if push:
-                subscription.unacknowledged.append(push)
+                subscription.urgent = snapshot.urgent
+            if response:
+                subscription.unacknowledged.append(response)
                 subscription.response_due = False
-                for one in push.resources:
-                    subscription.sent[one.name] = one
-                for name in push.removed:
+                for resource in response.resources:
+                    subscription.sent[resource.name] = resource
+                for name in response.removed:
                     subscription.sent.pop(name, None)
                 self.responses_sent += 1
-                return push
+                return response
         return None
 
-    def is_urgent(self, state: Snapshot) -> bool:
-        """Whether a snapshot removes a backend that was sent before."""
+    def is_urgent(self, snapshot: Snapshot) -> bool:
+        """Return whether a snapshot removes a backend that was sent before."""
         subscription = self.subscriptions.get(ResourceType.ENDPOINTS)
-        return subscription is not None and 0 <= subscription.urgent < state.urgent
+        return subscription is not None and 0 <= subscription.urgent < snapshot.urgent
 
-    def converged(self, state: Snapshot) -> bool:
-        """Whether the receiver has acknowledged, or rejected, all subscribed resources of a snapshot."""
+    def is_converged(self, snapshot: Snapshot) -> bool:
+        """Return whether the receiver has ACKed or rejected all subscribed resources of a snapshot."""
         return all(
             not subscription.unacknowledged
             and not subscription.suspects
             and all(
-                (name in subscription.sent and subscription.sent[name].version == one.version)
-                or subscription.initial_versions.get(name) == one.version
-                or subscription.rejected.get(name) == one.version
-                for name, one in state.resources[kind].items()
-                if subscription.wants(one)
+                (name in subscription.sent and subscription.sent[name].version == resource.version)
+                or subscription.initial_versions.get(name) == resource.version
+                or subscription.rejected.get(name) == resource.version
+                for name, resource in snapshot.resources[kind].items()
+                if subscription.includes(resource)
             )
             for kind, subscription in self.subscriptions.items()
         )  # fmt: skip
 
-    def _may_send(self, kind: ResourceType, subscription: Subscription, state: Snapshot) -> bool:
+    def _may_send(self, kind: ResourceType, subscription: Subscription, snapshot: Snapshot) -> bool:
         if subscription.unacknowledged:
-            if subscription.urgent >= state.urgent or kind is not ResourceType.ENDPOINTS:
+            if subscription.urgent >= snapshot.urgent or kind is not ResourceType.ENDPOINTS:
                 return False
             if len(subscription.unacknowledged) >= MAX_UNACKNOWLEDGED:
                 raise ReceiverLimitError(f"{MAX_UNACKNOWLEDGED} answers of {kind.value} are not acknowledged")
         if kind is ResourceType.ROUTES and (clusters := self.subscriptions.get(ResourceType.CLUSTER)):
             needed = {
                 name
-                for one in state.resources[kind].values()
-                if subscription.wants(one)
-                for name in one.references
+                for resource in snapshot.resources[kind].values()
+                if subscription.includes(resource)
+                for name in resource.references
             }
-            there = {name for name in needed if self._has(clusters, name, state)}
-            return not clusters.unacknowledged and there == needed
+            present = {name for name in needed if self._has_cluster(clusters, name, snapshot)}
+            return not clusters.unacknowledged and present == needed
         return True
 
     @staticmethod
-    def _has(clusters: Subscription, name: str, state: Snapshot) -> bool:
-        """Whether a receiver has a cluster, or does not subscribe to it (it will, by name)."""
-        wanted = state.resources[ResourceType.CLUSTER].get(name)
-        if wanted is None or not clusters.wants(wanted):
+    def _has_cluster(clusters: Subscription, name: str, snapshot: Snapshot) -> bool:
+        """Return whether the receiver has a cluster, or has not subscribed to it yet."""
+        cluster = snapshot.resources[ResourceType.CLUSTER].get(name)
+        if cluster is None or not clusters.includes(cluster):
             return True
         return name in clusters.sent or name in clusters.initial_versions or name in clusters.rejected
 
     def _retained_clusters(
-        self, kind: ResourceType, subscription: Subscription, state: Snapshot
+        self, kind: ResourceType, subscription: Subscription, snapshot: Snapshot
     ) -> dict[str, Resource]:
-        """Removed clusters to which the receiver's routes still refer."""
+        """Return removed clusters to which the receiver's routes still refer."""
         routes = self.subscriptions.get(ResourceType.ROUTES)
         if kind is not ResourceType.CLUSTER or routes is None:
             return {}
-        # State of the world cannot express removed routes: a receiver unsubscribes from them.
+        # The state-of-the-world protocol cannot express removed routes: a receiver unsubscribes from them.
         removed_routes = (
-            set() if self.delta else routes.sent.keys() - state.resources[ResourceType.ROUTES].keys()
+            set() if self.delta else routes.sent.keys() - snapshot.resources[ResourceType.ROUTES].keys()
         )
-        used = {
-            name for one in routes.sent.values() if one.name not in removed_routes for name in one.references
+        referenced = {
+            name
+            for resource in routes.sent.values()
+            if resource.name not in removed_routes
+            for name in resource.references
+        }
+        current_clusters = snapshot.resources[kind]
+        return {
+            name: resource
+            for name, resource in subscription.sent.items()
+            if name in referenced and name not in current_clusters
         }
-        there = state.resources[kind]
-        return {name: one for name, one in subscription.sent.items() if name in used and name not in there}
 
     def _unverified_clusters(self, kind: ResourceType, subscription: Subscription) -> set[str]:
-        """Clusters that the receiver had initially, while its initial routes may refer to them."""
+        """Return clusters that the receiver had initially, while its initial routes may refer to them."""
         routes = self.subscriptions.get(ResourceType.ROUTES)
         return (
             set(subscription.initial_versions)
@@ -317,13 +337,17 @@
         )
 
     def _isolate_suspect(
-        self, kind: ResourceType, subscription: Subscription, state: Snapshot
+        self, kind: ResourceType, subscription: Subscription, snapshot: Snapshot
     ) -> Response | None:
-        """The response with the next suspect alone; None if there is none."""
+        """Return a response with only the next suspect; None if there is no suspect."""
         while subscription.suspects:
-            one = state.resources[kind].get(subscription.suspects.popleft())
-            if one and subscription.wants(one) and subscription.rejected.get(one.name) != one.version:
-                return self._response(kind, state.versions[kind], (one,), (), state)
+            resource = snapshot.resources[kind].get(subscription.suspects.popleft())
+            if (
+                resource
+                and subscription.includes(resource)
+                and subscription.rejected.get(resource.name) != resource.version
+            ):
+                return self._response(kind, snapshot.versions[kind], (resource,), (), snapshot)
         return None
 
     def _response(
@@ -332,68 +356,82 @@
         version: str,
         resources: Iterable[Resource],
         removed: Iterable[str],
-        state: Snapshot,
+        snapshot: Snapshot,
     ) -> Response:
         self._nonce += 1
         subscription = self.subscriptions[kind]
-        urgent = 0 <= subscription.urgent < state.urgent
+        urgent = 0 <= subscription.urgent < snapshot.urgent
         return Response(
-            kind, state.number, version, str(self._nonce), tuple(resources), tuple(removed), urgent
+            kind, snapshot.list_version, version, str(self._nonce), tuple(resources), tuple(removed), urgent
         )
 
     def _full_response(
-        self, kind: ResourceType, subscription: Subscription, state: Snapshot
+        self, kind: ResourceType, subscription: Subscription, snapshot: Snapshot
     ) -> Response | None:
-        visible = {name: one for name, one in state.resources[kind].items() if subscription.wants(one)}
-        version = state.versions[kind]
+        visible = {
+            name: resource
+            for name, resource in snapshot.resources[kind].items()
+            if subscription.includes(resource)
+        }
+        version = snapshot.versions[kind]
         if kind.is_full_state:
-            retained = self._retained_clusters(kind, subscription, state)
-            wanted = {**visible, **retained}
-            same = subscription.sent.keys() == wanted.keys() and all(
-                subscription.sent[name].version == one.version for name, one in wanted.items()
+            retained = self._retained_clusters(kind, subscription, snapshot)
+            required = {**visible, **retained}
+            same = subscription.sent.keys() == required.keys() and all(
+                subscription.sent[name].version == resource.version for name, resource in required.items()
             )
             if same and not subscription.response_due:
                 return None
-            subscription.sent = {name: one for name, one in subscription.sent.items() if name in wanted}
-            return self._response(kind, version, wanted.values(), (), state)
+            subscription.sent = {
+                name: resource for name, resource in subscription.sent.items() if name in required
+            }
+            return self._response(kind, version, required.values(), (), snapshot)
         for name in subscription.sent.keys() - visible.keys():
             del subscription.sent[name]
         changed = [
-            one for name, one in visible.items()
-            if (name not in subscription.sent or subscription.sent[name].version != one.version)
-            and subscription.rejected.get(name) != one.version
+            resource for name, resource in visible.items()
+            if (name not in subscription.sent or subscription.sent[name].version != resource.version)
+            and subscription.rejected.get(name) != resource.version
         ]  # fmt: skip
-        return self._response(kind, version, changed, (), state) if changed else None
+        return self._response(kind, version, changed, (), snapshot) if changed else None
 
     def _delta_response(
-        self, kind: ResourceType, subscription: Subscription, state: Snapshot
+        self, kind: ResourceType, subscription: Subscription, snapshot: Snapshot
     ) -> Response | None:
-        visible = {name: one for name, one in state.resources[kind].items() if subscription.wants(one)}
-        retained = self._retained_clusters(kind, subscription, state).keys() | self._unverified_clusters(
+        visible = {
+            name: resource
+            for name, resource in snapshot.resources[kind].items()
+            if subscription.includes(resource)
+        }
+        retained = self._retained_clusters(kind, subscription, snapshot).keys() | self._unverified_clusters(
             kind, subscription
         )
-        has = {
+        known_versions = {
             **subscription.initial_versions,
-            **{name: one.version for name, one in subscription.sent.items()},
+            **{name: resource.version for name, resource in subscription.sent.items()},
         }
         changed = [
-            one for name, one in visible.items()
-            if has.get(name) != one.version and subscription.rejected.get(name) != one.version
+            resource for name, resource in visible.items()
+            if known_versions.get(name) != resource.version
+            and subscription.rejected.get(name) != resource.version
         ]  # fmt: skip
-        for name, one in visible.items():  # unchanged initial versions count as sent
-            if name in subscription.initial_versions and subscription.initial_versions[name] == one.version:
-                subscription.sent[name] = one
-        gone = [name for name in has if name not in visible and name not in retained]
-        absent = [
+        for name, resource in visible.items():  # unchanged initial versions count as sent
+            if (
+                name in subscription.initial_versions
+                and subscription.initial_versions[name] == resource.version
+            ):
+                subscription.sent[name] = resource
+        withdrawn = [name for name in known_versions if name not in visible and name not in retained]
+        missing = [
             name
             for name in sorted(subscription.names)
             if name not in visible and name not in subscription.reported_missing
         ]
-        removed = sorted(set(gone) | set(absent))
+        removed = sorted(set(withdrawn) | set(missing))
         subscription.initial_versions = {
             name: version for name, version in subscription.initial_versions.items() if name in retained
         }
-        subscription.reported_missing |= set(absent)
+        subscription.reported_missing |= set(missing)
         subscription.reported_missing -= visible.keys()
         if (
             not changed
@@ -402,4 +440,4 @@
         ):
             subscription.response_due = False
             return None
-        return self._response(kind, state.versions[kind], changed, removed, state)
+        return self._response(kind, snapshot.versions[kind], changed, removed, snapshot)
--- a/firvane/proxy/control/stream_codec.py
+++ b/firvane/proxy/control/stream_codec.py
@@ -1,7 +1,7 @@
 """Codec of xDS streams: decodes requests and load reports, encodes responses.
 
-A response is the same for all receivers except its nonce, which is encoded last: the bytes before it are
-encoded once and shared. (The concatenation of two encoded messages is the encoding of their merge.)
+A response is the same for all receivers except its nonce, which is encoded last: the bytes before the nonce
+are encoded once and shared. (Concatenated protobuf encodings are the encoding of the merged messages.)
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from firvane.proxy.control.types import DROP_CATEGORY, RESOURCE_TYPES, Report, ResourceType
 
 MAX_CACHED_RESPONSES = 64
-MAX_TEXT_CHARACTERS = 200  # of a name or a reason
+MAX_TEXT_CHARACTERS = 200  # of a node's name or the reason of a NACK
 
 Request = discovery_pb2.DiscoveryRequest
 DeltaRequest = discovery_pb2.DeltaDiscoveryRequest
 
 
 class Node(NamedTuple):
-    """The node that a receiver identifies itself as."""
+    """The xDS node by which a receiver identifies itself."""
 
     id: str
     zone: str
@@ -42,7 +42,7 @@
 
 
 def apply_request(stream: Stream, request: Any) -> ResourceType | None:
-    """Apply a request of either protocol to a stream; returns its type, None if it is not served."""
+    """Apply a request of either protocol to a stream; returns its type, None if the type is not served."""
     kind = RESOURCE_TYPES.get(request.type_url)
     if kind is None:
         return None
@@ -74,51 +74,52 @@
         self.encodings = 0
         self._cache: OrderedDict[Any, bytes] = OrderedDict()
 
-    def write(self, push: Response, delta: bool) -> bytes:
+    def write(self, response: Response, delta: bool) -> bytes:
         """Encode a response in the delta or the state-of-the-world protocol."""
         key = (
-            delta, push.kind, push.number, push.version,
-            tuple((one.name, one.version) for one in push.resources), push.removed,
+            delta, response.kind, response.list_version, response.version,
+            tuple((resource.name, resource.version) for resource in response.resources), response.removed,
         )  # fmt: skip
         data = self._cache.get(key)
         if data is None:
-            data = self._cache[key] = self._encode(push, delta)
+            data = self._cache[key] = self._encode(response, delta)
             self.encodings += 1
             if len(self._cache) > MAX_CACHED_RESPONSES:
                 self._cache.popitem(last=False)
         else:
             self._cache.move_to_end(key)
-        tail = discovery_pb2.DiscoveryResponse(nonce=push.nonce)  # the field has this number in both forms
-        return data + bytes(tail.SerializeToString())
+        # The number of this field is the same in both protocols.
+        nonce_field = discovery_pb2.DiscoveryResponse(nonce=response.nonce)
+        return data + bytes(nonce_field.SerializeToString())
 
-    def _encode(self, push: Response, delta: bool) -> bytes:
-        version = write_version(push.number, push.version)
+    def _encode(self, response: Response, delta: bool) -> bytes:
+        version = write_version(response.list_version, response.version)
         if not delta:
-            made = discovery_pb2.DiscoveryResponse(
+            message = discovery_pb2.DiscoveryResponse(
                 version_info=version,
-                type_url=push.kind.url,
-                resources=[any_pb2.Any.FromString(one.body) for one in push.resources],
+                type_url=response.kind.url,
+                resources=[any_pb2.Any.FromString(resource.body) for resource in response.resources],
             )
         else:
-            made = discovery_pb2.DeltaDiscoveryResponse(
+            message = discovery_pb2.DeltaDiscoveryResponse(
                 system_version_info=version,
-                type_url=push.kind.url,
+                type_url=response.kind.url,
                 resources=[
                     discovery_pb2.Resource(
-                        name=one.name,
-                        version=write_version(push.number, one.version),
-                        resource=any_pb2.Any.FromString(one.body),
+                        name=resource.name,
+                        version=write_version(response.list_version, resource.version),
+                        resource=any_pb2.Any.FromString(resource.body),
                     )
-                    for one in push.resources
+                    for resource in response.resources
                 ],
-                removed_resources=push.removed,
+                removed_resources=response.removed,
             )
-        made.control_plane.identifier = self.name
-        return bytes(made.SerializeToString(deterministic=True))
+        message.control_plane.identifier = self.name
+        return bytes(message.SerializeToString(deterministic=True))
 
 
 class LoadReport(NamedTuple):
-    """A decoded load report: counts by backend, its interval in seconds, and the dropped requests."""
+    """A decoded load report: counts by backend, the report interval, and the number of dropped requests."""
 
     backends: dict[str, Report]
     span_s: float
@@ -137,28 +138,34 @@
         request: The `LoadStatsRequest`.
         cluster: The name of the cluster whose counts are read.
         backends: Names of backends by address.
-        weights: Returns the shares of a zone's requests, by zone and backend. Receivers that report by
-            locality alone are assumed to have followed them.
+        weights: Returns the shares of a zone's requests, by zone and backend. Receivers that report
+            only by locality are assumed to have distributed their requests by these shares.
     """
-    found: dict[str, Report] = {}
-    span, dropped = 0.0, 0
+    reports: dict[str, Report] = {}
+    span_s, dropped = 0.0, 0
     for stats in request.cluster_stats:
         if stats.cluster_name != cluster:
             continue
-        span = max(span, stats.load_report_interval.ToNanoseconds() / 1e9)
-        dropped += sum(one.dropped_count for one in stats.dropped_requests if one.category == DROP_CATEGORY)
+        span_s = max(span_s, stats.load_report_interval.ToNanoseconds() / 1e9)
+        dropped += sum(
+            stats_entry.dropped_count
+            for stats_entry in stats.dropped_requests
+            if stats_entry.category == DROP_CATEGORY
+        )
         for locality in stats.upstream_locality_stats:
             if locality.upstream_endpoint_stats:
-                for one in locality.upstream_endpoint_stats:
-                    at = one.address.socket_address
-                    if (name := backends.get((at.address, at.port_value))) is not None:
-                        found[name] = _merge(found.get(name), _counts(one), 1.0)
+                for stats_entry in locality.upstream_endpoint_stats:
+                    socket_address = stats_entry.address.socket_address
+                    if (
+                        name := backends.get((socket_address.address, socket_address.port_value))
+                    ) is not None:
+                        reports[name] = _merge(reports.get(name), _counts(stats_entry), 1.0)
                 continue
             zone = locality.locality.zone
-            for (where, backend), part in weights().items():
-                if where == zone:
-                    found[backend] = _merge(found.get(backend), _counts(locality), part)
-    return LoadReport(found, span, dropped)
+            for (zone_name, backend), share in weights().items():
+                if zone_name == zone:
+                    reports[backend] = _merge(reports.get(backend), _counts(locality), share)
+    return LoadReport(reports, span_s, dropped)
 
 
 def _counts(stats: Any) -> tuple[int, int, int, int]:
@@ -170,6 +177,6 @@
     )
 
 
-def _merge(old: Report | None, counts: tuple[int, int, int, int], part: float) -> Report:
-    more = (n if part == 1.0 else round(n * part) for n in counts)
-    return Report(*(before + n for before, n in zip(old or Report(), more, strict=True)))
+def _merge(old: Report | None, counts: tuple[int, int, int, int], share: float) -> Report:
+    increments = (n if share == 1.0 else round(n * share) for n in counts)
+    return Report(*(count + n for count, n in zip(old or Report(), increments, strict=True)))
--- a/firvane/proxy/control/types.py
+++ b/firvane/proxy/control/types.py
@@ -1,7 +1,7 @@
 """The types of the control service. Times are in seconds, rates in requests a second.
 
-A *receiver* is another proxy, or a client without one, that gets its endpoints by xDS. A *group* is the
-receivers of one zone, which get the same resources.
+A *receiver* is another proxy, or a client without a proxy, that gets its endpoints by xDS. A *group* consists
+of the receivers of one zone, which get the same resources.
 """
 
 from __future__ import annotations
@@ -18,12 +18,13 @@
 
 
 class ResourceType(Enum):
-    """The xDS resource types, by what follows `type.googleapis.com/envoy.config.` in their URL.
+    """The xDS resource types; the values are type URLs without `type.googleapis.com/envoy.config.`.
 
-    They are in the order in which a change is sent (make before break): references come after their targets.
+    The members are in the order in which a change is sent (make before break): a resource type comes after
+    the types that it refers to.
     """
 
-    __hash__ = object.__hash__  # by identity: the hash of enums is slow Python code, and used in every step
+    __hash__ = object.__hash__  # by identity: the hash of `Enum` is slow Python code
 
     CLUSTER = "cluster.v3.Cluster"
     ENDPOINTS = "endpoint.v3.ClusterLoadAssignment"
@@ -60,7 +61,7 @@
     zone: int
     power: float  # relative throughput
     capacity: float  # concurrent attempts of all receivers together
-    budget_rps: float | None = None  # most requests a second of all receivers together; None: no limit
+    budget_rps: float | None = None  # maximum requests a second of all receivers together; None: no limit
     warming_up: bool = False  # slow start
     ejected: bool = False  # outlier: gets no requests now
 
@@ -83,16 +84,16 @@
 
 
 class Assignment(NamedTuple):
-    """Where a group's requests go; `dropped` of 10,000 are dropped by the receivers."""
+    """The distribution of a group's requests; the receivers drop `dropped` of 10,000 requests."""
 
     localities: tuple[Locality, ...] = ()
     dropped: int = 0
 
     def backends(self) -> set[str]:
-        """The names of the backends that get requests."""
+        """Return the names of the backends that get requests."""
         return {
-            place.backend for locality in self.localities for place in locality.endpoints
-            if place.health is Health.HEALTHY
+            endpoint.backend for locality in self.localities for endpoint in locality.endpoints
+            if endpoint.health is Health.HEALTHY
         }  # fmt: skip
 
 
@@ -108,19 +109,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All resources of one group, at one time."""
+    """All resources of one group at one time."""
 
     resources: Mapping[ResourceType, Mapping[str, Resource]]
     versions: Mapping[ResourceType, str]  # digests of all resources of a type
-    number: int = 0  # version of the server list that it is made from
-    urgent: int = 0  # grows with each snapshot that removes a backend
-    causes: tuple[str, ...] = field(default=(), compare=False)  # of the difference to the previous one
+    list_version: int = 0  # of the server list from which it was computed
+    urgent: int = 0  # increases with each snapshot that removes a backend
+    causes: tuple[str, ...] = field(default=(), compare=False)  # of the changes since the previous snapshot
 
 
 class Report(NamedTuple):
-    """One receiver's counts at one backend since its last report."""
+    """One receiver's request counts at one backend since its last report."""
 
     served: int = 0
     failed: int = 0
     issued: int = 0
-    out: int = 0  # requests in progress
+    in_progress: int = 0
--- a/tests/proxy/control/helpers.py
+++ b/tests/proxy/control/helpers.py
@@ -1,4 +1,4 @@
-"""States made by hand, and a receiver at the end of a stream without a socket between them."""
+"""Builders of backends and snapshots, and a receiver connected to its stream without a socket."""
 
 from __future__ import annotations
 
@@ -11,87 +11,98 @@
 from firvane.proxy.control.route_settings import Route
 from firvane.proxy.control.stream import Response, Stream
 from firvane.proxy.control.types import BackendEstimate, Resource, ResourceType, Snapshot
-from firvane.proxy.control.weights import divide
+from firvane.proxy.control.weights import compute_assignments
 from firvane.simulation.runner.receiver import Receiver
 
 ZONES = ("a", "b")
 
 
-def box(number: int, **more: Any) -> BackendEstimate:
-    given = {"zone": number % 2, "power": 4.0, "capacity": 4.0, **more}
-    return BackendEstimate(f"b{number}", ("127.0.0.1", 9000 + number), **given)
+def make_backend(number: int, **overrides: Any) -> BackendEstimate:
+    fields = {"zone": number % 2, "power": 4.0, "capacity": 4.0, **overrides}
+    return BackendEstimate(f"b{number}", ("127.0.0.1", 9000 + number), **fields)
 
 
-def state(
-    clusters: dict[str, Sequence[BackendEstimate]], number: int = 1, urgent: int = 0, way: str = ""
+def make_snapshot(
+    clusters: dict[str, Sequence[BackendEstimate]],
+    list_version: int = 1,
+    urgent: int = 0,
+    route_name: str = "",
 ) -> Snapshot:
-    """One cluster for each name, with routes and a listener of that name; or routes `way` to the first."""
-    made: dict[ResourceType, list[Resource]] = {kind: [] for kind in ResourceType}
-    endpoints = resource_codec.Endpoints(ZONES)
-    for name, boxes in clusters.items():
-        made[ResourceType.CLUSTER].append(resource_codec.cluster(name, True, 64, 0.25))
-        made[ResourceType.ENDPOINTS].append(endpoints.make(name, divide(boxes, {0: 10.0})[0]))
+    """Build a snapshot with a cluster, routes and a listener for each name.
+
+    With `route_name` there is one route configuration of that name, to the first cluster.
+    """
+    by_type: dict[ResourceType, list[Resource]] = {kind: [] for kind in ResourceType}
+    endpoints = resource_codec.EndpointsEncoder(ZONES)
+    for name, cluster_backends in clusters.items():
+        by_type[ResourceType.CLUSTER].append(resource_codec.cluster(name, True, 64, 0.25))
+        by_type[ResourceType.ENDPOINTS].append(
+            endpoints.encode(name, compute_assignments(cluster_backends, {0: 10.0})[0])
+        )
         routes = [Route("read", 2.0, 2, True)]
-        if not way or not made[ResourceType.ROUTES]:
-            made[ResourceType.ROUTES].append(
-                resource_codec.route_configuration(way or name, name, routes, True)
+        if not route_name or not by_type[ResourceType.ROUTES]:
+            by_type[ResourceType.ROUTES].append(
+                resource_codec.route_configuration(route_name or name, name, routes, True)
             )
-        made[ResourceType.LISTENER].append(resource_codec.listener(name, name))
-    found = resource_codec.by_kind(made)
+        by_type[ResourceType.LISTENER].append(resource_codec.listener(name, name))
+    resources = resource_codec.index_by_type(by_type)
     return Snapshot(
-        found, {kind: resource_codec.set_version(found[kind]) for kind in ResourceType}, number, urgent
+        resources,
+        {kind: resource_codec.collection_version(resources[kind]) for kind in ResourceType},
+        list_version,
+        urgent,
     )
 
 
 class Pair:
-    """A receiver and its stream; bytes go between them when told to."""
+    """A receiver and its stream; messages are delivered step by step, as the test calls the methods."""
 
     def __init__(self, receiver: Receiver) -> None:
         self.receiver, self.writer = receiver, stream_codec.Writer("test")
         self.stream = Stream(receiver.delta)
-        self.on_way: list[bytes] = []  # to the receiver
-        self.said: list[Response] = []
+        self.in_transit: list[bytes] = []  # to the receiver
+        self.responses: list[Response] = []
 
     def reconnect(self) -> None:
         self.receiver.connect()
-        self.stream, self.on_way = Stream(self.receiver.delta), []
+        self.stream, self.in_transit = Stream(self.receiver.delta), []
 
-    def up(self) -> None:
-        """What the receiver has written arrives."""
+    def deliver_requests(self) -> None:
+        """Deliver the receiver's pending requests to the stream."""
         form: Any = discovery_pb2.DeltaDiscoveryRequest
         if not self.receiver.delta:
             form = discovery_pb2.DiscoveryRequest
         for data in self.receiver.requests():
             stream_codec.apply_request(self.stream, form.FromString(data))
 
-    def push(self, now: Snapshot) -> bool:
-        """One answer, if one is due."""
-        push = self.stream.next_response(now)
-        if push is not None:
-            self.said.append(push)
-            self.on_way.append(self.writer.write(push, self.stream.delta))
-        return push is not None
-
-    def down(self) -> bool:
-        """The next answer arrives, if there is one."""
-        if self.on_way:
-            self.receiver.hear(self.on_way.pop(0))
+    def send_response(self, snapshot: Snapshot) -> bool:
+        """Encode the next response and put it in transit; returns whether one was due."""
+        response = self.stream.next_response(snapshot)
+        if response is not None:
+            self.responses.append(response)
+            self.in_transit.append(self.writer.write(response, self.stream.delta))
+        return response is not None
+
+    def deliver_response(self) -> bool:
+        """Deliver the next response in transit; returns whether there was one."""
+        if self.in_transit:
+            self.receiver.hear(self.in_transit.pop(0))
             return True
         return False
 
-    def settle(self, now: Snapshot) -> int:
-        """Until nothing moves; the number of answers that took."""
-        before = len(self.said)
+    def settle(self, snapshot: Snapshot) -> int:
+        """Exchange messages until no more are due; returns the number of responses."""
+        before = len(self.responses)
         for _ in range(200):
-            self.up()
-            if not (self.push(now) or self.down()):
-                return len(self.said) - before
-        raise AssertionError("it never comes to rest")
-
-    def boxes(self, cluster: str) -> set[int]:
-        """The numbers of the boxes that the receiver may send to."""
-        table = self.receiver.table(cluster)
-        return {port - 9000 for _, port in table.all()} if table else set()
+            self.deliver_requests()
+            if not (self.send_response(snapshot) or self.deliver_response()):
+                return len(self.responses) - before
+        raise AssertionError("requests and responses do not end after 200 steps")
+
+    def backends(self, cluster: str) -> set[int]:
+        """Return the numbers of the backends that the receiver may use."""
+        routing_table = self.receiver.table(cluster)
+        return {port - 9000 for _, port in routing_table.all()} if routing_table else set()
 
 
 def receiver(delta: bool = False, proxy: bool = True, **more: Any) -> Receiver:
--- a/tests/proxy/control/live.py
+++ b/tests/proxy/control/live.py
@@ -1,4 +1,4 @@
-"""A control service on loopback with discovery that is told what to say, for tests on real sockets."""
+"""A control service on loopback with a scripted discovery service, for tests on real sockets."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 from firvane.simulation.runner.receiver_link import Link
 from tests.proxy.net.helpers import HANG
 
-PATIENCE = HANG  # s: only a failure waits for it
+TIMEOUT_S = HANG  # only a failing test waits this long
 
 
 class Discovery:
-    """Writes the list, and each change of it, to whoever watches."""
+    """A discovery service that sends the server list and each change of it to all watchers."""
 
     def __init__(self) -> None:
         self.index = 0
-        self.boxes: dict[str, dict[str, Any]] = {}
+        self.backends: dict[str, dict[str, Any]] = {}
         self.writers: list[asyncio.StreamWriter] = []
         self.server: asyncio.Server | None = None
 
@@ -40,53 +40,53 @@
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self.writers.append(writer)
         if self.index:
-            self._write(writer, list(self.boxes.values()), True)
-        # A service that ends takes its watch along; uvloop raises where a closed one is written to.
+            self._write(writer, list(self.backends.values()), True)
+        # A stopped service closes its watch; uvloop raises if a closed connection is written to.
         with contextlib.suppress(OSError):
             await reader.read()
         if writer in self.writers:
             self.writers.remove(writer)
         writer.close()
 
-    def _write(self, writer: asyncio.StreamWriter, endpoints: list[dict[str, Any]], whole: bool) -> None:
-        if writer.is_closing():  # its end is known to the transport a turn before it is read here
+    def _write(self, writer: asyncio.StreamWriter, endpoints: list[dict[str, Any]], complete: bool) -> None:
+        if writer.is_closing():  # the transport notices the close one loop iteration before `read` returns
             return
-        line = json.dumps({"index": self.index, "snapshot": whole, "endpoints": endpoints}) + "\n"
+        line = json.dumps({"index": self.index, "snapshot": complete, "endpoints": endpoints}) + "\n"
         writer.write(f"{len(line):x}\r\n{line}\r\n".encode())
 
-    def tell(self, **boxes: Any) -> None:
-        """Changes by name: a port (it is up there), `draining`, or `removed`."""
+    def update(self, **backends: Any) -> None:
+        """Send changes by backend name: a port (the backend is up), `draining`, or `removed`."""
         self.index += 1
         changed = []
-        for name, what in boxes.items():
-            entry = self.boxes.get(name, {})
-            if isinstance(what, str):
-                entry = {**entry, "status": what}
+        for name, change in backends.items():
+            entry = self.backends.get(name, {})
+            if isinstance(change, str):
+                entry = {**entry, "status": change}
             else:
                 entry = {
-                    "name": name, "address": f"127.0.0.1:{what}", "zone": "a", "type": "m", "group": 0,
+                    "name": name, "address": f"127.0.0.1:{change}", "zone": "a", "type": "m", "group": 0,
                     "status": "up", "weight": 1.0, "since_ms": 0,
                 }  # fmt: skip
             changed.append(entry)
-            self.boxes[name] = entry
-            if what == "removed":
-                del self.boxes[name]
+            self.backends[name] = entry
+            if change == "removed":
+                del self.backends[name]
         for writer in self.writers:
             self._write(writer, changed, False)
 
-    def weigh(self, name: str, weight: float) -> None:
-        self.boxes[name]["weight"] = weight
-        self.tell(**{name: self.boxes[name]["status"]})
+    def set_weight(self, name: str, weight: float) -> None:
+        self.backends[name]["weight"] = weight
+        self.update(**{name: self.backends[name]["status"]})
 
-    def whole(self, *names: str) -> None:
-        """The whole list, with nothing in it but these."""
+    def send_complete_list(self, *names: str) -> None:
+        """Send a complete list with only these backends."""
         self.index += 1
-        self.boxes = {name: self.boxes[name] for name in names}
+        self.backends = {name: self.backends[name] for name in names}
         for writer in self.writers:
-            self._write(writer, list(self.boxes.values()), True)
+            self._write(writer, list(self.backends.values()), True)
 
-    def cut(self) -> None:
-        """It is away: watches end, nobody can come."""
+    def close(self) -> None:
+        """Close all watches and refuse connections."""
         assert self.server
         self.server.close()
         for writer in self.writers:
@@ -104,10 +104,10 @@
 }
 
 
-def made(discovery: str, lines: list[str], **more: Any) -> Control:
-    """A service that is not started yet; its log goes into `lines`."""
-    raw = {**FILE, "target_group": {"discovery": discovery}, **more}
-    raw["control"] = {**FILE["control"], **more.get("control", {})}
+def make_service(discovery: str, lines: list[str], **overrides: Any) -> Control:
+    """Create a service without starting it; its log lines are appended to `lines`."""
+    raw = {**FILE, "target_group": {"discovery": discovery}, **overrides}
+    raw["control"] = {**FILE["control"], **overrides.get("control", {})}
     file = validation.build(msgspec.to_builtins(raw), File, "test.toml", CHECKS)
     assert file.control
     log = logs.make("info", "logfmt", lines.append)
@@ -115,7 +115,7 @@
 
 
 class Stage:
-    """Discovery, services and receivers that are closed together."""
+    """A discovery service, control services and receivers that are closed together."""
 
     def __init__(self) -> None:
         self.discovery = Discovery()
@@ -123,31 +123,33 @@
         self.at = ""
         self.services: list[Control] = []
         self.links: list[Link] = []
-        self._moved = asyncio.Event()
+        self._received = asyncio.Event()
 
-    async def service(self, **more: Any) -> Control:
-        service = made(self.at, self.lines, **more)
+    async def service(self, **overrides: Any) -> Control:
+        service = make_service(self.at, self.lines, **overrides)
         await service.start()
         self.services.append(service)
         return service
 
-    def receiver(self, *services: Control, loads: bool = False, credentials: Any = None, **more: Any) -> Link:
-        given = {"name": f"r{len(self.links)}", "zone": "a", **more}
-        addresses = [f"127.0.0.1:{one.port}" for one in services or self.services]
+    def receiver(
+        self, *services: Control, loads: bool = False, credentials: Any = None, **overrides: Any
+    ) -> Link:
+        fields = {"name": f"r{len(self.links)}", "zone": "a", **overrides}
+        addresses = [f"127.0.0.1:{service.port}" for service in services or self.services]
         options = (("grpc.ssl_target_name_override", "control"),) if credentials else ()
-        link = Link(Receiver(**given), addresses, lambda _: self._moved.set(), credentials, options)
+        link = Link(Receiver(**fields), addresses, lambda _: self._received.set(), credentials, options)
         link.start("web" if loads else "")
         self.links.append(link)
         return link
 
-    async def until(self, what: Callable[[], object]) -> None:
-        """Wait for it: looked at after each answer, and now and then."""
-        async with asyncio.timeout(PATIENCE):
-            while not what():
-                self._moved.clear()
+    async def until(self, condition: Callable[[], object]) -> None:
+        """Wait until the condition holds; it is checked after each response and every 20 ms."""
+        async with asyncio.timeout(TIMEOUT_S):
+            while not condition():
+                self._received.clear()
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(0.02):
-                        await self._moved.wait()
+                        await self._received.wait()
 
     def logged(self, event: str) -> list[str]:
         return [line for line in self.lines if f"event={event} " in line]
@@ -169,4 +171,4 @@
             await link.stop()
         for service in here.services:
             await service.stop()
-        here.discovery.cut()
+        here.discovery.close()
--- a/tests/proxy/control/test_grpc_client.py
+++ b/tests/proxy/control/test_grpc_client.py
@@ -1,4 +1,4 @@
-"""A client that nobody here wrote: gRPC's own resolver of `xds:///`, told where to send by the service."""
+"""A third-party client: the `xds:///` resolver of gRPC, with endpoints from the control service."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 import grpc
 
-from tests.proxy.control.live import PATIENCE, Stage, stage
+from tests.proxy.control.live import TIMEOUT_S, Stage, stage
 from tests.proxy.net.helpers import run
 
 CLIENT = """
@@ -20,7 +20,7 @@
 import grpc
 channel = grpc.insecure_channel("xds:///web")
 call = channel.unary_unary("/read/Get")
-for line in sys.stdin:  # how many calls, each with a key of its own
+for line in sys.stdin:  # number of calls and the first key; each call has its own key
     found, first = Counter(), int(line.split()[1])
     for n in range(first, first + int(line.split()[0])):
         try:
@@ -32,7 +32,7 @@
 
 
 class Backend(grpc.GenericRpcHandler):  # type: ignore[misc]
-    """Says its name."""
+    """A backend that answers with its name."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -56,7 +56,7 @@
 
 
 class Client:
-    """The process that calls."""
+    """The client process."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process, self.first = process, 0
@@ -65,14 +65,14 @@
         assert self.process.stdin and self.process.stdout
         self.process.stdin.write(f"{count} {self.first}\n".encode())
         self.first += count
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             return Counter(json.loads(await self.process.stdout.readline()))
 
-    async def until(self, names: str) -> None:
-        """Until calls go to just these; none may fail meanwhile."""
-        async with asyncio.timeout(PATIENCE):
+    async def wait_for_backends(self, names: str) -> None:
+        """Call until exactly these backends answer; no call may fail meanwhile."""
+        async with asyncio.timeout(TIMEOUT_S):
             while set(found := await self.calls(60)) != set(names):
-                assert not [what for what in found if len(what) > 1], found
+                assert not [outcome for outcome in found if len(outcome) > 1], found
 
 
 async def client(port: int) -> Client:
@@ -92,44 +92,44 @@
     )
 
 
-async def scene(here: Stage) -> None:
+async def scenario(here: Stage) -> None:
     service = await here.service()
     servers, ports = await backends("abc")
-    here.discovery.tell(**ports)
-    made = await client(service.port)
+    here.discovery.update(**ports)
+    caller = await client(service.port)
     try:
-        await made.until("abc")
-        even = await made.calls(600)
-        assert min(even.values()) > 100 and sum(even.values()) == 600
-        made.first -= 600
-        assert await made.calls(600) == even  # a key leads to the same box
-
-        here.discovery.tell(b="draining")
-        await made.until("ac")
-        here.discovery.weigh("c", 4.0)
-        async with asyncio.timeout(PATIENCE):
-            while (found := await made.calls(200))["c"] < 2 * found["a"]:
+        await caller.wait_for_backends("abc")
+        by_backend = await caller.calls(600)
+        assert min(by_backend.values()) > 100 and sum(by_backend.values()) == 600
+        caller.first -= 600
+        assert await caller.calls(600) == by_backend  # the same key is sent to the same backend
+
+        here.discovery.update(b="draining")
+        await caller.wait_for_backends("ac")
+        here.discovery.set_weight("c", 4.0)
+        async with asyncio.timeout(TIMEOUT_S):
+            while (found := await caller.calls(200))["c"] < 2 * found["a"]:
                 assert set(found) == {"a", "c"}
 
-        # The service goes and another takes its place at the same address: calls go on by what is known.
+        # The service is replaced at the same address; meanwhile the client uses its last endpoints.
         port = service.port
         here.services.remove(service)
         await service.stop()
-        assert set(await made.calls(100)) == {"a", "c"}
+        assert set(await caller.calls(100)) == {"a", "c"}
         await here.service(listen=f"127.0.0.1:{port}")
-        here.discovery.tell(a="draining")
-        await made.until("c")
+        here.discovery.update(a="draining")
+        await caller.wait_for_backends("c")
     finally:
-        assert made.process.stdin
-        made.process.stdin.close()
-        await made.process.wait()
+        assert caller.process.stdin
+        caller.process.stdin.close()
+        await caller.process.wait()
         for server in servers:
             await server.stop(None)
 
 
 def test_a_grpc_client_follows_drains_weights_and_a_restart_and_loses_no_call() -> None:
-    async def work() -> None:
+    async def run_scenario() -> None:
         async with stage() as here:
-            await scene(here)
+            await scenario(here)
 
-    run(work())
+    run(run_scenario())
--- a/tests/proxy/control/test_service.py
+++ b/tests/proxy/control/test_service.py
@@ -1,4 +1,4 @@
-"""The service on real sockets: discovery's word to receivers, over whatever goes wrong between them."""
+"""The control service on real sockets: list changes, lost streams, NACKs, restarts, TLS and limits."""
 
 from __future__ import annotations
 
@@ -30,12 +30,14 @@
 from tests.proxy.net.helpers import run
 
 
-def at_rest(service: Control) -> bool:
-    state = service.snapshot(0)
-    return state is not None and all(one.stream.converged(state) for one in service.ads.sessions)
+def is_converged(service: Control) -> bool:
+    snapshot = service.snapshot(0)
+    return snapshot is not None and all(
+        session.stream.is_converged(snapshot) for session in service.ads.sessions
+    )
 
 
-def other_key(folder: Path) -> None:
+def replace_key(folder: Path) -> None:
     make_certificate(folder, "x")
     os.replace(folder / "x.key", folder / "control.key")
 
@@ -44,111 +46,115 @@
 
 
 @pytest.mark.parametrize("delta", [False, True])
-def test_receivers_hear_of_drains_returns_and_lost_streams(delta: bool) -> None:
-    async def work() -> None:
+def test_receivers_follow_list_changes_and_reconnect(delta: bool) -> None:
+    async def scenario() -> None:
         async with stage() as here:
             service = await here.service()
             link = here.receiver(delta=delta)
             client = here.receiver(delta=delta, target="web")
             assert await link.call_is_up()
-            assert not link.receiver.heard  # there is no list: nothing is told
-            here.discovery.tell(**UP)
+            assert not link.receiver.heard  # no response before the first server list
+            here.discovery.update(**UP)
             await here.until(lambda: ports(link) == ports(client) == {9001, 9002, 9003})
             assert isinstance(client.receiver.way("/read/x", "k"), Way)
-            here.discovery.tell(b2="draining")
+            here.discovery.update(b2="draining")
             await here.until(lambda: ports(link) == ports(client) == {9001, 9003})
             assert here.logged("assignments_published")[-1].count("b2 gone or draining")
             before = link.streams
             link.hang_up()
-            here.discovery.tell(b1="removed", b4=9004)
+            here.discovery.update(b1="removed", b4=9004)
             await here.until(lambda: link.streams > before and ports(link) == {9003, 9004})
-            here.discovery.cut()  # the last good state is served on
+            here.discovery.close()  # the last snapshot is still served
             link.hang_up()
             late = here.receiver(delta=delta)
             await here.until(lambda: ports(late) == ports(link) == {9003, 9004})
-            await here.until(lambda: at_rest(service))
+            await here.until(lambda: is_converged(service))
             assert service.ads.nacks == 0
 
-    run(work())
+    run(scenario())
 
 
-def test_a_whole_list_that_leaves_nothing_is_held_back_until_it_stands() -> None:
-    async def work() -> None:
+def test_a_complete_list_that_omits_all_backends_is_held_back_until_confirmed() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             service = await here.service(control={"confirm_s": 600.0})
             link = here.receiver()
-            here.discovery.tell(**UP)
+            here.discovery.update(**UP)
             await here.until(lambda: len(ports(link)) == 3)
-            here.discovery.whole()
+            here.discovery.send_complete_list()
             await here.until(lambda: here.logged("list_held_back"))
             assert len(ports(link)) == 3
-            here.discovery.tell(b9=9009)
+            here.discovery.update(b9=9009)
             await here.until(lambda: 9009 in ports(link))
-            assert len(ports(link)) == 4  # kept beside what is new, until the list has stood
-            service.core.panic.until = 0.0  # which it has now
+            assert len(ports(link)) == 4  # the omitted backends are retained until the list is confirmed
+            service.core.panic.retained_until = 0.0  # confirmed now
             await here.until(lambda: ports(link) == {9009})
 
-    run(work())
+    run(scenario())
 
 
-def test_a_refusal_is_told_to_operators_and_leaves_the_others_alone() -> None:
-    async def work() -> None:
+def test_a_nack_is_logged_and_does_not_affect_other_receivers() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             service = await here.service()
             link = here.receiver()
-            picky = here.receiver(taste=lambda url, message: "never" if url == ENDPOINTS else "")
-            here.discovery.tell(**UP)
+            rejecting = here.receiver(taste=lambda url, message: "never" if url == ENDPOINTS else "")
+            here.discovery.update(**UP)
             await here.until(lambda: len(ports(link)) == 3 and here.logged("response_rejected"))
             assert (
                 "why=never" in here.logged("response_rejected")[0]
                 and "receiver=r1" in here.logged("response_rejected")[0]
             )
-            here.discovery.tell(b1="draining")
+            here.discovery.update(b1="draining")
             await here.until(lambda: len(ports(link)) == 2 and service.ads.nacks == 2)
-            assert len(picky.receiver.refused) == 2 and not ports(picky)  # once for each state: no loop
+            # Once for each snapshot: no endless resending.
+            assert len(rejecting.receiver.refused) == 2 and not ports(rejecting)
 
-    run(work())
+    run(scenario())
 
 
-def test_two_services_hand_out_the_same_and_neither_an_older_state() -> None:
-    async def work() -> None:
+def test_two_services_send_the_same_versions_and_neither_an_older_snapshot() -> None:
+    async def scenario() -> None:
         async with stage() as here:
-            one, other = await here.service(), await here.service()
-            link = here.receiver(one, other)
-            here.discovery.tell(**UP)
+            first, second = await here.service(), await here.service()
+            link = here.receiver(first, second)
+            here.discovery.update(**UP)
             await here.until(lambda: len(ports(link)) == 3)
-            await here.until(lambda: other.snapshot(0) is not None)
-            assert one.snapshot(0).versions == other.snapshot(0).versions  # by content
-            # The other is cut off from discovery, and the receiver has heard of a newer list.
-            other.group.stop()
-            await here.until(lambda: other.group.task and other.group.task.done())
-            here.discovery.tell(b3="draining")
+            await here.until(lambda: second.snapshot(0) is not None)
+            # Versions are digests of the content.
+            assert first.snapshot(0).versions == second.snapshot(0).versions
+            # The second service has lost discovery, and the receiver has resources of a newer list.
+            second.group.stop()
+            await here.until(lambda: second.group.task and second.group.task.done())
+            here.discovery.update(b3="draining")
             await here.until(lambda: len(ports(link)) == 2)
             streams = link.streams
             link.hang_up()
-            await here.until(lambda: link.streams > streams and other.ads.sessions)
-            session = next(iter(other.ads.sessions))
+            await here.until(lambda: link.streams > streams and second.ads.sessions)
+            session = next(iter(second.ads.sessions))
             await here.until(lambda: session.stream.known_list_version == 2)
             assert len(ports(link)) == 2 and not session.stream.subscriptions[ResourceType.ENDPOINTS].sent
-            other.group.start()
+            second.group.start()
             await here.until(
-                lambda: other.snapshot(0).number == 2 and session.stream.converged(other.snapshot(0))
+                lambda: (
+                    second.snapshot(0).list_version == 2 and session.stream.is_converged(second.snapshot(0))
+                )
             )
             assert len(ports(link)) == 2
 
-    run(work())
+    run(scenario())
 
 
-def test_what_receivers_report_counts_in_the_module_and_silent_ones_keep_their_part() -> None:
-    async def work() -> None:
+def test_load_reports_eject_backends_and_demand_is_reserved_until_expiry() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             service = await here.service(control={"assumed_rps": 3.0, "keep_s": 3600.0})
             link = here.receiver(loads=True)
-            here.discovery.tell(**UP)
+            here.discovery.update(**UP)
             await here.until(lambda: isinstance(link.receiver.way("/read/x"), Way))
             assert service.core.registry.demand() == {0: 3.0}
 
-            def ask() -> bool:
+            def send_requests() -> bool:
                 for n in range(20):
                     way = link.receiver.way("/read/x", str(n))
                     assert isinstance(way, Way)
@@ -160,25 +166,25 @@
                     and balancer.estimates.served_counts.get(0, 0) > 20
                 )
 
-            await here.until(ask)
-            await here.until(lambda: (ask(), ports(link) == {9001, 9002})[1])  # doubted, by the module
+            await here.until(send_requests)
+            # The decision module ejects the third backend.
+            await here.until(lambda: (send_requests(), ports(link) == {9001, 9002})[1])
             assert any("b3 doubted" in line for line in here.logged("assignments_published"))
             rate = service.core.registry.demand()[0]
             assert rate > 10.0
             await link.stop()
             await here.until(lambda: not service.ads.sessions)
-            assert (
-                service.core.registry.demand()[0] > 0.0
-            )  # it may come back, and goes on by what it was told
-            service.core.registry.retention_s = 0.0  # no longer
+            # The receiver still uses its last assignment, and may reconnect.
+            assert service.core.registry.demand()[0] > 0.0
+            service.core.registry.retention_s = 0.0  # expires at once
             await here.until(lambda: here.logged("receiver_expired"))
             assert service.core.registry.demand() == {}
 
-    run(work())
+    run(scenario())
 
 
-def test_several_places_in_a_tier_hear_and_are_heard() -> None:
-    async def work() -> None:
+def test_a_service_may_count_as_several_members_of_a_tier() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             sockets = [socket.socket(type=socket.SOCK_DGRAM) for _ in range(3)]
             for one in sockets:
@@ -190,40 +196,40 @@
                 await here.service(peers={"listen": at[0], "addresses": at}, control={"counts_as": 2}),
                 await here.service(peers={"listen": at[2], "addresses": at}),
             ]
-            here.discovery.tell(**UP)
+            here.discovery.update(**UP)
             balancers = [balancer for service in services for balancer in service.core.balancers]
             await here.until(lambda: [set(one.rows) for one in balancers] == [{0, 1, 2}] * 3)
             assert [one.settings.me for one in balancers] == [0, 1, 2]
             await here.until(lambda: {one.owner_count for one in balancers[0].up} == {1})
 
-    run(work())
+    run(scenario())
 
 
-def test_operators_see_who_follows_and_why_states_differ() -> None:
-    async def work() -> None:
+def test_operators_can_list_receivers_and_compare_assignments() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             service = await here.service()
             link = here.receiver()
-            here.discovery.tell(**UP)
+            here.discovery.update(**UP)
             await here.until(lambda: len(ports(link)) == 3)
-            here.discovery.tell(b2="draining")
+            here.discovery.update(b2="draining")
             await here.until(lambda: len(ports(link)) == 2)
-            await here.until(lambda: at_rest(service))
-            at = f"127.0.0.1:{service.port}"
+            await here.until(lambda: is_converged(service))
+            address = f"127.0.0.1:{service.port}"
 
-            def call(*control_settings: str) -> Any:
-                return CliRunner().invoke(command, control_settings, standalone_mode=False)
+            def call(*arguments: str) -> Any:
+                return CliRunner().invoke(command, arguments, standalone_mode=False)
 
-            status = await asyncio.to_thread(call, "status", at)
+            status = await asyncio.to_thread(call, "status", address)
             assert "r0 (stand-in, zone a, state of the world): current" in status.output
             assert "b2 gone or draining" in status.output
             serials = [str(entry.serial) for entry in service.core.catalog.history[0]]
-            diff = await asyncio.to_thread(call, "diff", at, serials[0], serials[-1], "--node", "r0")
+            diff = await asyncio.to_thread(call, "diff", address, serials[0], serials[-1], "--node", "r0")
             assert "b2: taken away" in diff.output and "b2 gone or draining" in diff.output
-            nobody = await asyncio.to_thread(call, "diff", at, "1", "2", "--node", "nobody")
-            assert "no receiver 'nobody'" in str(nobody.exception)
+            unknown = await asyncio.to_thread(call, "diff", address, "1", "2", "--node", "nobody")
+            assert "no receiver 'nobody'" in str(unknown.exception)
 
-    run(work())
+    run(scenario())
 
 
 def credentials(folder: Path, name: str) -> Any:
@@ -231,7 +237,7 @@
     return grpc.ssl_channel_credentials(*files)
 
 
-def test_only_allowed_certificates_see_it_and_keys_change_under_streams(tmp_path: Path) -> None:
+def test_only_allowed_certificates_are_accepted_and_keys_are_reloaded(tmp_path: Path) -> None:
     make_authority(tmp_path)
     for name in ("control", "r-good", "r-other"):
         make_certificate(tmp_path, name, ["127.0.0.1"])
@@ -247,19 +253,19 @@
         "allow": ["r-good"],
     }
 
-    async def work(here: Stage) -> None:
+    async def scenario(here: Stage) -> None:
         service = await here.service(control={"tls": tls})
         good = here.receiver(credentials=credentials(tmp_path, "r-good"))
         other = here.receiver(credentials=credentials(tmp_path, "r-other"))
         forged = here.receiver(credentials=credentials(foreign, "r-good"))
-        here.discovery.tell(**UP)
+        here.discovery.update(**UP)
         await here.until(lambda: len(ports(good)) == 3)
         await here.until(lambda: other.errors and forged.errors)
         assert (
             "PERMISSION_DENIED" in other.errors[0] and "r-other" in here.logged("certificate_not_allowed")[0]
         )
         assert not ports(other) and not ports(forged)
-        # A new certificate under the stream that stands: the next connection is served by it.
+        # A new certificate is used for the next connection; the existing stream stays open.
         make_certificate(tmp_path, "control-2", ["127.0.0.1", "control"])
         for end in ("pem", "key"):
             os.replace(tmp_path / f"control-2.{end}", tmp_path / f"control.{end}")
@@ -269,27 +275,27 @@
         assert here.logged("tls_files_reloaded") and good.streams == streams
         (tmp_path / "control.key").write_text("half a key")
         last = here.receiver(credentials=credentials(tmp_path, "r-good"))
-        await here.until(lambda: len(ports(last)) == 3)  # by the last keys that were of use
+        await here.until(lambda: len(ports(last)) == 3)  # the last valid files stay in use
         assert "control.tls.key" in here.logged("tls_files_invalid")[0]
         assert len(service.ads.sessions) == 3
 
-    async def staged() -> None:
+    async def run_scenario() -> None:
         async with stage() as here:
-            await work(here)
+            await scenario(here)
 
-    run(staged())
+    run(run_scenario())
 
 
 @pytest.mark.parametrize(
-    ("spoil", "says"),
+    ("damage", "message"),
     [
         (lambda at: (at / "control.key").unlink(), "control.tls.key"),
         (lambda at: (at / "control.pem").write_text("no"), "no certificate in PEM"),
         (lambda at: make_certificate(at, "control", days=-0.5), "ended"),
-        (lambda at: other_key(at), "is not the key"),
+        (lambda at: replace_key(at), "is not the key"),
     ],
 )
-def test_keys_of_no_use_are_named_in_one_line(spoil: Any, says: str, tmp_path: Path) -> None:
+def test_invalid_tls_files_are_reported_in_one_line(damage: Any, message: str, tmp_path: Path) -> None:
     make_authority(tmp_path)
     make_certificate(tmp_path, "control")
     tls = Tls(
@@ -298,31 +304,32 @@
         authority=str(tmp_path / "authority.pem"),
     )
     assert load(tls, datetime.now(UTC)) and TlsCredentials(tls)
-    spoil(tmp_path)
-    with pytest.raises(TlsFileError, match=says):
+    damage(tmp_path)
+    with pytest.raises(TlsFileError, match=message):
         load(tls, datetime.now(UTC))
 
 
-def test_a_receiver_that_says_no_name_or_asks_for_too_much_is_told_why() -> None:
-    async def work() -> None:
+def test_receivers_without_an_id_or_over_a_limit_get_the_reason() -> None:
+    async def scenario() -> None:
         async with stage() as here:
             await here.service()
-            here.discovery.tell(**UP)
-            nameless = here.receiver(name="")
-            await here.until(lambda: nameless.errors)
-            assert "names no node.id" in nameless.errors[0]
-            greedy = here.receiver()
-            greedy.receiver._want(ENDPOINTS, {str(n) for n in range(10_001)})
-            await here.until(lambda: greedy.errors)  # its own words may be of the write that met the end
+            here.discovery.update(**UP)
+            without_id = here.receiver(name="")
+            await here.until(lambda: without_id.errors)
+            assert "names no node.id" in without_id.errors[0]
+            over_limit = here.receiver()
+            over_limit.receiver._want(ENDPOINTS, {str(n) for n in range(10_001)})
+            # The client's error text may be that of a failed write.
+            await here.until(lambda: over_limit.errors)
             channel = grpc.aio.insecure_channel(f"127.0.0.1:{here.services[0].port}")
-            for _ in range(3):  # bytes that are no request end their stream alone
+            for _ in range(3):  # an undecodable request ends only its own stream
                 call = channel.stream_stream(f"{ADS}StreamAggregatedResources")()
                 await call.write(b"\xff\xff\xff")
                 assert await call.code() is not grpc.StatusCode.OK
             await channel.close()
             plain = here.receiver()
             await here.until(lambda: len(ports(plain)) == 3)
-            left = here.logged("receiver_disconnected")
-            assert any("receiver=r1" in line and "10001 names" in line for line in left)
+            disconnections = here.logged("receiver_disconnected")
+            assert any("receiver=r1" in line and "10001 names" in line for line in disconnections)
 
-    run(work())
+    run(scenario())
