--- a/firvane/proxy/control/ads.py
+++ b/firvane/proxy/control/ads.py
@@ -85,7 +85,7 @@
         self.idle = asyncio.Event()  # set while no write is in progress
         self.idle.set()
         self.end_reason = ""
-        self.computed_at: dict[str, float] = {}  # time of the snapshot of a response, by nonce
+        self.snapshot_times: dict[str, float] = {}  # time of the snapshot of a response, by nonce
         self.acked_at = 0.0
         self.ack_delay_s = 0.0  # from the snapshot to the last ACK or NACK of its endpoints
 
@@ -258,7 +258,7 @@
         if response is None:
             return None
         if response.kind is ResourceType.ENDPOINTS:
-            session.computed_at[response.nonce] = self.service.snapshot_computed_at(session.zone)
+            session.snapshot_times[response.nonce] = self.service.snapshot_computed_at(session.zone)
         return self.writer.write(response, session.stream.delta)
 
     async def _stream_full(self, _: Any, context: Any) -> None:
@@ -331,7 +331,7 @@
         stream = session.stream
         nacks = stream.nacks
         kind = stream_codec.apply_request(stream, request)
-        if (computed_at := session.computed_at.pop(request.response_nonce, None)) is not None:
+        if (computed_at := session.snapshot_times.pop(request.response_nonce, None)) is not None:
             session.acked_at = self.loop.time()
             session.ack_delay_s = session.acked_at - computed_at
             self.ack_delays.append(session.ack_delay_s)
@@ -370,11 +370,11 @@
         return self.service.show(request)
 
     def _is_allowed(self, context: Any, peer: str) -> bool:
-        auth_context = context.auth_context()
+        auth_properties = context.auth_context()
         names = frozenset(
             name.decode("utf-8", "replace")
             for key in ("x509_common_name", "x509_subject_alternative_name")
-            for name in auth_context.get(key, ())
+            for name in auth_properties.get(key, ())
         )
         if self.service.is_allowed(names):
             return True
--- a/firvane/proxy/control/catalog.py
+++ b/firvane/proxy/control/catalog.py
@@ -63,7 +63,7 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Apply reloaded settings; all groups get a new snapshot with the next `update`."""
+        """Apply reloaded settings; all groups get a new snapshot with the next `recompute`."""
         self.settings = settings
         name = self.service
         routes = route_settings.routes(settings)
@@ -95,7 +95,7 @@
             self._publish(zone, entry)
         return self.snapshots.get(zone)
 
-    def update(
+    def recompute(
         self,
         backends: Sequence[BackendEstimate],
         demand: Mapping[int, float],
--- a/firvane/proxy/control/core.py
+++ b/firvane/proxy/control/core.py
@@ -207,7 +207,7 @@
         if not backends and self.catalog.has_assignments:
             self.log.error("list_empty", text="no backend is available: receivers keep their last endpoints")
         demand, largest_shares = self.registry.demand(), self.registry.largest_shares()
-        zones = self.catalog.update(backends, demand, largest_shares, self.list_version, self.wall())
+        zones = self.catalog.recompute(backends, demand, largest_shares, self.list_version, self.wall())
         if not zones:
             return
         self.published_at.update(dict.fromkeys(zones, now))
--- a/firvane/proxy/control/load_feedback.py
+++ b/firvane/proxy/control/load_feedback.py
@@ -61,12 +61,12 @@
     def on_reported(self, event: LoadReported, now: float) -> None:
         """Add the sums to the balancer's counts and estimates."""
         balancer = self.balancer
-        latency_target = min(cls.latency_target for cls in balancer.settings.classes)
+        target_s = min(cls.latency_target for cls in balancer.settings.classes)
         for name, counts in event.backends.items():
             balancer.arrivals[-1] += counts.issued
             balancer.served[-1] += counts.served
             if server := balancer.servers.get(name):
-                if response_time := apply_summary(balancer.estimates, server, counts, latency_target, now):
+                if response_time := apply_summary(balancer.estimates, server, counts, target_s, now):
                     smoothed = self.response_times.get(name, response_time)
                     self.response_times[name] = smoothed + LATENCY_SMOOTHING * (response_time - smoothed)
                 balancer.large.mark_changed(server)
--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -172,8 +172,8 @@
         """Remove expired receivers and unlisted backends; returns the names of the receivers."""
         expired = [
             name
-            for name, receiver in self.receivers.items()
-            if not receiver.streams and now > receiver.disconnected_at + self.retention_s
+            for name, candidate in self.receivers.items()
+            if not candidate.streams and now > candidate.disconnected_at + self.retention_s
         ]
         for name in expired:
             del self.receivers[name]
--- a/firvane/proxy/control/resource_codec.py
+++ b/firvane/proxy/control/resource_codec.py
@@ -179,13 +179,13 @@
                 policy = action.hash_policy.add()
                 policy.header.header_name = KEY_HEADER
             if route.retries:
-                retry_policy = action.retry_policy
-                retry_policy.retry_on = RETRY_ON_ANY if route.retry_any else RETRY_ON_UNPROCESSED
-                retry_policy.num_retries.value = route.retries
-                retry_policy.retry_back_off.base_interval.CopyFrom(_seconds(RETRY_BACKOFF_MIN_S))
-                retry_policy.retry_back_off.max_interval.CopyFrom(_seconds(RETRY_BACKOFF_MAX_S))
-                retry_policy.host_selection_retry_max_attempts = HOST_SELECTION_ATTEMPTS
-                retry_policy.retry_host_predicate.add(
+                retry = action.retry_policy
+                retry.retry_on = RETRY_ON_ANY if route.retry_any else RETRY_ON_UNPROCESSED
+                retry.num_retries.value = route.retries
+                retry.retry_back_off.base_interval.CopyFrom(_seconds(RETRY_BACKOFF_MIN_S))
+                retry.retry_back_off.max_interval.CopyFrom(_seconds(RETRY_BACKOFF_MAX_S))
+                retry.host_selection_retry_max_attempts = HOST_SELECTION_ATTEMPTS
+                retry.retry_host_predicate.add(
                     name="envoy.retry_host_predicates.previous_hosts",
                     typed_config=pack(previous_hosts_pb2.PreviousHostsPredicate()),
                 )
--- a/firvane/proxy/control/stream_codec.py
+++ b/firvane/proxy/control/stream_codec.py
@@ -98,7 +98,7 @@
             message = discovery_pb2.DiscoveryResponse(
                 version_info=version,
                 type_url=response.kind.url,
-                resources=[any_pb2.Any.FromString(resource.body) for resource in response.resources],
+                resources=[any_pb2.Any.FromString(item.body) for item in response.resources],
             )
         else:
             message = discovery_pb2.DeltaDiscoveryResponse(
@@ -106,11 +106,11 @@
                 type_url=response.kind.url,
                 resources=[
                     discovery_pb2.Resource(
-                        name=resource.name,
-                        version=write_version(response.list_version, resource.version),
-                        resource=any_pb2.Any.FromString(resource.body),
+                        name=item.name,
+                        version=write_version(response.list_version, item.version),
+                        resource=any_pb2.Any.FromString(item.body),
                     )
-                    for resource in response.resources
+                    for item in response.resources
                 ],
                 removed_resources=response.removed,
             )
@@ -155,9 +155,9 @@
         for locality in stats.upstream_locality_stats:
             if locality.upstream_endpoint_stats:
                 for stats_entry in locality.upstream_endpoint_stats:
-                    socket_address = stats_entry.address.socket_address
+                    endpoint_address = stats_entry.address.socket_address
                     if (
-                        name := backends.get((socket_address.address, socket_address.port_value))
+                        name := backends.get((endpoint_address.address, endpoint_address.port_value))
                     ) is not None:
                         reports[name] = _merge(reports.get(name), _counts(stats_entry), 1.0)
                 continue
--- a/tests/proxy/control/test_decisions.py
+++ b/tests/proxy/control/test_decisions.py
@@ -312,12 +312,12 @@
     catalog = Catalog("web", ["a", "b"], made_settings())
     backends = [make_backend(n) for n in range(4)]
     # No snapshot without a backend.
-    assert catalog.update([], {}, {}, 1, 0.0) == [] and catalog.snapshot(0) is None
-    assert set(catalog.update(backends, {0: 10.0}, {}, 1, 1.0)) == {UNKNOWN_ZONE, 0, 1}
+    assert catalog.recompute([], {}, {}, 1, 0.0) == [] and catalog.snapshot(0) is None
+    assert set(catalog.recompute(backends, {0: 10.0}, {}, 1, 1.0)) == {UNKNOWN_ZONE, 0, 1}
     assert catalog.snapshot(0) is not None and not catalog.history.get(1)  # encoded when first requested
-    assert catalog.update(backends, {0: 10.2}, {}, 1, 2.0) == []
+    assert catalog.recompute(backends, {0: 10.2}, {}, 1, 2.0) == []
     later = [*backends[1:], make_backend(7, budget_rps=1.0, warming_up=True)]
-    assert catalog.update(later, {0: 10.0}, {}, 2, 3.0) and catalog.urgent == 1
+    assert catalog.recompute(later, {0: 10.0}, {}, 2, 3.0) and catalog.urgent == 1
     assert catalog.snapshot(0) is not None
     first, last = catalog.entry(0, "1"), catalog.entry(0, str(catalog.serial))
     assert first and last and last.causes == ("b0 gone or draining", "b7 listed, cold")
@@ -325,7 +325,7 @@
     assert [line[:8] for line in lines if line[:3] in ("b0:", "b7:")] == ["b0: take", "b7: adde"]
     assert catalog.entry(0, "99") is None and catalog.entry(0, first.version) == first
     catalog.apply_settings(made_settings(key_affinity=False))
-    assert catalog.update(later, {0: 10.0}, {}, 2, 4.0) and catalog.urgent == 1
+    assert catalog.recompute(later, {0: 10.0}, {}, 2, 4.0) and catalog.urgent == 1
 
 
 def test_classes_become_routes_and_capacity_a_limit_of_open_requests() -> None:
