--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -158,7 +158,7 @@
 
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
-        given = calls.parse_call(line.encode()).given
+        given = calls.parse_call(line.encode()).arguments
     except calls.InvalidCallError as useless:
         raise Bad(f"policy propose: --voters: {useless}") from None
     if voters is not None and isinstance(given, calls.ProposePolicy):
--- a/firvane/proxy/admin_api/calls.py
+++ b/firvane/proxy/admin_api/calls.py
@@ -96,7 +96,7 @@
 
     call: Call
     words: tuple[str, ...] = ()
-    given: CallArguments | None = None
+    arguments: CallArguments | None = None
 
 
 POLICY_CALLS = frozenset(call for call in Call if call.value.startswith("policy-"))
--- a/firvane/proxy/admin_api/lifecycle.py
+++ b/firvane/proxy/admin_api/lifecycle.py
@@ -34,28 +34,28 @@
     SUCCEEDED = "succeeded"  # shut down, with a successor for the clients
 
 
-class Meaning(NamedTuple):
+class Availability(NamedTuple):
     """What a state means to the outside.
 
     Attributes:
         up: The health check `GET /up` succeeds.
-        takes: Requests are served, as the operators' call `ready` reports.
+        serves_requests: Requests are served, as the operators' call `ready` reports.
     """
 
     up: bool
-    takes: bool
+    serves_requests: bool
 
 
-MEANING = {
-    State.STARTING: Meaning(up=False, takes=False),
-    State.READY: Meaning(up=True, takes=True),
-    State.DRAINING: Meaning(up=False, takes=True),
-    State.HANDING_OVER: Meaning(up=False, takes=True),
-    State.ENDING: Meaning(up=False, takes=True),
-    State.UNSTARTED: Meaning(up=False, takes=False),
+AVAILABILITY = {
+    State.STARTING: Availability(up=False, serves_requests=False),
+    State.READY: Availability(up=True, serves_requests=True),
+    State.DRAINING: Availability(up=False, serves_requests=True),
+    State.HANDING_OVER: Availability(up=False, serves_requests=True),
+    State.ENDING: Availability(up=False, serves_requests=True),
+    State.UNSTARTED: Availability(up=False, serves_requests=False),
 }
 _END = {Event.TERMINATE: State.ENDING, Event.SUCCEEDED: State.HANDING_OVER}
-TABLE: dict[State, dict[Event, State]] = {
+TRANSITIONS: dict[State, dict[Event, State]] = {
     State.STARTING: {
         Event.STARTED: State.READY,
         Event.TERMINATE: State.UNSTARTED,
@@ -75,13 +75,13 @@
     def __init__(self) -> None:
         self.state = State.STARTING
 
-    def meaning(self) -> Meaning:
+    def availability(self) -> Availability:
         """What the current state means."""
-        return MEANING[self.state]
+        return AVAILABILITY[self.state]
 
     def apply(self, event: Event) -> bool:
         """Change the state by an event; return False where the table does not allow it."""
-        next_state = TABLE[self.state].get(event)
+        next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             return False
         self.state = next_state
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -18,7 +18,7 @@
 
 
 @dataclass
-class Figures:
+class ProxyMetrics:
     """The metrics at one moment."""
 
     state: str
@@ -28,7 +28,7 @@
     skipped_backends: int
     loads: ReloadCounts = field(default_factory=ReloadCounts)
 
-    def tries(self) -> int:
+    def upstream_attempts(self) -> int:
         """Attempts that were written to targets."""
         return sum(counts.upstream_tries for counts in self.handled.values())
 
@@ -40,7 +40,7 @@
                 "in_progress": self.in_progress,
                 "known_backends": self.known_backends,
                 "skipped_backends": self.skipped_backends,
-                "upstream_tries": self.tries(),
+                "upstream_tries": self.upstream_attempts(),
                 "loads": self.loads.taken,
                 "load_errors": self.loads.errors,
             },
@@ -54,7 +54,7 @@
         return {
             "state": self.state,
             **totals,
-            "upstream_tries": self.tries(),
+            "upstream_tries": self.upstream_attempts(),
             "in_progress": self.in_progress,
             "known_backends": self.known_backends,
             "skipped_backends": self.skipped_backends,
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -179,7 +179,7 @@
         )
 
     def _store_snapshot(self, due: float) -> None:
-        if self.snapshot_store and self.lifecycle.meaning().takes:
+        if self.snapshot_store and self.lifecycle.availability().serves_requests:
             self.snapshot_store.save(*self._snapshot())
             due += self.config.snapshot_every
             self.loop.call_at(due, self._store_snapshot, due)
@@ -216,7 +216,7 @@
 
     def _handle_ready_call(self) -> bytes:
         state = self.lifecycle.state.value
-        if not self.lifecycle.meaning().takes:
+        if not self.lifecycle.availability().serves_requests:
             return calls.format_error(f"{state}: no clients yet")
         if self.policy_agreement and not self.policy_agreement.may_accept():
             return calls.format_error(f"{state}, and refuses: it has no lease on the policy in force")
@@ -232,7 +232,7 @@
             if event is not Event.STARTED:  # logged as "ready"
                 self.log.info("state", now=state.value, was=before.value)
             limiter = self.limiter
-            limiter.draining = not self.lifecycle.meaning().up
+            limiter.draining = not self.lifecycle.availability().up
             limiter.closing = False
             if state is State.DRAINING:
                 self.drain_started_at = self.loop.time()
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -19,7 +19,7 @@
 from firvane.core.net.transport_pool import TransportPool
 from firvane.proxy.admin_api.calls import AdminCall
 from firvane.proxy.admin_api.lifecycle import Lifecycle
-from firvane.proxy.admin_api.metrics import Figures, ReloadCounts
+from firvane.proxy.admin_api.metrics import ProxyMetrics, ReloadCounts
 from firvane.proxy.admin_api.server import ADMIN_DESCRIPTORS, AdminServer
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity.excluded_servers import count_excluded
@@ -184,11 +184,11 @@
             return
         self.engine.dispatch(api.PeerMessage(sender, payload))
 
-    def collect_metrics(self) -> Figures:
+    def collect_metrics(self) -> ProxyMetrics:
         """Return the current metrics for the admin API and the log."""
         engine, loop_budget = self.engine, self.monitor.loop_budget
         waiting = len(loop_budget.queue) + len(loop_budget.low_priority) + len(loop_budget.rejections)
-        return Figures(
+        return ProxyMetrics(
             self.lifecycle.state.value,
             engine.request_counters.by_class,
             engine.unanswered + waiting,
--- a/firvane/proxy/quorum/admin_calls.py
+++ b/firvane/proxy/quorum/admin_calls.py
@@ -61,7 +61,7 @@
     def answer(self, request: AdminCall) -> bytes:
         """Return the answer to a call."""
         handler = self.handlers[request.call]
-        return handler() if request.given is None else handler(request.given)
+        return handler() if request.arguments is None else handler(request.arguments)
 
     # Proposals whose texts are being written
 
--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -60,7 +60,7 @@
                     caller.sendall(calls.format_error(str(useless)))
 
     def _answer(self, asked: AdminCall) -> bytes:
-        given = asked.given
+        given = asked.arguments
         if asked.call in self.says:
             return self.says[asked.call]
         if isinstance(given, PutText):
@@ -124,7 +124,7 @@
     assert (code, out) == (0, f"{args[0]}: in force: epoch 4\n")
     assert err == [f"{args[0]}: open: awaits proxy 2", f"{args[0]}: unknown: why"]
     assert at.texts[digest_of(text)] == text
-    assert calls.ProposePolicy(digest_of(text), voters) in [one.given for one in at.heard]
+    assert calls.ProposePolicy(digest_of(text), voters) in [one.arguments for one in at.heard]
 
 
 @pytest.mark.parametrize(
@@ -235,7 +235,7 @@
     change: str, at: StandIn, files: Path, capsys: Capture
 ) -> None:
     assert told(capsys, "policy", "abort", change, "--at", at.at) == (0, f"{change}: given up\n", [])
-    assert at.heard[-1].given == calls.PolicyReference(digest_of(NEXT.encode()))
+    assert at.heard[-1].arguments == calls.PolicyReference(digest_of(NEXT.encode()))
     at.says[Call.POLICY_ABORT] = calls.format_error("too late: its moment is agreed on")
     assert told(capsys, "policy", "abort", change, "--at", at.at)[0] == 1
 
--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -90,8 +90,8 @@
     Mutant(
         "who ends before the start is over is not ready",
         STATES,
-        "    State.UNSTARTED: Meaning(up=False, takes=False),",
-        "    State.UNSTARTED: Meaning(up=False, takes=True),",
+        "    State.UNSTARTED: Availability(up=False, serves_requests=False),",
+        "    State.UNSTARTED: Availability(up=False, serves_requests=True),",
         f"{ENDS}test_an_end_before_the_list_is_here_stays_one",
     ),
     Mutant(
--- a/tests/proxy/admin_api/test_calls.py
+++ b/tests/proxy/admin_api/test_calls.py
@@ -110,8 +110,8 @@
     digest, there, back = digest_of(text), bytearray(len(text)), b""
     for line in format_put_calls(digest, text):
         found = CallReader().feed(line.encode() + b"\r\n")
-        assert found and isinstance(found.given, PutText)
-        put = found.given
+        assert found and isinstance(found.arguments, PutText)
+        put = found.arguments
         assert (put.digest, put.length) == (digest, len(text))
         there[put.offset : put.offset + len(put.data)] = put.data
     while len(back) < len(text):
@@ -161,4 +161,4 @@
     line = call.encode()[:place] + data + call.encode()[place + len(data) :] + b"\n"
     with contextlib.suppress(InvalidCallError):
         found = CallReader().feed(line)
-        assert found and (found.given is not None or not found.words)
+        assert found and (found.arguments is not None or not found.words)
--- a/tests/proxy/admin_api/test_lifecycle.py
+++ b/tests/proxy/admin_api/test_lifecycle.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from firvane.proxy.admin_api.lifecycle import MEANING, TABLE, Event, Lifecycle, State
+from firvane.proxy.admin_api.lifecycle import AVAILABILITY, TRANSITIONS, Event, Lifecycle, State
 
 
 def after(*events: Event) -> Lifecycle:
@@ -36,9 +36,12 @@
 def test_nobody_comes_back_from_the_end() -> None:
     # Guards against a resume that would take clients into a process that is about to be killed.
     for state, event in product((State.ENDING, State.HANDING_OVER, State.UNSTARTED), Event):
-        assert TABLE[state].get(event, state) is state
+        assert TRANSITIONS[state].get(event, state) is state
 
 
 def test_only_who_is_ready_says_yes_at_the_clients_door() -> None:
-    assert [state for state in State if MEANING[state].up] == [State.READY]
-    assert [state for state in State if not MEANING[state].takes] == [State.STARTING, State.UNSTARTED]
+    assert [state for state in State if AVAILABILITY[state].up] == [State.READY]
+    assert [state for state in State if not AVAILABILITY[state].serves_requests] == [
+        State.STARTING,
+        State.UNSTARTED,
+    ]
--- a/tests/proxy/net/test_long_messages.py
+++ b/tests/proxy/net/test_long_messages.py
@@ -162,7 +162,7 @@
         reader = await stage.client(PUT + framing, data[: len(data) // 2])
         writer = stage.writers[0]
         await until(lambda: stage.proxy.collect_metrics().in_progress == 1)
-        assert stage.proxy.collect_metrics().tries() == 0
+        assert stage.proxy.collect_metrics().upstream_attempts() == 0
         last = asyncio.get_running_loop().time()
         writer.write(data[len(data) // 2 :])
         assert (await whole(reader))[1] == b"hi"
@@ -174,7 +174,7 @@
         # Of its time no more is gone than passed since its last byte was sent.
         left = int(stage.heads[0].split(b"X-Budget-Ms: ")[1].split(b"\r")[0])
         assert BUDGET - 1000 * took - 1 <= left <= BUDGET
-        assert stage.proxy.collect_metrics().tries() == 2
+        assert stage.proxy.collect_metrics().upstream_attempts() == 2
         stage.close()
 
     run(work())
--- a/tests/proxy/quorum/test_fetch.py
+++ b/tests/proxy/quorum/test_fetch.py
@@ -44,8 +44,8 @@
 
     def data_received(self, data: bytes) -> None:
         request = calls.parse_call(data.strip())
-        assert isinstance(request.given, calls.GetText) and request.given.digest == DIGEST
-        if answer := self.answer(request.given.offset):
+        assert isinstance(request.arguments, calls.GetText) and request.arguments.digest == DIGEST
+        if answer := self.answer(request.arguments.offset):
             self.transport.write(answer)
             self.transport.write_eof()
 
