--- a/firvane/proxy/admin_api/__init__.py
+++ b/firvane/proxy/admin_api/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: what staff ask of one proxy, and what it tells them."""
+"""The admin API of one proxy: calls of operators and their responses."""
--- a/firvane/proxy/admin_api/calls.py
+++ b/firvane/proxy/admin_api/calls.py
@@ -1,12 +1,12 @@
-"""The operators' calls on the wire: one line to a connection, however it is cut into reads.
+"""The wire format of the admin API: one call a connection, as one line that may arrive in several reads.
 
 Invariants:
 
-1. A call ends with a line feed, with or without a carriage return before it. What follows it is not read.
-2. A line is `MAX_LINE_BYTES` bytes at the most; one that is longer is answered at once.
-3. A call without its line feed is no call: nothing is done for a partial one.
-4. Arguments are validated here: the handlers get valid records, and a caller with invalid arguments gets an
-   error that repeats nothing of them.
+1. A call ends with a line feed, with or without a carriage return before it. Data after it is ignored.
+2. A line has at most `MAX_LINE_BYTES` bytes; a longer line gets an error at once.
+3. A call without its line feed is incomplete and has no effect.
+4. Arguments are validated here: the handlers get valid records. The error for invalid arguments does not
+   repeat them.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
 
 MAX_LINE_BYTES = 256  # of a call
-PUT_CHUNK_BYTES = 144  # of a text in one `policy-put`, whose line is as long as a line may be
+PUT_CHUNK_BYTES = 144  # of a text in one `policy-put`; its line then has the maximum length
 GET_CHUNK_BYTES = 12_000  # of a text in one response to `policy-get`
 
 
@@ -44,16 +44,16 @@
 
 
 class InvalidCallError(Exception):
-    """A line that is no valid call; the text is the reason that its caller gets."""
+    """A line is not a valid call; the text is the reason that the caller gets."""
 
 
 class PutText(NamedTuple):
-    """A chunk of a policy's text is uploaded.
+    """The arguments of `policy-put`, which uploads a chunk of a policy's text.
 
     Attributes:
         digest: The digest of the text.
         length: Bytes of the text.
-        offset: Of the chunk in the text.
+        offset: Byte offset of the chunk in the text.
         data: The chunk, of at least one byte and within the length.
     """
 
@@ -64,18 +64,18 @@
 
 
 class GetText(NamedTuple):
-    """A chunk of a policy's text is asked for, from an offset on."""
+    """The arguments of `policy-get`, which requests a chunk of a policy's text from an offset on."""
 
     digest: bytes
     offset: int
 
 
 class ProposePolicy(NamedTuple):
-    """A policy whose text was uploaded is proposed.
+    """The arguments of `policy-propose`, which proposes a policy whose text was uploaded.
 
     Attributes:
         digest: The digest of its text.
-        voters: The voters from then on, ascending, or None for the current ones.
+        voters: The voters under the policy, ascending, or None for the current ones.
     """
 
     digest: bytes
@@ -83,7 +83,7 @@
 
 
 class PolicyReference(NamedTuple):
-    """A policy that was proposed here is referred to."""
+    """The arguments of calls that refer to a policy that was proposed at this proxy."""
 
     digest: bytes
 
@@ -92,7 +92,7 @@
 
 
 class AdminCall(NamedTuple):
-    """A complete call: its arguments as they came, and parsed."""
+    """A complete call, with its arguments as received (`words`) and parsed (`arguments`)."""
 
     call: Call
     words: tuple[str, ...] = ()
@@ -110,7 +110,7 @@
         self.buffer = bytearray()
 
     def feed(self, data: bytes) -> AdminCall | None:
-        """The call, or None until it is complete; raises `InvalidCallError` where it is none."""
+        """Return the call, or None until it is complete; raises `InvalidCallError` if the line is invalid."""
         end = data.find(b"\n")
         self.buffer += data if end < 0 else data[:end]
         if len(self.buffer) > MAX_LINE_BYTES:
@@ -121,13 +121,14 @@
 
 
 def parse_call(line: bytes) -> AdminCall:
-    """The call in a line; raises `InvalidCallError` where it is none."""
+    """Return the call in a line; raises `InvalidCallError` if the line is invalid."""
     if line.startswith(b"policy-"):
         return _policy(line)
     call = CALLS.get(line)
     if call is None:
         raise InvalidCallError(
-            "unknown call: there are " + ", ".join(one.value for one in Call if one not in POLICY_CALLS)
+            "unknown call: there are "
+            + ", ".join(known_call.value for known_call in Call if known_call not in POLICY_CALLS)
         )
     return AdminCall(call)
 
@@ -136,16 +137,16 @@
     name, *rest = line.split()
     call = CALLS.get(name)
     if call is None:
-        known = ", ".join(one.value for one in Call if one in POLICY_CALLS)
-        raise InvalidCallError(f"unknown call: of a policy's there are {known}")
+        policy_names = ", ".join(policy_call.value for policy_call in Call if policy_call in POLICY_CALLS)
+        raise InvalidCallError(f"unknown call: of a policy's there are {policy_names}")
     if not line.isascii():
         raise InvalidCallError(f"{call.value}: a word is not ASCII")
     words = tuple(word.decode() for word in rest)
-    form, numbers, read = ARGUMENT_FORMS[call]
-    if len(words) not in numbers:
-        raise InvalidCallError(f"the call is {call.value} {form}".rstrip())
+    usage, argument_counts, parser = ARGUMENT_FORMS[call]
+    if len(words) not in argument_counts:
+        raise InvalidCallError(f"the call is {call.value} {usage}".rstrip())
     try:
-        return AdminCall(call, words, read(*words) if read else None)
+        return AdminCall(call, words, parser(*words) if parser else None)
     except ValueError as error:
         raise InvalidCallError(f"{call.value}: {error}") from None
 
@@ -159,13 +160,13 @@
     return bytes.fromhex(word)
 
 
-def _number(word: str, what: str, below: int) -> int:
+def _number(word: str, field: str, below: int) -> int:
     if not re.fullmatch("[0-9]{1,7}", word) or int(word) >= below:
-        raise ValueError(f"the {what} is not a whole number below {below}")
+        raise ValueError(f"the {field} is not a whole number below {below}")
     return int(word)
 
 
-def _piece(word: str) -> bytes:
+def _chunk(word: str) -> bytes:
     try:
         data = a2b_base64(word, strict_mode=True)
     except Error:
@@ -175,13 +176,13 @@
     return data
 
 
-def _put(digest: str, length: str, offset: str, piece: str) -> PutText:
-    total = _number(length, "length", MAX_TEXT_BYTES + 1)
+def _put(digest: str, length: str, offset: str, chunk: str) -> PutText:
+    text_length = _number(length, "length", MAX_TEXT_BYTES + 1)
     start = _number(offset, "offset", MAX_TEXT_BYTES)
-    data = _piece(piece)
-    if start + len(data) > total:
+    data = _chunk(chunk)
+    if start + len(data) > text_length:
         raise ValueError("the piece ends after the text")
-    return PutText(_digest(digest), total, start, data)
+    return PutText(_digest(digest), text_length, start, data)
 
 
 def _get(digest: str, offset: str) -> GetText:
@@ -191,25 +192,25 @@
 def _propose(digest: str, voters: str | None = None) -> ProposePolicy:
     if voters is None:
         return ProposePolicy(_digest(digest), None)
-    numbers = tuple(_number(word, "voter", 1000) for word in voters.split(","))
-    if any(a >= b for a, b in pairwise(numbers)):
+    voter_ids = tuple(_number(word, "voter", 1000) for word in voters.split(","))
+    if any(previous >= following for previous, following in pairwise(voter_ids)):
         raise ValueError("the voters are not in ascending order, each of them once")
-    return ProposePolicy(_digest(digest), numbers)
+    return ProposePolicy(_digest(digest), voter_ids)
 
 
-def _named(digest: str) -> PolicyReference:
+def _reference(digest: str) -> PolicyReference:
     return PolicyReference(_digest(digest))
 
 
-# The usage of the arguments of a call, how many there may be, and their parser.
+# For each call with arguments: their usage text, the allowed numbers of arguments, and the parser.
 ARGUMENT_FORMS: dict[Call, tuple[str, tuple[int, ...], Callable[..., CallArguments] | None]] = {
     Call.POLICY_STATUS: ("", (0,), None),
     Call.POLICY_HISTORY: ("", (0,), None),
     Call.POLICY_PUT: ("DIGEST LENGTH OFFSET BASE64", (4,), _put),
     Call.POLICY_GET: ("DIGEST OFFSET", (2,), _get),
     Call.POLICY_PROPOSE: ("DIGEST [VOTER,VOTER,...]", (1, 2), _propose),
-    Call.POLICY_OUTCOME: ("DIGEST", (1,), _named),
-    Call.POLICY_ABORT: ("DIGEST", (1,), _named),
+    Call.POLICY_OUTCOME: ("DIGEST", (1,), _reference),
+    Call.POLICY_ABORT: ("DIGEST", (1,), _reference),
 }
 
 
@@ -219,12 +220,12 @@
 def format_put_calls(digest: bytes, text: bytes) -> Iterator[str]:
     """Yield the calls that upload a text, chunk by chunk."""
     for offset in range(0, len(text), PUT_CHUNK_BYTES):
-        piece = b2a_base64(text[offset : offset + PUT_CHUNK_BYTES], newline=False).decode()
-        yield f"{Call.POLICY_PUT.value} {digest.hex()} {len(text)} {offset} {piece}"
+        chunk = b2a_base64(text[offset : offset + PUT_CHUNK_BYTES], newline=False).decode()
+        yield f"{Call.POLICY_PUT.value} {digest.hex()} {len(text)} {offset} {chunk}"
 
 
 def format_chunk(text: bytes, offset: int) -> bytes:
-    """The response to `policy-get`: the length of the text, and a chunk of it from an offset."""
+    """Return the response to `policy-get`: the length of the text, and its chunk from an offset on."""
     if offset >= len(text):
         return format_error(f"the text has {len(text)} bytes")
     return format_ok(
@@ -232,24 +233,24 @@
     )
 
 
-def parse_chunk(answer: str) -> tuple[int, bytes]:
-    """The length of the text and the chunk in a response to `policy-get`, or `ValueError`."""
-    head, length, data, *_ = [*answer.split(), "", "", ""]
+def parse_chunk(response: str) -> tuple[int, bytes]:
+    """Return the text's length and the chunk from a `policy-get` response; raises `ValueError` if invalid."""
+    head, length, data, *_ = [*response.split(), "", "", ""]
     if head != "+OK":
-        raise ValueError(answer.strip().removeprefix("-ERR ") or "nothing")
-    return _number(length, "length", MAX_TEXT_BYTES + 1), _piece(data)
+        raise ValueError(response.strip().removeprefix("-ERR ") or "nothing")
+    return _number(length, "length", MAX_TEXT_BYTES + 1), _chunk(data)
 
 
 def format_ok(text: str = "") -> bytes:
-    """A response of success, on one line."""
+    """Return a success response, on one line."""
     return f"+OK {text}".rstrip().encode() + b"\n"
 
 
-def format_error(why: str) -> bytes:
-    """A response of failure, on one line."""
-    return f"-ERR {why}\n".encode()
+def format_error(reason: str) -> bytes:
+    """Return an error response, on one line."""
+    return f"-ERR {reason}\n".encode()
 
 
 def format_block(text: str) -> bytes:
-    """A response of several lines, which a line with a dot ends."""
+    """Return a response of several lines, terminated by a line with a dot."""
     return text.encode() + b"\n.\n"
--- a/firvane/proxy/admin_api/lifecycle.py
+++ b/firvane/proxy/admin_api/lifecycle.py
@@ -1,10 +1,10 @@
-"""The states of a proxy, as one table: which events each allows, and what it means to the outside.
+"""The lifecycle states of a proxy: the allowed events of each state, and its availability to clients.
 
 Invariants:
 
-1. Events that are not in the table are refused and change nothing.
-2. Handing over and ending are final: a proxy that drains may resume, one that shuts down may not.
-3. A proxy that is shut down before its start is over never becomes ready.
+1. Events that are not in the table are rejected and change nothing.
+2. A shutdown (handing over, ending) is final: a draining proxy may resume, one that shuts down may not.
+3. A proxy that is shut down before its start is complete never becomes ready.
 """
 
 from __future__ import annotations
@@ -16,30 +16,30 @@
 class State(Enum):
     """The state of a proxy, by the name that operators see."""
 
-    STARTING = "starting"  # waits for the endpoint list
+    STARTING = "starting"  # waits for the first endpoint list
     READY = "ready"
-    DRAINING = "draining"  # sends clients away, but does not end
-    HANDING_OVER = "handing over"  # shuts down; another process has its listening socket
+    DRAINING = "draining"  # disconnects its clients, but does not shut down
+    HANDING_OVER = "handing over"  # shuts down; a successor has the listening socket
     ENDING = "ending"
     UNSTARTED = "ending before the start was over"
 
 
 class Event(Enum):
-    """What may change the state."""
+    """An event that may change the state."""
 
     STARTED = "started"
     DRAIN = "drain"
     RESUME = "resume"
     TERMINATE = "terminate"
-    SUCCEEDED = "succeeded"  # shut down, with a successor for the clients
+    SUCCEEDED = "succeeded"  # shut down because a successor serves the clients
 
 
 class Availability(NamedTuple):
-    """What a state means to the outside.
+    """The availability of a proxy to clients and operators in a state.
 
     Attributes:
-        up: The health check `GET /up` succeeds.
-        serves_requests: Requests are served, as the operators' call `ready` reports.
+        up: Whether the health check `GET /up` succeeds.
+        serves_requests: Whether requests are served, as the admin call `ready` reports.
     """
 
     up: bool
@@ -70,17 +70,17 @@
 
 
 class Lifecycle:
-    """The state that a proxy is in."""
+    """The current state of a proxy."""
 
     def __init__(self) -> None:
         self.state = State.STARTING
 
     def availability(self) -> Availability:
-        """What the current state means."""
+        """Return the availability in the current state."""
         return AVAILABILITY[self.state]
 
     def apply(self, event: Event) -> bool:
-        """Change the state by an event; return False where the table does not allow it."""
+        """Change the state by an event; return False if the state does not allow it."""
         next_state = TRANSITIONS[self.state].get(event)
         if next_state is None:
             return False
--- a/firvane/proxy/admin_api/metrics.py
+++ b/firvane/proxy/admin_api/metrics.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class ReloadCounts:
-    """Configuration files that were read at SIGHUP: applied, and refused."""
+    """Counts of configuration reloads (SIGHUP): applied, and rejected as invalid."""
 
     taken: int = 0
     errors: int = 0
@@ -19,21 +19,21 @@
 
 @dataclass
 class ProxyMetrics:
-    """The metrics at one moment."""
+    """The metrics of a proxy at one moment."""
 
     state: str
     handled: Mapping[str, ClassCounters]
     in_progress: int
     known_backends: int
     skipped_backends: int
-    loads: ReloadCounts = field(default_factory=ReloadCounts)
+    reloads: ReloadCounts = field(default_factory=ReloadCounts)
 
     def upstream_attempts(self) -> int:
-        """Attempts that were written to targets."""
+        """Return the number of attempts that were written to upstream targets."""
         return sum(counts.upstream_tries for counts in self.handled.values())
 
     def text(self) -> str:
-        """The metrics as JSON on one line, for `show-stat`."""
+        """Return the metrics as JSON on one line, for `show-stat`."""
         return json.dumps(
             {
                 "handled": {name: counts.answer_counts() for name, counts in self.handled.items()},
@@ -41,16 +41,16 @@
                 "known_backends": self.known_backends,
                 "skipped_backends": self.skipped_backends,
                 "upstream_tries": self.upstream_attempts(),
-                "loads": self.loads.taken,
-                "load_errors": self.loads.errors,
+                "loads": self.reloads.taken,
+                "load_errors": self.reloads.errors,
             },
             separators=(",", ":"),
         )
 
     def fields(self) -> dict[str, int | str]:
-        """The metrics as fields of the log event `figures`."""
-        told = [counts.answer_counts() for counts in self.handled.values()]
-        totals = {name: sum(counts[name] for counts in told) for name in ANSWERS}
+        """Return the metrics as fields of the log event `figures`."""
+        class_counts = [counts.answer_counts() for counts in self.handled.values()]
+        totals = {name: sum(counts[name] for counts in class_counts) for name in ANSWERS}
         return {
             "state": self.state,
             **totals,
@@ -58,6 +58,6 @@
             "in_progress": self.in_progress,
             "known_backends": self.known_backends,
             "skipped_backends": self.skipped_backends,
-            "loads": self.loads.taken,
-            "load_errors": self.loads.errors,
+            "loads": self.reloads.taken,
+            "load_errors": self.reloads.errors,
         }
--- a/firvane/proxy/admin_api/server.py
+++ b/firvane/proxy/admin_api/server.py
@@ -1,4 +1,4 @@
-"""The admin server: operators' connections, with one call each that is answered at once."""
+"""The admin server: connections of operators with one call each, which is answered at once."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 from firvane.proxy.admin_api.calls import AdminCall, CallReader, InvalidCallError, format_error
 
-MAX_CONNECTIONS = 16  # one more closes the oldest
+MAX_CONNECTIONS = 16  # a further connection closes the oldest
 CONNECTION_TIMEOUT_S = 5.0  # to send a call, or to read the response
-ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 4  # beside them: the listening socket, and connections just accepted
+ADMIN_DESCRIPTORS = MAX_CONNECTIONS + 4  # plus the listening socket and connections just accepted
 
-Answer = Callable[[AdminCall], bytes]
+CallHandler = Callable[[AdminCall], bytes]
 
 
 class AdminServer:
     """The connections of operators.
 
     Attributes:
-        connections: Loop time in s by which each must be done, in the order of their arrival.
+        connections: The deadline of each connection in seconds of loop time, in the order of arrival.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, answer: Answer) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, answer: CallHandler) -> None:
         self.loop, self.answer = loop, answer
         self.connections: dict[AdminConnection, float] = {}
 
@@ -31,15 +31,17 @@
         return AdminConnection(self)
 
     def add(self, connection: AdminConnection) -> None:
-        """Keep a new connection, and close the oldest where there are too many."""
+        """Register a new connection, and close the oldest if there are too many."""
         self.connections[connection] = self.loop.time() + CONNECTION_TIMEOUT_S
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).transport.abort()
 
     def sweep(self) -> None:
-        """Close connections that have timed out."""
+        """Close connections whose deadline has passed."""
         now = self.loop.time()
-        for connection in [connection for connection, until in self.connections.items() if until <= now]:
+        for connection in [
+            connection for connection, deadline in self.connections.items() if deadline <= now
+        ]:
             connection.transport.abort()
 
     def close(self) -> None:
@@ -57,34 +59,34 @@
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """The connection has its transport (asyncio)."""
+        """Store the transport and register the connection (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
         self.server.add(self)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is closed (asyncio)."""
+        """Unregister the closed connection (asyncio)."""
         self.server.connections.pop(self, None)
 
     def data_received(self, data: bytes) -> None:
         """Answer the call once its line is complete (asyncio)."""
         if self.done:
-            return  # one call to a connection
+            return  # only one call a connection
         try:
-            asked = self.line.feed(data)
-        except InvalidCallError as useless:
-            self._respond(format_error(str(useless)))
+            call = self.line.feed(data)
+        except InvalidCallError as error:
+            self._respond(format_error(str(error)))
             return
-        if asked:
-            self._respond(self.server.answer(asked))
+        if call:
+            self._respond(self.server.answer(call))
 
     def eof_received(self) -> None:
-        """Answer a call that was cut off (asyncio)."""
+        """Answer an incomplete call with an error (asyncio)."""
         if not self.done:
             self._respond(format_error("the call has no end: a line feed is missing"))
 
-    def _respond(self, answer: bytes) -> None:
+    def _respond(self, response: bytes) -> None:
         self.done = True
-        self.transport.write(answer)
-        # A close with unread bytes would reset the connection and could destroy the response in transit.
+        self.transport.write(response)
+        # A close with unread data would reset the connection and could discard the response in transit.
         if not self.transport.is_closing():
             self.transport.write_eof()
--- a/tests/proxy/admin_api/test_server.py
+++ b/tests/proxy/admin_api/test_server.py
@@ -1,4 +1,4 @@
-"""The operators' door on real sockets, and the proxy behind it."""
+"""The admin server of a proxy on real sockets, and inherited listening sockets."""
 
 from __future__ import annotations
 
@@ -21,131 +21,143 @@
 from tests.proxy.test_program import config
 
 
-async def ask(address: tuple[str, int], *pieces: bytes) -> bytes:
+async def call_admin(address: tuple[str, int], *pieces: bytes) -> bytes:
     reader, writer = await asyncio.open_connection(*address)
     for piece in pieces:
         writer.write(piece)
         await asyncio.sleep(0)
-    answer = await reader.read()
+    response = await reader.read()
     writer.close()
-    return answer
+    return response
 
 
-def told(folder: Path, **more: Any) -> Any:
-    known = {"index": 1, "snapshot": True, "endpoints": [endpoint("s-1", 9)]}
-    given = read_config(config(folder, ops="127.0.0.1:0", known=known, **more))
-    return replace(given, discovery=None)
+def make_config(folder: Path, **overrides: Any) -> Any:
+    endpoint_list = {"index": 1, "snapshot": True, "endpoints": [endpoint("s-1", 9)]}
+    proxy_config = read_config(config(folder, ops="127.0.0.1:0", known=endpoint_list, **overrides))
+    return replace(proxy_config, discovery=None)
 
 
-def test_each_call_has_its_answer(tmp_path: Path) -> None:
-    # Guards the words that staff and platform go by, before the start, at work and on leave.
-    async def work() -> None:
-        proxy = Proxy(asyncio.get_running_loop(), told(tmp_path), log=QUIET)
+def test_each_call_gets_its_response(tmp_path: Path) -> None:
+    # Guards the responses on which operators and the platform rely, while the proxy serves and drains.
+    async def scenario() -> None:
+        proxy = Proxy(asyncio.get_running_loop(), make_config(tmp_path), log=QUIET)
         await proxy.start()
-        at = proxy.admin_acceptor.address()
-        assert (await ask(at, b"rea", b"dy\r", b"\n")).startswith(b"+OK")
-        assert (await ask(at, b"nonsense\n")).startswith(b"-ERR")
-        assert (await ask(at, b"x" * 5000)).startswith(b"-ERR")
+        admin_address = proxy.admin_acceptor.address()
+        assert (await call_admin(admin_address, b"rea", b"dy\r", b"\n")).startswith(b"+OK")
+        assert (await call_admin(admin_address, b"nonsense\n")).startswith(b"-ERR")
+        assert (await call_admin(admin_address, b"x" * 5000)).startswith(b"-ERR")
         unset = b"-ERR no policy is agreed on here: [policy] is not set\n"
-        assert await ask(at, b"policy-sta", b"tus\n") == await ask(at, b"policy-history\r\n") == unset
-        figures, end, rest = (await ask(at, b"show-stat\n")).split(b"\n")
+        assert (
+            await call_admin(admin_address, b"policy-sta", b"tus\n")
+            == await call_admin(admin_address, b"policy-history\r\n")
+            == unset
+        )
+        metrics, end, rest = (await call_admin(admin_address, b"show-stat\n")).split(b"\n")
         assert (end, rest) == (b".", b"")
-        assert json.loads(figures)["known_backends"] == 1
-        assert (await ask(at, b"drain\n")).startswith(b"+OK")
+        assert json.loads(metrics)["known_backends"] == 1
+        assert (await call_admin(admin_address, b"drain\n")).startswith(b"+OK")
         assert proxy.limiter.draining
-        assert (await ask(at, b"resume\n")).startswith(b"+OK")
+        assert (await call_admin(admin_address, b"resume\n")).startswith(b"+OK")
         assert not proxy.limiter.draining and not proxy.limiter.closing
         proxy._stop()
 
-    run(work())
+    run(scenario())
 
 
-def test_silent_callers_keep_nobody_out(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    # Guards against hundreds that call and say nothing, or half a call, while one asks. None of them goes by
-    # itself: who asks is answered because the oldest make room, however long that takes on a busy machine.
+def test_stalled_connections_do_not_block_other_callers(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    # Guards against many connections that send nothing, or an incomplete call, and block a valid call. The
+    # long time-out does not close them: the call is answered because the oldest connections are closed.
     monkeypatch.setattr(server, "CONNECTION_TIMEOUT_S", 3600.0)
 
-    async def work() -> None:
-        proxy = Proxy(asyncio.get_running_loop(), told(tmp_path), log=QUIET)
+    async def scenario() -> None:
+        proxy = Proxy(asyncio.get_running_loop(), make_config(tmp_path), log=QUIET)
         await proxy.start()
-        at = proxy.admin_acceptor.address()
-        stalled = [await asyncio.open_connection(*at) for _ in range(5 * MAX_CONNECTIONS)]
+        admin_address = proxy.admin_acceptor.address()
+        stalled = [await asyncio.open_connection(*admin_address) for _ in range(5 * MAX_CONNECTIONS)]
         for _, writer in stalled[::2]:
             writer.write(b"dra")
-        assert (await ask(at, b"ready\n")).startswith(b"+OK")
+        assert (await call_admin(admin_address, b"ready\n")).startswith(b"+OK")
         assert len(proxy.admin_server.connections) <= MAX_CONNECTIONS
         assert not proxy.limiter.draining
         for _, writer in stalled:
             writer.close()
         proxy._stop()
 
-    run(work())
+    run(scenario())
 
 
-def test_an_inherited_socket_is_adopted_and_outlives_its_user(tmp_path: Path) -> None:
-    # Guards the replacement: the queue of clients belongs to whoever comes next.
-    async def work() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            given = replace(told(tmp_path), inherited=socket.fromfd(held.fileno(), 2, 1).detach())
-            proxy = Proxy(asyncio.get_running_loop(), given, log=QUIET)
+def test_an_inherited_socket_stays_open_after_the_proxy_drains(tmp_path: Path) -> None:
+    # Guards the replacement of a process: its successor gets the queue of client connections.
+    async def scenario() -> None:
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            proxy_config = replace(
+                make_config(tmp_path), inherited=socket.fromfd(listener.fileno(), 2, 1).detach()
+            )
+            proxy = Proxy(asyncio.get_running_loop(), proxy_config, log=QUIET)
             await proxy.start()
-            assert proxy.acceptor.address() == held.getsockname()
-            reader, writer = await asyncio.open_connection(*held.getsockname())
+            assert proxy.acceptor.address() == listener.getsockname()
+            reader, writer = await asyncio.open_connection(*listener.getsockname())
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert (await reader.readline()).split()[1] == b"200"
             writer.close()
             await proxy.drain()
-            with socket.create_connection(held.getsockname(), timeout=1):  # the next one's client
-                held.settimeout(1)
-                held.accept()[0].close()
+            with socket.create_connection(listener.getsockname(), timeout=1):  # a client of the successor
+                listener.settimeout(1)
+                listener.accept()[0].close()
 
-    run(work())
+    run(scenario())
 
 
-def test_clients_are_left_to_the_process_before_until_the_list_is_here(
+def test_a_successor_accepts_no_clients_before_its_first_list(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Guards against a successor that takes clients from the queue that it has nothing to offer. It starts
-    # when discovery speaks, and not because its patience ends while the test looks.
+    # Guards against a successor that accepts clients while it knows no endpoints. The time-out is so long
+    # that only the endpoint list of discovery can complete the start.
     monkeypatch.setattr(proxies, "SNAPSHOT_LIST_TIMEOUT_S", 3600.0)
 
-    async def work() -> None:
-        speaks = asyncio.Event()
+    async def scenario() -> None:
+        list_available = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            await speaks.wait()
+            await list_available.wait()
             line = json.dumps({"index": 2, "snapshot": True, "endpoints": [endpoint("s-1", 9)]}) + "\n"
             head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
             writer.write(f"{head}{len(line):x}\r\n{line}\r\n".encode())
 
-        silent = await asyncio.start_server(serve, "127.0.0.1", 0)
-        with socket.create_server(("127.0.0.1", 0)) as held:
-            inherited = socket.fromfd(held.fileno(), 2, 1).detach()
-            given = replace(told(tmp_path), inherited=inherited, discovery=silent.sockets[0].getsockname())
-            proxy = Proxy(asyncio.get_running_loop(), given, log=QUIET)
+        discovery_server = await asyncio.start_server(serve, "127.0.0.1", 0)
+        with socket.create_server(("127.0.0.1", 0)) as listener:
+            inherited = socket.fromfd(listener.fileno(), 2, 1).detach()
+            proxy_config = replace(
+                make_config(tmp_path),
+                inherited=inherited,
+                discovery=discovery_server.sockets[0].getsockname(),
+            )
+            proxy = Proxy(asyncio.get_running_loop(), proxy_config, log=QUIET)
             start = asyncio.get_running_loop().create_task(proxy.start())
             while not proxy.target_group.servers:
                 await asyncio.sleep(0)
-            reader, writer = await asyncio.open_connection(*held.getsockname())
+            reader, writer = await asyncio.open_connection(*listener.getsockname())
             writer.write(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
             assert not proxy.limiter.connections and not proxy.limiter.ready
-            assert (await ask(proxy.admin_acceptor.address(), b"ready\n")).startswith(b"-ERR")
-            speaks.set()
+            assert (await call_admin(proxy.admin_acceptor.address(), b"ready\n")).startswith(b"-ERR")
+            list_available.set()
             await start
             assert (await reader.readline()).split()[1] == b"200"
             writer.close()
             proxy._stop()
-        silent.close()
+        discovery_server.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_a_descriptor_that_is_no_listening_socket_is_one_plain_line(tmp_path: Path) -> None:
-    async def work() -> None:
-        with socket.socket() as plain, open(tmp_path / "config.json") as file:
-            for number in (plain.fileno(), file.fileno(), 9999):
+def test_an_invalid_inherited_descriptor_is_reported(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        with socket.socket() as unbound, open(tmp_path / "config.json") as file:
+            for number in (unbound.fileno(), file.fileno(), 9999):
                 with pytest.raises(OSError, match="NODE_SOCKET_FD"):
-                    Proxy(asyncio.get_running_loop(), replace(given, inherited=number), log=QUIET)
+                    Proxy(asyncio.get_running_loop(), replace(proxy_config, inherited=number), log=QUIET)
 
-    given = told(tmp_path)
-    run(work())
+    proxy_config = make_config(tmp_path)
+    run(scenario())
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -19,7 +19,7 @@
 from firvane.proxy.quorum.driver import PolicyConsensus
 from firvane.proxy.quorum.types import Timing, Value
 from firvane.simulation.runner.virtual import VirtualLoop
-from tests.proxy.admin_api.test_server import ask
+from tests.proxy.admin_api.test_server import call_admin
 from tests.proxy.net.helpers import run
 from tests.proxy.quorum.virtual_tier import CLIENT, REQUEST, Fleet, Lines, Tier
 from tests.simulation.runner.virtual_helpers import Net, Noted, virtual
@@ -298,12 +298,12 @@
         at, agreement = proxy.admin_acceptor.address(), proxy.policy_agreement
         assert agreement
         lines = [*calls.format_put_calls(digest_of(OTHER), OTHER), f"policy-propose {digest_of(OTHER).hex()}"]
-        assert [(await ask(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
+        assert [(await call_admin(at, line.encode() + b"\n"))[:3] for line in lines] == [b"+OK"] * len(lines)
         # If the lease expires on a busy machine it is renewed later; wait for that and for the new epoch.
         while agreement.epoch == 1 or not agreement.may_accept():
             await asyncio.sleep(0.02)
         assert agreement.epoch == 2
-        assert await ask(at, b"policy-outcome " + digest_of(OTHER).hex().encode() + b"\n") != b""
+        assert await call_admin(at, b"policy-outcome " + digest_of(OTHER).hex().encode() + b"\n") != b""
         with pytest.raises(OSError, match="another process"):
             store.Store(tmp_path / "0", Lines(), loop.call_soon).load()  # type: ignore[arg-type]
         proxy._stop()
