--- a/firvane/proxy/control/receivers.py
+++ b/firvane/proxy/control/receivers.py
@@ -254,9 +254,9 @@
                 stalled += 1
             elif observed.served + observed.failed > MIN_COMPLETION_RPS:
                 responsive += 1
-        failure_ratio = 0.0
+        combined_ratio = 0.0
         if failure_ratios:
-            failure_ratio = (
+            combined_ratio = (
                 float(median(failure_ratios))
                 if len(failure_ratios) >= MIN_RECEIVERS_FOR_MEDIAN
                 else min(failure_ratios)
@@ -265,7 +265,7 @@
             *counts,
             pending=sum(observed.in_progress for observed in observations),
             rate=sum(observed.served + observed.failed for observed in observations),
-            failure_ratio=failure_ratio,
+            failure_ratio=combined_ratio,
             silent=stalled > responsive,
         )
 
