--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -154,7 +154,7 @@
 def _proposal(digest: bytes, voters: str | None) -> str:
     """Return the call that proposes a text; raises `Bad` where the voters are not valid."""
     from firvane.proxy.admin_api import calls
-    from firvane.proxy.config.node import misfits
+    from firvane.proxy.config.node import voter_errors
 
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
@@ -164,7 +164,7 @@
     if voters is not None and isinstance(given, calls.ProposePolicy):
         if given.voters is None:
             raise Bad("policy propose: --voters: names none")
-        for _, reason in misfits(given.voters, max(given.voters) + 1):
+        for _, reason in voter_errors(given.voters, max(given.voters) + 1):
             raise Bad(f"policy propose: --voters: {reason}")
     return line
 
--- a/firvane/proxy/config/__init__.py
+++ b/firvane/proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a proxy is told when it starts, in the platform's form and in its own."""
+"""The configuration of a proxy, read from `firvane.toml` or from the platform's JSON file."""
--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -46,7 +46,7 @@
         settings=_settings(file, zones),
         snapshot=file.recovery.snapshot if file.recovery else None,
         snapshot_every=file.recovery.snapshot_every_s if file.recovery else Config.snapshot_every,
-        policy=file.policy.told() if file.policy else None,
+        policy=file.policy.options() if file.policy else None,
         ops=parse_address(file.ops) if file.ops else None,
         measures=file.measures,
         version=os.environ.get("FIRVANE_VERSION", ""),
--- a/firvane/proxy/config/model.py
+++ b/firvane/proxy/config/model.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from firvane.core.address import parse_address
-from firvane.proxy.config.node import MOST_VOTERS, PolicyTold
+from firvane.proxy.config.node import MAX_VOTERS, PolicyOptions
 
 OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
 PORT = "([0-9]{1,4}|[1-5][0-9]{4}|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"
@@ -170,7 +170,7 @@
 
 Voters = Annotated[
     tuple[Count, ...],
-    says("numbers of the proxies that decide, ascending", min_length=1, max_length=MOST_VOTERS),
+    says("numbers of the proxies that decide, ascending", min_length=1, max_length=MAX_VOTERS),
 ]
 
 
@@ -191,15 +191,15 @@
     trip_ms: Annotated[float, says("the longest way there and back that counts", gt=0, le=15_000)] = 200.0
     tell: Annotated[bool, says("answers carry X-Policy-Epoch")] = False
 
-    def told(self) -> PolicyTold:
-        return PolicyTold(
+    def options(self) -> PolicyOptions:
+        return PolicyOptions(
             folder=self.folder,
             voters=self.voters,
-            doors=tuple(map(parse_address, self.doors)),
-            serve_without=self.without_lease == "serve",
-            lease=self.lease_s,
-            trip=self.trip_ms / 1000,
-            tell=self.tell,
+            admin_addresses=tuple(map(parse_address, self.doors)),
+            serve_without_lease=self.without_lease == "serve",
+            lease_s=self.lease_s,
+            round_trip_s=self.trip_ms / 1000,
+            sends_epoch=self.tell,
         )
 
 
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -10,7 +10,7 @@
 from firvane.core import interface as api
 from firvane.core.address import Address, parse_address
 from firvane.core.logs import FORMATS, LEVELS
-from firvane.proxy.config.node import Config, PolicyTold
+from firvane.proxy.config.node import Config, PolicyOptions
 from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS
 from firvane.proxy.limits.memory_costs import derive
 from firvane.proxy.settings import MAX_SHOWN_CHARS, is_number, parse_settings, shape
@@ -101,7 +101,7 @@
     if policy:
         if ops is None or not tier or not data.get("peer_listen"):
             raise ValueError("policy needs ops, peers and peer_listen")
-        for key, why in policy.misfits(len(tier)):
+        for key, why in policy.errors(len(tier)):
             raise ValueError(f"policy.{key} {why}")
     measures = data.get("measures", False)
     if not isinstance(measures, bool):
@@ -155,7 +155,7 @@
     return api.RecoveryOptions(**{key: given[key] for key in given if wanted[key] is bool})
 
 
-def _policy(given: Any) -> PolicyTold | None:
+def _policy(given: Any) -> PolicyOptions | None:
     """The platform never says it; `ValueError` for a key that there is not, or of no use."""
     if given is None:
         return None
@@ -179,17 +179,17 @@
         if key not in given:
             raise ValueError(f"policy.{key} is missing")
     try:
-        doors = tuple(map(parse_address, given["doors"]))
+        admin_addresses = tuple(map(parse_address, given["doors"]))
     except ValueError as error:
         raise ValueError(f"policy.doors: {error}") from None
-    return PolicyTold(
+    return PolicyOptions(
         folder=given["folder"],
         voters=tuple(given.get("voters", (0, 1, 2))),
-        doors=doors,
-        serve_without=given.get("without_lease") == "serve",
-        lease=float(given.get("lease_s", PolicyTold.lease)),
-        trip=given.get("trip_ms", 1000 * PolicyTold.trip) / 1000,
-        tell=given.get("tell", PolicyTold.tell),
+        admin_addresses=admin_addresses,
+        serve_without_lease=given.get("without_lease") == "serve",
+        lease_s=float(given.get("lease_s", PolicyOptions.lease_s)),
+        round_trip_s=given.get("trip_ms", 1000 * PolicyOptions.round_trip_s) / 1000,
+        sends_epoch=given.get("tell", PolicyOptions.sends_epoch),
     )
 
 
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -24,7 +24,7 @@
 from firvane.core import interface as api
 from firvane.core import validation
 from firvane.proxy.config import checks
-from firvane.proxy.config import node as told
+from firvane.proxy.config import node as node_config
 from firvane.proxy.config.file import REPEATS, request_class
 from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, says
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
@@ -90,13 +90,13 @@
     voters: Voters | None = None
 
 
-def whole(policy: Policy) -> checks.Found:
+def whole(policy: Policy) -> checks.Errors:
     """What must fit together in a policy, as far as that can be seen without knowing the tier."""
     if all(getattr(policy, key) is None for key in policy.__struct_fields__):
         yield "", "says nothing: it has none of " + ", ".join(policy.__struct_fields__)
     yield from checks.callers(policy.classes or (), policy.tenants or ())
     if policy.voters:
-        yield from told.misfits(policy.voters, max(policy.voters) + 1)
+        yield from node_config.voter_errors(policy.voters, max(policy.voters) + 1)
 
 
 CHECKS: validation.Checks = {RequestClass: checks.request_class, Policy: whole}
@@ -115,7 +115,8 @@
     """What a proxy decides by under a policy over its own settings, `base`; `Faults` where they don't fit."""
     if policy.voters:
         faults = [
-            validation.Violation(name, key, why) for key, why in told.misfits(policy.voters, base.proxies)
+            validation.Violation(name, key, why)
+            for key, why in node_config.voter_errors(policy.voters, base.proxies)
         ]
         if faults:
             raise validation.ValidationError(faults)
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -23,7 +23,7 @@
 
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import AdminCall
-from firvane.proxy.config.node import PolicyTold
+from firvane.proxy.config.node import PolicyOptions
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.admin_calls import AdminCalls
 from firvane.proxy.quorum.events import Event
@@ -119,7 +119,7 @@
                 await self.first_lease.wait()
         except TimeoutError:
             self._on_start_timeout(stored)
-            if not self.config.serve_without:
+            if not self.config.serve_without_lease:
                 await self.first_lease.wait()
 
     def _start_member(self, stored: StoredFiles) -> None:
@@ -147,7 +147,7 @@
             self.clock,
             self._handle,
             lambda: self.history,
-            self.config.serve_without,
+            self.config.serve_without_lease,
         )
         self.log.info(
             "policy_consensus_started",
@@ -162,7 +162,7 @@
         last = self.history[-1].value if self.history else None
         if stored.state:
             last = stored.state.decided
-        if self.config.serve_without and last and not self.library.check(last.digest).reason:
+        if self.config.serve_without_lease and last and not self.library.check(last.digest).reason:
             self._use(last)
         status = self.member.status(self.clock())
         self.log.warning(
@@ -188,7 +188,7 @@
         now = self.clock()
         if now >= self.next_tick_at:
             self._handle(events.Tick())
-        if self.config.serve_without:
+        if self.config.serve_without_lease:
             return True
         return member.may_serve(now) and self.value == member.serving
 
@@ -232,7 +232,7 @@
             self.first_lease.set()
             self.log.info("policy_lease_acquired", epoch=self.epoch)
         elif self.first_lease.is_set():  # not logged before the first lease
-            action = "serves on" if self.config.serve_without else "refuses"
+            action = "serves on" if self.config.serve_without_lease else "refuses"
             self.log.warning("policy_lease_lost", epoch=self.epoch, action=action)
 
     def _schedule_tick(self, member: Member) -> None:
@@ -280,7 +280,7 @@
         if self.value is None or self.value.digest != value.digest:
             self.host.apply_policy(settings)
         self.value, self.epoch = value, value.epoch
-        self.epoch_header = b"X-Policy-Epoch: %d\r\n" % value.epoch if self.config.tell else NO_HEADER
+        self.epoch_header = b"X-Policy-Epoch: %d\r\n" % value.epoch if self.config.sends_epoch else NO_HEADER
 
     # Texts
 
@@ -300,10 +300,10 @@
             self._handle(events.TextChecked(digest, reason[:MAX_REASON_CHARS]))
 
 
-def _timing(config: PolicyTold) -> Timing:
+def _timing(config: PolicyOptions) -> Timing:
     """Return the time bounds of the settings."""
     return Timing(
-        lease_s=config.lease,
-        round_trip_s=config.trip,
-        readiness_timeout_s=max(Timing.readiness_timeout_s, READINESS_TIMEOUT_LEASES * config.lease),
+        lease_s=config.lease_s,
+        round_trip_s=config.round_trip_s,
+        readiness_timeout_s=max(Timing.readiness_timeout_s, READINESS_TIMEOUT_LEASES * config.lease_s),
     )
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -13,7 +13,7 @@
 from firvane.core import interface as api
 from firvane.core.validation import ValidationError
 from firvane.proxy.config import policy as policies
-from firvane.proxy.config.node import PolicyTold
+from firvane.proxy.config.node import PolicyOptions
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum.host import Host
 from firvane.proxy.quorum.store import HISTORY_LIMIT, Store
@@ -40,7 +40,7 @@
     def __init__(
         self,
         host: Host,
-        config: PolicyTold,
+        config: PolicyOptions,
         store: Store,
         is_voter: Callable[[], bool],
         on_available: Callable[[bytes], None],
@@ -121,7 +121,7 @@
             self.fetches[digest] = TextFetch(
                 self.host.loop,
                 self.host.dialer,
-                self.config.doors,
+                self.config.admin_addresses,
                 digest,
                 holders[first:] + holders[:first],
                 lambda text, error: self._on_fetched(digest, text, error),
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -108,9 +108,13 @@
             "127.0.0.1:0",
             "target_group.targets[1].address: is where this proxy itself listens",
         ),
-        ("[target_group]", '[target_group]\ndiscovery = "1.1.1.1:1"', "target_group.targets: stands beside"),
+        (
+            "[target_group]",
+            '[target_group]\ndiscovery = "1.1.1.1:1"',
+            "target_group.targets: conflicts with discovery",
+        ),
         ("targets = [", "targets = [] # [", "target_group: has neither discovery nor targets"),
-        ('name = "edge"', 'zones = ["a"]', "zone: is missing, and zones is there"),
+        ('name = "edge"', 'zones = ["a"]', "zone: is missing, and zones is set"),
         (
             'name = "edge"',
             'peers = { listen = "1.1.1.1:1", addresses = ["1.1.1.2:1"] }',
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -15,7 +15,7 @@
 from firvane.core import interface as api
 from firvane.core import validation
 from firvane.proxy.config import policy as module
-from firvane.proxy.config.node import MOST_VOTERS, PolicyTold
+from firvane.proxy.config.node import MAX_VOTERS, PolicyOptions
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.config.policy import Policy, parse, render, settings
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
@@ -149,7 +149,7 @@
 
 def test_the_numbers_that_are_written_twice_are_the_same() -> None:
     timing = types.Timing()
-    assert (MOST_VOTERS, PolicyTold.lease, PolicyTold.trip) == (
+    assert (MAX_VOTERS, PolicyOptions.lease_s, PolicyOptions.round_trip_s) == (
         types.MAX_VOTERS,
         timing.lease_s,
         timing.round_trip_s,
@@ -161,16 +161,16 @@
 KEYS = {"without_lease": "serve", "lease_s": 1, "trip_ms": 50, "tell": True, "voters": [1]}
 
 
-def told(place: Path, **policy: Any) -> PolicyTold | None:
+def told(place: Path, **policy: Any) -> PolicyOptions | None:
     given = {"folder": ".", "doors": DOORS, **policy}
     return read_config(platform(place, policy=given, ops=DOORS[0], peers=PEERS, peer_listen=PEERS[0])).policy
 
 
 def test_both_forms_become_the_same(tmp_path: Path) -> None:
     doors = tuple(("127.0.0.1", port) for port in (7, 8, 9))
-    assert read(TIER).policy == told(tmp_path) == PolicyTold(".", (0, 1, 2), doors)
+    assert read(TIER).policy == told(tmp_path) == PolicyOptions(".", (0, 1, 2), doors)
     more = "".join(f"{key} = {module._value(v) if key != 'voters' else v}\n" for key, v in KEYS.items())
-    wanted = PolicyTold(".", (1,), doors, True, 1.0, 0.05, True)
+    wanted = PolicyOptions(".", (1,), doors, True, 1.0, 0.05, True)
     assert read(TIER + more).policy == told(tmp_path, **KEYS) == wanted
     assert read(CONFIG).policy is read_config(platform(tmp_path)).policy is None
 
--- a/tests/proxy/quorum/virtual_tier.py
+++ b/tests/proxy/quorum/virtual_tier.py
@@ -10,7 +10,7 @@
 
 from firvane.proxy.admin_api import calls
 from firvane.proxy.config import policy as policies
-from firvane.proxy.config.node import Config, PolicyTold
+from firvane.proxy.config.node import Config, PolicyOptions
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum.store import bootstrap
 from firvane.proxy.settings import parse_settings
@@ -61,7 +61,7 @@
     def __init__(
         self, folder: Path, proxies: int = 3, voters: tuple[int, ...] = (0, 1, 2), **options: Any
     ) -> None:
-        self.folder, self.voters, self.options = folder, voters, {"tell": True, **options}
+        self.folder, self.voters, self.options = folder, voters, {"sends_epoch": True, **options}
         self.hosts = [f"10.0.{p}.1" for p in range(proxies)]
         self.text = policies.render(self.config(0).settings)
         for voter in voters:
@@ -71,17 +71,19 @@
         settings = parse_settings({**PARAMS, "siblings": len(self.hosts), "me": p, "dcs": ["a"]})
         settings = replace(settings, limits=replace(settings.limits, max_open_requests=500, **RETRY))
         peers = tuple((host, 7946) for host in self.hosts)
-        doors = tuple((host, 9100) for host in self.hosts)
+        addresses = tuple((host, 9100) for host in self.hosts)
         known = {
             "index": 1,
             "snapshot": True,
             "endpoints": [{**endpoint("s", 80), "address": f"{BACKEND}:80"}],
         }
-        policy = PolicyTold(folder=str(self.folder / str(p)), voters=self.voters, doors=doors, **self.options)
+        policy = PolicyOptions(
+            folder=str(self.folder / str(p)), voters=self.voters, admin_addresses=addresses, **self.options
+        )
         return Config(
             name=f"n{p}", seed=p, listen=(self.hosts[p], 8080), discovery=None, known=known, zones=("a",),
             kinds=("big",), settings=settings, peer_listen=peers[p], peers=peers, peers_all=None,
-            sockets=256, cores=1.0, memory_mb=64, ops=doors[p], policy=policy,
+            sockets=256, cores=1.0, memory_mb=64, ops=addresses[p], policy=policy,
         )  # fmt: skip
 
 
