--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -1,4 +1,4 @@
-"""`firvane.toml` into what one proxy is told: the same structs as the platform's JSON becomes."""
+"""Converts `firvane.toml` to the `Config` of one proxy, as `platform.py` does with the platform's JSON."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 from firvane.proxy.config.model import File, Recovery, RequestClass, TargetGroup
 from firvane.proxy.config.node import Config
 
-TICK = 0.005  # s: what a deadline is met with, beside the loop's own lag
+TICK = 0.005  # s: precision with which deadlines are met, apart from the lag of the event loop
 REPEATS = {"safe": api.Idempotency.SAFE, "keyed": api.Idempotency.KEYED, "unsafe": api.Idempotency.UNSAFE}
 
 
 def read_file(path: str | Path) -> Config:
-    """The configuration in a file; raises `ValidationError` with everything that is wrong with it."""
+    """Return the configuration in a file; raises `ValidationError` with all of its errors."""
     file = validation.read(path, File, CHECKS)
     if file.control:
-        reason = "is for a control service: firvane control FILE; a proxy has none"
+        reason = "is for a control service (firvane control FILE), not for a proxy"
         raise validation.ValidationError([validation.Violation(str(path), "control", reason)])
-    return node(file)
+    return build_config(file)
 
 
-def node(file: File) -> Config:
-    """What one proxy is told. The one thing that is not in the file is the seed, where it has none."""
+def build_config(file: File) -> Config:
+    """Return the configuration of one proxy; the seed is random where the file has none."""
     limits, group = file.limits, file.target_group
-    zones = file.zones or _named(file.zone, *(target.zone for target in group.targets))
-    kinds = file.kinds or _named(*(target.kind for target in group.targets))
+    zones = file.zones or _unique_names(file.zone, *(target.zone for target in group.targets))
+    kinds = file.kinds or _unique_names(*(target.kind for target in group.targets))
     return Config(
         name=file.name,
         listen=parse_address(file.listen),
@@ -40,7 +40,7 @@
         peer_listen=parse_address(file.peers.listen) if file.peers else None,
         peers=tuple(map(parse_address, file.peers.addresses)) if file.peers else (),
         peers_all=parse_address(file.peers.everyone) if file.peers and file.peers.everyone else None,
-        known=_known(group) if group.targets else None,
+        known=_static_list(group) if group.targets else None,
         zones=zones,
         kinds=kinds,
         settings=_settings(file, zones),
@@ -57,13 +57,13 @@
     )
 
 
-def _named(*names: str) -> tuple[str, ...]:
-    """Each name once, in order of appearance."""
+def _unique_names(*names: str) -> tuple[str, ...]:
+    """Return the names that are not empty without duplicates, in order of appearance."""
     return tuple(dict.fromkeys(name for name in names if name))
 
 
-def _known(group: TargetGroup) -> dict[str, Any]:
-    """A static list in discovery's form, so that one reader serves both."""
+def _static_list(group: TargetGroup) -> dict[str, Any]:
+    """Return a static list of targets in the format of discovery, so that one parser reads both."""
     return {
         "index": 1,
         "snapshot": True,
@@ -103,11 +103,11 @@
 
 def _settings(file: File, zones: tuple[str, ...]) -> api.Settings:
     limits, rules, tier = file.limits, file.rules, file.peers
-    me = 0
+    own_index = 0
     if tier:
-        me = tier.addresses.index(tier.listen) if tier.me is None else tier.me
+        own_index = tier.addresses.index(tier.listen) if tier.me is None else tier.me
     return api.Settings(
-        me=me,
+        me=own_index,
         proxies=len(tier.addresses) if tier else 1,
         tick=TICK,
         classes=tuple(map(request_class, file.classes)),
--- a/firvane/proxy/config/node.py
+++ b/firvane/proxy/config/node.py
@@ -1,4 +1,4 @@
-"""What one proxy is told when it starts, whichever form it was written in."""
+"""The configuration of one proxy, independent of the format of its file."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from firvane.core import interface as api
 from firvane.core.address import Address
 
-MAX_VOTERS = 5  # as in quorum/types.py, of which a proxy without [policy] loads nothing
+MAX_VOTERS = 5  # equals MAX_VOTERS of quorum/types.py, which a proxy without [policy] does not load
 
 
 @dataclass(frozen=True)
 class PolicyOptions:
-    """How this proxy takes part in the agreement on one policy; times are seconds."""
+    """Options of this proxy for the agreement on one policy; times are in seconds."""
 
-    folder: str  # where a voter's votes are kept, and the texts of policies
-    voters: tuple[int, ...]  # numbers of proxies, as agreed on before the first_index change
-    admin_addresses: tuple[Address, ...]  # where operators call each proxy, in the order of their numbers
-    serve_without_lease: bool = False  # a proxy without a lease serves all the same, by the policy it had
+    folder: str  # stores the votes of a voter and the texts of policies
+    voters: tuple[int, ...]  # proxy numbers of the voters until a change replaces them
+    admin_addresses: tuple[Address, ...]  # of the admin API of each proxy, by proxy number
+    serve_without_lease: bool = False  # without a lease, serve by the last policy instead of refusing
     lease_s: float = 3.0
-    round_trip_s: float = 0.2  # the longest way there and back that counts
-    sends_epoch: bool = False  # answers carry X-Policy-Epoch
+    round_trip_s: float = 0.2  # answers that take longer are ignored
+    sends_epoch: bool = False  # responses carry X-Policy-Epoch
 
     def errors(self, proxies: int) -> Iterator[tuple[str, str]]:
-        """What is not possible among so many proxies: pairs of a key and a reason."""
+        """Yield pairs of a key and the reason why it is invalid in a tier of `proxies` proxies."""
         yield from voter_errors(self.voters, proxies)
         if len(self.admin_addresses) != proxies:
             yield (
@@ -47,7 +47,7 @@
 
 
 def voter_errors(voters: tuple[int, ...], proxies: int) -> Iterator[tuple[str, str]]:
-    """Why these cannot be the voters among so many proxies: pairs of a key and a reason."""
+    """Yield pairs of a key and the reason why these voters are invalid in a tier of `proxies` proxies."""
     if not 1 <= len(voters) <= MAX_VOTERS:
         yield "voters", f"are {len(voters)}, not 1 to {MAX_VOTERS}"
     if any(a >= b for a, b in pairwise(voters)):
@@ -58,29 +58,29 @@
 
 @dataclass(frozen=True)
 class Config:
-    """Frozen; times are seconds."""
+    """The configuration of one proxy; times are in seconds."""
 
     name: str
     listen: Address
-    discovery: Address | None  # None: `known` is the list, and changes with a reload alone
+    discovery: Address | None  # None: `known` is the list of targets, which changes only on reload
     seed: int
-    sockets: int  # descriptors that it may hold
-    cores: float  # of a processor that it may use
-    memory_mb: float  # that it may hold; beyond that a platform may kill it
+    sockets: int  # limit on open descriptors
+    cores: float  # CPU limit, in cores
+    memory_mb: float  # memory limit; a platform may kill a process that exceeds it
     peer_listen: Address | None
-    peers: tuple[Address, ...]  # of all proxies of the tier in the order of their numbers
-    peers_all: Address | None  # where a datagram for each of them goes
-    known: Any  # the list of targets as last known, in discovery's form
-    zones: tuple[str, ...]  # as numbered in the settings and between the proxies
+    peers: tuple[Address, ...]  # of all proxies of the tier, by proxy number
+    peers_all: Address | None  # broadcast or multicast address of the tier, if there is one
+    known: Any  # initial list of targets, in the format of discovery
+    zones: tuple[str, ...]  # by the zone numbers in the settings and in messages between proxies
     kinds: tuple[str, ...]
     settings: api.Settings
-    ops: Address | None = None  # where operators call; None: nowhere
-    inherited: int | None = None  # the descriptor of a listening socket that the platform holds for clients
-    shape: frozenset[str] = frozenset()  # the settings' keys, all of which a later file must have
-    snapshot: str | None = None  # the file in which what was learnt is kept; None: nowhere
+    ops: Address | None = None  # address of the admin API; None: no admin API
+    inherited: int | None = None  # descriptor of the listening socket for clients that the platform passes
+    shape: frozenset[str] = frozenset()  # keys of the settings; a reloaded file must have them all
+    snapshot: str | None = None  # path of the snapshot file; None: no snapshots
     snapshot_every: float = 5.0  # s
-    policy: PolicyOptions | None = None  # None: this proxy's own settings alone decide
-    measures: bool = False  # requests are counted for `measures`, too
-    version: str = ""  # how the proxy calls its own there; "": the package's
+    policy: PolicyOptions | None = None  # None: only this proxy's own settings apply
+    measures: bool = False  # count requests for the admin call `measures`
+    version: str = ""  # the program version that `measures` reports; "": that of the package
     log_level: str = "info"
     log_format: str = "logfmt"
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment and a JSON file, into what one proxy is told at its start."""
+"""Reads the configuration of one proxy from the environment and the JSON file of the platform."""
 
 from __future__ import annotations
 
@@ -15,15 +15,19 @@
 from firvane.proxy.limits.memory_costs import derive
 from firvane.proxy.settings import MAX_SHOWN_CHARS, is_number, parse_settings, shape
 
-DOOR = 20  # descriptors that the operators' door keeps, as in ops/desk.py
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # where the configuration says nothing
+ADMIN_DESCRIPTORS = 20  # reserved for the admin API, as in admin_api/server.py
+DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
 def read_config(environment: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration; `ValueError` or `OSError` with a plain message where it is of no use.
+    """Return the configuration.
 
-    The environment goes before the file at the start; where the file is read `again` it is the other way,
-    since the environment is as old as the process. A message is one line: the file, the key, and the mend.
+    At the start the environment takes precedence over the file. When the file is read `again` the file takes
+    precedence, since the environment dates from the start of the process.
+
+    Raises:
+        ValueError: The configuration is invalid; the message is one line with file, key and remedy.
+        OSError: The file cannot be read.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -38,16 +42,16 @@
     if not isinstance(data, dict):
         raise ValueError(f"{path} does not hold an object")
     try:
-        # Whatever holds null is as if it were not there, here as in the settings.
-        told = {key: value for key, value in data.items() if value is not None}
-        return _read(told, environment, again)
+        # A key with the value null counts as missing, here as in the settings.
+        present = {key: value for key, value in data.items() if value is not None}
+        return _read(present, environment, again)
     except ValueError as error:
-        # One line whatever a value holds, and the file that is to be mended.
+        # The message names the file, and stays on one line whatever a value contains.
         raise ValueError(f"{path}: {' '.join(str(error).split())}") from None
 
 
 def _read(data: dict[str, Any], environment: Mapping[str, str], again: bool) -> Config:
-    """The configuration that the file's object holds; `ValueError` names the key."""
+    """Return the configuration in the JSON object of the file; raises `ValueError` that names the key."""
 
     def address(key: str, variable: str = "") -> Address:
         given = [(environment.get(variable), variable), (data.get(key), key)]
@@ -72,19 +76,23 @@
     limits = data.get("limits", {})
     if not isinstance(limits, dict):
         raise ValueError("limits is not an object")
-    numbers = {key: most if (value := limits.get(key)) is None else value for key, most in LIMITS.items()}
+    numbers = {
+        key: default if (value := limits.get(key)) is None else value
+        for key, default in DEFAULT_LIMITS.items()
+    }
     for key, value in numbers.items():
         if not is_number(value):
             raise ValueError(f"limits.{key} is {value!r}, not a number")
     ops = address("ops", "NODE_OPS") if data.get("ops") or environment.get("NODE_OPS") else None
     sockets = int(numbers["sockets"])
     derive(numbers["memory_mb"], sockets, numbers["cores"])
-    # The operators' door takes its part of them before the proxy deals out the rest.
-    if ops and sockets < (least := MIN_DESCRIPTORS + DOOR):
+    # The admin API reserves its descriptors before the proxy assigns the others.
+    if ops and sockets < (minimum := MIN_DESCRIPTORS + ADMIN_DESCRIPTORS):
         raise ValueError(
-            f"limits.sockets is {sockets}: at least {least} are needed, of which the door of ops keeps {DOOR}"
+            f"limits.sockets is {sockets}: at least {minimum} are needed, "
+            f"of which the admin API reserves {ADMIN_DESCRIPTORS}"
         )
-    kept = data.get("recovery") or {}
+    recovery = data.get("recovery") or {}
     log = _log(environment, data.get("log", {}))
     peers = data.get("peers", [])
     if not isinstance(peers, list):
@@ -101,8 +109,8 @@
     if policy:
         if ops is None or not tier or not data.get("peer_listen"):
             raise ValueError("policy needs ops, peers and peer_listen")
-        for key, why in policy.errors(len(tier)):
-            raise ValueError(f"policy.{key} {why}")
+        for key, reason in policy.errors(len(tier)):
+            raise ValueError(f"policy.{key} {reason}")
     measures = data.get("measures", False)
     if not isinstance(measures, bool):
         raise ValueError(f"measures is {measures!r}, not true or false")
@@ -124,8 +132,8 @@
         zones=names("dcs"),
         kinds=names("machine-types"),
         settings=settings,
-        snapshot=kept.get("snapshot"),
-        snapshot_every=kept.get("snapshot_every", Config.snapshot_every),
+        snapshot=recovery.get("snapshot"),
+        snapshot_every=recovery.get("snapshot_every", Config.snapshot_every),
         shape=shape(raw),
         policy=policy,
         ops=ops,
@@ -138,42 +146,46 @@
 
 
 def _recovery(given: Any) -> api.RecoveryOptions | None:
-    """Which parts of a recovery from a power loss are on; `ValueError` for a part that there is not."""
+    """Return the options of the recovery from a power loss; raises `ValueError` for a bad key."""
     if given is None:
         return None
     if not isinstance(given, dict):
         raise ValueError("recovery is not an object")
-    wanted: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
-    wanted |= {"snapshot": str, "snapshot_every": (int, float)}
+    types: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
+    types |= {"snapshot": str, "snapshot_every": (int, float)}
     given = {key: value for key, value in given.items() if value is not None}
     for key, value in given.items():
-        if key not in wanted:
-            raise ValueError(f"recovery.{key} is not one of {', '.join(sorted(wanted))}")
-        spans = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
-        if not isinstance(value, wanted[key]) or not spans:
+        if key not in types:
+            raise ValueError(f"recovery.{key} is not one of {', '.join(sorted(types))}")
+        in_range = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
+        if not isinstance(value, types[key]) or not in_range:
             raise ValueError(f"recovery.{key} is {value!r}")
-    return api.RecoveryOptions(**{key: given[key] for key in given if wanted[key] is bool})
+    return api.RecoveryOptions(**{key: given[key] for key in given if types[key] is bool})
 
 
 def _policy(given: Any) -> PolicyOptions | None:
-    """The platform never says it; `ValueError` for a key that there is not, or of no use."""
+    """Return the options of the policy agreement, which the platform itself never sets.
+
+    Raises:
+        ValueError: A key is unknown, missing or invalid.
+    """
     if given is None:
         return None
     if not isinstance(given, dict):
         raise ValueError("policy is not an object")
-    well: dict[str, Callable[[Any], bool]] = {
+    checks: dict[str, Callable[[Any], bool]] = {
         "folder": lambda value: isinstance(value, str) and bool(value),
         "doors": lambda value: isinstance(value, list),
-        "voters": lambda value: isinstance(value, list) and all(type(one) is int for one in value),
+        "voters": lambda value: isinstance(value, list) and all(type(number) is int for number in value),
         "without_lease": lambda value: value in ("refuse", "serve"),
         "lease_s": lambda value: is_number(value) and 0.5 <= value <= 60,
         "trip_ms": is_number,
         "tell": lambda value: isinstance(value, bool),
     }
     for key, value in given.items():
-        if key not in well:
-            raise ValueError(f"policy.{key} is not one of {', '.join(sorted(well))}")
-        if not well[key](value):
+        if key not in checks:
+            raise ValueError(f"policy.{key} is not one of {', '.join(sorted(checks))}")
+        if not checks[key](value):
             raise ValueError(f"policy.{key} is {value!r}")
     for key in ("folder", "doors"):
         if key not in given:
@@ -194,15 +206,19 @@
 
 
 def _log(environment: Mapping[str, str], given: Any) -> dict[str, str]:
-    """How to log: as the file says, or else the environment; `ValueError` for what there is not."""
+    """Return level and format of the log: of the file, else of the environment, else the defaults.
+
+    Raises:
+        ValueError: A level or a format is unknown.
+    """
     if not isinstance(given, dict):
         raise ValueError("log is not an object")
-    told = {}
-    for key, known in (("level", tuple(LEVELS)), ("format", FORMATS)):
+    options = {}
+    for key, allowed in (("level", tuple(LEVELS)), ("format", FORMATS)):
         value = given.get(key)
-        told[key] = str(
+        options[key] = str(
             value or environment.get(f"FIRVANE_LOG_{key.upper()}") or getattr(Config, f"log_{key}")
         )
-        if told[key] not in known:
-            raise ValueError(f"log.{key} is {told[key]!r}, not one of {', '.join(known)}")
-    return told
+        if options[key] not in allowed:
+            raise ValueError(f"log.{key} is {options[key]!r}, not one of {', '.join(allowed)}")
+    return options
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -1,14 +1,14 @@
-"""A policy's file: what a tier of proxies decides by, in the words of `firvane.toml`, and as settings.
+"""The file of a policy: settings for all proxies of a tier, with keys of `firvane.toml`.
 
-Rules that hold here and nowhere else:
+Rules of this format:
 
-1. A policy says a key or leaves it to each proxy's own configuration, key by key in `rules` and `limits`; a
-   list (`classes`, `tenants`) is said whole or not at all.
-2. What its words cannot say (whether a class is streamed, what a proxy is by its place) stays as it was.
-3. `render` says what settings say: read back over them it changes nothing, to the last bit where they came
-   from a file or are whole milliseconds, and by a rounding elsewhere. It raises `Faults` for settings that
-   no policy may have.
-4. A text is `MAX_TEXT_BYTES` bytes at the most, since proxies hand it on in small pieces.
+1. A policy sets a key or leaves it to each proxy's own configuration, key by key in `rules` and `limits`; a
+   list (`classes`, `tenants`) is replaced as a whole or not at all.
+2. Settings without a key in a policy (whether a class is streamed, a proxy's index) keep their values.
+3. `render` returns the policy that sets all keys to the values of given settings. Applied to these settings
+   it changes nothing: bit for bit where they came from a file or are whole milliseconds, and up to rounding
+   elsewhere. It raises `ValidationError` for settings that are not valid in a policy.
+4. A text has at most `MAX_TEXT_BYTES` bytes, since proxies transfer it in small chunks.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, says
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
 
-MS = 1000  # in a second
-# The key of a policy, and the field of the settings that it sets, with what it is multiplied by there.
+MS_PER_S = 1000
+# Key of a policy, the field of the settings that it sets, and the factor from field to key; 0: same unit.
 RULES = {
-    "answer_slack_ms": ("answer_slack", MS),
+    "answer_slack_ms": ("answer_slack", MS_PER_S),
     "drain_grace_s": ("drain_grace", 0),
     "start_capacity": ("start_capacity", 0),
     "cold_s": ("slow_start", 0),
@@ -47,14 +47,14 @@
     "probes": ("probes", 0),
     "retry_after": ("retry_after", 0),
     "most_retry_after_s": ("max_retry_after", 0),
-    "connect_ms": ("connect_timeout", MS),
+    "connect_ms": ("connect_timeout", MS_PER_S),
     "target_idle_s": ("connection_idle_timeout", 0),
 }
 Fields = Mapping[str, tuple[str, int]]
 
 
-def _some(name: str, kind: type, keys: Iterable[str]) -> Any:
-    """A struct of these keys of another, with their bounds; each may be left out."""
+def _optional_struct(name: str, kind: type, keys: Iterable[str]) -> Any:
+    """Return a struct type with some fields of another, all optional, with the same bounds."""
     hints = get_type_hints(kind, include_extras=True)
     return msgspec.defstruct(
         name,
@@ -70,12 +70,12 @@
     from firvane.proxy.config.model import Part as PolicyLimits
     from firvane.proxy.config.model import Part as PolicyRules
 else:
-    PolicyRules = _some("PolicyRules", Rules, RULES)
-    PolicyLimits = _some("PolicyLimits", Limits, LIMITS)
+    PolicyRules = _optional_struct("PolicyRules", Rules, RULES)
+    PolicyLimits = _optional_struct("PolicyLimits", Limits, LIMITS)
 
 
 class Policy(Part, frozen=True, kw_only=True):
-    """What is in force everywhere or nowhere. None: left to each proxy's own configuration."""
+    """A policy of a tier; None leaves a key to each proxy's own configuration."""
 
     classes: Annotated[tuple[RequestClass, ...], says("of requests; others get 404", min_length=1)] | None = (
         None
@@ -90,8 +90,8 @@
     voters: Voters | None = None
 
 
-def whole(policy: Policy) -> checks.Errors:
-    """What must fit together in a policy, as far as that can be seen without knowing the tier."""
+def policy_errors(policy: Policy) -> checks.Errors:
+    """Yield the errors across the keys of a policy that do not depend on the tier."""
     if all(getattr(policy, key) is None for key in policy.__struct_fields__):
         yield "", "says nothing: it has none of " + ", ".join(policy.__struct_fields__)
     yield from checks.callers(policy.classes or (), policy.tenants or ())
@@ -99,11 +99,11 @@
         yield from node_config.voter_errors(policy.voters, max(policy.voters) + 1)
 
 
-CHECKS: validation.Checks = {RequestClass: checks.request_class, Policy: whole}
+CHECKS: validation.Checks = {RequestClass: checks.request_class, Policy: policy_errors}
 
 
 def parse(text: bytes, name: str = "policy") -> Policy:
-    """The policy in a text; raises `validation.ValidationError` with everything that is wrong with it."""
+    """Return the policy in a text; raises `validation.ValidationError` with all of its errors."""
     if len(text) > MAX_TEXT_BYTES:
         raise validation.ValidationError(
             [validation.Violation(name, "", f"larger than {MAX_TEXT_BYTES >> 10} KiB")]
@@ -112,61 +112,69 @@
 
 
 def settings(policy: Policy, base: api.Settings, name: str = "policy") -> api.Settings:
-    """What a proxy decides by under a policy over its own settings, `base`; `Faults` where they don't fit."""
+    """Return a proxy's own settings, `base`, changed by a policy.
+
+    Raises:
+        ValidationError: The voters are invalid in a tier of this size.
+    """
     if policy.voters:
-        faults = [
+        violations = [
             validation.Violation(name, key, why)
             for key, why in node_config.voter_errors(policy.voters, base.proxies)
         ]
-        if faults:
-            raise validation.ValidationError(faults)
-    before = {cls.name: cls for cls in base.classes}
-    said: dict[str, Any] = {}
+        if violations:
+            raise validation.ValidationError(violations)
+    base_classes = {cls.name: cls for cls in base.classes}
+    changes: dict[str, Any] = {}
     if policy.classes is not None:
-        said["classes"] = tuple(_class(cls, before.get(cls.name)) for cls in policy.classes)
+        changes["classes"] = tuple(_class(cls, base_classes.get(cls.name)) for cls in policy.classes)
     if policy.tenants is not None:
-        said["tenants"] = tuple(api.Tenant(t.name, t.share, t.quota_rps) for t in policy.tenants)
+        changes["tenants"] = tuple(api.Tenant(t.name, t.share, t.quota_rps) for t in policy.tenants)
     if policy.over_share_worth is not None:
-        said["over_quota_value"] = policy.over_share_worth
+        changes["over_quota_value"] = policy.over_share_worth
     if policy.remembers_keys is not None:
-        said["key_affinity"] = policy.remembers_keys
+        changes["key_affinity"] = policy.remembers_keys
     return replace(
         base,
-        rules=replace(base.rules, **_said(policy.rules, RULES)),
-        limits=replace(base.limits, **_said(policy.limits, LIMITS)),
-        **said,
+        rules=replace(base.rules, **_changed_fields(policy.rules, RULES)),
+        limits=replace(base.limits, **_changed_fields(policy.limits, LIMITS)),
+        **changes,
     )
 
 
-def _class(cls: RequestClass, before: api.RequestClass | None) -> api.RequestClass:
-    """With what a policy cannot say as it was in the class of that name."""
-    made = request_class(cls)
-    if before is None:
-        return made
-    # How long a key is remembered says nothing of a class without keys, and a policy may not say it.
-    keyless = api.Idempotency.KEYED not in (made.idempotency, before.idempotency)
-    window = before.dedup_window if keyless else made.dedup_window
+def _class(cls: RequestClass, base: api.RequestClass | None) -> api.RequestClass:
+    """Return a class of the settings; what a policy cannot set comes from `base`, the old class."""
+    new = request_class(cls)
+    if base is None:
+        return new
+    # The deduplication window has no meaning in a class without keys, and a policy may not set it there.
+    keyless = api.Idempotency.KEYED not in (new.idempotency, base.idempotency)
+    window = base.dedup_window if keyless else new.dedup_window
     return replace(
-        made, stream=before.stream, latency_target_stretch=before.latency_target_stretch, dedup_window=window
+        new, stream=base.stream, latency_target_stretch=base.latency_target_stretch, dedup_window=window
     )
 
 
-def _said(part: Part | None, fields: Fields) -> dict[str, Any]:
-    """The fields of the settings that a part of a policy says."""
-    given = {} if part is None else {key: getattr(part, key) for key in fields}
+def _changed_fields(part: Part | None, fields: Fields) -> dict[str, Any]:
+    """Return the fields of the settings that a section of a policy sets, with their values."""
+    values = {} if part is None else {key: getattr(part, key) for key in fields}
     return {
-        field: value / times if times else value
-        for key, (field, times) in fields.items()
-        if (value := given.get(key)) is not None
+        field: value / factor if factor else value
+        for key, (field, factor) in fields.items()
+        if (value := values.get(key)) is not None
     }
 
 
 def render(base: api.Settings, name: str = "policy") -> bytes:
-    """The text of a policy that says just what these settings say; `Faults` where no policy may say it."""
+    """Return the text of the policy that sets exactly these settings.
+
+    Raises:
+        ValidationError: The settings are not valid in a policy.
+    """
     text = "\n".join(_lines(base)) + "\n"
-    made = text.encode("utf-8", "surrogatepass")  # a name that is no text is a fault, which `parse` tells
-    parse(made, name)
-    return made
+    encoded = text.encode("utf-8", "surrogatepass")  # `parse` reports a name that is not valid Unicode
+    parse(encoded, name)
+    return encoded
 
 
 def _lines(base: api.Settings) -> Iterator[str]:
@@ -176,16 +184,16 @@
         yield "tenants = []"
     for title, part, fields in (("rules", base.rules, RULES), ("limits", base.limits, LIMITS)):
         yield f"\n[{title}]"
-        for key, (field, times) in fields.items():
+        for key, (field, factor) in fields.items():
             value = getattr(part, field)
-            yield f"{key} = {_value(_times(value, times) if times else value)}"
-    repeats = {repeat: word for word, repeat in REPEATS.items()}
+            yield f"{key} = {_value(_multiply(value, factor) if factor else value)}"
+    repeat_names = {repeat: name for name, repeat in REPEATS.items()}
     for cls in base.classes:
         yield "\n[[classes]]"
         yield f"name = {_value(cls.name)}"
-        yield f"aim_ms = {_value(_times(cls.latency_target, MS))}"
-        yield f"deadline_ms = {_value(_times(cls.deadline, MS))}"
-        yield f"repeat = {_value(repeats[cls.idempotency])}"
+        yield f"aim_ms = {_value(_multiply(cls.latency_target, MS_PER_S))}"
+        yield f"deadline_ms = {_value(_multiply(cls.deadline, MS_PER_S))}"
+        yield f"repeat = {_value(repeat_names[cls.idempotency])}"
         yield f"repeats_dropped_by = {_value(cls.dedup_scope.value)}"
         if cls.idempotency is api.Idempotency.KEYED:
             yield f"repeats_dropped_for_s = {_value(cls.dedup_window)}"
@@ -198,18 +206,18 @@
         yield f"quota_rps = {_value(tenant.quota_rps)}"
 
 
-def _times(value: float, times: int) -> float:
-    """The product that gives the value again when it is divided, where there is one."""
-    product = value * times
-    near = (product, math.nextafter(product, math.inf), math.nextafter(product, 0.0))
-    return next((one for one in near if one / times == value), product)
+def _multiply(value: float, factor: int) -> float:
+    """Return the product, or its neighbour among floats if only that gives the value again when divided."""
+    product = value * factor
+    candidates = (product, math.nextafter(product, math.inf), math.nextafter(product, 0.0))
+    return next((candidate for candidate in candidates if candidate / factor == value), product)
 
 
 def _value(value: str | float) -> str:
-    """As TOML has it."""
+    """Return a value in TOML syntax."""
     if isinstance(value, str):
         return json.dumps(value, ensure_ascii=False).replace("\x7f", "\\u007f")
     if isinstance(value, bool):
         return "true" if value else "false"
-    whole = isinstance(value, float) and value.is_integer() and abs(value) < 1e15
-    return repr(int(value) if whole else value)
+    is_integral = isinstance(value, float) and value.is_integer() and abs(value) < 1e15
+    return repr(int(value) if is_integral else value)
--- a/firvane/proxy/config/reload.py
+++ b/firvane/proxy/config/reload.py
@@ -1,4 +1,4 @@
-"""What of a configuration that is read anew may be taken over while the proxy runs."""
+"""Which changes of a reloaded configuration a running proxy can apply."""
 
 from __future__ import annotations
 
@@ -6,27 +6,27 @@
 from firvane.proxy.config.node import Config
 from firvane.proxy.settings_reload import fields_needing_restart
 
-FIXED = ("listen", "peers", "ops")  # keys that a running proxy does not take over
+RESTART_KEYS = ("listen", "peers", "ops")  # changes of these need a restart
 
 
-def check_shape(old: Config, new: Config) -> None:
-    """`ValueError` where a part of the settings that was there before is missing."""
-    if short := sorted(old.shape - new.shape):
-        raise ValueError(f"settings: {short[0]} is missing, and was there before")
+def check_required_keys(old: Config, new: Config) -> None:
+    """Raise `ValueError` where the new settings lack a key that the old ones have."""
+    if missing := sorted(old.shape - new.shape):
+        raise ValueError(f"settings: {missing[0]} is missing, and was there before")
 
 
-def waiting_for_start(settings: Settings, old: Config, new: Config) -> list[str]:
-    """What differs and waits for the next start, by name; `settings` are those in force."""
-    waiting = fields_needing_restart(settings, new.settings)
-    waiting += [name for name in FIXED if getattr(new, name) != getattr(old, name)]
+def changes_needing_restart(settings: Settings, old: Config, new: Config) -> list[str]:
+    """Return the names of the changes that need a restart; `settings` are the ones in force."""
+    names = fields_needing_restart(settings, new.settings)
+    names += [name for name in RESTART_KEYS if getattr(new, name) != getattr(old, name)]
     if (new.discovery is None) is not (old.discovery is None):
-        waiting.append("kind of list")
-    return waiting
+        names.append("kind of list")
+    return names
 
 
-def check_open_flows(settings: Settings, most: int) -> str:
-    """Why settings allow more open flows than there is memory for; "" where they do not."""
-    given = settings.limits.max_open_requests
-    if given > most:
-        return f"limits.open_flows: is {given}, and memory here is for {most}: lower it"
+def check_open_flows(settings: Settings, max_open: int) -> str:
+    """Return why the memory limit does not allow the configured open flows; "" where it does."""
+    open_flows = settings.limits.max_open_requests
+    if open_flows > max_open:
+        return f"limits.open_flows: is {open_flows}, but the memory limit allows {max_open}: lower it"
     return ""
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -15,7 +15,7 @@
 from firvane.core.logs import LoggingBridge
 from firvane.proxy import native
 from firvane.proxy.config.checks import CHECKS
-from firvane.proxy.config.file import node
+from firvane.proxy.config.file import build_config
 from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.config.model import File
 from firvane.proxy.config.node import Config
@@ -32,7 +32,7 @@
         raise validation.ValidationError(
             [validation.Violation(path, "control", "is missing: a table that names the service")]
         )
-    return node(file), file.control
+    return build_config(file), file.control
 
 
 async def run(settings: ServiceSettings, read_again: Callable[[], ServiceSettings]) -> None:
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -16,7 +16,7 @@
 from firvane.proxy.admin_api.calls import AdminCall, Call
 from firvane.proxy.admin_api.lifecycle import Event, State
 from firvane.proxy.config.node import Config
-from firvane.proxy.config.reload import check_open_flows, check_shape, waiting_for_start
+from firvane.proxy.config.reload import changes_needing_restart, check_open_flows, check_required_keys
 from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.descriptors import Use
 from firvane.proxy.limits.memory_costs import FLOW_BYTES, MB
@@ -252,7 +252,7 @@
         """
         try:
             config = read()
-            check_shape(self.config, config)
+            check_required_keys(self.config, config)
             old, static = self.config, config.discovery is None
             # First, as it is the only step that can still fail: an invalid list changes nothing.
             if static and old.discovery is None:
@@ -265,7 +265,7 @@
             self.target_group.move(config.discovery)
         at = "{}:{}".format(*config.discovery) if config.discovery else None
         self.log.info("config_reloaded", discovery=at, targets=len(self.target_group.servers))
-        if waiting := waiting_for_start(self.engine.settings, old, config):
+        if waiting := changes_needing_restart(self.engine.settings, old, config):
             self.log.warning(
                 "config_needs_restart", text="a restart is needed to apply " + ", ".join(waiting)
             )
--- a/tests/crossings/mutants/others.py
+++ b/tests/crossings/mutants/others.py
@@ -61,8 +61,8 @@
     Mutant(
         "the door's descriptors are counted before the start",
         "firvane/proxy/config/platform.py",
-        "    if ops and sockets < (least := MIN_DESCRIPTORS + DOOR):",
-        "    if ops and sockets < (least := LEAST):",
+        "    if ops and sockets < (minimum := MIN_DESCRIPTORS + ADMIN_DESCRIPTORS):",
+        "    if ops and sockets < (minimum := MIN_DESCRIPTORS):",
         f"{TEST}::test_the_program_says_it_and_ends_with_2",
     ),
     Mutant(
--- a/tests/crossings/test_others.py
+++ b/tests/crossings/test_others.py
@@ -558,7 +558,7 @@
     "a long value": ("settings.discovery", "push\n" * 99, "settings: discovery is 'push"),
     "too few sockets": ("limits.sockets", 3, "limits.sockets is 3: at least 64 are needed"),
     "too few beside a door": (
-        "limits.sockets", 70, "limits.sockets is 70: at least 84 are needed, of which the door of ops keeps",
+        "limits.sockets", 70, "limits.sockets is 70: at least 84 are needed, of which the admin API reserves",
     ),
     "memory in words": ("limits.memory_mb", "much", "limits.memory_mb is 'much', not a number"),
     "a seed in words": ("seed", "seed", "seed is 'seed', not hexadecimal digits"),
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -20,7 +20,7 @@
 from firvane.core import interface as api
 from firvane.core import validation
 from firvane.proxy.config.checks import CHECKS
-from firvane.proxy.config.file import node
+from firvane.proxy.config.file import build_config
 from firvane.proxy.config.model import File
 from firvane.proxy.config.node import Config
 from firvane.proxy.config.platform import read_config
@@ -35,7 +35,7 @@
 
 
 def read(text: str) -> Config:
-    return node(validation.build(validation.parse(text.encode(), "f"), File, "f", CHECKS))
+    return build_config(validation.build(validation.parse(text.encode(), "f"), File, "f", CHECKS))
 
 
 def lines(text: str) -> list[str]:
--- a/tests/proxy/control/live.py
+++ b/tests/proxy/control/live.py
@@ -12,7 +12,7 @@
 
 from firvane.core import logs, validation
 from firvane.proxy.config.checks import CHECKS
-from firvane.proxy.config.file import node
+from firvane.proxy.config.file import build_config
 from firvane.proxy.config.model import File
 from firvane.proxy.control.service import Control
 from firvane.simulation.runner.receiver import Receiver
@@ -111,7 +111,7 @@
     file = validation.build(msgspec.to_builtins(raw), File, "test.toml", CHECKS)
     assert file.control
     log = logs.make("info", "logfmt", lines.append)
-    return Control(asyncio.get_running_loop(), node(file), file.control, log=log)
+    return Control(asyncio.get_running_loop(), build_config(file), file.control, log=log)
 
 
 class Stage:
