--- a/firvane/proxy/config/model.py
+++ b/firvane/proxy/config/model.py
@@ -1,7 +1,7 @@
-"""The words of `firvane.toml`: what each key means, its bounds and its default.
+"""The keys of `firvane.toml`: their meaning, bounds and defaults.
 
-`_s` is seconds, `_ms` milliseconds, `_mb` mebibytes. The descriptions are what `firvane config schema` hands
-to editors. What must fit together across keys is in `checks.py`, what becomes of it all in `file.py`.
+`_s` is seconds, `_ms` milliseconds, `_mb` mebibytes. `firvane config schema` exports the descriptions, which
+editors show. Checks across keys are in `checks.py`; `file.py` converts the result to a `Config`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 
 OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
 PORT = "([0-9]{1,4}|[1-5][0-9]{4}|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"
-NUMERIC = rf"^({OCTET}\.){{3}}{OCTET}:{PORT}$"
+ADDRESS_PATTERN = rf"^({OCTET}\.){{3}}{OCTET}:{PORT}$"
 
 
-def says(text: str, **bounds: Any) -> Meta:
-    """A key's description, and what its value must keep to."""
+def described(text: str, **bounds: Any) -> Meta:
+    """Return the description of a key with the bounds of its value."""
     return Meta(description=text, **bounds)
 
 
-FORM = "a numeric address with a port, such as 127.0.0.1:8080"
-Address = Annotated[str, Meta(pattern=NUMERIC, extra={"form": FORM})]
+ADDRESS_FORM = "a numeric address with a port, such as 127.0.0.1:8080"
+Address = Annotated[str, Meta(pattern=ADDRESS_PATTERN, extra={"form": ADDRESS_FORM})]
 PATH_FORM = "a part of a path, such as search: letters, digits, . _ ~ -"
 PathPart = Annotated[str, Meta(pattern="^[A-Za-z0-9._~-]{1,100}$", extra={"form": PATH_FORM})]
 Name = Annotated[str, Meta(min_length=1, max_length=100)]
@@ -32,164 +32,205 @@
 
 
 class Part(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """Frozen, named, and closed against keys that nobody reads."""
+    """Base of all tables: frozen, with keyword arguments only, and without unknown keys."""
 
 
 class Target(Part, frozen=True, kw_only=True):
     """One backend of a static list."""
 
-    address: Annotated[Address, says("where it listens")]
-    name: Annotated[str, says("how logs and proxies call it; its address where empty")] = ""
-    zone: Annotated[str, says("one of zones, where there are any")] = ""
-    kind: Annotated[str, says("its model: targets of one kind are about equally quick")] = ""
-    cell: Annotated[int, says("the group that drops repeats together", ge=0)] = 0
-    weight: Annotated[float, says("its size beside the others", gt=0, le=1e6)] = 1.0
-    draining: Annotated[bool, says("it finishes what it has and wants nothing new")] = False
+    address: Annotated[Address, described("where it listens")]
+    name: Annotated[str, described("its name in logs and between proxies; its address where empty")] = ""
+    zone: Annotated[str, described("one of zones, where there are any")] = ""
+    kind: Annotated[str, described("its machine model: targets of one kind have about the same speed")] = ""
+    cell: Annotated[int, described("the group of targets that deduplicates requests together", ge=0)] = 0
+    weight: Annotated[float, described("its capacity relative to the others", gt=0, le=1e6)] = 1.0
+    draining: Annotated[bool, described("it finishes its requests and takes no new ones")] = False
 
 
 class TargetGroup(Part, frozen=True, kw_only=True):
-    """Where requests go: either what discovery tells of, or a static list (read anew on SIGHUP)."""
+    """The targets of requests: from discovery, or a static list (reloaded on SIGHUP)."""
 
-    discovery: Annotated[Address | None, says("discovery's address: the list is watched")] = None
-    targets: Annotated[tuple[Target, ...], says("the static list")] = ()
+    discovery: Annotated[Address | None, described("address of discovery, which is watched for changes")] = (
+        None
+    )
+    targets: Annotated[tuple[Target, ...], described("the static list")] = ()
 
 
 class RequestClass(Part, frozen=True, kw_only=True):
     """Requests of one kind: those whose path begins with /NAME."""
 
-    name: Annotated[PathPart, says("the first part of a path")]
-    aim_ms: Annotated[float, says("an answer after that is worth little", gt=0, le=3.6e6)]
-    deadline_ms: Annotated[float, says("the client waits no longer than that", gt=0, le=3.6e6)]
+    name: Annotated[PathPart, described("the first part of a path")]
+    aim_ms: Annotated[
+        float, described("latency target: a later answer is worth only late_share", gt=0, le=3.6e6)
+    ]
+    deadline_ms: Annotated[float, described("the longest time that a client waits", gt=0, le=3.6e6)]
     repeat: Annotated[
         Literal["safe", "keyed", "unsafe"],
-        says(
-            "a second run does no harm (GET), none where targets drop repeats by key (POST), or harm (POST)"
+        described(
+            "whether a second run is harmless (GET), harmless where targets deduplicate by key, or harmful"
         ),
     ] = "unsafe"
     repeats_dropped_by: Annotated[
-        Literal["all", "zone", "cell"], says("keyed: targets that drop them together")
+        Literal["all", "zone", "cell"], described("keyed: which targets deduplicate together")
     ] = "all"
-    repeats_dropped_for_s: Annotated[float, says("keyed: how long they remember a key", ge=0)] = 0.0
-    worth: Annotated[float, says("of an answer within the aim, beside others'", gt=0, le=1e6)] = 1.0
-    late_share: Annotated[float, says("part of the worth that a late one keeps", ge=0, le=1)] = 0.0
+    repeats_dropped_for_s: Annotated[float, described("keyed: how long targets remember a key", ge=0)] = 0.0
+    worth: Annotated[
+        float, described("value of an answer within the aim, relative to other classes", gt=0, le=1e6)
+    ] = 1.0
+    late_share: Annotated[float, described("part of the worth that a late answer keeps", ge=0, le=1)] = 0.0
 
 
 class Tenant(Part, frozen=True, kw_only=True):
-    """Whoever clients name in X-Caller."""
+    """A tenant, which clients name in X-Caller."""
 
     name: Name
-    share: Annotated[float, says("of the service", ge=0, le=1)] = 0.0
-    quota_rps: Annotated[float, says("requests a second over all proxies; 0: any", ge=0)] = 0.0
+    share: Annotated[float, described("guaranteed share of the service", ge=0, le=1)] = 0.0
+    quota_rps: Annotated[float, described("requests a second over all proxies; 0: any", ge=0)] = 0.0
 
 
 class Rules(Part, frozen=True, kw_only=True):
-    """What the targets need."""
-
-    answer_slack_ms: Annotated[float, says("kept free before a deadline", ge=0)] = 20.0
-    drain_grace_s: Annotated[float, says("new work may still go to a draining target", ge=0)] = 1.0
-    start_capacity: Annotated[float, says("part that a cold target can do", gt=0, le=1)] = 0.13
-    cold_s: Annotated[float, says("after which a target is warm", gt=0)] = 22.0
+    """Properties of the targets."""
+
+    answer_slack_ms: Annotated[float, described("time reserved for the answer before a deadline", ge=0)] = (
+        20.0
+    )
+    drain_grace_s: Annotated[float, described("how long a draining target still gets new requests", ge=0)] = (
+        1.0
+    )
+    start_capacity: Annotated[
+        float, described("capacity of a cold target as a part of its full capacity", gt=0, le=1)
+    ] = 0.13
+    cold_s: Annotated[float, described("time from the start until a target is warm", gt=0)] = 22.0
     fall_multiple: Annotated[
-        float, says("sent more than this multiple of what it can do, a cold target falls", gt=0)
+        float, described("load, as a multiple of its capacity, at which a cold target fails", gt=0)
     ] = 2.5
-    fall_s: Annotated[float, says("when that lasts for so long", ge=0)] = 3.0
+    fall_s: Annotated[float, described("how long such a load lasts before the target fails", ge=0)] = 3.0
 
 
 class Limits(Part, frozen=True, kw_only=True):
-    """What the proxy may use and do."""
-
-    cores: Annotated[float, says("of a processor; one process uses one", gt=0, le=1024)] = 1.0
-    memory_mb: Annotated[int, says("that the process may hold", ge=1, le=1 << 20)] = 192
-    sockets: Annotated[int, says("descriptors in all", ge=1, le=1 << 20)] = 1024
-    open_flows: Annotated[int, says("requests at once; further ones are refused", ge=1)] = 100_000
-    attempts: Annotated[int, says("of one request, at the most", ge=1, le=16)] = 3
-    second_copies: Annotated[bool, says("a safe request may run twice at once")] = False
-    cancel: Annotated[bool, says("an attempt may be broken off by closing its connection")] = True
-    probes: Annotated[bool, says("targets answer GET /alive")] = False
-    retry_after: Annotated[bool, says("refusals say when to come again")] = True
-    most_retry_after_s: Annotated[float, says("the longest such wait", ge=0)] = 1.0
-    connect_ms: Annotated[float, says("for a connection to a target", gt=0, le=60_000)] = 250.0
-    target_idle_s: Annotated[float, says("idle for so long, a target closes a connection", gt=0)] = 60.0
+    """Resources of the proxy, and limits of its work for a request."""
+
+    cores: Annotated[float, described("CPU limit; one process uses at most one core", gt=0, le=1024)] = 1.0
+    memory_mb: Annotated[int, described("memory limit of the process", ge=1, le=1 << 20)] = 192
+    sockets: Annotated[int, described("open descriptors in total", ge=1, le=1 << 20)] = 1024
+    open_flows: Annotated[int, described("concurrent requests; further ones are refused", ge=1)] = 100_000
+    attempts: Annotated[int, described("maximum number for one request", ge=1, le=16)] = 3
+    second_copies: Annotated[
+        bool, described("hedging: a safe request may run on two targets at the same time")
+    ] = False
+    cancel: Annotated[bool, described("attempts may be cancelled by closing their connections")] = True
+    probes: Annotated[bool, described("targets answer GET /alive")] = False
+    retry_after: Annotated[bool, described("refusals carry Retry-After")] = True
+    most_retry_after_s: Annotated[float, described("maximum of Retry-After", ge=0)] = 1.0
+    connect_ms: Annotated[float, described("timeout for connecting to a target", gt=0, le=60_000)] = 250.0
+    target_idle_s: Annotated[float, described("idle time after which targets close a connection", gt=0)] = (
+        60.0
+    )
 
 
 class Peers(Part, frozen=True, kw_only=True):
-    """The proxies of this tier, which keep their decisions in step by UDP datagrams."""
+    """The proxies of this tier, which coordinate their decisions by UDP datagrams."""
 
-    listen: Annotated[Address, says("this proxy's own address for datagrams")]
+    listen: Annotated[Address, described("this proxy's own address for datagrams")]
     addresses: Annotated[
         tuple[Address, ...],
-        says("of each proxy, in the same order on all of them", min_length=1, max_length=1000),
+        described("of each proxy, in the same order on all of them", min_length=1, max_length=1000),
     ]
     me: Annotated[
-        Count | None, says("this proxy's place among them, where listen is not the address there")
+        Count | None, described("this proxy's index among them, where listen is not one of addresses")
     ] = None
-    everyone: Annotated[Address | None, says("where a datagram for all of them goes")] = None
+    everyone: Annotated[Address | None, described("broadcast or multicast address of all proxies")] = None
 
 
 class Tls(Part, frozen=True, kw_only=True):
-    """Certificates and keys in PEM; read anew when a file changes, for connections that come after that."""
+    """Certificates and keys in PEM; reloaded when a file changes, for new connections."""
 
-    certificate: Annotated[Name, says("a file: the service's own certificate, and those between")]
-    key: Annotated[Name, says("a file: its key")]
-    authority: Annotated[Name, says("a file: who signs receivers' certificates; several at a rotation")]
+    certificate: Annotated[Name, described("a file: the service's certificate, and intermediate ones")]
+    key: Annotated[Name, described("a file: its key")]
+    authority: Annotated[
+        Name, described("a file: authorities that sign receivers' certificates; several during a rotation")
+    ]
     allow: Annotated[
-        tuple[Name, ...], says("names in certificates that may see the service; empty: any that is signed")
+        tuple[Name, ...], described("names in certificates that may use the service; empty: any signed one")
     ] = ()
 
 
 class Control(Part, frozen=True, kw_only=True):
-    """The control service (`firvane control FILE`): listen is then where receivers ask by xDS."""
+    """The control service (`firvane control FILE`), which serves xDS to receivers at `listen`."""
 
-    service: Annotated[Name, says("the name under which receivers ask for it")]
-    settle_ms: Annotated[float, says("a change that is not urgent waits for others for so long", ge=0)] = 50.0
-    most_ms: Annotated[float, says("and no longer than that", ge=0, le=60_000)] = 500.0
+    service: Annotated[Name, described("the service name that receivers request")]
+    settle_ms: Annotated[float, described("delay in which changes that are not urgent are batched", ge=0)] = (
+        50.0
+    )
+    most_ms: Annotated[float, described("maximum of this delay", ge=0, le=60_000)] = 500.0
     panic: Annotated[
-        float, says("a whole list that leaves less than that part of the boxes is doubted", ge=0, le=0.9)
+        float,
+        described(
+            "a list with less than this part of the targets is applied only after confirm_s", ge=0, le=0.9
+        ),
     ] = 0.2
-    confirm_s: Annotated[float, says("until it has stood for so long", ge=0, le=600)] = 5.0
-    report_s: Annotated[float, says("between load reports of a receiver", ge=0.1, le=60)] = 1.0
-    keep_s: Annotated[float, says("a receiver that has left is left its part for so long", ge=0)] = 15.0
-    assumed_rps: Annotated[float, says("of a receiver that has not reported yet", gt=0, le=1e6)] = 10.0
-    most_rps: Annotated[float, says("that one receiver may report", gt=0, le=1e9)] = 100_000.0
+    confirm_s: Annotated[float, described("how long such a list must be unchanged", ge=0, le=600)] = 5.0
+    report_s: Annotated[float, described("interval of the load reports of a receiver", ge=0.1, le=60)] = 1.0
+    keep_s: Annotated[float, described("how long a disconnected receiver keeps its share", ge=0)] = 15.0
+    assumed_rps: Annotated[
+        float, described("assumed load of a receiver that has not reported yet", gt=0, le=1e6)
+    ] = 10.0
+    most_rps: Annotated[float, described("the highest load that a receiver may report", gt=0, le=1e9)] = (
+        100_000.0
+    )
     counts_as: Annotated[
-        int, says("proxies that receivers stand for in the tier: so many of its addresses", ge=1, le=64)
+        int, described("number of addresses in peers that the receivers represent", ge=1, le=64)
     ] = 1
-    tls: Annotated[Tls | None, says("receivers must show a certificate; without it nothing is hidden")] = None
+    tls: Annotated[
+        Tls | None, described("TLS with client certificates; without it connections are not encrypted")
+    ] = None
 
 
 class Recovery(Part, frozen=True, kw_only=True):
-    """Coming back from a loss of power (docs/recovery.md). All proxies of a tier have it, or none."""
-
-    trials: Annotated[bool, says("a target that may be cold is tried by its home first, not by all")] = True
-    steps: Annotated[bool, says("its room is found by steps, which double while answers are quick")] = True
-    first_tries: Annotated[bool, says("they go before requests that come again")] = True
-    ask: Annotated[bool, says("a few peers are asked what they hold")] = True
-    snapshot: Annotated[str | None, says("the file that keeps what was learnt; its folder must last")] = None
-    snapshot_every_s: Annotated[float, says("from one writing to the next", ge=0.1, le=3600)] = 5.0
+    """Recovery from a loss of power (docs/recovery.md). Either all proxies of a tier have this, or none."""
+
+    trials: Annotated[bool, described("only one proxy, its home, first tries a target that may be cold")] = (
+        True
+    )
+    steps: Annotated[
+        bool, described("its concurrency limit starts low and doubles while answers are fast")
+    ] = True
+    first_tries: Annotated[bool, described("first tries have priority over retries by clients")] = True
+    ask: Annotated[bool, described("request the state of a few peers")] = True
+    snapshot: Annotated[
+        str | None, described("path of the snapshot file, in a folder that survives restarts")
+    ] = None
+    snapshot_every_s: Annotated[float, described("interval of the snapshots", ge=0.1, le=3600)] = 5.0
 
 
 Voters = Annotated[
     tuple[Count, ...],
-    says("numbers of the proxies that decide, ascending", min_length=1, max_length=MAX_VOTERS),
+    described("numbers of the proxies that vote, ascending", min_length=1, max_length=MAX_VOTERS),
 ]
 
 
 class PolicyTable(Part, frozen=True, kw_only=True):
-    """One policy for the whole tier, in force everywhere or nowhere. All its proxies have this, or none."""
+    """One policy for the whole tier, in force on all proxies or none. All of them must have this table."""
 
-    folder: Annotated[Name, says("keeps a voter's votes and the policies' texts; it must last")]
+    folder: Annotated[
+        Name, described("stores the votes of a voter and the texts of policies; must survive restarts")
+    ]
     doors: Annotated[
         tuple[Address, ...],
-        says("ops of each proxy, in the order of peers.addresses", min_length=1, max_length=1000),
+        described("ops of each proxy, in the order of peers.addresses", min_length=1, max_length=1000),
     ]
     voters: Voters = (0, 1, 2)
     without_lease: Annotated[
         Literal["refuse", "serve"],
-        says("while no majority of the voters is heard: refuse requests, or serve by the policy it had"),
+        described(
+            "without contact to a majority of the voters: refuse requests, or serve by the last policy"
+        ),
     ] = "refuse"
-    lease_s: Annotated[float, says("a majority's word may be acted on for so long", ge=0.5, le=60)] = 3.0
-    trip_ms: Annotated[float, says("the longest way there and back that counts", gt=0, le=15_000)] = 200.0
-    tell: Annotated[bool, says("answers carry X-Policy-Epoch")] = False
+    lease_s: Annotated[float, described("duration of the lease that a majority grants", ge=0.5, le=60)] = 3.0
+    trip_ms: Annotated[
+        float, described("maximum round trip; slower answers are ignored", gt=0, le=15_000)
+    ] = 200.0
+    tell: Annotated[bool, described("responses carry X-Policy-Epoch")] = False
 
     def options(self) -> PolicyOptions:
         return PolicyOptions(
@@ -197,41 +238,56 @@
             voters=self.voters,
             admin_addresses=tuple(map(parse_address, self.doors)),
             serve_without_lease=self.without_lease == "serve",
-            lease_s=self.lease_s,
-            round_trip_s=self.trip_ms / 1000,
+            lease_duration_s=self.lease_s,
+            max_round_trip_s=self.trip_ms / 1000,
             sends_epoch=self.tell,
         )
 
 
 class Log(Part, frozen=True, kw_only=True):
-    """What is told on standard error."""
+    """The log, on standard error."""
 
-    level: Annotated[Literal["debug", "info", "warning", "error"], says("debug: each attempt")] = "info"
-    format: Annotated[Literal["logfmt", "json"], says("key=value lines, or JSON lines")] = "logfmt"
+    level: Annotated[Literal["debug", "info", "warning", "error"], described("debug: each attempt")] = "info"
+    format: Annotated[Literal["logfmt", "json"], described("key=value lines, or JSON lines")] = "logfmt"
 
 
 class File(Part, frozen=True, kw_only=True):
-    """One proxy without a platform."""
+    """The configuration file of one proxy that runs without the platform."""
 
-    listen: Annotated[Address, says("where clients connect; port 0 takes any that is free")]
+    listen: Annotated[Address, described("address for clients; port 0 selects a free one")]
     target_group: TargetGroup
-    classes: Annotated[tuple[RequestClass, ...], says("of requests; others get 404", min_length=1)]
-    ops: Annotated[Address | None, says("where operators call: ready, show-stat, drain and more")] = None
-    measures: Annotated[bool, says("ops answers measures: counts by class and tenant, for a roll")] = False
-    name: Annotated[Name, says("of this proxy, in the log")] = "firvane"
-    seed: Annotated[Count | None, says("for random choices; the system's where missing")] = None
-    zone: Annotated[str, says("where this proxy stands; one of zones")] = ""
+    classes: Annotated[
+        tuple[RequestClass, ...], described("classes of requests; others get 404", min_length=1)
+    ]
+    ops: Annotated[
+        Address | None, described("address of the admin API: ready, show-stat, drain and more")
+    ] = None
+    measures: Annotated[
+        bool, described("ops answers the call measures: counts by class and tenant, for a rollout")
+    ] = False
+    name: Annotated[Name, described("name of this proxy in the log")] = "firvane"
+    seed: Annotated[Count | None, described("of random choices; random where missing")] = None
+    zone: Annotated[str, described("zone of this proxy, one of zones")] = ""
     zones: Annotated[
-        tuple[Name, ...], says("all, in the same order on each proxy; else the targets' own")
+        tuple[Name, ...],
+        described("all zones, in the same order on each proxy; default: those of the targets"),
+    ] = ()
+    kinds: Annotated[
+        tuple[Name, ...], described("machine models of targets; default: those of the targets")
+    ] = ()
+    remembers_keys: Annotated[
+        bool, described("targets are faster with keys that they have already served")
+    ] = True
+    tenants: Annotated[
+        tuple[Tenant, ...], described("tenants; if there are any, X-Caller must name one")
     ] = ()
-    kinds: Annotated[tuple[Name, ...], says("models of target; else the targets' own")] = ()
-    remembers_keys: Annotated[bool, says("a target is quicker at a key that it has met")] = True
-    tenants: Annotated[tuple[Tenant, ...], says("where there are any, X-Caller must name one")] = ()
-    over_share_worth: Annotated[float, says("worth of what goes beyond a tenant's quota", ge=0, le=1)] = 1.0
+    over_share_worth: Annotated[float, described("value of requests beyond a tenant's quota", ge=0, le=1)] = (
+        1.0
+    )
     rules: Rules = Rules()
     limits: Limits = Limits()
     peers: Peers | None = None
     control: Control | None = None
-    recovery: Annotated[Recovery | None, says("off where missing")] = None
-    policy: Annotated[PolicyTable | None, says("off where missing: this file alone decides")] = None
+    recovery: Annotated[Recovery | None, described("off where missing")] = None
+    policy: Annotated[PolicyTable | None, described("off where missing: only this file applies")] = None
     log: Log = Log()
--- a/firvane/proxy/config/node.py
+++ b/firvane/proxy/config/node.py
@@ -21,8 +21,8 @@
     voters: tuple[int, ...]  # proxy numbers of the voters until a change replaces them
     admin_addresses: tuple[Address, ...]  # of the admin API of each proxy, by proxy number
     serve_without_lease: bool = False  # without a lease, serve by the last policy instead of refusing
-    lease_s: float = 3.0
-    round_trip_s: float = 0.2  # answers that take longer are ignored
+    lease_duration_s: float = 3.0
+    max_round_trip_s: float = 0.2  # answers that take longer are ignored
     sends_epoch: bool = False  # responses carry X-Policy-Epoch
 
     def errors(self, proxies: int) -> Iterator[tuple[str, str]]:
@@ -38,11 +38,11 @@
             if address in first_index:
                 yield f"doors[{index}]", f"is the same address as in doors[{first_index[address]}]"
             first_index.setdefault(address, index)
-        if not 0 < self.round_trip_s <= self.lease_s / 4:
-            max_ms = 250 * self.lease_s
+        if not 0 < self.max_round_trip_s <= self.lease_duration_s / 4:
+            bound = 250 * self.lease_duration_s
             yield (
                 "trip_ms",
-                f"is {1000 * self.round_trip_s:g}, not above 0 and up to a quarter of lease_s, {max_ms:g}",
+                f"is {1000 * self.max_round_trip_s:g}, not above 0 and up to a quarter of lease_s, {bound:g}",
             )
 
 
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -199,8 +199,8 @@
         voters=tuple(given.get("voters", (0, 1, 2))),
         admin_addresses=admin_addresses,
         serve_without_lease=given.get("without_lease") == "serve",
-        lease_s=float(given.get("lease_s", PolicyOptions.lease_s)),
-        round_trip_s=given.get("trip_ms", 1000 * PolicyOptions.round_trip_s) / 1000,
+        lease_duration_s=float(given.get("lease_s", PolicyOptions.lease_duration_s)),
+        max_round_trip_s=given.get("trip_ms", 1000 * PolicyOptions.max_round_trip_s) / 1000,
         sends_epoch=given.get("tell", PolicyOptions.sends_epoch),
     )
 
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -26,7 +26,7 @@
 from firvane.proxy.config import checks
 from firvane.proxy.config import node as node_config
 from firvane.proxy.config.file import REPEATS, request_class
-from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, says
+from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, described
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
 
 MS_PER_S = 1000
@@ -77,16 +77,21 @@
 class Policy(Part, frozen=True, kw_only=True):
     """A policy of a tier; None leaves a key to each proxy's own configuration."""
 
-    classes: Annotated[tuple[RequestClass, ...], says("of requests; others get 404", min_length=1)] | None = (
-        None
-    )
-    tenants: Annotated[tuple[Tenant, ...], says("where there are any, X-Caller must name one")] | None = None
+    classes: (
+        Annotated[tuple[RequestClass, ...], described("classes of requests; others get 404", min_length=1)]
+        | None
+    ) = None
+    tenants: (
+        Annotated[tuple[Tenant, ...], described("tenants; if there are any, X-Caller must name one")] | None
+    ) = None
     rules: PolicyRules | None = None
     limits: PolicyLimits | None = None
     over_share_worth: (
-        Annotated[float, says("worth of what goes beyond a tenant's quota", ge=0, le=1)] | None
+        Annotated[float, described("value of requests beyond a tenant's quota", ge=0, le=1)] | None
+    ) = None
+    remembers_keys: (
+        Annotated[bool, described("targets are faster with keys that they have already served")] | None
     ) = None
-    remembers_keys: Annotated[bool, says("a target is quicker at a key that it has met")] | None = None
     voters: Voters | None = None
 
 
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -303,7 +303,9 @@
 def _timing(config: PolicyOptions) -> Timing:
     """Return the time bounds of the settings."""
     return Timing(
-        lease_s=config.lease_s,
-        round_trip_s=config.round_trip_s,
-        readiness_timeout_s=max(Timing.readiness_timeout_s, READINESS_TIMEOUT_LEASES * config.lease_s),
+        lease_s=config.lease_duration_s,
+        round_trip_s=config.max_round_trip_s,
+        readiness_timeout_s=max(
+            Timing.readiness_timeout_s, READINESS_TIMEOUT_LEASES * config.lease_duration_s
+        ),
     )
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -149,7 +149,7 @@
 
 def test_the_numbers_that_are_written_twice_are_the_same() -> None:
     timing = types.Timing()
-    assert (MAX_VOTERS, PolicyOptions.lease_s, PolicyOptions.round_trip_s) == (
+    assert (MAX_VOTERS, PolicyOptions.lease_duration_s, PolicyOptions.max_round_trip_s) == (
         types.MAX_VOTERS,
         timing.lease_s,
         timing.round_trip_s,
--- a/tests/proxy/control/test_config.py
+++ b/tests/proxy/control/test_config.py
@@ -26,8 +26,8 @@
         ({"settle_ms": 900.0}, {}, "control.most_ms: is below settle_ms"),
         ({"keep_s": 1.0, "report_s": 1.0}, {}, "control.keep_s: is below two reports"),
         ({"panic": 1.0}, {}, "control.panic: must be a number of at least 0 and of at most 0.9"),
-        ({"counts_as": 2}, {}, "control.counts_as: needs as many addresses in peers"),
-        ({"counts_as": 3}, {"peers": TIER}, "control.counts_as: needs as many addresses in peers"),
+        ({"counts_as": 2}, {}, "control.counts_as: needs that many addresses in peers"),
+        ({"counts_as": 3}, {"peers": TIER}, "control.counts_as: needs that many addresses in peers"),
         ({"tls": {"certificate": "a", "key": "b"}}, {}, "control.tls.authority: is missing"),
     ],
 )
--- a/tests/proxy/quorum/test_driver.py
+++ b/tests/proxy/quorum/test_driver.py
@@ -275,7 +275,7 @@
     loop: VirtualLoop, net: Net, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(text_library, "MAX_TEXTS", 3)
-    fleet = Fleet(loop, tmp_path, proxies=1, voters=(0,), lease_s=0.5, round_trip_s=0.05)
+    fleet = Fleet(loop, tmp_path, proxies=1, voters=(0,), lease_duration_s=0.5, max_round_trip_s=0.05)
     await asyncio.sleep(1)
     texts = [(CLASS % f"c{n}").encode() for n in range(4)]
     for text in texts:
@@ -290,7 +290,7 @@
     # Covers what virtual time omits: a clock besides the loop's, the writer thread, and its callbacks.
     async def work() -> None:
         loop = asyncio.get_running_loop()
-        tier = Tier(tmp_path, proxies=1, voters=(0,), lease_s=0.5, round_trip_s=0.05)
+        tier = Tier(tmp_path, proxies=1, voters=(0,), lease_duration_s=0.5, max_round_trip_s=0.05)
         here = ("127.0.0.1", 0)
         config = replace(tier.config(0), listen=here, ops=here, peer_listen=here)
         proxy = Proxy(loop, config, log=Lines(loop.time), policy_agreement=PolicyConsensus)  # type: ignore[arg-type]
