--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -1,11 +1,11 @@
-"""The platform's entry: reads its configuration, starts one real proxy, and passes signals on."""
+"""The entry point for the platform: reads the configuration, runs one proxy and handles its signals."""
 
 from __future__ import annotations
 
 from firvane.core import process_signals
 
 if __name__ == "__main__":
-    process_signals.block()  # before all that takes time: a signal may come from here on
+    process_signals.block()  # before the imports, since a signal may arrive at any time
 
 import asyncio
 import gc
@@ -37,11 +37,11 @@
 
 async def run(
     config: Config,
-    read_again: Callable[[], Config],
+    reload_config: Callable[[], Config],
     snapshot_store: MakeSnapshotStore | None,
     policy_agreement: MakePolicyAgreement | None,
 ) -> None:
-    """Run a proxy from its start to its shutdown, by signals."""
+    """Run a proxy until SIGTERM or SIGINT; SIGHUP reloads the configuration."""
     loop = asyncio.get_running_loop()
     proxy = Proxy(loop, config, snapshot_store=snapshot_store, policy_agreement=policy_agreement)
     logging.getLogger().addHandler(LoggingBridge(proxy.log))
@@ -49,31 +49,31 @@
     shutdown = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, shutdown.set)
-    loop.add_signal_handler(signal.SIGHUP, proxy.reload, read_again)
+    loop.add_signal_handler(signal.SIGHUP, proxy.reload, reload_config)
     if config.peer_listen:
         await start_loop_threads(loop)
-    # Signals that were pending since the first line are delivered now: a SIGHUP reads the file anew, which
-    # may have changed since; SIGTERM shuts down in order.
+    # Pending signals are delivered now: SIGHUP reloads the file, which may have changed since it was read;
+    # SIGTERM shuts the proxy down gracefully.
     process_signals.unblock()
     # SIGTERM ends the proxy also while it waits for the first endpoint list.
-    waits = loop.create_task(proxy.start()), loop.create_task(shutdown.wait())
-    await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
-    if waits[0].done():
-        waits[0].result()
-        # What lives as long as the proxy need not be examined in each collection.
+    tasks = loop.create_task(proxy.start()), loop.create_task(shutdown.wait())
+    await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
+    if tasks[0].done():
+        tasks[0].result()
+        # Objects that live as long as the proxy are excluded from garbage collection.
         gc.collect()
         gc.freeze()
-        gc.set_threshold(10_000, 20, 20)  # requests leave no cycles behind: what else does can wait
+        gc.set_threshold(10_000, 20, 20)  # requests create no cycles, so rare collections suffice
         await shutdown.wait()
     proxy.log.info("ending", open=proxy.engine.unanswered)
     await proxy.drain()
-    # The loop closes next, and its handlers with it: a further signal must not change the exit code.
+    # The loop and its signal handlers close next: a further signal must not change the exit code.
     process_signals.block()
 
 
 def serve(
     config: Config,
-    read_again: Callable[[], Config],
+    reload_config: Callable[[], Config],
     snapshot_store: MakeSnapshotStore | None = None,
     policy_agreement: MakePolicyAgreement | None = None,
 ) -> int:
@@ -81,16 +81,16 @@
 
     Args:
         config: The configuration.
-        read_again: Reads it again, at each SIGHUP.
-        snapshot_store: Makes the store of its snapshots, where they are kept.
-        policy_agreement: Makes its part in the agreement on one policy, where there is one.
+        reload_config: Returns the reloaded configuration; called at each SIGHUP.
+        snapshot_store: Creates the store of the snapshots; None if there are none.
+        policy_agreement: Creates the participant in the agreement on one policy; None if there is none.
 
     Returns:
-        The exit code: 0, or 2 where it cannot start.
+        The exit code: 0, or 2 if the proxy cannot start.
     """
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            runner.run(run(config, read_again, snapshot_store, policy_agreement))
+            runner.run(run(config, reload_config, snapshot_store, policy_agreement))
     except OSError as error:
         print(f"firvane: cannot start: {error}", file=sys.stderr)
         return 2
@@ -105,7 +105,7 @@
         print(f"firvane: {' '.join(str(error).split())}", file=sys.stderr)
         return 2
     snapshot_store = None
-    if config.snapshot:  # imported by name: without the key no process loads the module
+    if config.snapshot:  # imported by name, so that a process without the key does not load the module
         snapshots = importlib.import_module("firvane.proxy.snapshots.file")
         snapshot_store = partial(snapshots.SnapshotStore, config.snapshot, config.name)
     policy_agreement = None
--- a/firvane/programs/controller.py
+++ b/firvane/programs/controller.py
@@ -5,7 +5,7 @@
 from firvane.core import process_signals
 
 if __name__ == "__main__":
-    process_signals.block()  # a signal that comes while modules are imported waits until the loop listens
+    process_signals.block()  # a signal during the imports stays pending until the loop handles signals
 
 import asyncio
 import sys
@@ -25,7 +25,7 @@
     load_or_exit,
 )
 
-MAX_START_S = 1.0  # for which signals are blocked during the start
+MAX_START_S = 1.0  # signals stay blocked for at most this time during the start
 EXIT_OK = 0
 
 
@@ -33,7 +33,7 @@
     """Return the options of a controller.
 
     Raises:
-        SettingsError: The settings lack what a controller needs.
+        SettingsError: A setting that a controller needs is missing.
     """
     if settings.control is None:
         raise SettingsError("listen_addresses: a controller needs control")
--- a/firvane/programs/logging.py
+++ b/firvane/programs/logging.py
@@ -1,7 +1,8 @@
 """The log of a daemon: structlog, one logfmt line for each event on standard error.
 
-Events are constant names in snake case that begin with their component (`configuration_applied`); all that
-varies is a field, with the unit in its name. A line that cannot be written is lost: no log may end a daemon.
+Events are constant names in snake case that begin with their component (`configuration_applied`); variable
+parts are fields, with the unit in the name. A line that cannot be written is dropped: logging must not end
+a daemon.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
         self._stream = stream
 
     def msg(self, line: str) -> None:
-        """Write one line, or lose it where the stream is closed or broken."""
+        """Write one line; drop it if the stream is closed or broken."""
         try:
             self._stream.write(line + "\n")
             self._stream.flush()
@@ -35,7 +36,7 @@
 
 
 def make_log(program: str, node: str, level: int = logging.INFO, stream: TextIO | None = None) -> Log:
-    """Return a logger bound to the names of the program and the node; lower events cost one call."""
+    """Return a logger bound to the names of the program and the node; events below `level` are dropped."""
     target = stream or sys.stderr
     processors: list[Any] = [
         structlog.processors.add_log_level,
@@ -53,5 +54,5 @@
 
 
 def bridge_library_logs(log: Log) -> None:
-    """Write the warnings of libraries, asyncio's above all, to the daemon's log."""
+    """Write the log records of libraries, such as asyncio, to the daemon's log."""
     logging.getLogger().addHandler(LoggingBridge(log))
--- a/firvane/programs/process.py
+++ b/firvane/programs/process.py
@@ -1,4 +1,4 @@
-"""What the daemons have in common: incarnation, signals, garbage collection."""
+"""Parts that all daemons share: incarnation, signals, garbage collection."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 from firvane.programs.settings_watch import SettingsWatch
 
 INCARNATION_RANDOM_BITS = 16
-GARBAGE_THRESHOLDS = (20_000, 20, 50)  # higher than usual, since requests leave few cycles
+GARBAGE_THRESHOLDS = (20_000, 20, 50)  # higher than the defaults, since requests create few cycles
 
 
 def new_incarnation() -> int:
-    """Return 64 bits that rise from start to start as far as the time of day does.
+    """Return a 64-bit number that rises from start to start unless the system clock steps back.
 
-    Milliseconds of Unix time, then random bits. Where the time of day has stepped back, the cluster's
+    It holds milliseconds of Unix time, then random bits. After a step back of the clock, the cluster's
     membership raises the incarnation.
     """
     milliseconds = int(time.time() * 1000)
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvents:
-    """What reaches a running daemon from outside.
+    """The external events that a running daemon handles.
 
     Attributes:
         stop_requested: Set at SIGTERM or SIGINT.
-        watch: Reloads the settings file; to be started and stopped by the daemon.
+        watch: Reloads the settings file; the daemon starts and stops it.
     """
 
     stop_requested: asyncio.Event
@@ -45,7 +45,7 @@
 def handle_process_events(
     loop: asyncio.AbstractEventLoop, log: Log, reload: Callable[[Settings], None]
 ) -> ProcessEvents:
-    """Handle the process's signals, and log what its callbacks raise.
+    """Handle the signals of the process, and log exceptions of callbacks on the loop.
 
     Args:
         loop: The event loop.
@@ -69,12 +69,12 @@
 
 
 def tune_collector() -> None:
-    """Exclude what exists after the start from all later garbage collections."""
+    """Exclude the objects that exist now from later garbage collections, and raise the thresholds."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*GARBAGE_THRESHOLDS)
 
 
 def exception_fields(context: dict[str, Any]) -> dict[str, Any]:
-    """Return the log fields of what an event loop reports to its exception handler."""
+    """Return the log fields for a context that an event loop passes to its exception handler."""
     return {"message": str(context.get("message")), "exc_info": context.get("exception")}
--- a/firvane/programs/router.py
+++ b/firvane/programs/router.py
@@ -5,7 +5,7 @@
 from firvane.core import process_signals
 
 if __name__ == "__main__":
-    process_signals.block()  # a signal that comes while modules are imported waits until the loop listens
+    process_signals.block()  # a signal during the imports stays pending until the loop handles signals
 
 import asyncio
 import sys
@@ -57,7 +57,9 @@
     loop = asyncio.get_running_loop()
     router = Router(loop, options, log)
     events = handle_process_events(loop, log, lambda settings: router.agent.set_seeds(settings.seed_internal))
-    await router.start()  # starts the loop's threads, which block signals for ever
+    await (
+        router.start()
+    )  # starts the worker threads of the loop, which inherit the blocked signals and keep them blocked
     process_signals.unblock()
     events.watch.start()
     tune_collector()
--- a/firvane/programs/settings.py
+++ b/firvane/programs/settings.py
@@ -1,7 +1,7 @@
 """The settings file of a daemon: YAML at the path in the environment variable `FIRVANE_BOOT`.
 
-Unknown fields are ignored, since the platform may add some. A known field of the wrong form makes the file
-invalid: `SettingsError` names the field, and `load_or_exit` ends the process with it.
+Unknown fields are ignored, since the platform may add some. A known field of the wrong type or range
+makes the file invalid: `SettingsError` names the field, and `load_or_exit` prints it and ends the process.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
     """Resources that this process may use."""
 
     cpu_share: float = 1.0  # of one core
-    cpu_cores: float = 1.0  # how many times as fast that core is
+    cpu_cores: float = 1.0  # speed of that core relative to a reference core
     memory_mb: float = 256.0
     file_descriptors: int = 1024
     link_mbps: float = 1000.0
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many of each may fail at the same time while every rule holds."""
+    """How many machines, zones and regions may fail at the same time without violating a guarantee."""
 
     machines: int = 1
     zones: int = 0
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The bounds of the rules; the suffix of each name is its unit."""
+    """Time limits and other bounds that the fleet guarantees; the suffix of a name is its unit."""
 
     seed_lag_s: float = 3.0
     reuse_after_s: float = 2.0
@@ -123,7 +123,7 @@
 
     @property
     def seed_internal(self) -> tuple[Address, ...]:
-        """The internal addresses of the seeds: all machines have the same internal ports."""
+        """The internal addresses of the seeds, as all machines use the same internal ports."""
         return tuple((host, self.internal_ports[0]) for host, _ in self.seeds)
 
 
@@ -131,7 +131,7 @@
     """Read and check a settings file.
 
     Raises:
-        SettingsError: It cannot be read, or a field has the wrong form.
+        SettingsError: The file cannot be read, or a field is invalid.
     """
     try:
         text = Path(path).read_bytes()
@@ -174,7 +174,7 @@
     """Return the settings in a parsed document.
 
     Raises:
-        SettingsError: A field has the wrong form.
+        SettingsError: A field is invalid.
     """
     listen = _mapping(document, "listen_addresses")
     directory = _text(document, "data_directory", "")
@@ -216,12 +216,12 @@
     given = _mapping(document, name)
     defaults = dataclasses.asdict(kind())  # type: ignore[call-overload]  # a dataclass
     values: dict[str, float] = {}
-    for known, default in defaults.items():
+    for field_name, default in defaults.items():
         if isinstance(default, bool):
-            values[known] = _flag(given, known)
+            values[field_name] = _flag(given, field_name)
             continue
-        value = _number(given, known, default)
-        values[known] = int(value) if isinstance(default, int) else value
+        value = _number(given, field_name, default)
+        values[field_name] = int(value) if isinstance(default, int) else value
     return kind(**values)
 
 
--- a/firvane/programs/settings_watch.py
+++ b/firvane/programs/settings_watch.py
@@ -1,4 +1,4 @@
-"""Detects changes of the settings file that no signal announces."""
+"""Detects changes of the settings file without a SIGHUP."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from firvane.programs.settings import PATH_VARIABLE
 
-CHECK_INTERVAL_S = 5.0  # of the file's modification time
+CHECK_INTERVAL_S = 5.0  # between checks of the file
 
 Signature = tuple[int, int, int]  # modification time in ns, size, inode
 
 
 def file_signature() -> Signature | None:
-    """Return what differs between two versions of the settings file; None where there is no file."""
+    """Return a signature that differs between versions of the settings file; None if there is no file."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
         return None
@@ -45,7 +45,7 @@
             self._timer = None
 
     def on_signal(self) -> None:
-        """Handle SIGHUP: the file has changed, whatever its modification time."""
+        """Handle SIGHUP: reload the file even if its signature is unchanged."""
         self._last_signature = file_signature()
         self._on_change()
 
