--- a/benchmarks/rehearsals.py
+++ b/benchmarks/rehearsals.py
@@ -315,7 +315,7 @@
 
     The whole takes ten minutes of CPU or more; a part of it tells where a change goes.
     """
-    from firvane.cli.progress import Shown
+    from firvane.cli.progress import ProgressDisplay
     from firvane.simulation.runner.run import rehearse
 
     scenario = load_named("large")
@@ -327,7 +327,7 @@
         proxies=replace(scenario.proxies, count=count),
         load=replace(scenario.load, rate=scenario.load.rate * count / scenario.proxies.count),
     )
-    shown, begun = Shown(), time.process_time()
+    shown, begun = ProgressDisplay(), time.process_time()
     try:
         result = rehearse(scenario, scenario.seed, watch=shown)
     finally:
--- a/firvane/cli/__init__.py
+++ b/firvane/cli/__init__.py
@@ -1,8 +1,7 @@
-"""The `firvane` command: a thin file for each subcommand, loaded when it is called.
+"""The `firvane` command: one module for each subcommand, imported when the subcommand runs.
 
-Exit codes: 0 well; 1 a broken rule, a worse result or a failure; 2 bad usage or a file of no use; 3 nobody
-could say what has become of a policy. Whatever is wrong with what was given is told in one line each, on
-standard error.
+Exit codes: 0 success; 1 a violated rule, a worse result or a failure; 2 bad usage or an invalid file; 3 the
+outcome of a change of policy is unknown. Each error in arguments and files is one line on standard error.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 from firvane import __version__
 from firvane.core.printable import plain
 
-# What --help shows of each, so that it need load none of them.
+# The help line of each subcommand, so that --help need not import their modules.
 COMMANDS = {
     "serve": "Run one proxy.",
     "control": "Hand decisions out to other proxies through xDS.",
@@ -33,8 +32,8 @@
 }
 
 
-class Lazy(click.Group):
-    """Loads a subcommand's module when it is asked for."""
+class LazyGroup(click.Group):
+    """Imports the module of a subcommand when the subcommand is looked up."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         return list(COMMANDS)
@@ -51,9 +50,13 @@
         if args and args[0] not in COMMANDS and not args[0].startswith("-"):
             from difflib import get_close_matches
 
-            near = get_close_matches(args[0], COMMANDS, 1)
-            meant = f"; did you mean {near[0]}?" if near else f", but one of {', '.join(COMMANDS)}"
-            raise click.UsageError(f"{args[0]!r} is no command{meant}", ctx)
+            close_matches = get_close_matches(args[0], COMMANDS, 1)
+            hint = (
+                f"; did you mean {close_matches[0]}?"
+                if close_matches
+                else f", but one of {', '.join(COMMANDS)}"
+            )
+            raise click.UsageError(f"{args[0]!r} is no command{hint}", ctx)
         return super().resolve_command(ctx, args)
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
@@ -61,7 +64,7 @@
             formatter.write_dl(list(COMMANDS.items()))
 
 
-@click.group(cls=Lazy, context_settings={"help_option_names": ["-h", "--help"]})
+@click.group(cls=LazyGroup, context_settings={"help_option_names": ["-h", "--help"]})
 @click.version_option(__version__, prog_name="firvane", message="%(prog)s %(version)s")
 def cli() -> None:
     """A balancing HTTP proxy, and its rehearsal against an emulated fleet.
@@ -79,8 +82,8 @@
     """
 
 
-class Bad(click.ClickException):
-    """What was given is of no use: a line for each reason, exit code 2."""
+class InvalidInputError(click.ClickException):
+    """Arguments or a file are invalid: one line for each error, exit code 2."""
 
     exit_code = 2
 
@@ -89,35 +92,35 @@
 
 
 def main(args: Sequence[str] | None = None) -> int:
-    """The command as a function; returns its exit code."""
+    """Run the command, and return its exit code."""
     try:
         code = cli.main(args, prog_name="firvane", standalone_mode=False)
         return code if isinstance(code, int) else 0
-    except Bad as error:
-        return _tell(error.message.split("\n"), 2)
+    except InvalidInputError as error:
+        return _print_errors(error.message.split("\n"), 2)
     except click.exceptions.NoArgsIsHelpError as error:
-        return _tell([error.format_message()], 2)
+        return _print_errors([error.format_message()], 2)
     except click.ClickException as error:
         ctx = getattr(error, "ctx", None)
         path = ctx.command_path if ctx else "firvane"
-        return _tell([f"{path}: {plain(error.format_message()).rstrip('.')} (see {path} --help)"], 2)
+        return _print_errors([f"{path}: {plain(error.format_message()).rstrip('.')} (see {path} --help)"], 2)
     except (click.Abort, KeyboardInterrupt):
-        return _tell(["firvane: interrupted"], 1)
-    except BrokenPipeError:  # whoever read standard output has had enough
-        sys.stderr.close()  # or Python complains of it at its end
+        return _print_errors(["firvane: interrupted"], 1)
+    except BrokenPipeError:  # the reader of standard output has closed it
+        sys.stderr.close()  # prevents an error message of Python at exit
         return 1
     except OSError as error:
-        where = f"{error.filename}: " if error.filename else ""
-        return _tell([f"firvane: {plain(f'{where}{error.strerror or error}')}"], 1)
+        prefix = f"{error.filename}: " if error.filename else ""
+        return _print_errors([f"firvane: {plain(f'{prefix}{error.strerror or error}')}"], 1)
     except ValueError as error:
-        from firvane.core.validation import ValidationError  # a command has loaded it where it raises any
+        from firvane.core.validation import ValidationError  # already imported by the command that raised it
 
         if isinstance(error, ValidationError):
-            return _tell(list(error.lines()), 2)
+            return _print_errors(list(error.lines()), 2)
         raise
 
 
-def _tell(lines: Sequence[str], code: int) -> int:
+def _print_errors(lines: Sequence[str], code: int) -> int:
     for line in lines:
         click.echo(line, err=True)
     return code
--- a/firvane/cli/admin_connection.py
+++ b/firvane/cli/admin_connection.py
@@ -1,6 +1,6 @@
-"""An operators' door as the command calls it: a line there, the answer back.
+"""Client of the admin API: sends one line and returns the answer.
 
-An answer that is cut off is none: half of a sentence may say the opposite of the whole.
+A truncated answer is an error, since part of a sentence may state the opposite of the whole.
 """
 
 from __future__ import annotations
@@ -9,48 +9,48 @@
 
 import click
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 from firvane.core.address import Address, parse_address
 from firvane.core.printable import plain
 
-WAIT_S = 5.0  # for an answer
-MOST = 1 << 20  # bytes of one
+TIMEOUT_S = 5.0  # for a call with its answer
+MAX_ANSWER_BYTES = 1 << 20
 
 
-def addresses(command: str, doors: Iterable[str]) -> list[Address]:
-    """Those of doors; raises `Bad` for what is none."""
+def addresses(command: str, texts: Iterable[str]) -> list[Address]:
+    """Parse addresses of admin APIs; raises `InvalidInputError` for an invalid one."""
     try:
-        return [parse_address(door) for door in doors]
+        return [parse_address(text) for text in texts]
     except ValueError as error:
-        raise Bad(f"{command}: {error}") from None
+        raise InvalidInputError(f"{command}: {error}") from None
 
 
 def call(address: Address, line: str) -> str:
-    """What the operators' door answers to one line; `OSError` where it does not, or not to the end."""
+    """Return the answer of an admin API to one line; raises `OSError` if it is missing or truncated."""
     import socket
     import time
 
-    until = time.monotonic() + WAIT_S
-    with socket.create_connection(address, WAIT_S) as door:
-        door.sendall(line.encode() + b"\n")
-        said = b""
-        while piece := door.recv(1 << 16):
-            said += piece
-            if len(said) > MOST:
-                raise OSError("the answer has no end")
-            if (left := until - time.monotonic()) <= 0:
+    deadline = time.monotonic() + TIMEOUT_S
+    with socket.create_connection(address, TIMEOUT_S) as connection:
+        connection.sendall(line.encode() + b"\n")
+        answer = b""
+        while chunk := connection.recv(1 << 16):
+            answer += chunk
+            if len(answer) > MAX_ANSWER_BYTES:
+                raise OSError("the answer is too long")
+            if (remaining := deadline - time.monotonic()) <= 0:
                 raise TimeoutError("timed out")
-            door.settimeout(left)
-    one = said[:1] in (b"+", b"-") and said.endswith(b"\n")
-    if not one and not said.endswith(b"\n.\n"):
-        raise OSError("the answer was cut off" if said else "the call was closed")
-    return said.decode(errors="replace")
+            connection.settimeout(remaining)
+    is_line = answer[:1] in (b"+", b"-") and answer.endswith(b"\n")
+    if not is_line and not answer.endswith(b"\n.\n"):
+        raise OSError("the answer was cut off" if answer else "the call was closed")
+    return answer.decode(errors="replace")
 
 
-def show(command: str, doors: Iterable[str], line: str) -> int:
-    """Print what each door tells, under its address; the exit code: 1 where one does not, or says no."""
+def show(command: str, texts: Iterable[str], line: str) -> int:
+    """Print the answer of each admin API to a line; return 1 if one fails, else 0."""
     code = 0
-    for address in addresses(command, doors):
+    for address in addresses(command, texts):
         where = "{}:{}".format(*address)
         try:
             answer = call(address, line)
@@ -62,6 +62,6 @@
             click.echo(plain(f"{where}: {answer[1:].strip()}"), err=True)
             code = 1
         else:
-            told = (f"  {plain(one)}" for one in answer.splitlines() if one != ".")
-            click.echo("\n".join([where, *told]))
+            lines = (f"  {plain(text)}" for text in answer.splitlines() if text != ".")
+            click.echo("\n".join([where, *lines]))
     return code
--- a/firvane/cli/boxes.py
+++ b/firvane/cli/boxes.py
@@ -1,4 +1,4 @@
-"""`firvane boxes`: an emulated fleet to point a proxy or a client at."""
+"""`firvane boxes`: runs emulated backends with discovery, for tests of a proxy or a client."""
 
 from __future__ import annotations
 
@@ -59,31 +59,31 @@
     from firvane.cli.files import scenario
     from firvane.simulation.runner.stand_ins import run_stand_ins
 
-    found = scenario(name)
+    chosen = scenario(name)
     if config:
         with open(config, "w", encoding="utf-8") as file:
-            file.write(configuration(found, discovery))
-    seen = Seen()
+            file.write(configuration(chosen, discovery))
+    counter = RequestCounter()
 
-    def up(fleet: Fleet) -> None:
+    def on_started(fleet: Fleet) -> None:
         last = boxes[1] + len(fleet.hosts) - 1
         click.echo(f"{len(fleet.hosts)} boxes at {boxes[0]}:{boxes[1]} to {last}")
         click.echo(f"discovery at {discovery[0]}:{discovery[1]}")
         if config:
             click.echo(f"firvane serve {config}")
-        seen.start(fleet)
+        counter.start(fleet)
 
-    run_stand_ins(found, found.seed if seed is None else seed, boxes, discovery, seen, up)
+    run_stand_ins(chosen, chosen.seed if seed is None else seed, boxes, discovery, counter, on_started)
 
 
-class Seen:
-    """Counts what comes to the boxes, and shows it: each second on a terminal, else every 10 s."""
+class RequestCounter:
+    """Counts requests at the backends, and prints rates: each second on a terminal, else each 10 s."""
 
     def __init__(self) -> None:
         self.counts: Counter[str] = Counter()
         self.states: dict[str, str] = {}
-        self.changes = sys.stderr.isatty()
-        self.every = 1.0 if self.changes else 10.0
+        self.rewrites_line = sys.stderr.isatty()
+        self.interval_s = 1.0 if self.rewrites_line else 10.0
 
     def __call__(self, record: Record) -> None:
         from firvane.simulation.emulation.records import Arrived, BoxState
@@ -94,29 +94,31 @@
             self.states[record.box] = record.state
 
     def start(self, fleet: Fleet) -> None:
-        fleet.clock.call_at(self.every, self._show, fleet)
+        fleet.clock.call_at(self.interval_s, self._show, fleet)
 
     def _show(self, now: float, fleet: Fleet) -> None:
-        states = ", ".join(f"{n} {state}" for state, n in sorted(Counter(self.states.values()).items()))
-        taken, away = (self.counts[verdict] / self.every for verdict in ("taken", "turned away"))
-        line = f"{now:5.0f} s  taken {taken:.0f}/s  turned away {away:.0f}/s  boxes: {states}"
-        click.echo(f"\r{line}\033[K" if self.changes else line, err=True, nl=not self.changes)
+        states = ", ".join(
+            f"{count} {state}" for state, count in sorted(Counter(self.states.values()).items())
+        )
+        taken, rejected = (self.counts[verdict] / self.interval_s for verdict in ("taken", "turned away"))
+        line = f"{now:5.0f} s  taken {taken:.0f}/s  turned away {rejected:.0f}/s  boxes: {states}"
+        click.echo(f"\r{line}\033[K" if self.rewrites_line else line, err=True, nl=not self.rewrites_line)
         self.counts.clear()
-        fleet.clock.call_at(now + self.every, self._show, fleet)
+        fleet.clock.call_at(now + self.interval_s, self._show, fleet)
 
 
 def configuration(scenario: Scenario, discovery: tuple[str, int]) -> str:
-    """A `firvane.toml` for one proxy before these boxes."""
+    """Return the text of a `firvane.toml` for one proxy in front of these backends."""
     boxes, load, network = scenario.boxes, scenario.load, scenario.network
 
-    def texts(values: list[str]) -> str:
+    def toml_list(values: list[str]) -> str:
         return "[" + ", ".join(f'"{value}"' for value in values) + "]"
 
     return f"""\
 listen = "127.0.0.1:8080"
 zone = "{network.zones[0]}"
-zones = {texts(list(network.zones))}
-kinds = {texts([kind.name for kind in boxes.kinds])}
+zones = {toml_list(list(network.zones))}
+kinds = {toml_list([kind.name for kind in boxes.kinds])}
 
 [target_group]
 discovery = "{discovery[0]}:{discovery[1]}"
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -1,4 +1,4 @@
-"""`firvane check`: every fault of a file at once."""
+"""`firvane check`: prints all errors of files."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     """
     from firvane.core import validation
 
-    faults: list[str] = []
+    error_lines: list[str] = []
     for file in files:
         try:
-            click.echo(f"{file}: {look(file)}")
-        except validation.ValidationError as found:
-            faults += found.lines()
-    for line in faults:
+            click.echo(f"{file}: {describe(file)}")
+        except validation.ValidationError as error:
+            error_lines += error.lines()
+    for line in error_lines:
         click.echo(line, err=True)
-    ctx.exit(2 if faults else 0)
+    ctx.exit(2 if error_lines else 0)
 
 
-def look(file: str) -> str:
-    """What a file holds, in a few words; raises `validation.ValidationError`."""
+def describe(file: str) -> str:
+    """Return a short description of a valid file; raises `validation.ValidationError`."""
     from firvane.cli.files import form_of
     from firvane.core import validation
 
@@ -50,19 +50,21 @@
         from firvane.proxy.config.platform import read_config
 
         try:
-            told = read_config({"NODE_CONFIG": file})
+            config_read = read_config({"NODE_CONFIG": file})
         except (ValueError, OSError) as error:
-            why = str(error).removeprefix(file).lstrip(": ")
-            raise validation.ValidationError([validation.Violation(file, "", why)]) from None
-        return f"the platform's configuration of {told.name}, {len(told.settings.classes)} classes"
+            reason = str(error).removeprefix(file).lstrip(": ")
+            raise validation.ValidationError([validation.Violation(file, "", reason)]) from None
+        return (
+            f"the platform's configuration of {config_read.name}, {len(config_read.settings.classes)} classes"
+        )
     if form == "policy":
         from pathlib import Path
 
         from firvane.proxy.config.policy import parse
 
-        policy = parse(Path(file).read_bytes(), file)  # of its text there may be less than of other files
-        said = (key for key in policy.__struct_fields__ if getattr(policy, key) is not None)
-        return f"policy that says {', '.join(said)}"
+        policy = parse(Path(file).read_bytes(), file)  # a policy has a lower size limit than other files
+        keys = (key for key in policy.__struct_fields__ if getattr(policy, key) is not None)
+        return f"policy that says {', '.join(keys)}"
     if form == "plan":
         from firvane.proxy.rollout.plan import CHECKS as PLAN_CHECKS
         from firvane.proxy.rollout.plan import Plan
@@ -75,12 +77,12 @@
         from firvane.proxy.rollout.supervisor_config import CHECKS as SUPERVISOR_CHECKS
         from firvane.proxy.rollout.supervisor_config import SupervisorConfig
 
-        site = validation.build(raw, SupervisorConfig, file, SUPERVISOR_CHECKS)
-        return f"place {site.name}, versions {', '.join(sorted(site.versions))}"
+        place = validation.build(raw, SupervisorConfig, file, SUPERVISOR_CHECKS)
+        return f"place {place.name}, versions {', '.join(sorted(place.versions))}"
     from firvane.proxy.config.checks import CHECKS
     from firvane.proxy.config.model import File
 
     config = validation.build(raw, File, file, CHECKS)
-    where = config.target_group.discovery
-    targets = f"discovery at {where}" if where else f"{len(config.target_group.targets)} targets"
+    discovery = config.target_group.discovery
+    targets = f"discovery at {discovery}" if discovery else f"{len(config.target_group.targets)} targets"
     return f"configuration of {config.name}, {len(config.classes)} classes, {targets}"
--- a/firvane/cli/config.py
+++ b/firvane/cli/config.py
@@ -1,4 +1,4 @@
-"""`firvane config`: about the formats."""
+"""`firvane config`: prints the schemas of the file formats."""
 
 from __future__ import annotations
 
@@ -32,6 +32,6 @@
     from firvane.proxy.config.policy import Policy
     from firvane.simulation.emulation.scenario import Scenario
 
-    made = msgspec.json.schema({"configuration": File, "scenario": Scenario, "policy": Policy}[kind])
-    made = {"$schema": "https://json-schema.org/draft/2020-12/schema", **made}
-    click.echo(json.dumps(made, indent=2))
+    document = msgspec.json.schema({"configuration": File, "scenario": Scenario, "policy": Policy}[kind])
+    document = {"$schema": "https://json-schema.org/draft/2020-12/schema", **document}
+    click.echo(json.dumps(document, indent=2))
--- a/firvane/cli/control.py
+++ b/firvane/cli/control.py
@@ -1,4 +1,4 @@
-"""`firvane control`: the control service, and what operators ask of one that runs."""
+"""`firvane control`: runs the control service, and queries a running one."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 
 import click
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 
-MISSING_EXTRA = "firvane control needs more than the proxy: pip install 'firvane[control]'"
+MISSING_EXTRA = "firvane control needs additional packages: pip install 'firvane[control]'"
 CALL_TIMEOUT_S = 5.0
 
 
 class RunByDefaultGroup(click.Group):
-    """A group whose first argument is the file of a service to run, if it is not a subcommand."""
+    """A group that runs a service if its first argument is a file instead of a subcommand."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[str | None, click.Command | None, list[str]]:
-        """Insert `run` before a file."""
+        """Insert the subcommand `run` before a file."""
         if args and args[0] not in self.commands and not args[0].startswith("-"):
             args = ["run", *args]
         return super().resolve_command(ctx, args)
@@ -48,12 +48,12 @@
     """Run the service in FILE, in the foreground."""
     from firvane.proxy import native
 
-    native.activate()  # before anything that is compiled is imported
+    native.activate()  # before any compiled module is imported
     try:
         import envoy  # noqa: F401
         import grpc  # noqa: F401
     except ImportError:
-        raise Bad(MISSING_EXTRA) from None
+        raise InvalidInputError(MISSING_EXTRA) from None
 
     from firvane.proxy.control.main import read, serve
 
@@ -81,27 +81,28 @@
 @connection_options
 def status(address: str, as_json: bool, **tls: str) -> None:
     """What the service at ADDRESS tells, and who follows it."""
-    found = ask(address, {"what": "status"}, **tls)
+    response = query(address, {"what": "status"}, **tls)
     if as_json:
-        _json(found)
+        _json(response)
         return
-    click.echo(f"{found['service']}: list {found['list']}, {len(found['receivers'])} receivers")
-    for group in found["groups"]:
+    click.echo(f"{response['service']}: list {response['list']}, {len(response['receivers'])} receivers")
+    for group in response["groups"]:
         at = datetime.fromtimestamp(group["at"], UTC)
         click.echo(
             f"  zone {group['zone'] or '(none)'}: serial {group['serial']}, version {group['version']} of "
             f"{at:%H:%M:%S}Z, {group['boxes']} boxes, {100 * group['dropped']:g}% dropped; "
             f"why: {', '.join(group['why'])}; kept: {group['serials'][0]} to {group['serials'][-1]}"
         )
-    for one in found["receivers"]:
-        state = "current" if one["current"] else "behind"
-        refused = "".join(f"; REFUSED {name}: {why}" for name, why in one["refused"].items())
+    for receiver in response["receivers"]:
+        state = "current" if receiver["current"] else "behind"
+        refused = "".join(f"; REFUSED {name}: {reason}" for name, reason in receiver["refused"].items())
         click.echo(
-            f"  {one['id']} ({one['agent'] or 'unnamed'}, zone {one['zone'] or 'none'}, {one['protocol']}): "
-            f"{state}, {one['told']} answers, last ACK after {one['ack_ms']:g} ms, "
-            f"{one['rps']:g} requests a second{refused}"
+            f"  {receiver['id']} ({receiver['agent'] or 'unnamed'}, zone {receiver['zone'] or 'none'}, "
+            f"{receiver['protocol']}): "
+            f"{state}, {receiver['told']} answers, last ACK after {receiver['ack_ms']:g} ms, "
+            f"{receiver['rps']:g} requests a second{refused}"
         )
-    for name in found["left"]:
+    for name in response["left"]:
         click.echo(f"  {name}: no stream; its part is kept for it")
 
 
@@ -113,31 +114,35 @@
 @connection_options
 def diff(address: str, before: str, after: str, node: str, as_json: bool, **tls: str) -> None:
     """What differs between the states BEFORE and AFTER (serials or versions) and the decisions behind it."""
-    found = ask(address, {"what": "diff", "node": node, "before": before, "after": after}, **tls)
+    response = query(address, {"what": "diff", "node": node, "before": before, "after": after}, **tls)
     if as_json:
-        _json(found)
+        _json(response)
         return
-    for line in found["differences"] or ["the same"]:
+    for line in response["differences"] or ["the same"]:
         click.echo(line)
-    for cause in found["causes"]:
+    for cause in response["causes"]:
         at = datetime.fromtimestamp(cause["at"], UTC)
         click.echo(f"  {cause['serial']} at {at:%H:%M:%S}Z: {', '.join(cause['why'])}")
 
 
-def ask(address: str, question: dict[str, str], **tls: str) -> dict[str, Any]:
-    """Call the service; raises `Bad` if it does not answer, or answers with an error."""
+def query(address: str, request: dict[str, str], **tls: str) -> dict[str, Any]:
+    """Return the response of the service to a query.
+
+    Raises:
+        InvalidInputError: The service does not answer, or answers with an error.
+    """
     try:
         import grpc
     except ImportError:
-        raise Bad(MISSING_EXTRA) from None
+        raise InvalidInputError(MISSING_EXTRA) from None
     import json
     from pathlib import Path
 
     from firvane.proxy.control.ads import SHOW_METHOD
 
     options = [("grpc.ssl_target_name_override", tls["host"])] if tls.get("host") else []
-    given = [name for name in ("authority", "key", "certificate") if tls.get(name)]
-    files = {name: Path(tls[name]).read_bytes() for name in given}
+    options_set = [name for name in ("authority", "key", "certificate") if tls.get(name)]
+    files = {name: Path(tls[name]).read_bytes() for name in options_set}
     if files:
         credentials = grpc.ssl_channel_credentials(
             files.get("authority"), files.get("key"), files.get("certificate")
@@ -148,18 +153,20 @@
     with channel:
         call = channel.unary_unary(SHOW_METHOD)
         try:
-            found: dict[str, Any] = json.loads(call(json.dumps(question).encode(), timeout=CALL_TIMEOUT_S))
+            response: dict[str, Any] = json.loads(call(json.dumps(request).encode(), timeout=CALL_TIMEOUT_S))
         except grpc.RpcError as error:
-            raise Bad(f"firvane control: {address}: {error.code().name.lower()}: {error.details()}") from None
-    if "error" in found:
-        raise Bad(f"firvane control: {found['error']}")
-    return found
+            raise InvalidInputError(
+                f"firvane control: {address}: {error.code().name.lower()}: {error.details()}"
+            ) from None
+    if "error" in response:
+        raise InvalidInputError(f"firvane control: {response['error']}")
+    return response
 
 
-def _json(found: dict[str, Any]) -> None:
+def _json(response: dict[str, Any]) -> None:
     import json
 
-    click.echo(json.dumps(found, indent=2))
+    click.echo(json.dumps(response, indent=2))
 
 
 @command.command("keys")
@@ -175,14 +182,14 @@
     try:
         from firvane.proxy.control.certificates import make_authority, make_certificate
     except ImportError:
-        raise Bad(MISSING_EXTRA) from None
+        raise InvalidInputError(MISSING_EXTRA) from None
     from pathlib import Path
 
-    place = Path(folder)
-    place.mkdir(parents=True, exist_ok=True)
-    if not (place / "authority.pem").exists():
-        make_authority(place, days=days)
-        click.echo(f"{place / 'authority.pem'}")
+    directory = Path(folder)
+    directory.mkdir(parents=True, exist_ok=True)
+    if not (directory / "authority.pem").exists():
+        make_authority(directory, days=days)
+        click.echo(f"{directory / 'authority.pem'}")
     for name in names:
-        make_certificate(place, name, hosts, days)
-        click.echo(f"{place / name}.pem")
+        make_certificate(directory, name, hosts, days)
+        click.echo(f"{directory / name}.pem")
--- a/firvane/cli/descriptor_limit.py
+++ b/firvane/cli/descriptor_limit.py
@@ -1,16 +1,22 @@
-"""Room for descriptors, as many as a configuration promises."""
+"""Adjusts the limit on open descriptors to the configuration."""
 
 from __future__ import annotations
 
 import resource
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 
 
-def make_room(file: str, sockets: int) -> None:
-    """Raise this process's limit on descriptors to that; `Bad` where the system allows fewer."""
+def raise_limit(file: str, sockets: int) -> None:
+    """Raise the descriptor limit of this process to `sockets`.
+
+    Raises:
+        InvalidInputError: The hard limit is lower.
+    """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and hard < sockets:
-        raise Bad(f"{file}: limits.sockets: is {sockets}, and the system allows {hard} (ulimit -Hn)")
+        raise InvalidInputError(
+            f"{file}: limits.sockets: is {sockets}, and the system allows {hard} (ulimit -Hn)"
+        )
     if soft != resource.RLIM_INFINITY and soft < sockets:
         resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, hard))
--- a/firvane/cli/files.py
+++ b/firvane/cli/files.py
@@ -1,11 +1,11 @@
-"""What a file is, told by its content, and scenarios by name or file."""
+"""Detects the kind of a file by its content, and loads scenarios by name or path."""
 
 from __future__ import annotations
 
 from pathlib import Path
 from typing import Any, Literal
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 from firvane.core import validation
 from firvane.simulation.emulation.scenario import Scenario
 
@@ -13,12 +13,11 @@
 
 
 def form_of(raw: dict[str, Any]) -> Form:
-    """What bare data is meant to be: by its keys, since all of them may be TOML or JSON.
+    """Return the kind of a parsed file by its keys, since each kind may be TOML or JSON.
 
-    The platform's JSON alone has settings, the plan of a rolling change alone a roll and no name, a place's
-    file alone versions. Between the others the one decides that knows more of the keys; a file without any is
-    held to be a configuration. A policy has keys of a configuration, and none of those that say which proxy
-    it is.
+    Only the platform's JSON has `settings`, only the plan of a rollout has `roll` without `name`, and only
+    the file of a place has `versions`. A policy has only keys that it shares with a configuration. Otherwise
+    the kind that defines more of the keys is returned, by default a configuration.
     """
     from firvane.proxy.config.model import File
     from firvane.proxy.config.policy import Policy
@@ -29,17 +28,22 @@
         return "plan"
     if "versions" in raw:
         return "place"
-    of_policy = set(Policy.__struct_fields__)
-    others = {*File.__struct_fields__, *Scenario.__struct_fields__} - of_policy
-    if raw.keys() & of_policy and not raw.keys() & others:
+    policy_keys = set(Policy.__struct_fields__)
+    other_keys = {*File.__struct_fields__, *Scenario.__struct_fields__} - policy_keys
+    if raw.keys() & policy_keys and not raw.keys() & other_keys:
         return "policy"
-    known = (len(raw.keys() & set(kind.__struct_fields__)) for kind in (File, Scenario))
-    of_file, of_scenario = known
-    return "scenario" if of_scenario > of_file or raw.keys() & {"troubles", "boxes"} else "configuration"
+    matches = (len(raw.keys() & set(kind.__struct_fields__)) for kind in (File, Scenario))
+    file_keys, scenario_keys = matches
+    return "scenario" if scenario_keys > file_keys or raw.keys() & {"troubles", "boxes"} else "configuration"
 
 
 def scenario(name: str) -> Scenario:
-    """A scenario that comes along, by name, or a file; raises `validation.ValidationError` or `Bad`."""
+    """Return a scenario: a bundled one by name, or the one in a file.
+
+    Raises:
+        ValidationError: The file is invalid.
+        InvalidInputError: There is no such scenario.
+    """
     from firvane.simulation.emulation.checks import CHECKS
     from firvane.simulation.emulation.scenarios import load_named, scenario_names
 
@@ -49,13 +53,15 @@
         return validation.read(name, Scenario, CHECKS)
     from difflib import get_close_matches
 
-    near = get_close_matches(name, scenario_names(), 1)
-    meant = f"; did you mean {near[0]}?" if near else ""
-    raise Bad(f"firvane: {name!r} is neither a file nor one of the scenarios that come along{meant}")
+    close_matches = get_close_matches(name, scenario_names(), 1)
+    hint = f"; did you mean {close_matches[0]}?" if close_matches else ""
+    raise InvalidInputError(
+        f"firvane: {name!r} is neither a file nor one of the scenarios that come along{hint}"
+    )
 
 
 def names_for_completion(incomplete: str) -> list[str]:
-    """The scenarios that begin like that; files are the shell's own affair."""
+    """Return the names of bundled scenarios with this prefix; the shell completes files itself."""
     from firvane.simulation.emulation.scenarios import scenario_names
 
     return [name for name in scenario_names() if name.startswith(incomplete)]
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -1,7 +1,7 @@
-"""`firvane policy`: one policy for all proxies of a tier, in force everywhere or nowhere.
+"""`firvane policy`: one policy for all proxies of a tier, in force on all of them or none.
 
-Exit codes: 0 in force, or well; 1 failed, or turned down; 2 bad usage or a file of no use; 3 nobody could say
-what has become of it, and one sentence says how to ask again.
+Exit codes: 0 in force, or success; 1 failed or rejected; 2 bad usage or an invalid file; 3 the outcome is
+unknown, and the message says how to query it again.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 import click
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 from firvane.core.address import Address
 from firvane.core.printable import plain
 
@@ -58,14 +58,16 @@
 
     config_read = _read_config(config)
     if config_read.policy is None:
-        raise Bad(f"{config}: policy: is missing: it names the folder in which votes are kept")
+        raise InvalidInputError(f"{config}: policy: is missing: it names the folder in which votes are kept")
     text, parsed = _read_policy(policy)
     settings(parsed, config_read.settings, policy)
     voters = parsed.voters or config_read.policy.voters
     me, folder = config_read.settings.me, config_read.policy.folder
     if me not in voters:
         known = ", ".join(map(str, voters))
-        raise Bad(f"{config}: is proxy {me}, and only the voters ({known}) keep votes: it needs no founding")
+        raise InvalidInputError(
+            f"{config}: is proxy {me}, and only the voters ({known}) keep votes: it needs no founding"
+        )
     try:
         _bootstrap(folder, text, voters)
     except FileExistsError:
@@ -79,7 +81,7 @@
     try:
         store = import_module("firvane.proxy.quorum.store")
     except ModuleNotFoundError:
-        raise Bad("votes need more than a proxy does: pip install 'firvane[snapshots]'") from None
+        raise InvalidInputError("votes need additional packages: pip install 'firvane[snapshots]'") from None
     store.bootstrap(folder, text, voters)
 
 
@@ -96,7 +98,7 @@
     try:
         return read_config({**os.environ, "NODE_CONFIG": file})
     except ValueError as error:
-        raise Bad(str(error)) from None
+        raise InvalidInputError(str(error)) from None
 
 
 @command.command("propose")
@@ -129,12 +131,12 @@
         _wait_for_outcome(change, until)
     except OSError as error:
         change.unknown(f"{at} does not answer: {error.strerror or error}")
-    except KeyboardInterrupt:  # no proxy has said that it failed
+    except KeyboardInterrupt:  # the change may still succeed
         change.unknown("interrupted")
 
 
 class _Change(NamedTuple):
-    """A change that is proposed: its file, the admin API that it is proposed at, and the call for that."""
+    """A proposed change: its file, the admin API that receives it, and the call that proposes it."""
 
     ctx: click.Context
     file: str
@@ -144,7 +146,7 @@
     proposal: str
 
     def unknown(self, reason: str) -> NoReturn:
-        """End with exit code 3, and the sentence that says how to ask again."""
+        """Exit with code 3 and a message that says how to query the outcome again."""
         again = (
             f"ask again: firvane policy propose {self.file} --at {self.at} (the same text is the same change)"
         )
@@ -152,25 +154,25 @@
 
 
 def _proposal(digest: bytes, voters: str | None) -> str:
-    """Return the call that proposes a text; raises `Bad` where the voters are not valid."""
+    """Return the call that proposes a text; raises `InvalidInputError` for invalid voters."""
     from firvane.proxy.admin_api import calls
     from firvane.proxy.config.node import voter_errors
 
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
         given = calls.parse_call(line.encode()).given
-    except calls.InvalidCallError as useless:
-        raise Bad(f"policy propose: --voters: {useless}") from None
+    except calls.InvalidCallError as error:
+        raise InvalidInputError(f"policy propose: --voters: {error}") from None
     if voters is not None and isinstance(given, calls.ProposePolicy):
         if given.voters is None:
-            raise Bad("policy propose: --voters: names none")
+            raise InvalidInputError("policy propose: --voters: names none")
         for _, reason in voter_errors(given.voters, max(given.voters) + 1):
-            raise Bad(f"policy propose: --voters: {reason}")
+            raise InvalidInputError(f"policy propose: --voters: {reason}")
     return line
 
 
 def _submit(change: _Change, until: float) -> None:
-    """Upload the text and propose it; only the first call is not retried."""
+    """Upload the text and propose it; all calls but the first are retried until a time."""
     from firvane.proxy.admin_api import calls
     from firvane.proxy.policy_text import digest_of
 
@@ -183,7 +185,7 @@
 
 
 def _wait_for_outcome(change: _Change, until: float) -> NoReturn:
-    """Ask for the outcome until it is final or the time is over, and end with its exit code."""
+    """Poll the outcome until it is final or the deadline passes, and exit with its code."""
     import time
 
     from firvane.proxy.admin_api.calls import Call
@@ -195,7 +197,7 @@
         outcome, _, reason = _message(answer).partition(": ")
         if answer.startswith("+OK") and outcome in FINAL_OUTCOMES:
             _exit(change.ctx, FINAL_OUTCOMES[outcome], f"{file}: {outcome}: {reason}")
-        if not answer.startswith("+OK"):  # it knows nothing of it any more
+        if not answer.startswith("+OK"):  # the proxy no longer knows the change
             change.unknown(_message(answer))
         if time.monotonic() >= until:
             change.unknown(reason or outcome)
@@ -221,7 +223,7 @@
 
 
 def _message(answer: str) -> str:
-    """Return the text of an answer of one line."""
+    """Return the text of a one-line answer without its status."""
     return answer.removeprefix("+OK").removeprefix("-ERR").strip()
 
 
@@ -252,8 +254,8 @@
     try:
         answer = admin_connection.call(address, f"{Call.POLICY_ABORT.value} {digest}")
     except OSError as error:
-        why = f"{at} does not answer: {error.strerror or error}"
-        _exit(ctx, 3, f"{change}: unknown: {why}; ask again: firvane policy abort {digest} --at {at}")
+        reason = f"{at} does not answer: {error.strerror or error}"
+        _exit(ctx, 3, f"{change}: unknown: {reason}; ask again: firvane policy abort {digest} --at {at}")
     if not answer.startswith("+OK"):
         _exit(ctx, 1, f"{change}: not given up: {_message(answer)}")
     _exit(ctx, 0, f"{change}: given up: {_message(answer)}".removesuffix(": "))
@@ -287,8 +289,8 @@
 @click.argument("b")
 def diff(a: str, b: str) -> None:
     """What differs between the policies A and B, key by key: files, or an ADDRESS: the one in force there."""
-    before, after = _resolve(a), _resolve(b)
-    for line in list(differences(before, after)) or ["the same"]:
+    first, second = _resolve(a), _resolve(b)
+    for line in list(differences(first, second)) or ["the same"]:
         click.echo(plain(line))
 
 
@@ -354,7 +356,7 @@
 def _entry_differences(
     key: str, old: Mapping[str, Any] | None, new: Mapping[str, Any] | None
 ) -> Iterator[str]:
-    """Yield what differs in a class or a tenant, which may be in one of the two alone."""
+    """Yield the differences of a class or a tenant, which one of the two policies may lack."""
     if new is None:
         yield f"{key}: is gone"
     elif old is None:
@@ -366,15 +368,15 @@
 
 
 def _flatten(policy: Policy) -> dict[str, Any]:
-    """Return a policy as one table: lists by their names, and the keys of sections by their paths."""
+    """Return a policy as one table: classes and tenants by name, keys of sections by dotted path."""
     import msgspec
 
     table: dict[str, Any] = {}
     for key, value in msgspec.to_builtins(policy).items():
         if key in ("rules", "limits"):
-            table.update({f"{key}.{name}": one for name, one in (value or {}).items()})
+            table.update({f"{key}.{name}": setting for name, setting in (value or {}).items()})
         elif key in ("classes", "tenants") and value is not None:
-            table[key] = {one["name"]: one for one in value}
+            table[key] = {entry["name"]: entry for entry in value}
         else:
             table[key] = value
     return table
@@ -393,7 +395,7 @@
 
 
 def _read_policy(file: str) -> tuple[bytes, Policy]:
-    """Return the text in a file and the policy; raises `ValidationError` or `Bad`."""
+    """Return the text of a file and the policy in it; raises `ValidationError` or `InvalidInputError`."""
     from firvane.proxy.config.policy import parse
 
     text = _read_text(file)
@@ -408,5 +410,7 @@
     try:
         with Path(file).open("rb") as opened:
             return opened.read(MAX_TEXT_BYTES + 1)
-    except (OSError, ValueError) as error:  # ValueError: a name with a zero byte in it
-        raise Bad(f"{file}: cannot be read: {getattr(error, 'strerror', None) or error}") from None
+    except (OSError, ValueError) as error:  # ValueError: the path contains a null byte
+        raise InvalidInputError(
+            f"{file}: cannot be read: {getattr(error, 'strerror', None) or error}"
+        ) from None
--- a/firvane/cli/recovery.py
+++ b/firvane/cli/recovery.py
@@ -1,4 +1,4 @@
-"""`firvane recovery`: where a proxy is on its way back."""
+"""`firvane recovery`: prints the state of a proxy's recovery from a loss of power."""
 
 from __future__ import annotations
 
--- a/firvane/cli/rehearse.py
+++ b/firvane/cli/rehearse.py
@@ -1,4 +1,4 @@
-"""`firvane rehearse`: a scenario, played and judged."""
+"""`firvane rehearse`: simulates a scenario and checks the rules on the result."""
 
 from __future__ import annotations
 
@@ -60,34 +60,34 @@
       firvane rehearse mine.toml --seed 7
       firvane rehearse --draw 42
     """
-    scenario, called = _scenario(name, draw)
+    scenario, scenario_argument = _scenario(name, draw)
     for file in (json_file, html_file):
-        _writable(file)
+        _check_writable(file)
     if logs:
         os.makedirs(logs, exist_ok=True)
-    used = scenario.seed if seed is None else seed
+    effective_seed = scenario.seed if seed is None else seed
     clock = "virtual" if virtual else "live"
 
-    from firvane.cli import Bad
-    from firvane.cli.progress import Shown
+    from firvane.cli import InvalidInputError
+    from firvane.cli.progress import ProgressDisplay
     from firvane.simulation.runner.result import write
     from firvane.simulation.runner.run import rehearse
     from firvane.simulation.runner.summary import page
 
-    shown = Shown()
+    display = ProgressDisplay()
     try:
         result = rehearse(
             scenario,
-            used,
+            effective_seed,
             "virtual" if virtual else "live",
-            replay=f"firvane rehearse {called} --{clock} --seed {used}",
-            watch=None if quiet else shown,
+            replay=f"firvane rehearse {scenario_argument} --{clock} --seed {effective_seed}",
+            watch=None if quiet else display,
             folder=Path(logs) if logs else None,
         )
     except ValueError as error:
-        raise Bad(f"firvane: {called} cannot be played: {error}") from None
+        raise InvalidInputError(f"firvane: {scenario_argument} cannot be played: {error}") from None
     finally:
-        shown.end()
+        display.end()
     click.echo(page(result))
     if json_file:
         write(json_file, result)
@@ -99,21 +99,21 @@
 
 
 def _scenario(name: str | None, draw: int | None) -> tuple[Scenario, str]:
-    """The scenario, and how the command line calls it."""
+    """Return the scenario, and the arguments that select it on the command line."""
     if (name is None) is (draw is None):
         raise click.UsageError("give either the NAME of a scenario or --draw SEED")
     if name is not None:
         from firvane.cli.files import scenario
 
         return scenario(name), shlex.quote(name)
-    from firvane.simulation.emulation.random_scenarios import draw as drawn
+    from firvane.simulation.emulation.random_scenarios import draw as draw_scenario
 
     assert draw is not None
-    return drawn(draw), f"--draw {draw}"
+    return draw_scenario(draw), f"--draw {draw}"
 
 
-def _writable(file: str | None) -> None:
-    """Say before a long run that its result could not be kept."""
+def _check_writable(file: str | None) -> None:
+    """Raise `click.UsageError` before a long run if its result could not be written to a file."""
     if file is not None:
         folder = Path(file).absolute().parent
         if not folder.is_dir() or not os.access(folder, os.W_OK):
--- a/firvane/cli/report.py
+++ b/firvane/cli/report.py
@@ -1,4 +1,4 @@
-"""`firvane report`: results that were kept, shown again or side by side."""
+"""`firvane report`: prints a stored result, or compares two."""
 
 from __future__ import annotations
 
@@ -42,35 +42,38 @@
 
 
 def _read(file: str) -> Result:
-    from firvane.cli import Bad
+    from firvane.cli import InvalidInputError
     from firvane.simulation.runner.result import ResultError, read
 
     try:
         return read(file)
     except OSError as error:
-        raise Bad(f"{file}: cannot be read: {error.strerror or error}") from None
+        raise InvalidInputError(f"{file}: cannot be read: {error.strerror or error}") from None
     except RecursionError:
-        raise Bad(f"{file}: nested too deep") from None
-    except ValueError as error:  # ResultError among them
-        raise Bad(str(error) if isinstance(error, ResultError) else f"{file}: {error}") from None
+        raise InvalidInputError(f"{file}: nested too deep") from None
+    except ValueError as error:  # includes ResultError
+        raise InvalidInputError(
+            str(error) if isinstance(error, ResultError) else f"{file}: {error}"
+        ) from None
 
 
 def _differences(first: str, a: Result, second: str, b: Result) -> None:
     from firvane.simulation.emulation.compare import differences
 
     paired = a.scenario.troubles == b.scenario.troubles and a.seed == b.seed
-    for name, file, one in (("A", first, a), ("B", second, b)):
-        rules = ", ".join(f"{rule} ({n})" for rule, n in one.broken_counts.items())
-        verdict = one.no_verdict or (f"BROKEN {rules}" if rules else "all rules kept")
-        click.echo(f"{name}  {file}: {one.scenario.name}, seed {one.seed}, {one.clock}; {verdict}")
+    for name, file, result in (("A", first, a), ("B", second, b)):
+        rules = ", ".join(f"{rule} ({n})" for rule, n in result.broken_counts.items())
+        verdict = result.no_verdict or (f"BROKEN {rules}" if rules else "all rules kept")
+        click.echo(f"{name}  {file}: {result.scenario.name}, seed {result.seed}, {result.clock}; {verdict}")
         click.echo(
-            f"   score {one.score:.3f}  service {one.service:.3f}  worst 10 s {one.worst_10_s:.3f}"
-            f"  worst community {one.worst_community:.3f}"
+            f"   score {result.score:.3f}  service {result.service:.3f}  worst 10 s {result.worst_10_s:.3f}"
+            f"  worst community {result.worst_community:.3f}"
         )
     click.echo(f"\n{'':<26}{'A':>10}{'B':>10}{'B less A':>11}  {'95% interval':<22}")
-    for each in differences(a, b, a.scenario.warm_up_s, paired):
-        span = f"{each.low:+.3f} to {each.high:+.3f}"
+    for difference in differences(a, b, a.scenario.warm_up_s, paired):
+        interval = f"{difference.low:+.3f} to {difference.high:+.3f}"
         click.echo(
-            f"{each.what:<26}{each.first:>10.3f}{each.second:>10.3f}{each.change:>+11.3f}  {span:<22}"
-            f"{each.unit:<3} {each.verdict}"
+            f"{difference.what:<26}{difference.first:>10.3f}{difference.second:>10.3f}"
+            f"{difference.change:>+11.3f}  {interval:<22}"
+            f"{difference.unit:<3} {difference.verdict}"
         )
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -1,7 +1,7 @@
-"""`firvane rollout`: another version of the program or its settings, in stages, stopped where it does worse.
+"""`firvane rollout`: deploys a version of the proxy or its settings in stages, and stops if it is worse.
 
-Exit codes: 0 done; 1 it went back, or was given up; 2 bad usage or a file of no use; 3 it is paused or under
-way, or nobody can tell.
+Exit codes: 0 done; 1 rolled back or given up; 2 bad usage or an invalid file; 3 paused, in progress, or
+unknown.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import click
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 from firvane.core.printable import plain
 
 if TYPE_CHECKING:
@@ -72,7 +72,7 @@
 
     parsed, digest = _read_plan(plan)
     files = _open_files(plan, course)
-    again = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
+    resume_command = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
     try:
         files.acquire(take_over)
         state = _control(parsed, digest, files, not no_wait)
@@ -80,20 +80,20 @@
     except OwnershipLostError as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
     except ControllerStoppedError as error:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {again}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {resume_command}")
     except (DamagedDataError, OSError) as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
     except ValueError as error:
-        raise Bad(f"{plan}: {error}") from None
+        raise InvalidInputError(f"{plan}: {error}") from None
     finally:
         files.release()
     if state is None:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: left under way, places stay as they are; go on: {again}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: left under way, places stay as they are; go on: {resume_command}")
     _exit(ctx, _exit_code(state), f"{plan}: {_describe(stored)}")
 
 
 def _control(plan: Plan, digest: str, files: RolloutFiles, waits: bool) -> RolloutState | None:
-    """Run a controller until the rollout ends; None where SIGTERM or SIGINT came before."""
+    """Run a controller until the rollout ends; None if SIGTERM or SIGINT ends it earlier."""
     import asyncio
     import signal
 
@@ -130,12 +130,14 @@
     files = _open_files(plan, course)
     stored = _read_stored(ctx, plan, files)
     if stored and stored.plan != digest:
-        raise Bad(f"{plan}: {files.path} is the course of another plan, or this one was changed since")
-    holder = files.owner()
-    who = f"process {holder} carries it out" if holder else "nobody carries it out now"
-    click.echo(plain(f"{plan}: {_describe(stored)}; {who}"))
-    doors = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
-    for slot, address in zip(parsed.place, doors, strict=True):
+        raise InvalidInputError(
+            f"{plan}: {files.path} is the course of another plan, or this one was changed since"
+        )
+    owner = files.owner()
+    owner_text = f"process {owner} carries it out" if owner else "nobody carries it out now"
+    click.echo(plain(f"{plan}: {_describe(stored)}; {owner_text}"))
+    addresses = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
+    for slot, address in zip(parsed.place, addresses, strict=True):
         try:
             answer = supervisor_calls.parse_status(
                 admin_connection.call(address, supervisor_calls.format_call(supervisor_calls.Command.STATUS))
@@ -167,7 +169,7 @@
 
 
 def _send_command(ctx: click.Context, plan: str, files: RolloutFiles, requested: OperatorCommand) -> NoReturn:
-    """Leave a command for the rollout, and wait until its owner has received it."""
+    """Store a command for the rollout, and wait until its owner has received it."""
     import time
 
     from firvane.proxy.rollout.rollout_state import FINAL_STATES
@@ -177,13 +179,13 @@
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} says nothing any more: {_describe(stored)}")
     files.write_command(requested)
     until = time.monotonic() + COMMAND_TIMEOUT_S
-    waits = f"{plan}: {requested.value} waits"
+    pending = f"{plan}: {requested.value} waits"
     while files.command_path.exists():
         if not files.owner():
             reason = f"nobody carries the roll out: firvane rollout run {plan}"
-            _exit(ctx, EXIT_UNKNOWN, f"{waits}, and {reason}")
+            _exit(ctx, EXIT_UNKNOWN, f"{pending}, and {reason}")
         if time.monotonic() > until:
-            _exit(ctx, EXIT_UNKNOWN, f"{waits}: process {files.owner()} has not heard it yet")
+            _exit(ctx, EXIT_UNKNOWN, f"{pending}: process {files.owner()} has not heard it yet")
         time.sleep(POLL_INTERVAL_S)
     _exit(ctx, 0, f"{plan}: heard; {_describe(files.read_state())}")
 
@@ -201,11 +203,11 @@
     _read_plan(plan)
     files = _open_files(plan, course)
     stored = _read_stored(ctx, plan, files)
-    gathered = rollout_report.gather(plan, f"{_describe(stored)}", files.read_events())
-    for line in rollout_report.render_text(gathered):
+    report_data = rollout_report.gather(plan, f"{_describe(stored)}", files.read_events())
+    for line in rollout_report.render_text(report_data):
         click.echo(plain(line))
     if html:
-        write_atomically(html, rollout_report.render_html(gathered).encode())
+        write_atomically(html, rollout_report.render_html(report_data).encode())
     ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
 
@@ -216,7 +218,7 @@
     from firvane.core import validation
     from firvane.proxy.rollout import plan
 
-    validation.load(file)  # tells a file that cannot be read, or is too long, as all others are told
+    validation.load(file)  # reports an unreadable or too large file like the other commands do
     text = Path(file).read_bytes()
     return plan.parse(text, file), plan.digest(text)
 
@@ -227,7 +229,9 @@
     try:
         module = import_module("firvane.proxy.rollout.rollout_files")
     except ModuleNotFoundError:
-        raise Bad("rolls need more than a proxy does: pip install 'firvane[snapshots]'") from None
+        raise InvalidInputError(
+            "rollouts need additional packages: pip install 'firvane[snapshots]'"
+        ) from None
     opened: RolloutFiles = module.RolloutFiles(course or f"{plan}.course")
     return opened
 
--- a/firvane/cli/rollout_report.py
+++ b/firvane/cli/rollout_report.py
@@ -1,4 +1,4 @@
-"""The report of a rollout: its notes, and old and new side by side by stage, as text and as HTML."""
+"""The report of a rollout as text and HTML: its notes, and a comparison of both versions by stage."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 MAX_PLOT_POINTS = 300
 TIME_TICKS = 12
 VALUE_TICKS = 5
-P99_HEADROOM = 1.08  # of the plot above the highest value
+P99_HEADROOM = 1.08  # top of the plot as a multiple of the highest value
 COLUMNS = ("stage", "side", "requests", "in time", "refused", "failed", "p50", "p99", "attempts", "CPU")
 
 
@@ -25,7 +25,7 @@
 
 @dataclass
 class SideTotals:
-    """The sums of the blocks of one side."""
+    """The sums of the measurement blocks of one side (old or new version)."""
 
     counts: Counter[str] = field(default_factory=Counter)
     latency: Counter[int] = field(default_factory=Counter)
@@ -44,27 +44,27 @@
 
     def quantile_ms(self, part: float) -> float | None:
         """Return a quantile of the latencies in ms, by the upper boundary of its bucket."""
-        left = part * sum(self.latency.values())
+        remaining = part * sum(self.latency.values())
         for number in sorted(self.latency):
-            left -= self.latency[number]
-            if left <= 0:
+            remaining -= self.latency[number]
+            if remaining <= 0:
                 return 1e3 * bucket_start_s(number + 1)
         return None
 
 
 @dataclass
 class Report:
-    """What the report of a rollout holds."""
+    """The data of the report of a rollout."""
 
     plan: str
     end: str
     notes: list[tuple[float, str]] = field(default_factory=list)
     stages: dict[tuple[int, str], SideTotals] = field(default_factory=dict)
-    times: dict[tuple[float, str], SideTotals] = field(default_factory=dict)  # by moment and side
+    times: dict[tuple[float, str], SideTotals] = field(default_factory=dict)  # by time and side
 
 
 def gather(plan: str, end: str, events: Iterable[Mapping[str, Any]]) -> Report:
-    """Collect the events of the log; entries of another form are skipped."""
+    """Collect the events of the log; invalid entries are skipped."""
     report = Report(plan, end)
     for event in events:
         at = event.get("at")
@@ -87,17 +87,19 @@
         yield f"  {time.strftime('%H:%M:%S', time.localtime(at))} {note}"
     rows = [COLUMNS, *table_rows(report)]
     if len(rows) > 1:
-        wide = [max(len(row[n]) for row in rows) for n in range(len(COLUMNS))]
+        widths = [max(len(row[n]) for row in rows) for n in range(len(COLUMNS))]
         for row in rows:
-            yield "  ".join(cell.rjust(width) for cell, width in zip(row, wide, strict=True)).rstrip()
+            yield "  ".join(cell.rjust(width) for cell, width in zip(row, widths, strict=True)).rstrip()
 
 
 def table_rows(report: Report) -> list[tuple[str, ...]]:
-    """Return the table of stages and sides, without its head."""
-    return [(str(stage), side, *_figures(totals)) for (stage, side), totals in sorted(report.stages.items())]
+    """Return the rows of the table of stages and sides, without the header."""
+    return [
+        (str(stage), side, *_table_cells(totals)) for (stage, side), totals in sorted(report.stages.items())
+    ]
 
 
-def _figures(totals: SideTotals) -> Iterator[str]:
+def _table_cells(totals: SideTotals) -> Iterator[str]:
     taken = totals.counts["taken"]
     yield str(taken)
     for name in ("in_time", "refused", "failed"):
@@ -148,16 +150,16 @@
     )
 
 
-def _begin(report: Report) -> float:
+def _start_time(report: Report) -> float:
     return min((at for at, _ in report.times), default=0.0)
 
 
 def _series(report: Report, value: Callable[[SideTotals], float | None]) -> Series:
-    """Return a value over the time since the first block, by side, in `MAX_PLOT_POINTS` or a few more."""
-    begin = _begin(report)
+    """Return the series of a value since the first block, by side, with about `MAX_PLOT_POINTS` points."""
+    start = _start_time(report)
     series: Series = {}
     for (at, side), totals in sorted(report.times.items()):
-        series.setdefault(side, []).append((at - begin, value(totals)))
+        series.setdefault(side, []).append((at - start, value(totals)))
     return {side: points[:: max(1, len(points) // MAX_PLOT_POINTS)] for side, points in series.items()}
 
 
@@ -165,7 +167,7 @@
     """Return a plot of both sides as SVG."""
     from firvane.simulation.runner.svg import Line, Plot, number, ticks
 
-    duration_s = max((at for at, _ in report.times), default=1.0) - _begin(report) or 1.0
+    duration_s = max((at for at, _ in report.times), default=1.0) - _start_time(report) or 1.0
     plot = Plot((0.0, duration_s), (0.0, highest or 1.0))
     plot.axes(
         [(x, f"{x:g} s") for x in ticks(0.0, duration_s, TIME_TICKS)],
--- a/firvane/cli/scenarios.py
+++ b/firvane/cli/scenarios.py
@@ -1,4 +1,4 @@
-"""`firvane scenarios`: those that come along."""
+"""`firvane scenarios`: lists the bundled scenarios."""
 
 from __future__ import annotations
 
@@ -21,14 +21,16 @@
     from firvane.simulation.emulation import scenarios
 
     if name is not None:
-        scenario(name)  # says what is wrong where there is none
+        scenario(name)  # raises an error if there is none
         if name not in scenarios.scenario_names():
             raise click.UsageError(f"{name!r} is a file of your own; the names are those that come along")
         click.echo(files(scenarios).joinpath(f"{name}.toml").read_text("utf-8"), nl=False)
         return
-    shown = {each: scenarios.load_named(each) for each in scenarios.scenario_names()}
-    width = max(map(len, shown))
-    for each, found in shown.items():
+    bundled = {
+        scenario_name: scenarios.load_named(scenario_name) for scenario_name in scenarios.scenario_names()
+    }
+    width = max(map(len, bundled))
+    for scenario_name, loaded in bundled.items():
         indent = " " * (width + 2)
-        about = click.wrap_text(" ".join(found.about.split()), 100, indent, indent)
-        click.echo(f"{each:<{width}}  {about.lstrip()}")
+        about = click.wrap_text(" ".join(loaded.about.split()), 100, indent, indent)
+        click.echo(f"{scenario_name:<{width}}  {about.lstrip()}")
--- a/firvane/cli/serve.py
+++ b/firvane/cli/serve.py
@@ -1,4 +1,4 @@
-"""`firvane serve`: one proxy from `firvane.toml`."""
+"""`firvane serve`: runs one proxy with the configuration in a `firvane.toml`."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
     from firvane.core import process_signals
     from firvane.proxy import native
 
-    process_signals.block()  # until the proxy listens for signals: one that comes in its start is not lost
-    native.activate()  # before anything that is compiled is imported
+    process_signals.block()  # until the proxy handles signals, so that one during the start is not lost
+    native.activate()  # before any compiled module is imported
 
     from firvane.__main__ import serve
-    from firvane.cli.descriptor_limit import make_room
+    from firvane.cli.descriptor_limit import raise_limit
     from firvane.proxy.config.file import read_file
 
     config = read_file(file)
-    make_room(file, config.sockets)
-    keeper = None
+    raise_limit(file, config.sockets)
+    snapshot_store = None
     if config.snapshot:
         from firvane.proxy.snapshots.file import SnapshotStore
 
-        keeper = partial(SnapshotStore, config.snapshot, config.name)
-    agreement = None
+        snapshot_store = partial(SnapshotStore, config.snapshot, config.name)
+    policy_agreement = None
     if config.policy:
         from firvane.proxy.quorum.driver import PolicyConsensus
 
-        agreement = PolicyConsensus
-    ctx.exit(serve(config, partial(read_file, file), keeper, agreement))
+        policy_agreement = PolicyConsensus
+    ctx.exit(serve(config, partial(read_file, file), snapshot_store, policy_agreement))
--- a/firvane/cli/snapshot.py
+++ b/firvane/cli/snapshot.py
@@ -1,4 +1,4 @@
-"""`firvane snapshot`: what a proxy has kept on disk."""
+"""`firvane snapshot`: shows and checks snapshot files."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
     from firvane.proxy.snapshots.types import RESTORE_RULES, age_s
 
     snapshot = _read(file)
-    figures = describe(snapshot, age_s(snapshot, time.time()))
+    fields = describe(snapshot, age_s(snapshot, time.time()))
     if as_json:
-        click.echo(json.dumps(figures))
+        click.echo(json.dumps(fields))
         return
-    for name, value in figures.items():
+    for name, value in fields.items():
         click.echo(f"{name:13} {value}")
     click.echo("\nfield   read back                              until, and confirmed by")
     for row in RESTORE_RULES:
@@ -49,33 +49,35 @@
 @click.pass_context
 def check(ctx: click.Context, files: tuple[str, ...]) -> None:
     """Say of each of FILES whether a proxy would read it. Exit code 2 for any that it would not."""
-    from firvane.cli import Bad
+    from firvane.cli import InvalidInputError
 
     errors: list[str] = []
     for file in files:
         try:
             snapshot = _read(file)
-        except Bad as error:
+        except InvalidInputError as error:
             errors.append(error.message)
         else:
-            listed = len((snapshot.listed or {}).get("endpoints", []))
-            click.echo(f"{file}: a snapshot of {snapshot.proxy}, {listed} boxes listed")
+            target_count = len((snapshot.listed or {}).get("endpoints", []))
+            click.echo(f"{file}: a snapshot of {snapshot.proxy}, {target_count} boxes listed")
     for line in errors:
         click.echo(line, err=True)
     ctx.exit(2 if errors else 0)
 
 
 def _read(file: str) -> Snapshot:
-    from firvane.cli import Bad
+    from firvane.cli import InvalidInputError
 
     try:
         from firvane.core.checksum import DamagedDataError
         from firvane.proxy.snapshots import file as files
     except ModuleNotFoundError:
-        raise Bad("snapshots need more than a proxy does: pip install 'firvane[snapshots]'") from None
+        raise InvalidInputError(
+            "snapshots need additional packages: pip install 'firvane[snapshots]'"
+        ) from None
     try:
         return files.read(file)
     except OSError as error:
-        raise Bad(f"{file}: cannot be read: {error.strerror or error}") from None
+        raise InvalidInputError(f"{file}: cannot be read: {error.strerror or error}") from None
     except DamagedDataError as error:
-        raise Bad(f"{file}: {error}") from None
+        raise InvalidInputError(f"{file}: {error}") from None
--- a/tests/cli/test_command.py
+++ b/tests/cli/test_command.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from firvane.cli import COMMANDS, main
-from firvane.cli.progress import Shown
+from firvane.cli.progress import ProgressDisplay
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.runner.result import Witness
 from tests.proxy.config.samples import CONFIG, SCENARIO
@@ -147,9 +147,9 @@
 
     witness = Witness(Scenario(name="day", seconds=60.0), 1, "virtual")
     for file, told, lines in ((Terminal(), 25, 0), (io.StringIO(), 3, 3)):
-        shown = Shown(file)
+        display = ProgressDisplay(file)
         for at in range(25):
             witness.at = float(at)
-            shown(witness)
-        shown.end()
+            display(witness)
+        display.end()
         assert (file.getvalue().count("/60 s"), file.getvalue().count("\n")) == (told, lines)
