--- a/firvane/admin/__init__.py
+++ b/firvane/admin/__init__.py
@@ -1,7 +1,7 @@
 """The operators' client: `firvane-admin`.
 
-Exit codes: 0 taken or answered; 1 refused or invalid; 2 bad usage or a file that cannot be read; 3 no clear
-answer; 4 answered, and a part has no owner or a process is behind.
+Exit codes: 0 accepted or answered; 1 rejected or invalid; 2 bad usage or an unreadable file; 3 no clear
+answer; 4 answered, but a part has no owner or a process does not have the newest version.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 def run(arguments: Sequence[str] | None = None) -> None:
-    """Entry of the command; ends the process with the exit code."""
+    """Run the command, and end the process with its exit code."""
     import defopt  # only the command line needs it
 
     from firvane.admin.commands import COMMANDS
--- a/firvane/admin/answers.py
+++ b/firvane/admin/answers.py
@@ -1,4 +1,4 @@
-"""Reading what the operators' API answers."""
+"""Parses answers of the operators' API."""
 
 from __future__ import annotations
 
@@ -29,10 +29,12 @@
 
 
 def read_answer(body: bytes) -> Result:
-    """The result that a body tells; `AnswerError` where it is none."""
+    """Return the result in a body; raises `AnswerError` if there is none."""
     try:
         entry = msgspec.json.decode(body, type=_AnswerEntry)
-        problems = (Problem(code_of(each.code), each.place, each.detail) for each in entry.problems)
+        problems = (
+            Problem(code_of(problem.code), problem.place, problem.detail) for problem in entry.problems
+        )
         return Result(code_of(entry.code), entry.config_version, tuple(problems))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise AnswerError(f"the body is not an answer: {error}") from error
@@ -43,7 +45,7 @@
 
 
 def describe_failure(status: int, body: bytes) -> str:
-    """An answer's status, with its result code and meaning where it has one."""
+    """Return the status of an answer as text, with result code and meaning if the body has a code."""
     try:
         code = code_of(msgspec.json.decode(body, type=_CodeEntry).code)
     except (msgspec.MsgspecError, ValueError, RecursionError):
@@ -52,7 +54,7 @@
 
 
 def read_version(document: bytes) -> int:
-    """The version of a configuration; `AnswerError` where it is none."""
+    """Return the version of a configuration; raises `AnswerError` for an invalid document."""
     try:
         return msgspec.json.decode(document, type=_VersionEntry).config_version
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/firvane/admin/calls.py
+++ b/firvane/admin/calls.py
@@ -1,8 +1,8 @@
-"""How a call goes from address to address until it has a clear answer. Pure.
+"""Failover of a call between addresses until it has a clear answer. No I/O.
 
-1. A 307 is followed twice, to the address of its `Location`.
-2. After a failure, a 5xx, a 408 or a 429 the call goes on to the next address, unchanged.
-3. Once all addresses were tried there is a pause, which doubles; after `rounds` rounds the call is given up.
+1. A 307 is followed to the address in its `Location`, at most twice in a row.
+2. After a failure, a 5xx, a 408 or a 429 the same call is sent to the next address.
+3. After each round over all addresses there is a pause, which doubles; the call fails after `rounds` rounds.
 4. Every other answer is final.
 """
 
@@ -20,13 +20,13 @@
 FIRST_PAUSE_S = 0.2
 LONGEST_PAUSE_S = 2.0
 
-_REDIRECT = 307
-_TRY_NEXT = (408, 429)
+_REDIRECT_STATUS = 307
+_RETRIABLE_STATUSES = (408, 429)
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """An answer as it came; `location` is the header of that name."""
+    """A received HTTP response; `location` is the header of that name."""
 
     status: int
     body: bytes
@@ -51,47 +51,47 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GivenUp:
-    """Nobody gave a clear answer; `reasons` has the last one of each address."""
+class NoClearAnswer:
+    """No address gave a clear answer; `reasons` has the last failure of each."""
 
     reasons: dict[str, str]
 
 
-Step = Attempt | Answered | GivenUp
+Step = Attempt | Answered | NoClearAnswer
 
 
-class CallWalk:
-    """One call's way through the addresses."""
+class CallFailover:
+    """Decides where and when to send one call next."""
 
     def __init__(self, addresses: Sequence[Address], path: str, rounds: int = DEFAULT_ROUNDS) -> None:
         self._addresses = list(addresses)
         self._path = path
-        self._last_try = rounds * len(self._addresses)
+        self._max_tries = rounds * len(self._addresses)
         self._tries = 0
         self._redirects = 0
         self._current = self._addresses[0]
         self._reasons: dict[str, str] = {}
 
     def begin(self) -> Attempt:
-        """The first attempt."""
+        """Return the first attempt."""
         return Attempt(self._current, self._path)
 
     def answer(self, reply: Reply) -> Step:
-        """Take the answer to the last attempt."""
-        if reply.status == _REDIRECT:
+        """Return the next step after the last attempt received a response."""
+        if reply.status == _REDIRECT_STATUS:
             return self._redirect(reply.location)
-        if reply.status >= 500 or reply.status in _TRY_NEXT:
+        if reply.status >= 500 or reply.status in _RETRIABLE_STATUSES:
             return self.failure(describe_failure(reply.status, reply.body))
         return Answered(self._current, reply)
 
     def failure(self, reason: str) -> Step:
-        """Take the news that the last attempt had no answer, or none that helps."""
+        """Return the next step after the last attempt failed or had no clear answer."""
         host, port = self._current
         self._reasons[f"{host}:{port}"] = reason
         self._tries += 1
         self._redirects = 0
-        if self._tries >= self._last_try:
-            return GivenUp(dict(self._reasons))
+        if self._tries >= self._max_tries:
+            return NoClearAnswer(dict(self._reasons))
         rounds, position = divmod(self._tries, len(self._addresses))
         self._current = self._addresses[position]
         pause = min(FIRST_PAUSE_S * 2 ** (rounds - 1), LONGEST_PAUSE_S) if position == 0 else 0.0
--- a/firvane/admin/client.py
+++ b/firvane/admin/client.py
@@ -1,4 +1,4 @@
-"""Sends a call over HTTP/1.1 along its walk through the addresses."""
+"""Sends a call over HTTP/1.1, with failover between addresses."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass, field
 
-from firvane.admin.calls import Answered, Attempt, CallWalk, GivenUp, Reply, Step
+from firvane.admin.calls import Answered, Attempt, CallFailover, NoClearAnswer, Reply, Step
 
 TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Method, body and headers of a call; its path is the walk's."""
+    """Method, body and headers of a call; `CallFailover` has its path."""
 
     method: str
     body: bytes | None = None
@@ -22,28 +22,28 @@
 
 
 def call(
-    walk: CallWalk,
+    failover: CallFailover,
     request: Request,
     send: Callable[[Attempt, Request], Reply] | None = None,
     sleep: Callable[[float], None] = time.sleep,
-) -> Answered | GivenUp:
-    """Send the call until it has a final answer or is given up."""
+) -> Answered | NoClearAnswer:
+    """Send the call until it has a final answer or all attempts have failed."""
     send = send or send_over_http
-    step: Step = walk.begin()
+    step: Step = failover.begin()
     while isinstance(step, Attempt):
         if step.pause:
             sleep(step.pause)
         try:
             reply = send(step, request)
         except (OSError, http.client.HTTPException) as error:
-            step = walk.failure(str(error) or type(error).__name__)
+            step = failover.failure(str(error) or type(error).__name__)
         else:
-            step = walk.answer(reply)
+            step = failover.answer(reply)
     return step
 
 
 def send_over_http(attempt: Attempt, request: Request) -> Reply:
-    """One request on a connection of its own; `OSError` or `HTTPException` where it has no whole answer."""
+    """Send one request on a new connection; raises `OSError` or `HTTPException` on failure."""
     host, port = attempt.address
     connection = http.client.HTTPConnection(host, port, timeout=TIMEOUT_S)
     try:
--- a/firvane/admin/commands.py
+++ b/firvane/admin/commands.py
@@ -6,15 +6,15 @@
 from pathlib import Path
 
 from firvane.admin.answers import AnswerError, read_answer, read_version
-from firvane.admin.calls import DEFAULT_ROUNDS, Answered, CallWalk, GivenUp
+from firvane.admin.calls import DEFAULT_ROUNDS, Answered, CallFailover, NoClearAnswer
 from firvane.admin.client import Request, call
 from firvane.admin.fleet_commands import behind, hand_over, members, parts
 from firvane.admin.output import (
     BAD_USAGE,
     DONE,
     NO_ANSWER,
-    complain,
     parse_addresses,
+    print_error,
     print_failure,
     print_result,
 )
@@ -37,10 +37,10 @@
 
     state = ConfigurationState()
     if on is not None:
-        basis = Order(OrderKind.REPLACE, 0, _read_file(on))
-        taken = Result.unpack(state.apply(0, basis.pack()))
-        if taken.code is not ResultCode.ACCEPTED:
-            return print_result(taken, json)
+        base_order = Order(OrderKind.REPLACE, 0, _read_file(on))
+        base_result = Result.unpack(state.apply(0, base_order.pack()))
+        if base_result.code is not ResultCode.ACCEPTED:
+            return print_result(base_result, json)
     body = _read_file(file)
     order = Order(_kind_of(body) if on else OrderKind.REPLACE, state.version, body)
     return print_result(Checker(state, order).finish(), json)
@@ -54,13 +54,13 @@
     :param json: print it as it came, on one line
     """
     outcome = _read(addresses, rounds)
-    if isinstance(outcome, GivenUp) or outcome.reply.status != 200:
+    if isinstance(outcome, NoClearAnswer) or outcome.reply.status != 200:
         return print_failure(outcome, json)
     document = outcome.reply.body
     try:
         text = document.decode() if json else json_format.dumps(json_format.loads(document), indent=2)
     except (ValueError, RecursionError) as error:
-        return complain(f"the answer is not JSON: {error}", NO_ANSWER)
+        return print_error(f"the answer is not JSON: {error}", NO_ANSWER)
     print(text)
     return DONE
 
@@ -73,12 +73,12 @@
     :param json: print one JSON object
     """
     outcome = _read(addresses, rounds)
-    if isinstance(outcome, GivenUp) or outcome.reply.status != 200:
+    if isinstance(outcome, NoClearAnswer) or outcome.reply.status != 200:
         return print_failure(outcome, json)
     try:
         number = read_version(outcome.reply.body)
     except AnswerError as error:
-        return complain(str(error), NO_ANSWER)
+        return print_error(str(error), NO_ANSWER)
     print(json_format.dumps({"config_version": number}) if json else number)
     return DONE
 
@@ -110,15 +110,15 @@
 COMMANDS = [check, read, version, replace, modify, members, parts, behind, hand_over]
 
 
-def _read(addresses: tuple[str, ...], rounds: int) -> Answered | GivenUp:
-    return call(CallWalk(parse_addresses(addresses), READ_PATH, rounds), Request("GET"))
+def _read(addresses: tuple[str, ...], rounds: int) -> Answered | NoClearAnswer:
+    return call(CallFailover(parse_addresses(addresses), READ_PATH, rounds), Request("GET"))
 
 
 def _send(order: Order, addresses: tuple[str, ...], rounds: int, json: bool) -> int:
     headers = {"X-Base-Version": str(order.base), "Content-Type": "application/json"}
-    walk = CallWalk(parse_addresses(addresses), ORDER_PATHS[order.kind], rounds)
-    outcome = call(walk, Request("POST", order.body, headers))
-    if isinstance(outcome, GivenUp):
+    failover = CallFailover(parse_addresses(addresses), ORDER_PATHS[order.kind], rounds)
+    outcome = call(failover, Request("POST", order.body, headers))
+    if isinstance(outcome, NoClearAnswer):
         return print_failure(outcome, json)
     try:
         return print_result(read_answer(outcome.reply.body), json)
@@ -130,11 +130,11 @@
     try:
         return path.read_bytes()
     except OSError as error:
-        raise SystemExit(complain(f"{path}: {error.strerror}", BAD_USAGE)) from None
+        raise SystemExit(print_error(f"{path}: {error.strerror}", BAD_USAGE)) from None
 
 
 def _kind_of(body: bytes) -> OrderKind:
-    """A change has `upsert` or `remove`, a whole configuration has neither."""
+    """Return the kind of a document: a change has `upsert` or `remove`, a complete configuration neither."""
     try:
         document = json_format.loads(body)
     except (ValueError, RecursionError):
--- a/firvane/admin/fleet_commands.py
+++ b/firvane/admin/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands of `firvane-admin` for the fleet: members, parts, who is behind, a part handed over."""
+"""The commands of `firvane-admin` for the fleet: members, parts, outdated processes, handover of a part."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from firvane.admin.answers import AnswerError, describe_failure, read_answer
-from firvane.admin.calls import DEFAULT_ROUNDS, Answered, CallWalk, GivenUp
+from firvane.admin.calls import DEFAULT_ROUNDS, Answered, CallFailover, NoClearAnswer
 from firvane.admin.client import Request, call
 from firvane.admin.fleet_tables import behind_text, members_table, parts_table
 from firvane.admin.fleet_views import (
@@ -21,12 +21,12 @@
 )
 from firvane.admin.output import (
     BAD_USAGE,
+    DEGRADED,
     DONE,
     NO_ANSWER,
-    NOT_WELL,
     REFUSED,
-    complain,
     parse_addresses,
+    print_error,
     print_failure,
     print_result,
 )
@@ -36,7 +36,7 @@
 MEMBERS_PATH = "/v1/fleet/members"
 PARTS_PATH = "/v1/fleet/parts"
 HAND_OVER_PATH = "/v1/fleet/hand-over"
-ONE_ROUND = 1  # of a question that goes to one controller beside those that were named
+ONE_ROUND = 1  # for a query to a controller that was not named on the command line
 
 T = TypeVar("T")
 
@@ -48,7 +48,7 @@
     :param rounds: how often all addresses are tried
     :param json: print one JSON object
     """
-    answer = _ask(parse_addresses(addresses), MEMBERS_PATH, read_members, rounds, json)
+    answer = _query(parse_addresses(addresses), MEMBERS_PATH, read_members, rounds, json)
     if json:
         _print_json(answer)
     else:
@@ -63,15 +63,15 @@
     :param rounds: how often all addresses are tried
     :param json: print one JSON object
     """
-    found = _ask_parts(parse_addresses(addresses), rounds, json)
+    found = _query_parts(parse_addresses(addresses), rounds, json)
     if json:
         _print_json({"parts": found})
     else:
         print(parts_table(found))
     unowned = [part.part for part in found if not part.owned]
     for number in unowned:
-        complain(f"part {number}: has no owner that can be reached", NOT_WELL)
-    return NOT_WELL if unowned else DONE
+        print_error(f"part {number}: has no owner that can be reached", DEGRADED)
+    return DEGRADED if unowned else DONE
 
 
 def behind(*addresses: str, rounds: int = DEFAULT_ROUNDS, json: bool = False) -> int:
@@ -81,14 +81,14 @@
     :param rounds: how often all addresses are tried
     :param json: print one JSON object
     """
-    first = _ask(parse_addresses(addresses), MEMBERS_PATH, read_members, rounds, json)
-    answers = [first, *_ask_others(other_controllers(first), MEMBERS_PATH, read_members)]
+    first = _query(parse_addresses(addresses), MEMBERS_PATH, read_members, rounds, json)
+    answers = [first, *_query_others(other_controllers(first), MEMBERS_PATH, read_members)]
     found = merge_versions(answers)
     if json:
         _print_json(found)
     else:
         print(behind_text(found))
-    return DONE if found.is_well else NOT_WELL
+    return DONE if found.is_current else DEGRADED
 
 
 def hand_over(
@@ -104,27 +104,29 @@
     """
     if to is not None:
         _check_address(to)
-    known = _ask_parts(parse_addresses(addresses), rounds, json)
-    found = next((each for each in known if each.part == part), None)
+    all_parts = _query_parts(parse_addresses(addresses), rounds, json)
+    found = next((candidate for candidate in all_parts if candidate.part == part), None)
     if found is None:
-        return complain(f"there is no part {part}", REFUSED)
+        return print_error(f"there is no part {part}", REFUSED)
     if not found.owned or found.owner_control is None:
-        return complain(f"part {part}: has no owner that can be reached", NO_ANSWER)
+        return print_error(f"part {part}: has no owner that can be reached", NO_ANSWER)
     order = msgspec.json.encode(HandOverRequest(part, found.term, to))
-    walk = CallWalk([parse_address(found.owner_control), *parse_addresses(addresses)], HAND_OVER_PATH, rounds)
-    outcome = call(walk, Request("POST", order, {"Content-Type": "application/json"}))
+    failover = CallFailover(
+        [parse_address(found.owner_control), *parse_addresses(addresses)], HAND_OVER_PATH, rounds
+    )
+    outcome = call(failover, Request("POST", order, {"Content-Type": "application/json"}))
     return _print_hand_over(outcome, json)
 
 
-def _print_hand_over(outcome: Answered | GivenUp, json: bool) -> int:
-    if isinstance(outcome, GivenUp):
+def _print_hand_over(outcome: Answered | NoClearAnswer, json: bool) -> int:
+    if isinstance(outcome, NoClearAnswer):
         return print_failure(outcome, json)
     if outcome.reply.status != 200:
         return _print_refusal(outcome, json)
     try:
         answer = msgspec.json.decode(outcome.reply.body, type=HandOverResponse)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        return complain(f"the body is not an answer: {error}", NO_ANSWER)
+        return print_error(f"the body is not an answer: {error}", NO_ANSWER)
     if json:
         _print_json(answer)
     else:
@@ -133,7 +135,7 @@
 
 
 def _print_refusal(outcome: Answered, json: bool) -> int:
-    """An answer that is final and no success."""
+    """Print a final answer that is not a success, and return the exit code."""
     try:
         print_result(read_answer(outcome.reply.body), json)
     except AnswerError:
@@ -141,41 +143,41 @@
     return REFUSED
 
 
-def _ask_parts(addresses: Sequence[Address], rounds: int, json: bool) -> list[PartReport]:
-    """The parts as their owners see them, where these can be reached."""
-    first = _ask(addresses, PARTS_PATH, read_parts, rounds, json)
-    answers: list[PartsResponse] = [first, *_ask_others(owner_addresses(first), PARTS_PATH, read_parts)]
+def _query_parts(addresses: Sequence[Address], rounds: int, json: bool) -> list[PartReport]:
+    """Return the parts as their owners report them, as far as these are reachable."""
+    first = _query(addresses, PARTS_PATH, read_parts, rounds, json)
+    answers: list[PartsResponse] = [first, *_query_others(owner_addresses(first), PARTS_PATH, read_parts)]
     return merge_parts(answers)
 
 
-def _ask(addresses: Sequence[Address], path: str, read: Callable[[bytes], T], rounds: int, json: bool) -> T:
-    """What the first of the controllers says that answers; ends the command where none does."""
-    outcome = call(CallWalk(addresses, path, rounds), Request("GET"))
-    if isinstance(outcome, GivenUp):
+def _query(addresses: Sequence[Address], path: str, read: Callable[[bytes], T], rounds: int, json: bool) -> T:
+    """Return the answer of the first controller that gives one; ends the command if none does."""
+    outcome = call(CallFailover(addresses, path, rounds), Request("GET"))
+    if isinstance(outcome, NoClearAnswer):
         raise SystemExit(print_failure(outcome, json))
     if outcome.reply.status != 200:
         raise SystemExit(_print_refusal(outcome, json))
     try:
         return read(outcome.reply.body)
     except AnswerError as error:
-        raise SystemExit(complain(str(error), NO_ANSWER)) from None
+        raise SystemExit(print_error(str(error), NO_ANSWER)) from None
 
 
-def _ask_others(controls: Sequence[str], path: str, read: Callable[[bytes], T]) -> list[T]:
-    """What further controllers say; who does not answer is named on standard error and left out."""
+def _query_others(controls: Sequence[str], path: str, read: Callable[[bytes], T]) -> list[T]:
+    """Return the answers of further controllers; failures are printed on standard error and skipped."""
     answers = []
     for control in controls:
         try:
-            answers.append(_ask_one(parse_address(control), path, read))
+            answers.append(_query_one(parse_address(control), path, read))
         except ValueError as error:
-            complain(f"{control}: {error}", NO_ANSWER)
+            print_error(f"{control}: {error}", NO_ANSWER)
     return answers
 
 
-def _ask_one(address: Address, path: str, read: Callable[[bytes], T]) -> T:
-    """What one controller says; `ValueError` where it gives no answer."""
-    outcome = call(CallWalk([address], path, ONE_ROUND), Request("GET"))
-    if isinstance(outcome, GivenUp):
+def _query_one(address: Address, path: str, read: Callable[[bytes], T]) -> T:
+    """Return the answer of one controller; raises `ValueError` if there is none."""
+    outcome = call(CallFailover([address], path, ONE_ROUND), Request("GET"))
+    if isinstance(outcome, NoClearAnswer):
         raise ValueError("; ".join(outcome.reasons.values()))
     if outcome.reply.status != 200:
         raise ValueError(describe_failure(outcome.reply.status, outcome.reply.body))
@@ -186,7 +188,7 @@
     try:
         parse_address(text)
     except ValueError as error:
-        raise SystemExit(complain(str(error), BAD_USAGE)) from None
+        raise SystemExit(print_error(str(error), BAD_USAGE)) from None
 
 
 def _print_json(answer: object) -> None:
--- a/firvane/admin/fleet_tables.py
+++ b/firvane/admin/fleet_tables.py
@@ -1,10 +1,10 @@
-"""The state of the fleet as text for a terminal. Pure."""
+"""Formats the state of the fleet for a terminal. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from firvane.admin.fleet_views import Behind
+from firvane.admin.fleet_views import VersionReport
 from firvane.admin.tables import cell, format_table, seconds
 from firvane.fleet.cluster.reports import MemberReport, MembersResponse, PartReport, ReplicaReport
 
@@ -14,7 +14,7 @@
 
 
 def members_table(answer: MembersResponse) -> str:
-    """One line for each process, in the order of their addresses."""
+    """Return a table of the processes, ordered by role, zone and address."""
     ordered = sorted(answer.members, key=lambda member: (member.role, member.zone, member.address))
     return format_table(MEMBER_TITLES, [_member_row(member) for member in ordered])
 
@@ -33,7 +33,7 @@
 
 
 def parts_table(parts: Sequence[PartReport]) -> str:
-    """A line and a table of replicas for each part."""
+    """Return a line and a table of replicas for each part."""
     return "\n\n".join(_part_text(part) for part in parts)
 
 
@@ -59,14 +59,14 @@
     ]
 
 
-def behind_text(found: Behind) -> str:
-    """How many have the newest version, and a table of the others."""
-    total = len(found.current) + len(found.behind) + len(found.unknown)
-    line = f"version {found.config_version} is in force at {len(found.current)} of {total} processes"
-    rest = [*found.behind, *found.unknown]
-    if not rest:
+def behind_text(report: VersionReport) -> str:
+    """Return how many processes have the newest version, and a table of the others."""
+    total = len(report.current) + len(report.behind) + len(report.unknown)
+    line = f"version {report.config_version} is in force at {len(report.current)} of {total} processes"
+    outdated = [*report.behind, *report.unknown]
+    if not outdated:
         return line
-    return f"{line}\n{format_table(BEHIND_TITLES, [_behind_row(member) for member in rest])}"
+    return f"{line}\n{format_table(BEHIND_TITLES, [_behind_row(member) for member in outdated])}"
 
 
 def _behind_row(member: MemberReport) -> list[str]:
--- a/firvane/admin/output.py
+++ b/firvane/admin/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit codes, addresses as arguments, and how results and failures are shown."""
+"""Parts that all commands share: exit codes, parsing of addresses, and output of results and failures."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from firvane.admin.calls import Answered, GivenUp
+from firvane.admin.calls import Answered, NoClearAnswer
 from firvane.core.address import Address, parse_address
 from firvane.fleet.configuration.orders import Result
 
@@ -15,27 +15,27 @@
 REFUSED = 1
 BAD_USAGE = 2
 NO_ANSWER = 3
-NOT_WELL = 4
+DEGRADED = 4
 
 
-def complain(text: str, code: int) -> int:
-    """Say on standard error what is wrong; the exit code for it."""
+def print_error(text: str, code: int) -> int:
+    """Print an error on standard error, and return its exit code."""
     print(text, file=sys.stderr)
     return code
 
 
 def parse_addresses(texts: Sequence[str]) -> list[Address]:
-    """The addresses given as arguments; ends the command where one is none."""
+    """Parse the addresses given as arguments; ends the command if one is invalid."""
     if not texts:
-        raise SystemExit(complain("give the address of a controller, HOST:PORT", BAD_USAGE))
+        raise SystemExit(print_error("give the address of a controller, HOST:PORT", BAD_USAGE))
     try:
         return [parse_address(text) for text in texts]
     except ValueError as error:
-        raise SystemExit(complain(str(error), BAD_USAGE)) from None
+        raise SystemExit(print_error(str(error), BAD_USAGE)) from None
 
 
 def print_result(result: Result, json: bool) -> int:
-    """Show a result with its problems; the exit code for it."""
+    """Print a result with its problems, and return the exit code."""
     if json:
         print(json_format.dumps(_fields(result)))
     else:
@@ -51,18 +51,19 @@
         "result": result.code.name.lower(),
         "config_version": result.version,
         "problems": [
-            {"code": each.code.value, "place": each.place, "detail": each.detail} for each in result.problems
+            {"code": problem.code.value, "place": problem.place, "detail": problem.detail}
+            for problem in result.problems
         ],
     }
 
 
-def print_failure(outcome: Answered | GivenUp, json: bool) -> int:
-    """Show that nobody has answered, or that an answer is none of this API; the exit code for it."""
-    if isinstance(outcome, GivenUp):
+def print_failure(outcome: Answered | NoClearAnswer, json: bool) -> int:
+    """Print that there was no answer, or none of this API, and return the exit code."""
+    if isinstance(outcome, NoClearAnswer):
         if json:
             print(json_format.dumps({"reasons": outcome.reasons}))
         for address, reason in outcome.reasons.items():
-            complain(f"{address}: {reason}", NO_ANSWER)
-        return complain("no clear answer; sending the same order again does no harm", NO_ANSWER)
+            print_error(f"{address}: {reason}", NO_ANSWER)
+        return print_error("no clear answer; sending the same order again does no harm", NO_ANSWER)
     host, port = outcome.address
-    return complain(f"{host}:{port}: status {outcome.reply.status}", REFUSED)
+    return print_error(f"{host}:{port}: status {outcome.reply.status}", REFUSED)
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -9,8 +9,8 @@
     LONGEST_PAUSE_S,
     Answered,
     Attempt,
-    CallWalk,
-    GivenUp,
+    CallFailover,
+    NoClearAnswer,
     Reply,
 )
 from firvane.core.address import Address
@@ -26,39 +26,39 @@
 
 @pytest.mark.parametrize("status", [200, 400, 404, 405, 409, 412, 413, 422, 302])
 def test_a_clear_answer_ends_the_walk(status: int) -> None:
-    walk = CallWalk([A, B], "/x")
-    assert walk.begin() == Attempt(A, "/x")
-    assert walk.answer(Reply(status, b"body")) == Answered(A, Reply(status, b"body"))
+    failover = CallFailover([A, B], "/x")
+    assert failover.begin() == Attempt(A, "/x")
+    assert failover.answer(Reply(status, b"body")) == Answered(A, Reply(status, b"body"))
 
 
 @pytest.mark.parametrize("status", [408, 429, 500, 502, 503, 504])
 def test_an_unclear_answer_leads_to_the_next_address(status: int) -> None:
-    walk = CallWalk([A, B], "/x")
-    walk.begin()
-    assert walk.answer(Reply(status, b"")) == Attempt(B, "/x")
+    failover = CallFailover([A, B], "/x")
+    failover.begin()
+    assert failover.answer(Reply(status, b"")) == Attempt(B, "/x")
 
 
 def test_a_redirect_is_followed_twice() -> None:
-    walk = CallWalk([A, B], "/x")
-    walk.begin()
-    assert walk.answer(redirect("http://10.0.0.3:81/x?y=1")) == Attempt(C, "/x?y=1")
-    assert walk.answer(redirect("http://10.0.0.1:80/x")) == Attempt(A, "/x")
-    assert walk.answer(redirect("http://10.0.0.3:81/x")) == Attempt(B, "/x")
-    assert walk.answer(redirect("http://10.0.0.3:81/x")) == Attempt(C, "/x")
-    assert walk.answer(Reply(200, b"")) == Answered(C, Reply(200, b""))
+    failover = CallFailover([A, B], "/x")
+    failover.begin()
+    assert failover.answer(redirect("http://10.0.0.3:81/x?y=1")) == Attempt(C, "/x?y=1")
+    assert failover.answer(redirect("http://10.0.0.1:80/x")) == Attempt(A, "/x")
+    assert failover.answer(redirect("http://10.0.0.3:81/x")) == Attempt(B, "/x")
+    assert failover.answer(redirect("http://10.0.0.3:81/x")) == Attempt(C, "/x")
+    assert failover.answer(Reply(200, b"")) == Answered(C, Reply(200, b""))
 
 
 @pytest.mark.parametrize("location", [None, "", "/x", "https://10.0.0.3:81/x", "http://name/x", "http://[/x"])
 def test_a_redirect_to_nowhere_counts_as_a_failure(location: str | None) -> None:
-    walk = CallWalk([A, B], "/x")
-    walk.begin()
-    assert walk.answer(redirect(location)) == Attempt(B, "/x")
+    failover = CallFailover([A, B], "/x")
+    failover.begin()
+    assert failover.answer(redirect(location)) == Attempt(B, "/x")
 
 
 def test_pauses_come_between_rounds_and_grow_to_a_bound() -> None:
-    walk = CallWalk([A, B], "/x", rounds=8)
-    walk.begin()
-    steps = [walk.failure("silent") for _ in range(15)]
+    failover = CallFailover([A, B], "/x", rounds=8)
+    failover.begin()
+    steps = [failover.failure("silent") for _ in range(15)]
     pauses = [step.pause for step in steps if isinstance(step, Attempt)]
     assert len(pauses) == 15
     assert pauses[:6] == [0.0, FIRST_PAUSE_S, 0.0, 2 * FIRST_PAUSE_S, 0.0, 4 * FIRST_PAUSE_S]
@@ -66,8 +66,10 @@
 
 
 def test_a_call_is_given_up_with_the_last_reason_of_each_address() -> None:
-    walk = CallWalk([A, B], "/x", rounds=2)
-    walk.begin()
+    failover = CallFailover([A, B], "/x", rounds=2)
+    failover.begin()
     for reason in ("first", "second", "third"):
-        assert isinstance(walk.failure(reason), Attempt)
-    assert walk.answer(Reply(503, b"")) == GivenUp({"10.0.0.1:80": "third", "10.0.0.2:80": "status 503"})
+        assert isinstance(failover.failure(reason), Attempt)
+    assert failover.answer(Reply(503, b"")) == NoClearAnswer(
+        {"10.0.0.1:80": "third", "10.0.0.2:80": "status 503"}
+    )
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -14,7 +14,7 @@
 from firvane import admin
 from firvane.admin import client
 from firvane.admin.answers import AnswerError, read_answer, read_version
-from firvane.admin.calls import Attempt, CallWalk, Reply
+from firvane.admin.calls import Attempt, CallFailover, Reply
 from firvane.fleet.configuration.codes import ResultCode
 from firvane.fleet.configuration.orders import Order, OrderKind, Problem, Result
 from firvane.fleet.configuration.state import ConfigurationState
@@ -212,6 +212,6 @@
 
 
 def test_a_call_goes_over_a_real_connection(server: HTTPServer) -> None:
-    attempt = CallWalk([("127.0.0.1", server.server_port)], "/v1/config/replace").begin()
+    attempt = CallFailover([("127.0.0.1", server.server_port)], "/v1/config/replace").begin()
     reply = client.send_over_http(attempt, client.Request("POST", b"body ", {"X-Base-Version": "7"}))
     assert reply == Reply(307, b"body 7", "http://127.0.0.1:1/moved")
--- a/tests/admin/test_fleet_views.py
+++ b/tests/admin/test_fleet_views.py
@@ -38,7 +38,7 @@
     for answers in ([told(9, before), told(9, after)], [told(9, after), told(9, before)]):
         found = merge_versions(answers)
         assert (found.current, found.unknown) == ([], [after])
-        assert not found.is_well
+        assert not found.is_current
 
 
 def test_of_one_life_the_highest_and_youngest_report_counts() -> None:
@@ -56,7 +56,7 @@
 def test_only_live_processes_are_counted(state: str, counted: int) -> None:
     found = merge_versions([told(9, member("10.0.1.1:1", 8, state=state))])
     assert len(found.behind) == counted
-    assert found.is_well == (counted == 0)
+    assert found.is_current == (counted == 0)
 
 
 @pytest.mark.parametrize("body", [b"", b"[]", b"{}", b'{"code":1003,"config_version":1}', b"[" * 50_000])
