--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -83,6 +83,10 @@
     from firvane.proxy.config.model import File
 
     config = validation.build(raw, File, file, CHECKS)
-    discovery = config.target_group.discovery
-    targets = f"discovery at {discovery}" if discovery else f"{len(config.target_group.targets)} targets"
+    discovery_address = config.target_group.discovery
+    targets = (
+        f"discovery at {discovery_address}"
+        if discovery_address
+        else f"{len(config.target_group.targets)} targets"
+    )
     return f"configuration of {config.name}, {len(config.classes)} classes, {targets}"
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -133,11 +133,11 @@
         raise InvalidInputError(
             f"{plan}: {files.path} is the course of another plan, or this one was changed since"
         )
-    owner = files.owner()
-    owner_text = f"process {owner} carries it out" if owner else "nobody carries it out now"
+    owner_pid = files.owner()
+    owner_text = f"process {owner_pid} carries it out" if owner_pid else "nobody carries it out now"
     click.echo(plain(f"{plan}: {_describe(stored)}; {owner_text}"))
-    addresses = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
-    for slot, address in zip(parsed.place, addresses, strict=True):
+    supervisor_addresses = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
+    for slot, address in zip(parsed.place, supervisor_addresses, strict=True):
         try:
             answer = supervisor_calls.parse_status(
                 admin_connection.call(address, supervisor_calls.format_call(supervisor_calls.Command.STATUS))
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -92,7 +92,7 @@
             f"limits.sockets is {sockets}: at least {minimum} are needed, "
             f"of which the admin API reserves {ADMIN_DESCRIPTORS}"
         )
-    recovery = data.get("recovery") or {}
+    recovery_table = data.get("recovery") or {}
     log = _log(environment, data.get("log", {}))
     peers = data.get("peers", [])
     if not isinstance(peers, list):
@@ -132,8 +132,8 @@
         zones=names("dcs"),
         kinds=names("machine-types"),
         settings=settings,
-        snapshot=recovery.get("snapshot"),
-        snapshot_every=recovery.get("snapshot_every", Config.snapshot_every),
+        snapshot=recovery_table.get("snapshot"),
+        snapshot_every=recovery_table.get("snapshot_every", Config.snapshot_every),
         shape=shape(raw),
         policy=policy,
         ops=ops,
