--- a/tests/cli/test_policy.py
+++ b/tests/cli/test_policy.py
@@ -1,4 +1,4 @@
-"""`firvane policy` against a small stand-in for a proxy's door: what it says there, and makes of answers."""
+"""`firvane policy` against a fake admin API: the calls that it sends, and its output for each answer."""
 
 from __future__ import annotations
 
@@ -12,32 +12,32 @@
 
 import pytest
 
-from firvane.cli import admin_connection as doors
+from firvane.cli import admin_connection
 from firvane.cli import policy as module
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import AdminCall, Call, CallReader, InvalidCallError, PutText
 from firvane.proxy.policy_text import digest_of
-from tests.cli.test_command import told
+from tests.cli.test_command import run_command
 from tests.proxy.config.test_policy import TIER
 
 BASE = 'voters = [0, 2]\n[limits]\nattempts = 2\n[[tenants]]\nname = "a"\nshare = 0.5\nquota_rps = 10\n'
 NEXT = '[limits]\nattempts = 3\nprobes = true\n[[tenants]]\nname = "a"\nshare = 0.25\n[[tenants]]\nname = "b"'
 BAD = "[limits]\nattempts = 0\nsocket = 1"
-FORCE = digest_of(BASE.encode())
+IN_FORCE_DIGEST = digest_of(BASE.encode())
 DONE = calls.format_ok("in force: epoch 4")
 
 
-class StandIn:
-    """A door that holds texts, and says of a proposal what it is told, the last of it time and again."""
+class FakeAdminApi:
+    """An admin API that stores texts, and returns configured outcomes; the last one repeats."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
-        self.at = "{}:{}".format(*self.socket.getsockname())
-        self.texts = {FORCE: bytearray(BASE.encode())}
-        self.heard: list[AdminCall] = []
+        self.address = "{}:{}".format(*self.socket.getsockname())
+        self.texts = {IN_FORCE_DIGEST: bytearray(BASE.encode())}
+        self.received_calls: list[AdminCall] = []
         self.outcomes = [DONE]
-        self.says: dict[Call, bytes] = {
-            Call.POLICY_STATUS: calls.format_block(f"epoch 3\nin_force {FORCE.hex()}")
+        self.answers: dict[Call, bytes] = {
+            Call.POLICY_STATUS: calls.format_block(f"epoch 3\nin_force {IN_FORCE_DIGEST.hex()}")
         }
         self.thread = threading.Thread(target=self._serve, daemon=True)
         self.thread.start()
@@ -49,20 +49,20 @@
             except OSError:
                 return
             with caller:
-                line, asked = CallReader(), None
+                reader, received = CallReader(), None
                 try:
-                    while asked is None and (data := caller.recv(4096)):
-                        asked = line.feed(data)
-                    if asked:
-                        self.heard.append(asked)
-                        caller.sendall(self._answer(asked))
-                except InvalidCallError as useless:
-                    caller.sendall(calls.format_error(str(useless)))
-
-    def _answer(self, asked: AdminCall) -> bytes:
-        given = asked.given
-        if asked.call in self.says:
-            return self.says[asked.call]
+                    while received is None and (data := caller.recv(4096)):
+                        received = reader.feed(data)
+                    if received:
+                        self.received_calls.append(received)
+                        caller.sendall(self._answer(received))
+                except InvalidCallError as error:
+                    caller.sendall(calls.format_error(str(error)))
+
+    def _answer(self, received: AdminCall) -> bytes:
+        given = received.given
+        if received.call in self.answers:
+            return self.answers[received.call]
         if isinstance(given, PutText):
             text = self.texts.setdefault(given.digest, bytearray(given.length))
             text[given.offset : given.offset + len(given.data)] = given.data
@@ -75,7 +75,7 @@
                 if given.digest in self.texts
                 else calls.format_error("its text is not here")
             )
-        if asked.call is Call.POLICY_OUTCOME:
+        if received.call is Call.POLICY_OUTCOME:
             return self.outcomes.pop(0) if len(self.outcomes) > 1 else self.outcomes[0]
         return calls.format_ok()
 
@@ -86,10 +86,10 @@
 
 
 @pytest.fixture
-def at() -> Iterator[StandIn]:
-    stand_in = StandIn()
-    yield stand_in
-    stand_in.close()
+def api() -> Iterator[FakeAdminApi]:
+    api = FakeAdminApi()
+    yield api
+    api.close()
 
 
 @pytest.fixture
@@ -108,11 +108,11 @@
     ("args", "voters"),
     [(("next.toml",), None), (("base.toml",), (0, 2)), (("base.toml", "--voters", "0,1,2"), (0, 1, 2))],
 )
-def test_a_proposal_is_put_proposed_and_waited_for(
-    args: tuple[str, ...], voters: tuple[int, ...] | None, at: StandIn, files: Path, capsys: Capture
+def test_a_proposal_is_uploaded_proposed_and_polled(
+    args: tuple[str, ...], voters: tuple[int, ...] | None, api: FakeAdminApi, files: Path, capsys: Capture
 ) -> None:
-    # An answer that is lost on the way is asked for again.
-    at.outcomes = [
+    # A call whose answer is lost or truncated is repeated.
+    api.outcomes = [
         calls.format_ok("open: awaits proxy 2"),
         b"",
         b"+OK in fo",
@@ -120,11 +120,11 @@
         DONE,
     ]
     text = Path(args[0]).read_bytes()
-    code, out, err = told(capsys, "policy", "propose", *args, "--at", at.at)
+    code, out, err = run_command(capsys, "policy", "propose", *args, "--at", api.address)
     assert (code, out) == (0, f"{args[0]}: in force: epoch 4\n")
     assert err == [f"{args[0]}: open: awaits proxy 2", f"{args[0]}: unknown: why"]
-    assert at.texts[digest_of(text)] == text
-    assert calls.ProposePolicy(digest_of(text), voters) in [one.given for one in at.heard]
+    assert api.texts[digest_of(text)] == text
+    assert calls.ProposePolicy(digest_of(text), voters) in [call.given for call in api.received_calls]
 
 
 @pytest.mark.parametrize(
@@ -150,48 +150,52 @@
         (b"\xff\x1b[2J\x00\n", 3, "does not answer: the answer was cut off; ask again"),
     ],
 )
-def test_each_outcome_has_its_code_and_a_sentence(
-    outcome: bytes, code: int, words: str, at: StandIn, files: Path, capsys: Capture
+def test_each_outcome_has_its_exit_code_and_message(
+    outcome: bytes, code: int, words: str, api: FakeAdminApi, files: Path, capsys: Capture
 ) -> None:
-    at.outcomes = [outcome]
-    found, out, err = told(capsys, "policy", "propose", "next.toml", "--at", at.at, "--timeout", "0")
+    api.outcomes = [outcome]
+    found, out, err = run_command(
+        capsys, "policy", "propose", "next.toml", "--at", api.address, "--timeout", "0"
+    )
     assert found == code and not out and len(err) == 1 and words in err[0] and err[0].isprintable()
 
 
-def cuts(at: StandIn, capsys: Capture) -> set[int]:
-    """The exit codes where the answer ends early, at each place."""
+def exit_codes_of_truncated_answers(api: FakeAdminApi, capsys: Capture) -> set[int]:
+    """Return the exit codes for all truncated versions of the final answer."""
     codes = set()
     for end in range(len(DONE)):
-        at.outcomes = [DONE[:end]]
-        codes.add(told(capsys, "policy", "propose", "next.toml", "--at", at.at, "--timeout", "0")[0])
+        api.outcomes = [DONE[:end]]
+        codes.add(
+            run_command(capsys, "policy", "propose", "next.toml", "--at", api.address, "--timeout", "0")[0]
+        )
     return codes
 
 
-def test_an_answer_that_is_cut_anywhere_is_no_success(
-    at: StandIn, files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
+def test_a_truncated_answer_is_never_a_success(
+    api: FakeAdminApi, files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    def hasty(address: tuple[str, int], line: str) -> str:  # the mutant: it believes half an answer
-        with socket.create_connection(address, 5) as door:
-            door.sendall(line.encode() + b"\n")
-            return b"".join(iter(lambda: door.recv(4096), b"")).decode()
+    def accept_truncated(address: tuple[str, int], line: str) -> str:  # mutant: accepts a truncated answer
+        with socket.create_connection(address, 5) as connection:
+            connection.sendall(line.encode() + b"\n")
+            return b"".join(iter(lambda: connection.recv(4096), b"")).decode()
 
-    assert cuts(at, capsys) == {3}
-    monkeypatch.setattr(doors, "call", hasty)
-    assert 0 in cuts(at, capsys)
+    assert exit_codes_of_truncated_answers(api, capsys) == {3}
+    monkeypatch.setattr(admin_connection, "call", accept_truncated)
+    assert 0 in exit_codes_of_truncated_answers(api, capsys)
 
 
-def test_a_door_that_says_no_proposes_nothing_and_an_interrupt_is_no_failure(
-    at: StandIn, files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
+def test_a_rejected_proposal_fails_and_an_interrupted_one_is_unknown(
+    api: FakeAdminApi, files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    at.says[Call.POLICY_PROPOSE] = calls.format_error("another change is open")
-    code, _, err = told(capsys, "policy", "propose", "next.toml", "--at", at.at)
+    api.answers[Call.POLICY_PROPOSE] = calls.format_error("another change is open")
+    code, _, err = run_command(capsys, "policy", "propose", "next.toml", "--at", api.address)
     assert code == 1 and err == ["next.toml: not proposed: another change is open"]
 
     def interrupted(*_: Any) -> str:
         raise KeyboardInterrupt
 
-    monkeypatch.setattr(doors, "call", interrupted)
-    code, _, err = told(capsys, "policy", "propose", "next.toml", "--at", at.at)
+    monkeypatch.setattr(admin_connection, "call", interrupted)
+    code, _, err = run_command(capsys, "policy", "propose", "next.toml", "--at", api.address)
     assert code == 3 and "unknown: interrupted; ask again" in err[0]
 
 
@@ -213,31 +217,35 @@
         ("diff next.toml bad.toml", 2, 2),
     ],
 )
-def test_what_is_of_no_use_is_told_and_nothing_is_asked(
-    args: str, code: int, count: int, at: StandIn, files: Path, capsys: Capture
+def test_invalid_arguments_are_reported_without_a_call(
+    args: str, code: int, count: int, api: FakeAdminApi, files: Path, capsys: Capture
 ) -> None:
-    found, out, err = told(capsys, "policy", *args.replace("AT", at.at).split())
-    assert (found, len(err), out, at.heard) == (code, count, "", [])
+    found, out, err = run_command(capsys, "policy", *args.replace("AT", api.address).split())
+    assert (found, len(err), out, api.received_calls) == (code, count, "", [])
 
 
-def test_status_and_history_are_what_the_doors_say(at: StandIn, files: Path, capsys: Capture) -> None:
-    at.says[Call.POLICY_HISTORY] = calls.format_error("no policy is agreed on here: [policy] is not set")
-    code, out, _ = told(capsys, "policy", "status", at.at)
-    assert (code, out) == (0, f"{at.at}\n  epoch 3\n  in_force {FORCE.hex()}\n")
-    code, _, err = told(capsys, "policy", "history", at.at)
+def test_status_and_history_print_the_answers(api: FakeAdminApi, files: Path, capsys: Capture) -> None:
+    api.answers[Call.POLICY_HISTORY] = calls.format_error("no policy is agreed on here: [policy] is not set")
+    code, out, _ = run_command(capsys, "policy", "status", api.address)
+    assert (code, out) == (0, f"{api.address}\n  epoch 3\n  in_force {IN_FORCE_DIGEST.hex()}\n")
+    code, _, err = run_command(capsys, "policy", "history", api.address)
     assert code == 1 and "[policy] is not set" in err[0]
-    at.says[Call.POLICY_STATUS] = calls.format_block("epoch 3")[:-2]  # cut between two lines
-    assert told(capsys, "policy", "status", at.at)[0] == 1
+    api.answers[Call.POLICY_STATUS] = calls.format_block("epoch 3")[:-2]  # truncated between two lines
+    assert run_command(capsys, "policy", "status", api.address)[0] == 1
 
 
 @pytest.mark.parametrize("change", ["next.toml", digest_of(NEXT.encode()).hex()])
-def test_a_change_is_given_up_by_its_file_or_its_digest(
-    change: str, at: StandIn, files: Path, capsys: Capture
+def test_a_change_is_aborted_by_its_file_or_its_digest(
+    change: str, api: FakeAdminApi, files: Path, capsys: Capture
 ) -> None:
-    assert told(capsys, "policy", "abort", change, "--at", at.at) == (0, f"{change}: given up\n", [])
-    assert at.heard[-1].given == calls.PolicyReference(digest_of(NEXT.encode()))
-    at.says[Call.POLICY_ABORT] = calls.format_error("too late: its moment is agreed on")
-    assert told(capsys, "policy", "abort", change, "--at", at.at)[0] == 1
+    assert run_command(capsys, "policy", "abort", change, "--at", api.address) == (
+        0,
+        f"{change}: given up\n",
+        [],
+    )
+    assert api.received_calls[-1].given == calls.PolicyReference(digest_of(NEXT.encode()))
+    api.answers[Call.POLICY_ABORT] = calls.format_error("too late: its moment is agreed on")
+    assert run_command(capsys, "policy", "abort", change, "--at", api.address)[0] == 1
 
 
 DIFFERENCE = f"""\
@@ -250,31 +258,31 @@
 """
 
 
-def test_a_difference_is_told_key_by_key_of_files_and_of_what_is_in_force(
-    at: StandIn, files: Path, capsys: Capture
+def test_diff_compares_files_and_policies_in_force_key_by_key(
+    api: FakeAdminApi, files: Path, capsys: Capture
 ) -> None:
-    assert told(capsys, "policy", "diff", "base.toml", "next.toml") == (0, DIFFERENCE, [])
-    assert told(capsys, "policy", "diff", at.at, "next.toml") == (0, DIFFERENCE, [])
-    assert told(capsys, "policy", "diff", "base.toml", at.at) == (0, "the same\n", [])
-    assert "tenants.b: is gone" in told(capsys, "policy", "diff", "next.toml", at.at)[1]
-    at.texts[FORCE][0] ^= 1
-    code, _, err = told(capsys, "policy", "diff", "next.toml", at.at)
+    assert run_command(capsys, "policy", "diff", "base.toml", "next.toml") == (0, DIFFERENCE, [])
+    assert run_command(capsys, "policy", "diff", api.address, "next.toml") == (0, DIFFERENCE, [])
+    assert run_command(capsys, "policy", "diff", "base.toml", api.address) == (0, "the same\n", [])
+    assert "tenants.b: is gone" in run_command(capsys, "policy", "diff", "next.toml", api.address)[1]
+    api.texts[IN_FORCE_DIGEST][0] ^= 1
+    code, _, err = run_command(capsys, "policy", "diff", "next.toml", api.address)
     assert code == 1 and "not the one that its digest names" in err[0]
     for answer in (b"+OK 5 \n", b"+OK 99999999 eA==\n", b"-ERR gone\n", b"\xff\n"):
-        at.says[Call.POLICY_GET] = answer
-        code, _, err = told(capsys, "policy", "diff", "next.toml", at.at)
+        api.answers[Call.POLICY_GET] = answer
+        code, _, err = run_command(capsys, "policy", "diff", "next.toml", api.address)
         assert code == 1 and len(err) == 1 and "tells no policy" in err[0]
 
 
-def test_founding_makes_the_first_votes_and_none_a_second_time(
+def test_found_creates_the_first_votes_only_once(
     files: Path, capsys: Capture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    made: list[tuple[str, bytes, tuple[int, ...]]] = []
+    stores: list[tuple[str, bytes, tuple[int, ...]]] = []
 
     def bootstrap(folder: str, text: bytes, voters: tuple[int, ...]) -> None:
-        if made:
+        if stores:
             raise FileExistsError(17, "File exists")
-        made.append((folder, text, voters))
+        stores.append((folder, text, voters))
 
     store = ModuleType("firvane.proxy.quorum.store")
     store.bootstrap = bootstrap  # type: ignore[attr-defined]
@@ -290,9 +298,9 @@
     ):
         Path("tier.toml").write_text(config)
         Path("first.toml").write_text(policy)
-        code, out, err = told(capsys, "policy", "found", "tier.toml", "first.toml")
+        code, out, err = run_command(capsys, "policy", "found", "tier.toml", "first.toml")
         if words:
-            assert code == (1 if made else 2) and len(err) == 1 and words in err[0]
+            assert code == (1 if stores else 2) and len(err) == 1 and words in err[0]
         else:
             assert code == 0 and digest_of(NEXT.encode()).hex() in out and "0, 1, 2" in out
-        assert made == ([] if code == 2 else [(".", NEXT.encode(), (0, 1, 2))])
+        assert stores == ([] if code == 2 else [(".", NEXT.encode(), (0, 1, 2))])
--- a/tests/cli/test_running.py
+++ b/tests/cli/test_running.py
@@ -1,4 +1,4 @@
-"""The commands that run something, as real processes: a proxy, a fleet, a rehearsal."""
+"""Commands that run a proxy, emulated backends or a rehearsal, as real processes."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 @contextlib.asynccontextmanager
 async def command(*args: str) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A process of the command's own; it does not outlive the test."""
+    """Run the command in a new process, which is killed at the end of the context."""
     start = "from firvane.cli import run; run()"
-    made = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable, "-c", start, *args, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE
     )
     try:
-        yield made
+        yield process
     finally:
-        if made.returncode is None:
-            made.kill()
-            await made.wait()
+        if process.returncode is None:
+            process.kill()
+            await process.wait()
 
 
 async def target(name: bytes) -> asyncio.Server:
@@ -47,14 +47,14 @@
     return await asyncio.start_server(serve, "127.0.0.1", 0)
 
 
-async def ask(reader: Reader, writer: asyncio.StreamWriter, call: int) -> bytes:
-    """The body of the answer to a request of the class in the samples."""
+async def send_request(reader: Reader, writer: asyncio.StreamWriter, call: int) -> bytes:
+    """Send a request of the class in the samples, and return the body of the response."""
     writer.write(b"GET /read/x HTTP/1.1\r\nX-Call-Id: %d\r\nX-Budget-Ms: 60000\r\n\r\n" % call)
     assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200 ")
     return await reader.readexactly(1)
 
 
-def test_a_static_list_is_served_and_a_reload_takes_a_new_one(tmp_path: Path) -> None:
+def test_a_reload_replaces_the_static_list_and_rejects_an_invalid_file(tmp_path: Path) -> None:
     async def work() -> None:
         one, two = await target(b"1"), await target(b"2")
         ports = [server.sockets[0].getsockname()[1] for server in (one, two)]
@@ -72,15 +72,15 @@
             assert ready["proxy"] == "edge" and ready["targets"] == 1
             host, port = ready["listen"].split(":")
             reader, writer = await asyncio.open_connection(host, int(port))
-            assert await ask(reader, writer, 1) == b"1"
+            assert await send_request(reader, writer, 1) == b"1"
             configure(ports[1], "[oops]\n")
             proxy.send_signal(signal.SIGHUP)
             assert "oops: unknown key" in await wait_for_log(proxy.stderr, "config_rejected")
-            assert await ask(reader, writer, 2) == b"1"
+            assert await send_request(reader, writer, 2) == b"1"
             configure(ports[1])
             proxy.send_signal(signal.SIGHUP)
             await wait_for_log(proxy.stderr, "config_reloaded")
-            assert await ask(reader, writer, 3) == b"2"
+            assert await send_request(reader, writer, 3) == b"2"
             proxy.terminate()
             writer.close()
             assert await proxy.wait() == 0
@@ -88,12 +88,12 @@
     run(work())
 
 
-def test_a_proxy_of_one_s_own_is_served_by_emulated_boxes(tmp_path: Path) -> None:
+def test_a_separate_proxy_uses_the_emulated_backends(tmp_path: Path) -> None:
     async def work() -> None:
         small = tmp_path / "small.toml"
         small.write_text(SCENARIO.replace("[load]", "[boxes]\ncount = 3\n[load]\n" + LOAD))
         file = tmp_path / "firvane.toml"
-        # A net of the test's own, so that no other fleet on this machine is in its way.
+        # A loopback network that no other fleet on this machine uses.
         net, claim = claim_net()
         first, discovery = f"127.{net}.7.1:9001", f"127.{net}.7.1:8500"
         call = ("boxes", str(small), "--boxes", first, "--discovery", discovery, "--config", str(file))
@@ -116,7 +116,7 @@
     run(work())
 
 
-def test_a_rehearsal_is_judged_kept_and_reported(
+def test_a_rehearsal_is_checked_stored_and_reported(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.chdir(tmp_path)
@@ -127,7 +127,7 @@
         )
     out, err = capsys.readouterr()
     assert "All rules kept." in out and "firvane rehearse short.toml --virtual --seed 4" in out
-    assert "service 1.00" in err  # how it stands, in plain lines where there is no terminal
+    assert "service 1.00" in err  # progress, as separate lines without a terminal
     a, b = (json.loads(Path(f"{name}.json").read_text()) for name in ("a", "b"))
     assert a["result_hash"] == b["result_hash"] and a["seed"] == 4
     assert Path("a.html").read_text().startswith("<!")
--- a/tests/proxy/config/samples.py
+++ b/tests/proxy/config/samples.py
@@ -1,4 +1,4 @@
-"""Files without a fault, small enough to be broken in every place."""
+"""Small valid files, in which tests replace single places."""
 
 CONFIG = """\
 listen = "127.0.0.1:0"
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -1,4 +1,4 @@
-"""firvane.toml: what it becomes, what cannot be together, and the platform's JSON into the same."""
+"""Reading of firvane.toml and of the platform's JSON: conversion, checks across keys, and schemas."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     return [line.removeprefix("f: ") for line in caught.value.lines()]
 
 
-def test_the_example_becomes_what_it_says() -> None:
+def test_the_example_file_is_converted() -> None:
     made = read(EXAMPLE)
     assert made.listen == ("127.0.0.1", 8080) and made.discovery is None and made.sockets == 1024
     assert made.zones == ("ikeja", "lekki", "yaba") and made.kinds == ("big-box", "small-box")
@@ -52,23 +52,23 @@
     assert (view.latency_target, view.deadline, view.idempotency) == (0.5, 2.5, api.Idempotency.SAFE)
     assert (message.dedup_scope, message.dedup_window, message.value) == (api.DedupScope.ZONE, 10.0, 2.0)
     assert made.settings.limits.hedging and not made.settings.limits.peers
-    assert [one["name"] for one in made.known["endpoints"]] == ["web-1", "web-2", "web-3"]
+    assert [endpoint["name"] for endpoint in made.known["endpoints"]] == ["web-1", "web-2", "web-3"]
 
 
-def test_each_default_that_the_example_shows_is_the_one_that_holds() -> None:
-    # Lines of the form `# key = value` belong to the table above them; those of whole tables are left out.
-    shown = re.sub(r"^# (\w+ = |\[recovery\]|\[policy\])", r"\1", EXAMPLE, flags=re.MULTILINE)
+def test_the_defaults_in_the_example_are_the_real_ones() -> None:
+    # Lines of the form `# key = value` belong to the table above them; other commented tables are skipped.
+    uncommented = re.sub(r"^# (\w+ = |\[recovery\]|\[policy\])", r"\1", EXAMPLE, flags=re.MULTILINE)
     others = 'discovery|name = "lagos|share|quota_rps|listen = .*7946|me|everyone|addresses|seed'
-    raw = tomllib.loads(re.sub(f"^({others}).*", "", shown, flags=re.MULTILINE))
+    raw = tomllib.loads(re.sub(f"^({others}).*", "", uncommented, flags=re.MULTILINE))
     with_all = CONFIG + '[recovery]\n[policy]\nfolder = "x"\ndoors = ["127.0.0.1:1"]\n'
     default = json.loads(
         msgspec.json.encode(validation.build(validation.parse(with_all.encode(), "f"), File, "f"))
     )
     compared = 0
-    shown_otherwise = {"limits": ("second_copies",), "recovery": ("snapshot",), "policy": ("folder", "doors")}
+    not_defaults = {"limits": ("second_copies",), "recovery": ("snapshot",), "policy": ("folder", "doors")}
     for table in ("rules", "log", "limits", "recovery", "policy"):
         for key, value in raw[table].items():
-            if key not in shown_otherwise.get(table, ()):
+            if key not in not_defaults.get(table, ()):
                 assert value == default[table][key], (table, key)
                 compared += 1
     assert compared >= 28 and raw["remembers_keys"] is default["remembers_keys"]
@@ -125,20 +125,20 @@
         ('name = "edge"', 'tenants = [{name="a",share=0.7},{name="b",share=0.7}]', "tenants: have shares"),
     ],
 )
-def test_what_cannot_be_together_is_told(old: str, new: str, line: str) -> None:
+def test_conflicting_keys_are_reported(old: str, new: str, line: str) -> None:
     assert old in CONFIG
     assert [found for found in lines(CONFIG.replace(old, new)) if found.startswith(line)]
 
 
-def test_a_tier_finds_its_own_place() -> None:
+def test_a_proxy_finds_its_index_in_peers() -> None:
     peers = 'peers = {{ listen = "{}", addresses = ["1.1.1.1:1", "1.1.1.2:1"]{} }}'
     for listen, more, me in (("1.1.1.2:1", "", 1), ("1.1.1.9:1", ", me = 0", 0)):
         made = read(CONFIG.replace('name = "edge"', peers.format(listen, more)))
         assert made.settings.me == me and made.settings.proxies == 2 and made.settings.limits.peers
 
 
-def test_the_schemas_take_what_has_no_fault_and_name_every_key() -> None:
-    # No validator comes along: each key and its type are looked up as an editor would.
+def test_the_schemas_accept_valid_files_and_reject_unknown_keys() -> None:
+    # There is no schema validator among the dependencies, so this checks keys and types as an editor would.
     def fits(value: Any, schema: dict[str, Any], defs: dict[str, Any]) -> bool:
         if "$ref" in schema:
             return fits(value, defs[schema["$ref"].rpartition("/")[2]], defs)
@@ -175,33 +175,33 @@
         ("for_s = 1", "proxy = 3", "troubles[0].proxy: is 3, and there are 3 proxies, from 0"),
     ],
 )
-def test_an_impossible_scenario_is_told(old: str, new: str, line: str) -> None:
+def test_an_invalid_scenario_is_reported(old: str, new: str, line: str) -> None:
     with pytest.raises(validation.ValidationError) as caught:
         text = SCENARIO.replace(old, new).encode()
         validation.build(validation.parse(text, "f"), Scenario, "f", SCENARIO_CHECKS)
     assert f"f: {line}" in caught.value.lines()
 
 
-def leaves(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """The path of each value within a value."""
+def paths(value: Any, path: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+    """Yield the path of each value within nested containers."""
     for key, inner in value.items() if isinstance(value, dict) else enumerate(value):
         yield (*path, key)
         if isinstance(inner, dict | list):
-            yield from leaves(inner, (*path, key))
+            yield from paths(inner, (*path, key))
 
 
-ODD = (1e999, -1, None, [], "x", 10**400, [{}], "\ud800", -1e9)
+INVALID_VALUES = (1e999, -1, None, [], "x", 10**400, [{}], "\ud800", -1e9)
 
 
-def test_no_value_in_the_platform_s_file_ends_in_anything_but_a_plain_word(tmp_path: Path) -> None:
-    # Each value is replaced by one of every other kind: all of them, as any may come from a broken writer.
+def test_any_invalid_value_in_the_platform_s_file_raises_value_error(tmp_path: Path) -> None:
+    # Each value is replaced by a value of every other type, since a faulty writer may produce any of them.
     env = platform(tmp_path, peers=["1.1.1.1:2"], peer_listen="1.1.1.1:2", peers_all="1.1.1.1:2")
     path = Path(env["NODE_CONFIG"])
-    whole = json.loads(path.read_text())
-    for *above, last in leaves(whole):
-        for odd in ODD:
-            broken = json.loads(json.dumps(whole))
-            functools.reduce(operator.getitem, above, broken)[last] = odd
+    valid = json.loads(path.read_text())
+    for *parents, last in paths(valid):
+        for value in INVALID_VALUES:
+            broken = json.loads(json.dumps(valid))
+            functools.reduce(operator.getitem, parents, broken)[last] = value
             path.write_text(json.dumps(broken))
             with contextlib.suppress(ValueError):
                 read_config(env)
@@ -209,13 +209,13 @@
 
 @seeded
 @given(st.binary(max_size=60) | st.sampled_from([b"[", b'{"settings":', b"1"]), st.integers(0, 1400))
-def test_no_bytes_in_the_platform_s_file_end_in_anything_but_a_plain_word(
+def test_any_invalid_bytes_in_the_platform_s_file_raise_value_error(
     tmp_path_factory: pytest.TempPathFactory, data: bytes, place: int
 ) -> None:
     env = platform(tmp_path_factory.mktemp("platform"))
     path = Path(env["NODE_CONFIG"])
-    whole = path.read_bytes()
-    for text in (data, 100_000 * data, whole[:place] + data + whole[place + 9 :]):
+    valid = path.read_bytes()
+    for text in (data, 100_000 * data, valid[:place] + data + valid[place + 9 :]):
         path.write_bytes(text)
         with contextlib.suppress(ValueError):
             read_config(env)
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -1,4 +1,4 @@
-"""A policy's text: what it says over a proxy's own settings, all of its faults, and settings told as one."""
+"""Policies: parsing, all errors at once, application to a proxy's settings, and rendering of settings."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 '''
 KEYED = api.Idempotency.KEYED
 
-# Milliseconds as the platform has them, and as a file with fractions has them.
+# Whole milliseconds, as the platform sends them, and fractions, as a file may contain.
 spans = st.integers(1, 3_600_000).map(lambda ms: ms / 1000) | st.floats(0.01, 3.6e6).map(lambda ms: ms / 1000)
 numbers, parts = st.floats(0, 1e6) | st.integers(0, 10**6), st.floats(0, 1)
 classes = st.builds(
@@ -62,12 +62,12 @@
 
 @seeded
 @given(drawn)
-def test_what_settings_say_read_back_over_them_changes_nothing(base: api.Settings) -> None:
+def test_a_rendered_policy_applied_to_its_settings_changes_nothing(base: api.Settings) -> None:
     assert settings(parse(render(base)), base) == base
 
 
 def test_a_rendering_that_drops_a_key_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    # The mutant: a limit that nobody tells. Two proxies would differ in it under one epoch.
+    # Mutant: rendering omits a limit, so two proxies could differ in it in the same epoch.
     base, other = plain(), plain(limits=api.Limits(max_attempts=1))
     assert settings(parse(render(base)), other).limits.max_attempts == base.limits.max_attempts
     monkeypatch.delitem(module.LIMITS, "attempts")
@@ -84,14 +84,14 @@
         ('{"voters": [0, 2]}', {}),
     ],
 )
-def test_what_a_policy_leaves_out_stays(text: str, changed: dict[str, Any]) -> None:
+def test_keys_missing_in_a_policy_keep_their_values(text: str, changed: dict[str, Any]) -> None:
     base = plain(tenants=(api.Tenant("a", 0.5),), proxies=3)
     wanted = {n: replace(getattr(base, n), **v) if isinstance(v, dict) else v for n, v in changed.items()}
     assert settings(parse(text.encode()), base) == replace(base, **wanted)
 
 
 @pytest.mark.parametrize(
-    ("text", "whys"),
+    ("text", "reasons"),
     [
         (
             'listen = "1"\nvoters = [0,1,2,3,4,5]\nlimits.attempts = 0\nlimits.sockets = 64\nrules.cold = 3\n'
@@ -117,15 +117,15 @@
         ("tenants = []\n" + "#" * MAX_TEXT_BYTES, ["larger than 64 KiB"]),
     ],
 )  # fmt: skip
-def test_all_faults_of_a_policy_are_told_at_once(text: str, whys: list[str]) -> None:
+def test_all_errors_of_a_policy_are_reported_together(text: str, reasons: list[str]) -> None:
     with pytest.raises(validation.ValidationError) as caught:
         parse(text.encode(), "p")
-    assert list(caught.value.lines()) == [f"p: {why}" for why in whys]
+    assert list(caught.value.lines()) == [f"p: {reason}" for reason in reasons]
 
 
 @seeded
 @given(st.binary(max_size=200), st.integers(0, 2000))
-def test_hostile_bytes_are_a_policy_or_faults(data: bytes, place: int) -> None:
+def test_any_bytes_are_a_policy_or_a_validation_error(data: bytes, place: int) -> None:
     whole = render(plain())
     for text in (data, whole[:place] + data + whole[place + 9 :], whole[:place]):
         with contextlib.suppress(validation.ValidationError):
@@ -134,7 +134,7 @@
         parse(b"")
 
 
-def test_settings_that_no_policy_may_have_are_not_told_as_one() -> None:
+def test_settings_that_are_invalid_in_a_policy_are_not_rendered() -> None:
     late, keyless = (
         replace(plain().classes[0], latency_target=9.0),
         replace(plain().classes[0], idempotency=KEYED),
@@ -147,7 +147,7 @@
         settings(parse(b"voters = [0, 3]"), plain(proxies=3))
 
 
-def test_the_numbers_that_are_written_twice_are_the_same() -> None:
+def test_duplicated_constants_are_equal() -> None:
     timing = types.Timing()
     assert (MAX_VOTERS, PolicyOptions.lease_duration_s, PolicyOptions.max_round_trip_s) == (
         types.MAX_VOTERS,
@@ -161,17 +161,19 @@
 KEYS = {"without_lease": "serve", "lease_s": 1, "trip_ms": 50, "tell": True, "voters": [1]}
 
 
-def told(place: Path, **policy: Any) -> PolicyOptions | None:
+def platform_policy(directory: Path, **policy: Any) -> PolicyOptions | None:
     given = {"folder": ".", "doors": DOORS, **policy}
-    return read_config(platform(place, policy=given, ops=DOORS[0], peers=PEERS, peer_listen=PEERS[0])).policy
+    return read_config(
+        platform(directory, policy=given, ops=DOORS[0], peers=PEERS, peer_listen=PEERS[0])
+    ).policy
 
 
-def test_both_forms_become_the_same(tmp_path: Path) -> None:
+def test_both_file_formats_give_the_same_options(tmp_path: Path) -> None:
     doors = tuple(("127.0.0.1", port) for port in (7, 8, 9))
-    assert read(TIER).policy == told(tmp_path) == PolicyOptions(".", (0, 1, 2), doors)
+    assert read(TIER).policy == platform_policy(tmp_path) == PolicyOptions(".", (0, 1, 2), doors)
     more = "".join(f"{key} = {module._value(v) if key != 'voters' else v}\n" for key, v in KEYS.items())
     wanted = PolicyOptions(".", (1,), doors, True, 1.0, 0.05, True)
-    assert read(TIER + more).policy == told(tmp_path, **KEYS) == wanted
+    assert read(TIER + more).policy == platform_policy(tmp_path, **KEYS) == wanted
     assert read(CONFIG).policy is read_config(platform(tmp_path)).policy is None
 
 
@@ -191,7 +193,7 @@
         ("[policy]", '[control]\nservice = "x"\n[policy]', "policy: is for proxies"),
     ],
 )
-def test_what_does_not_fit_with_the_table_is_told(old: str, new: str, line: str) -> None:
+def test_conflicts_with_the_policy_table_are_reported(old: str, new: str, line: str) -> None:
     assert old in TIER
     assert [found for found in lines(TIER.replace(old, new)) if found.startswith(line)]
 
@@ -206,10 +208,10 @@
         ("lease", 1, " is not one of"),
     ],
 )  # fmt: skip
-def test_the_platform_s_form_is_checked(key: str, value: Any, why: str, tmp_path: Path) -> None:
+def test_the_platform_s_format_is_checked(key: str, value: Any, why: str, tmp_path: Path) -> None:
     file = re.escape(str(tmp_path / "config.json"))
     with pytest.raises(ValueError, match=rf"^{file}: policy\.{key}{why}"):
-        told(tmp_path, **{key: value})
+        platform_policy(tmp_path, **{key: value})
     whole = {"folder": "x", "doors": DOORS}
     for policy, lacks in (([], "is not an object"), ({}, ".folder is missing"), (whole, " needs ops")):
         with pytest.raises(ValueError, match=f"^{file}: policy *{lacks}"):
