--- a/tests/admin/stand_in.py
+++ b/tests/admin/fake_controller.py
@@ -1,4 +1,4 @@
-"""Controllers on loopback that answer as they are told."""
+"""Fake controllers on loopback with fixed answers, and builders of reports."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True)
-class Canned:
-    """One answer."""
+class FixedAnswer:
+    """A fixed answer to a request."""
 
     status: int
     body: bytes = b""
@@ -32,25 +32,25 @@
 
 
 @dataclass
-class Controller:
-    """What one stand-in answers for each path, and what it was sent."""
+class FakeController:
+    """The answers of a fake controller by path, and the requests that it has received."""
 
     address: str = ""
-    answers: dict[str, Canned] = field(default_factory=dict)
+    answers: dict[str, FixedAnswer] = field(default_factory=dict)
     received: list[tuple[str, str, bytes]] = field(default_factory=list)
 
     @property
     def internal(self) -> str:
-        """Its name in reports."""
+        """The internal address in reports."""
         return f"10.0.0.9:{self.address.rpartition(':')[2]}"
 
-    def tells_members(self, version: int, *members: MemberReport) -> None:
+    def set_members(self, version: int, *members: MemberReport) -> None:
         answer = MembersResponse(**head(version, self.internal), members=list(members))
-        self.answers["/v1/fleet/members"] = Canned(200, msgspec.json.encode(answer))
+        self.answers["/v1/fleet/members"] = FixedAnswer(200, msgspec.json.encode(answer))
 
-    def tells_parts(self, *parts: PartReport) -> None:
+    def set_parts(self, *parts: PartReport) -> None:
         answer = PartsResponse(**head(7, self.internal), parts=list(parts))
-        self.answers["/v1/fleet/parts"] = Canned(200, msgspec.json.encode(answer))
+        self.answers["/v1/fleet/parts"] = FixedAnswer(200, msgspec.json.encode(answer))
 
 
 def head(version: int, asked: str) -> dict[str, object]:
@@ -59,32 +59,32 @@
 
 
 @contextlib.contextmanager
-def running() -> Iterator[Controller]:
-    """A stand-in that listens on a free port."""
-    played = Controller()
+def running() -> Iterator[FakeController]:
+    """Run a fake controller on a free port."""
+    controller = FakeController()
 
     class Handler(BaseHTTPRequestHandler):
         def do_GET(self) -> None:
             length = int(self.headers.get("Content-Length") or 0)
-            played.received.append((self.command, self.path, self.rfile.read(length)))
-            canned = played.answers.get(self.path, Canned(404))
-            self.send_response(canned.status)
-            if canned.location:
-                self.send_header("Location", canned.location)
-            self.send_header("Content-Length", str(len(canned.body)))
+            controller.received.append((self.command, self.path, self.rfile.read(length)))
+            answer = controller.answers.get(self.path, FixedAnswer(404))
+            self.send_response(answer.status)
+            if answer.location:
+                self.send_header("Location", answer.location)
+            self.send_header("Content-Length", str(len(answer.body)))
             self.end_headers()
-            self.wfile.write(canned.body)
+            self.wfile.write(answer.body)
 
         do_POST = do_GET  # noqa: N815
 
         def log_message(self, *_: object) -> None: ...
 
     with ThreadingHTTPServer((HOST, 0), Handler) as server:
-        played.address = f"{HOST}:{server.server_port}"
+        controller.address = f"{HOST}:{server.server_port}"
         thread = threading.Thread(target=server.serve_forever, args=(0.01,))
         thread.start()
         try:
-            yield played
+            yield controller
         finally:
             server.shutdown()
             thread.join()
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -1,4 +1,4 @@
-"""A call's way from address to address."""
+"""Failover of a call between addresses."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("status", [200, 400, 404, 405, 409, 412, 413, 422, 302])
-def test_a_clear_answer_ends_the_walk(status: int) -> None:
+def test_a_clear_answer_is_final(status: int) -> None:
     failover = CallFailover([A, B], "/x")
     assert failover.begin() == Attempt(A, "/x")
     assert failover.answer(Reply(status, b"body")) == Answered(A, Reply(status, b"body"))
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("location", [None, "", "/x", "https://10.0.0.3:81/x", "http://name/x", "http://[/x"])
-def test_a_redirect_to_nowhere_counts_as_a_failure(location: str | None) -> None:
+def test_an_invalid_redirect_counts_as_a_failure(location: str | None) -> None:
     failover = CallFailover([A, B], "/x")
     failover.begin()
     assert failover.answer(redirect(location)) == Attempt(B, "/x")
@@ -65,7 +65,7 @@
     assert max(pauses) == LONGEST_PAUSE_S
 
 
-def test_a_call_is_given_up_with_the_last_reason_of_each_address() -> None:
+def test_a_failed_call_has_the_last_reason_of_each_address() -> None:
     failover = CallFailover([A, B], "/x", rounds=2)
     failover.begin()
     for reason in ("first", "second", "third"):
--- a/tests/admin/test_commands.py
+++ b/tests/admin/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands, against controllers that are played, and once over a real connection."""
+"""The commands for the configuration, against fake controllers, and once over a real connection."""
 
 from __future__ import annotations
 
@@ -26,21 +26,21 @@
 KINDS = {"/v1/config/replace": OrderKind.REPLACE, "/v1/config/modify": OrderKind.MODIFY}
 
 
-class Controllers:
+class FakeControllers:
     """Two controllers: the first redirects to the second, which owns the configuration."""
 
     def __init__(self) -> None:
         self.state = ConfigurationState()
         self.calls: list[str] = []
-        self.down: set[str] = set()
+        self.unreachable: set[str] = set()
 
     def send(self, attempt: Attempt, request: client.Request) -> Reply:
         host, port = attempt.address
-        here = f"{host}:{port}"
-        self.calls.append(f"{here}{attempt.path}")
-        if here in self.down:
+        address = f"{host}:{port}"
+        self.calls.append(f"{address}{attempt.path}")
+        if address in self.unreachable:
             raise ConnectionRefusedError("refused")
-        if here == A:
+        if address == A:
             return Reply(307, b"", f"http://{B}{attempt.path}")
         if attempt.path == "/v1/config/read":
             return self.read()
@@ -60,11 +60,11 @@
 
 
 @pytest.fixture
-def controllers(monkeypatch: pytest.MonkeyPatch) -> Controllers:
-    played = Controllers()
-    monkeypatch.setattr(client, "send_over_http", played.send)
+def controllers(monkeypatch: pytest.MonkeyPatch) -> FakeControllers:
+    fake = FakeControllers()
+    monkeypatch.setattr(client, "send_over_http", fake.send)
     monkeypatch.setattr(client.time, "sleep", lambda seconds: None)
-    return played
+    return fake
 
 
 @pytest.fixture
@@ -83,8 +83,8 @@
     return int(ended.value.code or 0)
 
 
-def test_a_configuration_is_taken_changed_and_read(
-    controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
+def test_a_configuration_is_replaced_modified_and_read(
+    controllers: FakeControllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run("replace", file(whole(5)), A, "--base", "0") == 0
     assert "1000 The order was taken" in capsys.readouterr().out
@@ -104,8 +104,8 @@
     assert controllers.calls[:2] == [f"{A}/v1/config/replace", f"{B}/v1/config/replace"]
 
 
-def test_refusals_are_told_with_their_problems(
-    controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
+def test_rejections_are_printed_with_their_problems(
+    controllers: FakeControllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run("replace", file(whole(5, routes=[route(timeout_ms=0)])), B, "--base", "0") == 1
     assert "2010 routes[chat].timeout_ms" in capsys.readouterr().out
@@ -113,14 +113,18 @@
     assert capsys.readouterr().out.startswith("3000 ")
 
 
-def test_a_silent_controller_is_passed_over(controllers: Controllers, file: Callable[[Any], str]) -> None:
-    controllers.down.add(A)
+def test_an_unreachable_controller_is_skipped(
+    controllers: FakeControllers, file: Callable[[Any], str]
+) -> None:
+    controllers.unreachable.add(A)
     assert run("replace", file(whole(5)), A, B, "--base", "0") == 0
     assert controllers.calls == [f"{A}/v1/config/replace", f"{B}/v1/config/replace"]
 
 
-def test_no_answer_at_all_is_told(controllers: Controllers, capsys: pytest.CaptureFixture[str]) -> None:
-    controllers.down.update((A, B))
+def test_a_call_without_any_answer_fails_with_reasons(
+    controllers: FakeControllers, capsys: pytest.CaptureFixture[str]
+) -> None:
+    controllers.unreachable.update((A, B))
     assert run("version", A, B, "--rounds", "2") == 3
     assert len(controllers.calls) == 4
     captured = capsys.readouterr()
@@ -129,8 +133,8 @@
     assert json.loads(capsys.readouterr().out) == {"reasons": {A: "refused"}}
 
 
-def test_bad_usage_is_told(
-    controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
+def test_bad_usage_sends_nothing(
+    controllers: FakeControllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert run("read") == 2
     assert run("read", "localhost:80") == 2
@@ -139,7 +143,7 @@
     assert controllers.calls == []
 
 
-def test_an_answer_from_something_else_is_told(
+def test_an_answer_of_another_service_is_an_error(
     monkeypatch: pytest.MonkeyPatch, file: Callable[[Any], str]
 ) -> None:
     monkeypatch.setattr(client, "send_over_http", lambda attempt, request: Reply(404, b"<html>"))
@@ -151,7 +155,7 @@
 
 
 def test_a_file_is_checked_without_a_controller(
-    controllers: Controllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
+    controllers: FakeControllers, file: Callable[[Any], str], capsys: pytest.CaptureFixture[str]
 ) -> None:
     good = file(whole(5))
     assert run("check", good) == 0
@@ -171,7 +175,7 @@
     assert controllers.calls == []
 
 
-def test_answers_of_the_api_are_read_as_they_were_meant() -> None:
+def test_an_encoded_answer_is_parsed_to_the_same_result() -> None:
     problem = Problem(ResultCode.NO_TIMEOUT, "routes[a].timeout_ms", "must be a number above 0")
     body = encode_outcome(Outcome(ResultCode.INVALID, 7, (problem,)))
     assert read_answer(body) == Result(ResultCode.INVALID, 7, (problem,))
@@ -180,7 +184,7 @@
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"code":3}', b'{"code":3,"config_version":1}', b'{"x":' + b"[" * 50_000]
 )
-def test_a_body_that_is_no_answer_is_named(body: bytes) -> None:
+def test_an_invalid_body_raises_an_answer_error(body: bytes) -> None:
     with pytest.raises(AnswerError):
         read_answer(body)
     if b"config_version" not in body:
--- a/tests/admin/test_fleet_commands.py
+++ b/tests/admin/test_fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands for the fleet, against stand-ins on loopback."""
+"""The commands for the fleet, against fake controllers on loopback."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from firvane.fleet.configuration.orders import Problem
 from firvane.fleet.controller.configuration_service import Outcome
 from firvane.fleet.controller.operator_api import encode_outcome
-from tests.admin.stand_in import Canned, Controller, head, member, part, running
+from tests.admin.fake_controller import FakeController, FixedAnswer, head, member, part, running
 
 HAND_OVER = "/v1/fleet/hand-over"
 
 
 @pytest.fixture
-def one() -> Iterator[Controller]:
-    with running() as played:
-        yield played
+def one() -> Iterator[FakeController]:
+    with running() as controller:
+        yield controller
 
 
 @pytest.fixture
-def two() -> Iterator[Controller]:
-    with running() as played:
-        yield played
+def two() -> Iterator[FakeController]:
+    with running() as controller:
+        yield controller
 
 
 @pytest.fixture(autouse=True)
@@ -43,22 +43,24 @@
     return int(ended.value.code or 0)
 
 
-def silent_address() -> str:
-    """An address at which nobody listens."""
+def unused_address() -> str:
+    """Return an address without a listening socket."""
     with contextlib.closing(socket.socket()) as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
-def refusal(code: ResultCode, detail: str = "because") -> Canned:
-    return Canned(code.http_status, encode_outcome(Outcome(code, 7, (Problem(code, "successor", detail),))))
+def refusal(code: ResultCode, detail: str = "because") -> FixedAnswer:
+    return FixedAnswer(
+        code.http_status, encode_outcome(Outcome(code, 7, (Problem(code, "successor", detail),)))
+    )
 
 
 # members
 
 
-def test_members_are_printed_as_a_table(one: Controller, capsys: pytest.CaptureFixture[str]) -> None:
-    one.tells_members(
+def test_members_are_printed_as_a_table(one: FakeController, capsys: pytest.CaptureFixture[str]) -> None:
+    one.set_members(
         8,
         member("10.0.0.9:7300", 7),
         member("10.0.0.1:7300", 8, role="controller", control="10.0.0.1:8262", incarnation=2**64 - 1),
@@ -74,63 +76,65 @@
     assert one.received == [("GET", "/v1/fleet/members", b"")]
 
 
-def test_members_as_json_are_the_answer(one: Controller, capsys: pytest.CaptureFixture[str]) -> None:
-    one.tells_members(8, member("10.0.0.9:7300", 7))
+def test_members_as_json_are_the_answer(one: FakeController, capsys: pytest.CaptureFixture[str]) -> None:
+    one.set_members(8, member("10.0.0.9:7300", 7))
     assert run("members", one.address, "--json") == 0
     assert json.loads(capsys.readouterr().out) == json.loads(one.answers["/v1/fleet/members"].body)
 
 
-def test_bytes_that_a_terminal_would_obey_are_not_printed(
-    one: Controller, capsys: pytest.CaptureFixture[str]
-) -> None:
-    one.tells_members(8, member("10.0.0.9:7300\x1b[2J\n", 7))
+def test_control_characters_are_not_printed(one: FakeController, capsys: pytest.CaptureFixture[str]) -> None:
+    one.set_members(8, member("10.0.0.9:7300\x1b[2J\n", 7))
     assert run("members", one.address) == 0
     printed = capsys.readouterr().out
     assert "\x1b" not in printed and len(printed.splitlines()) == 2
 
 
-def test_the_next_address_is_asked_where_nobody_listens(
-    one: Controller, capsys: pytest.CaptureFixture[str]
+def test_an_address_without_a_listener_is_skipped(
+    one: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    one.tells_members(8, member("10.0.0.9:7300", 7))
-    assert run("members", silent_address(), one.address) == 0
+    one.set_members(8, member("10.0.0.9:7300", 7))
+    assert run("members", unused_address(), one.address) == 0
     assert "10.0.0.9:7300" in capsys.readouterr().out
 
 
 @pytest.mark.parametrize("command", [["members"], ["parts"], ["behind"], ["hand-over", "0"]])
-def test_nobody_that_can_be_reached_is_told(command: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    silent = silent_address()
-    assert run(*command, silent, "--rounds", "2") == 3
-    assert f"{silent}: " in capsys.readouterr().err
-    assert run(*command, silent, "--rounds", "1", "--json") == 3
-    assert list(json.loads(capsys.readouterr().out)["reasons"]) == [silent]
+def test_unreachable_addresses_are_reported(command: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    unused = unused_address()
+    assert run(*command, unused, "--rounds", "2") == 3
+    assert f"{unused}: " in capsys.readouterr().err
+    assert run(*command, unused, "--rounds", "1", "--json") == 3
+    assert list(json.loads(capsys.readouterr().out)["reasons"]) == [unused]
 
 
 @pytest.mark.parametrize("command", [["members"], ["parts"], ["behind"], ["hand-over", "0"]])
 @pytest.mark.parametrize(
     ("answer", "code"),
     [
-        (Canned(200, b"<html>"), 3),
-        (Canned(200, b'{"code":1003}'), 3),
-        (Canned(200, b"[" * 50_000), 3),
-        (Canned(404, b"<html>"), 1),
-        (Canned(404, encode_outcome(Outcome(ResultCode.UNKNOWN_CALL, 0))), 1),
-        (Canned(503, encode_outcome(Outcome(ResultCode.STARTING, 0))), 3),
+        (FixedAnswer(200, b"<html>"), 3),
+        (FixedAnswer(200, b'{"code":1003}'), 3),
+        (FixedAnswer(200, b"[" * 50_000), 3),
+        (FixedAnswer(404, b"<html>"), 1),
+        (FixedAnswer(404, encode_outcome(Outcome(ResultCode.UNKNOWN_CALL, 0))), 1),
+        (FixedAnswer(503, encode_outcome(Outcome(ResultCode.STARTING, 0))), 3),
     ],
 )
-def test_an_answer_that_is_none_is_told(
-    one: Controller, command: list[str], answer: Canned, code: int, capsys: pytest.CaptureFixture[str]
+def test_an_invalid_answer_is_an_error(
+    one: FakeController,
+    command: list[str],
+    answer: FixedAnswer,
+    code: int,
+    capsys: pytest.CaptureFixture[str],
 ) -> None:
     one.answers = {"/v1/fleet/members": answer, "/v1/fleet/parts": answer}
     assert run(*command, one.address, "--rounds", "1") == code
     captured = capsys.readouterr()
-    said = captured.out + captured.err
+    output = captured.out + captured.err
     if answer.status == 503:
-        assert "status 503: 5002" in said
+        assert "status 503: 5002" in output
     elif b"2018" in answer.body:
-        assert "2018" in said
+        assert "2018" in output
     else:
-        assert said
+        assert output
 
 
 @pytest.mark.parametrize(
@@ -155,13 +159,13 @@
 # parts
 
 
-def test_parts_are_told_by_their_owners(
-    one: Controller, two: Controller, capsys: pytest.CaptureFixture[str]
+def test_parts_are_reported_by_their_owners(
+    one: FakeController, two: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
     ours = part(0, owned=True, owner="10.0.0.1:7300", control=one.address)
     theirs = part(1, owned=True, owner="10.0.0.2:7300", control=two.address, term=9)
-    one.tells_parts(ours, part(1, owned=False, owner="10.0.0.2:7300", control=two.address))
-    two.tells_parts(part(0, owned=False, owner="10.0.0.1:7300", control=one.address), theirs)
+    one.set_parts(ours, part(1, owned=False, owner="10.0.0.2:7300", control=two.address))
+    two.set_parts(part(0, owned=False, owner="10.0.0.1:7300", control=one.address), theirs)
     assert run("parts", one.address) == 0
     assert capsys.readouterr().out.splitlines() == [
         "part 0: owned by 10.0.0.1:7300, term 4, last 40, commit 39, applied 38, version 7",
@@ -179,18 +183,18 @@
     assert [(each["part"], each["owned"], each["term"]) for each in found] == [(0, True, 4), (1, True, 9)]
 
 
-def test_parts_without_an_owner_are_named(one: Controller, capsys: pytest.CaptureFixture[str]) -> None:
-    gone = silent_address()
-    one.tells_parts(
+def test_parts_without_an_owner_are_named(one: FakeController, capsys: pytest.CaptureFixture[str]) -> None:
+    unreachable = unused_address()
+    one.set_parts(
         part(0, owned=False, owner=None),
-        part(1, owned=False, owner="10.0.0.2:7300", control=gone),
+        part(1, owned=False, owner="10.0.0.2:7300", control=unreachable),
         part(2, owned=True, owner="10.0.0.1:7300", control=one.address),
     )
     assert run("parts", one.address) == 4
     captured = capsys.readouterr()
     assert "part 0: owned by nobody that answers, term 4" in captured.out
     assert "part 2: owned by 10.0.0.1:7300" in captured.out
-    assert f"{gone}: " in captured.err
+    assert f"{unreachable}: " in captured.err
     assert "part 0: has no owner" in captured.err and "part 1: has no owner" in captured.err
     assert "part 2: has" not in captured.err
 
@@ -198,12 +202,12 @@
 # behind
 
 
-def test_all_controllers_together_know_who_is_behind(
-    one: Controller, two: Controller, capsys: pytest.CaptureFixture[str]
+def test_the_answers_of_all_controllers_are_merged_for_behind(
+    one: FakeController, two: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
     controllers = [member(each.internal, 8, role="controller", control=each.address) for each in (one, two)]
-    one.tells_members(8, *controllers, member("10.0.1.1:1", 7), member("10.0.1.2:1", 7), member("10.0.1.3:1"))
-    two.tells_members(
+    one.set_members(8, *controllers, member("10.0.1.1:1", 7), member("10.0.1.2:1", 7), member("10.0.1.3:1"))
+    two.set_members(
         9,
         *controllers,
         member("10.0.1.1:1", 8),
@@ -222,8 +226,10 @@
     assert found["config_version"] == 9
 
 
-def test_nobody_is_behind(one: Controller, capsys: pytest.CaptureFixture[str]) -> None:
-    one.tells_members(
+def test_behind_succeeds_when_all_processes_are_current(
+    one: FakeController, capsys: pytest.CaptureFixture[str]
+) -> None:
+    one.set_members(
         8, member(one.internal, 8, role="controller", control=one.address), member("10.0.1.1:1", 8)
     )
     assert run("behind", one.address) == 0
@@ -232,22 +238,24 @@
 
 
 def test_a_controller_that_does_not_answer_is_named(
-    one: Controller, capsys: pytest.CaptureFixture[str]
+    one: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    gone = silent_address()
-    one.tells_members(8, member("10.0.0.2:7300", 8, role="controller", control=gone), member("10.0.1.1:1", 8))
+    unreachable = unused_address()
+    one.set_members(
+        8, member("10.0.0.2:7300", 8, role="controller", control=unreachable), member("10.0.1.1:1", 8)
+    )
     assert run("behind", one.address) == 0
-    assert f"{gone}: " in capsys.readouterr().err
+    assert f"{unreachable}: " in capsys.readouterr().err
 
 
 # hand-over
 
 
-def owned(one: Controller) -> None:
-    one.tells_parts(part(0, owned=True, owner="10.0.0.1:7300", control=one.address))
+def owned(one: FakeController) -> None:
+    one.set_parts(part(0, owned=True, owner="10.0.0.1:7300", control=one.address))
 
 
-def handed_over() -> Canned:
+def handed_over() -> FixedAnswer:
     code = ResultCode.HANDED_OVER
     body = head(7, "10.0.0.1:7300") | {
         "code": code.value,
@@ -255,11 +263,11 @@
         "part": 0,
         "owner": "10.0.0.2:7300",
     }
-    return Canned(200, json.dumps(body).encode())
+    return FixedAnswer(200, json.dumps(body).encode())
 
 
-def test_a_part_is_handed_over_in_its_present_term(
-    one: Controller, capsys: pytest.CaptureFixture[str]
+def test_a_part_is_handed_over_in_its_current_term(
+    one: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
     owned(one)
     one.answers[HAND_OVER] = handed_over()
@@ -273,26 +281,26 @@
     assert json.loads(one.received[-1][2])["successor"] is None
 
 
-def test_the_order_goes_to_the_owner_whoever_was_asked(one: Controller, two: Controller) -> None:
-    one.tells_parts(part(0, owned=False, owner="10.0.0.2:7300", control=two.address))
-    two.tells_parts(part(0, owned=True, owner="10.0.0.2:7300", control=two.address, term=6))
+def test_the_order_is_sent_to_the_owner(one: FakeController, two: FakeController) -> None:
+    one.set_parts(part(0, owned=False, owner="10.0.0.2:7300", control=two.address))
+    two.set_parts(part(0, owned=True, owner="10.0.0.2:7300", control=two.address, term=6))
     two.answers[HAND_OVER] = handed_over()
     assert run("hand-over", "0", one.address) == 0
     assert [path for _, path, _ in one.received] == ["/v1/fleet/parts"]
     assert json.loads(two.received[-1][2])["term"] == 6
 
 
-def test_a_redirect_is_followed(one: Controller, two: Controller) -> None:
+def test_a_redirect_is_followed(one: FakeController, two: FakeController) -> None:
     owned(one)
-    one.answers[HAND_OVER] = Canned(307, b"", f"http://{two.address}{HAND_OVER}")
+    one.answers[HAND_OVER] = FixedAnswer(307, b"", f"http://{two.address}{HAND_OVER}")
     two.answers[HAND_OVER] = handed_over()
     assert run("hand-over", "0", one.address) == 0
     assert len(two.received) == 1
 
 
 @pytest.mark.parametrize("code", [ResultCode.UNKNOWN_MEMBER, ResultCode.OTHER_TERM, ResultCode.BAD_ARGUMENT])
-def test_a_refusal_is_told_with_its_code(
-    one: Controller, code: ResultCode, capsys: pytest.CaptureFixture[str]
+def test_a_rejection_is_printed_with_its_code(
+    one: FakeController, code: ResultCode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     owned(one)
     one.answers[HAND_OVER] = refusal(code)
@@ -303,8 +311,8 @@
 
 
 @pytest.mark.parametrize("code", [ResultCode.NO_SUCCESSOR, ResultCode.NO_OWNER, ResultCode.UNCLEAR])
-def test_what_was_not_decided_is_told_with_its_code(
-    one: Controller, code: ResultCode, capsys: pytest.CaptureFixture[str]
+def test_an_unclear_answer_is_printed_with_its_code(
+    one: FakeController, code: ResultCode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     owned(one)
     one.answers[HAND_OVER] = refusal(code)
@@ -312,10 +320,10 @@
     assert f"status 503: {code.value} {code.meaning}" in capsys.readouterr().err
 
 
-def test_a_part_without_an_owner_or_without_a_place_is_told(
-    one: Controller, capsys: pytest.CaptureFixture[str]
+def test_a_part_without_an_owner_or_an_unknown_part_is_an_error(
+    one: FakeController, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    one.tells_parts(part(0, owned=False, owner=None))
+    one.set_parts(part(0, owned=False, owner=None))
     assert run("hand-over", "0", one.address) == 3
     assert "part 0: has no owner" in capsys.readouterr().err
     assert run("hand-over", "7", one.address) == 1
--- a/tests/admin/test_real_fleet.py
+++ b/tests/admin/test_real_fleet.py
@@ -16,13 +16,13 @@
 from firvane.simulation.localfleet.settings_files import PlatformTerms
 from tests.fleet.configuration.documents import whole
 
-PATIENCE = 15.0  # s until something that must happen is missed
-LOOK_AGAIN = 0.05  # s between looks at what no event announces
+TIMEOUT_S = 15.0  # for each awaited condition
+POLL_INTERVAL_S = 0.05
 CONTROLLERS, ROUTERS = 3, 1
 
 
-class Ended:
-    """What one command has printed, and its exit code."""
+class CommandResult:
+    """The output of a command, and its exit code."""
 
     def __init__(self, code: int, printed: str) -> None:
         self.code, self.printed = code, printed
@@ -32,39 +32,39 @@
         return json.loads(self.printed)
 
 
-def command(*arguments: str) -> Ended:
+def command(*arguments: str) -> CommandResult:
     printed = io.StringIO()
     with contextlib.redirect_stdout(printed), contextlib.redirect_stderr(io.StringIO()):
         try:
             admin.run([*arguments, "--rounds", "1", "--json"])
-        except SystemExit as ended:
-            return Ended(int(ended.code or 0), printed.getvalue())
+        except SystemExit as result:
+            return CommandResult(int(result.code or 0), printed.getvalue())
     raise AssertionError("the command has no exit code")
 
 
-async def run(*arguments: str) -> Ended:
+async def run(*arguments: str) -> CommandResult:
     return await asyncio.to_thread(command, *arguments)
 
 
-async def until(condition: Callable[[Ended], bool], *arguments: str) -> Ended:
-    """Repeat a command until its end is as it must be."""
+async def run_until(condition: Callable[[CommandResult], bool], *arguments: str) -> CommandResult:
+    """Repeat a command until its result meets a condition."""
     loop = asyncio.get_running_loop()
-    ended = None
+    result = None
     try:
-        async with asyncio.timeout(PATIENCE):
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
-                ended = await run(*arguments)
-                if condition(ended):
-                    return ended
-                look = loop.create_future()
-                loop.call_later(LOOK_AGAIN, look.set_result, None)
-                await look
+                result = await run(*arguments)
+                if condition(result):
+                    return result
+                poll = loop.create_future()
+                loop.call_later(POLL_INTERVAL_S, poll.set_result, None)
+                await poll
     except TimeoutError:
-        raise AssertionError(f"{arguments}: {ended and (ended.code, ended.printed)}") from None
+        raise AssertionError(f"{arguments}: {result and (result.code, result.printed)}") from None
 
 
-def is_done(ended: Ended) -> bool:
-    return ended.code == 0
+def is_done(result: CommandResult) -> bool:
+    return result.code == 0
 
 
 def controls(layout: Layout) -> list[str]:
@@ -75,15 +75,17 @@
     return f"{control.partition(':')[0]}:{layout.ports.internal[0]}"
 
 
-async def scene(layout: Layout, daemons: list[Daemon], file: Path) -> None:
+async def check_commands(layout: Layout, daemons: list[Daemon], file: Path) -> None:
     await asyncio.gather(*(daemon.start() for daemon in daemons))
     addresses = controls(layout)
-    await until(is_done, "replace", str(file), *addresses, "--base", "0")
-    await until(is_done, "parts", addresses[1])
+    await run_until(is_done, "replace", str(file), *addresses, "--base", "0")
+    await run_until(is_done, "parts", addresses[1])
     await check_members(layout, addresses)
-    await until(lambda ended: is_done(ended) and len(ended.json["current"]) == 4, "behind", addresses[0])
+    await run_until(
+        lambda result: is_done(result) and len(result.json["current"]) == 4, "behind", addresses[0]
+    )
     router = f"{layout.routers[0].host}:{layout.ports.readiness}"
-    await until(lambda ended: is_done(ended) and len(ended.json["members"]) == 4, "members", router)
+    await run_until(lambda result: is_done(result) and len(result.json["members"]) == 4, "members", router)
     own = (await run("members", router)).json
     assert (own["config_version"], own["members"][0]["config_version"]) == (5, 5)
     await check_hand_over(layout, addresses)
@@ -91,10 +93,10 @@
 
 
 async def check_members(layout: Layout, addresses: list[str]) -> None:
-    ended = await until(
-        lambda ended: is_done(ended) and len(ended.json["members"]) == 4, "members", addresses[0]
+    result = await run_until(
+        lambda result: is_done(result) and len(result.json["members"]) == 4, "members", addresses[0]
     )
-    found = {each["address"]: each for each in ended.json["members"]}
+    found = {each["address"]: each for each in result.json["members"]}
     roles = {node.host: str(node.role) for node in layout.nodes}
     assert {address.partition(":")[0]: each["role"] for address, each in found.items()} == roles
     assert {each["state"] for each in found.values()} == {"alive"}
@@ -104,44 +106,44 @@
 async def check_hand_over(layout: Layout, addresses: list[str]) -> None:
     before = (await run("parts", addresses[0])).json["parts"][0]["owner_control"]
     successor = next(each for each in addresses if each != before)
-    ended = await run("hand-over", "0", *addresses, "--to", successor)
-    assert (ended.code, ended.json["owner"]) == (0, internal(layout, successor))
+    result = await run("hand-over", "0", *addresses, "--to", successor)
+    assert (result.code, result.json["owner"]) == (0, internal(layout, successor))
 
-    def moved(ended: Ended) -> bool:
-        return is_done(ended) and ended.json["parts"][0]["owner_control"] == successor
+    def moved(result: CommandResult) -> bool:
+        return is_done(result) and result.json["parts"][0]["owner_control"] == successor
 
-    await until(moved, "parts", before)
+    await run_until(moved, "parts", before)
     assert (await run("hand-over", "0", *addresses, "--to", "127.9.9.9:1")).json["code"] == 2021
 
 
 async def check_lost(daemons: list[Daemon], addresses: list[str]) -> None:
-    """Two controllers end without warning: the third one says so."""
+    """Check that the third controller reports the two that are killed."""
     await asyncio.gather(daemons[0].kill(), daemons[1].kill())
     states = {address: "alive" for address in addresses}
 
-    def noticed(ended: Ended) -> bool:
-        if not is_done(ended):
+    def noticed(result: CommandResult) -> bool:
+        if not is_done(result):
             return False
-        states.update({each["control"]: each["state"] for each in ended.json["members"] if each["control"]})
+        states.update({each["control"]: each["state"] for each in result.json["members"] if each["control"]})
         return [states[address] for address in addresses] == ["dead", "dead", "alive"]
 
-    await until(noticed, "members", addresses[2])
-    await until(lambda ended: ended.code == 4, "parts", addresses[2])
+    await run_until(noticed, "members", addresses[2])
+    await run_until(lambda result: result.code == 4, "parts", addresses[2])
     assert (await run("hand-over", "0", addresses[2])).code == 3
     assert (await run("members", *addresses[:2])).code == 3
 
 
-def test_a_real_fleet_is_told_and_moved(tmp_path: Path) -> None:
+def test_the_commands_work_against_real_daemons(tmp_path: Path) -> None:
     file = tmp_path / "configuration.json"
     file.write_text(json.dumps(whole(5)))
     layout = make_layout(CONTROLLERS, ROUTERS, find_free_ports(CONTROLLERS, ROUTERS, 0))
 
-    async def play() -> None:
+    async def work() -> None:
         daemons = [Daemon(node, layout, PlatformTerms(), tmp_path) for node in layout.nodes]
         try:
-            await scene(layout, daemons, file)
+            await check_commands(layout, daemons, file)
         finally:
             await asyncio.gather(*(daemon.kill() for daemon in daemons))
         assert all(daemon.problems() == [] for daemon in daemons)
 
-    asyncio.run(play())
+    asyncio.run(work())
