--- a/tests/programs/test_controller.py
+++ b/tests/programs/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller's program: its options from the settings, its signals, its exit status."""
+"""The controller daemon: its options from the settings, and its exit status."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 }
 
 
-def test_options_follow_from_the_settings() -> None:
+def test_options_are_derived_from_the_settings() -> None:
     options = controller.controller_options(parse_settings(DOCUMENT))
     assert options.internal == ("10.1.0.14", 7300)
     assert options.control == ("10.1.0.14", 8262)
@@ -39,7 +39,7 @@
     assert options.group_size == 5
 
 
-def test_a_group_is_never_smaller_than_three() -> None:
+def test_a_group_has_at_least_three_members() -> None:
     settings = parse_settings(DOCUMENT | {"fault_tolerance": {"machines": 0}})
     assert controller.controller_options(settings).group_size == 3
 
@@ -52,7 +52,7 @@
         controller.controller_options(parse_settings(DOCUMENT | {field: value}))
 
 
-def test_bad_settings_end_with_status_2(
+def test_invalid_settings_exit_with_status_2(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "settings.yaml"
--- a/tests/programs/test_logging.py
+++ b/tests/programs/test_logging.py
@@ -1,4 +1,4 @@
-"""The daemons' log: one line for each event, and no fault of the stream reaches who logs."""
+"""The log of the daemons: one line for each event, and errors of the stream do not reach the caller."""
 
 import io
 import logging
@@ -21,7 +21,7 @@
     assert 'reason="two words"' in line
 
 
-def test_an_exception_is_in_its_line() -> None:
+def test_an_exception_is_in_the_line_of_its_event() -> None:
     stream = io.StringIO()
     log = make_log("controller", "core-1", stream=stream)
     try:
@@ -32,7 +32,7 @@
     assert "ValueError" in stream.getvalue()
 
 
-def test_levels_below_are_not_written() -> None:
+def test_events_below_the_level_are_dropped() -> None:
     stream = io.StringIO()
     log = make_log("controller", "core-1", stream=stream)
     log.debug("configuration_details")
@@ -40,17 +40,17 @@
     assert stream.getvalue() == ""
 
 
-def test_a_broken_stream_loses_the_line_only() -> None:
+def test_a_broken_stream_only_drops_the_line() -> None:
     make_log("controller", "core-1", stream=BrokenStream()).info("configuration_committed")
 
 
 def test_warnings_of_libraries_are_logged() -> None:
     stream = io.StringIO()
     root = logging.getLogger()
-    before = list(root.handlers)
+    handlers = list(root.handlers)
     bridge_library_logs(make_log("controller", "core-1", stream=stream))
     try:
         logging.getLogger("asyncio").error("Exception in callback")
     finally:
-        root.handlers = before
+        root.handlers = handlers
     assert 'text="Exception in callback"' in stream.getvalue()
--- a/tests/programs/test_settings.py
+++ b/tests/programs/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: what is read, what is skipped, what is refused."""
+"""The settings file: known fields, ignored fields and rejected values."""
 
 import contextlib
 from pathlib import Path
@@ -92,7 +92,7 @@
         ("cloud_api", []),
     ],
 )
-def test_names_the_field_that_is_wrong(field: str, value: Any) -> None:
+def test_an_error_names_the_invalid_field(field: str, value: Any) -> None:
     with pytest.raises(settings.SettingsError) as caught:
         settings.parse_settings(FULL | {field: value})
     name = next(iter(value)) if isinstance(value, dict) else field
@@ -100,12 +100,12 @@
 
 
 @pytest.mark.parametrize("text", ["", "- a list", "a: [", "\x00", "a: &a [*a", "{" * 5000])
-def test_a_document_that_is_no_mapping_is_rejected(tmp_path: Path, text: str) -> None:
+def test_a_document_that_is_not_a_mapping_is_rejected(tmp_path: Path, text: str) -> None:
     with pytest.raises(settings.SettingsError):
         settings.load_settings(write(tmp_path, text))
 
 
-def test_ends_with_one_line_and_status_2(
+def test_invalid_settings_print_one_line_and_exit_with_2(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setenv("FIRVANE_BOOT", str(write(tmp_path, FULL | {"zone": 5})))
@@ -115,7 +115,7 @@
     assert capsys.readouterr().err == "settings: zone: 5 is not a string\n"
 
 
-def test_ends_with_status_2_without_a_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_file_exits_with_status_2(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("FIRVANE_BOOT", str(tmp_path / "none.yaml"))
     with pytest.raises(SystemExit) as caught:
         settings.load_or_exit()
@@ -146,6 +146,6 @@
 
 @hypothesis_settings(suppress_health_check=[HealthCheck.too_slow], deadline=None)
 @given(st.dictionaries(st.sampled_from(sorted(FULL)), ANY))
-def test_any_document_is_read_or_rejected_with_the_name_of_a_field(changed: dict[str, Any]) -> None:
+def test_any_document_is_read_or_raises_a_settings_error(changed: dict[str, Any]) -> None:
     with contextlib.suppress(settings.SettingsError):
         settings.parse_settings(FULL | changed)
--- a/tests/programs/test_settings_watch.py
+++ b/tests/programs/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Changes of the settings file that no signal announces."""
+"""Detection of changes of the settings file without a signal."""
 
 from __future__ import annotations
 
@@ -11,43 +11,43 @@
 from firvane.programs.settings_watch import SettingsWatch
 
 
-class Loop:
+class FakeLoop:
     def __init__(self) -> None:
         self.timers: list[Callable[[], None]] = []
 
-    def call_later(self, delay: float, callback: Callable[[], None]) -> Loop:
+    def call_later(self, delay: float, callback: Callable[[], None]) -> FakeLoop:
         self.timers.append(callback)
         return self
 
     def cancel(self) -> None:
         self.timers.clear()
 
-    def turn(self) -> None:
+    def run_timers(self) -> None:
         timers, self.timers = self.timers, []
         for callback in timers:
             callback()
 
 
-def test_a_change_is_noticed_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_change_is_detected_once(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "settings.yaml"
     monkeypatch.setenv("FIRVANE_BOOT", str(path))
     path.write_text("a: 1")
-    loop, changes = Loop(), list[bool]()
+    loop, changes = FakeLoop(), list[bool]()
     watch = SettingsWatch(loop, lambda: changes.append(True))  # type: ignore[arg-type]
     watch.start()
-    loop.turn()
+    loop.run_timers()
     assert not changes
     path.write_text("a: 12")
     os.utime(path, ns=(1, 1))
-    loop.turn()
-    loop.turn()
+    loop.run_timers()
+    loop.run_timers()
     assert len(changes) == 1
     path.unlink()
-    loop.turn()
+    loop.run_timers()
     assert len(changes) == 1
     path.write_text("a: 123")
     watch.on_signal()
-    loop.turn()
+    loop.run_timers()
     assert len(changes) == 2
     watch.stop()
     assert not loop.timers
