--- a/firvane/cli/boxes.py
+++ b/firvane/cli/boxes.py
@@ -36,19 +36,24 @@
 @click.command("boxes")
 @click.argument("name", default="quiet-sunday")
 @click.option(
-    "--boxes", type=ADDRESS, default="127.0.0.1:9001", help="Of the first; each next one has the next port."
+    "--boxes",
+    type=ADDRESS,
+    default="127.0.0.1:9001",
+    help="Address of the first backend; each further one has the next port.",
+)
+@click.option("--discovery", type=ADDRESS, default="127.0.0.1:8500", help="Address of discovery.")
+@click.option(
+    "--seed", type=click.IntRange(0, 2**63 - 1), help="Seed of all random values; else the scenario's."
 )
-@click.option("--discovery", type=ADDRESS, default="127.0.0.1:8500", help="Where the list is told.")
-@click.option("--seed", type=click.IntRange(0, 2**63 - 1), help="For all that is drawn; else the scenario's.")
 @click.option("--config", type=click.Path(dir_okay=False), help="Write a firvane.toml for a proxy here.")
 def command(
     name: str, boxes: tuple[str, int], discovery: tuple[str, int], seed: int | None, config: str | None
 ) -> None:
     """Stand up the boxes of a scenario, with discovery, for a proxy and a client of your own.
 
-    NAME is one of `firvane scenarios`, or a TOML file; what befalls its boxes comes at its times from the
-    start. A box serves whatever it is asked: the work is what X-Call-Cost says in microseconds, or else drawn
-    from the path; X-Route-Hash is the key that it may have met. All ends with Ctrl-C.
+    NAME is one of `firvane scenarios`, or a TOML file; its faults happen at their times. A box
+    answers every request: the work is X-Call-Cost in microseconds, or else a value derived from the path;
+    X-Route-Hash is the key, which the box may have cached. Ctrl-C ends everything.
 
     \b
     Examples:
--- a/firvane/cli/check.py
+++ b/firvane/cli/check.py
@@ -12,8 +12,8 @@
     """Name every fault of FILES: configurations (firvane.toml or the platform's JSON), policies,
     plans of a rolling change or scenarios.
 
-    Which of them a file is meant to be is told by its content. Each fault is one line: file, key, what is
-    wrong, what was given, and for an unknown key the one that was probably meant. Exit code 2 for any.
+    The kind of a file is detected by its content. Each fault is one line: file, key, error, given value, and
+    for an unknown key a similar known one. Exit code 2 for any fault.
 
     \b
     Examples:
--- a/firvane/cli/config.py
+++ b/firvane/cli/config.py
@@ -15,7 +15,7 @@
 def schema(kind: str) -> None:
     """Print the JSON schema of firvane.toml, of a scenario or of a policy, for an editor.
 
-    What must fit together across keys is not in it: firvane check tells of that.
+    It does not contain checks across several keys; firvane check performs these.
 
     \b
     Examples:
--- a/firvane/cli/control.py
+++ b/firvane/cli/control.py
@@ -29,8 +29,8 @@
 def command() -> None:
     """Hand decisions out to other proxies through xDS, from the configuration in a FILE with [control].
 
-    Receivers ask at the file's `listen`, by ADS in either form. SIGTERM ends it in order, SIGHUP reads FILE
-    anew. The log goes to standard error.
+    Receivers connect to `listen` of the file by ADS (state of the world or delta). SIGTERM shuts it down
+    gracefully, SIGHUP reloads FILE. The log goes to standard error.
 
     \b
     Examples:
@@ -61,9 +61,15 @@
 
 
 CONNECTION_OPTIONS = (
-    click.option("--authority", type=click.Path(exists=True), help="who signs the service's certificate"),
-    click.option("--certificate", type=click.Path(exists=True), help="one's own, where the service asks"),
-    click.option("--key", type=click.Path(exists=True), help="and its key"),
+    click.option(
+        "--authority", type=click.Path(exists=True), help="the authority that signs the service's certificate"
+    ),
+    click.option(
+        "--certificate",
+        type=click.Path(exists=True),
+        help="the client's certificate, if the service requires one",
+    ),
+    click.option("--key", type=click.Path(exists=True), help="the key of the client's certificate"),
     click.option("--name", "host", default="", help="the name in the service's certificate"),
     click.option("--json", "as_json", is_flag=True, help="the whole answer as JSON"),
 )
@@ -80,7 +86,7 @@
 @click.argument("address")
 @connection_options
 def status(address: str, as_json: bool, **tls: str) -> None:
-    """What the service at ADDRESS tells, and who follows it."""
+    """Show the state of the service at ADDRESS, and its receivers."""
     response = query(address, {"what": "status"}, **tls)
     if as_json:
         _json(response)
@@ -103,17 +109,17 @@
             f"{receiver['rps']:g} requests a second{refused}"
         )
     for name in response["left"]:
-        click.echo(f"  {name}: no stream; its part is kept for it")
+        click.echo(f"  {name}: no stream; its share is reserved")
 
 
 @command.command("diff")
 @click.argument("address")
 @click.argument("before")
 @click.argument("after")
-@click.option("--node", default="", help="the receiver whose group is meant; else those of no zone")
+@click.option("--node", default="", help="a receiver of the group to show; default: the group without a zone")
 @connection_options
 def diff(address: str, before: str, after: str, node: str, as_json: bool, **tls: str) -> None:
-    """What differs between the states BEFORE and AFTER (serials or versions) and the decisions behind it."""
+    """Show the differences of the states BEFORE and AFTER (serials or versions), and their causes."""
     response = query(address, {"what": "diff", "node": node, "before": before, "after": after}, **tls)
     if as_json:
         _json(response)
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -71,7 +71,9 @@
     try:
         _bootstrap(folder, text, voters)
     except FileExistsError:
-        raise FileExistsError(f"{folder}: holds votes already, which founding again would forget") from None
+        raise FileExistsError(
+            f"{folder}: holds votes already, which a second founding would overwrite"
+        ) from None
     click.echo(f"{folder}: epoch 1 is {digest_of(text).hex()}, voted on by {', '.join(map(str, voters))}")
 
 
--- a/firvane/cli/rehearse.py
+++ b/firvane/cli/rehearse.py
@@ -27,12 +27,14 @@
 @click.command("rehearse")
 @click.argument("name", required=False, shell_complete=_complete)
 @click.option("--virtual/--live", default=True, help="In virtual time (the default), or with real processes.")
-@click.option("--seed", type=click.IntRange(0, 2**63 - 1), help="For all that is drawn; else the scenario's.")
+@click.option(
+    "--seed", type=click.IntRange(0, 2**63 - 1), help="Seed of all random values; else the scenario's."
+)
 @click.option("--draw", type=click.IntRange(0, 2**63 - 1), help="Draw a scenario from this seed.")
 @click.option("--json", "json_file", type=click.Path(dir_okay=False), help="Keep the result here.")
 @click.option("--html", "html_file", type=click.Path(dir_okay=False), help="Write the report here.")
 @click.option("--logs", type=click.Path(file_okay=False), help="--live: keep the proxies' logs here.")
-@click.option("--quiet", is_flag=True, help="No word of how it stands meanwhile.")
+@click.option("--quiet", is_flag=True, help="Print no progress.")
 @click.pass_context
 def command(
     ctx: click.Context,
@@ -117,4 +119,4 @@
     if file is not None:
         folder = Path(file).absolute().parent
         if not folder.is_dir() or not os.access(folder, os.W_OK):
-            raise click.UsageError(f"{file} cannot be written: {folder} is no folder that one can write to")
+            raise click.UsageError(f"{file} cannot be written: {folder} is not a writable folder")
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -78,7 +78,11 @@
         state = _control(parsed, digest, files, not no_wait)
         stored = files.read_state()
     except OwnershipLostError as error:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
+        _exit(
+            ctx,
+            EXIT_UNKNOWN,
+            f"{plan}: cannot tell: {error}; that controller owns the rollout now, and this one has ended",
+        )
     except ControllerStoppedError as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {resume_command}")
     except (DamagedDataError, OSError) as error:
@@ -176,7 +180,7 @@
 
     stored = _read_stored(ctx, plan, files)
     if stored and stored.state in FINAL_STATES:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} says nothing any more: {_describe(stored)}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} has no effect any more: {_describe(stored)}")
     files.write_command(requested)
     until = time.monotonic() + COMMAND_TIMEOUT_S
     pending = f"{plan}: {requested.value} waits"
@@ -185,9 +189,9 @@
             reason = f"nobody carries the roll out: firvane rollout run {plan}"
             _exit(ctx, EXIT_UNKNOWN, f"{pending}, and {reason}")
         if time.monotonic() > until:
-            _exit(ctx, EXIT_UNKNOWN, f"{pending}: process {files.owner()} has not heard it yet")
+            _exit(ctx, EXIT_UNKNOWN, f"{pending}: process {files.owner()} has not received it yet")
         time.sleep(POLL_INTERVAL_S)
-    _exit(ctx, 0, f"{plan}: heard; {_describe(files.read_state())}")
+    _exit(ctx, 0, f"{plan}: received; {_describe(files.read_state())}")
 
 
 @command.command("report")
--- a/firvane/cli/serve.py
+++ b/firvane/cli/serve.py
@@ -11,8 +11,8 @@
 def command(ctx: click.Context, file: str) -> None:
     """Run one proxy, in the foreground, from the configuration in FILE.
 
-    SIGTERM ends it in order: clients that it has are served, what is out is finished. SIGHUP reads FILE anew:
-    a static list of targets, or discovery's address, takes effect at once; a FILE of no use changes nothing.
+    SIGTERM shuts it down gracefully: open requests are finished. SIGHUP reloads FILE: a static list of
+    targets, or the address of discovery, takes effect at once; an invalid FILE changes nothing.
     The log goes to standard error.
 
     \b
--- a/firvane/programs/settings.py
+++ b/firvane/programs/settings.py
@@ -202,31 +202,31 @@
     )
 
 
-def _cloud_api(given: Mapping[str, Any]) -> CloudApi:
+def _cloud_api(mapping: Mapping[str, Any]) -> CloudApi:
     return CloudApi(
-        address=_address(given, "address"),
-        rate_per_s=_number(given, "rate_per_s", CloudApi().rate_per_s),
-        lag_ms=_number(given, "lag_ms", CloudApi().lag_ms),
-        duties=_texts(given, "duties"),
+        address=_address(mapping, "address"),
+        rate_per_s=_number(mapping, "rate_per_s", CloudApi().rate_per_s),
+        lag_ms=_number(mapping, "lag_ms", CloudApi().lag_ms),
+        duties=_texts(mapping, "duties"),
     )
 
 
 def _numbers_from(kind: type[T], document: Mapping[str, Any], name: str) -> T:
     """Return a dataclass of numbers and flags with defaults, from the mapping of that name."""
-    given = _mapping(document, name)
+    mapping = _mapping(document, name)
     defaults = dataclasses.asdict(kind())  # type: ignore[call-overload]  # a dataclass
     values: dict[str, float] = {}
     for field_name, default in defaults.items():
         if isinstance(default, bool):
-            values[field_name] = _flag(given, field_name)
+            values[field_name] = _flag(mapping, field_name)
             continue
-        value = _number(given, field_name, default)
+        value = _number(mapping, field_name, default)
         values[field_name] = int(value) if isinstance(default, int) else value
     return kind(**values)
 
 
-def _number(given: Mapping[str, Any], name: str, default: float) -> float:
-    value = given.get(name)
+def _number(mapping: Mapping[str, Any], name: str, default: float) -> float:
+    value = mapping.get(name)
     if value is None:
         return default
     if isinstance(value, bool) or not isinstance(value, int | float):
@@ -236,15 +236,15 @@
     return float(value)
 
 
-def _flag(given: Mapping[str, Any], name: str) -> bool:
-    value = given.get(name, False)
+def _flag(mapping: Mapping[str, Any], name: str) -> bool:
+    value = mapping.get(name, False)
     if not isinstance(value, bool):
         raise SettingsError(f"{name}: {value!r} is neither true nor false")
     return value
 
 
-def _text(given: Mapping[str, Any], name: str, default: str | None = None) -> str:
-    value = given.get(name)
+def _text(mapping: Mapping[str, Any], name: str, default: str | None = None) -> str:
+    value = mapping.get(name)
     if value is None and default is not None:
         return default
     if value is None:
@@ -254,12 +254,12 @@
     return value
 
 
-def _texts(given: Mapping[str, Any], name: str) -> tuple[str, ...]:
-    return tuple(str(item) for item in _list(given, name))
+def _texts(mapping: Mapping[str, Any], name: str) -> tuple[str, ...]:
+    return tuple(str(item) for item in _list(mapping, name))
 
 
-def _list(given: Mapping[str, Any], name: str) -> list[Any]:
-    value = given.get(name)
+def _list(mapping: Mapping[str, Any], name: str) -> list[Any]:
+    value = mapping.get(name)
     if value is None:
         return []
     if not isinstance(value, list):
@@ -267,8 +267,8 @@
     return value
 
 
-def _mapping(given: Mapping[str, Any], name: str) -> Mapping[str, Any]:
-    value = given.get(name)
+def _mapping(mapping: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+    value = mapping.get(name)
     if value is None:
         return {}
     if not isinstance(value, dict):
@@ -276,13 +276,13 @@
     return value
 
 
-def _address(given: Mapping[str, Any], name: str) -> Address | None:
-    value = given.get(name)
+def _address(mapping: Mapping[str, Any], name: str) -> Address | None:
+    value = mapping.get(name)
     return None if value is None else _parse_address(value, name)
 
 
-def _addresses(given: Mapping[str, Any], name: str) -> tuple[Address, ...]:
-    return tuple(_parse_address(item, f"{name}[{index}]") for index, item in enumerate(_list(given, name)))
+def _addresses(mapping: Mapping[str, Any], name: str) -> tuple[Address, ...]:
+    return tuple(_parse_address(item, f"{name}[{index}]") for index, item in enumerate(_list(mapping, name)))
 
 
 def _parse_address(value: object, name: str) -> Address:
@@ -292,13 +292,13 @@
         raise SettingsError(f"{name}: {error}") from None
 
 
-def _host(given: Mapping[str, Any], name: str) -> str:
-    host = _text(given, name)
+def _host(mapping: Mapping[str, Any], name: str) -> str:
+    host = _text(mapping, name)
     return _parse_address(f"{host}:0", name)[0]
 
 
-def _ports(given: Mapping[str, Any], name: str) -> tuple[int, int]:
-    ports = _list(given, name)
+def _ports(mapping: Mapping[str, Any], name: str) -> tuple[int, int]:
+    ports = _list(mapping, name)
     numeric = all(isinstance(port, int) and not isinstance(port, bool) for port in ports)
     if len(ports) != PORT_RANGE_LENGTH or not numeric or not 0 < ports[0] <= ports[1] <= MAX_PORT:
         raise SettingsError(f"{name}: is not a first and a last port")
--- a/firvane/proxy/config/checks.py
+++ b/firvane/proxy/config/checks.py
@@ -56,9 +56,9 @@
         yield "repeats_dropped_for_s", f"has no effect: the class is {cls.repeat}, not keyed"
 
 
-def limits(given: Limits) -> Errors:
+def limits(section: Limits) -> Errors:
     try:
-        derive(given.memory_mb, given.sockets, given.cores)
+        derive(section.memory_mb, section.sockets, section.cores)
     except ValueError as error:
         key, _, reason = str(error).removeprefix("limits.").partition(" ")
         yield key.rstrip(":"), reason
@@ -74,30 +74,33 @@
     yield from _duplicates("addresses[{}]", tier.addresses, "address")
 
 
-def control(given: Control) -> Errors:
-    if given.most_ms < given.settle_ms:
-        yield "most_ms", f"is below settle_ms, {given.settle_ms:g}"
-    if given.keep_s < 2 * given.report_s:
-        yield "keep_s", f"is below two reports, {2 * given.report_s:g}: a receiver would expire between them"
+def control(section: Control) -> Errors:
+    if section.most_ms < section.settle_ms:
+        yield "most_ms", f"is below settle_ms, {section.settle_ms:g}"
+    if section.keep_s < 2 * section.report_s:
+        yield (
+            "keep_s",
+            f"is below two reports, {2 * section.report_s:g}: a receiver would expire between them",
+        )
 
 
-def recovery(given: Recovery) -> Errors:
-    if given.snapshot is not None:
-        yield from _folder_errors("snapshot", given.snapshot, Path(given.snapshot).absolute().parent)
+def recovery(section: Recovery) -> Errors:
+    if section.snapshot is not None:
+        yield from _folder_errors("snapshot", section.snapshot, Path(section.snapshot).absolute().parent)
 
 
-def _folder_errors(key: str, given: str, folder: Path) -> Errors:
+def _folder_errors(key: str, value: str, folder: Path) -> Errors:
     """Yield the reasons why a proxy cannot store files in a folder."""
     if find_spec("google_crc32c") is None:
         yield key, "needs additional packages: pip install 'firvane[snapshots]'"
     if not folder.is_dir():
-        yield key, f"is {given!r}, and there is no folder {folder}"
+        yield key, f"is {value!r}, and there is no folder {folder}"
     elif not os.access(folder, os.W_OK):
-        yield key, f"is {given!r}, and {folder} is not writable"
+        yield key, f"is {value!r}, and {folder} is not writable"
 
 
-def policy(given: PolicyTable) -> Errors:
-    yield from _folder_errors("folder", given.folder, Path(given.folder).absolute())
+def policy(section: PolicyTable) -> Errors:
+    yield from _folder_errors("folder", section.folder, Path(section.folder).absolute())
 
 
 def callers(classes: Sequence[RequestClass], tenants: Sequence[Tenant]) -> Errors:
--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -95,10 +95,10 @@
     )
 
 
-def _recovery(given: Recovery | None) -> api.RecoveryOptions | None:
-    if given is None:
+def _recovery(section: Recovery | None) -> api.RecoveryOptions | None:
+    if section is None:
         return None
-    return api.RecoveryOptions(given.trials, given.steps, given.first_tries, given.ask)
+    return api.RecoveryOptions(section.trials, section.steps, section.first_tries, section.ask)
 
 
 def _settings(file: File, zones: tuple[str, ...]) -> api.Settings:
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -54,8 +54,8 @@
     """Return the configuration in the JSON object of the file; raises `ValueError` that names the key."""
 
     def address(key: str, variable: str = "") -> Address:
-        given = [(environment.get(variable), variable), (data.get(key), key)]
-        (first, name), second = reversed(given) if again else given
+        candidates = [(environment.get(variable), variable), (data.get(key), key)]
+        (first, name), second = reversed(candidates) if again else candidates
         value, name = (first, name) if first else second
         try:
             return parse_address(value)
@@ -145,33 +145,33 @@
     )
 
 
-def _recovery(given: Any) -> api.RecoveryOptions | None:
+def _recovery(table: Any) -> api.RecoveryOptions | None:
     """Return the options of the recovery from a power loss; raises `ValueError` for a bad key."""
-    if given is None:
+    if table is None:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise ValueError("recovery is not an object")
     types: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
     types |= {"snapshot": str, "snapshot_every": (int, float)}
-    given = {key: value for key, value in given.items() if value is not None}
-    for key, value in given.items():
+    table = {key: value for key, value in table.items() if value is not None}
+    for key, value in table.items():
         if key not in types:
             raise ValueError(f"recovery.{key} is not one of {', '.join(sorted(types))}")
         in_range = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
         if not isinstance(value, types[key]) or not in_range:
             raise ValueError(f"recovery.{key} is {value!r}")
-    return api.RecoveryOptions(**{key: given[key] for key in given if types[key] is bool})
+    return api.RecoveryOptions(**{key: table[key] for key in table if types[key] is bool})
 
 
-def _policy(given: Any) -> PolicyOptions | None:
+def _policy(table: Any) -> PolicyOptions | None:
     """Return the options of the policy agreement, which the platform itself never sets.
 
     Raises:
         ValueError: A key is unknown, missing or invalid.
     """
-    if given is None:
+    if table is None:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise ValueError("policy is not an object")
     checks: dict[str, Callable[[Any], bool]] = {
         "folder": lambda value: isinstance(value, str) and bool(value),
@@ -182,40 +182,40 @@
         "trip_ms": is_number,
         "tell": lambda value: isinstance(value, bool),
     }
-    for key, value in given.items():
+    for key, value in table.items():
         if key not in checks:
             raise ValueError(f"policy.{key} is not one of {', '.join(sorted(checks))}")
         if not checks[key](value):
             raise ValueError(f"policy.{key} is {value!r}")
     for key in ("folder", "doors"):
-        if key not in given:
+        if key not in table:
             raise ValueError(f"policy.{key} is missing")
     try:
-        admin_addresses = tuple(map(parse_address, given["doors"]))
+        admin_addresses = tuple(map(parse_address, table["doors"]))
     except ValueError as error:
         raise ValueError(f"policy.doors: {error}") from None
     return PolicyOptions(
-        folder=given["folder"],
-        voters=tuple(given.get("voters", (0, 1, 2))),
+        folder=table["folder"],
+        voters=tuple(table.get("voters", (0, 1, 2))),
         admin_addresses=admin_addresses,
-        serve_without_lease=given.get("without_lease") == "serve",
-        lease_duration_s=float(given.get("lease_s", PolicyOptions.lease_duration_s)),
-        max_round_trip_s=given.get("trip_ms", 1000 * PolicyOptions.max_round_trip_s) / 1000,
-        sends_epoch=given.get("tell", PolicyOptions.sends_epoch),
+        serve_without_lease=table.get("without_lease") == "serve",
+        lease_duration_s=float(table.get("lease_s", PolicyOptions.lease_duration_s)),
+        max_round_trip_s=table.get("trip_ms", 1000 * PolicyOptions.max_round_trip_s) / 1000,
+        sends_epoch=table.get("tell", PolicyOptions.sends_epoch),
     )
 
 
-def _log(environment: Mapping[str, str], given: Any) -> dict[str, str]:
+def _log(environment: Mapping[str, str], table: Any) -> dict[str, str]:
     """Return level and format of the log: of the file, else of the environment, else the defaults.
 
     Raises:
         ValueError: A level or a format is unknown.
     """
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise ValueError("log is not an object")
     options = {}
     for key, allowed in (("level", tuple(LEVELS)), ("format", FORMATS)):
-        value = given.get(key)
+        value = table.get(key)
         options[key] = str(
             value or environment.get(f"FIRVANE_LOG_{key.upper()}") or getattr(Config, f"log_{key}")
         )
