--- a/firvane/admin/fleet_commands.py
+++ b/firvane/admin/fleet_commands.py
@@ -63,12 +63,12 @@
     :param rounds: how often all addresses are tried
     :param json: print one JSON object
     """
-    found = _query_parts(parse_addresses(addresses), rounds, json)
+    reports = _query_parts(parse_addresses(addresses), rounds, json)
     if json:
-        _print_json({"parts": found})
+        _print_json({"parts": reports})
     else:
-        print(parts_table(found))
-    unowned = [part.part for part in found if not part.owned]
+        print(parts_table(reports))
+    unowned = [part.part for part in reports if not part.owned]
     for number in unowned:
         print_error(f"part {number}: has no owner that can be reached", DEGRADED)
     return DEGRADED if unowned else DONE
@@ -83,12 +83,12 @@
     """
     first = _query(parse_addresses(addresses), MEMBERS_PATH, read_members, rounds, json)
     answers = [first, *_query_others(other_controllers(first), MEMBERS_PATH, read_members)]
-    found = merge_versions(answers)
+    report = merge_versions(answers)
     if json:
-        _print_json(found)
+        _print_json(report)
     else:
-        print(behind_text(found))
-    return DONE if found.is_current else DEGRADED
+        print(behind_text(report))
+    return DONE if report.is_current else DEGRADED
 
 
 def hand_over(
@@ -105,14 +105,14 @@
     if to is not None:
         _check_address(to)
     all_parts = _query_parts(parse_addresses(addresses), rounds, json)
-    found = next((candidate for candidate in all_parts if candidate.part == part), None)
-    if found is None:
+    target = next((candidate for candidate in all_parts if candidate.part == part), None)
+    if target is None:
         return print_error(f"there is no part {part}", REFUSED)
-    if not found.owned or found.owner_control is None:
+    if not target.owned or target.owner_control is None:
         return print_error(f"part {part}: has no owner that can be reached", NO_ANSWER)
-    order = msgspec.json.encode(HandOverRequest(part, found.term, to))
+    order = msgspec.json.encode(HandOverRequest(part, target.term, to))
     failover = CallFailover(
-        [parse_address(found.owner_control), *parse_addresses(addresses)], HAND_OVER_PATH, rounds
+        [parse_address(target.owner_control), *parse_addresses(addresses)], HAND_OVER_PATH, rounds
     )
     outcome = call(failover, Request("POST", order, {"Content-Type": "application/json"}))
     return _print_hand_over(outcome, json)
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -47,11 +47,11 @@
 @click.argument("config", type=click.Path())
 @click.argument("policy", type=click.Path())
 def found(config: str, policy: str) -> None:
-    """Begin: make the votes of epoch 1, with POLICY in force, in the folder that CONFIG's [policy] names.
+    """Create the votes of epoch 1, with POLICY in force, in the folder that CONFIG's [policy] names.
 
-    Once on each voter, with the same POLICY on all, before the tier starts for the first time. A voter that
-    has lost its folder is not founded again: it starts without it and learns from the others. Exit code 1
-    where there are votes already.
+    Run this once on each voter, with the same POLICY, before the first start of the tier. Do not run it for
+    a voter that has lost its folder: it starts without one and learns from the others. Exit code 1 if there
+    are votes already.
     """
     from firvane.proxy.config.policy import settings
     from firvane.proxy.policy_text import digest_of
@@ -106,13 +106,13 @@
 @command.command("propose")
 @click.argument("file", type=click.Path())
 @AT
-@click.option("--voters", metavar="N,N,...", help="who votes from then on; else as FILE says, or as before")
+@click.option("--voters", metavar="N,N,...", help="the new voters; default: those in FILE, or no change")
 @click.option(
     "--timeout", type=click.FloatRange(0, 86_400), default=60.0, show_default=True, help="s to wait"
 )
 @click.pass_context
 def propose(ctx: click.Context, file: str, at: str, voters: str | None, timeout: float) -> None:
-    """Put the policy in FILE in force on all proxies, and wait until that is done or has failed.
+    """Put the policy in FILE in force on all proxies, and wait until this has succeeded or failed.
 
     Exit code 0: it is in force. 1: it has failed, and is in force nowhere. 3: not known yet; the same FILE
     proposed again is the same change and not a second one. 2: FILE is of no use.
@@ -267,7 +267,7 @@
 @click.argument("doors", nargs=-1, required=True, metavar="ADDRESS...")
 @click.pass_context
 def status(ctx: click.Context, doors: tuple[str, ...]) -> None:
-    """Which policy is in force, who votes, who is awaited and until when, as the proxy at ADDRESS knows it.
+    """Show the policy in force, the voters, and the awaited proxies with deadlines, as known at ADDRESS.
 
     Exit code 1 where a proxy does not answer or has no [policy].
     """
@@ -280,7 +280,7 @@
 @click.argument("address")
 @click.pass_context
 def history(ctx: click.Context, address: str) -> None:
-    """The policies that have been in force, as the proxy at ADDRESS has learnt of them."""
+    """Show the policies that have been in force, as far as the proxy at ADDRESS knows them."""
     from firvane.cli import admin_connection
 
     ctx.exit(admin_connection.show("policy history", [address], "policy-history"))
@@ -290,7 +290,7 @@
 @click.argument("a")
 @click.argument("b")
 def diff(a: str, b: str) -> None:
-    """What differs between the policies A and B, key by key: files, or an ADDRESS: the one in force there."""
+    """Show the differences of the policies A and B: files, or an ADDRESS for the one in force there."""
     first, second = _resolve(a), _resolve(b)
     for line in list(differences(first, second)) or ["the same"]:
         click.echo(plain(line))
--- a/firvane/cli/recovery.py
+++ b/firvane/cli/recovery.py
@@ -19,9 +19,9 @@
 @click.argument("doors", nargs=-1, required=True, metavar="ADDRESS...")
 @click.pass_context
 def status(ctx: click.Context, doors: tuple[str, ...]) -> None:
-    """State, why, for how long, what was trusted and from whom, of each proxy whose `ops` is at ADDRESS.
+    """Show the state of recovery, its reason, age and sources, of each proxy whose `ops` is at ADDRESS.
 
-    Exit code 1 where a proxy does not answer or has no recovery, 2 for what is no address.
+    Exit code 1 if a proxy does not answer or has no recovery, 2 for an invalid address.
     """
     from firvane.cli import admin_connection
 
--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -30,17 +30,17 @@
 
 @click.group("rollout", context_settings={"help_option_names": ["-h", "--help"]})
 def command() -> None:
-    """Replace a tier's proxies in stages, old and new side by side, and stop where the new ones do worse.
+    """Replace a tier's proxies in stages, compare old and new ones, and stop where the new ones are worse.
 
-    Each proxy's place has a keeper (`place`). One controller (`run`) carries out a plan; it may be killed at
-    any time and started again by anyone who has the course's file.
+    Each proxy runs in a place, under a supervisor (`place`). A controller (`run`) executes a plan; it may
+    be killed at any time, and a new one continues from the file of the course.
 
     \b
     Examples:
-      firvane rollout place proxy-0.toml        the keeper of one place, until SIGTERM
+      firvane rollout place proxy-0.toml        the supervisor of one place, until SIGTERM
       firvane check roll.toml
-      firvane rollout run roll.toml             exit code 0: done; 1: went back; 3: paused or cannot tell
-      firvane rollout back roll.toml            send it back; also pause, go, status
+      firvane rollout run roll.toml             exit code 0: done; 1: rolled back; 3: paused or unknown
+      firvane rollout back roll.toml            roll it back; also pause, go, status
       firvane rollout report roll.toml --html roll.html
     """
 
@@ -48,10 +48,10 @@
 @command.command("place")
 @click.argument("file", type=click.Path())
 def place(file: str) -> int:
-    """Keep one place by FILE: hold its listening socket, start its proxy, replace it when called.
+    """Supervise the place in FILE: hold its listening socket, start its proxy, and replace it on request.
 
-    SIGTERM ends the place with its processes. Where the keeper alone is killed they serve on, and the keeper
-    that is started next takes them over.
+    SIGTERM ends the place with its processes. If only the supervisor is killed they continue to serve, and
+    the next supervisor takes them over.
     """
     from firvane.core import logs
     from firvane.proxy.rollout import supervisor
@@ -62,11 +62,11 @@
 @command.command("run")
 @PLAN_ARGUMENT
 @COURSE_OPTION
-@click.option("--take-over", is_flag=True, help="have the course although another controller holds it")
+@click.option("--take-over", is_flag=True, help="take the course over from another controller")
 @click.option("--no-wait", is_flag=True, help="end with exit code 3 at a pause")
 @click.pass_context
 def run(ctx: click.Context, plan: str, course: str | None, take_over: bool, no_wait: bool) -> None:
-    """Carry out PLAN, or go on with it, until it is done, has gone back, or is given up."""
+    """Start or continue PLAN, until it is done, rolled back or given up."""
     from firvane.core.checksum import DamagedDataError
     from firvane.proxy.rollout.errors import ControllerStoppedError, OwnershipLostError
 
@@ -126,7 +126,7 @@
 @COURSE_OPTION
 @click.pass_context
 def status(ctx: click.Context, plan: str, course: str | None) -> None:
-    """Tell where the roll of PLAN is, who carries it out, and what each place says."""
+    """Show the state of the rollout of PLAN, its controller, and the state of each place."""
     from firvane.cli import admin_connection
     from firvane.proxy.rollout import supervisor_calls
 
@@ -150,7 +150,7 @@
             if answer.get("failed", "-") != "-":
                 text += f"; failed: {answer['failed']}"
         except (OSError, ValueError) as error:
-            text = f"its keeper does not answer: {error}"
+            text = f"its supervisor does not answer: {error}"
         click.echo(plain(f"  {slot.name} ({slot.zone}): {text}"))
     ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
@@ -167,9 +167,9 @@
         _send_command(ctx, plan, _open_files(plan, course), OperatorCommand(name))
 
 
-_add_command("pause", "Let the roll of PLAN go no further for now; places stay as they are.")
-_add_command("go", "Let a paused roll of PLAN go on.")
-_add_command("back", "Send the roll of PLAN back: each place gets the old version again, in steps.")
+_add_command("pause", "Pause the rollout of PLAN; places stay as they are.")
+_add_command("go", "Continue a paused rollout of PLAN.")
+_add_command("back", "Roll PLAN back: each place gets the old version again, in steps.")
 
 
 def _send_command(ctx: click.Context, plan: str, files: RolloutFiles, requested: OperatorCommand) -> NoReturn:
@@ -200,7 +200,7 @@
 @click.option("--html", type=click.Path(), help="write a page with plots there")
 @click.pass_context
 def report(ctx: click.Context, plan: str, course: str | None, html: str | None) -> None:
-    """Tell what came to pass, with old and new side by side for each stage, and why it stopped."""
+    """Show the events, a comparison of old and new for each stage, and why the rollout stopped."""
     from firvane.cli import rollout_report
     from firvane.core.atomic_write import write_atomically
 
