--- a/firvane/__main__.py
+++ b/firvane/__main__.py
@@ -26,8 +26,8 @@
 
 from firvane.core.logs import Log, LoggingBridge
 from firvane.core.worker_threads import start_loop_threads
-from firvane.proxy.config.node import Config
 from firvane.proxy.config.platform import read_config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.proxy import Proxy
 
--- a/firvane/cli/policy.py
+++ b/firvane/cli/policy.py
@@ -17,8 +17,8 @@
 from firvane.core.printable import plain
 
 if TYPE_CHECKING:
-    from firvane.proxy.config.node import Config
     from firvane.proxy.config.policy import Policy
+    from firvane.proxy.config.proxy_config import Config
 
 EXIT_FAILED = 1
 EXIT_UNKNOWN = 3
@@ -158,7 +158,7 @@
 def _proposal(digest: bytes, voters: str | None) -> str:
     """Return the call that proposes a text; raises `InvalidInputError` for invalid voters."""
     from firvane.proxy.admin_api import calls
-    from firvane.proxy.config.node import voter_errors
+    from firvane.proxy.config.proxy_config import voter_errors
 
     line = f"{calls.Call.POLICY_PROPOSE.value} {digest.hex()}" + (f" {voters}" if voters is not None else "")
     try:
--- a/firvane/proxy/config/file.py
+++ b/firvane/proxy/config/file.py
@@ -11,7 +11,7 @@
 from firvane.core.address import parse_address
 from firvane.proxy.config.checks import CHECKS
 from firvane.proxy.config.model import File, Recovery, RequestClass, TargetGroup
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 
 TICK = 0.005  # s: precision with which deadlines are met, apart from the lag of the event loop
 REPEATS = {"safe": api.Idempotency.SAFE, "keyed": api.Idempotency.KEYED, "unsafe": api.Idempotency.UNSAFE}
--- a/firvane/proxy/config/model.py
+++ b/firvane/proxy/config/model.py
@@ -11,7 +11,7 @@
 from msgspec import Meta, Struct
 
 from firvane.core.address import parse_address
-from firvane.proxy.config.node import MAX_VOTERS, PolicyOptions
+from firvane.proxy.config.proxy_config import MAX_VOTERS, PolicyOptions
 
 OCTET = "(25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])"
 PORT = "([0-9]{1,4}|[1-5][0-9]{4}|6[0-4][0-9]{3}|65[0-4][0-9]{2}|655[0-2][0-9]|6553[0-5])"
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -10,7 +10,7 @@
 from firvane.core import interface as api
 from firvane.core.address import Address, parse_address
 from firvane.core.logs import FORMATS, LEVELS
-from firvane.proxy.config.node import Config, PolicyOptions
+from firvane.proxy.config.proxy_config import Config, PolicyOptions
 from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS
 from firvane.proxy.limits.memory_costs import derive
 from firvane.proxy.settings import MAX_SHOWN_CHARS, is_number, parse_settings, shape
--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -23,8 +23,7 @@
 
 from firvane.core import interface as api
 from firvane.core import validation
-from firvane.proxy.config import checks
-from firvane.proxy.config import node as node_config
+from firvane.proxy.config import checks, proxy_config
 from firvane.proxy.config.file import REPEATS, request_class
 from firvane.proxy.config.model import Limits, Part, RequestClass, Rules, Tenant, Voters, described
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
@@ -101,7 +100,7 @@
         yield "", "says nothing: it has none of " + ", ".join(policy.__struct_fields__)
     yield from checks.callers(policy.classes or (), policy.tenants or ())
     if policy.voters:
-        yield from node_config.voter_errors(policy.voters, max(policy.voters) + 1)
+        yield from proxy_config.voter_errors(policy.voters, max(policy.voters) + 1)
 
 
 CHECKS: validation.Checks = {RequestClass: checks.request_class, Policy: policy_errors}
@@ -125,7 +124,7 @@
     if policy.voters:
         violations = [
             validation.Violation(name, key, why)
-            for key, why in node_config.voter_errors(policy.voters, base.proxies)
+            for key, why in proxy_config.voter_errors(policy.voters, base.proxies)
         ]
         if violations:
             raise validation.ValidationError(violations)
--- a/firvane/proxy/config/reload.py
+++ b/firvane/proxy/config/reload.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from firvane.core.interface import Settings
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.settings_reload import fields_needing_restart
 
 RESTART_KEYS = ("listen", "peers", "ops")  # changes of these need a restart
--- a/firvane/proxy/control/main.py
+++ b/firvane/proxy/control/main.py
@@ -18,7 +18,7 @@
 from firvane.proxy.config.file import build_config
 from firvane.proxy.config.model import Control as ControlSettings
 from firvane.proxy.config.model import File
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.control.certificates import TlsFileError
 from firvane.proxy.control.service import Control
 
--- a/firvane/proxy/control/service.py
+++ b/firvane/proxy/control/service.py
@@ -17,7 +17,7 @@
 from firvane.core import interface as api
 from firvane.core import logs
 from firvane.proxy.config.model import Control as ControlSettings
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.control import stream_codec
 from firvane.proxy.control.ads import MAX_REQUEST_BYTES, DiscoveryServer, Session
 from firvane.proxy.control.catalog import differences
--- a/firvane/proxy/proxy.py
+++ b/firvane/proxy/proxy.py
@@ -15,7 +15,7 @@
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import AdminCall, Call
 from firvane.proxy.admin_api.lifecycle import Event, State
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.config.reload import changes_needing_restart, check_open_flows, check_required_keys
 from firvane.proxy.extensions import PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.descriptors import Use
--- a/firvane/proxy/proxy_parts.py
+++ b/firvane/proxy/proxy_parts.py
@@ -23,7 +23,7 @@
 from firvane.proxy.admin_api.server import ADMIN_DESCRIPTORS, AdminServer
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity.excluded_servers import count_excluded
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.extensions import POLICY_DESCRIPTORS, PolicyAgreement, SnapshotStore
 from firvane.proxy.limits.discovery_timing import DiscoveryBackoff
 from firvane.proxy.limits.memory_account import MemoryUse
--- a/firvane/proxy/quorum/driver.py
+++ b/firvane/proxy/quorum/driver.py
@@ -23,7 +23,7 @@
 
 from firvane.proxy.admin_api import calls
 from firvane.proxy.admin_api.calls import AdminCall
-from firvane.proxy.config.node import PolicyOptions
+from firvane.proxy.config.proxy_config import PolicyOptions
 from firvane.proxy.quorum import events
 from firvane.proxy.quorum.admin_calls import AdminCalls
 from firvane.proxy.quorum.events import Event
--- a/firvane/proxy/quorum/host.py
+++ b/firvane/proxy/quorum/host.py
@@ -9,7 +9,7 @@
 from firvane.core import interface as api
 from firvane.core.logs import Log
 from firvane.core.net.dialer import Dialer
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 
 
 class PeerTransport(Protocol):
--- a/firvane/proxy/quorum/text_library.py
+++ b/firvane/proxy/quorum/text_library.py
@@ -13,7 +13,7 @@
 from firvane.core import interface as api
 from firvane.core.validation import ValidationError
 from firvane.proxy.config import policy as policies
-from firvane.proxy.config.node import PolicyOptions
+from firvane.proxy.config.proxy_config import PolicyOptions
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum.host import Host
 from firvane.proxy.quorum.store import HISTORY_LIMIT, Store
--- a/firvane/simulation/runner/virtual_proxy.py
+++ b/firvane/simulation/runner/virtual_proxy.py
@@ -15,7 +15,7 @@
 from firvane.core.net.connection_checks import NoInputCheck, always_true
 from firvane.core.net.dialer import Dialing
 from firvane.core.terminations import Termination
-from firvane.proxy.config.node import Config
+from firvane.proxy.config.proxy_config import Config
 from firvane.proxy.net.listening_socket import ConnectionFactory, LoopAcceptor
 from firvane.proxy.net.resource_monitor import Usage
 from firvane.proxy.proxy import Proxy
--- a/tests/proxy/config/test_file.py
+++ b/tests/proxy/config/test_file.py
@@ -22,8 +22,8 @@
 from firvane.proxy.config.checks import CHECKS
 from firvane.proxy.config.file import build_config
 from firvane.proxy.config.model import File
-from firvane.proxy.config.node import Config
 from firvane.proxy.config.platform import read_config
+from firvane.proxy.config.proxy_config import Config
 from firvane.simulation.emulation.checks import CHECKS as SCENARIO_CHECKS
 from firvane.simulation.emulation.scenario import Scenario
 from tests.proxy.config.samples import CONFIG, SCENARIO
--- a/tests/proxy/config/test_policy.py
+++ b/tests/proxy/config/test_policy.py
@@ -15,9 +15,9 @@
 from firvane.core import interface as api
 from firvane.core import validation
 from firvane.proxy.config import policy as module
-from firvane.proxy.config.node import MAX_VOTERS, PolicyOptions
 from firvane.proxy.config.platform import read_config
 from firvane.proxy.config.policy import Policy, parse, render, settings
+from firvane.proxy.config.proxy_config import MAX_VOTERS, PolicyOptions
 from firvane.proxy.policy_text import MAX_TEXT_BYTES
 from firvane.proxy.quorum import types
 from tests.helpers import settings as plain
--- a/tests/proxy/quorum/virtual_tier.py
+++ b/tests/proxy/quorum/virtual_tier.py
@@ -10,7 +10,7 @@
 
 from firvane.proxy.admin_api import calls
 from firvane.proxy.config import policy as policies
-from firvane.proxy.config.node import Config, PolicyOptions
+from firvane.proxy.config.proxy_config import Config, PolicyOptions
 from firvane.proxy.policy_text import digest_of
 from firvane.proxy.quorum.store import bootstrap
 from firvane.proxy.settings import parse_settings
