--- a/firvane/proxy/config/policy.py
+++ b/firvane/proxy/config/policy.py
@@ -123,8 +123,8 @@
     """
     if policy.voters:
         violations = [
-            validation.Violation(name, key, why)
-            for key, why in proxy_config.voter_errors(policy.voters, base.proxies)
+            validation.Violation(name, key, reason)
+            for key, reason in proxy_config.voter_errors(policy.voters, base.proxies)
         ]
         if violations:
             raise validation.ValidationError(violations)
