--- a/tests/crossings/mutants/ends.py
+++ b/tests/crossings/mutants/ends.py
@@ -20,15 +20,15 @@
     Mutant(
         "an order in the start is not lost",
         MAIN,
-        "    process_signals.block()  # before all that takes time",
-        "    pass  # before all that takes time",
+        "    process_signals.block()  # before the imports",
+        "    pass  # before the imports",
         f"{ENDS}test_a_new_configuration_while_the_first_is_read_is_taken_in",
     ),
     Mutant(
         "SIGTERM in the start ends it in order",
         MAIN,
-        "    process_signals.block()  # before all that takes time",
-        "    pass  # before all that takes time",
+        "    process_signals.block()  # before the imports",
+        "    pass  # before the imports",
         f"{ENDS}test_an_order_to_end_in_the_start_is_obeyed_in_order",
     ),
     Mutant(
