--- a/firvane/cli/rollout.py
+++ b/firvane/cli/rollout.py
@@ -1,7 +1,7 @@
-"""`firvane rollout`: another version of the program or its settings, in stages, stopped where it does worse.
+"""`firvane rollout`: deploys a version of the proxy or its settings in stages, and stops if it is worse.
 
-Exit codes: 0 done; 1 it went back, or was given up; 2 bad usage or a file of no use; 3 it is paused or under
-way, or nobody can tell.
+Exit codes: 0 done; 1 rolled back or given up; 2 bad usage or an invalid file; 3 paused, in progress, or
+unknown.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import click
 
-from firvane.cli import Bad
+from firvane.cli import InvalidInputError
 from firvane.core.printable import plain
 
 if TYPE_CHECKING:
@@ -30,17 +30,17 @@
 
 @click.group("rollout", context_settings={"help_option_names": ["-h", "--help"]})
 def command() -> None:
-    """Replace a tier's proxies in stages, old and new side by side, and stop where the new ones do worse.
+    """Replace a tier's proxies in stages, compare old and new ones, and stop where the new ones are worse.
 
-    Each proxy's place has a keeper (`place`). One controller (`run`) carries out a plan; it may be killed at
-    any time and started again by anyone who has the course's file.
+    Each proxy runs in a place, under a supervisor (`place`). A controller (`run`) executes a plan; it may
+    be killed at any time, and a new one continues from the file of the course.
 
     \b
     Examples:
-      firvane rollout place proxy-0.toml        the keeper of one place, until SIGTERM
+      firvane rollout place proxy-0.toml        the supervisor of one place, until SIGTERM
       firvane check roll.toml
-      firvane rollout run roll.toml             exit code 0: done; 1: went back; 3: paused or cannot tell
-      firvane rollout back roll.toml            send it back; also pause, go, status
+      firvane rollout run roll.toml             exit code 0: done; 1: rolled back; 3: paused or unknown
+      firvane rollout back roll.toml            roll it back; also pause, go, status
       firvane rollout report roll.toml --html roll.html
     """
 
@@ -48,10 +48,10 @@
 @command.command("place")
 @click.argument("file", type=click.Path())
 def place(file: str) -> int:
-    """Keep one place by FILE: hold its listening socket, start its proxy, replace it when called.
+    """Supervise the place in FILE: hold its listening socket, start its proxy, and replace it on request.
 
-    SIGTERM ends the place with its processes. Where the keeper alone is killed they serve on, and the keeper
-    that is started next takes them over.
+    SIGTERM ends the place with its processes. If only the supervisor is killed they continue to serve, and
+    the next supervisor takes them over.
     """
     from firvane.core import logs
     from firvane.proxy.rollout import supervisor
@@ -62,38 +62,42 @@
 @command.command("run")
 @PLAN_ARGUMENT
 @COURSE_OPTION
-@click.option("--take-over", is_flag=True, help="have the course although another controller holds it")
+@click.option("--take-over", is_flag=True, help="take the course over from another controller")
 @click.option("--no-wait", is_flag=True, help="end with exit code 3 at a pause")
 @click.pass_context
 def run(ctx: click.Context, plan: str, course: str | None, take_over: bool, no_wait: bool) -> None:
-    """Carry out PLAN, or go on with it, until it is done, has gone back, or is given up."""
+    """Start or continue PLAN, until it is done, rolled back or given up."""
     from firvane.core.checksum import DamagedDataError
     from firvane.proxy.rollout.errors import ControllerStoppedError, OwnershipLostError
 
     parsed, digest = _read_plan(plan)
     files = _open_files(plan, course)
-    again = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
+    resume_command = f"firvane rollout run {plan}" + (f" --course {course}" if course else "")
     try:
         files.acquire(take_over)
         state = _control(parsed, digest, files, not no_wait)
         stored = files.read_state()
     except OwnershipLostError as error:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; its words count, and this one has ended")
+        _exit(
+            ctx,
+            EXIT_UNKNOWN,
+            f"{plan}: cannot tell: {error}; that controller owns the rollout now, and this one has ended",
+        )
     except ControllerStoppedError as error:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {again}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell: {error}; go on: {resume_command}")
     except (DamagedDataError, OSError) as error:
         _exit(ctx, EXIT_UNKNOWN, f"{plan}: cannot tell where the roll is: {files.path}: {error}")
     except ValueError as error:
-        raise Bad(f"{plan}: {error}") from None
+        raise InvalidInputError(f"{plan}: {error}") from None
     finally:
         files.release()
     if state is None:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: left under way, places stay as they are; go on: {again}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: left under way, places stay as they are; go on: {resume_command}")
     _exit(ctx, _exit_code(state), f"{plan}: {_describe(stored)}")
 
 
 def _control(plan: Plan, digest: str, files: RolloutFiles, waits: bool) -> RolloutState | None:
-    """Run a controller until the rollout ends; None where SIGTERM or SIGINT came before."""
+    """Run a controller until the rollout ends; None if SIGTERM or SIGINT ends it earlier."""
     import asyncio
     import signal
 
@@ -122,7 +126,7 @@
 @COURSE_OPTION
 @click.pass_context
 def status(ctx: click.Context, plan: str, course: str | None) -> None:
-    """Tell where the roll of PLAN is, who carries it out, and what each place says."""
+    """Show the state of the rollout of PLAN, its controller, and the state of each place."""
     from firvane.cli import admin_connection
     from firvane.proxy.rollout import supervisor_calls
 
@@ -130,12 +134,14 @@
     files = _open_files(plan, course)
     stored = _read_stored(ctx, plan, files)
     if stored and stored.plan != digest:
-        raise Bad(f"{plan}: {files.path} is the course of another plan, or this one was changed since")
-    holder = files.owner()
-    who = f"process {holder} carries it out" if holder else "nobody carries it out now"
-    click.echo(plain(f"{plan}: {_describe(stored)}; {who}"))
-    doors = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
-    for slot, address in zip(parsed.place, doors, strict=True):
+        raise InvalidInputError(
+            f"{plan}: {files.path} is the course of another plan, or this one was changed since"
+        )
+    owner_pid = files.owner()
+    owner_text = f"process {owner_pid} carries it out" if owner_pid else "nobody carries it out now"
+    click.echo(plain(f"{plan}: {_describe(stored)}; {owner_text}"))
+    supervisor_addresses = admin_connection.addresses("rollout status", [slot.door for slot in parsed.place])
+    for slot, address in zip(parsed.place, supervisor_addresses, strict=True):
         try:
             answer = supervisor_calls.parse_status(
                 admin_connection.call(address, supervisor_calls.format_call(supervisor_calls.Command.STATUS))
@@ -144,7 +150,7 @@
             if answer.get("failed", "-") != "-":
                 text += f"; failed: {answer['failed']}"
         except (OSError, ValueError) as error:
-            text = f"its keeper does not answer: {error}"
+            text = f"its supervisor does not answer: {error}"
         click.echo(plain(f"  {slot.name} ({slot.zone}): {text}"))
     ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
@@ -161,31 +167,31 @@
         _send_command(ctx, plan, _open_files(plan, course), OperatorCommand(name))
 
 
-_add_command("pause", "Let the roll of PLAN go no further for now; places stay as they are.")
-_add_command("go", "Let a paused roll of PLAN go on.")
-_add_command("back", "Send the roll of PLAN back: each place gets the old version again, in steps.")
+_add_command("pause", "Pause the rollout of PLAN; places stay as they are.")
+_add_command("go", "Continue a paused rollout of PLAN.")
+_add_command("back", "Roll PLAN back: each place gets the old version again, in steps.")
 
 
 def _send_command(ctx: click.Context, plan: str, files: RolloutFiles, requested: OperatorCommand) -> NoReturn:
-    """Leave a command for the rollout, and wait until its owner has received it."""
+    """Store a command for the rollout, and wait until its owner has received it."""
     import time
 
     from firvane.proxy.rollout.rollout_state import FINAL_STATES
 
     stored = _read_stored(ctx, plan, files)
     if stored and stored.state in FINAL_STATES:
-        _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} says nothing any more: {_describe(stored)}")
+        _exit(ctx, EXIT_UNKNOWN, f"{plan}: {requested.value} has no effect any more: {_describe(stored)}")
     files.write_command(requested)
     until = time.monotonic() + COMMAND_TIMEOUT_S
-    waits = f"{plan}: {requested.value} waits"
+    pending = f"{plan}: {requested.value} waits"
     while files.command_path.exists():
         if not files.owner():
             reason = f"nobody carries the roll out: firvane rollout run {plan}"
-            _exit(ctx, EXIT_UNKNOWN, f"{waits}, and {reason}")
+            _exit(ctx, EXIT_UNKNOWN, f"{pending}, and {reason}")
         if time.monotonic() > until:
-            _exit(ctx, EXIT_UNKNOWN, f"{waits}: process {files.owner()} has not heard it yet")
+            _exit(ctx, EXIT_UNKNOWN, f"{pending}: process {files.owner()} has not received it yet")
         time.sleep(POLL_INTERVAL_S)
-    _exit(ctx, 0, f"{plan}: heard; {_describe(files.read_state())}")
+    _exit(ctx, 0, f"{plan}: received; {_describe(files.read_state())}")
 
 
 @command.command("report")
@@ -194,18 +200,18 @@
 @click.option("--html", type=click.Path(), help="write a page with plots there")
 @click.pass_context
 def report(ctx: click.Context, plan: str, course: str | None, html: str | None) -> None:
-    """Tell what came to pass, with old and new side by side for each stage, and why it stopped."""
+    """Show the events, a comparison of old and new for each stage, and why the rollout stopped."""
     from firvane.cli import rollout_report
     from firvane.core.atomic_write import write_atomically
 
     _read_plan(plan)
     files = _open_files(plan, course)
     stored = _read_stored(ctx, plan, files)
-    gathered = rollout_report.gather(plan, f"{_describe(stored)}", files.read_events())
-    for line in rollout_report.render_text(gathered):
+    report_data = rollout_report.gather(plan, f"{_describe(stored)}", files.read_events())
+    for line in rollout_report.render_text(report_data):
         click.echo(plain(line))
     if html:
-        write_atomically(html, rollout_report.render_html(gathered).encode())
+        write_atomically(html, rollout_report.render_html(report_data).encode())
     ctx.exit(_exit_code(stored.state) if stored else EXIT_UNKNOWN)
 
 
@@ -216,7 +222,7 @@
     from firvane.core import validation
     from firvane.proxy.rollout import plan
 
-    validation.load(file)  # tells a file that cannot be read, or is too long, as all others are told
+    validation.load(file)  # reports an unreadable or too large file like the other commands do
     text = Path(file).read_bytes()
     return plan.parse(text, file), plan.digest(text)
 
@@ -227,7 +233,9 @@
     try:
         module = import_module("firvane.proxy.rollout.rollout_files")
     except ModuleNotFoundError:
-        raise Bad("rolls need more than a proxy does: pip install 'firvane[snapshots]'") from None
+        raise InvalidInputError(
+            "rollouts need additional packages: pip install 'firvane[snapshots]'"
+        ) from None
     opened: RolloutFiles = module.RolloutFiles(course or f"{plan}.course")
     return opened
 
--- a/firvane/cli/serve.py
+++ b/firvane/cli/serve.py
@@ -1,4 +1,4 @@
-"""`firvane serve`: one proxy from `firvane.toml`."""
+"""`firvane serve`: runs one proxy with the configuration in a `firvane.toml`."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def command(ctx: click.Context, file: str) -> None:
     """Run one proxy, in the foreground, from the configuration in FILE.
 
-    SIGTERM ends it in order: clients that it has are served, what is out is finished. SIGHUP reads FILE anew:
-    a static list of targets, or discovery's address, takes effect at once; a FILE of no use changes nothing.
+    SIGTERM shuts it down gracefully: open requests are finished. SIGHUP reloads FILE: a static list of
+    targets, or the address of discovery, takes effect at once; an invalid FILE changes nothing.
     The log goes to standard error.
 
     \b
@@ -25,23 +25,23 @@
     from firvane.core import process_signals
     from firvane.proxy import native
 
-    process_signals.block()  # until the proxy listens for signals: one that comes in its start is not lost
-    native.activate()  # before anything that is compiled is imported
+    process_signals.block()  # until the proxy handles signals, so that one during the start is not lost
+    native.activate()  # before any compiled module is imported
 
     from firvane.__main__ import serve
-    from firvane.cli.descriptor_limit import make_room
+    from firvane.cli.descriptor_limit import raise_limit
     from firvane.proxy.config.file import read_file
 
     config = read_file(file)
-    make_room(file, config.sockets)
-    keeper = None
+    raise_limit(file, config.sockets)
+    snapshot_store = None
     if config.snapshot:
         from firvane.proxy.snapshots.file import SnapshotStore
 
-        keeper = partial(SnapshotStore, config.snapshot, config.name)
-    agreement = None
+        snapshot_store = partial(SnapshotStore, config.snapshot, config.name)
+    policy_agreement = None
     if config.policy:
         from firvane.proxy.quorum.driver import PolicyConsensus
 
-        agreement = PolicyConsensus
-    ctx.exit(serve(config, partial(read_file, file), keeper, agreement))
+        policy_agreement = PolicyConsensus
+    ctx.exit(serve(config, partial(read_file, file), snapshot_store, policy_agreement))
--- a/firvane/proxy/config/platform.py
+++ b/firvane/proxy/config/platform.py
@@ -1,4 +1,4 @@
-"""The platform's configuration: the environment and a JSON file, into what one proxy is told at its start."""
+"""Reads the configuration of one proxy from the environment and the JSON file of the platform."""
 
 from __future__ import annotations
 
@@ -10,20 +10,24 @@
 from firvane.core import interface as api
 from firvane.core.address import Address, parse_address
 from firvane.core.logs import FORMATS, LEVELS
-from firvane.proxy.config.node import Config, PolicyTold
+from firvane.proxy.config.proxy_config import Config, PolicyOptions
 from firvane.proxy.limits.descriptors import MIN_DESCRIPTORS
 from firvane.proxy.limits.memory_costs import derive
 from firvane.proxy.settings import MAX_SHOWN_CHARS, is_number, parse_settings, shape
 
-DOOR = 20  # descriptors that the operators' door keeps, as in ops/desk.py
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}  # where the configuration says nothing
+ADMIN_DESCRIPTORS = 20  # reserved for the admin API, as in admin_api/server.py
+DEFAULT_LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 
 
 def read_config(environment: Mapping[str, str], again: bool = False) -> Config:
-    """The configuration; `ValueError` or `OSError` with a plain message where it is of no use.
+    """Return the configuration.
 
-    The environment goes before the file at the start; where the file is read `again` it is the other way,
-    since the environment is as old as the process. A message is one line: the file, the key, and the mend.
+    At the start the environment takes precedence over the file. When the file is read `again` the file takes
+    precedence, since the environment dates from the start of the process.
+
+    Raises:
+        ValueError: The configuration is invalid; the message is one line with file, key and remedy.
+        OSError: The file cannot be read.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -38,20 +42,20 @@
     if not isinstance(data, dict):
         raise ValueError(f"{path} does not hold an object")
     try:
-        # Whatever holds null is as if it were not there, here as in the settings.
-        told = {key: value for key, value in data.items() if value is not None}
-        return _read(told, environment, again)
+        # A key with the value null counts as missing, here as in the settings.
+        present = {key: value for key, value in data.items() if value is not None}
+        return _read(present, environment, again)
     except ValueError as error:
-        # One line whatever a value holds, and the file that is to be mended.
+        # The message names the file, and stays on one line whatever a value contains.
         raise ValueError(f"{path}: {' '.join(str(error).split())}") from None
 
 
 def _read(data: dict[str, Any], environment: Mapping[str, str], again: bool) -> Config:
-    """The configuration that the file's object holds; `ValueError` names the key."""
+    """Return the configuration in the JSON object of the file; raises `ValueError` that names the key."""
 
     def address(key: str, variable: str = "") -> Address:
-        given = [(environment.get(variable), variable), (data.get(key), key)]
-        (first, name), second = reversed(given) if again else given
+        candidates = [(environment.get(variable), variable), (data.get(key), key)]
+        (first, name), second = reversed(candidates) if again else candidates
         value, name = (first, name) if first else second
         try:
             return parse_address(value)
@@ -72,19 +76,23 @@
     limits = data.get("limits", {})
     if not isinstance(limits, dict):
         raise ValueError("limits is not an object")
-    numbers = {key: most if (value := limits.get(key)) is None else value for key, most in LIMITS.items()}
+    numbers = {
+        key: default if (value := limits.get(key)) is None else value
+        for key, default in DEFAULT_LIMITS.items()
+    }
     for key, value in numbers.items():
         if not is_number(value):
             raise ValueError(f"limits.{key} is {value!r}, not a number")
     ops = address("ops", "NODE_OPS") if data.get("ops") or environment.get("NODE_OPS") else None
     sockets = int(numbers["sockets"])
     derive(numbers["memory_mb"], sockets, numbers["cores"])
-    # The operators' door takes its part of them before the proxy deals out the rest.
-    if ops and sockets < (least := MIN_DESCRIPTORS + DOOR):
+    # The admin API reserves its descriptors before the proxy assigns the others.
+    if ops and sockets < (minimum := MIN_DESCRIPTORS + ADMIN_DESCRIPTORS):
         raise ValueError(
-            f"limits.sockets is {sockets}: at least {least} are needed, of which the door of ops keeps {DOOR}"
+            f"limits.sockets is {sockets}: at least {minimum} are needed, "
+            f"of which the admin API reserves {ADMIN_DESCRIPTORS}"
         )
-    kept = data.get("recovery") or {}
+    recovery_table = data.get("recovery") or {}
     log = _log(environment, data.get("log", {}))
     peers = data.get("peers", [])
     if not isinstance(peers, list):
@@ -101,8 +109,8 @@
     if policy:
         if ops is None or not tier or not data.get("peer_listen"):
             raise ValueError("policy needs ops, peers and peer_listen")
-        for key, why in policy.misfits(len(tier)):
-            raise ValueError(f"policy.{key} {why}")
+        for key, reason in policy.errors(len(tier)):
+            raise ValueError(f"policy.{key} {reason}")
     measures = data.get("measures", False)
     if not isinstance(measures, bool):
         raise ValueError(f"measures is {measures!r}, not true or false")
@@ -124,8 +132,8 @@
         zones=names("dcs"),
         kinds=names("machine-types"),
         settings=settings,
-        snapshot=kept.get("snapshot"),
-        snapshot_every=kept.get("snapshot_every", Config.snapshot_every),
+        snapshot=recovery_table.get("snapshot"),
+        snapshot_every=recovery_table.get("snapshot_every", Config.snapshot_every),
         shape=shape(raw),
         policy=policy,
         ops=ops,
@@ -137,72 +145,80 @@
     )
 
 
-def _recovery(given: Any) -> api.RecoveryOptions | None:
-    """Which parts of a recovery from a power loss are on; `ValueError` for a part that there is not."""
-    if given is None:
+def _recovery(table: Any) -> api.RecoveryOptions | None:
+    """Return the options of the recovery from a power loss; raises `ValueError` for a bad key."""
+    if table is None:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise ValueError("recovery is not an object")
-    wanted: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
-    wanted |= {"snapshot": str, "snapshot_every": (int, float)}
-    given = {key: value for key, value in given.items() if value is not None}
-    for key, value in given.items():
-        if key not in wanted:
-            raise ValueError(f"recovery.{key} is not one of {', '.join(sorted(wanted))}")
-        spans = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
-        if not isinstance(value, wanted[key]) or not spans:
+    types: dict[str, type | tuple[type, ...]] = {field.name: bool for field in fields(api.RecoveryOptions)}
+    types |= {"snapshot": str, "snapshot_every": (int, float)}
+    table = {key: value for key, value in table.items() if value is not None}
+    for key, value in table.items():
+        if key not in types:
+            raise ValueError(f"recovery.{key} is not one of {', '.join(sorted(types))}")
+        in_range = key != "snapshot_every" or (is_number(value) and 0.1 <= value <= 3600)
+        if not isinstance(value, types[key]) or not in_range:
             raise ValueError(f"recovery.{key} is {value!r}")
-    return api.RecoveryOptions(**{key: given[key] for key in given if wanted[key] is bool})
+    return api.RecoveryOptions(**{key: table[key] for key in table if types[key] is bool})
+
 
+def _policy(table: Any) -> PolicyOptions | None:
+    """Return the options of the policy agreement, which the platform itself never sets.
 
-def _policy(given: Any) -> PolicyTold | None:
-    """The platform never says it; `ValueError` for a key that there is not, or of no use."""
-    if given is None:
+    Raises:
+        ValueError: A key is unknown, missing or invalid.
+    """
+    if table is None:
         return None
-    if not isinstance(given, dict):
+    if not isinstance(table, dict):
         raise ValueError("policy is not an object")
-    well: dict[str, Callable[[Any], bool]] = {
+    checks: dict[str, Callable[[Any], bool]] = {
         "folder": lambda value: isinstance(value, str) and bool(value),
         "doors": lambda value: isinstance(value, list),
-        "voters": lambda value: isinstance(value, list) and all(type(one) is int for one in value),
+        "voters": lambda value: isinstance(value, list) and all(type(number) is int for number in value),
         "without_lease": lambda value: value in ("refuse", "serve"),
         "lease_s": lambda value: is_number(value) and 0.5 <= value <= 60,
         "trip_ms": is_number,
         "tell": lambda value: isinstance(value, bool),
     }
-    for key, value in given.items():
-        if key not in well:
-            raise ValueError(f"policy.{key} is not one of {', '.join(sorted(well))}")
-        if not well[key](value):
+    for key, value in table.items():
+        if key not in checks:
+            raise ValueError(f"policy.{key} is not one of {', '.join(sorted(checks))}")
+        if not checks[key](value):
             raise ValueError(f"policy.{key} is {value!r}")
     for key in ("folder", "doors"):
-        if key not in given:
+        if key not in table:
             raise ValueError(f"policy.{key} is missing")
     try:
-        doors = tuple(map(parse_address, given["doors"]))
+        admin_addresses = tuple(map(parse_address, table["doors"]))
     except ValueError as error:
         raise ValueError(f"policy.doors: {error}") from None
-    return PolicyTold(
-        folder=given["folder"],
-        voters=tuple(given.get("voters", (0, 1, 2))),
-        doors=doors,
-        serve_without=given.get("without_lease") == "serve",
-        lease=float(given.get("lease_s", PolicyTold.lease)),
-        trip=given.get("trip_ms", 1000 * PolicyTold.trip) / 1000,
-        tell=given.get("tell", PolicyTold.tell),
+    return PolicyOptions(
+        folder=table["folder"],
+        voters=tuple(table.get("voters", (0, 1, 2))),
+        admin_addresses=admin_addresses,
+        serve_without_lease=table.get("without_lease") == "serve",
+        lease_duration_s=float(table.get("lease_s", PolicyOptions.lease_duration_s)),
+        max_round_trip_s=table.get("trip_ms", 1000 * PolicyOptions.max_round_trip_s) / 1000,
+        sends_epoch=table.get("tell", PolicyOptions.sends_epoch),
     )
 
 
-def _log(environment: Mapping[str, str], given: Any) -> dict[str, str]:
-    """How to log: as the file says, or else the environment; `ValueError` for what there is not."""
-    if not isinstance(given, dict):
+def _log(environment: Mapping[str, str], table: Any) -> dict[str, str]:
+    """Return level and format of the log: of the file, else of the environment, else the defaults.
+
+    Raises:
+        ValueError: A level or a format is unknown.
+    """
+    if not isinstance(table, dict):
         raise ValueError("log is not an object")
-    told = {}
-    for key, known in (("level", tuple(LEVELS)), ("format", FORMATS)):
-        value = given.get(key)
-        told[key] = str(
+    options = {}
+    for key, allowed in (("level", tuple(LEVELS)), ("format", FORMATS)):
+        value = table.get(key)
+        options[key] = str(
             value or environment.get(f"FIRVANE_LOG_{key.upper()}") or getattr(Config, f"log_{key}")
         )
-        if told[key] not in known:
-            raise ValueError(f"log.{key} is {told[key]!r}, not one of {', '.join(known)}")
-    return told
+        if options[key] not in allowed:
+            raise ValueError(f"log.{key} is {options[key]!r}, not one of {', '.join(allowed)}")
+    return options
