--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 from firvane.core.balancing.records import Backend
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.capacity.backend_estimates import MIN_LOSS_RATE, slowness
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.network import Links
 from firvane.simulation.emulation.records import Answered, Arrived, Asked, Record
 from firvane.simulation.emulation.scenario import Scenario
@@ -52,7 +52,7 @@
 STATES = ("warm", "cold", "slow", "silent in part", "silent", "gone")
 
 
-def true_state(box: Box | None) -> str:
+def true_state(box: EmulatedBackend | None) -> str:
     if box is None or box.draining or box.state in ("down", "fell"):
         return "gone"
     if box.state in ("silent", "paused"):
@@ -93,11 +93,11 @@
     return "room full" if server.in_flight >= max(1.0, server.capacity) else "had room"
 
 
-def places(box: Box) -> int:
+def places(box: EmulatedBackend) -> int:
     return len(box._each) - 1
 
 
-def could(box: Box, work: float, left: float, now: float) -> bool:
+def could(box: EmulatedBackend, work: float, left: float, now: float) -> bool:
     """Whether it would have answered such a request in time."""
     if not box.is_up or box.draining or box.state == "paused" or box.inside >= places(box):
         return False
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -13,16 +13,18 @@
 from itertools import islice, takewhile
 from math import inf
 
-from firvane.simulation.emulation.backend import Box, Done
+from firvane.simulation.emulation.backend import Completion, EmulatedBackend
 from firvane.simulation.emulation.clients import Crowd, Try
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.emulation.scenarios import load_named
 from firvane.simulation.emulation.timeline import Timeline
 
 
-def fleet(scenario: Scenario) -> list[Box]:
+def fleet(scenario: Scenario) -> list[EmulatedBackend]:
     places = Timeline(scenario, scenario.seed).fleet
-    return [Box(place.name, place.kind, scenario.boxes, place.zone, 1, 0.0, True) for place in places]
+    return [
+        EmulatedBackend(place.name, place.kind, scenario.boxes, place.zone, 1, 0.0, True) for place in places
+    ]
 
 
 def asked(scenario: Scenario, seconds: float) -> list[Try]:
@@ -30,12 +32,12 @@
     return list(takewhile(lambda one: one.at < seconds, crowd.tries()))
 
 
-def serve(boxes: list[Box], tries: list[Try]) -> list[Done]:
+def serve(boxes: list[EmulatedBackend], tries: list[Try]) -> list[Completion]:
     """All tries at the boxes of their keys, each end taken at its time; the ends before the last try."""
     dealt = [n for n, box in enumerate(boxes) for _ in range(round(10 * box.capacity(0.0)))]
     due: list[tuple[float, int]] = []
     last = [inf] * len(boxes)  # what stands in `due` for each box, and counts
-    done: list[Done] = []
+    done: list[Completion] = []
     for one in tries:
         while due and due[0][0] <= one.at:
             at, n = heappop(due)
--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -37,7 +37,7 @@
 from firvane.proxy.control import stream_codec
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.stream import Stream
-from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.backend import Completion, EmulatedBackend, JobEnd
 from firvane.simulation.emulation.clients import Crowd, Try
 from firvane.simulation.emulation.network import Links, seats
 from firvane.simulation.emulation.registry import Change, Registry
@@ -144,7 +144,7 @@
         self.registry = Registry(seed, self.network)
         self.seats = seats(self.network, tier)
         self.calls, self.out = itertools.count(1), dict[str, Attempt]()
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, EmulatedBackend] = {}
         self.ports: dict[str, int] = {}
         self.stepping: dict[str, Any] = {}
         self.served = Counter[int]()
@@ -179,7 +179,7 @@
         kind = kinds[0] if (n * 53) % 100 < 53 else kinds[1]
         name, zone = f"box-{n}", self.network.zones[n % len(self.network.zones)]
         now = self.clock.now
-        self.boxes[name] = Box(name, kind, self.boxes_as, zone, self.seed, now, warm)
+        self.boxes[name] = EmulatedBackend(name, kind, self.boxes_as, zone, self.seed, now, warm)
         self.ports[name] = 10_000 + n
         self.registry.change(now, name, "up", zone, kind.name, 0, None if warm else now)
         return name
@@ -200,11 +200,11 @@
         if (due := box.next_at()) < float("inf"):
             self.stepping[name] = self.clock.call_at(due, self.step, name)
 
-    def finished(self, name: str, done: Done) -> None:
+    def finished(self, name: str, done: Completion) -> None:
         if (attempt := self.out.get(done.call)) is None:
             return
         ending = Termination.SERVED if done.wanted else Termination.BROKEN_AFTER_SENT
-        if done.end is End.LOST and self.boxes[name].state == "silent":
+        if done.end is JobEnd.LOST and self.boxes[name].state == "silent":
             return  # nobody says a word
         self.clock.call_at(self.clock.now + attempt.back, attempt.end, ending)
 
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.clients import Crowd, Try
 from firvane.simulation.emulation.scenario import Boxes, Scenario
 from firvane.simulation.runner.backends import Connection as ToBox
@@ -61,7 +61,7 @@
         self.records: list[Any] = []
         sealed = seals(scenario, 1)
         kind = scenario.boxes.kinds[0]
-        box = Box("box", kind, scenario.boxes, "ikeja", 1, 0.0, True)
+        box = EmulatedBackend("box", kind, scenario.boxes, "ikeja", 1, 0.0, True)
         self.host = Host(
             clock, lambda address, factory: Closed(), box, {PROXY: ("", 0)}, sealed, self.records.append
         )
--- a/firvane/simulation/emulation/backend.py
+++ b/firvane/simulation/emulation/backend.py
@@ -10,7 +10,7 @@
 4. A cold box falls over once the work sent to it within the last `fall_s`, less `fall_chance` standard
    deviations of what chance does to such a sum, is more than `fall_multiple` times what it could do in
    `fall_s` at its present capacity. What it turned away counts as sent. A box that fell stays down.
-5. Everything taken ends exactly once, as one `Done`.
+5. Everything taken ends exactly once, as one `Completion`.
 
 Told `now` (s) by whoever drives it; times never go back. `next_at()` says when something happens by itself.
 """
@@ -35,27 +35,27 @@
     cost: float  # s of a standard core, by what the box remembers
 
 
-class End(Enum):
+class JobEnd(Enum):
     """How work on an attempt came to its end."""
 
-    WHOLE = "whole"  # the answer is due
+    COMPLETED = "whole"  # the answer is due
     UNWANTED = "unwanted"  # done to its end after a cancel, for nobody
-    STOPPED = "stopped"  # cancelled, and no more is done
+    CANCELLED = "stopped"  # cancelled, and no more is done
     LOST = "lost"  # the box went away from it
 
 
-class Done(NamedTuple):
+class Completion(NamedTuple):
     """Work on an attempt has ended."""
 
     call: str
     at: float
     spent: float  # s of a standard core
-    end: End
+    end: JobEnd
 
     @property
     def wanted(self) -> bool:
         """Whether an answer goes out for it."""
-        return self.end is End.WHOLE
+        return self.end is JobEnd.COMPLETED
 
 
 class Job:
@@ -85,7 +85,7 @@
     return tuple(each), tuple(whole)
 
 
-class Box:
+class EmulatedBackend:
     """A box of one kind at one place. `seed` draws its speed, its memory and what a probe costs it."""
 
     __slots__ = (
@@ -132,7 +132,7 @@
         self._sent: deque[tuple[float, float]] = deque()  # while cold: when, and how much work
         self._sent_sum = 0.0
         self._sent_square = 0.0
-        self._out: list[Done] = []
+        self._out: list[Completion] = []
 
     # What comes in.
 
@@ -149,7 +149,7 @@
         cost = work if met is None or now - met > self._remembers_s else work * (1.0 - self._saves)
         if now < self._warm_at and self._is_too_much(now, cost):
             self._leave(now, "fell")
-            self._out.append(Done(call, now, 0.0, End.LOST))
+            self._out.append(Completion(call, now, 0.0, JobEnd.LOST))
             return Offer("taken", cost)
         if self.draining or self._inside >= len(self._each) - 1:
             return Offer("turned away", cost)
@@ -179,7 +179,7 @@
             self._working.remove((job.finish, job.serial, job))
         else:
             return
-        self._end(job, now, self._spent(job), End.STOPPED)
+        self._end(job, now, self._spent(job), JobEnd.CANCELLED)
         self._fill()
 
     def connect(self, now: float) -> bool:
@@ -291,7 +291,7 @@
         due = self._due if self._due > -inf else self._finish_at()
         return min(due, self._warm_at) if self.state == "cold" else due
 
-    def advance(self, now: float) -> list[Done]:
+    def advance(self, now: float) -> list[Completion]:
         """What has ended up to `now` and was not told yet, in order of time."""
         self._settle(now)
         out = self._out
@@ -353,7 +353,7 @@
             self._served, _, job = working.pop(0)
             self._last = max(at, self._last)
             self._debt = 0.0
-            self._end(job, self._last, job.cost, End.WHOLE if job.wanted else End.UNWANTED)
+            self._end(job, self._last, job.cost, JobEnd.COMPLETED if job.wanted else JobEnd.UNWANTED)
             self._fill()
         if working or self._debt:
             done = self._warm_seconds(now) * self._pace
@@ -387,16 +387,16 @@
         """Work done on it so far."""
         return max(0.0, job.cost - (job.finish - self._served)) if job.finish >= 0.0 else 0.0
 
-    def _end(self, job: Job, at: float, spent: float, end: End) -> None:
+    def _end(self, job: Job, at: float, spent: float, end: JobEnd) -> None:
         del self._jobs[job.call]
         self._inside -= 1
         self._due = -inf
-        self._out.append(Done(job.call, at, spent, end))
+        self._out.append(Completion(job.call, at, spent, end))
 
     def _leave(self, now: float, state: str) -> None:
         """All that a process holds goes with it."""
         for job in list(self._jobs.values()):
-            self._end(job, now, self._spent(job), End.LOST)
+            self._end(job, now, self._spent(job), JobEnd.LOST)
         self._working.clear()
         self._waiting.clear()
         self._met.clear()
--- a/firvane/simulation/emulation/reference.py
+++ b/firvane/simulation/emulation/reference.py
@@ -19,7 +19,7 @@
 from math import inf, log
 from typing import Any
 
-from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.backend import EmulatedBackend, JobEnd
 from firvane.simulation.emulation.clients import Crowd, Try
 from firvane.simulation.emulation.network import seats
 from firvane.simulation.emulation.records import Asked
@@ -40,7 +40,7 @@
         self._crowd = Crowd(scenario.load, scenario.network, scenario.proxies, seed)
         self._timeline = Timeline(scenario, seed)
         self._seed = seed
-        self._boxes: dict[str, Box] = {}
+        self._boxes: dict[str, EmulatedBackend] = {}
         self._salts: dict[str, int] = {}
         self._out: dict[str, tuple[Try, str]] = {}  # tries at boxes, and where
         self._firsts: dict[str, Asked] = {}  # not earned yet, by their first call
@@ -108,7 +108,7 @@
                 box.cancel(now, try_.call)
             self._again(now, try_, 0, 0.0)
 
-    def _choose(self, now: float, try_: Try) -> Box | None:
+    def _choose(self, now: float, try_: Try) -> EmulatedBackend | None:
         left = SURE * (try_.first_at + try_.aim - now)
         zone = self._zones[try_.proxy]
         best, soonest, key = None, left, named(self._seed, try_.key)
@@ -132,7 +132,7 @@
 
     def _stand_up(self, place: Place, now: float, warm: bool) -> None:
         seed = named(self._seed, place.name)
-        box = Box(place.name, place.kind, self.scenario.boxes, place.zone, seed, now, warm)
+        box = EmulatedBackend(place.name, place.kind, self.scenario.boxes, place.zone, seed, now, warm)
         self._boxes[place.name] = box
         self._salts[place.name] = named(self._seed, f"salt/{place.name}")
 
@@ -149,7 +149,7 @@
             entry = self._out.pop(done.call, None)
             if entry is None:
                 continue
-            if done.end is not End.WHOLE:
+            if done.end is not JobEnd.COMPLETED:
                 self._again(now, entry[0], 0, 0.0)
             elif (first := self._firsts.pop(entry[0].first, None)) and done.at <= first.meant + first.aim:
                 self.worth.add(first, True)
@@ -181,7 +181,7 @@
             back = self.scenario.proxies.back_s
             self._at(now + back, self._step, step._replace(action=Action.LAUNCH))
 
-    def _strike(self, now: float, box: Box, step: Step) -> None:
+    def _strike(self, now: float, box: EmulatedBackend, step: Step) -> None:
         match step.action:
             case Action.DRAIN:
                 box.drain(now)
--- a/firvane/simulation/runner/backends.py
+++ b/firvane/simulation/runner/backends.py
@@ -16,7 +16,7 @@
 
 from firvane.core.net.http_message import HttpError, Message
 from firvane.core.net.http_reader import MessageReader
-from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.backend import Completion, EmulatedBackend, JobEnd
 from firvane.simulation.emulation.records import Arrived, BoxState, Dropped, Finished, Probed, Record
 from firvane.simulation.runner.clock import Clock, Timer
 from firvane.simulation.runner.listeners import Address, Door, Doors, reset
@@ -148,7 +148,13 @@
     """A box and its ways in."""
 
     def __init__(
-        self, clock: Clock, doors: Doors, box: Box, ways: dict[str, Address], jobs: Jobs, sink: Sink
+        self,
+        clock: Clock,
+        doors: Doors,
+        box: EmulatedBackend,
+        ways: dict[str, Address],
+        jobs: Jobs,
+        sink: Sink,
     ) -> None:
         self.clock, self.doors, self.box, self.jobs, self.sink = clock, doors, box, jobs, sink
         self.ways = {proxy: Way(self, proxy, address) for proxy, address in ways.items()}
@@ -246,10 +252,10 @@
                 timer.cancel()
             self.timer = self.clock.call_at(at, self.settle) if at < inf else None
 
-    def _done(self, done: Done, now: float) -> None:
+    def _done(self, done: Completion, now: float) -> None:
         attempt = self.attempts.pop(done.call)
         connection = attempt.connection
-        wanted = done.end is End.WHOLE
+        wanted = done.end is JobEnd.COMPLETED
         self.sink(Finished(now, attempt.call, self.box.name, self.box.start, done.spent, wanted))
         if connection.attempt != done.call:
             return
--- a/firvane/simulation/runner/emulated_fleet.py
+++ b/firvane/simulation/runner/emulated_fleet.py
@@ -6,7 +6,7 @@
 from functools import partial
 from typing import Any
 
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.network import Links, seats
 from firvane.simulation.emulation.registry import Registry
 from firvane.simulation.emulation.scenario import Kind, Scenario
@@ -109,7 +109,7 @@
     def _stand_up(self, name: str, kind: Kind, zone: str, warm: bool) -> Host:
         number = self.numbers[name] = len(self.numbers)
         now = self.clock.now()
-        box = Box(name, kind, self.scenario.boxes, zone, named(self.seed, name), now, warm)
+        box = EmulatedBackend(name, kind, self.scenario.boxes, zone, named(self.seed, name), now, warm)
         ways = {seat.name: self.plan.box(proxy, number) for proxy, seat in enumerate(self.seats)}
         self.on_box(list(ways.values()), zone)
         host = Host(self.clock, self.doors, box, ways, self.jobs, self.sink)
--- a/tests/proxy/recovery/small_fleet.py
+++ b/tests/proxy/recovery/small_fleet.py
@@ -12,7 +12,7 @@
 from firvane.core import interface as api
 from firvane.proxy.balancer import Balancer
 from firvane.proxy.recovery.state_machine import RecoveryState
-from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.backend import EmulatedBackend, JobEnd
 from firvane.simulation.emulation.scenario import Boxes, Kind
 from tests.helpers import settings
 
@@ -40,12 +40,12 @@
         self.loss = self.late = self.twice = 0.0  # parts of the datagrams lost, 1 s late, and twice there
         self.due: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.order = itertools.count().__next__
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, EmulatedBackend] = {}
         self.back = back
         for number, count in enumerate(cores):
             name = f"box-{number}"
             kind = Kind(name="k", share=1.0, cores=count, speed=(0.8, 0.8))
-            self.boxes[name] = Box(name, kind, WARM, "z", seed + number, back, False)
+            self.boxes[name] = EmulatedBackend(name, kind, WARM, "z", seed + number, back, False)
         self.sent: dict[str, int] = dict.fromkeys(self.boxes, 0)
         self.after_drain = list[str]()  # attempts at boxes that had drained
         self.calls: dict[str, tuple[int, api.Send, int, float]] = {}
@@ -185,5 +185,5 @@
         if self.looked.get(name) == self.now:
             del self.looked[name]
         for done in self.boxes[name].advance(self.now):
-            self._end(done.call, api.Result.OK if done.end is End.WHOLE else api.Result.RESET)
+            self._end(done.call, api.Result.OK if done.end is JobEnd.COMPLETED else api.Result.RESET)
         self._look(name)
--- a/tests/proxy/recovery/test_steps.py
+++ b/tests/proxy/recovery/test_steps.py
@@ -11,7 +11,7 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 from firvane.proxy.recovery import steps
-from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.backend import EmulatedBackend, JobEnd
 from firvane.simulation.emulation.scenario import Boxes, Kind
 
 AIM = 0.5
@@ -29,9 +29,11 @@
 
 def drive(
     cores: int, speed: float, seconds: float, gives_up: float, first: float = 1.0
-) -> tuple[Box, int, float]:
+) -> tuple[EmulatedBackend, int, float]:
     """A cold box that is asked as often as its room allows; the box, answers in time, and the last room."""
-    box = Box("a", Kind(name="k", share=1, cores=cores, speed=(speed, speed)), Boxes(), "z", 1, 0.0, False)
+    box = EmulatedBackend(
+        "a", Kind(name="k", share=1, cores=cores, speed=(speed, speed)), Boxes(), "z", 1, 0.0, False
+    )
     server, out, due = backend(first), dict[str, float](), list[tuple[float, str]]()
     now, calls, in_time = 0.0, 0, 0
     while now < seconds and box.is_up:
@@ -46,7 +48,7 @@
         now = max(now, min(box.next_at(), due[0][0]))
         for done in box.advance(now):
             sent = out.pop(done.call, None)
-            if sent is not None and done.end is End.WHOLE:
+            if sent is not None and done.end is JobEnd.COMPLETED:
                 server.in_flight, in_time = len(out), in_time + (now - sent <= AIM)
                 heard(server, api.Result.OK, now - sent, now)
         while due and due[0][0] <= now:
--- a/tests/simulation/emulation/test_backend.py
+++ b/tests/simulation/emulation/test_backend.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.simulation.emulation.backend import Box, Done, End
+from firvane.simulation.emulation.backend import Completion, EmulatedBackend, JobEnd
 from firvane.simulation.emulation.scenario import Boxes, Kind
 from tests.proxy.net.helpers import seeded
 
@@ -21,15 +21,15 @@
 )  # fmt: skip
 
 
-def box(boxes: Boxes = PLAIN, warm: bool = True) -> Box:
-    return Box("box-1", boxes.kinds[0], boxes, "a", 1, 0.0, warm)
+def box(boxes: Boxes = PLAIN, warm: bool = True) -> EmulatedBackend:
+    return EmulatedBackend("box-1", boxes.kinds[0], boxes, "a", 1, 0.0, warm)
 
 
-def offers(at: Box, now: float, *work: float) -> list[str]:
+def offers(at: EmulatedBackend, now: float, *work: float) -> list[str]:
     return [at.offer(now, f"{now}-{n}", "", each).verdict for n, each in enumerate(work)]
 
 
-def ends(at: Box, now: float) -> list[tuple[float, End]]:
+def ends(at: EmulatedBackend, now: float) -> list[tuple[float, JobEnd]]:
     return [(round(done.at, 9), done.end) for done in at.advance(now)]
 
 
@@ -40,7 +40,7 @@
     one.slow(0.05, 0.5)
     assert one.next_at() == pytest.approx(0.15)
     offers(four, 0.0, 0.1, 0.1, 0.1, 0.2)
-    assert ends(four, 1.0) == [(0.2, End.WHOLE)] * 3 + [(0.3, End.WHOLE)]
+    assert ends(four, 1.0) == [(0.2, JobEnd.COMPLETED)] * 3 + [(0.3, JobEnd.COMPLETED)]
     offers(crowded, 0.0, *[0.1] * 16)
     assert crowded.next_at() == pytest.approx(0.2 / 0.75)  # full, so it has lost a quarter
     full = box()  # and waiting work begins in order
@@ -85,9 +85,10 @@
     assert (still.state, still.next_at()) == ("paused", 5.0)
     assert offers(still, 1.0, 0.1) == ["taken"]
     assert ends(still, 5.0) == [] and still.state == "warm"
-    assert ends(still, 5.2) == [(5.075, End.WHOLE), (5.125, End.WHOLE)]  # three on two cores for a while
+    # Three requests share two cores for a while.
+    assert ends(still, 5.2) == [(5.075, JobEnd.COMPLETED), (5.125, JobEnd.COMPLETED)]
     still.silence(5.25)
-    assert still.advance(5.25) == [Done("0.0-1", 5.25, pytest.approx(0.275), End.LOST)]
+    assert still.advance(5.25) == [Completion("0.0-1", 5.25, pytest.approx(0.275), JobEnd.LOST)]
     assert offers(still, 5.3, 0.1) == ["unheard"] and not still.connect(5.3) and not still.probe(5.3)
     assert still.restart(9.0) and (still.state, still.start) == ("cold", 1)
 
@@ -99,9 +100,9 @@
     for call in ("0.0-0", "0.0-5", "0.0-0", "never seen"):
         busy.cancel(0.1, call)
     done = {one.call[-1]: (one.end, round(one.at, 9), round(one.spent, 9)) for one in busy.advance(9.0)}
-    assert done["0"] == ((End.STOPPED, 0.1, 0.05) if stops else (End.UNWANTED, 0.2, 0.1))
-    assert done["4"] == (End.WHOLE, 0.25 if stops else 0.3, 0.1)  # at once in the free slot
-    assert done["5"] == (End.STOPPED, 0.1, 0.0) and len(done) == 6
+    assert done["0"] == ((JobEnd.CANCELLED, 0.1, 0.05) if stops else (JobEnd.UNWANTED, 0.2, 0.1))
+    assert done["4"] == (JobEnd.COMPLETED, 0.25 if stops else 0.3, 0.1)  # at once in the free slot
+    assert done["5"] == (JobEnd.CANCELLED, 0.1, 0.0) and len(done) == 6
 
 
 def test_connections_are_capped_and_like_probes_cost_work() -> None:
@@ -127,7 +128,7 @@
     one.drain(0.05)
     assert offers(one, 0.06, 0.1) == ["turned away"] and not one.probe(0.06)
     one.stop(0.2)
-    assert [done.end for done in one.advance(0.2)] == [End.WHOLE, End.LOST]
+    assert [done.end for done in one.advance(0.2)] == [JobEnd.COMPLETED, JobEnd.LOST]
     assert one.state == "down" and one.next_at() == inf
     assert one.restart(1.0) and offers(one, 1.1, 0.1) == ["taken"]
 
@@ -135,11 +136,11 @@
 Script = list[tuple[str, float, float]]
 
 
-def drive(boxes: Boxes, warm: bool, script: Script) -> tuple[list[str], list[Done], float]:
+def drive(boxes: Boxes, warm: bool, script: Script) -> tuple[list[str], list[Completion], float]:
     """A box driven as its owner does: what it took, what ended, and the work (s) that it could have done."""
     at, now = box(boxes, warm), 0.0
     taken: list[str] = []
-    done: list[Done] = []
+    done: list[Completion] = []
     could = 0.0
     for number, (step, wait, size) in enumerate([*script, ("stop", 60.0, 0.0)]):
         until = now + wait
--- a/tests/simulation/emulation/test_reference.py
+++ b/tests/simulation/emulation/test_reference.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.reference import Reference
 from firvane.simulation.emulation.scenario import Boxes, Load, Scenario, Trouble
 from firvane.simulation.runner.run import rehearse
@@ -32,13 +32,13 @@
 
 def test_it_never_pushes_a_box_over(monkeypatch: pytest.MonkeyPatch) -> None:
     fell: list[str] = []
-    leave = Box._leave
+    leave = EmulatedBackend._leave
 
-    def watched(self: Box, now: float, state: str) -> None:
+    def watched(self: EmulatedBackend, now: float, state: str) -> None:
         fell.extend([self.name] if state == "fell" else [])
         leave(self, now, state)
 
-    monkeypatch.setattr(Box, "_leave", watched)
+    monkeypatch.setattr(EmulatedBackend, "_leave", watched)
     Reference(day(POWER, rate=400.0), 4).play()
     assert not fell
 
--- a/tests/simulation/runner/standin_helpers.py
+++ b/tests/simulation/runner/standin_helpers.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.clients import Crowd
 from firvane.simulation.emulation.records import Record
 from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries
@@ -46,7 +46,7 @@
         return [record for record in self.records if isinstance(record, kind)]
 
     def host(self, boxes: Boxes = BOXES, warm: bool = True) -> Host:
-        box = Box("b1", KIND, boxes, "a", 1, 0.0, warm)
+        box = EmulatedBackend("b1", KIND, boxes, "a", 1, 0.0, warm)
         host = Host(self.clock, self.loop.memory.door, box, BOX, SEALS, self.records.append)
         host.open()
         return host
