--- a/tests/simulation/emulation/test_reference.py
+++ b/tests/simulation/emulation/test_reference.py
@@ -32,13 +32,13 @@
 
 def test_it_never_pushes_a_box_over(monkeypatch: pytest.MonkeyPatch) -> None:
     fell: list[str] = []
-    leave = EmulatedBackend._leave
+    leave = EmulatedBackend._terminate
 
     def watched(self: EmulatedBackend, now: float, state: str) -> None:
         fell.extend([self.name] if state == "fell" else [])
         leave(self, now, state)
 
-    monkeypatch.setattr(EmulatedBackend, "_leave", watched)
+    monkeypatch.setattr(EmulatedBackend, "_terminate", watched)
     Reference(day(POWER, rate=400.0), 4).play()
     assert not fell
 
