--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -59,7 +59,7 @@
         return "silent"
     if box.state == "cold":
         return "cold"
-    return "slow" if box._pace < SLOW_PACE * box.speed else "warm"
+    return "slow" if box._core_speed < SLOW_PACE * box.speed else "warm"
 
 
 def believed_state(balancer: Balancer, server: Backend | None, now: float) -> str:
@@ -94,7 +94,7 @@
 
 
 def places(box: EmulatedBackend) -> int:
-    return len(box._each) - 1
+    return len(box._cores_each) - 1
 
 
 def could(box: EmulatedBackend, work: float, left: float, now: float) -> bool:
@@ -102,7 +102,7 @@
     if not box.is_up or box.draining or box.state == "paused" or box.inside >= places(box):
         return False
     pace = box.capacity(now)
-    inside = sum(max(0.0, job.cost - box._spent(job)) for job in box._jobs.values())
+    inside = sum(max(0.0, job.cost - box._work_done(job)) for job in box._jobs.values())
     alone = work * box.cores / pace
     line = 0.5 * box.boxes.fall_multiple * box.boxes.fall_s * pace
     if box.state == "cold" and box._sent_sum + work > line:
