--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -14,7 +14,7 @@
 from math import inf
 
 from firvane.simulation.emulation.backend import Completion, EmulatedBackend
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.emulation.scenarios import load_named
 from firvane.simulation.emulation.timeline import Timeline
@@ -28,8 +28,8 @@
 
 
 def asked(scenario: Scenario, seconds: float) -> list[Try]:
-    crowd = Crowd(scenario.load, scenario.network, scenario.proxies, scenario.seed)
-    return list(takewhile(lambda one: one.at < seconds, crowd.tries()))
+    population = ClientPopulation(scenario.load, scenario.network, scenario.proxies, scenario.seed)
+    return list(takewhile(lambda one: one.at < seconds, population.tries()))
 
 
 def serve(boxes: list[EmulatedBackend], tries: list[Try]) -> list[Completion]:
@@ -61,22 +61,22 @@
     for name, seconds in (("quiet-sunday", 20.0), ("large", 2.0)):
         scenario = load_named(name)
         tries = asked(scenario, seconds)
-        each, at_boxes, again = [], [], []
+        each, at_boxes, retry = [], [], []
         for _ in range(3):
-            crowd = Crowd(scenario.load, scenario.network, scenario.proxies, 1)
+            population = ClientPopulation(scenario.load, scenario.network, scenario.proxies, 1)
             begun = time.process_time()
-            list(islice(crowd.tries(), 20_000))
+            list(islice(population.tries(), 20_000))
             each.append((time.process_time() - begun) / 20_000)
             begun = time.process_time()
             for one in tries[:10_000]:
-                crowd.again(one.deadline, one, 503, 0.1)
-            again.append((time.process_time() - begun) / 10_000)
+                population.retry(one.deadline, one, 503, 0.1)
+            retry.append((time.process_time() - begun) / 10_000)
             boxes = fleet(scenario)
             begun = time.process_time()
             answered = len(serve(boxes, tries))
             at_boxes.append((time.process_time() - begun) / len(tries))
         print(f"{name}: {len(boxes)} boxes, {len(tries)} requests in {seconds:.0f} s, {answered} answered")
-        print(f"  us per request at a box {best(at_boxes)}, per try {best(each)}, per retry {best(again)}")
+        print(f"  us per request at a box {best(at_boxes)}, per try {best(each)}, per retry {best(retry)}")
     tracemalloc.start()
     boxes = fleet(scenario)
     empty = tracemalloc.get_traced_memory()[0]
--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -38,7 +38,7 @@
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.stream import Stream
 from firvane.simulation.emulation.backend import Completion, EmulatedBackend, JobEnd
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.network import Links, seats
 from firvane.simulation.emulation.registry import Change, Registry
 from firvane.simulation.emulation.scenario import Boxes, Load, Network, Proxies, Retries
@@ -139,7 +139,7 @@
         retries = Retries(most=2, how="wait")
         self.load = Load(rate=rate, retries=retries)
         tier = Proxies(count=3)
-        self.crowd = Crowd(self.load, self.network, tier, seed)
+        self.population = ClientPopulation(self.load, self.network, tier, seed)
         self.links = Links(self.network, seed)
         self.registry = Registry(seed, self.network)
         self.seats = seats(self.network, tier)
@@ -253,7 +253,7 @@
             struck = [name for name in self.boxes if self.zone_of(name) == zone]
             at(15.0, self.silence, struck)
         elif self.case == "flood":
-            self.clock.call_at(15.0, self.crowd.burst, 15.0, "lagos", 4.0, 35.0)
+            self.clock.call_at(15.0, self.population.burst, 15.0, "lagos", 4.0, 35.0)
 
     def replace(self, group: list[str]) -> None:
         for name in group:
@@ -323,7 +323,7 @@
                 self.windows[int(one.first_at / 5)][1] += one.work * one.worth
             return
         self.refusals += status in (429, 503) and one.at >= WARM_UP_S
-        if again := self.crowd.again(now, one, status, retry_after):
+        if again := self.population.retry(now, one, status, retry_after):
             self.clock.call_at(again.at, self.take, again)
 
     # All of it
@@ -332,7 +332,7 @@
         for one in self.tier:
             one.start()
         self.troubles()
-        self.ask(self.crowd.tries())
+        self.ask(self.population.tries())
         self.clock.run(RUN_S + 3.0)
         got, asked = (sum(pair[i] for pair in self.sums.values()) for i in (1, 0))
         found = self.metrics
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from firvane.simulation.emulation.backend import EmulatedBackend
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.scenario import Boxes, Scenario
 from firvane.simulation.runner.backends import Connection as ToBox
 from firvane.simulation.runner.backends import Host
@@ -65,10 +65,10 @@
         self.host = Host(
             clock, lambda address, factory: Closed(), box, {PROXY: ("", 0)}, sealed, self.records.append
         )
-        crowd = Crowd(load, scenario.network, scenario.proxies, 1)
+        population = ClientPopulation(load, scenario.network, scenario.proxies, 1)
         places = {f"proxy-{n}": ("ikeja", ("", 0)) for n in range(scenario.proxies.count)}
-        self.clients = Clients(clock, crowd, places, sealed, 1, self.records.append, lambda proxy: None)
-        self.tries = crowd.tries()
+        self.clients = Clients(clock, population, places, sealed, 1, self.records.append, lambda proxy: None)
+        self.tries = population.tries()
         self.to_box, self.to_proxy = ToBox(self.host.ways[PROXY]), ToProxy(self.clients.banks[PROXY])
         self.box_wire, self.client_wire = Wire(), Wire()
         self.to_box.connection_made(self.box_wire)  # type: ignore[arg-type]
--- a/firvane/simulation/emulation/clients.py
+++ b/firvane/simulation/emulation/clients.py
@@ -1,12 +1,12 @@
-"""The members: when they ask, for what, how long they wait, and what they do after a refusal.
+"""Model of the clients: when they send requests, for which keys, how long they wait, and how they retry.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. Open loop: when a first try is sent depends on the scenario alone, never on answers.
+1. Open loop: the send time of a first try depends on the scenario alone, never on responses.
 2. Every call id is used once. A retry has an id of its own and shares `first`, the work and the worth.
-3. A burst adds tries to what comes anyway; bursts of one community that overlap add up.
-4. What a community asks beyond its quota (a bucket of `quota_s` seconds' worth, filled at `quota` times its
-   share of the usual rate) is worth `over_share_worth`.
+3. A burst adds requests to the usual load; overlapping bursts of one community add up.
+4. Requests of a community beyond its quota (a token bucket of `quota_s` seconds' worth, refilled at `quota`
+   times the community's share of the usual rate) are worth `over_share_worth`.
 5. No draw depends on a logarithm, whose last bit differs between machines, nor on the order of retries.
 """
 
@@ -24,12 +24,12 @@
 from firvane.simulation.emulation.scenario import Load, Network, Proxies
 from firvane.simulation.emulation.seeded_random import mix, named, part
 
-CHUNK = 64  # arrivals drawn at once, in the mean
-LEAVES = 0x1EAF5  # told apart by it: the draws of who leaves
+CHUNK = 64  # mean number of arrivals drawn at once
+LEAVES = 0x1EAF5  # separates the draws for disconnecting clients from the others
 
 
-class Leave(NamedTuple):
-    """How a client goes that does not wait for its answer."""
+class Disconnect(NamedTuple):
+    """How a client disconnects before its response."""
 
     after: float  # s from when it sent its request
     by_reset: bool
@@ -38,7 +38,7 @@
 class Try(NamedTuple):
     """One try of a request."""
 
-    at: float  # when it is to be sent
+    at: float  # planned send time
     call: str
     first: str  # the call id of the first try
     first_at: float
@@ -48,20 +48,20 @@
     community: str
     key: str
     work: float  # s of a standard core
-    hint_us: int  # the client's guess at it
+    hint_us: int  # the client's estimate of the work
     worth: float  # per s of work
     aim: float  # s from `first_at`
-    budget_ms: int  # how long it waits
-    marked: bool  # whether it says that it is a retry
+    budget_ms: int  # how long the client waits
+    marked: bool  # whether a retry is marked as one
 
     @property
     def deadline(self) -> float:
-        """When the client gives it up."""
+        """When the client abandons this try."""
         return self.at + self.budget_ms / 1e3
 
 
 def counts(mean: float) -> list[float]:
-    """The cumulated Poisson distribution for 0, 1, 2 ... , to draw from by bisection."""
+    """Return the cumulative Poisson distribution for 0, 1, 2 ..., to draw from by bisection."""
     chance = exp(-mean)
     rows, total = [], 0.0
     for n in range(int(mean + 12.0 * mean**0.5) + 1):
@@ -75,7 +75,7 @@
 
 
 def arrivals(draw: Random, rate: float, since: float) -> Iterator[float]:
-    """A Poisson process of `rate` a second: a drawn number in each span, at even places in it."""
+    """Yield the times of a Poisson process of `rate` per second: a drawn number, uniform in each span."""
     if rate <= 0.0:
         return
     span = CHUNK / rate
@@ -86,7 +86,7 @@
 
 
 class Burst:
-    """What one community asks beyond the usual, from `begin` to `until`, with a rise and a fall."""
+    """Additional requests of one community from `begin` to `until`, with a ramp up and down."""
 
     def __init__(
         self, which: int, draw: Random, rate: float, begin: float, until: float, rise: float
@@ -101,7 +101,7 @@
         self.step(begin)
 
     def step(self, after: float) -> None:
-        """On to its next arrival after that."""
+        """Set `next_at` to the next arrival from `after` on."""
         for at in self._times:
             if at >= self.until:
                 break
@@ -112,8 +112,8 @@
         self.next_at = inf
 
 
-class Crowd:
-    """All members of all communities."""
+class ClientPopulation:
+    """The clients of all communities."""
 
     def __init__(self, load: Load, network: Network, proxies: Proxies, seed: int) -> None:
         self.load = load
@@ -139,7 +139,7 @@
         self._lockstep_until = -inf
 
     def tries(self) -> Iterator[Try]:
-        """First tries in order of time, without end."""
+        """Yield first tries in order of time, without end."""
         random = Random(f"crowd/{self._seed}").random
         for at in arrivals(Random(f"times/{self._seed}"), self.load.rate, 0.0):
             while self._bursts:
@@ -152,12 +152,14 @@
                     self._bursts.remove(burst)
             yield self._first(at, bisect(self._cumulated, random()), random)
 
-    def again(self, now: float, last: Try, status: int, retry_after: float = 0.0) -> Try | None:
-        """The next try after this one came to nothing at `now`: `status` 0 where it was given up or its
-        connection ended, `retry_after` in s as told. None where the client leaves it at that."""
+    def retry(self, now: float, last: Try, status: int, retry_after: float = 0.0) -> Try | None:
+        """Return the retry after `last` failed at `now`, or None if the client does not retry.
+
+        `status` is 0 if the client abandoned the try or its connection ended; `retry_after` is the
+        response's, in s."""
         habits = self.load.retries
         how = "lockstep" if now < self._lockstep_until else habits.how
-        # What the proxy calls the request's own fault is not asked again.
+        # Statuses that blame the request itself are not retried.
         hopeless = 0 < status < 429
         if hopeless or how == "none" or last.number >= habits.most:
             return None
@@ -181,8 +183,10 @@
             marked=habits.marked,
         )
 
-    def leave(self, try_: Try) -> Leave | None:
-        """How the client of this try leaves while it waits; None for one that stays. By its call alone."""
+    def disconnect(self, try_: Try) -> Disconnect | None:
+        """Return how the client of this try disconnects while it waits, or None if it stays.
+
+        Depends on the call id alone."""
         load = self.load
         if not load.leaving:
             return None
@@ -192,10 +196,10 @@
         low, high = load.leave_s
         bits = mix(bits)
         after = low + (high - low) * part(bits)
-        return Leave(after, part(mix(bits)) < load.leave_reset)
+        return Disconnect(after, part(mix(bits)) < load.leave_reset)
 
     def burst(self, now: float, community: str, times: float, until: float) -> None:
-        """This community asks `times` its usual rate until then. ValueError for one that there is not."""
+        """Raise a community's rate to `times` the usual until `until`. ValueError if it is unknown."""
         which = self._names.index(community)
         rate = self.load.rate * self._shares[which] * max(0.0, times - 1.0)
         draw = Random(f"burst/{self._seed}/{self._burst_count}")
@@ -205,16 +209,16 @@
             self._bursts.append(Burst(which, draw, rate, begin, until, self.load.burst_rise_s))
 
     def lockstep(self, now: float, until: float) -> None:
-        """Until then all retries leave together, on the beat."""
+        """Synchronize all retries until `until`: they are sent at multiples of `beat_s`."""
         self._lockstep_until = max(self._lockstep_until, until)
 
     def admit(self, now: float, proxy: str, takes: bool) -> None:
-        """The front deals clients to this proxy, or has noticed that it must not."""
+        """Start or stop sending clients to this proxy, as the load balancer in front does."""
         (self._shut.discard if takes else self._shut.add)(proxy)
         self._deal()
 
     def _deal(self) -> None:
-        """Clients go to a proxy of their zone, or else to any that takes them, or else in vain."""
+        """Assign clients to proxies of their zone that admit them, else any that do, else any at all."""
         taking = [seat for seat in self._seats if seat.name not in self._shut] or list(self._seats)
         self._open = {
             zone: [seat for seat in taking if seat.zone == zone] or taking for zone in self._all_zones
@@ -247,7 +251,7 @@
         )  # fmt: skip
 
     def _within(self, at: float, which: int) -> bool:
-        """Whether this one is within its community's quota; if so, it is counted."""
+        """Take a token of the community's quota; return whether there was one."""
         rate = self._refill[which]
         held = self._bucket[which] + (at - self._filled_at[which]) * rate
         held = min(held, max(1.0, rate * self.load.quota_s))
@@ -257,7 +261,7 @@
 
 
 def popularity(load: Load, seed: int) -> tuple[list[str], list[float]]:
-    """The keys, and the cumulated parts of all requests that they get, the most popular first."""
+    """Return the keys, most popular first, and their cumulative shares of all requests."""
     popular = min(load.popular, load.keys)
     rest = [1.0 / rank**load.popularity for rank in range(1, load.keys - popular + 1)]
     top = load.popular_share if rest else 1.0
--- a/firvane/simulation/emulation/reference.py
+++ b/firvane/simulation/emulation/reference.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from firvane.simulation.emulation.backend import EmulatedBackend, JobEnd
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.network import seats
 from firvane.simulation.emulation.records import Asked
 from firvane.simulation.emulation.scenario import Scenario
@@ -37,7 +37,7 @@
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
         self.scenario, self.worth = scenario, Worth(scenario)
-        self._crowd = Crowd(scenario.load, scenario.network, scenario.proxies, seed)
+        self._population = ClientPopulation(scenario.load, scenario.network, scenario.proxies, seed)
         self._timeline = Timeline(scenario, seed)
         self._seed = seed
         self._boxes: dict[str, EmulatedBackend] = {}
@@ -57,7 +57,7 @@
             self._stand_up(place, 0.0, True)
         for step in self._timeline.steps():
             self._at(step.at, self._step, step)
-        self._tries = self._crowd.tries()
+        self._tries = self._population.tries()
         self._next(0.0)
         while self._due:
             at, _, act, more = heappop(self._due)
@@ -86,19 +86,19 @@
 
     def _ask(self, now: float, try_: Try) -> None:
         if self._down.get(try_.proxy):
-            self._again(now, try_, 0, 0.0)
+            self._retry(now, try_, 0, 0.0)
         elif box := self._choose(now, try_):
             self._out[try_.call] = try_, box.name
             box.offer(now, try_.call, try_.key, try_.work)
             self._look(box.name)
             self._at(try_.deadline, self._give_up, try_)
         else:
-            self._again(now, try_, 503, PAUSE)
+            self._retry(now, try_, 503, PAUSE)
 
-    def _again(self, now: float, try_: Try, status: int, wait: float) -> None:
-        again = self._crowd.again(now, try_, status, wait)
-        if again:
-            self._at(again.at, self._ask, again)
+    def _retry(self, now: float, try_: Try, status: int, wait: float) -> None:
+        retry = self._population.retry(now, try_, status, wait)
+        if retry:
+            self._at(retry.at, self._ask, retry)
         else:
             self._firsts.pop(try_.first, None)
 
@@ -106,7 +106,7 @@
         if self._out.pop(try_.call, None):
             for box in self._boxes.values():
                 box.cancel(now, try_.call)
-            self._again(now, try_, 0, 0.0)
+            self._retry(now, try_, 0, 0.0)
 
     def _choose(self, now: float, try_: Try) -> EmulatedBackend | None:
         left = SURE * (try_.first_at + try_.aim - now)
@@ -150,7 +150,7 @@
             if entry is None:
                 continue
             if done.end is not JobEnd.COMPLETED:
-                self._again(now, entry[0], 0, 0.0)
+                self._retry(now, entry[0], 0, 0.0)
             elif (first := self._firsts.pop(entry[0].first, None)) and done.at <= first.meant + first.aim:
                 self.worth.add(first, True)
         self._look(name)
@@ -172,9 +172,9 @@
             case Action.HEAL:
                 self._cut[step.zone] -= 1
             case Action.BURST:
-                self._crowd.burst(now, step.community, step.value, step.until)
+                self._population.burst(now, step.community, step.value, step.until)
             case Action.LOCKSTEP:
-                self._crowd.lockstep(now, step.until)
+                self._population.lockstep(now, step.until)
             case _ if box:
                 self._strike(now, box, step)
         if step.action is Action.END:
@@ -200,5 +200,5 @@
                     if name == box.name:
                         del self._out[call]
                         box.cancel(now, call)
-                        self._again(now, try_, 0, 0.0)
+                        self._retry(now, try_, 0, 0.0)
         self._advance(now, box.name)
--- a/firvane/simulation/runner/client_load.py
+++ b/firvane/simulation/runner/client_load.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from firvane.simulation.emulation.clients import Crowd
+from firvane.simulation.emulation.clients import ClientPopulation
 from firvane.simulation.emulation.network import seats
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.emulation.timeline import Action, Step, Timeline
@@ -32,13 +32,13 @@
     ) -> None:
         self.scenario, self.seed = scenario, seed
         self.clock = clock
-        self.crowd = Crowd(scenario.load, scenario.network, scenario.proxies, seed)
+        self.population = ClientPopulation(scenario.load, scenario.network, scenario.proxies, seed)
         places = {
             seat.name: (seat.zone, plan.listen(number))
             for number, seat in enumerate(seats(scenario.network, scenario.proxies))
         }
         self.clients = Clients(
-            clock, self.crowd, places, seals(scenario, seed), seed, sink, on_ready, part, parts, resets_tell,
+            clock, self.population, places, seals(scenario, seed), seed, sink, on_ready, part, parts, resets_tell,
             told_epochs=bool(scenario.proxies.voters) or scenario.proxies.change_by == "files",
         )  # fmt: skip
 
@@ -49,7 +49,7 @@
         self.clients.begin(self.scenario.seconds)
 
     def _burst(self, now: float, step: Step) -> None:
-        self.crowd.burst(now, step.community, step.value, step.until)
+        self.population.burst(now, step.community, step.value, step.until)
 
     def _lockstep(self, now: float, step: Step) -> None:
-        self.crowd.lockstep(now, step.until)
+        self.population.lockstep(now, step.until)
--- a/firvane/simulation/runner/clients.py
+++ b/firvane/simulation/runner/clients.py
@@ -1,6 +1,6 @@
 """The clients: an open loop of tries over connections that are kept.
 
-1. When a try is sent depends on the crowd alone. No proxy can hold up what goes to another, or to itself.
+1. Send times depend on the client population alone: no proxy delays requests to another proxy or to itself.
 2. Every try ends once: answered, cut off (status 0), or given up, and its connection closed, at its deadline.
 3. A client waits for what is slack in the rules beyond its deadline, so that an answer in it is seen.
 4. Clients that leave (`Load.leaving`) close or reset their connection while they wait. Where `at_once` says
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Iterator
 from math import floor
 
-from firvane.simulation.emulation.clients import Crowd, Leave, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Disconnect, Try
 from firvane.simulation.emulation.records import Abandoned, Answered, Asked
 from firvane.simulation.runner.backends import Sink
 from firvane.simulation.runner.clock import Clock
@@ -35,7 +35,7 @@
     def __init__(
         self,
         clock: Clock,
-        crowd: Crowd,
+        population: ClientPopulation,
         proxies: dict[str, tuple[str, Address]],
         seals: Seals,
         seed: int,
@@ -51,14 +51,14 @@
         `resets_tell`: a reset says that the proxy left the request unread, as that of a kernel does. Links in
         memory also reset what is aborted, and would hide the loss of a request that was taken.
         """
-        self.clock, self.crowd, self.seals, self.sink = clock, crowd, seals, sink
+        self.clock, self.population, self.seals, self.sink = clock, population, seals, sink
         self.part, self.parts, self.resets_tell = part, parts, resets_tell
         self.told_epochs = told_epochs
-        most_idle = max(1, crowd.load.connections // parts)
+        most_idle = max(1, population.load.connections // parts)
         self.banks = {
             name: Bank(self, name, zone, address, most_idle) for name, (zone, address) in proxies.items()
         }
-        self.front = Front(clock, self.banks, seed, crowd.admit, on_ready)
+        self.front = Front(clock, self.banks, seed, population.admit, on_ready)
         self.tries: Iterator[tuple[Try, ...]] = iter(())
         self.next: tuple[Try, ...] = ()  # those that are sent together, nearly always one
         self.until = 0.0
@@ -73,15 +73,15 @@
 
     def _mine(self) -> Iterator[tuple[Try, ...]]:
         company: dict[str, list[Try]] = {}  # at each proxy, those that leave and go together
-        for number, try_ in enumerate(self.crowd.tries()):
+        for number, try_ in enumerate(self.population.tries()):
             if try_.at >= self.until:
                 return
             if number % self.parts != self.part:
                 continue
-            if self.crowd.load.at_once > 1 and self.crowd.leave(try_):
+            if self.population.load.at_once > 1 and self.population.disconnect(try_):
                 together = company.setdefault(try_.proxy, [])
                 together.append(try_)
-                if len(together) == self.crowd.load.at_once:
+                if len(together) == self.population.load.at_once:
                     del company[try_.proxy]
                     yield tuple(one._replace(at=try_.at, first_at=try_.at) for one in together)
             else:
@@ -107,16 +107,16 @@
         runs = [Run(try_) for try_ in tries]
         first = tries[0]
         bank = self.front.leads(first, self.banks[first.proxy], self.banks)
-        leave = self.crowd.leave(first)
-        assert leave
-        at = min(self._leaves_at(try_.at, leave, try_.deadline) for try_ in tries)
+        disconnect = self.population.disconnect(first)
+        assert disconnect
+        at = min(self._leaves_at(try_.at, disconnect, try_.deadline) for try_ in tries)
         for run in runs:
-            run.timer = self.clock.call_at(at, self._leave, run, leave)
+            run.timer = self.clock.call_at(at, self._leave, run, disconnect)
         bank.volley(runs)
 
-    def _leaves_at(self, sent: float, leave: Leave, deadline: float) -> float:
+    def _leaves_at(self, sent: float, disconnect: Disconnect, deadline: float) -> float:
         """When one leaves that does; before its time, or it would only have waited in vain."""
-        at, beat = sent + leave.after, self.crowd.load.leave_beat_s
+        at, beat = sent + disconnect.after, self.population.load.leave_beat_s
         if beat:
             at = (floor(at / beat) + 1) * beat
         return min(at, deadline - EARLY_S)
@@ -124,13 +124,13 @@
     def _ask(self, now: float, try_: Try) -> None:
         run = Run(try_)
         bits = int(try_.call[:8], 16)
-        if bits < self.crowd.load.vanishing * 2**32:
+        if bits < self.population.load.vanishing * 2**32:
             low, high = VANISH
             left = try_.budget_ms / 1e3 * (low + (high - low) * (bits & 0xFFFF) / 2**16)
             run.timer = self.clock.call_at(try_.at + left, self._give_up, run)
-        elif leave := self.crowd.leave(try_):
-            at = self._leaves_at(try_.at, leave, try_.deadline)
-            run.timer = self.clock.call_at(at, self._leave, run, leave)
+        elif disconnect := self.population.disconnect(try_):
+            at = self._leaves_at(try_.at, disconnect, try_.deadline)
+            run.timer = self.clock.call_at(at, self._leave, run, disconnect)
         else:
             run.timer = self.clock.call_at(try_.deadline + SLACK_S, self._give_up, run)
         bank = self.banks[try_.proxy]
@@ -139,7 +139,7 @@
         bank.take(run, now)
 
     def reads_slowly(self, try_: Try) -> bool:
-        return int(try_.call[8:], 16) < self.crowd.load.slow_readers * 2**32
+        return int(try_.call[8:], 16) < self.population.load.slow_readers * 2**32
 
     def request(self, try_: Try, now: float) -> bytes:
         call = try_.call.encode()
@@ -147,7 +147,7 @@
             b"%s %s HTTP/1.1\r\nHost: app.svc\r\nX-Call-Id: %s\r\nX-Caller: %s\r\nX-Route-Hash: %s\r\n"
             b"X-Budget-Ms: %d\r\nX-Call-Cost: %d\r\n%s%s"
             % (
-                b"GET" if self.crowd.load.may_repeat else b"POST",
+                b"GET" if self.population.load.may_repeat else b"POST",
                 self.seals.path(call, try_.key, try_.work),
                 call,
                 try_.community.encode(),
@@ -155,7 +155,7 @@
                 max(1, round((try_.deadline - now) * 1e3)),
                 try_.hint_us,
                 b"X-Again: 1\r\n" if try_.marked else b"",
-                b"\r\n" if self.crowd.load.may_repeat else ORDER,
+                b"\r\n" if self.population.load.may_repeat else ORDER,
             )
         )
 
@@ -204,7 +204,7 @@
                 bank.waiting.remove(run)
                 self.unreached(run, bank.name)
 
-    def _leave(self, now: float, run: Run, leave: Leave) -> None:
+    def _leave(self, now: float, run: Run, disconnect: Disconnect) -> None:
         """A client goes while its request waits, and with it whatever else it has sent behind that."""
         connection = run.connection
         if connection is None:  # it is not up yet
@@ -214,7 +214,7 @@
             self.unreached(run, waits[0].name if waits else run.try_.proxy)
             return
         runs = connection.leaves()
-        if leave.by_reset:
+        if disconnect.by_reset:
             reset(connection.transport)
         else:
             connection.transport.close()
@@ -227,9 +227,9 @@
         run.is_over = True
         if run.timer:
             run.timer.cancel()
-        again = None if status == FINE else self.crowd.again(now, run.try_, status, retry_after)
-        if again:
-            self.clock.call_at(again.at, self._ask, again)
+        retry = None if status == FINE else self.population.retry(now, run.try_, status, retry_after)
+        if retry:
+            self.clock.call_at(retry.at, self._ask, retry)
         else:
             self.out -= 1
 
--- a/tests/simulation/emulation/test_clients.py
+++ b/tests/simulation/emulation/test_clients.py
@@ -11,21 +11,21 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.scenario import Load, Network, Proxies, Retries
 from tests.proxy.net.helpers import seeded
 
 
-def crowd(load: Load | None = None, seed: int = 1, proxies: int = 3) -> Crowd:
-    return Crowd(load or Load(), Network(), Proxies(count=proxies), seed)
+def population(load: Load | None = None, seed: int = 1, proxies: int = 3) -> ClientPopulation:
+    return ClientPopulation(load or Load(), Network(), Proxies(count=proxies), seed)
 
 
-def upto(seconds: float, of: Crowd) -> list[Try]:
+def upto(seconds: float, of: ClientPopulation) -> list[Try]:
     return list(takewhile(lambda one: one.at < seconds, of.tries()))
 
 
 def test_tries_are_poisson_with_the_shares_and_keys_that_the_scenario_says() -> None:
-    tries = upto(50.0, crowd())
+    tries = upto(50.0, population())
     each = Counter(int(one.at) for one in tries)
     mean = len(tries) / 50
     assert mean == pytest.approx(710, rel=0.02)
@@ -46,10 +46,10 @@
     def plain(tries: list[Try]) -> set[tuple[float, str, str, float]]:
         return {(one.at, one.community, one.key, one.work) for one in tries}
 
-    loud = crowd()
+    loud = population()
     loud.burst(10.0, "lagos", 4.0, 20.0)
     loud.burst(12.0, "lagos", 2.0, 14.0)  # both count while both are on
-    quiet, tries = plain(upto(22.0, crowd())), upto(22.0, loud)
+    quiet, tries = plain(upto(22.0, population())), upto(22.0, loud)
     assert quiet <= plain(tries) and [one.at for one in tries] == sorted(one.at for one in tries)
     extra = plain(tries) - quiet
     assert all(community == "lagos" and 10.0 < at < 20.0 for at, community, *_ in extra)
@@ -60,7 +60,7 @@
     full = sum(one.worth == 1.0 for one in tries if one.community == "lagos" and 10 < one.at < 20)
     assert full < 710 * 0.28 * 1.25 * 11  # a quiet time before saves up no more than a second's worth
     assert all(one.worth == 1.0 for one in tries if one.community != "lagos" or one.at < 10)
-    late = crowd()
+    late = population()
     coming = late.tries()
     handed = list(islice(coming, 300))
     late.burst(0.0, "lagos", 50.0, 5.0)
@@ -68,43 +68,43 @@
 
 
 def test_clients_retry_as_they_are_used_to() -> None:
-    def again(status: int, wait: float = 0.0, **habits: object) -> Try | None:
+    def retry(status: int, wait: float = 0.0, **habits: object) -> Try | None:
         load = replace(Load(), retries=Retries(**habits))  # type: ignore[arg-type]
-        return crowd(load).again(5.3, first, status, wait)
+        return population(load).retry(5.3, first, status, wait)
 
-    first = next(crowd().tries())
-    assert again(503, how="none") is again(503, most=0) is again(400) is again(200) is None
-    at_once = again(503, 0.5, how="at-once", heeds_retry_after=False, marked=False)
-    heeded = again(429, 0.5, how="at-once")
-    beat = again(500, 0.9, how="lockstep", beat_s=0.5)
+    first = next(population().tries())
+    assert retry(503, how="none") is retry(503, most=0) is retry(400) is retry(200) is None
+    at_once = retry(503, 0.5, how="at-once", heeds_retry_after=False, marked=False)
+    heeded = retry(429, 0.5, how="at-once")
+    beat = retry(500, 0.9, how="lockstep", beat_s=0.5)
     assert at_once and heeded and beat and (at_once.at, heeded.at, beat.at) == (5.3, 5.8, 6.5)
     assert (at_once.marked, heeded.marked) == (False, True)
-    waits = again(0)
+    waits = retry(0)
     assert waits and 5.4 <= waits.at <= 5.9
     same = ("first", "first_at", "community", "key", "work", "worth", "aim", "zone", "hint_us")
     assert all(getattr(waits, name) == getattr(first, name) for name in same)
-    stepped = crowd(replace(Load(), retries=Retries(how="none")))
+    stepped = population(replace(Load(), retries=Retries(how="none")))
     stepped.lockstep(5.0, 6.0)
-    last = stepped.again(5.9, first, 0)
-    assert last and last.at == 6.0 and stepped.again(6.0, first, 0) is None
+    last = stepped.retry(5.9, first, 0)
+    assert last and last.at == 6.0 and stepped.retry(6.0, first, 0) is None
 
 
 @seeded
 @given(st.integers(0, 2**63), st.integers(0, 3))
 def test_every_call_has_an_id_of_its_own_and_tries_end_whatever_their_order(seed: int, most: int) -> None:
-    members = crowd(replace(Load(keys=50), retries=Retries(most=most, how="at-once")), seed)
+    members = population(replace(Load(keys=50), retries=Retries(most=most, how="at-once")), seed)
     chains = [[first] for first in islice(members.tries(), 50)]
     for chain in reversed(chains):
-        while after := members.again(chain[-1].deadline, chain[-1], 0):
+        while after := members.retry(chain[-1].deadline, chain[-1], 0):
             chain.append(after)
     assert {len(chain) for chain in chains} == {most + 1}
     assert len({one.call for chain in chains for one in chain}) == 50 * (most + 1)
     first = chains[0][0]
-    assert crowd(members.load, seed).again(first.deadline, first, 0) == (chains[0][1] if most else None)
+    assert population(members.load, seed).retry(first.deadline, first, 0) == (chains[0][1] if most else None)
 
 
 def test_the_front_deals_clients_to_proxies_of_their_zone_that_take_them() -> None:
-    members = crowd(proxies=4)  # of which 0 and 3 stand in ikeja
+    members = population(proxies=4)  # of which 0 and 3 stand in ikeja
     tries = members.tries()
 
     def seen(zone: str) -> set[str]:
--- a/tests/simulation/runner/standin_helpers.py
+++ b/tests/simulation/runner/standin_helpers.py
@@ -9,7 +9,7 @@
 from typing import Any, TypeVar
 
 from firvane.simulation.emulation.backend import EmulatedBackend
-from firvane.simulation.emulation.clients import Crowd
+from firvane.simulation.emulation.clients import ClientPopulation
 from firvane.simulation.emulation.records import Record
 from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries
 from firvane.simulation.runner.backends import Host
@@ -69,9 +69,11 @@
     def clients(self, load: Load, proxies: int = 1, **more: Any) -> Clients:
         """The members of a load, with proxies at 10.1.0.N:80 in one zone."""
         network = Network(zones=("a",))
-        crowd = Crowd(load, network, Proxies(count=proxies), 1)
+        population = ClientPopulation(load, network, Proxies(count=proxies), 1)
         places = {f"proxy-{n}": ("a", (f"10.1.0.{n}", 80)) for n in range(proxies)}
-        return Clients(self.clock, crowd, places, SEALS, 1, self.records.append, self.ready.append, **more)
+        return Clients(
+            self.clock, population, places, SEALS, 1, self.records.append, self.ready.append, **more
+        )
 
 
 class HandProxy(asyncio.Protocol):
