--- a/firvane/simulation/emulation/clients.py
+++ b/firvane/simulation/emulation/clients.py
@@ -25,7 +25,7 @@
 from firvane.simulation.emulation.seeded_random import mix, named, part
 
 CHUNK = 64  # mean number of arrivals drawn at once
-LEAVES = 0x1EAF5  # separates the draws for disconnecting clients from the others
+DISCONNECT_SALT = 0x1EAF5  # separates the draws for disconnecting clients from the others
 
 
 class Disconnect(NamedTuple):
@@ -60,7 +60,7 @@
         return self.at + self.budget_ms / 1e3
 
 
-def counts(mean: float) -> list[float]:
+def poisson_distribution(mean: float) -> list[float]:
     """Return the cumulative Poisson distribution for 0, 1, 2 ..., to draw from by bisection."""
     chance = exp(-mean)
     rows, total = [], 0.0
@@ -71,7 +71,7 @@
     return rows
 
 
-COUNTS = counts(CHUNK)
+COUNT_DISTRIBUTION = poisson_distribution(CHUNK)
 
 
 def arrivals(draw: Random, rate: float, since: float) -> Iterator[float]:
@@ -82,16 +82,16 @@
     random = draw.random
     for n in range(1 << 62):
         begin = since + n * span
-        yield from sorted([begin + span * random() for _ in range(bisect(COUNTS, random()))])
+        yield from sorted([begin + span * random() for _ in range(bisect(COUNT_DISTRIBUTION, random()))])
 
 
 class Burst:
     """Additional requests of one community from `begin` to `until`, with a ramp up and down."""
 
     def __init__(
-        self, which: int, draw: Random, rate: float, begin: float, until: float, rise: float
+        self, index: int, draw: Random, rate: float, begin: float, until: float, rise: float
     ) -> None:
-        self.which = which  # the community's number
+        self.index = index  # the community's number
         self.draw = draw
         self.until = until
         self._begin = begin
@@ -120,20 +120,20 @@
         self._seed = seed
         self._seats = seats(network, proxies)
         self._all_zones = tuple(dict.fromkeys(seat.zone for seat in self._seats))
-        self._shut: set[str] = set()
-        self._open: dict[str, list[Seat]] = {}
-        self._deal()
+        self._not_admitting: set[str] = set()
+        self._seats_by_zone: dict[str, list[Seat]] = {}
+        self._assign()
         self._names = tuple(community.name for community in load.communities)
         total = sum(community.share for community in load.communities)
         self._shares = [community.share / total for community in load.communities]
-        self._cumulated = [*accumulate(self._shares)][:-1]
+        self._cumulative_shares = [*accumulate(self._shares)][:-1]
         self._refill = [share * load.rate * load.quota for share in self._shares]
-        self._bucket = [max(1.0, rate * load.quota_s) for rate in self._refill]
+        self._tokens = [max(1.0, rate * load.quota_s) for rate in self._refill]
         self._filled_at = [0.0] * len(self._names)
-        self._keys, self._key_parts = popularity(load, seed)
+        self._keys, self._cumulative_key_shares = popularity(load, seed)
         self._ids = named(seed, "calls")
-        self._asked = 0
-        self._handed_at = 0.0
+        self._first_count = 0
+        self._last_at = 0.0
         self._bursts: list[Burst] = []
         self._burst_count = 0
         self._lockstep_until = -inf
@@ -146,30 +146,30 @@
                 burst = min(self._bursts, key=attrgetter("next_at"))
                 if burst.next_at >= at:
                     break
-                yield self._first(burst.next_at, burst.which, burst.draw.random)
+                yield self._first(burst.next_at, burst.index, burst.draw.random)
                 burst.step(burst.next_at)
                 if burst.next_at == inf:
                     self._bursts.remove(burst)
-            yield self._first(at, bisect(self._cumulated, random()), random)
+            yield self._first(at, bisect(self._cumulative_shares, random()), random)
 
     def retry(self, now: float, last: Try, status: int, retry_after: float = 0.0) -> Try | None:
         """Return the retry after `last` failed at `now`, or None if the client does not retry.
 
         `status` is 0 if the client abandoned the try or its connection ended; `retry_after` is the
         response's, in s."""
-        habits = self.load.retries
-        how = "lockstep" if now < self._lockstep_until else habits.how
+        policy = self.load.retries
+        how = "lockstep" if now < self._lockstep_until else policy.how
         # Statuses that blame the request itself are not retried.
-        hopeless = 0 < status < 429
-        if hopeless or how == "none" or last.number >= habits.most:
+        is_permanent = 0 < status < 429
+        if is_permanent or how == "none" or last.number >= policy.most:
             return None
         bits = mix(int(last.call, 16) ^ self._ids)
-        at = now + retry_after if habits.heeds_retry_after else now
+        at = now + retry_after if policy.heeds_retry_after else now
         if how == "wait":
-            low, high = habits.wait_s
+            low, high = policy.wait_s
             at = max(at, now + low + (high - low) * part(bits))
         elif how == "lockstep":
-            at = (floor(at / habits.beat_s) + 1) * habits.beat_s
+            at = (floor(at / policy.beat_s) + 1) * policy.beat_s
         bits = mix(bits)
         seat = self._seat(last.zone, part(bits))
         number = last.number + 1
@@ -179,8 +179,8 @@
             call=call,
             number=number,
             proxy=seat.name,
-            budget_ms=self._patience(part(mix(bits))),
-            marked=habits.marked,
+            budget_ms=self._wait_ms(part(mix(bits))),
+            marked=policy.marked,
         )
 
     def disconnect(self, try_: Try) -> Disconnect | None:
@@ -190,7 +190,7 @@
         load = self.load
         if not load.leaving:
             return None
-        bits = mix(int(try_.call, 16) ^ LEAVES)
+        bits = mix(int(try_.call, 16) ^ DISCONNECT_SALT)
         if part(bits) >= load.leaving:
             return None
         low, high = load.leave_s
@@ -200,43 +200,45 @@
 
     def burst(self, now: float, community: str, times: float, until: float) -> None:
         """Raise a community's rate to `times` the usual until `until`. ValueError if it is unknown."""
-        which = self._names.index(community)
-        rate = self.load.rate * self._shares[which] * max(0.0, times - 1.0)
+        index = self._names.index(community)
+        rate = self.load.rate * self._shares[index] * max(0.0, times - 1.0)
         draw = Random(f"burst/{self._seed}/{self._burst_count}")
         self._burst_count += 1
-        begin = max(now, self._handed_at)
+        begin = max(now, self._last_at)
         if begin < until:
-            self._bursts.append(Burst(which, draw, rate, begin, until, self.load.burst_rise_s))
+            self._bursts.append(Burst(index, draw, rate, begin, until, self.load.burst_rise_s))
 
     def lockstep(self, now: float, until: float) -> None:
         """Synchronize all retries until `until`: they are sent at multiples of `beat_s`."""
         self._lockstep_until = max(self._lockstep_until, until)
 
-    def admit(self, now: float, proxy: str, takes: bool) -> None:
+    def admit(self, now: float, proxy: str, admits: bool) -> None:
         """Start or stop sending clients to this proxy, as the load balancer in front does."""
-        (self._shut.discard if takes else self._shut.add)(proxy)
-        self._deal()
+        (self._not_admitting.discard if admits else self._not_admitting.add)(proxy)
+        self._assign()
 
-    def _deal(self) -> None:
+    def _assign(self) -> None:
         """Assign clients to proxies of their zone that admit them, else any that do, else any at all."""
-        taking = [seat for seat in self._seats if seat.name not in self._shut] or list(self._seats)
-        self._open = {
-            zone: [seat for seat in taking if seat.zone == zone] or taking for zone in self._all_zones
+        admitting = [seat for seat in self._seats if seat.name not in self._not_admitting] or list(
+            self._seats
+        )
+        self._seats_by_zone = {
+            zone: [seat for seat in admitting if seat.zone == zone] or admitting for zone in self._all_zones
         }
 
     def _seat(self, zone: str, drawn: float) -> Seat:
-        choice = self._open[zone]
+        choice = self._seats_by_zone[zone]
         return choice[int(drawn * len(choice))]
 
-    def _patience(self, drawn: float) -> int:
+    def _wait_ms(self, drawn: float) -> int:
         low, high = self.load.abandon
         return int(1e3 * self.load.deadline_s * (low + (high - low) * drawn))
 
-    def _first(self, at: float, which: int, random: Callable[[], float]) -> Try:
+    def _first(self, at: float, index: int, random: Callable[[], float]) -> Try:
         load = self.load
-        self._handed_at = at
-        self._asked += 1
-        call = f"{mix(self._asked * 0x9E3779B97F4A7C15 ^ self._ids):016x}"
+        self._last_at = at
+        self._first_count += 1
+        call = f"{mix(self._first_count * 0x9E3779B97F4A7C15 ^ self._ids):016x}"
         low, high = load.work_ms
         work = (low + (high - low) * random()) / 1e3
         hint = work * (1.0 + load.hint_error * (2.0 * random() - 1.0))
@@ -244,20 +246,20 @@
         zone = zones[int(random() * len(zones))]
         seat = self._seat(zone, random())
         return Try(
-            at, call, call, at, 0, seat.name, zone, self._names[which],
-            self._keys[bisect(self._key_parts, random())],
-            work, int(hint * 1e6), 1.0 if self._within(at, which) else load.over_share_worth,
-            load.aim_s, self._patience(random()), False,
+            at, call, call, at, 0, seat.name, zone, self._names[index],
+            self._keys[bisect(self._cumulative_key_shares, random())],
+            work, int(hint * 1e6), 1.0 if self._take_quota(at, index) else load.over_share_worth,
+            load.aim_s, self._wait_ms(random()), False,
         )  # fmt: skip
 
-    def _within(self, at: float, which: int) -> bool:
+    def _take_quota(self, at: float, index: int) -> bool:
         """Take a token of the community's quota; return whether there was one."""
-        rate = self._refill[which]
-        held = self._bucket[which] + (at - self._filled_at[which]) * rate
-        held = min(held, max(1.0, rate * self.load.quota_s))
-        self._filled_at[which] = at
-        self._bucket[which] = held - 1.0 if held >= 1.0 else held
-        return held >= 1.0
+        rate = self._refill[index]
+        tokens = self._tokens[index] + (at - self._filled_at[index]) * rate
+        tokens = min(tokens, max(1.0, rate * self.load.quota_s))
+        self._filled_at[index] = at
+        self._tokens[index] = tokens - 1.0 if tokens >= 1.0 else tokens
+        return tokens >= 1.0
 
 
 def popularity(load: Load, seed: int) -> tuple[list[str], list[float]]:
--- a/firvane/simulation/runner/client_load.py
+++ b/firvane/simulation/runner/client_load.py
@@ -38,8 +38,8 @@
             for number, seat in enumerate(seats(scenario.network, scenario.proxies))
         }
         self.clients = Clients(
-            clock, self.population, places, seals(scenario, seed), seed, sink, on_ready, part, parts, resets_tell,
-            told_epochs=bool(scenario.proxies.voters) or scenario.proxies.change_by == "files",
+            clock, self.population, places, seals(scenario, seed), seed, sink, on_ready, part, parts,
+            resets_tell, told_epochs=bool(scenario.proxies.voters) or scenario.proxies.change_by == "files",
         )  # fmt: skip
 
     def begin(self) -> None:
