--- a/firvane/simulation/emulation/judge.py
+++ b/firvane/simulation/emulation/judge.py
@@ -1,26 +1,27 @@
-"""The rules, checked from outside: from records alone, one after the other.
-
-Rules that hold here and nowhere else:
-
-1. Every limit is 50 ms longer on sockets than it is written.
-2. A proxy that is killed takes its requests with it, and nobody lost them. One that was told to end and
-   ends, lost what it had not answered; one that is killed after it was told, what came more than 0.7 s
-   after that.
-3. Strictly, a request that is unanswered at its time is lost. The platform is kinder on days of service and
-   says that it has failed, since a machine that plays proxies, boxes and clients at once may stall; so it
-   says of one whose connection ends with nothing sent on for it. Virtual time does not stall: what is late
-   there, the proxy made late. So strict is the default; live runs are judged leniently.
-4. An answer held back costs and breaks no rule. An attempt that began after its request's end breaks one in
-   virtual time; where a machine may stall it may be a race, and is graded as costing.
+"""Checks the proxies' rules against the records of a run, one record at a time.
+
+Invariants of this module:
+
+1. Every limit on sockets is extended by 50 ms.
+2. Requests open at a proxy that is killed are not counted as lost. A proxy that was ordered to end and ends
+   has lost the requests that it left unanswered; one that is killed after the order has lost those sent to
+   it more than 0.7 s after the order.
+3. In strict mode a request unanswered at its deadline is lost. The platform counts it as failed instead,
+   since a machine that runs proxies, backends and clients at once may stall, and does the same if the
+   connection ends with no attempt sent. Virtual time does not stall: there the proxy caused the delay. So
+   strict is the default, and live runs are judged leniently.
+4. An answer held back has the grade COSTS and breaks no rule. An attempt that began after its request's end
+   breaks a rule in virtual time; in live runs it may be a race and has the grade COSTS.
 5. A request is forgotten some time after its end: memory is bounded by the rate, not by the length of the
    run.
-6. A request whose client has left while it waited is not sent on `LEFT` s later; over `LEFT_PART` of such
-   cases break a rule. It waited if no attempt of it was out at a box when its client left: none had come
-   whole to one, or all that had were over. One that is sent on that late waited somewhere, whatever else
-   was out. When a client left is known at its own side, when an attempt came whole at the box's; the
-   figure is the operators' own, with no slack. What a proxy was asked before it stood still is left out.
-
-Cold boxes are judged in `cold.py`, what proxies hold in `lives.py`.
+6. A request whose client disconnected while it was queued must not be forwarded more than `LEFT` s later; a
+   share of over `LEFT_PART` of such cases breaks a rule. It was queued if none of its attempts was in
+   progress at a backend when its client disconnected: none had arrived completely, or all had ended. A
+   request forwarded that late was queued, whatever other attempts were in progress. The disconnect is timed
+   at the client, the arrival of an attempt at the backend; the limit is the operators' own, without slack.
+   Requests sent to a proxy before it was stalled are left out.
+
+Cold backends are judged in `warm_up.py`, the proxies' resources in `incarnations.py`.
 """
 
 from __future__ import annotations
@@ -51,62 +52,73 @@
 from firvane.simulation.emulation.warm_up import ColdBoxes
 
 SLACK = 0.05  # s by which every limit is longer
-GRACE = 1.0  # s after the word that a box drains or is gone
+GRACE = 1.0  # s after a proxy was notified that a backend drains or is removed
 ATTEMPTS, AT_ONCE = 3, 2
-HELD_PART = 0.5  # of a request's time, after which a refusal without an attempt was held back
-KEPT = 10.0  # s for which a request that is over is remembered, at least
+HELD_PART = 0.5  # of a request's time, after which a rejection without an attempt counts as held back
+KEPT = 10.0  # least s for which an ended request is kept
 REFUSALS = (429, 503)
-LEFT = 0.3  # s after its client has left in which a request that waited may still be sent on
-LEFT_PART = 0.25  # of such cases, beyond which they break a rule
+LEFT = 0.3  # s after its client's disconnect within which a queued request may still be forwarded
+LEFT_PART = 0.25  # the share of such cases forwarded later above which a rule is broken
 
 
 class Try:
-    """One request as its client knows it."""
+    """The state of one try, as its client sees it."""
 
     __slots__ = (
-        "answered", "asked", "attempts", "done", "due", "ended", "left", "life", "out", "ran", "unheard",
-        "waited", "written",
+        "accepted_by",
+        "answered",
+        "asked",
+        "attempts",
+        "done",
+        "due",
+        "ended",
+        "in_progress",
+        "left",
+        "life",
+        "unheard",
+        "waited",
+        "written",
     )  # fmt: skip
 
     def __init__(self, asked: Asked, life: Life) -> None:
         self.asked = asked
-        self.life = life  # of its proxy, in which it was taken
+        self.life = life  # the incarnation of the proxy that accepted it
         self.due = asked.deadline + SLACK
-        self.ended = -1.0  # when; below 0 while it is open
-        self.answered = False  # a final answer has come
-        self.attempts = 0  # that arrived
-        self.written = False  # whether any was written whole
-        self.out: list[str] = []  # the boxes that may still answer
-        self.ran = ""  # the box that took it first
-        self.done = False  # a box has made its answer
-        self.unheard = False  # an attempt is out at a box that does not hear it, and never ends there
-        self.left = -1.0  # when its client went before its time; below 0 where it did not
-        self.waited = False  # and nothing of it was out then; or it was sent on late, and has been counted
+        self.ended = -1.0  # end time; below 0 while it is open
+        self.answered = False  # whether the client received a final answer
+        self.attempts = 0  # number of attempts that arrived at a backend
+        self.written = False  # whether any attempt was completely written to a backend
+        self.in_progress: list[str] = []  # backends with an attempt in progress
+        self.accepted_by = ""  # the first backend that accepted it
+        self.done = False  # whether a backend has produced its answer
+        self.unheard = False  # whether an attempt went to an unreachable backend; such an attempt never ends
+        self.left = -1.0  # when its client disconnected before the deadline; below 0 if it did not
+        self.waited = False  # whether it was queued at the disconnect, or was forwarded late and is counted
 
 
 class Judge:
-    """Sees records in the order of their times. `replay` is the command that plays the same run again."""
+    """Judges records, given in order of time. `replay` is the command that repeats the same run."""
 
     def __init__(self, scenario: Scenario, *, strict: bool = True, replay: str = "") -> None:
         self.strict = strict
         self.may_repeat = scenario.load.may_repeat
         self.leavers = Leavers()
-        self._late: Breach | None = None  # the first that was sent on for a client that had left
+        self._late: Breach | None = None  # the first request forwarded after its client's disconnect
         self.findings = Findings(replay)
         self.lives = Lives(scenario, self.findings)
         self.cold = ColdBoxes(scenario.boxes, self.findings)
         self.tries: dict[str, Try] = {}
-        self._due: list[tuple[float, str]] = []  # heap: when an open try is overdue
-        # What stood still goes on where it was: attempts may arrive that long after their request's end.
+        self._due: list[tuple[float, str]] = []  # heap of open tries by the time from which they are overdue
+        # Stalled processes resume: their attempts may arrive that long after the request's end.
         self._kept = KEPT + max((trouble.for_s for trouble in scenario.troubles), default=0.0)
-        self._over: deque[tuple[float, Try]] = deque()  # when a try that has ended is forgotten
+        self._over: deque[tuple[float, Try]] = deque()  # ended tries and when to forget them
         self._handlers: dict[type, Callable[[Any], None]] = {
             Asked: self._asked,
             Answered: self._answered,
             Abandoned: self._abandoned,
             Arrived: self._arrived,
             Finished: self._finished,
-            Dropped: lambda record: self._in(record.call, record.box),
+            Dropped: lambda record: self._end_attempt(record.call, record.box),
             BoxState: self.cold.see,
             Told: lambda record: self.lives.of(record.proxy).told(record),
             ProxyState: self._proxy,
@@ -115,14 +127,14 @@
         }
 
     def see(self, record: Record) -> None:
-        self._pass(record.at)
+        self._advance(record.at)
         handler = self._handlers.get(type(record))
         if handler:
             handler(record)
 
     def end(self, at: float) -> None:
-        """The run is over: everything that came by `at` has been seen."""
-        self._pass(at)
+        """End the run: all records up to `at` have been seen."""
+        self._advance(at)
         self.cold.end()
         self.lives.end(at)
         found, late = self.leavers, self._late
@@ -135,174 +147,181 @@
             self.findings.add(late.rule, late.at, text, call=late.call, box=late.box, proxy=late.proxy)
 
     def breaches(self, grade: Grade = Grade.BROKEN) -> list[Breach]:
-        """The findings of one grade in the order of their times."""
+        """Return the findings of one grade, in order of time."""
         return self.findings.of(grade)
 
     # Clients.
 
-    def _pass(self, now: float) -> None:
-        """What was due before now and has not come."""
+    def _advance(self, now: float) -> None:
+        """Report the open tries that were due before `now`, and forget old ones."""
         while self._due and self._due[0][0] < now:
             due, call = heappop(self._due)
-            one = self.tries.get(call)
-            if one and one.ended < 0 and one.due == due:
-                self._unanswered(one, due)
+            try_ = self.tries.get(call)
+            if try_ and try_.ended < 0 and try_.due == due:
+                self._unanswered(try_, due)
         while self._over and self._over[0][0] < now:
-            _, one = self._over.popleft()
-            if self.tries.get(one.asked.call) is one:
-                del self.tries[one.asked.call]
+            _, try_ = self._over.popleft()
+            if self.tries.get(try_.asked.call) is try_:
+                del self.tries[try_.asked.call]
 
     def _asked(self, record: Asked) -> None:
         life = self.lives.of(record.proxy)
         if not record.taken or not life.running:
             return
-        one = Try(record, life)
+        try_ = Try(record, life)
         old = self.tries.get(record.call)
-        if old and old.ended < 0:  # sent again on another connection: one request, whose attempts add up
-            one.attempts, one.written, one.out, one.ran = old.attempts, old.written, old.out, old.ran
-            one.done, one.unheard = old.done, old.unheard
+        if old and old.ended < 0:  # resent on another connection: the attempts add up
+            try_.attempts, try_.written, try_.in_progress, try_.accepted_by = (
+                old.attempts,
+                old.written,
+                old.in_progress,
+                old.accepted_by,
+            )
+            try_.done, try_.unheard = old.done, old.unheard
         else:
             life.open += 1
-        self.tries[record.call] = one
-        heappush(self._due, (one.due, record.call))
+        self.tries[record.call] = try_
+        heappush(self._due, (try_.due, record.call))
 
     def _answered(self, record: Answered) -> None:
-        one = self.tries.get(record.call)
-        if one is None:
+        try_ = self.tries.get(record.call)
+        if try_ is None:
             return
-        if one.ended >= 0:
-            if one.answered and record.status:
-                self._on(one, Rule.ANSWERED_TWICE, record.at, f"answered before at {one.ended:.3f} s")
+        if try_.ended >= 0:
+            if try_.answered and record.status:
+                self._report(try_, Rule.ANSWERED_TWICE, record.at, f"answered before at {try_.ended:.3f} s")
             return
-        one.answered = record.status != 0
+        try_.answered = record.status != 0
         if record.status == 0:
-            if self.strict or one.written:
-                self._on(one, Rule.LOST, record.at, "its connection ended without a whole answer")
+            if self.strict or try_.written:
+                self._report(try_, Rule.LOST, record.at, "its connection ended without a complete answer")
         elif record.status == 200:
             if record.body_of != record.call:
-                made = f"was made for {record.body_of}" if record.body_of else "came from no box"
-                self._on(one, Rule.FOREIGN, record.at, f"the body {made}")
+                made = f"was made for {record.body_of}" if record.body_of else "came from no backend"
+                self._report(try_, Rule.FOREIGN, record.at, f"the body {made}")
         else:
-            self._given_up(one, record)
-        self._close(one, record.at)
-
-    def _given_up(self, one: Try, record: Answered) -> None:
-        took, time = record.at - one.asked.at, one.asked.deadline - one.asked.at
-        if not one.written and took > HELD_PART * time + SLACK:
-            text = f"answered {record.status} after {took:.3f} of {time:.3f} s, no attempt written to a box"
-            self._on(one, Rule.HELD_BACK, record.at, text, Grade.COSTS)
-        if record.status in REFUSALS and one.ran and not self.may_repeat:
-            text = f"answered {record.status}, that it is harmless to ask again, though {one.ran} took it"
-            self._on(one, Rule.EFFECTS, record.at, text, box=one.ran)
+            self._check_rejection(try_, record)
+        self._close(try_, record.at)
+
+    def _check_rejection(self, try_: Try, record: Answered) -> None:
+        took, time = record.at - try_.asked.at, try_.asked.deadline - try_.asked.at
+        if not try_.written and took > HELD_PART * time + SLACK:
+            text = f"answered {record.status} after {took:.3f} of {time:.3f} s, no attempt sent to a backend"
+            self._report(try_, Rule.HELD_BACK, record.at, text, Grade.COSTS)
+        if record.status in REFUSALS and try_.accepted_by and not self.may_repeat:
+            text = f"answered {record.status}, safe to retry, though {try_.accepted_by} had accepted it"
+            self._report(try_, Rule.EFFECTS, record.at, text, box=try_.accepted_by)
 
     def _abandoned(self, record: Abandoned) -> None:
-        one = self.tries.get(record.call)
-        if one is None or one.ended >= 0:
+        try_ = self.tries.get(record.call)
+        if try_ is None or try_.ended >= 0:
             return
-        if record.at >= one.asked.deadline - 0.001:
-            self._unanswered(one, record.at)
-        else:  # an impatient client: nobody owes it anything
-            self._left(one, record.at)
-            self._close(one, record.at)
-
-    def _left(self, one: Try, at: float) -> None:
-        """A client has gone before its time."""
-        if one.life.excuses(one.asked.at):
+        if record.at >= try_.asked.deadline - 0.001:
+            self._unanswered(try_, record.at)
+        else:  # the client disconnected before its deadline: no answer is due
+            self._count_disconnect(try_, record.at)
+            self._close(try_, record.at)
+
+    def _count_disconnect(self, try_: Try, at: float) -> None:
+        """Count a client that disconnected before its deadline."""
+        if try_.life.excuses(try_.asked.at):
             return
-        one.left = at
-        one.waited = not (one.out or one.done or one.unheard)
+        try_.left = at
+        try_.waited = not (try_.in_progress or try_.done or try_.unheard)
         self.leavers.left += 1
-        self.leavers.waiting += one.waited
+        self.leavers.waiting += try_.waited
 
-    def _unanswered(self, one: Try, at: float) -> None:
-        text = f"not answered by {one.asked.deadline:.3f} s, its time"
-        if one.life.excuses(one.asked.at):
-            self._close(one, at)
+    def _unanswered(self, try_: Try, at: float) -> None:
+        text = f"not answered by its deadline, {try_.asked.deadline:.3f} s"
+        if try_.life.excuses(try_.asked.at):
+            self._close(try_, at)
             return
         if self.strict:
-            self._on(one, Rule.LOST, at, text)
-        if not one.written:
-            self._on(one, Rule.HELD_BACK, at, f"{text}, no attempt written to a box", Grade.COSTS)
-        self._close(one, at)
+            self._report(try_, Rule.LOST, at, text)
+        if not try_.written:
+            self._report(try_, Rule.HELD_BACK, at, f"{text}, no attempt sent to a backend", Grade.COSTS)
+        self._close(try_, at)
 
-    def _on(
-        self, one: Try, rule: Rule, at: float, text: str, grade: Grade = Grade.BROKEN, box: str = ""
+    def _report(
+        self, try_: Try, rule: Rule, at: float, text: str, grade: Grade = Grade.BROKEN, box: str = ""
     ) -> None:
-        text = f"asked at {one.asked.at:.3f} s; {text}"
-        self.findings.add(rule, at, text, grade, call=one.asked.call, box=box, proxy=one.asked.proxy)
+        text = f"sent at {try_.asked.at:.3f} s; {text}"
+        self.findings.add(rule, at, text, grade, call=try_.asked.call, box=box, proxy=try_.asked.proxy)
 
-    def _close(self, one: Try, at: float) -> None:
-        one.ended = at
-        one.life.closed(at)
-        self._over.append((at + self._kept, one))
+    def _close(self, try_: Try, at: float) -> None:
+        try_.ended = at
+        try_.life.closed(at)
+        self._over.append((at + self._kept, try_))
 
-    # Boxes.
+    # Backends.
 
     def _arrived(self, record: Arrived) -> None:
         life = self.lives.of(record.proxy)
         down = life.down.get(record.box)
         if down is not None and record.began > down + GRACE + SLACK:
-            text = f"began {record.began - down:.3f} s after the proxy was told at {down:.3f} s"
-            self._at_box(Rule.DRAINED, record, text)
+            text = f"began {record.began - down:.3f} s after the proxy was notified at {down:.3f} s"
+            self._report_attempt(Rule.DRAINED, record, text)
         self.cold.arrived(record, life.up.get(record.box, -1) >= record.start)
-        one = self.tries.get(record.call)
-        if one is None or record.verdict == "unknown call":
+        try_ = self.tries.get(record.call)
+        if try_ is None or record.verdict == "unknown call":
             if life.running:
-                self._at_box(Rule.UNKNOWN, record, "no client sent it, or long ago")
+                self._report_attempt(Rule.UNKNOWN, record, "no client sent it, or it ended long ago")
             return
-        one.written = True
-        if one.left >= 0 and record.at > one.left + LEFT:
-            self._sent_on(one, record)
+        try_.written = True
+        if try_.left >= 0 and record.at > try_.left + LEFT:
+            self._count_forwarded(try_, record)
         if record.verdict == "unheard":
-            one.unheard = True
+            try_.unheard = True
         else:
-            self._attempt(one, record)
+            self._check_attempt(try_, record)
 
-    def _sent_on(self, one: Try, record: Arrived) -> None:
-        """An attempt for a client that left long ago; a request counts once."""
-        if one.life.excuses(one.asked.at):  # it stood still since
+    def _count_forwarded(self, try_: Try, record: Arrived) -> None:
+        """Count a request forwarded long after its client's disconnect; each request counts once."""
+        if try_.life.excuses(try_.asked.at):  # its proxy was stalled since
             return
         if self._late is None:
-            text = f"asked at {one.asked.at:.3f} s, its client left at {one.left:.3f} s"
+            text = f"sent at {try_.asked.at:.3f} s, its client left at {try_.left:.3f} s"
             self._late = Breach(
                 rule=Rule.SENT_ON, at=record.at, text=text, call=record.call, box=record.box,
                 proxy=record.proxy,
             )  # fmt: skip
-        self.leavers.waiting += not one.waited
+        self.leavers.waiting += not try_.waited
         self.leavers.sent_on += 1
-        one.waited, one.left = True, -1.0
+        try_.waited, try_.left = True, -1.0
 
-    def _at_box(self, rule: Rule, record: Arrived, text: str) -> None:
+    def _report_attempt(self, rule: Rule, record: Arrived, text: str) -> None:
         self.findings.add(rule, record.at, text, call=record.call, box=record.box, proxy=record.proxy)
 
-    def _attempt(self, one: Try, record: Arrived) -> None:
-        """One that has reached a box which hears it."""
+    def _check_attempt(self, try_: Try, record: Arrived) -> None:
+        """Judge an attempt that arrived at a reachable backend."""
         at, box = record.at, record.box
-        if 0 <= one.ended < record.began - SLACK and not one.life.excuses(one.asked.at):
-            text = f"began at {record.began:.3f} s, the request had ended at {one.ended:.3f} s"
+        if 0 <= try_.ended < record.began - SLACK and not try_.life.excuses(try_.asked.at):
+            text = f"began at {record.began:.3f} s, the request had ended at {try_.ended:.3f} s"
             grade = Grade.BROKEN if self.strict else Grade.COSTS
-            self._on(one, Rule.AFTER_END, at, text, grade, box)
-        one.attempts += 1
-        if one.attempts > ATTEMPTS:
-            self._on(one, Rule.ATTEMPTS, at, f"attempt {one.attempts}", box=box)
+            self._report(try_, Rule.AFTER_END, at, text, grade, box)
+        try_.attempts += 1
+        if try_.attempts > ATTEMPTS:
+            self._report(try_, Rule.ATTEMPTS, at, f"attempt {try_.attempts}", box=box)
         if record.verdict == "taken":
-            if one.ran and not self.may_repeat:
-                self._on(one, Rule.EFFECTS, at, f"{one.ran} took it before", box=box)
-            one.ran = one.ran or box
-            one.out.append(box)
-            if len(one.out) > AT_ONCE:
-                self._on(one, Rule.COPIES, at, f"out at once at {', '.join(one.out)}", box=box)
+            if try_.accepted_by and not self.may_repeat:
+                self._report(try_, Rule.EFFECTS, at, f"{try_.accepted_by} had accepted it before", box=box)
+            try_.accepted_by = try_.accepted_by or box
+            try_.in_progress.append(box)
+            if len(try_.in_progress) > AT_ONCE:
+                self._report(
+                    try_, Rule.COPIES, at, f"in progress at once at {', '.join(try_.in_progress)}", box=box
+                )
 
     def _finished(self, record: Finished) -> None:
-        if record.wanted and (one := self.tries.get(record.call)):
-            one.done = True
-        self._in(record.call, record.box)
+        if record.wanted and (try_ := self.tries.get(record.call)):
+            try_.done = True
+        self._end_attempt(record.call, record.box)
 
-    def _in(self, call: str, box: str) -> None:
-        """An attempt is out no longer."""
-        one = self.tries.get(call)
-        if one and box in one.out:
-            one.out.remove(box)
+    def _end_attempt(self, call: str, box: str) -> None:
+        """Remove an attempt from those in progress."""
+        try_ = self.tries.get(call)
+        if try_ and box in try_.in_progress:
+            try_.in_progress.remove(box)
 
     # Proxies.
 
@@ -310,9 +329,9 @@
         if not self.lives.see(record):
             return
         told = self.lives.of(record.proxy).ending
-        for one in self.tries.values():
-            if one.ended < 0 and one.asked.proxy == record.proxy:
-                if told is not None and (record.state == "ended" or one.asked.at > told + LAME):
-                    text = f"the proxy, told to end at {told:.3f} s, left it unanswered"
-                    self._on(one, Rule.LOST, record.at, text)
-                self._close(one, record.at)
+        for try_ in self.tries.values():
+            if try_.ended < 0 and try_.asked.proxy == record.proxy:
+                if told is not None and (record.state == "ended" or try_.asked.at > told + LAME):
+                    text = f"the proxy, ordered to end at {told:.3f} s, left it unanswered"
+                    self._report(try_, Rule.LOST, record.at, text)
+                self._close(try_, record.at)
