--- a/firvane/simulation/emulation/clients.py
+++ b/firvane/simulation/emulation/clients.py
@@ -89,9 +89,9 @@
     """Additional requests of one community from `begin` to `until`, with a ramp up and down."""
 
     def __init__(
-        self, index: int, draw: Random, rate: float, begin: float, until: float, rise: float
+        self, community_index: int, draw: Random, rate: float, begin: float, until: float, rise: float
     ) -> None:
-        self.index = index  # the community's number
+        self.community_index = community_index  # the community's number
         self.draw = draw
         self.until = until
         self._begin = begin
@@ -146,7 +146,7 @@
                 burst = min(self._bursts, key=attrgetter("next_at"))
                 if burst.next_at >= at:
                     break
-                yield self._first(burst.next_at, burst.index, burst.draw.random)
+                yield self._first(burst.next_at, burst.community_index, burst.draw.random)
                 burst.step(burst.next_at)
                 if burst.next_at == inf:
                     self._bursts.remove(burst)
@@ -200,13 +200,13 @@
 
     def burst(self, now: float, community: str, times: float, until: float) -> None:
         """Raise a community's rate to `times` the usual until `until`. ValueError if it is unknown."""
-        index = self._names.index(community)
-        rate = self.load.rate * self._shares[index] * max(0.0, times - 1.0)
+        community_index = self._names.index(community)
+        rate = self.load.rate * self._shares[community_index] * max(0.0, times - 1.0)
         draw = Random(f"burst/{self._seed}/{self._burst_count}")
         self._burst_count += 1
         begin = max(now, self._last_at)
         if begin < until:
-            self._bursts.append(Burst(index, draw, rate, begin, until, self.load.burst_rise_s))
+            self._bursts.append(Burst(community_index, draw, rate, begin, until, self.load.burst_rise_s))
 
     def lockstep(self, now: float, until: float) -> None:
         """Synchronize all retries until `until`: they are sent at multiples of `beat_s`."""
@@ -234,7 +234,7 @@
         low, high = self.load.abandon
         return int(1e3 * self.load.deadline_s * (low + (high - low) * drawn))
 
-    def _first(self, at: float, index: int, random: Callable[[], float]) -> Try:
+    def _first(self, at: float, community_index: int, random: Callable[[], float]) -> Try:
         load = self.load
         self._last_at = at
         self._first_count += 1
@@ -246,19 +246,19 @@
         zone = zones[int(random() * len(zones))]
         seat = self._seat(zone, random())
         return Try(
-            at, call, call, at, 0, seat.name, zone, self._names[index],
+            at, call, call, at, 0, seat.name, zone, self._names[community_index],
             self._keys[bisect(self._cumulative_key_shares, random())],
-            work, int(hint * 1e6), 1.0 if self._take_quota(at, index) else load.over_share_worth,
+            work, int(hint * 1e6), 1.0 if self._take_quota(at, community_index) else load.over_share_worth,
             load.aim_s, self._wait_ms(random()), False,
         )  # fmt: skip
 
-    def _take_quota(self, at: float, index: int) -> bool:
+    def _take_quota(self, at: float, community_index: int) -> bool:
         """Take a token of the community's quota; return whether there was one."""
-        rate = self._refill[index]
-        tokens = self._tokens[index] + (at - self._filled_at[index]) * rate
+        rate = self._refill[community_index]
+        tokens = self._tokens[community_index] + (at - self._filled_at[community_index]) * rate
         tokens = min(tokens, max(1.0, rate * self.load.quota_s))
-        self._filled_at[index] = at
-        self._tokens[index] = tokens - 1.0 if tokens >= 1.0 else tokens
+        self._filled_at[community_index] = at
+        self._tokens[community_index] = tokens - 1.0 if tokens >= 1.0 else tokens
         return tokens >= 1.0
 
 
--- a/firvane/simulation/emulation/epochs.py
+++ b/firvane/simulation/emulation/epochs.py
@@ -182,16 +182,16 @@
         request.epoch = epoch
         stalled_at, resumed_at = self.stalls.get(proxy, (inf, inf))
         since = resumed_at if stalled_at <= request.since < resumed_at else request.since
-        accepted = AcceptedRequest(since, epoch, call, proxy, request.attempts, request.sendings)
-        self._check_attempts(accepted, at)
+        answered = AcceptedRequest(since, epoch, call, proxy, request.attempts, request.sendings)
+        self._check_attempts(answered, at)
         self._check_epoch(epoch, at, proxy)
         by = min(request.by, at)
         if by < self.first.get(epoch, (inf, "", ""))[0]:
             self._record_first(epoch, by, call, proxy)
-        self.accepted.append(accepted)
+        self.accepted.append(answered)
         newer = [self.first[other] for other in self.first if other > epoch]
         if newer:
-            self._check_older(accepted, at, min(newer))
+            self._check_older(answered, at, min(newer))
         reported_at = min((then for later, then in self.reported.items() if later > epoch), default=inf)
         if since > reported_at + self.slack:
             text = f"accepted under epoch {epoch} at {since:.3f} s or later; a newer epoch was reported as in"
@@ -217,8 +217,8 @@
     def _check_older(self, request: AcceptedRequest, at: float, newer: tuple[float, str, str]) -> None:
         by, call, proxy = newer
         if request.since > by + self.slack:
-            text = f"accepted under epoch {request.epoch} at {request.since:.3f} s or later; {call} had been accepted"
-            text += f" under a newer one at {proxy} by {by:.3f} s"
+            text = f"accepted under epoch {request.epoch} at {request.since:.3f} s or later; {call} had been"
+            text += f" accepted under a newer one at {proxy} by {by:.3f} s"
             self.findings.add(Rule.OLDER, at, text, call=request.call, proxy=request.proxy)
 
     # Proxies and network
