--- a/firvane/simulation/emulation/timeline.py
+++ b/firvane/simulation/emulation/timeline.py
@@ -4,8 +4,8 @@
 
 1. Each trouble draws from a seed of its own: adding or removing one leaves the others' draws unchanged,
    and changes their targets only if a backend is no longer available.
-2. A trouble affects available backends only: neither silent, crashed nor leaving. Exception: a deploy or churn
-   also replaces a silent or crashed backend, which then does not recover.
+2. A trouble affects available backends only: neither silent, crashed nor leaving. Exception: a deploy or
+   churn also replaces a silent or crashed backend, which then does not recover.
 3. Pauses and slowdowns combine with one another and with a warm-up: slow factors multiply, the longer pause
    applies. A backend that fails while paused is no longer paused.
 4. Bursts of one community add up. A zone that is cut off twice is healed when both cuts are over.
@@ -53,10 +53,15 @@
 
 
 # The state that discovery reports after a step. It doesn't notice other steps.
-TOLD = {Action.START: "up", Action.RESTART: "up", Action.DRAIN: "draining", Action.STOP: "removed"}
+DISCOVERY_STATE = {
+    Action.START: "up",
+    Action.RESTART: "up",
+    Action.DRAIN: "draining",
+    Action.STOP: "removed",
+}
 
 
-class Place(NamedTuple):
+class Placement(NamedTuple):
     """A backend's name, kind and zone."""
 
     name: str
@@ -85,14 +90,14 @@
 
     __slots__ = ("failed_by", "leaving", "place", "slow")
 
-    def __init__(self, place: Place) -> None:
+    def __init__(self, place: Placement) -> None:
         self.place = place
         self.failed_by: Action | None = None  # SILENCE or STOP until it recovers
         self.leaving = False  # draining or removed
         self.slow: list[float] = []
 
 
-def first_fleet(scenario: Scenario, seed: int) -> tuple[Place, ...]:
+def initial_fleet(scenario: Scenario, seed: int) -> tuple[Placement, ...]:
     """Return the initial backends: kinds in proportion to their shares, zones assigned in turn."""
     boxes = scenario.boxes
     total = sum(kind.share for kind in boxes.kinds)
@@ -104,7 +109,7 @@
     kinds = [kind for kind, count in zip(boxes.kinds, counts, strict=True) for _ in range(count)]
     Random(f"fleet/{seed}").shuffle(kinds)
     zones = scenario.network.zones
-    return tuple(Place(f"box-{n + 1}", kind, zones[n % len(zones)]) for n, kind in enumerate(kinds))
+    return tuple(Placement(f"box-{n + 1}", kind, zones[n % len(zones)]) for n, kind in enumerate(kinds))
 
 
 def sample_share(draw: Random, available: list[PlannedBackend], share: float) -> list[PlannedBackend]:
@@ -116,7 +121,7 @@
     """All planned steps for backends, network, clients and proxies."""
 
     def __init__(self, scenario: Scenario, seed: int) -> None:
-        self.fleet = first_fleet(scenario, seed)
+        self.fleet = initial_fleet(scenario, seed)
         self._scenario = scenario
         self._backends = {place.name: PlannedBackend(place) for place in self.fleet}
         self._name_count = len(self.fleet)
--- a/firvane/simulation/runner/emulated_fleet.py
+++ b/firvane/simulation/runner/emulated_fleet.py
@@ -11,7 +11,7 @@
 from firvane.simulation.emulation.registry import Registry
 from firvane.simulation.emulation.scenario import Kind, Scenario
 from firvane.simulation.emulation.seeded_random import named
-from firvane.simulation.emulation.timeline import TOLD, Action, Step, Timeline
+from firvane.simulation.emulation.timeline import DISCOVERY_STATE, Action, Step, Timeline
 from firvane.simulation.runner.backends import Host, Sink
 from firvane.simulation.runner.clock import Clock
 from firvane.simulation.runner.discovery import Agent
@@ -123,7 +123,9 @@
     def _list(self, now: float, step: Step) -> None:
         host = self.hosts[step.box]
         box, since = host.box, now
-        self.registry.change(now, step.box, TOLD[step.action], box.zone, box.kind.name, box.start, since)
+        self.registry.change(
+            now, step.box, DISCOVERY_STATE[step.action], box.zone, box.kind.name, box.start, since
+        )
         self._tell()
 
     def _tell(self) -> None:
