--- a/firvane/simulation/emulation/service.py
+++ b/firvane/simulation/emulation/service.py
@@ -1,16 +1,18 @@
-"""Service as the operators count it, latencies, and what became of the requests: from records alone.
-
-Rules that hold here and nowhere else:
-
-1. Worth is work times the worth of a unit of it. It is asked for once, by the first try, when that was
-   meant to be sent; it is earned if any of its tries is answered with its own body within the aim from
-   then. `worth.py` adds it up.
-2. Worth has failed only after the wanted time if a proxy still held one of its tries when the aim passed.
-3. Work is wasted unless it made the answer that a client got; the copy that ended first made it.
-4. Latency runs from when the first try was meant to be sent to the answer that served it, so that no stall
-   of a client or a proxy hides itself. What was never served has none: it stands beside, in the counts.
-5. A request's fate is settled when no client could still try it again. Memory is bounded by the rate, but
-   for one number a second and name.
+"""Computes a run's service figures, latencies and request outcomes from its records.
+
+Invariants of this module:
+
+1. Worth is work times the worth of a unit of work. A request's worth is requested once, at the planned send
+   time of its first try; it is earned if any of its tries is answered with its own body within the aim after
+   that time. `value.py` sums it up.
+2. Worth counts as failed late if a proxy still had one of the request's tries when the aim passed.
+3. Work is wasted unless it produced the answer that a client received; of several copies the first to
+   complete produced it.
+4. Latency is measured from the planned send time of the first try to the answer that served it, so that
+   stalls of a client or a proxy are included. Requests never served have no latency; they are counted
+   separately.
+5. A request's outcome is final when its client can no longer retry. Memory is bounded by the rate, except for
+   one number per second and name.
 """
 
 from __future__ import annotations
@@ -40,14 +42,14 @@
 from firvane.simulation.emulation.value import Worth, merged
 
 REFUSALS = (429, 503)
-SPREAD = 6  # numbers of attempts told apart
-LATELY = 5  # s that who watches is told of
-POINTS = 300  # of a series at the most
+SPREAD = 6  # numbers of attempts counted separately; more are counted with the largest
+LATELY = 5  # s that the progress report covers
+POINTS = 300  # most points of a series
 EVENTS = ("first_tries", "again", "refused", "failed", "unanswered", "attempts")
 
 
 class Request:
-    """A first try and what its client made of it."""
+    """A request: its first try, its retries and its outcome."""
 
     __slots__ = (
         "aim_at",
@@ -68,18 +70,18 @@
         self.aim_at = first.meant + first.aim
         self.served_at = inf
         self.failed_late = False
-        self.last = ""  # how its last try ended
+        self.last = ""  # outcome of its last try
         self.calls: list[str] = []
-        self.open: dict[str, float] = {}  # tries that are out, and when they were asked
+        self.open: dict[str, float] = {}  # open tries and their send times
         self.attempts = 0
-        self.done: dict[str, float] = {}  # by call, the work of the attempt that was whole first
+        self.done: dict[str, float] = {}  # by call: work of the first completed attempt
 
 
 class Progress(Struct, frozen=True, kw_only=True):
-    """How a run stands, for who watches it."""
+    """The progress of a run, for display."""
 
     at: float
-    service: float  # of the last seconds whose aims have passed; 1 where nothing was asked in them
+    service: float  # of the last seconds whose aims have passed; 1 if they had no requests
     asked: int  # first tries so far
     refused: int
     failed: int
@@ -88,7 +90,7 @@
 
 
 class Service:
-    """Sees records in the order of their times; `result` may be asked for once, at the end."""
+    """Accumulates records, given in order of time; `result` may be called once, at the end."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -99,7 +101,7 @@
         self.tries = Tries()
         self.attempts = Attempts(spread=[0] * (SPREAD + 1))
         self.waste = Waste()
-        self._offered = 0.0  # work asked for by first tries that count
+        self._offered = 0.0  # work requested by counted first tries
         self._failed_late = 0.0  # worth
         self._zones: dict[str, str] = {}  # of the proxies
         self._calls: dict[str, Request] = {}
@@ -107,7 +109,7 @@
         self._events: dict[str, array[int]] = {name: array("l") for name in EVENTS}
         self._at = 0.0
         retries = scenario.load.retries
-        wait = max(retries.wait_s[1], retries.beat_s) + 1.5  # or what a refusal asks for
+        wait = max(retries.wait_s[1], retries.beat_s) + 1.5  # 1.5 s for a Retry-After
         self._settles = 1.0 + (retries.most + 1) * (scenario.load.deadline_s + wait)
         self._handlers: dict[type, Callable[[Any], None]] = {
             Asked: self._asked,
@@ -130,7 +132,7 @@
     # Clients.
 
     def _asked(self, record: Asked) -> None:
-        if record.call in self._calls:  # sent again on another connection
+        if record.call in self._calls:  # resent on another connection
             return
         self._zones[record.proxy] = record.zone
         self.tries.asked += 1
@@ -138,7 +140,7 @@
         if request:
             self.tries.again += 1
             self._count("again")
-        elif record.is_retry:  # of a request that is settled
+        elif record.is_retry:  # its request is already final
             return
         else:
             request = self._first(record)
@@ -194,7 +196,7 @@
             request.last = "unanswered"
 
     def _over(self, call: str, at: float) -> Request | None:
-        """The request whose try has ended with this; None where it had before."""
+        """End a try and return its request; None if the try had already ended."""
         request = self._calls.get(call)
         since = request.open.pop(call, None) if request else None
         if request is None or since is None:
@@ -226,7 +228,7 @@
             self.requests.unanswered += 1
         self.attempts.spread[min(request.attempts, SPREAD)] += 1
 
-    # Boxes.
+    # Backends.
 
     def _arrived(self, record: Arrived) -> None:
         request = self._calls.get(record.call)
@@ -259,10 +261,10 @@
             counts.extend([0] * (second + 1 - len(counts)))
         counts[second] += 1
 
-    # What comes out.
+    # Results.
 
     def progress(self) -> Progress:
-        """For who watches; cheap."""
+        """Return the current progress; cheap to compute."""
         pair, last = self.worth.all, int(self._at - self.scenario.load.aim_s)
         begin = max(0, last - LATELY)
         asked, earned = (sum(values[begin:last]) if last > 0 else 0.0 for values in (pair.asked, pair.earned))
--- a/firvane/simulation/emulation/value.py
+++ b/firvane/simulation/emulation/value.py
@@ -1,11 +1,11 @@
-"""Worth asked for and worth earned: in all, by second, by community, by data centre.
+"""Sums up the worth requested and earned: in total, by second, by community and by zone.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. What was meant to be sent in the warm-up is shown over time and counts for nothing else.
-2. The worst 10 s are any ten seconds in a row after the warm-up, which are counted from its end; a last one
-   that is not whole is left out. A run that has fewer has one worst stretch, all of it.
-3. A community's service is that of what it asked within its share.
+1. Requests planned for the warm-up appear in the series over time and count for nothing else.
+2. The worst 10 s are any ten successive seconds after the warm-up, counted from its end; an incomplete last
+   second is left out. In a shorter run the worst stretch is the whole run.
+3. A community's service is that of its requests within its share.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class Pair:
-    """Worth asked for and earned, by second."""
+    """Worth requested and earned, by second."""
 
     __slots__ = ("asked", "earned")
 
@@ -39,7 +39,7 @@
         (self.earned if earned else self.asked)[second] += worth
 
     def service(self) -> float:
-        """Of all of it; 1 where nothing was asked for."""
+        """Return the earned part of the requested worth; 1 if none was requested."""
         asked = sum(self.asked)
         return sum(self.earned) / asked if asked else 1.0
 
@@ -49,12 +49,12 @@
 
 
 class Worth:
-    """All of a run's."""
+    """The worth of a whole run."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.warm_up, self.seconds = scenario.warm_up_s, scenario.seconds
         self.counted = Pair()  # by second since the warm-up
-        self.within: dict[str, Pair] = {}  # by community: what counts, within its share
+        self.within: dict[str, Pair] = {}  # by community: counted worth within its share
         self.all = Pair()  # by second since the start, as are the others
         self.communities: dict[str, Pair] = {}
         self.zones: dict[str, Pair] = {}
@@ -63,7 +63,7 @@
         return first.meant >= self.warm_up
 
     def add(self, first: Asked, earned: bool) -> None:
-        """A first try was asked, or one was earned."""
+        """Add the worth of a first try as requested or as earned."""
         worth = first.work * first.worth
         second = max(0, floor(first.meant))
         self.all.add(second, worth, earned)
@@ -76,7 +76,7 @@
                 _pair(self.within, first.community).add(since, worth, earned)
 
     def worst(self) -> tuple[float, float]:
-        """Service in the worst 10 s, and when these began."""
+        """Return the service in the worst 10 s, and when they began."""
         asked, earned = self.counted.asked, self.counted.earned
         whole = floor(self.seconds - self.warm_up)
         worst, at = self.counted.service(), self.warm_up
@@ -87,12 +87,12 @@
         return worst, at
 
     def by_community(self) -> dict[str, float]:
-        """Service of each within its share, by name."""
+        """Return the service of each community within its share, by name."""
         return {name: pair.service() for name, pair in sorted(self.within.items())}
 
 
 def merged(values: Iterable[float], per: int) -> list[float]:
-    """Sums of so many neighbours each."""
+    """Return the sums of `per` successive values each."""
     listed = list(values)
     if per == 1:
         return listed
