--- a/firvane/simulation/emulation/incarnations.py
+++ b/firvane/simulation/emulation/incarnations.py
@@ -1,15 +1,13 @@
-"""The proxies' lives as they are seen from outside: what each was told, owes, holds and sends.
-
-Rules that hold here and nowhere else:
-
-1. A proxy has crashed if it ends though nobody told it to end; one that is killed has not.
-2. Nothing that it holds may grow without bound, or beyond what it may hold (`leaks.py` tells a leak from a
-   burst).
-3. Flows are held for requests that are open, and for few others: what is out for one that is over is
-   cancelled.
-4. What was asked of a proxy before or while it stands still (SIGSTOP, a machine without a turn) is not owed
-   by it: nobody can answer then.
-5. Datagrams go to peers only where the network has them, and hold at most 256 bytes.
+"""Tracks each proxy's incarnations (process lifetimes): state, notifications, resources, datagrams.
+
+Invariants of this module:
+
+1. A proxy has crashed if it ends without an order to end; a killed proxy has not crashed.
+2. None of its resources may grow without bound or beyond its limit (`leaks.py` separates leaks from bursts).
+3. Flows belong to open requests, and to few others: attempts of an ended request are cancelled.
+4. A proxy owes no answer to requests sent before or during a stall (SIGSTOP, a machine without CPU time):
+   no process could answer then.
+5. Datagrams go to peers only if the network has peers, and are at most 256 bytes long.
 """
 
 from __future__ import annotations
@@ -21,30 +19,30 @@
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.emulation.verdict import Findings, Rule
 
-LAME = 0.7  # s after the order to end for which clients may still come
-AWAKE = 0.1  # s after a stand-still in which it may still take up what came during it
-LINGER = 0.1  # s after its end for which a flow may still be held
-FEW = 8  # flows that may be held beyond what is known of
-SAMPLES = 3  # in a row that show more, before it is a leak
-REMEMBERED = 600.0  # s for which a box that has left is still looked out for
+DRAIN_GRACE = 0.7  # s after the order to end during which clients may still send requests
+RESUME_GRACE = 0.1  # s after a stall in which requests from during the stall may still be accepted
+LINGER = 0.1  # s after its request's end for which a flow may still exist
+FLOW_SLACK = 8  # flows allowed beyond those accounted for
+SAMPLES = 3  # successive samples above the limit that count as a leak
+REMEMBERED = 600.0  # s for which attempts at a removed backend are still checked
 MEGABYTE = 1 << 20
 DATAGRAM = 256  # bytes
 
 
-class Life:
-    """What one proxy was told, owes and holds, since it started."""
+class Incarnation:
+    """One process lifetime of a proxy: its notifications, open requests and resources."""
 
     def __init__(self, began: float) -> None:
         self.running = True
-        self.ending: float | None = None  # when it was told to end
-        self.up: dict[str, int] = {}  # box to the start that it was told of
-        self.down: dict[str, float] = {}  # box to when it was told that it drains or is gone, in that order
+        self.ending: float | None = None  # when it was ordered to end
+        self.up: dict[str, int] = {}  # by backend: the start that the proxy was notified of
+        self.down: dict[str, float] = {}  # by backend: time of its drain or removal notice, in that order
         self.floors = {"sockets": Floors(began, 24.0), "memory, in MB,": Floors(began, 8.0)}
-        self.stands = False  # still, where it was
-        self.went_on = -1.0  # when it last stood still no longer
-        self.open = 0  # requests that it has to answer
-        self._ended: deque[float] = deque()  # when those of the last `LINGER` s did
-        self._over = 0  # samples in a row with more flows than can be
+        self.is_stalled = False  # whether it is stalled
+        self.resumed_at = -1.0  # when it last resumed
+        self.open = 0  # number of unanswered requests
+        self._ended: deque[float] = deque()  # end times of requests within the last `LINGER` s
+        self._over = 0  # successive samples with too many flows
 
     def told(self, record: Told) -> None:
         box = record.box
@@ -61,11 +59,11 @@
             del self.down[first]
 
     def excuses(self, asked: float) -> bool:
-        """Whether it stood still while a request of then was open: nothing can be owed meanwhile."""
-        return self.stands or asked <= self.went_on + AWAKE
+        """Whether a request sent at `asked` was open during a stall, so that no answer is due."""
+        return self.is_stalled or asked <= self.resumed_at + RESUME_GRACE
 
     def closed(self, at: float) -> None:
-        """One of its open requests has ended."""
+        """Count the end of an open request."""
         self.open -= 1
         self._ended.append(at)
         self._forget(at)
@@ -74,57 +72,57 @@
         self.floors["sockets"].see(record.at, record.sockets)
         self.floors["memory, in MB,"].see(record.at, record.memory / MEGABYTE)
 
-    def holds_too_much(self, record: Used) -> int | None:
-        """How many flows can be wanted, where more than that were held in several samples."""
+    def exceeded_flow_limit(self, record: Used) -> int | None:
+        """Return the flow limit if several successive samples exceeded it, else None."""
         self._forget(record.at)
-        can_be = self.open + len(self._ended) + FEW
-        self._over = self._over + 1 if record.flows > can_be else 0
-        return can_be if self._over == SAMPLES else None
+        limit = self.open + len(self._ended) + FLOW_SLACK
+        self._over = self._over + 1 if record.flows > limit else 0
+        return limit if self._over == SAMPLES else None
 
     def _forget(self, now: float) -> None:
         while self._ended and self._ended[0] < now - LINGER:
             self._ended.popleft()
 
 
-class Lives:
-    """All proxies, each in its present life."""
+class Incarnations:
+    """The current incarnation of each proxy."""
 
     def __init__(self, scenario: Scenario, findings: Findings) -> None:
         self.scenario = scenario
         self.findings = findings
-        self.lives: dict[str, Life] = {}
+        self.incarnations: dict[str, Incarnation] = {}
 
-    def of(self, proxy: str) -> Life:
-        """One that nobody has seen start has run from the beginning."""
-        if proxy not in self.lives:
-            self.lives[proxy] = Life(0.0)
-        return self.lives[proxy]
+    def of(self, proxy: str) -> Incarnation:
+        """Return a proxy's current incarnation; one without a start record has run since time 0."""
+        if proxy not in self.incarnations:
+            self.incarnations[proxy] = Incarnation(0.0)
+        return self.incarnations[proxy]
 
     def see(self, record: ProxyState) -> bool:
-        """Whether its life has ended with this."""
-        name, life = record.proxy, self.of(record.proxy)
+        """Apply a state change; return whether the incarnation has ended."""
+        name, incarnation = record.proxy, self.of(record.proxy)
         if record.state == "started":
-            self.lives[name] = Life(record.at)
+            self.incarnations[name] = Incarnation(record.at)
         elif record.state in ("stalled", "on"):
-            life.stands = record.state == "stalled"
-            life.went_on = record.at
+            incarnation.is_stalled = record.state == "stalled"
+            incarnation.resumed_at = record.at
         elif record.state == "ending":
-            life.ending = record.at
-        elif record.state in ("killed", "ended") and life.running:
-            life.running = False
-            if record.state == "ended" and life.ending is None:
-                text = f"ended with code {record.code} though nobody told it to"
+            incarnation.ending = record.at
+        elif record.state in ("killed", "ended") and incarnation.running:
+            incarnation.running = False
+            if record.state == "ended" and incarnation.ending is None:
+                text = f"ended with code {record.code} without an order to end"
                 self.findings.add(Rule.CRASHED, record.at, text, proxy=name)
-            self._leaks(record.at, name, life)
+            self._leaks(record.at, name, incarnation)
             return True
         return False
 
     def used(self, record: Used) -> None:
-        life, limits = self.of(record.proxy), self.scenario.proxies
-        life.used(record)
-        held = life.holds_too_much(record)
-        if held is not None:
-            text = f"holds {record.flows} flows though no more than {held} can be wanted"
+        incarnation, limits = self.of(record.proxy), self.scenario.proxies
+        incarnation.used(record)
+        limit = incarnation.exceeded_flow_limit(record)
+        if limit is not None:
+            text = f"holds {record.flows} flows though at most {limit} can be in use"
             self.findings.add(Rule.LEAK, record.at, text, proxy=record.proxy)
         megabytes = record.memory / MEGABYTE
         if record.sockets > limits.sockets or megabytes > limits.memory_mb:
@@ -133,18 +131,18 @@
             self.findings.add(Rule.OVER, record.at, text, proxy=record.proxy)
 
     def sent(self, record: Sent) -> None:
-        most = DATAGRAM if self.scenario.network.peers else 0
-        if record.size > most:
-            text = f"{record.size} bytes, {most} allowed"
+        allowed = DATAGRAM if self.scenario.network.peers else 0
+        if record.size > allowed:
+            text = f"{record.size} bytes, {allowed} allowed"
             self.findings.add(Rule.DATAGRAM, record.at, text, proxy=record.proxy)
 
     def end(self, at: float) -> None:
-        for name, life in sorted(self.lives.items()):
-            if life.running:
-                self._leaks(at, name, life)
+        for name, incarnation in sorted(self.incarnations.items()):
+            if incarnation.running:
+                self._leaks(at, name, incarnation)
 
-    def _leaks(self, at: float, name: str, life: Life) -> None:
-        for what, floors in life.floors.items():
+    def _leaks(self, at: float, name: str, incarnation: Incarnation) -> None:
+        for what, floors in incarnation.floors.items():
             if grown := floors.grown():
-                text = f"{what} grew by {grown:.0f} in the life's second half, to {floors.floors[-2]:.0f}"
+                text = f"{what} grew by {grown:.0f} in the second half of its run, to {floors.floors[-2]:.0f}"
                 self.findings.add(Rule.LEAK, at, text, proxy=name)
--- a/firvane/simulation/emulation/judge.py
+++ b/firvane/simulation/emulation/judge.py
@@ -31,7 +31,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from firvane.simulation.emulation.incarnations import LAME, Life, Lives
+from firvane.simulation.emulation.incarnations import DRAIN_GRACE, Incarnation, Incarnations
 from firvane.simulation.emulation.metrics import Leavers
 from firvane.simulation.emulation.records import (
     Abandoned,
@@ -73,16 +73,16 @@
         "due",
         "ended",
         "in_progress",
+        "incarnation",
         "left",
-        "life",
         "unheard",
         "waited",
         "written",
     )  # fmt: skip
 
-    def __init__(self, asked: Asked, life: Life) -> None:
+    def __init__(self, asked: Asked, incarnation: Incarnation) -> None:
         self.asked = asked
-        self.life = life  # the incarnation of the proxy that accepted it
+        self.incarnation = incarnation  # the incarnation of the proxy that accepted it
         self.due = asked.deadline + SLACK
         self.ended = -1.0  # end time; below 0 while it is open
         self.answered = False  # whether the client received a final answer
@@ -105,7 +105,7 @@
         self.leavers = Leavers()
         self._late: Breach | None = None  # the first request forwarded after its client's disconnect
         self.findings = Findings(replay)
-        self.lives = Lives(scenario, self.findings)
+        self.incarnations = Incarnations(scenario, self.findings)
         self.cold = ColdBoxes(scenario.boxes, self.findings)
         self.tries: dict[str, Try] = {}
         self._due: list[tuple[float, str]] = []  # heap of open tries by the time from which they are overdue
@@ -120,10 +120,10 @@
             Finished: self._finished,
             Dropped: lambda record: self._end_attempt(record.call, record.box),
             BoxState: self.cold.see,
-            Told: lambda record: self.lives.of(record.proxy).told(record),
+            Told: lambda record: self.incarnations.of(record.proxy).told(record),
             ProxyState: self._proxy,
-            Used: self.lives.used,
-            Sent: self.lives.sent,
+            Used: self.incarnations.used,
+            Sent: self.incarnations.sent,
         }
 
     def see(self, record: Record) -> None:
@@ -136,7 +136,7 @@
         """End the run: all records up to `at` have been seen."""
         self._advance(at)
         self.cold.end()
-        self.lives.end(at)
+        self.incarnations.end(at)
         found, late = self.leavers, self._late
         if late and found.sent_on > LEFT_PART * found.waiting:
             text = (
@@ -165,10 +165,10 @@
                 del self.tries[try_.asked.call]
 
     def _asked(self, record: Asked) -> None:
-        life = self.lives.of(record.proxy)
-        if not record.taken or not life.running:
+        incarnation = self.incarnations.of(record.proxy)
+        if not record.taken or not incarnation.running:
             return
-        try_ = Try(record, life)
+        try_ = Try(record, incarnation)
         old = self.tries.get(record.call)
         if old and old.ended < 0:  # resent on another connection: the attempts add up
             try_.attempts, try_.written, try_.in_progress, try_.accepted_by = (
@@ -179,7 +179,7 @@
             )
             try_.done, try_.unheard = old.done, old.unheard
         else:
-            life.open += 1
+            incarnation.open += 1
         self.tries[record.call] = try_
         heappush(self._due, (try_.due, record.call))
 
@@ -224,7 +224,7 @@
 
     def _count_disconnect(self, try_: Try, at: float) -> None:
         """Count a client that disconnected before its deadline."""
-        if try_.life.excuses(try_.asked.at):
+        if try_.incarnation.excuses(try_.asked.at):
             return
         try_.left = at
         try_.waited = not (try_.in_progress or try_.done or try_.unheard)
@@ -233,7 +233,7 @@
 
     def _unanswered(self, try_: Try, at: float) -> None:
         text = f"not answered by its deadline, {try_.asked.deadline:.3f} s"
-        if try_.life.excuses(try_.asked.at):
+        if try_.incarnation.excuses(try_.asked.at):
             self._close(try_, at)
             return
         if self.strict:
@@ -250,21 +250,21 @@
 
     def _close(self, try_: Try, at: float) -> None:
         try_.ended = at
-        try_.life.closed(at)
+        try_.incarnation.closed(at)
         self._over.append((at + self._kept, try_))
 
     # Backends.
 
     def _arrived(self, record: Arrived) -> None:
-        life = self.lives.of(record.proxy)
-        down = life.down.get(record.box)
+        incarnation = self.incarnations.of(record.proxy)
+        down = incarnation.down.get(record.box)
         if down is not None and record.began > down + GRACE + SLACK:
             text = f"began {record.began - down:.3f} s after the proxy was notified at {down:.3f} s"
             self._report_attempt(Rule.DRAINED, record, text)
-        self.cold.arrived(record, life.up.get(record.box, -1) >= record.start)
+        self.cold.arrived(record, incarnation.up.get(record.box, -1) >= record.start)
         try_ = self.tries.get(record.call)
         if try_ is None or record.verdict == "unknown call":
-            if life.running:
+            if incarnation.running:
                 self._report_attempt(Rule.UNKNOWN, record, "no client sent it, or it ended long ago")
             return
         try_.written = True
@@ -277,7 +277,7 @@
 
     def _count_forwarded(self, try_: Try, record: Arrived) -> None:
         """Count a request forwarded long after its client's disconnect; each request counts once."""
-        if try_.life.excuses(try_.asked.at):  # its proxy was stalled since
+        if try_.incarnation.excuses(try_.asked.at):  # its proxy was stalled since
             return
         if self._late is None:
             text = f"sent at {try_.asked.at:.3f} s, its client left at {try_.left:.3f} s"
@@ -295,7 +295,7 @@
     def _check_attempt(self, try_: Try, record: Arrived) -> None:
         """Judge an attempt that arrived at a reachable backend."""
         at, box = record.at, record.box
-        if 0 <= try_.ended < record.began - SLACK and not try_.life.excuses(try_.asked.at):
+        if 0 <= try_.ended < record.began - SLACK and not try_.incarnation.excuses(try_.asked.at):
             text = f"began at {record.began:.3f} s, the request had ended at {try_.ended:.3f} s"
             grade = Grade.BROKEN if self.strict else Grade.COSTS
             self._report(try_, Rule.AFTER_END, at, text, grade, box)
@@ -326,12 +326,12 @@
     # Proxies.
 
     def _proxy(self, record: ProxyState) -> None:
-        if not self.lives.see(record):
+        if not self.incarnations.see(record):
             return
-        told = self.lives.of(record.proxy).ending
+        told = self.incarnations.of(record.proxy).ending
         for try_ in self.tries.values():
             if try_.ended < 0 and try_.asked.proxy == record.proxy:
-                if told is not None and (record.state == "ended" or try_.asked.at > told + LAME):
+                if told is not None and (record.state == "ended" or try_.asked.at > told + DRAIN_GRACE):
                     text = f"the proxy, ordered to end at {told:.3f} s, left it unanswered"
                     self._report(try_, Rule.LOST, record.at, text)
                 self._close(try_, record.at)
--- a/firvane/simulation/emulation/registry.py
+++ b/firvane/simulation/emulation/registry.py
@@ -1,11 +1,11 @@
-"""The late list: which boxes there are, as each proxy has been told.
+"""Service discovery with delays: the list of backends as each proxy has received it.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. It knows of processes alone: one that runs, drains, or is gone. To it a silent machine's still runs.
-2. There is one order of changes. Every proxy is told all of them in it, each late by a delay of its own.
-3. A version is the number of changes up to it, so two proxies of one version know the same.
-4. Whoever writes to a proxy asks `due` first; `snapshot` and `since` hold what `due` has handed out.
+1. The list covers processes only: running, draining or removed. A silent machine's process counts as running.
+2. All changes have one order. Every proxy receives all of them in that order, each after a delay of its own.
+3. A version is the number of changes up to it, so two proxies at one version know the same list.
+4. Callers call `due` before they write to a proxy; `snapshot` and `since` cover only what `due` returned.
 """
 
 from __future__ import annotations
@@ -18,87 +18,88 @@
 
 
 class Change(NamedTuple):
-    """One change of the list; the last one of a box is its entry."""
+    """One change of the list; a backend's last change is its entry."""
 
     version: int  # from 1
-    at: float  # when it came about, not when anybody was told
+    at: float  # when it happened, not when proxies received it
     box: str
     zone: str
     kind: str
     state: str  # "up", "draining" or "removed"
-    start: int  # which start of the box, from 0
-    since: float | None  # when that was, in s of the rehearsal; None for long ago
+    start: int  # number of the backend's start, from 0
+    since: float | None  # time of that start, in s of the rehearsal; None for long ago
 
 
 class Registry:
-    """The list and its delays; `seed` draws those, for each change and proxy by name."""
+    """The list and its delays, which are drawn from `seed` by change and proxy name."""
 
     def __init__(self, seed: int, network: Network) -> None:
         self._seed = named(seed, "discovery")
-        self._late = network.discovery_late_s
+        self._delay_s = network.discovery_late_s
         self._changes: list[Change] = []
-        self._of: dict[str, Change] = {}
-        self._first = 0  # so many changes everybody knows from the start
-        self._told: dict[str, int] = {}
+        self._entries: dict[str, Change] = {}
+        self._known_from_start = 0  # number of changes that all proxies know from the start
+        self._received: dict[str, int] = {}
         self._snapshots: dict[int, list[Change]] = {}
 
     @property
     def version(self) -> int:
-        """Of the list as it truly is."""
+        """The current version of the list, without delays."""
         return len(self._changes)
 
     def change(
         self, now: float, box: str, state: str, zone: str = "", kind: str = "", start: int = 0,
         since: float | None = None,
     ) -> Change:  # fmt: skip
-        """A box is "up" now, "draining" or "removed". Zone and kind are needed the first time alone (KeyError
-        for a box that was never up), start and since whenever it is up."""
+        """Record that a backend is now "up", "draining" or "removed".
+
+        `zone` and `kind` are needed only the first time (KeyError for a backend that was never up), `start`
+        and `since` whenever it is up."""
         if state != "up" or not zone:
-            last = self._of[box]
+            last = self._entries[box]
             zone, kind = last.zone, last.kind
             if state != "up":
                 start, since = last.start, last.since
         new = Change(len(self._changes) + 1, now, box, zone, kind, state, start, since)
         self._changes.append(new)
-        self._of[box] = new
+        self._entries[box] = new
         return new
 
     def begin(self) -> None:
-        """All changes up to here were told to everybody long ago."""
-        self._first = len(self._changes)
+        """Mark all changes so far as known to all proxies long ago."""
+        self._known_from_start = len(self._changes)
 
     def due(self, proxy: str, now: float) -> list[Change]:
-        """What this proxy is told now, in order; each change once."""
-        told = begun = self._told.get(proxy, self._first)
-        while self._told_at(proxy, told) <= now:
-            told += 1
-        self._told[proxy] = told
-        return self._changes[begun:told]
+        """Return the changes that this proxy receives now, in order; each change once."""
+        received = before = self._received.get(proxy, self._known_from_start)
+        while self._received_at(proxy, received) <= now:
+            received += 1
+        self._received[proxy] = received
+        return self._changes[before:received]
 
     def next_at(self, proxy: str) -> float:
-        """When this proxy is told something next; inf where all is told."""
-        return self._told_at(proxy, self._told.get(proxy, self._first))
+        """Return when this proxy receives its next change; inf if there is none."""
+        return self._received_at(proxy, self._received.get(proxy, self._known_from_start))
 
     def snapshot(self, proxy: str, now: float) -> tuple[int, list[Change]]:
-        """The version that this proxy has been told, and an entry for each box that is not gone by it."""
-        told = self._told.get(proxy, self._first)
-        if told not in self._snapshots:
-            last = {change.box: change for change in self._changes[:told]}
-            # Proxies ask for few versions; keeping the latest serves a whole bank that starts at once.
-            self._snapshots = {told: [change for change in last.values() if change.state != "removed"]}
-        return told, self._snapshots[told]
+        """Return the version that this proxy has received, and the entries of backends that remain in it."""
+        received = self._received.get(proxy, self._known_from_start)
+        if received not in self._snapshots:
+            last = {change.box: change for change in self._changes[:received]}
+            # Proxies request few versions; keeping the latest serves all proxies that start together.
+            self._snapshots = {received: [change for change in last.values() if change.state != "removed"]}
+        return received, self._snapshots[received]
 
     def since(self, proxy: str, version: int) -> list[Change] | None:
-        """What this proxy was told after that version; None if it was never told so much, and needs the whole
-        list."""
-        told = self._told.get(proxy, self._first)
-        return self._changes[version:told] if 0 < version <= told else None
-
-    def _told_at(self, proxy: str, place: int) -> float:
-        """When a proxy may be told the change at this place, by its draw. Order is for `due`: it asks of no
-        change before it has told those ahead."""
+        """Return the changes this proxy received after `version`; None if it needs a full list because it
+        never received that version."""
+        received = self._received.get(proxy, self._known_from_start)
+        return self._changes[version:received] if 0 < version <= received else None
+
+    def _received_at(self, proxy: str, place: int) -> float:
+        """Return when a proxy may receive the change at this place, by its drawn delay. `due` keeps order."""
         if place >= len(self._changes):
             return inf
         change = self._changes[place]
-        low, high = self._late
+        low, high = self._delay_s
         return change.at + low + (high - low) * part(mix(named(self._seed, proxy) ^ change.version))
