--- a/firvane/simulation/emulation/service.py
+++ b/firvane/simulation/emulation/service.py
@@ -42,8 +42,8 @@
 from firvane.simulation.emulation.value import Worth, merged
 
 REFUSALS = (429, 503)
-SPREAD = 6  # numbers of attempts counted separately; more are counted with the largest
-LATELY = 5  # s that the progress report covers
+MAX_SPREAD = 6  # numbers of attempts counted separately; more are counted with the largest
+PROGRESS_S = 5  # s that the progress report covers
 POINTS = 300  # most points of a series
 EVENTS = ("first_tries", "again", "refused", "failed", "unanswered", "attempts")
 
@@ -99,18 +99,18 @@
         self.latencies = Latencies(scenario.warm_up_s)
         self.requests = Requests()
         self.tries = Tries()
-        self.attempts = Attempts(spread=[0] * (SPREAD + 1))
+        self.attempts = Attempts(spread=[0] * (MAX_SPREAD + 1))
         self.waste = Waste()
         self._offered = 0.0  # work requested by counted first tries
         self._failed_late = 0.0  # worth
         self._zones: dict[str, str] = {}  # of the proxies
         self._calls: dict[str, Request] = {}
-        self._settling: deque[tuple[float, Request]] = deque()
+        self._not_final: deque[tuple[float, Request]] = deque()
         self._events: dict[str, array[int]] = {name: array("l") for name in EVENTS}
         self._at = 0.0
         retries = scenario.load.retries
         wait = max(retries.wait_s[1], retries.beat_s) + 1.5  # 1.5 s for a Retry-After
-        self._settles = 1.0 + (retries.most + 1) * (scenario.load.deadline_s + wait)
+        self._final_after = 1.0 + (retries.most + 1) * (scenario.load.deadline_s + wait)
         self._handlers: dict[type, Callable[[Any], None]] = {
             Asked: self._asked,
             Answered: self._answered,
@@ -122,8 +122,8 @@
 
     def see(self, record: Record) -> None:
         self._at = record.at
-        while self._settling and self._settling[0][0] < record.at:
-            self._settle(self._settling.popleft()[1])
+        while self._not_final and self._not_final[0][0] < record.at:
+            self._finalize(self._not_final.popleft()[1])
         handler = self._handlers.get(type(record))
         if handler:
             handler(record)
@@ -143,7 +143,7 @@
         elif record.is_retry:  # its request is already final
             return
         else:
-            request = self._first(record)
+            request = self._add_request(record)
         request.calls.append(record.call)
         self._calls[record.call] = request
         if record.taken:
@@ -152,9 +152,9 @@
             self.tries.unreached += 1
             request.last = "failed"
 
-    def _first(self, record: Asked) -> Request:
+    def _add_request(self, record: Asked) -> Request:
         request = Request(record, self.worth.counts(record))
-        self._settling.append((record.at + self._settles, request))
+        self._not_final.append((record.at + self._final_after, request))
         self._count("first_tries")
         self.worth.add(record, earned=False)
         if request.counted:
@@ -163,7 +163,7 @@
         return request
 
     def _answered(self, record: Answered) -> None:
-        request = self._over(record.call, record.at)
+        request = self._end_try(record.call, record.at)
         if request is None:
             return
         if record.status == 200 and record.body_of == record.call:
@@ -189,13 +189,13 @@
             self.waste.wasted -= request.done.pop(record.call, 0.0)
 
     def _abandoned(self, record: Abandoned) -> None:
-        request = self._over(record.call, record.at)
+        request = self._end_try(record.call, record.at)
         if request:
             self.tries.unanswered += 1
             self._count("unanswered")
             request.last = "unanswered"
 
-    def _over(self, call: str, at: float) -> Request | None:
+    def _end_try(self, call: str, at: float) -> Request | None:
         """End a try and return its request; None if the try had already ended."""
         request = self._calls.get(call)
         since = request.open.pop(call, None) if request else None
@@ -205,7 +205,7 @@
             request.failed_late = True
         return request
 
-    def _settle(self, request: Request) -> None:
+    def _finalize(self, request: Request) -> None:
         for call in request.calls:
             del self._calls[call]
         if request.open:
@@ -226,7 +226,7 @@
             self.requests.failed += 1
         else:
             self.requests.unanswered += 1
-        self.attempts.spread[min(request.attempts, SPREAD)] += 1
+        self.attempts.spread[min(request.attempts, MAX_SPREAD)] += 1
 
     # Backends.
 
@@ -266,7 +266,7 @@
     def progress(self) -> Progress:
         """Return the current progress; cheap to compute."""
         pair, last = self.worth.all, int(self._at - self.scenario.load.aim_s)
-        begin = max(0, last - LATELY)
+        begin = max(0, last - PROGRESS_S)
         asked, earned = (sum(values[begin:last]) if last > 0 else 0.0 for values in (pair.asked, pair.earned))
         return Progress(
             at=self._at,
@@ -279,23 +279,23 @@
         )
 
     def result(self) -> ServiceResult:
-        while self._settling:
-            self._settle(self._settling.popleft()[1])
+        while self._not_final:
+            self._finalize(self._not_final.popleft()[1])
         attempts, waste = self.attempts, self.waste
         attempts.per_request = attempts.sent / self.requests.asked if self.requests.asked else 0.0
         waste.part = waste.wasted / waste.spent if waste.spent else 0.0
-        whole, communities = self.worth.counted.service(), self.worth.by_community()
+        overall, communities = self.worth.counted.service(), self.worth.by_community()
         worst, worst_at = self.worth.worst()
         name = min(communities, key=lambda one: communities[one], default="")
         least = communities.get(name, 1.0)
         penalties = self._penalties()
         weights = WEIGHTS
-        goal = weights.whole * whole + weights.worst_10_s * worst + weights.worst_community * least
+        goal = weights.whole * overall + weights.worst_10_s * worst + weights.worst_community * least
         seconds = int(self._at) + 1
         per = -(-seconds // POINTS)
         return ServiceResult(
             score=goal - sum(penalties.values()),
-            service=whole,
+            service=overall,
             worst_10_s=worst,
             worst_10_s_at=worst_at,
             worst_community=least,
