--- a/firvane/simulation/emulation/records.py
+++ b/firvane/simulation/emulation/records.py
@@ -1,13 +1,13 @@
-"""What a rehearsal writes down: things seen from outside of the proxies, at stand-ins only.
+"""The records of a rehearsal: events observed outside the proxies, by the emulated clients and backends only.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. A record is seen, never told: nothing in one comes out of a proxy but what it put on a wire.
-2. Times are seconds since the rehearsal began, on one clock, and records come in the order of their times.
-3. A request's tries share `first`, the call id of the first of them; every try has a `call` of its own.
+1. Records are observations: they contain nothing from a proxy except what it sent over the network.
+2. Times are seconds since the rehearsal began, on one clock; records are ordered by time.
+3. A request's tries share `first`, the call id of the first try; every try has a `call` of its own.
 
-The judges (`judge.py`), the figures (`service.py`) and the reports read records and nothing else, so that a
-virtual and a live run are judged by the same code.
+The judges (`judge.py`), the service figures (`service.py`) and the reports read only records, so that virtual
+and live runs are judged by the same code.
 """
 
 from __future__ import annotations
@@ -16,41 +16,41 @@
 
 
 class Asked(NamedTuple):
-    """A try's last byte was written by its client.
+    """A client has written the last byte of a try.
 
-    Written once more where the request crossed the end of its connection and was sent again on another. Where
-    no connection came up (`taken` False), the moment at which the client knew.
+    Recorded again if the connection closed while the request was sent and the client resent it on another.
+    If no connection was established (`taken` False), the time is that at which the client knew.
     """
 
     at: float
     call: str
-    first: str  # the call id of the first try, its own where it is that
-    meant: float  # when it was to be sent; the client's own lateness is `at - meant`
+    first: str  # the call id of the request's first try
+    meant: float  # planned send time; the client's own delay is `at - meant`
     proxy: str
     zone: str
     community: str
     key: str
-    work: float  # s of a standard core, without what a box remembers
+    work: float  # s of a standard core, if its key is not cached
     worth: float  # per s of work: 1 within the community's share, less beyond
-    aim: float  # s from `meant` of the first try: an answer later than that is worth nothing
+    aim: float  # s from `meant` of the first try; a later answer is worth nothing
     deadline: float  # when the client abandons this try
     is_retry: bool
-    taken: bool = True  # False: no connection came up, so no proxy ever had it, and nothing else follows
+    taken: bool = True  # False: no connection, so no proxy received it and no other record follows
 
 
 class Answered(NamedTuple):
-    """A try's final answer was read whole by its client, or its connection ended (`status` 0)."""
+    """A client has read the complete final answer of a try, or its connection ended (`status` 0)."""
 
     at: float
     call: str
     proxy: str
     status: int
-    retry_after: float  # s, 0 where none was given
-    body_of: str  # the call id that the body was made for; "" where no box made it
+    retry_after: float  # s, 0 if not given
+    body_of: str  # the call id that the body was made for; "" if no backend made it
 
 
 class Decided(NamedTuple):
-    """A final answer's head told which epoch of the policy decided its request; `Answered` follows."""
+    """A final answer's headers named the policy epoch that decided its request; `Answered` follows."""
 
     at: float
     call: str
@@ -59,7 +59,7 @@
 
 
 class Abandoned(NamedTuple):
-    """The client gave a try up, unanswered; at a deadline it waits for the rules' slack first."""
+    """A client abandoned an unanswered try; at a deadline it first waits for the rules' slack."""
 
     at: float
     call: str
@@ -67,34 +67,34 @@
 
 
 class Arrived(NamedTuple):
-    """An attempt's last byte has reached a box; or has gone to one that does not hear it ("unheard").
+    """An attempt's last byte has reached a backend, or was sent to one that is unreachable ("unheard").
 
-    What was sent to a box that stood still or was cut off, and is read later, began when it was sent.
+    An attempt sent to a stalled or cut-off backend that reads it later began when it was sent.
     """
 
     at: float
     call: str
     proxy: str
     box: str
-    start: int  # which start of the box, from 0
-    began: float  # when the attempt's first byte came: drains are judged by it
-    work: float  # s of a standard core that it costs there, by what the box remembers
+    start: int  # number of the backend's start, from 0
+    began: float  # when the attempt's first byte arrived; drains are judged by it
+    work: float  # its cost there in s of a standard core; lower if its key is cached
     verdict: str  # "taken", "turned away", "unknown call" (no client sent it) or "unheard"
 
 
 class Finished(NamedTuple):
-    """A box has ended its work on an attempt."""
+    """A backend has ended its work on an attempt."""
 
     at: float
     call: str
     box: str
     start: int
     work: float  # s of a standard core spent on it
-    wanted: bool  # whether anybody still waited for it
+    wanted: bool  # whether the attempt was not cancelled
 
 
 class Dropped(NamedTuple):
-    """A proxy closed the connection of an attempt before its answer: it is out no longer."""
+    """A proxy closed an attempt's connection before its answer, which ends the attempt."""
 
     at: float
     call: str
@@ -102,7 +102,7 @@
 
 
 class Probed(NamedTuple):
-    """A probe has reached a box."""
+    """A health probe has reached a backend."""
 
     at: float
     proxy: str
@@ -110,9 +110,9 @@
 
 
 class BoxState(NamedTuple):
-    """A box changed: "warm" or "cold" (it runs, since when), "silent", "down", "paused", "back", "fell".
+    """A backend's state: "warm" or "cold" (running), "silent", "down", "paused", "back" or "fell".
 
-    Written again with the state that it is in where only what it can do has changed.
+    Recorded again with the same state if only the capacity has changed.
     """
 
     at: float
@@ -121,11 +121,11 @@
     state: str
     kind: str
     zone: str
-    capacity: float  # standard cores that it can use at that moment
+    capacity: float  # usable standard cores at that time
 
 
 class Told(NamedTuple):
-    """Discovery wrote a change to a proxy, or it counts as told: "up", "draining" or "removed"."""
+    """Discovery sent a change to a proxy, or it counts as sent: "up", "draining" or "removed"."""
 
     at: float
     proxy: str
@@ -135,9 +135,9 @@
 
 
 class ProxyState(NamedTuple):
-    """A proxy changed: "started", "ready", "ending" (told to), "killed" or "ended" (`code` tells how).
+    """A proxy's state: "started", "ready", "ending" (ordered to), "killed" or "ended" (with exit `code`).
 
-    "stalled" and "on": it stands still, and goes on where it was."""
+    "stalled" and "on": its process is suspended, and resumes."""
 
     at: float
     proxy: str
@@ -146,18 +146,18 @@
 
 
 class Used(NamedTuple):
-    """What a proxy used, sampled. In virtual time only what needs no process is filled in."""
+    """A sample of a proxy's resource use. In virtual time only fields that need no process are set."""
 
     at: float
     proxy: str
     cpu: float  # s since its start
     memory: int  # bytes resident
     sockets: int
-    flows: int = -1  # that its engine holds, where the rehearsal can look into it: in virtual time; else -1
+    flows: int = -1  # in its engine; known in virtual time only, else -1
 
 
 class Sent(NamedTuple):
-    """A datagram left a proxy for its peers."""
+    """A proxy sent a datagram to a peer."""
 
     at: float
     proxy: str
@@ -166,7 +166,7 @@
 
 
 class Stated(NamedTuple):
-    """A proxy's door says another state of its recovery than when last asked; "" where it is silent."""
+    """A proxy's control endpoint reports a changed recovery state; "" if it does not respond."""
 
     at: float
     proxy: str
@@ -174,7 +174,7 @@
 
 
 class Proposed(NamedTuple):
-    """An operator's call that proposes a policy was written to a proxy's door."""
+    """An operator's call proposing a policy was sent to a proxy's control endpoint."""
 
     at: float
     proxy: str
@@ -182,17 +182,17 @@
 
 
 class Said(NamedTuple):
-    """A proxy's door has said what became of a proposal made there: a change of what it said before."""
+    """A proxy's control endpoint reports a changed outcome of a proposal made there."""
 
     at: float  # when it was read
     proxy: str
     digest: str
     outcome: str  # "in force", "open", "failed" or "unknown"
-    epoch: int = 0  # where it is in force
+    epoch: int = 0  # if it is in force
 
 
 class InUse(NamedTuple):
-    """A proxy's door says another epoch and policy in use there than when last asked."""
+    """A proxy's control endpoint reports a changed epoch and policy in use."""
 
     at: float
     proxy: str
@@ -201,7 +201,7 @@
 
 
 class Shaded(NamedTuple):
-    """A trouble of the scenario begins or ends, for the plots."""
+    """The time span of a trouble of the scenario, for the plots."""
 
     at: float
     until: float
@@ -209,14 +209,14 @@
 
 
 class Rolled(NamedTuple):
-    """A roll has come to another state, or says something of it."""
+    """A rollout has changed its state or reports on it."""
 
     at: float
     state: str
     stage: int
     why: str
-    new: int  # requests that proxies of the new version have taken since the roll began
-    all: int  # and all proxies
+    new: int  # requests accepted by proxies of the new version since the rollout began
+    all: int  # requests accepted by all proxies since then
 
 
 Record = (
