--- a/firvane/simulation/emulation/judge.py
+++ b/firvane/simulation/emulation/judge.py
@@ -49,7 +49,7 @@
 )
 from firvane.simulation.emulation.scenario import Scenario
 from firvane.simulation.emulation.verdict import Breach, Findings, Grade, Rule
-from firvane.simulation.emulation.warm_up import ColdBoxes
+from firvane.simulation.emulation.warm_up import ColdBackends
 
 SLACK = 0.05  # s by which every limit is longer
 GRACE = 1.0  # s after a proxy was notified that a backend drains or is removed
@@ -106,7 +106,7 @@
         self._late: Breach | None = None  # the first request forwarded after its client's disconnect
         self.findings = Findings(replay)
         self.incarnations = Incarnations(scenario, self.findings)
-        self.cold = ColdBoxes(scenario.boxes, self.findings)
+        self.cold = ColdBackends(scenario.boxes, self.findings)
         self.tries: dict[str, Try] = {}
         self._due: list[tuple[float, str]] = []  # heap of open tries by the time from which they are overdue
         # Stalled processes resume: their attempts may arrive that long after the request's end.
--- a/firvane/simulation/emulation/warm_up.py
+++ b/firvane/simulation/emulation/warm_up.py
@@ -1,14 +1,14 @@
-"""What a box can do at a moment, and how near a cold one came to falling over: from records alone.
+"""Computes backends' capacity, and how close cold ones came to overload, from records.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. A box does `cold_share` of its all when it starts, and more, evenly by the clock, until it is warm after
-   `warm_s`. A pause changes nothing in that.
-2. Within any `fall_s` the proxies together may send a cold box `fall_multiple` times what it can do in that
-   time at its present capacity; what it turns away counts as sent, what it does not hear does not.
-3. The proxies pushed it over if it fell and two thirds of that work came from such as knew of its start:
-   told of it, or counted as told 6 s later.
-4. What comes near the budget is told with its fraction, and so is a fall that nobody could know of.
+1. A backend has `cold_share` of its capacity when it starts. The share rises linearly with time to 1 after
+   `warm_s`, also during a pause.
+2. Within any `fall_s` all proxies together may send a cold backend `fall_multiple` times the work that it can
+   do in that time at its current capacity. Rejected attempts count as sent, unheard ones don't.
+3. The proxies overloaded it if it fell and at least two thirds of that work came from proxies that knew of
+   its start: those notified of it, and all proxies from 6 s after the start.
+4. Peaks near the budget are reported with their fraction of it, as is a fall that proxies could not avoid.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 from firvane.simulation.emulation.verdict import Findings, Grade, Rule
 
 KNOWING_PART = 2 / 3
-NEAR = 0.8  # of the budget
-TOLD_BY = 6.0  # s after a box's start by when everybody counts as told
+NEAR = 0.8  # part of the budget
+NOTIFIED_AFTER = 6.0  # s after a backend's start from which all proxies count as notified
 UP = ("warm", "cold", "paused", "back")
 
 
-class Level:
-    """One box's capacity, as last told."""
+class CapacityLevel:
+    """One backend's last recorded capacity."""
 
     __slots__ = ("began", "full", "start")
 
     def __init__(self, start: int, began: float) -> None:
         self.start = start
-        self.began = began  # -inf where it was warm from the first
+        self.began = began  # far in the past if it was warm from the start
         self.full = 0.0  # standard cores once warm
 
 
 class Capacity:
-    """What each box can do. A box that is gone can do nothing and is forgotten."""
+    """The capacity of each backend that is up."""
 
     def __init__(self, boxes: Boxes) -> None:
         self.boxes = boxes
-        self.levels: dict[str, Level] = {}
+        self.levels: dict[str, CapacityLevel] = {}
 
     def see(self, record: BoxState) -> None:
         if record.state not in UP:
@@ -51,12 +51,12 @@
         level = self.levels.get(record.box)
         if level is None or level.start != record.start:
             began = record.at if record.state == "cold" else -1e9
-            self.levels[record.box] = level = Level(record.start, began)
+            self.levels[record.box] = level = CapacityLevel(record.start, began)
         if record.capacity > 0:
             level.full = record.capacity / self._warmth(level, record.at)
 
     def of(self, box: str, now: float) -> float:
-        """Standard cores, 0 for one that is not up."""
+        """Return the usable standard cores of `box` at `now`, 0 if it is not up."""
         level = self.levels.get(box)
         return level.full * self._warmth(level, now) if level else 0.0
 
@@ -64,18 +64,18 @@
         level = self.levels.get(box)
         return level is not None and now < level.began + self.boxes.warm_s
 
-    def _warmth(self, level: Level, now: float) -> float:
+    def _warmth(self, level: CapacityLevel, now: float) -> float:
         age = min(1.0, max(0.0, now - level.began) / self.boxes.warm_s) if self.boxes.warm_s > 0 else 1.0
         return self.boxes.cold_share + (1.0 - self.boxes.cold_share) * age
 
 
 class Peak(NamedTuple):
-    """What the last `fall_s` before `at` held for a cold box."""
+    """The work sent to a cold backend in the `fall_s` before `at`."""
 
     at: float
-    fraction: float  # of the work that it may be sent
-    knowing: float  # part of that work from proxies that knew of its start
-    proxies: tuple[str, ...]  # who sent it, most first
+    fraction: float  # of the budget
+    knowing: float  # part of that work sent by proxies that knew of the start
+    proxies: tuple[str, ...]  # senders, by descending work
 
 
 class Sent(NamedTuple):
@@ -86,7 +86,7 @@
 
 
 class Window:
-    """What one cold box was sent within the last `fall_s`."""
+    """The work sent to one cold backend within the last `fall_s`."""
 
     __slots__ = ("began", "sent", "start", "total", "worst")
 
@@ -112,8 +112,8 @@
         return Peak(at, self.total / budget, knowing / self.total, proxies)
 
 
-class ColdBoxes:
-    """The windows of all boxes that are cold at the moment, and what is found on them."""
+class ColdBackends:
+    """The windows of all backends that are currently cold, and the findings on them."""
 
     def __init__(self, boxes: Boxes, findings: Findings) -> None:
         self.boxes = boxes
@@ -135,35 +135,35 @@
             return
         if window and record.state == "fell":
             known = window.worst.knowing >= KNOWING_PART
-            self._find(box, record.at, window.worst, Grade.BROKEN if known else Grade.NEAR, "fell")
+            self._report(box, record.at, window.worst, Grade.BROKEN if known else Grade.NEAR, "fell")
         elif window:
-            self._near(box, window)
+            self._report_near(box, window)
 
-    def arrived(self, record: Arrived, told: bool) -> None:
-        """`told`: whether its proxy was told of this start of the box."""
+    def arrived(self, record: Arrived, notified: bool) -> None:
+        """Count an attempt; `notified` is whether its proxy was notified of this start of the backend."""
         window, at = self.windows.get(record.box), record.at
         if window is None or window.start != record.start or record.verdict == "unheard":
             return
         if not self.capacity.is_cold(record.box, at):
             return
-        sent = Sent(at, record.work, record.proxy, told or at >= window.began + TOLD_BY)
+        sent = Sent(at, record.work, record.proxy, notified or at >= window.began + NOTIFIED_AFTER)
         window.add(sent, at - self.boxes.fall_s)
         budget = self.boxes.fall_multiple * self.boxes.fall_s * self.capacity.of(record.box, at)
         if budget > 0 and window.total > window.worst.fraction * budget:
             window.worst = window.peak(at, budget)
 
     def end(self) -> None:
-        """The run is over."""
+        """End the run: report the remaining windows."""
         for box, window in sorted(self.windows.items()):
-            self._near(box, window)
+            self._report_near(box, window)
 
-    def _near(self, box: str, window: Window) -> None:
+    def _report_near(self, box: str, window: Window) -> None:
         if window.worst.fraction >= NEAR:
-            self._find(box, window.worst.at, window.worst, Grade.NEAR, "stood")
+            self._report(box, window.worst.at, window.worst, Grade.NEAR, "stood")
 
-    def _find(self, box: str, at: float, peak: Peak, grade: Grade, how: str) -> None:
+    def _report(self, box: str, at: float, peak: Peak, grade: Grade, how: str) -> None:
         text = (
-            f"{how}; at {peak.at:.3f} s it had been sent {peak.fraction:.2f} of what it may be in"
+            f"{how}; at {peak.at:.3f} s it had been sent {peak.fraction:.2f} of the allowed work in"
             f" {self.boxes.fall_s:g} s, {peak.knowing:.0%} of it by proxies that knew of its start"
             f" ({', '.join(peak.proxies)})"
         )
