--- a/firvane/simulation/emulation/compare.py
+++ b/firvane/simulation/emulation/compare.py
@@ -1,15 +1,15 @@
-"""Whether two runs can be told apart, from their figures over time.
-
-Rules that hold here and nowhere else:
-
-1. Runs are cut into blocks of `BLOCK` s after the warm-up, so that what lingers for some seconds is one
-   observation and not several. What still lingers from block to block takes from their number.
-2. Runs that were struck by the same at the same times are set against each other block by block: what both
-   had to go through cancels out. Otherwise each run has its own scatter.
-3. They can be told apart if the interval of 95% around the mean difference leaves 0 out. Under `LEAST`
-   blocks nobody can tell.
-4. The scatter is that within these runs. Another seed strikes other boxes: a difference to rely on shows in
-   several.
+"""Tests whether two runs differ significantly, from their figures over time.
+
+Invariants of this module:
+
+1. Runs are divided into blocks of `BLOCK` s after the warm-up, so that an effect lasting some seconds is one
+   observation. Remaining correlation between successive blocks reduces their effective number.
+2. Runs with the same troubles at the same times are compared block by block (paired), so that effects common
+   to both cancel out. Otherwise each run contributes its own variance.
+3. Runs differ if the 95% confidence interval of the mean difference excludes 0. Fewer than `LEAST` blocks
+   are inconclusive.
+4. The variance is that within these runs. Another seed affects other backends: rely only on a difference that
+   several seeds show.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Difference(Struct, frozen=True, kw_only=True):
-    """The second run's figure less the first one's, and the interval of 95% around it."""
+    """The second run's figure minus the first run's, with its 95% confidence interval."""
 
     what: str
     unit: str
@@ -52,9 +52,9 @@
 def differences(
     first: ServiceResult, second: ServiceResult, warm_up: float, paired: bool
 ) -> list[Difference]:
-    """Of the figures that there are over time; seconds before `warm_up` are left out.
+    """Return the differences of the figures over time; seconds before `warm_up` are left out.
 
-    `paired`: both runs had the same troubles at the same times.
+    `paired` means that both runs had the same troubles at the same times.
     """
     a, b = first.over_time, second.over_time
     figures: list[tuple[str, str, Callable[[OverTime], Series]]] = [
@@ -73,7 +73,7 @@
 
 
 def blocks(series: Series, step: float, warm_up: float) -> Series:
-    """The mean of each block; None where there is nothing in it."""
+    """Return the mean of each block; None for a block without values."""
     by_block: dict[int, list[float]] = {}
     for n, value in enumerate(series):
         if n * step >= warm_up and value is not None:
@@ -82,25 +82,25 @@
 
 
 def interval(values: list[float]) -> tuple[float, float]:
-    """Mean and half the width of the interval of 95% around it; `values` at least 2."""
-    mean, scatter = fmean(values), variance(values)
-    if not scatter:
+    """Return the mean and half the width of its 95% confidence interval; at least 2 `values` are needed."""
+    mean, spread = fmean(values), variance(values)
+    if not spread:
         return mean, 0.0
-    linger = sum((a - mean) * (b - mean) for a, b in pairwise(values))
-    linger = max(0.0, linger / (len(values) - 1) / scatter)
-    number = max(3.0, len(values) * (1 - linger) / (1 + linger))
-    return mean, student(number - 1) * sqrt(scatter / number)
+    correlation = sum((a - mean) * (b - mean) for a, b in pairwise(values))
+    correlation = max(0.0, correlation / (len(values) - 1) / spread)
+    number = max(3.0, len(values) * (1 - correlation) / (1 + correlation))
+    return mean, student(number - 1) * sqrt(spread / number)
 
 
-def student(freedom: float) -> float:
-    """The 97.5% point of Student's distribution, by its expansion around the normal one's."""
+def student(degrees_of_freedom: float) -> float:
+    """Return the 97.5% quantile of Student's t, by its expansion around the normal quantile."""
     z = Z
     terms = (
         (z**3 + z) / 4,
         (5 * z**5 + 16 * z**3 + 3 * z) / 96,
         (3 * z**7 + 19 * z**5 + 17 * z**3 - 15 * z) / 384,
     )
-    return z + sum(term / freedom**n for n, term in enumerate(terms, 1))
+    return z + sum(term / degrees_of_freedom**n for n, term in enumerate(terms, 1))
 
 
 def _difference(what: str, unit: str, one: Series, other: Series, paired: bool) -> Difference:
--- a/firvane/simulation/emulation/verdict.py
+++ b/firvane/simulation/emulation/verdict.py
@@ -1,4 +1,4 @@
-"""What a judge has found: the rules, how grave a finding is, the finding itself, and all of a run's."""
+"""Findings of the judges: the rules, the grades, one finding, and the collection of a run's findings."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Rule(Enum):
-    """What a proxy promises. The value is how operators read it."""
+    """The rules that proxies must keep. The value is the text that operators read."""
 
     LOST = "a request lost its answer"
     ANSWERED_TWICE = "a request answered twice"
@@ -35,15 +35,15 @@
 
 
 class Grade(Enum):
-    """How grave a finding is."""
+    """The severity of a finding."""
 
-    BROKEN = "broken"  # a rule: the run counts for nothing
-    COSTS = "costs"  # part of the request's worth
-    NEAR = "near"  # nothing was broken, but it was near
+    BROKEN = "broken"  # a rule is broken: the run is void
+    COSTS = "costs"  # the request loses part of its worth
+    NEAR = "near"  # no rule is broken, but the limit was close
 
 
 class Breach(Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """One finding. Times are seconds since the run began; a name that does not apply is empty."""
+    """One finding. Times are seconds since the run began; names that don't apply are empty."""
 
     rule: Rule
     at: float
@@ -52,15 +52,15 @@
     call: str = ""
     box: str = ""
     proxy: str = ""
-    fraction: float = 0.0  # of what a cold box may be sent
-    replay: str = ""  # the command that plays the run again
+    fraction: float = 0.0  # of the work that a cold backend may be sent
+    replay: str = ""  # the command that repeats the run
 
 
 SHOWN = 20
 
 
 class Findings:
-    """All of a run's. At most `SHOWN` of a rule and a grade are kept in full, the others are counted."""
+    """A run's findings. At most `SHOWN` per rule and grade are kept in full; the others are only counted."""
 
     def __init__(self, replay: str = "") -> None:
         self.replay = replay
@@ -95,5 +95,5 @@
             self._kept.append(found)
 
     def of(self, grade: Grade) -> list[Breach]:
-        """Those of one grade, in the order of their times."""
+        """Return the kept findings of one grade, in order of time."""
         return sorted((one for one in self._kept if one.grade is grade), key=lambda one: one.at)
