--- a/firvane/simulation/emulation/__init__.py
+++ b/firvane/simulation/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""A model of the other side: boxes, clients, the network, discovery. Pure, on a clock that is handed in."""
+"""Emulation of the proxies' environment: backends, clients, network, discovery. No I/O."""
--- a/firvane/simulation/emulation/checks.py
+++ b/firvane/simulation/emulation/checks.py
@@ -1,7 +1,7 @@
-"""What a scenario may say: bounds of its figures, and what must fit together. Each yields key and reason.
+"""Checks a scenario: bounds of its numbers, and consistency of its parts. Each check yields key and reason.
 
-Bounds follow from the names: what ends in `_s` or `_ms` is a span, `share`, `part` and the like are parts of
-one, a pair is a range. What a figure needs beyond that stands in `LEAST` and `MOST`.
+Bounds follow from the names: names ending in `_s` or `_ms` are durations, `share`, `part` and the like are
+parts of one, a pair is a range. Other bounds are in `LEAST` and `MOST`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
     r"|crowded_from"
     r"|never|late)$"
 )
-LEAST = {"share": 1e-6, "cores": 0.01, "speed": 0.01, "proxy": -1, "other": -1}  # 0 where it is not here
+LEAST = {"share": 1e-6, "cores": 0.01, "speed": 0.01, "proxy": -1, "other": -1}  # 0 for other names
 LEAST |= {"step_s": -1e9}
 LEAST |= dict.fromkeys(("count", "slots_per_core", "connections", "keys", "at_once"), 1)
 LEAST |= dict.fromkeys(("quota", "warm_s", "aim_s", "deadline_s", "rate", "work_ms"), 1e-3)
@@ -46,7 +46,7 @@
 
 
 def figures(part: Part) -> Found:
-    """Each figure against its bounds; a pair also against itself."""
+    """Check each number against its bounds, and the order of each pair."""
     for key in part.__struct_fields__:
         value: Any = getattr(part, key)
         pair = isinstance(value, tuple) and len(value) == 2 and isinstance(value[0], int | float)
@@ -57,7 +57,7 @@
         if isinstance(part, Trouble) and key == "part_speed":
             most = 100.0
         if isinstance(part, Trouble) and key in ("aim_s", "deadline_s", "quota"):
-            least = 0  # left as it was
+            least = 0  # 0 leaves the policy's value unchanged
         if low < least:
             yield key, f"is {low:g}, below {least:g}"
         elif low > high:
@@ -112,7 +112,7 @@
 
 
 def scenario(whole: Scenario) -> Found:
-    """The troubles against the rest."""
+    """Check the troubles and the rollout against the rest of the scenario."""
     yield from figures(whole)
     if not whole.name:
         yield "name", "is empty"
@@ -120,9 +120,12 @@
         yield "warm_up_s", f"is {whole.warm_up_s:g}, and the whole lasts {whole.seconds:g} s"
     communities = {community.name for community in whole.load.communities}
     if whole.proxies.voters and not whole.network.peers:
-        yield "proxies.voters", f"is {whole.proxies.voters}, and proxies hear nothing of one another"
+        yield (
+            "proxies.voters",
+            f"is {whole.proxies.voters}, but network.peers is off",
+        )
     if whole.roll and whole.proxies.count < 2:
-        yield "roll", "needs two proxies at least: the old ones are what the new are held against"
+        yield "roll", "needs at least two proxies: new ones are compared with old ones"
     if whole.roll and whole.roll.at_s >= whole.seconds:
         yield "roll.at_s", f"is {whole.roll.at_s:g}, and the whole lasts {whole.seconds:g} s"
     for index, trouble in enumerate(whole.troubles):
--- a/firvane/simulation/emulation/metrics.py
+++ b/firvane/simulation/emulation/metrics.py
@@ -59,9 +59,7 @@
     crossings: int = 0  # from one zone to another
     probes: int = 0
     per_request: float = 0.0
-    spread: list[
-        int
-    ] = []  # requests by number of attempts: 0, 1, 2 ...; the last with any more
+    spread: list[int] = []  # requests by number of attempts: 0, 1, 2 ...; the last with any more
 
 
 class Leavers(Struct, kw_only=True):
--- a/firvane/simulation/emulation/random_scenarios.py
+++ b/firvane/simulation/emulation/random_scenarios.py
@@ -1,4 +1,4 @@
-"""Random scenarios within what the operators have met, and what a fleet can do beside what is asked of it."""
+"""Random scenarios within the operators' experience, and the balance of a fleet's capacity and load."""
 
 from __future__ import annotations
 
@@ -20,35 +20,42 @@
     TroubleKind,
 )
 
-STAGED = ("power", "stall", "link", "away", "clock", "change")  # not drawn: staged where they are meant
-KINDS: tuple[TroubleKind, ...] = tuple(kind for kind in get_args(TroubleKind) if kind not in STAGED)
-LATEST = 50.0  # s from the start by which all of them have begun
+NEVER_DRAWN = (
+    "power",
+    "stall",
+    "link",
+    "away",
+    "clock",
+    "change",
+)  # only used where a scenario names them
+KINDS: tuple[TroubleKind, ...] = tuple(kind for kind in get_args(TroubleKind) if kind not in NEVER_DRAWN)
+LATEST = 50.0  # s from the start by which all troubles have begun
 AT_ONCE = ("kill", "herd", "restart", "reset")
-RATE_PER_BOX = 710.0 / 14.0  # requests a second on the operators' ordinary days
+RATE_PER_BOX = 710.0 / 14.0  # requests per second on the operators' ordinary days
 
 
 class Balance(NamedTuple):
-    """Standard cores, in the mean of all draws."""
+    """Capacity and load in standard cores, as the mean over all draws."""
 
     capacity: float
-    cold: float  # asked for, if no box ever remembered a key
-    warm: float  # asked for, if each key always went to the same box
+    cold: float  # load if no backend ever had a key cached
+    warm: float  # load if each key always went to the same backend
 
     @property
     def utilisation(self) -> float:
-        """With warm keys."""
+        """The utilisation with cached keys."""
         return self.warm / self.capacity
 
 
 def balance(scenario: Scenario) -> Balance:
-    """What the fleet of a scenario can do, and what its members ask outside of troubles."""
+    """Return the capacity of a scenario's fleet, and its load outside of troubles."""
     boxes, load = scenario.boxes, scenario.load
     shares = sum(kind.share for kind in boxes.kinds)
     cores = sum(kind.share / shares * kind.cores * sum(kind.speed) / 2.0 for kind in boxes.kinds)
     cold = load.rate * sum(load.work_ms) / 2e3
-    _, upto = popularity(load, 0)
-    parts = [after - before for before, after in pairwise([0.0, *upto, 1.0])]
-    # A key is warm if it came within the time that a box remembers; arrivals are independent.
+    _, cumulative = popularity(load, 0)
+    parts = [after - before for before, after in pairwise([0.0, *cumulative, 1.0])]
+    # A key is cached if it was last requested within the cache time; arrivals are independent.
     seconds = sum(boxes.remembers_s) / 2.0
     warm = sum(part * (1.0 - exp(-part * load.rate * seconds)) for part in parts)
     saved = warm * sum(boxes.remembered_saves) / 2.0
@@ -56,32 +63,32 @@
 
 
 def draw(seed: int) -> Scenario:
-    """A scenario of 60 s with three to six troubles of any kinds, of which at least two overlap."""
-    dice = Random(f"draw/{seed}")
-    boxes = replace(Boxes(), count=dice.randint(10, 20), stops_on_cancel=dice.random() < 0.5)
+    """Return a scenario of 60 s with three to six troubles of any kinds, of which at least two overlap."""
+    rng = Random(f"draw/{seed}")
+    boxes = replace(Boxes(), count=rng.randint(10, 20), stops_on_cancel=rng.random() < 0.5)
     retries = Retries(
-        most=dice.randint(0, 2),
-        how=dice.choice(("none", "at-once", "wait", "lockstep")),
-        heeds_retry_after=dice.random() < 0.6,
-        marked=dice.random() < 0.8,
+        most=rng.randint(0, 2),
+        how=rng.choice(("none", "at-once", "wait", "lockstep")),
+        heeds_retry_after=rng.random() < 0.6,
+        marked=rng.random() < 0.8,
     )
     load = replace(
         Load(),
-        rate=round(RATE_PER_BOX * boxes.count * dice.uniform(0.8, 1.1), 1),
-        keys=dice.randint(1100, 3000),
-        popularity=round(dice.uniform(0.56, 0.9), 3),
+        rate=round(RATE_PER_BOX * boxes.count * rng.uniform(0.8, 1.1), 1),
+        keys=rng.randint(1100, 3000),
+        popularity=round(rng.uniform(0.56, 0.9), 3),
         retries=retries,
     )
-    network = replace(Network(), peer_loss=round(dice.uniform(0.0, 0.1), 3))
+    network = replace(Network(), peer_loss=round(rng.uniform(0.0, 0.1), 3))
     troubles: list[Trouble] = []
-    for number in range(dice.randint(3, 6)):
-        kind = dice.choice([kind for kind in KINDS if number or kind not in AT_ONCE])
-        at = dice.uniform(5.0, 40.0)
+    for number in range(rng.randint(3, 6)):
+        kind = rng.choice([kind for kind in KINDS if number or kind not in AT_ONCE])
+        at = rng.uniform(5.0, 40.0)
         if number == 1:
-            # It begins while the first is on, whatever else is drawn.
+            # The second trouble begins while the first lasts, whatever else is drawn.
             first = troubles[0]
-            at = min(LATEST, first.at_s + dice.uniform(0.0, 0.9) * (first.for_s or first.drain_s))
-        troubles.append(trouble(dice, kind, round(at, 2), boxes.count, len(network.zones)))
+            at = min(LATEST, first.at_s + rng.uniform(0.0, 0.9) * (first.for_s or first.drain_s))
+        troubles.append(trouble(rng, kind, round(at, 2), boxes.count, len(network.zones)))
     return Scenario(
         name=f"drawn-{seed}",
         about=f"Drawn from seed {seed}: {', '.join(one.kind for one in troubles)}.",
@@ -93,15 +100,15 @@
     )
 
 
-def trouble(dice: Random, kind: TroubleKind, at: float, boxes: int, zones: int) -> Trouble:
-    """One trouble of this kind, within the operators' ranges, for so many boxes and zones."""
+def trouble(rng: Random, kind: TroubleKind, at: float, boxes: int, zones: int) -> Trouble:
+    """Return a trouble of this kind, within the operators' ranges, for numbers of backends and zones."""
 
     def between(low: float, high: float) -> float:
-        return round(dice.uniform(low, high), 3)
+        return round(rng.uniform(low, high), 3)
 
     match kind:
         case "silent":
-            # Up to a fifth of all boxes, but those of one zone.
+            # Up to a fifth of all backends, all in one zone.
             most = max(1, int(0.2 * boxes)) / ceil(boxes / zones)
             return Trouble(kind=kind, at_s=at, for_s=between(13.0, 29.0), part=between(0.3 * most, most))
         case "burst":
--- a/firvane/simulation/emulation/scenario.py
+++ b/firvane/simulation/emulation/scenario.py
@@ -1,8 +1,8 @@
-"""A scenario: a fleet, a load, a network, and a timeline of troubles that may overlap.
+"""The format of scenarios: backends, load, network, proxies, and a timeline of troubles that may overlap.
 
-Plain values with the operators' own figures as defaults. Pairs are ranges from which each box, person or
-delay draws evenly. `_s` is seconds, `_ms` milliseconds, `share` and `part` are parts of one. Read from TOML
-by `firvane.core.validation`, which refuses what is unknown, of the wrong type or impossible.
+Defaults are the operators' own figures. Pairs are ranges from which the value of each backend, client or
+delay is drawn uniformly. `_s` is seconds, `_ms` milliseconds; `share` and `part` are parts of one. Scenarios
+are read from TOML by `firvane.core.validation`, which rejects unknown keys, wrong types and invalid values.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class Part(Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """What all of them are: frozen, named, and closed against keys that nobody reads."""
+    """Base of all parts of a scenario: frozen, with keyword fields, rejecting unknown keys."""
 
 
 class Kind(Part, frozen=True, kw_only=True):
-    """A model of box."""
+    """A model of backend."""
 
     name: str
     share: float
@@ -28,65 +28,65 @@
 
 
 class Boxes(Part, frozen=True, kw_only=True):
-    """What stands behind the proxies."""
+    """The backends behind the proxies."""
 
     count: int = 14
     kinds: tuple[Kind, ...] = (
         Kind(name="big-box", share=0.53, cores=4, speed=(0.85, 1.1)),
         Kind(name="small-box", share=0.47, cores=2, speed=(0.51, 0.69)),
     )
-    slots_per_core: int = 2  # requests in work at once; what is beyond waits
-    waiting_per_core: int = 6  # and beyond that is turned away
-    crowded_from: float = 0.5  # part of slots and waiting room beyond which a box loses efficiency
-    crowded_loss: float = 0.25  # the most of it that it loses, when full
-    cold_share: float = 0.13  # of its capacity, when it has just started
+    slots_per_core: int = 2  # requests running at once; others are queued
+    waiting_per_core: int = 6  # queue length; requests beyond it are rejected
+    crowded_from: float = 0.5  # part of slots and queue in use above which a backend loses efficiency
+    crowded_loss: float = 0.25  # loss of efficiency when full
+    cold_share: float = 0.13  # part of its capacity when it has just started
     warm_s: float = 22.0
-    fall_multiple: float = 2.5  # sent more than this multiple of what it can do
-    fall_s: float = 3.0  # for this long, a cold box falls over and stays down
-    fall_chance: float = 1.0  # standard deviations by which chance may swell what was sent before it counts
-    remembers_s: Range = (3.3, 11.0)  # how long a key stays warm
+    fall_multiple: float = 2.5  # a cold backend that is sent more than this multiple of its throughput
+    fall_s: float = 3.0  # within this time crashes and stays down
+    fall_chance: float = 1.0  # standard deviations of random excess that are allowed above that multiple
+    remembers_s: Range = (3.3, 11.0)  # how long a key stays cached
     remembers_keys: int = 400
-    remembered_saves: Range = (0.33, 0.69)  # part of the work that a warm key saves
+    remembered_saves: Range = (0.33, 0.69)  # part of the work that a cached key saves
     connections: int = 400
     connect_work_ms: float = 0.5
     connect_s: float = 0.002
     probe_work_ms: Range = (0.25, 0.5)
-    idle_s: float = 30.0  # an idle connection is closed at the latest then
+    idle_s: float = 30.0  # idle time-out of connections
     stops_on_cancel: bool = True
 
 
 class Community(Part, frozen=True, kw_only=True):
-    """Members who share a quota."""
+    """A group of clients that share a quota."""
 
     name: str
     share: float
 
 
 class Retries(Part, frozen=True, kw_only=True):
-    """What clients do by themselves after a refusal, a failure or a wait in vain."""
+    """How clients retry after a rejection, a failure or a time-out."""
 
     most: int = 2
     how: Literal["none", "at-once", "wait", "lockstep"] = "wait"
     wait_s: Range = (0.1, 0.6)
-    beat_s: float = 1.0  # lockstep: all retries of a beat leave together, at its end
+    beat_s: float = 1.0  # lockstep: retries are sent together, at multiples of this time
     heeds_retry_after: bool = True
     marked: bool = True
 
 
 class Load(Part, frozen=True, kw_only=True):
-    """What members ask."""
+    """The requests of the clients."""
 
-    rate: float = 710.0  # first tries a second, over all proxies
+    rate: float = 710.0  # first tries per second, over all proxies
     request_class: str = "profile-view"
-    may_repeat: bool = True  # whether a second run of a request does no harm
+    may_repeat: bool = True  # whether requests are safe to repeat
     aim_s: float = 0.5
     deadline_s: float = 2.5
     work_ms: Range = (30.0, 54.0)
     hint_error: float = 0.2  # the hint lies within this part of the true work
     keys: int = 2000
     popularity: float = 0.9  # exponent of Zipf's law over the keys
-    popular: int = 4  # members far more popular than the rest
-    popular_share: float = 0.06  # of all requests, for these together
+    popular: int = 4  # number of keys far more popular than the rest
+    popular_share: float = 0.06  # part of all requests that go to these together
     communities: tuple[Community, ...] = (
         Community(name="lagos", share=0.28),
         Community(name="abuja", share=0.16),
@@ -100,23 +100,23 @@
     )
     over_share_worth: float = 0.1
     quota: float = 1.25  # of a community, as a multiple of its share of `rate`
-    quota_s: float = 1.0  # and how many seconds' worth of it may come at once
-    burst_rise_s: float = 1.0  # in which a burst rises, and in which it falls
+    quota_s: float = 1.0  # how many seconds' worth of the quota may be used at once
+    burst_rise_s: float = 1.0  # duration of a burst's ramp up, and of its ramp down
     retries: Retries = Retries()
-    abandon: Range = (0.34, 1.0)  # part of the deadline after which a try is given up
-    connections: int = 40  # kept by the clients of each proxy
-    vanishing: float = 0.0  # part of the tries whose client goes away long before its time
+    abandon: Range = (0.34, 1.0)  # part of the deadline after which the client abandons a try
+    connections: int = 40  # kept open by the clients of each proxy
+    vanishing: float = 0.0  # part of the tries whose client disconnects long before its deadline
     leaving: float = 0.0  # part of the tries whose client closes its connection `leave_s` after it was sent
     leave_s: Range = (0.02, 0.6)
-    leave_beat_s: float = 0.0  # and waits for the next beat of that length, so that they leave in a burst
-    leave_reset: float = 0.5  # part of them that leave by a reset, the others by the end of their connection
-    at_once: int = 1  # requests that such a client sends in one write, one behind the other, before it goes
-    slow_readers: float = 0.0  # part of the tries whose client lets its answer lie for 0.1 s
+    leave_beat_s: float = 0.0  # such closes wait for the next multiple of this time, so that they burst
+    leave_reset: float = 0.5  # part of them that reset the connection; the others close it in order
+    at_once: int = 1  # requests that such a client pipelines in one write before it disconnects
+    slow_readers: float = 0.0  # part of the tries whose client waits 0.1 s before it reads the answer
     body_bytes: int = 2000  # of an answer
 
 
 class Network(Part, frozen=True, kw_only=True):
-    """What lies between."""
+    """The network between clients, proxies and backends."""
 
     zones: tuple[str, ...] = ("ikeja", "lekki", "yaba")
     delay_ms: Range = (0.42, 0.78)  # one way between two zones
@@ -128,68 +128,68 @@
 
 
 class Proxies(Part, frozen=True, kw_only=True):
-    """The proxies under test, and their limits where they are processes."""
+    """The proxies under test, and the limits of their processes."""
 
     count: int = 3
     cores: float = 0.7
     memory_mb: int = 64
     sockets: int = 512
-    back_s: float = 1.0  # from a kill or an end to the next start
-    cancel: bool = True  # whether they may give an attempt up that is out
-    recovery: bool = False  # the proxies come back from a power loss by their order of service
-    without: Literal["", "trials", "steps", "first-tries", "ask"] = ""  # with one part of that switched off
-    snapshots: bool = False  # each keeps what it has learnt on a disk of its own
-    voters: int = 0  # the first proxies, which vote on one policy for all; 0: each decides by its own file
-    lease_s: float = 3.0  # for which a proxy serves on what a majority of the voters has told
+    back_s: float = 1.0  # from a proxy's end to its next start
+    cancel: bool = True  # whether they may cancel an attempt in progress
+    recovery: bool = False  # whether proxies use the staged recovery after a power loss
+    without: Literal["", "trials", "steps", "first-tries", "ask"] = ""  # a part of the recovery to disable
+    snapshots: bool = False  # whether each proxy stores its learned state on a disk of its own
+    voters: int = 0  # the first proxies, which vote on one policy for all; 0: each uses its own file
+    lease_s: float = 3.0  # for which a proxy may serve on a grant by a majority of the voters
     change_by: Literal["agreement", "files"] = "agreement"  # how the policy is changed
 
 
 TroubleKind = Literal[
-    "silent",  # part of a zone's boxes says nothing for `for_s` and comes back cold
-    "burst",  # a community asks `times` its usual rate
+    "silent",  # part of a zone's backends is unreachable for `for_s` and restarts cold
+    "burst",  # a community sends `times` its usual rate
     "cut",  # a zone is cut off from the others
     "deploy",  # part of the fleet is replaced within `for_s`, `batch` of the fleet at a time, by cold ones
-    "pause",  # boxes stand still for `for_s` and go on where they were
-    "drain",  # boxes drain and leave
-    "crash",  # boxes' processes end, and start again cold after `for_s`
+    "pause",  # backends are suspended for `for_s` and then resume
+    "drain",  # backends drain and are removed
+    "crash",  # backends' processes end, and start again cold after `for_s`
     "kill",  # a proxy is killed, and started again
     "herd",  # part of the proxies are killed at once, and started again
-    "restart",  # a proxy is told to end, and started again
-    "churn",  # every `every_s` one box is replaced by a cold one with a new name
-    "lockstep",  # clients retry at once, all on one beat
-    "slow",  # boxes do `part_speed` of what they did
-    "reset",  # boxes break the connections that they have
-    "power",  # what `strikes` names is off at once: boxes are back cold after `for_s`, proxies by `back_s`
-    "stall",  # a proxy stands still for `for_s` and goes on where it was
+    "restart",  # a proxy is ordered to end, and started again
+    "churn",  # every `every_s` one backend is replaced by a cold one with a new name
+    "lockstep",  # clients synchronize their retries
+    "slow",  # backends run at `part_speed` of their speed
+    "reset",  # backends reset their connections
+    "power",  # all in `strikes` lose power at once: backends return cold after `for_s`, proxies by `back_s`
+    "stall",  # a proxy is suspended for `for_s` and then resumes
     "link",  # datagrams of a proxy, to `other` or all, are lost for `for_s`, or late by `late_s`
-    "away",  # discovery says nothing for `for_s`, and where `older` then tells the list of then once more
+    "away",  # discovery sends nothing for `for_s`; with `older` it then sends the list from its begin first
     "clock",  # a proxy's wall clock steps by `step_s`
-    "change",  # operators change the policy: what is said of it here and is not 0
+    "change",  # operators change the policy to those of the trouble's fields that are not 0
 ]
 
 
 class Trouble(Part, frozen=True, kw_only=True):
-    """One line of the timeline. Which boxes it strikes is drawn from the seed."""
+    """A fault or load change of the timeline. The backends that it affects are drawn from the seed."""
 
     kind: TroubleKind
     at_s: float
     for_s: float = 0.0
-    zone: str = ""  # "" is drawn, or all where the kind strikes the whole fleet
-    part: float = 0.2  # of the boxes that it may strike
-    community: str = ""  # "" is drawn
+    zone: str = ""  # "" means a drawn zone, or all zones for kinds that affect the whole fleet
+    part: float = 0.2  # part of the eligible backends that it affects
+    community: str = ""  # "" means a drawn one
     times: float = 4.0
     batch: float = 0.2
     drain_s: float = 3.0
-    proxy: int = -1  # -1 is drawn
+    proxy: int = -1  # -1 means a drawn one
     every_s: float = 5.0
     part_speed: float = 0.3
     strikes: Literal["both", "proxies", "boxes"] = "both"
-    memory: Literal["kept", "lost", "old", "torn"] = "kept"  # what becomes of the disks of proxies killed
-    never: float = 0.0  # part of the proxies struck that never return
-    late: float = 0.0  # part of them that returns `late_s` after the others
+    memory: Literal["kept", "lost", "old", "torn"] = "kept"  # the state of killed proxies' disks
+    never: float = 0.0  # part of the affected proxies that never return
+    late: float = 0.0  # part of the affected proxies that return `late_s` after the others
     late_s: float = 0.0
-    other: int = -1  # the other end of a link; -1 is all
-    way: Literal["both", "out", "in"] = "both"  # of a link, as its proxy sees it
+    other: int = -1  # the other end of a link; -1 means all proxies
+    way: Literal["both", "out", "in"] = "both"  # direction of a link, seen from its proxy
     older: bool = False
     step_s: float = 0.0
     aim_s: float = 0.0  # of a change, as in the load
@@ -199,13 +199,13 @@
 
 
 class Roll(Part, frozen=True, kw_only=True):
-    """A rolling change of the proxies' version, in virtual time. Versions: rehearsal/versions.py."""
+    """A rollout of a new proxy version, in virtual time. Versions: `simulation/runner/versions.py`."""
 
     version: Literal[
         "same", "cold", "better", "refuses", "slow", "repeats", "tenant", "leaks", "dies", "misread",
         "no-drains",
     ] = "same"  # fmt: skip
-    size: float = 1.0  # of its fault, 1 as it is named
+    size: float = 1.0  # factor of the version's fault; 1 is the named fault
     at_s: float = 5.0
     stages: tuple[float, ...] = (0.0, 0.1, 0.5, 1.0)  # parts of the proxies; 0 is one of them
     soak_s: float = 40.0
@@ -216,17 +216,17 @@
     settle_s: float = 10.0
     least_requests: int = 40
     judged_by: Literal["comparison", "errors", "nothing"] = "comparison"
-    most_errors: float = 0.02  # by errors: more than before by that part of the requests is too much
-    then_s: float = 5.0  # the scenario ends so long after the roll has
+    most_errors: float = 0.02  # for "errors": largest allowed increase, as a part of the requests
+    then_s: float = 5.0  # time from the rollout's end to the scenario's end
 
 
 class Scenario(Part, frozen=True, kw_only=True):
-    """All of it."""
+    """A whole scenario."""
 
     name: str
     about: str = ""
     seconds: float = 60.0
-    warm_up_s: float = 3.0  # not counted: rooms and rates are learnt
+    warm_up_s: float = 3.0  # not counted: proxies learn concurrency limits and rates
     seed: int = 1
     boxes: Boxes = Boxes()
     load: Load = Load()
--- a/firvane/simulation/emulation/scenarios/__init__.py
+++ b/firvane/simulation/emulation/scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""The scenarios that come with firvane, one TOML file each, documented by its `about`."""
+"""The scenarios that are shipped with firvane, one TOML file each, documented by its `about`."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 def scenario_names() -> list[str]:
-    """All of them, in the order of the alphabet."""
+    """Return the names of all shipped scenarios, sorted."""
     return sorted(file.name[:-5] for file in files(__name__).iterdir() if file.name.endswith(".toml"))
 
 
 def load_named(name: str) -> Scenario:
-    """One of them. KeyError if there is none of that name."""
+    """Return a shipped scenario by name. Raises KeyError for an unknown name."""
     if name not in scenario_names():
         raise KeyError(name)
     return decode(files(__name__).joinpath(f"{name}.toml").read_bytes())
 
 
 def decode(text: bytes) -> Scenario:
-    """TOML as a scenario; msgspec.DecodeError or ValidationError for what is none."""
+    """Decode a scenario from TOML. Raises msgspec.DecodeError or ValidationError for invalid input."""
     return msgspec.toml.decode(text, type=Scenario)
--- a/firvane/simulation/emulation/seeded_random.py
+++ b/firvane/simulation/emulation/seeded_random.py
@@ -1,4 +1,4 @@
-"""Draws that depend on a name and nothing else: the same on every machine, whatever was drawn before."""
+"""Random draws that depend only on a seed and a name: equal on every machine, whatever was drawn before."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def mix(number: int) -> int:
-    """A one-to-one scramble of 64 bits (the finish of SplitMix64): distinct numbers stay distinct."""
+    """Mix 64 bits one-to-one (the finalizer of SplitMix64): distinct numbers stay distinct."""
     x = (number + GOLDEN) & MASK
     x = ((x ^ x >> 30) * 0xBF58476D1CE4E5B9) & MASK
     x = ((x ^ x >> 27) * 0x94D049BB133111EB) & MASK
@@ -16,7 +16,7 @@
 
 
 def named(seed: int, name: str) -> int:
-    """64 bits for a name under a seed."""
+    """Return 64 bits for a name under a seed."""
     x = mix(seed & MASK)
     for byte in name.encode():
         x = (x ^ byte) * NAME_PRIME & MASK
@@ -24,5 +24,5 @@
 
 
 def part(bits: int) -> float:
-    """64 bits as a number from 0 up to, not with, 1."""
+    """Return 64 bits as a number from 0 to below 1."""
     return (bits >> 11) * 2.0**-53
--- a/firvane/simulation/emulation/usage.py
+++ b/firvane/simulation/emulation/usage.py
@@ -1,10 +1,10 @@
-"""What boxes and proxies did and used over time: from records alone.
+"""Computes the work and resource use of backends and proxies over time from records.
 
-Rules that hold here and nowhere else:
+Invariants of this module:
 
-1. Work is booked to the second in which the box ended it. Capacity is that of the middle of each second.
-2. A box's load is its work as a part of what it could have done while it was up: the warm-up is left out.
-3. CPU is told since a proxy's start: a figure below the last one belongs to a new life.
+1. Work counts in the second in which the backend ended it. Capacity is that at the middle of each second.
+2. A backend's load is its work divided by its capacity while it was up; the warm-up is left out.
+3. CPU time counts from a proxy's start: a value below the last one belongs to a new process.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Usage:
-    """Sees records in the order of their times."""
+    """Accumulates records, given in order of time."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.warm_up = scenario.warm_up_s
@@ -28,10 +28,10 @@
         self.boxes: dict[str, BoxUse] = {}
         self.proxies: dict[str, ProxyUse] = {}
         self.delivered = 0  # bytes of datagrams
-        self._worked: dict[str, dict[int, float]] = {}
-        self._able: dict[str, dict[int, float]] = {}
-        self._last: dict[str, Used] = {}
-        self._second = 0  # whose middle is the next to come
+        self._work_by_second: dict[str, dict[int, float]] = {}
+        self._capacity_by_second: dict[str, dict[int, float]] = {}
+        self._last_used: dict[str, Used] = {}
+        self._second = 0  # the next second to sample at its middle
         self._handlers: dict[type, Callable[[Any], None]] = {
             BoxState: self._box,
             Arrived: self._arrived,
@@ -43,7 +43,7 @@
     def see(self, record: Record) -> None:
         while record.at > self._second + 0.5:
             for box in self.capacity.levels:
-                self._able[box][self._second] = self.capacity.of(box, self._second + 0.5)
+                self._capacity_by_second[box][self._second] = self.capacity.of(box, self._second + 0.5)
             self._second += 1
         handler = self._handlers.get(type(record))
         if handler:
@@ -56,7 +56,7 @@
             use.turned_away += record.verdict == "turned away"
 
     def _finished(self, record: Finished) -> None:
-        worked = self._worked.get(record.box)
+        worked = self._work_by_second.get(record.box)
         if worked is not None:
             second = int(record.at)
             worked[second] = worked.get(second, 0.0) + record.work
@@ -65,8 +65,8 @@
         self.capacity.see(record)
         if record.box not in self.boxes:
             self.boxes[record.box] = BoxUse(kind=record.kind, zone=record.zone)
-            self._worked[record.box] = {}
-            self._able[record.box] = {}
+            self._work_by_second[record.box] = {}
+            self._capacity_by_second[record.box] = {}
 
     def _proxy(self, name: str) -> ProxyUse:
         if name not in self.proxies:
@@ -81,8 +81,8 @@
         self.delivered += record.size if record.arrived else 0
 
     def _used(self, record: Used) -> None:
-        use, last = self._proxy(record.proxy), self._last.get(record.proxy)
-        self._last[record.proxy] = record
+        use, last = self._proxy(record.proxy), self._last_used.get(record.proxy)
+        self._last_used[record.proxy] = record
         since, at = (last.cpu, last.at) if last and last.cpu <= record.cpu else (0.0, record.at)
         spent = record.cpu - since
         use.cpu_s += spent
@@ -100,24 +100,26 @@
             series[second] = max(series[second] or 0.0, float(value))
 
     def box_uses(self, seconds: int, per: int) -> dict[str, BoxUse]:
-        """Over so many seconds, with series of so many seconds a step."""
+        """Return the use of each backend over `seconds`, with series in steps of `per` seconds."""
         for name, use in self.boxes.items():
-            worked, able = self._worked[name], self._able[name]
+            worked, available = self._work_by_second[name], self._capacity_by_second[name]
             use.work = sum(worked.values())
-            counted = [second for second in able if second >= self.warm_up]
-            could = sum(able[second] for second in counted)
-            use.load = sum(worked.get(second, 0.0) for second in counted) / could if could else 0.0
+            counted = [second for second in available if second >= self.warm_up]
+            total = sum(available[second] for second in counted)
+            use.load = sum(worked.get(second, 0.0) for second in counted) / total if total else 0.0
             use.worked = [*merged((worked.get(second, 0.0) for second in range(seconds)), per)]
-            use.capacity = [_mean([able.get(second) for second in step]) for step in _steps(seconds, per)]
+            use.capacity = [
+                _mean([available.get(second) for second in step]) for step in _steps(seconds, per)
+            ]
         return dict(sorted(self.boxes.items()))
 
     def proxy_uses(self, seconds: int, per: int) -> dict[str, ProxyUse]:
-        """As `box_uses`; series hold the most of each step."""
+        """Return the use of each proxy; like `box_uses`, but series hold the maximum of each step."""
         for use in self.proxies.values():
             for name in ("cores", "memory", "sockets"):
                 series = getattr(use, name)
                 padded = series + [None] * (seconds - len(series))
-                setattr(use, name, [_most([padded[i] for i in step]) for step in _steps(seconds, per)])
+                setattr(use, name, [_maximum([padded[i] for i in step]) for step in _steps(seconds, per)])
         return dict(sorted(self.proxies.items()))
 
 
@@ -126,10 +128,10 @@
 
 
 def _mean(values: Series) -> float | None:
-    """Of those that there are."""
-    there = [value for value in values if value is not None]
-    return sum(there) / len(there) if there else None
+    """Return the mean of the values that are not None; None if there are none."""
+    present = [value for value in values if value is not None]
+    return sum(present) / len(present) if present else None
 
 
-def _most(values: Series) -> float | None:
+def _maximum(values: Series) -> float | None:
     return max((value for value in values if value is not None), default=None)
