--- a/tests/simulation/emulation/test_backend.py
+++ b/tests/simulation/emulation/test_backend.py
@@ -1,4 +1,4 @@
-"""Boxes: what is done, how fast, what ends and when, and what a cold one bears."""
+"""Tests of the emulated backend: speed, cache, warm-up, faults, and overload of cold backends."""
 
 from __future__ import annotations
 
@@ -36,19 +36,19 @@
 def test_work_shares_the_cores_and_none_runs_faster_than_one() -> None:
     one, four, crowded = box(), box(), box(replace(PLAIN, crowded_loss=0.25))
     offers(one, 0.0, 0.1)
-    assert one.next_at() == pytest.approx(0.1)  # not 0.05: a second core is of no use to it
+    assert one.next_at() == pytest.approx(0.1)  # not 0.05: a request can't use a second core
     one.slow(0.05, 0.5)
     assert one.next_at() == pytest.approx(0.15)
     offers(four, 0.0, 0.1, 0.1, 0.1, 0.2)
     assert ends(four, 1.0) == [(0.2, JobEnd.COMPLETED)] * 3 + [(0.3, JobEnd.COMPLETED)]
     offers(crowded, 0.0, *[0.1] * 16)
-    assert crowded.next_at() == pytest.approx(0.2 / 0.75)  # full, so it has lost a quarter
-    full = box()  # and waiting work begins in order
-    assert offers(full, 0.0, *[0.1] * 20) == ["taken"] * 16 + ["turned away"] * 4  # 4 slots, a room of 12
+    assert crowded.next_at() == pytest.approx(0.2 / 0.75)  # a full backend loses a quarter of its speed
+    full = box()  # queued work starts in order
+    assert offers(full, 0.0, *[0.1] * 20) == ["taken"] * 16 + ["turned away"] * 4  # 4 slots, a queue of 12
     assert [done.call for done in full.advance(9.0)] == [f"0.0-{n}" for n in range(16)]
 
 
-def test_a_key_lately_met_saves_work_till_it_is_forgotten_or_crowded_out() -> None:
+def test_a_cached_key_saves_work_until_it_expires_or_is_evicted() -> None:
     one = box(replace(PLAIN, remembers_keys=2))
     met = [(0.0, "a"), (1.0, "a"), (5.9, "a"), (11.0, "a"), (11.1, "b"), (11.2, "a"), (11.3, "c")]
     costs = [one.offer(now, str(now), key, 0.1).cost for now, key in met]
@@ -58,7 +58,7 @@
     assert one.offer(12.2, "after", "b", 0.1).cost == 0.1
 
 
-def test_a_cold_box_warms_evenly_and_its_work_takes_as_long_as_that_says() -> None:
+def test_capacity_rises_linearly_during_warm_up_and_work_takes_accordingly_long() -> None:
     cold = box(warm=False)
     assert [cold.capacity(t) for t in (0.0, 11.0, 22.0, 30.0)] == pytest.approx([0.26, 1.13, 2.0, 2.0])
     cold.offer(0.0, "one", "", 0.5)
@@ -69,7 +69,7 @@
     while (at := cold.next_at()) < inf:
         seen.append((at, [done.call for done in cold.advance(at)], cold.state))
     assert [told for _, *told in seen] == [[["one"], "cold"], [[], "warm"], [["long"], "warm"]]
-    # Warm at 22 s; by then it had 12.43 s of one core, and never shared it.
+    # Warm at 22 s; by then the request had 12.43 s of one core, without sharing it.
     assert seen[-1][0] == pytest.approx(22.0 + 20.0 - 12.43)
     half = box(warm=False)
     half.offer(0.0, "one", "", 9.0)
@@ -77,7 +77,7 @@
     assert half.advance(11.0)[0].spent == pytest.approx(11 * (0.13 + 0.565) / 2)
 
 
-def test_pauses_hold_all_work_and_silence_loses_it() -> None:
+def test_a_pause_suspends_all_work_and_silence_loses_it() -> None:
     still = box()
     offers(still, 0.0, 0.1, 0.3)
     still.pause(0.05, 5.0)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("stops", [True, False])
-def test_cancelled_work_stops_or_goes_on_and_waiting_work_never_begins(stops: bool) -> None:
+def test_cancelled_running_work_stops_or_completes_and_queued_work_never_starts(stops: bool) -> None:
     busy = box(replace(PLAIN, stops_on_cancel=stops))
     offers(busy, 0.0, *[0.1] * 6)
     for call in ("0.0-0", "0.0-5", "0.0-0", "never seen"):
@@ -105,7 +105,7 @@
     assert done["5"] == (JobEnd.CANCELLED, 0.1, 0.0) and len(done) == 6
 
 
-def test_connections_are_capped_and_like_probes_cost_work() -> None:
+def test_connections_are_limited_and_cost_work_like_probes() -> None:
     one = box(replace(PLAIN, connections=2))
     offers(one, 0.0, 0.1)
     assert [one.connect(0.0), one.connect(0.0), one.connect(0.0), one.probe(0.0)] == [True, True, False, True]
@@ -113,16 +113,16 @@
     assert due == pytest.approx(0.1 + (2 * 0.002 + 0.001) / 2)
     one.advance(due)
     offers(one, due, 0.1)
-    assert one.next_at() == pytest.approx(due + 0.1)  # paid once
+    assert one.next_at() == pytest.approx(due + 0.1)  # the overhead counts once
     one.disconnect(0.2)
     assert one.connect(0.2)
     one.restart(1.0)
     one.connect(1.0)
-    one.disconnect(1.0, start=0)  # of the start before: it is not counted any more
+    one.disconnect(1.0, start=0)  # of the previous start: not counted any more
     assert one.connections == 1
 
 
-def test_a_draining_box_finishes_what_it_has_and_a_stopped_one_loses_it() -> None:
+def test_a_draining_backend_completes_its_requests_and_a_stopped_one_loses_them() -> None:
     one = box()
     offers(one, 0.0, 0.1, 0.3)
     one.drain(0.05)
@@ -137,7 +137,7 @@
 
 
 def drive(boxes: Boxes, warm: bool, script: Script) -> tuple[list[str], list[Completion], float]:
-    """A box driven as its owner does: what it took, what ended, and the work (s) that it could have done."""
+    """Run a script on a backend; return accepted calls, completions, and the work (s) it had capacity for."""
     at, now = box(boxes, warm), 0.0
     taken: list[str] = []
     done: list[Completion] = []
@@ -169,7 +169,7 @@
 
 @seeded
 @given(st.lists(st.tuples(kinds, waits, st.floats(0.001, 0.2)), max_size=60), st.booleans(), st.booleans())
-def test_whatever_befalls_it_all_work_ends_once_and_no_more_is_done_than_it_can_do(
+def test_every_attempt_ends_once_and_work_never_exceeds_capacity(
     script: Script, warm: bool, stops: bool
 ) -> None:
     boxes = replace(PLAIN, stops_on_cancel=stops, crowded_loss=0.25, warm_s=4.0)
@@ -181,13 +181,13 @@
 
 
 def too_much(sent: list[tuple[float, float]], capacity: float) -> bool:
-    """Rule 4 anew, in the plainest words."""
+    """Whether the work sent exceeds the overload limit, computed independently of the backend."""
     late = [work for at, work in sent if at > sent[-1][0] - PLAIN.fall_s]
     chance = sqrt(sum(work * work for work in late))
     return sum(late) - chance > PLAIN.fall_multiple * PLAIN.fall_s * capacity
 
 
-def test_a_cold_box_falls_over_exactly_by_the_rule() -> None:
+def test_a_cold_backend_falls_exactly_by_the_overload_rule() -> None:
     fell_at = []
     for seed in range(40):
         dice, cold, now = Random(seed), box(warm=False), 0.0
@@ -195,7 +195,7 @@
         while cold.is_up and now < 25.0:
             now += dice.uniform(0.0, 0.1)
             capacity = 2 * min(1.0, 0.13 + 0.87 * now / 22)
-            # About what it bears, with heavy ones among them: chance decides.
+            # Close to the limit, with some heavy requests: whether it falls is random.
             work = dice.choice((0.3, 1.0, 1.0, 1.7)) * 0.05 * 2.5 * capacity * (0.7 + seed / 40)
             cold.advance(now)
             cold.offer(now, str(now), "", work)
--- a/tests/simulation/emulation/test_clients.py
+++ b/tests/simulation/emulation/test_clients.py
@@ -1,4 +1,4 @@
-"""The members: an open loop, shares and keys as stated, bursts, and what clients do by themselves."""
+"""Tests of the emulated clients: open loop, shares and keys, bursts, retries, and choice of proxies."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert sha256(text.encode()).hexdigest()[:16] == "fc35ef9832dca12e"
 
 
-def test_a_burst_adds_to_what_comes_anyway_and_is_worth_little_beyond_the_quota() -> None:
+def test_a_burst_adds_to_the_usual_load_and_is_worth_little_beyond_the_quota() -> None:
     def plain(tries: list[Try]) -> set[tuple[float, str, str, float]]:
         return {(one.at, one.community, one.key, one.work) for one in tries}
 
@@ -58,7 +58,7 @@
     height = [one.worth for one in tries if 14 < one.at < 19 and one.community == "lagos"]
     assert height.count(1.0) / len(height) == pytest.approx(1.25 / 4, rel=0.1) and min(height) == 0.1
     full = sum(one.worth == 1.0 for one in tries if one.community == "lagos" and 10 < one.at < 20)
-    assert full < 710 * 0.28 * 1.25 * 11  # a quiet time before saves up no more than a second's worth
+    assert full < 710 * 0.28 * 1.25 * 11  # unused quota accumulates for a second at most
     assert all(one.worth == 1.0 for one in tries if one.community != "lagos" or one.at < 10)
     late = population()
     coming = late.tries()
@@ -67,7 +67,7 @@
     assert next(coming).at > handed[-1].at
 
 
-def test_clients_retry_as_they_are_used_to() -> None:
+def test_clients_retry_by_their_retry_policy() -> None:
     def retry(status: int, wait: float = 0.0, **habits: object) -> Try | None:
         load = replace(Load(), retries=Retries(**habits))  # type: ignore[arg-type]
         return population(load).retry(5.3, first, status, wait)
@@ -103,8 +103,8 @@
     assert population(members.load, seed).retry(first.deadline, first, 0) == (chains[0][1] if most else None)
 
 
-def test_the_front_deals_clients_to_proxies_of_their_zone_that_take_them() -> None:
-    members = population(proxies=4)  # of which 0 and 3 stand in ikeja
+def test_clients_are_assigned_to_admitting_proxies_of_their_zone() -> None:
+    members = population(proxies=4)  # of which 0 and 3 are in ikeja
     tries = members.tries()
 
     def seen(zone: str) -> set[str]:
--- a/tests/simulation/emulation/test_compare.py
+++ b/tests/simulation/emulation/test_compare.py
@@ -1,4 +1,4 @@
-"""When two runs can be told apart, on series of which that is known."""
+"""Tests of the comparison of runs, on series with a known difference."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return [draw.gauss(mean, scatter) for _ in range(seconds)]
 
 
-def test_a_real_difference_is_told_and_scatter_alone_is_not() -> None:
+def test_a_real_difference_is_significant_and_variance_alone_is_not() -> None:
     found = told(noisy(1, 0.90), noisy(2, 0.94))
     assert found.apart and found.verdict == "more" and 0.0 < found.low < found.change
     wrong = sum(told(noisy(n, 0.90), noisy(-n, 0.90)).apart is True for n in range(1, 61))
--- a/tests/simulation/emulation/test_epochs.py
+++ b/tests/simulation/emulation/test_epochs.py
@@ -1,4 +1,4 @@
-"""The five promises of one policy: kept by histories drawn from a model, each broken by one thing spoilt."""
+"""Tests of the policy agreement's five guarantees: kept by drawn histories, each broken by one change."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(st.integers(0, 2**32))
-def test_a_fleet_that_keeps_the_promises_is_not_blamed(seed: int) -> None:
+def test_a_fleet_that_keeps_the_guarantees_has_no_findings(seed: int) -> None:
     assert found(Fleet(seed).history) == []
 
 
@@ -118,7 +118,7 @@
 
 
 def stood_still(fleet: Fleet) -> list[Record]:
-    """Sent before the newer epoch, but its proxy stood still until long after."""
+    """Sent before the newer epoch, but its proxy was stalled until long after."""
     at = fleet.swaps[2]
     stands = [proxy(at - 2.0, "stalled", "p9"), proxy(at + 4.0, "on", "p9")]
     return [*stands, *answered_by("y", at, 2, "p1"), *answered_by("x", at - 1.0, 1, "p9", at + 4.1)]
@@ -176,7 +176,7 @@
 
 @pytest.mark.parametrize(("rule", "spoil"), SPOILT, ids=[spoil.__name__ for _, spoil in SPOILT])
 @pytest.mark.parametrize("seed", range(5))
-def test_what_is_spoilt_is_found(rule: Rule, spoil: Callable[[Fleet], list[Record]], seed: int) -> None:
+def test_a_broken_guarantee_is_found(rule: Rule, spoil: Callable[[Fleet], list[Record]], seed: int) -> None:
     fleet = Fleet(seed)
     fleet.stands = NAMES[4], 0.0, 0.0
     fleet.history = [one for one in fleet.history if getattr(one, "state", "") not in ("stalled", "on")]
@@ -194,7 +194,7 @@
     ],
     ids=["no majority", "its proxy is gone", "a cut", "its proxy stood still", "not yet"],
 )
-def test_what_cannot_end_is_not_owed(extra: list[Record]) -> None:
+def test_a_proposal_that_cannot_be_decided_is_no_finding(extra: list[Record]) -> None:
     assert found(extra) == []
 
 
--- a/tests/simulation/emulation/test_judge.py
+++ b/tests/simulation/emulation/test_judge.py
@@ -1,4 +1,4 @@
-"""Each rule broken by a history written by hand, and kept by one that comes near."""
+"""Tests of the judge: hand-written histories that break each rule, and others that barely keep it."""
 
 from __future__ import annotations
 
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize("history", KEPT)
-def test_what_only_comes_near_breaks_nothing(history: list[Record]) -> None:
+def test_histories_close_to_a_limit_break_no_rule(history: list[Record]) -> None:
     assert judged(history) == []
 
 
@@ -107,7 +107,7 @@
     assert rules([Sent(1.0, "p", 9, True)], scenario=ALONE) == [Rule.DATAGRAM]
 
 
-def test_the_platforms_kindness_is_a_choice() -> None:
+def test_lenient_judging_is_optional() -> None:
     unanswered, cut_off = [asked(1.0), arrived(1.1)], [asked(1.0), answered(1.1, status=0)]
     for history in (unanswered, cut_off):
         assert rules(history) == [Rule.LOST]
@@ -137,7 +137,7 @@
 
 
 def left(call: str, at: float, *between: Record) -> list[Record]:
-    """A request whose client leaves then, with what befell it."""
+    """A request whose client disconnects at `at`, after the records `between`."""
     return [asked(1.0, call, deadline=5.0), *between, Abandoned(at, call, "p")]
 
 
@@ -219,7 +219,7 @@
     return Used(at, "p", 0.0, memory, sockets, flows)
 
 
-def test_flows_that_nobody_can_want_are_a_leak() -> None:
+def test_flows_beyond_open_requests_are_a_leak() -> None:
     many = [record for n in range(20) for record in (asked(1.0, f"c{n}"), answered(4.0, f"c{n}"))]
     many = [one._replace(deadline=5.0) if isinstance(one, Asked) else one for one in many]
     fair = [held(at, flows=flows) for at, flows in ((2.0, 28), (3.0, 28), (3.9, 28), (4.05, 28), (4.2, 9))]
--- a/tests/simulation/emulation/test_network.py
+++ b/tests/simulation/emulation/test_network.py
@@ -1,4 +1,4 @@
-"""Links, and the list that comes late."""
+"""Tests of the links between zones and of delayed service discovery."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.proxy.net.helpers import seeded
 
 
-def test_ways_are_alike_in_both_directions_and_cuts_add_up() -> None:
+def test_delays_are_symmetric_and_cuts_add_up() -> None:
     links = Links(Network(), 1)
     there = links.delay(0.0, "ikeja", "yaba")
     assert there == links.delay(0.0, "yaba", "ikeja") and there is not None and 0.42e-3 <= there <= 0.78e-3
@@ -27,7 +27,7 @@
     assert links.delay(3.0, "ikeja", "yaba") == there
 
 
-def test_datagrams_come_late_or_never_and_a_cut_leaves_later_draws_as_they_are() -> None:
+def test_datagrams_are_late_or_lost_and_a_cut_leaves_later_draws_unchanged() -> None:
     links, cut = Links(Network(), 1), Links(Network(), 1)
     late = [links.datagram(0.0, "ikeja", "yaba") for _ in range(5000)]
     cut.cut(0.0, "ikeja")
@@ -46,7 +46,7 @@
 
 @seeded
 @given(st.lists(changes, max_size=25), st.lists(st.floats(0.0, 2.0), max_size=40))
-def test_each_proxy_is_told_all_changes_in_order_and_late(
+def test_each_proxy_receives_all_changes_in_order_and_delayed(
     script: list[tuple[float, str, str]], looks: list[float]
 ) -> None:
     one, other = Registry(7, Network()), Registry(7, Network())
@@ -69,7 +69,7 @@
     listen(inf)
     assert [each for _, each in told] == truth and [at for at, _ in told] == sorted(at for at, _ in told)
     assert all(each.at + 1.0 <= at <= each.at + 4.0 for at, each in told)
-    # Who looks at other times is told the same by then, and can ask for what it was told.
+    # Polling at other times gives the same changes, which `since` and `snapshot` then cover.
     now = 0.0
     for wait in looks:
         now += wait
--- a/tests/simulation/emulation/test_reference.py
+++ b/tests/simulation/emulation/test_reference.py
@@ -1,4 +1,4 @@
-"""The reference: it serves what boxes can do, asks no more of them, and no run of proxies is above it."""
+"""Tests of the reference dispatcher: it uses the capacity, overloads no backend, and bounds every run."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     assert series[4] == 0.0 and 0.0 < (series[6] or 0) < 0.9 < (series[11] or 0)
 
 
-def test_it_never_pushes_a_box_over(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_reference_never_overloads_a_cold_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     fell: list[str] = []
     leave = EmulatedBackend._terminate
 
@@ -44,6 +44,6 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_proxies_are_not_above_it(seed: int) -> None:
+def test_proxies_do_not_exceed_the_reference(seed: int) -> None:
     scenario = day(POWER, rate=200.0)
     assert rehearse(scenario, seed).service <= Reference(scenario, seed).play().counted.service() + 0.01
--- a/tests/simulation/emulation/test_service.py
+++ b/tests/simulation/emulation/test_service.py
@@ -1,4 +1,4 @@
-"""The figures against a plain and slow reckoning, on random histories, and on some written by hand."""
+"""Tests of the service figures against a simple computation, on random and hand-written histories."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class Fate(NamedTuple):
-    """What became of one request."""
+    """The outcome of one request."""
 
     first: r.Asked
     took: float
@@ -104,7 +104,7 @@
 
 @seeded
 @given(st.lists(REQUEST, max_size=25))
-def test_the_figures_are_those_of_a_plain_reckoning(requests: list[Drawn]) -> None:
+def test_the_figures_equal_a_simple_computation(requests: list[Drawn]) -> None:
     history = history_of(requests)
     firsts = [one for one in history if isinstance(one, r.Asked) and one.call == one.first]
     fates = [fate(first, history) for first in firsts if first.meant >= DAY.warm_up_s]
--- a/tests/simulation/emulation/test_timeline.py
+++ b/tests/simulation/emulation/test_timeline.py
@@ -1,4 +1,4 @@
-"""Troubles: whom they strike and when, together and alone; scenarios drawn and shipped."""
+"""Tests of troubles (targets, times, overlaps) and of drawn and shipped scenarios."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @seeded
 @given(st.lists(trouble, max_size=7), st.integers(1, 20))
-def test_whatever_overlaps_steps_strike_boxes_that_are_there(troubles: list[Trouble], boxes: int) -> None:
+def test_overlapping_troubles_affect_available_backends_only(troubles: list[Trouble], boxes: int) -> None:
     timeline = plan(*troubles, boxes=boxes)
     assert timeline.steps() == plan(*troubles, boxes=boxes).steps()
     states = dict.fromkeys((place.name for place in timeline.fleet), "here")
@@ -71,14 +71,16 @@
 
 
 @pytest.mark.parametrize(("kind", "left"), [("silent", 14), ("crash", 10)])
-def test_a_zone_is_struck_alone_and_a_deploy_replaces_for_good(kind: TroubleKind, left: int) -> None:
+def test_a_trouble_stays_in_its_zone_and_a_deploy_replaces_failed_backends(
+    kind: TroubleKind, left: int
+) -> None:
     away = Trouble(kind=kind, at_s=5.0, for_s=20.0, zone="yaba", part=1.0)
     struck = [step.box for step in of(plan(away), Action.SILENCE, Action.STOP)]
     assert sorted(struck) == sorted(place.name for place in plan().fleet if place.zone == "yaba")
     assert [step.at for step in of(plan(away), Action.RESTART)] == [25.0] * 4
     both = plan(away, Trouble(kind="deploy", at_s=6.0, for_s=10.0, part=1.0, batch=1.0))
     assert of(both, Action.RESTART) == [] and len(of(both, Action.START)) == len(of(both, Action.STOP)) == 14
-    assert len(of(both, Action.DRAIN)) == left  # who is known to be gone need not drain
+    assert len(of(both, Action.DRAIN)) == left  # crashed backends don't drain
 
 
 def test_slowness_multiplies_and_one_trouble_more_leaves_the_draws_of_the_others() -> None:
@@ -89,7 +91,7 @@
     assert of(plan(crash, *slow), Action.STOP) == of(plan(crash), Action.STOP) != []
 
 
-def test_proxies_are_killed_and_launched_and_all_of_it_is_shaded() -> None:
+def test_proxies_are_killed_and_launched_and_troubles_are_recorded() -> None:
     timeline = plan(Trouble(kind="kill", at_s=5.0, proxy=1), Trouble(kind="restart", at_s=7.0, proxy=2))
     killed = (Step(5.0, Action.KILL, proxy="proxy-1"), Step(6.0, Action.LAUNCH, proxy="proxy-1"))
     assert timeline.steps() == [*killed, Step(7.0, Action.END, proxy="proxy-2")]
