--- a/firvane/simulation/emulation/__init__.py
+++ b/firvane/simulation/emulation/__init__.py
@@ -1,1 +1,1 @@
-"""Emulation of the proxies' environment: backends, clients, network, discovery. No I/O."""
+"""Emulation of the proxies' environment: backends, clients, network, discovery. No I/O, no clock."""
--- a/firvane/simulation/emulation/warm_up.py
+++ b/firvane/simulation/emulation/warm_up.py
@@ -8,7 +8,8 @@
    do in that time at its current capacity. Rejected attempts count as sent, unheard ones don't.
 3. The proxies overloaded it if it fell and at least two thirds of that work came from proxies that knew of
    its start: those notified of it, and all proxies from 6 s after the start.
-4. Peaks near the budget are reported with their fraction of it, as is a fall that proxies could not avoid.
+4. Peaks near the budget are reported with their fraction of it, as are falls of backends whose start the
+   proxies did not know.
 """
 
 from __future__ import annotations
