--- a/benchmarks/receivers.py
+++ b/benchmarks/receivers.py
@@ -37,8 +37,8 @@
 from firvane.proxy.control import stream_codec
 from firvane.proxy.control.core import Core
 from firvane.proxy.control.stream import Stream
-from firvane.simulation.emulation.backend import Box, Done, End
-from firvane.simulation.emulation.clients import Crowd, Try
+from firvane.simulation.emulation.backend import Completion, EmulatedBackend, JobEnd
+from firvane.simulation.emulation.clients import ClientPopulation, Try
 from firvane.simulation.emulation.network import Links, seats
 from firvane.simulation.emulation.registry import Change, Registry
 from firvane.simulation.emulation.scenario import Boxes, Load, Network, Proxies, Retries
@@ -139,12 +139,12 @@
         retries = Retries(most=2, how="wait")
         self.load = Load(rate=rate, retries=retries)
         tier = Proxies(count=3)
-        self.crowd = Crowd(self.load, self.network, tier, seed)
+        self.population = ClientPopulation(self.load, self.network, tier, seed)
         self.links = Links(self.network, seed)
         self.registry = Registry(seed, self.network)
         self.seats = seats(self.network, tier)
         self.calls, self.out = itertools.count(1), dict[str, Attempt]()
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, EmulatedBackend] = {}
         self.ports: dict[str, int] = {}
         self.stepping: dict[str, Any] = {}
         self.served = Counter[int]()
@@ -179,7 +179,7 @@
         kind = kinds[0] if (n * 53) % 100 < 53 else kinds[1]
         name, zone = f"box-{n}", self.network.zones[n % len(self.network.zones)]
         now = self.clock.now
-        self.boxes[name] = Box(name, kind, self.boxes_as, zone, self.seed, now, warm)
+        self.boxes[name] = EmulatedBackend(name, kind, self.boxes_as, zone, self.seed, now, warm)
         self.ports[name] = 10_000 + n
         self.registry.change(now, name, "up", zone, kind.name, 0, None if warm else now)
         return name
@@ -200,11 +200,11 @@
         if (due := box.next_at()) < float("inf"):
             self.stepping[name] = self.clock.call_at(due, self.step, name)
 
-    def finished(self, name: str, done: Done) -> None:
+    def finished(self, name: str, done: Completion) -> None:
         if (attempt := self.out.get(done.call)) is None:
             return
         ending = Termination.SERVED if done.wanted else Termination.BROKEN_AFTER_SENT
-        if done.end is End.LOST and self.boxes[name].state == "silent":
+        if done.end is JobEnd.LOST and self.boxes[name].state == "silent":
             return  # nobody says a word
         self.clock.call_at(self.clock.now + attempt.back, attempt.end, ending)
 
@@ -253,7 +253,7 @@
             struck = [name for name in self.boxes if self.zone_of(name) == zone]
             at(15.0, self.silence, struck)
         elif self.case == "flood":
-            self.clock.call_at(15.0, self.crowd.burst, 15.0, "lagos", 4.0, 35.0)
+            self.clock.call_at(15.0, self.population.burst, 15.0, "lagos", 4.0, 35.0)
 
     def replace(self, group: list[str]) -> None:
         for name in group:
@@ -323,7 +323,7 @@
                 self.windows[int(one.first_at / 5)][1] += one.work * one.worth
             return
         self.refusals += status in (429, 503) and one.at >= WARM_UP_S
-        if again := self.crowd.again(now, one, status, retry_after):
+        if again := self.population.retry(now, one, status, retry_after):
             self.clock.call_at(again.at, self.take, again)
 
     # All of it
@@ -332,7 +332,7 @@
         for one in self.tier:
             one.start()
         self.troubles()
-        self.ask(self.crowd.tries())
+        self.ask(self.population.tries())
         self.clock.run(RUN_S + 3.0)
         got, asked = (sum(pair[i] for pair in self.sums.values()) for i in (1, 0))
         found = self.metrics
--- a/firvane/simulation/runner/emulated_fleet.py
+++ b/firvane/simulation/runner/emulated_fleet.py
@@ -6,12 +6,12 @@
 from functools import partial
 from typing import Any
 
-from firvane.simulation.emulation.backend import Box
+from firvane.simulation.emulation.backend import EmulatedBackend
 from firvane.simulation.emulation.network import Links, seats
 from firvane.simulation.emulation.registry import Registry
 from firvane.simulation.emulation.scenario import Kind, Scenario
 from firvane.simulation.emulation.seeded_random import named
-from firvane.simulation.emulation.timeline import TOLD, Action, Step, Timeline
+from firvane.simulation.emulation.timeline import DISCOVERY_STATE, Action, Step, Timeline
 from firvane.simulation.runner.backends import Host, Sink
 from firvane.simulation.runner.clock import Clock
 from firvane.simulation.runner.discovery import Agent
@@ -109,7 +109,7 @@
     def _stand_up(self, name: str, kind: Kind, zone: str, warm: bool) -> Host:
         number = self.numbers[name] = len(self.numbers)
         now = self.clock.now()
-        box = Box(name, kind, self.scenario.boxes, zone, named(self.seed, name), now, warm)
+        box = EmulatedBackend(name, kind, self.scenario.boxes, zone, named(self.seed, name), now, warm)
         ways = {seat.name: self.plan.box(proxy, number) for proxy, seat in enumerate(self.seats)}
         self.on_box(list(ways.values()), zone)
         host = Host(self.clock, self.doors, box, ways, self.jobs, self.sink)
@@ -123,7 +123,9 @@
     def _list(self, now: float, step: Step) -> None:
         host = self.hosts[step.box]
         box, since = host.box, now
-        self.registry.change(now, step.box, TOLD[step.action], box.zone, box.kind.name, box.start, since)
+        self.registry.change(
+            now, step.box, DISCOVERY_STATE[step.action], box.zone, box.kind.name, box.start, since
+        )
         self._tell()
 
     def _tell(self) -> None:
--- a/tests/proxy/recovery/test_steps.py
+++ b/tests/proxy/recovery/test_steps.py
@@ -11,7 +11,7 @@
 from firvane.core import interface as api
 from firvane.core.balancing.records import Backend
 from firvane.proxy.recovery import steps
-from firvane.simulation.emulation.backend import Box, End
+from firvane.simulation.emulation.backend import EmulatedBackend, JobEnd
 from firvane.simulation.emulation.scenario import Boxes, Kind
 
 TARGET_S = 0.5
@@ -31,9 +31,11 @@
 
 def saturate(
     cores: int, speed: float, seconds: float, client_timeout_s: float, first: float = 1.0
-) -> tuple[Box, int, float]:
+) -> tuple[EmulatedBackend, int, float]:
     """Use all the capacity of a cold backend; return it, the timely responses and the last capacity."""
-    box = Box("a", Kind(name="k", share=1, cores=cores, speed=(speed, speed)), Boxes(), "z", 1, 0.0, False)
+    box = EmulatedBackend(
+        "a", Kind(name="k", share=1, cores=cores, speed=(speed, speed)), Boxes(), "z", 1, 0.0, False
+    )
     server, in_flight, due = backend(first), dict[str, float](), list[tuple[float, str]]()
     now, calls, in_time = 0.0, 0, 0
     while now < seconds and box.is_up:
@@ -48,7 +50,7 @@
         now = max(now, min(box.next_at(), due[0][0]))
         for done in box.advance(now):
             sent = in_flight.pop(done.call, None)
-            if sent is not None and done.end is End.WHOLE:
+            if sent is not None and done.end is JobEnd.COMPLETED:
                 server.in_flight, in_time = len(in_flight), in_time + (now - sent <= TARGET_S)
                 end_attempt(server, api.Result.OK, now - sent, now)
         while due and due[0][0] <= now:
--- a/tests/simulation/runner/standin_helpers.py
+++ b/tests/simulation/runner/standin_helpers.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from firvane.simulation.emulation.backend import Box
-from firvane.simulation.emulation.clients import Crowd
+from firvane.simulation.emulation.backend import EmulatedBackend
+from firvane.simulation.emulation.clients import ClientPopulation
 from firvane.simulation.emulation.records import Record
 from firvane.simulation.emulation.scenario import Boxes, Kind, Load, Network, Proxies, Retries
 from firvane.simulation.runner.backends import Host
@@ -46,7 +46,7 @@
         return [record for record in self.records if isinstance(record, kind)]
 
     def host(self, boxes: Boxes = BOXES, warm: bool = True) -> Host:
-        box = Box("b1", KIND, boxes, "a", 1, 0.0, warm)
+        box = EmulatedBackend("b1", KIND, boxes, "a", 1, 0.0, warm)
         host = Host(self.clock, self.loop.memory.door, box, BOX, SEALS, self.records.append)
         host.open()
         return host
@@ -69,9 +69,11 @@
     def clients(self, load: Load, proxies: int = 1, **more: Any) -> Clients:
         """The members of a load, with proxies at 10.1.0.N:80 in one zone."""
         network = Network(zones=("a",))
-        crowd = Crowd(load, network, Proxies(count=proxies), 1)
+        population = ClientPopulation(load, network, Proxies(count=proxies), 1)
         places = {f"proxy-{n}": ("a", (f"10.1.0.{n}", 80)) for n in range(proxies)}
-        return Clients(self.clock, crowd, places, SEALS, 1, self.records.append, self.ready.append, **more)
+        return Clients(
+            self.clock, population, places, SEALS, 1, self.records.append, self.ready.append, **more
+        )
 
 
 class HandProxy(asyncio.Protocol):
