--- a/firvane/simulation/soak/plan.py
+++ b/firvane/simulation/soak/plan.py
@@ -1,6 +1,6 @@
-"""What is played: the size of a fleet, and steps at set times, drawn from a seed. Pure.
+"""Plans of soak runs: the size of the fleet and timed steps, drawn from a seed. Pure.
 
-A plan is written as JSON and read back, so that a run can be played again, or with fewer steps.
+A plan is written to and read from JSON, so that a run can be replayed, also with fewer steps.
 """
 
 from __future__ import annotations
@@ -17,35 +17,35 @@
 
 
 class StepKind(enum.StrEnum):
-    """What one step does."""
+    """The action of a step."""
 
-    TERM = "term"  # SIGTERM, and a new start after the end
-    TERM_TWICE = "term-twice"  # the same, with a second SIGTERM `span` s later
-    TERM_IN_START = "term-in-start"  # SIGKILL, a new start, SIGTERM `span` s after it, and a new start
+    TERM = "term"  # SIGTERM, and a new start after the exit
+    TERM_TWICE = "term-twice"  # as TERM, with a second SIGTERM `span` s after the first
+    TERM_IN_START = "term-in-start"  # SIGKILL, a new start, SIGTERM `span` s later, and another start
     KILL = "kill"  # SIGKILL, and a new start `span` s later
-    HUP = "hup"
-    FREEZE = "freeze"  # SIGSTOP for `span` s
-    QUOTA = "quota"  # stands still for `share` of each tenth of a second, for `span` s
-    BACKEND_FAULT = "backend-fault"  # `mode` strikes `share` of the requests at all backends for `span` s
-    BACKEND_CRASH = "backend-crash"  # `count` are gone, and others come `span` s later
-    BACKEND_DRAIN = "backend-drain"  # one drains, and another comes
-    CHANGES = "changes"  # changes of the configuration for `span` s, one each `gap` s
-    BURST = "burst"  # `share` more requests for `span` s
+    HUP = "hup"  # SIGHUP
+    FREEZE = "freeze"  # SIGSTOP, and SIGCONT `span` s later
+    QUOTA = "quota"  # the process is suspended for `share` of each tenth of a second, for `span` s
+    BACKEND_FAULT = "backend-fault"  # `mode` affects `share` of the requests at all backends for `span` s
+    BACKEND_CRASH = "backend-crash"  # `count` backends crash, and are replaced `span` s later
+    BACKEND_DRAIN = "backend-drain"  # the oldest backend drains and is replaced
+    CHANGES = "changes"  # configuration changes for `span` s, one every `gap` s
+    BURST = "burst"  # the request rate grows by `share` of the base rate for `span` s
 
 
 class FaultMode(enum.StrEnum):
     """How a backend fails a request."""
 
-    ERROR = "error"  # it runs, and ends with 500
-    SHED = "shed"  # rejected, has not run
-    RESET = "reset"  # the connection ends at once
-    CUT = "cut"  # it ends in the middle of the answer
-    HANG = "hang"  # no answer comes
+    ERROR = "error"  # the request runs; the response is 500
+    SHED = "shed"  # the request is rejected with 503 and has not run
+    RESET = "reset"  # the connection is closed at once
+    CUT = "cut"  # the connection is closed during the response
+    HANG = "hang"  # no response is sent
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One step; times are seconds from the start of the load. `target` names a daemon."""
+    """One step; `at` is seconds from the start of the load, `target` is the name of a daemon."""
 
     at: float
     kind: StepKind
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many there are of everything; `rate` is requests a second of all clients together."""
+    """The size of a fleet and its load; `rate` is requests per second of all clients together."""
 
     routers: int
     controllers: int
@@ -78,27 +78,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A whole run."""
+    """The plan of one run."""
 
     seed: int
     size: Size
     steps: tuple[Step, ...]
 
     def to_json(self) -> str:
-        """The plan as text."""
+        """The plan as JSON."""
         return json.dumps(asdict(self), indent=1)
 
     def without(self, steps: set[int]) -> Plan:
         """The plan without the steps at these positions."""
-        return replace(self, steps=tuple(step for place, step in enumerate(self.steps) if place not in steps))
+        return replace(self, steps=tuple(step for index, step in enumerate(self.steps) if index not in steps))
 
 
 def plan_from_json(text: str) -> Plan:
-    """Read a plan; `ValueError` where the text is none."""
+    """Read a plan from JSON; raises `ValueError` if the text is not a valid plan."""
     try:
-        given = json.loads(text)
-        steps = tuple(_read_step(step) for step in given["steps"])
-        return Plan(int(given["seed"]), Size(**given["size"]), steps)
+        fields = json.loads(text)
+        steps = tuple(_read_step(step) for step in fields["steps"])
+        return Plan(int(fields["seed"]), Size(**fields["size"]), steps)
     except (KeyError, TypeError, AttributeError) as error:
         raise ValueError(f"not a plan: {error}") from None
 
@@ -109,146 +109,147 @@
 
 # Drawing
 
-Draw = Callable[[random.Random, Size], Iterator[Step]]
+DrawSteps = Callable[[random.Random, Size], Iterator[Step]]
 
 
 def routers(size: Size) -> list[str]:
-    """The names of a fleet's routers."""
+    """The names of the fleet's routers."""
     return [f"{ROUTER}-{number + 1}" for number in range(size.routers)]
 
 
 def controllers(size: Size) -> list[str]:
-    """The names of its controllers."""
+    """The names of the fleet's controllers."""
     return [f"{CONTROLLER}-{number + 1}" for number in range(size.controllers)]
 
 
-def _begin(dice: random.Random, size: Size, before_end: float = 6.0) -> float:
-    return dice.uniform(0.5, max(1.0, size.seconds - before_end))
+def _draw_start(rng: random.Random, size: Size, before_end: float = 6.0) -> float:
+    return rng.uniform(0.5, max(1.0, size.seconds - before_end))
 
 
-def rolling_restart(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Routers in turn, sooner than one has ended."""
-    at, gap = dice.uniform(0.5, 3.0), dice.uniform(0.3, 3.0)
-    kind = dice.choice((StepKind.TERM, StepKind.TERM, StepKind.TERM_TWICE))
-    for name in dice.sample(routers(size), size.routers):
+def rolling_restart(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Restart all routers one after the other, without waiting for the previous one to exit."""
+    at, gap = rng.uniform(0.5, 3.0), rng.uniform(0.3, 3.0)
+    kind = rng.choice((StepKind.TERM, StepKind.TERM, StepKind.TERM_TWICE))
+    for name in rng.sample(routers(size), size.routers):
         if at < size.seconds:
-            yield Step(at, kind, name, span=dice.uniform(0.05, 3.0))
+            yield Step(at, kind, name, span=rng.uniform(0.05, 3.0))
         at += gap
 
 
-def several_at_once(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Some routers at one moment."""
-    at = _begin(dice, size)
-    for name in dice.sample(routers(size), dice.randint(1, size.routers)):
+def simultaneous_restarts(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Restart some routers at the same time."""
+    at = _draw_start(rng, size)
+    for name in rng.sample(routers(size), rng.randint(1, size.routers)):
         yield Step(at, StepKind.TERM, name)
 
 
-def restart_in_start(dice: random.Random, size: Size) -> Iterator[Step]:
-    """A router gets SIGTERM while it starts."""
+def restart_in_start(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Send SIGTERM to a router while it starts."""
     yield Step(
-        _begin(dice, size), StepKind.TERM_IN_START, dice.choice(routers(size)), dice.uniform(0.05, 1.5)
+        _draw_start(rng, size), StepKind.TERM_IN_START, rng.choice(routers(size)), rng.uniform(0.05, 1.5)
     )
 
 
-def failing_backends_and_kills(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Backends fail most requests while most routers are killed, once or several times."""
-    begins = dice.uniform(0.5, max(1.0, size.seconds - 12.0))
-    lasts = min(size.seconds - begins, dice.uniform(8.0, 14.0))
-    mode = dice.choice((FaultMode.ERROR, FaultMode.ERROR, FaultMode.RESET, FaultMode.CUT))
-    yield Step(begins, StepKind.BACKEND_FAULT, span=lasts, share=dice.uniform(0.6, 0.95), mode=mode)
-    at = begins + dice.uniform(1.0, 3.5)
-    while at < begins + lasts - 0.5:
-        names = dice.sample(routers(size), dice.randint(-(-size.routers * 2 // 3), size.routers))
+def failing_backends_and_kills(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Fail most requests at the backends while most routers are killed, once or several times."""
+    start = rng.uniform(0.5, max(1.0, size.seconds - 12.0))
+    duration = min(size.seconds - start, rng.uniform(8.0, 14.0))
+    mode = rng.choice((FaultMode.ERROR, FaultMode.ERROR, FaultMode.RESET, FaultMode.CUT))
+    yield Step(start, StepKind.BACKEND_FAULT, span=duration, share=rng.uniform(0.6, 0.95), mode=mode)
+    at = start + rng.uniform(1.0, 3.5)
+    while at < start + duration - 0.5:
+        names = rng.sample(routers(size), rng.randint(-(-size.routers * 2 // 3), size.routers))
         for name in names:
-            yield Step(at, StepKind.KILL, name, span=dice.uniform(0.1, 0.5))
-        at += dice.uniform(2.5, 5.0)
+            yield Step(at, StepKind.KILL, name, span=rng.uniform(0.1, 0.5))
+        at += rng.uniform(2.5, 5.0)
 
 
-def kills(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Single processes are killed."""
-    for _ in range(dice.randint(1, 3)):
-        name = dice.choice([*routers(size), dice.choice(controllers(size))])
-        yield Step(_begin(dice, size), StepKind.KILL, name, span=dice.uniform(0.3, 1.5))
+def kills(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Kill single processes."""
+    for _ in range(rng.randint(1, 3)):
+        name = rng.choice([*routers(size), rng.choice(controllers(size))])
+        yield Step(_draw_start(rng, size), StepKind.KILL, name, span=rng.uniform(0.3, 1.5))
 
 
-def controllers_in_turn(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Controllers are restarted in turn, one at a time."""
-    at = _begin(dice, size)
-    for name in dice.sample(controllers(size), size.controllers):
+def controllers_in_turn(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Restart the controllers one at a time."""
+    at = _draw_start(rng, size)
+    for name in rng.sample(controllers(size), size.controllers):
         if at < size.seconds:
             yield Step(at, StepKind.TERM, name)
-        at += dice.uniform(6.0, 9.0)
+        at += rng.uniform(6.0, 9.0)
 
 
-def frozen(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Processes stand still and go on."""
-    for name in dice.sample(routers(size), dice.randint(1, 2)):
-        yield Step(_begin(dice, size), StepKind.FREEZE, name, span=dice.uniform(0.2, 3.0))
+def suspensions(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Suspend and resume single processes."""
+    for name in rng.sample(routers(size), rng.randint(1, 2)):
+        yield Step(_draw_start(rng, size), StepKind.FREEZE, name, span=rng.uniform(0.2, 3.0))
 
 
-def quota(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Processes stand still for the rest of each tenth of a second."""
-    at, span, share = _begin(dice, size), dice.uniform(2.0, 10.0), dice.uniform(0.3, 0.7)
-    for name in dice.sample(
-        routers(size) + controllers(size)[:1], dice.randint(1, max(1, size.routers // 2))
-    ):
+def cpu_quota(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Suspend processes for a share of each tenth of a second, as a CPU quota does."""
+    at, span, share = _draw_start(rng, size), rng.uniform(2.0, 10.0), rng.uniform(0.3, 0.7)
+    for name in rng.sample(routers(size) + controllers(size)[:1], rng.randint(1, max(1, size.routers // 2))):
         yield Step(at, StepKind.QUOTA, name, span=span, share=share)
 
 
-def many_changes(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Changes of the configuration, one after the other."""
-    at = dice.uniform(0.5, 2.0)
-    yield Step(at, StepKind.CHANGES, span=size.seconds - at - 1.0, gap=dice.choice((0.05, 0.1, 0.5)))
+def many_changes(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Change the configuration repeatedly."""
+    at = rng.uniform(0.5, 2.0)
+    yield Step(at, StepKind.CHANGES, span=size.seconds - at - 1.0, gap=rng.choice((0.05, 0.1, 0.5)))
 
 
-def backend_faults(dice: random.Random, size: Size) -> Iterator[Step]:
-    """Backends fail a part of the requests for a while, or crash, or are replaced."""
-    for _ in range(dice.randint(1, 3)):
-        kind = dice.choice((StepKind.BACKEND_FAULT, StepKind.BACKEND_CRASH, StepKind.BACKEND_DRAIN))
+def backend_faults(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Fail a share of the requests at the backends for a while, or crash or replace backends."""
+    for _ in range(rng.randint(1, 3)):
+        kind = rng.choice((StepKind.BACKEND_FAULT, StepKind.BACKEND_CRASH, StepKind.BACKEND_DRAIN))
         yield Step(
-            _begin(dice, size),
+            _draw_start(rng, size),
             kind,
-            span=dice.uniform(1.0, 5.0),
-            share=dice.uniform(0.05, 0.7),
-            count=dice.randint(1, max(1, size.backends // 4)),
-            mode=dice.choice(list(FaultMode)),
+            span=rng.uniform(1.0, 5.0),
+            share=rng.uniform(0.05, 0.7),
+            count=rng.randint(1, max(1, size.backends // 4)),
+            mode=rng.choice(list(FaultMode)),
         )
 
 
-def hangups(dice: random.Random, size: Size) -> Iterator[Step]:
-    """The settings are read anew."""
-    at = _begin(dice, size)
-    for name in dice.sample(routers(size), dice.randint(1, size.routers)):
+def reloads(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Send SIGHUP to some routers, which then reload their settings."""
+    at = _draw_start(rng, size)
+    for name in rng.sample(routers(size), rng.randint(1, size.routers)):
         yield Step(at, StepKind.HUP, name)
-        at = min(size.seconds - 0.5, at + dice.uniform(0.0, 1.0))
+        at = min(size.seconds - 0.5, at + rng.uniform(0.0, 1.0))
 
 
-def burst(dice: random.Random, size: Size) -> Iterator[Step]:
-    """More requests for a while."""
-    yield Step(_begin(dice, size), StepKind.BURST, span=dice.uniform(2.0, 6.0), share=dice.uniform(0.3, 1.5))
+def burst(rng: random.Random, size: Size) -> Iterator[Step]:
+    """Raise the request rate for a while."""
+    yield Step(
+        _draw_start(rng, size), StepKind.BURST, span=rng.uniform(2.0, 6.0), share=rng.uniform(0.3, 1.5)
+    )
 
 
-ALWAYS: tuple[Draw, ...] = (rolling_restart, failing_backends_and_kills)  # one of them in each plan
-OTHERS: tuple[Draw, ...] = (
-    several_at_once,
+# each plan has at least one of these
+MAIN_SERIES: tuple[DrawSteps, ...] = (rolling_restart, failing_backends_and_kills)
+ADDITIONAL_SERIES: tuple[DrawSteps, ...] = (
+    simultaneous_restarts,
     restart_in_start,
     kills,
     controllers_in_turn,
-    frozen,
-    quota,
+    suspensions,
+    cpu_quota,
     many_changes,
     backend_faults,
-    hangups,
+    reloads,
     burst,
 )
 
 
 def draw_plan(seed: int, size: Size) -> Plan:
-    """The plan of a seed. In longer runs series are drawn more than once, and overlap."""
-    dice = random.Random(seed)
+    """Draw the plan of a seed; longer runs have more series of steps, which overlap."""
+    rng = random.Random(seed)
     rounds = max(1, round(size.seconds / 20.0))
-    draws = [ALWAYS[seed % len(ALWAYS)]]
-    draws += dice.choices(ALWAYS, k=rounds - 1)
-    draws += dice.sample(OTHERS, min(len(OTHERS), 1 + rounds))
-    steps = [step for draw in draws for step in draw(dice, size)]
+    draws = [MAIN_SERIES[seed % len(MAIN_SERIES)]]
+    draws += rng.choices(MAIN_SERIES, k=rounds - 1)
+    draws += rng.sample(ADDITIONAL_SERIES, min(len(ADDITIONAL_SERIES), 1 + rounds))
+    steps = [step for draw in draws for step in draw(rng, size)]
     return Plan(seed, size, tuple(sorted(steps, key=lambda step: step.at)))
