--- a/firvane/simulation/soak/backends.py
+++ b/firvane/simulation/soak/backends.py
@@ -1,4 +1,4 @@
-"""Backends that fail as a plan says: localfleet's model servers, with every arrival written down."""
+"""Backends with the faults of a plan: localfleet's model servers, recording every arrival."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 from firvane.simulation.soak.plan import FaultMode
 from firvane.simulation.soak.records import Arrival, Record, RunEnd
 
-LONGEST_UNTIL_CUT = 0.6  # s after which an answer that is to be cut has been
+MAX_CUT_DELAY = 0.6  # s until a response selected for `FaultMode.CUT` is cut
 
 
 class Faults:
-    """What strikes requests now: of each mode, until when and which share."""
+    """The active faults: mode, end time and share of affected requests."""
 
     def __init__(self, seed: int) -> None:
-        self._dice = random.Random(f"{seed}/backends")
-        self._now: list[tuple[FaultMode, float, float]] = []
+        self._rng = random.Random(f"{seed}/backends")
+        self._active: list[tuple[FaultMode, float, float]] = []
 
     def add(self, mode: FaultMode, until: float, share: float) -> None:
-        """From now on, until that time."""
-        self._now.append((mode, until, share))
+        """Activate a fault until a time on the loop's clock."""
+        self._active.append((mode, until, share))
 
     def draw(self, now: float) -> FaultMode | None:
-        """The fault of one request, if there is one."""
-        self._now = [each for each in self._now if each[1] > now]
-        for mode, _, share in self._now:
-            if self._dice.random() < share:
+        """Draw the fault of one request; None for no fault."""
+        self._active = [each for each in self._active if each[1] > now]
+        for mode, _, share in self._active:
+            if self._rng.random() < share:
                 return mode
         return None
 
-    def time_until_break(self) -> float:
-        """Seconds until an answer is cut."""
-        return self._dice.uniform(0.0, LONGEST_UNTIL_CUT)
+    def draw_cut_delay(self) -> float:
+        """Draw the seconds until a response is cut."""
+        return self._rng.uniform(0.0, MAX_CUT_DELAY)
 
 
 class SoakServer(ModelServer):
-    """One incarnation of a backend."""
+    """One incarnation of a backend; it records arrivals and injects faults."""
 
     def __init__(
         self,
@@ -60,12 +60,12 @@
         self.soak_record, self.faults = record, faults
 
     def make_connection(self) -> ModelConnection:
-        """A connection that writes down what arrives on it."""
+        """Make a connection that records the requests arriving on it."""
         return SoakServerConnection(self)
 
 
 class SoakServerConnection(ModelConnection):
-    """Writes down each arrival and how it ended, and fails requests."""
+    """Records each arrival and its outcome, and injects faults."""
 
     def __init__(self, server: SoakServer) -> None:
         super().__init__(server)
@@ -73,7 +73,7 @@
         self._arrival: Arrival | None = None
 
     def on_request(self, request: Message) -> None:
-        """Write down the arrival; run it, or fail it as the plan says."""
+        """Record the arrival; run the request, or fail it with an active fault."""
         request_id = request.fields.get(b"x-request-id", b"")
         if not request_id:
             super().on_request(request)
@@ -85,13 +85,13 @@
         if mode in (None, FaultMode.CUT):
             super().on_request(request)
             if mode is FaultMode.CUT:
-                self._soak.loop.call_later(self._soak.faults.time_until_break(), self._cut, self._arrival)
+                self._soak.loop.call_later(self._soak.faults.draw_cut_delay(), self._cut, self._arrival)
         elif mode is FaultMode.SHED:
             self._request_id = request_id
             self.reject(503)
         else:
-            mark = request_fingerprint(request, b"".join(request.body))
-            self._soak.records.runs.append(Run(request_id, self._soak.instance.id, 0, mark))
+            run_fingerprint = request_fingerprint(request, b"".join(request.body))
+            self._soak.records.runs.append(Run(request_id, self._soak.instance.id, 0, run_fingerprint))
             self._fail(mode, request_id)
 
     def _fail(self, mode: FaultMode, request_id: bytes) -> None:
@@ -105,33 +105,33 @@
             self.break_off()
 
     def reject(self, status: int) -> None:
-        """Write down and answer that the request has not run."""
-        self._note(RunEnd.TURNED_AWAY)
+        """Record the rejection, and respond that the request has not run."""
+        self._record_outcome(RunEnd.TURNED_AWAY)
         super().reject(status)
 
     def on_answered(self) -> None:
-        """Write down that the answer is complete."""
-        self._note(RunEnd.ANSWERED)
+        """Record that the response is complete."""
+        self._record_outcome(RunEnd.ANSWERED)
         super().on_answered()
 
     def break_off(self) -> None:
-        """Write down and break the connection."""
-        self._note(RunEnd.BROKE_OFF)
+        """Record that the backend breaks the connection, and break it."""
+        self._record_outcome(RunEnd.BROKE_OFF)
         super().break_off()
 
     def on_end(self) -> None:
-        """Write down that the caller has gone."""
-        self._note(RunEnd.CANCELLED)
+        """Record that the caller closed the connection."""
+        self._record_outcome(RunEnd.CANCELLED)
         super().on_end()
 
-    def _note(self, end: RunEnd) -> None:
+    def _record_outcome(self, end: RunEnd) -> None:
         arrival, self._arrival = self._arrival, None
         if arrival:
             arrival.end, arrival.ended = end, self._soak.loop.time()
 
 
 def make_backends(layout: Layout, record: Record, faults: Faults, seed: int) -> Backends:
-    """All backends and the platform's list of them; each arrival goes into the record."""
+    """Make all backends and the platform's list of them; each arrival is added to the record."""
     loop, profile = asyncio.get_running_loop(), ServerProfile()
 
     def make_server(instance: ListedInstance, records: ServerRecords, server_seed: int) -> ModelServer:
