--- a/firvane/simulation/soak/__init__.py
+++ b/firvane/simulation/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A soak: the real daemons as processes, under persistent clients and overlapping faults.
+"""Soak test: runs the real daemons as processes, with persistent clients and overlapping faults.
 
-A plan is drawn from a seed, played, and judged afterwards by what clients and stand-ins wrote down; the judge
-knows the rules of the protocol and nothing of the daemons. `docs/soak.md` says what is played and judged.
+A plan is drawn from a seed and played; the records of clients and stand-ins are judged afterwards. The judge
+checks the protocol rules and is independent of the daemons' code. `docs/soak.md` describes plans and rules.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 def run(arguments: Sequence[str] | None = None) -> None:
-    """Entry of the command `firvane-soak`; ends the process with the exit code."""
+    """Entry point of the command `firvane-soak`; exits with its exit code."""
     import sys
 
     import defopt  # only the command line needs it
--- a/firvane/simulation/soak/command.py
+++ b/firvane/simulation/soak/command.py
@@ -1,4 +1,4 @@
-"""The command `firvane-soak`: plans drawn from seeds, played and judged."""
+"""The command `firvane-soak`: draws plans from seeds, plays them and judges the results."""
 
 from __future__ import annotations
 
@@ -16,43 +16,43 @@
 
 from firvane.simulation.localfleet.daemons import PACKAGE_PARENT
 from firvane.simulation.localfleet.fleet_run import StartError
-from firvane.simulation.soak.event_trace import tell
-from firvane.simulation.soak.judge import Terms, Violation, judge
+from firvane.simulation.soak.event_trace import format_trace
+from firvane.simulation.soak.judge import Bounds, Violation, judge
 from firvane.simulation.soak.plan import SIZES, Plan, draw_plan, plan_from_json
 from firvane.simulation.soak.player import Played, Player
 from firvane.simulation.soak.records import AttemptEnd
 from firvane.simulation.soak.shrink import shrink
 
-DONE = 0
-BROKEN = 1
+NO_VIOLATION = 0
+RULE_VIOLATED = 1
 BAD_USAGE = 2
 NOT_STARTED = 3
 INTERRUPTED = 130
-MOST_STORIES = 5
-MOST_SHRINKING_PLAYS = 40
+MAX_PRINTED_TRACES = 5
+MAX_SHRINK_PLAYS = 40
 
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """One run and its judgement."""
+    """One run and its violations."""
 
     played: Played
     violations: list[Violation]
 
 
 def play(plan: Plan, program_root: Path = PACKAGE_PARENT) -> Outcome:
-    """Play a plan on a loop of its own and judge it; `StartError` where the fleet does not get ready."""
+    """Play and judge a plan on a new event loop; raises `StartError` if the fleet does not become ready."""
     folder = Path(tempfile.mkdtemp(prefix="firvane-soak-"))
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             played = runner.run(_play(plan, folder, program_root))
     finally:
         shutil.rmtree(folder, ignore_errors=True)
-    return Outcome(played, judge(played.record, Terms()))
+    return Outcome(played, judge(played.record, Bounds()))
 
 
 async def _play(plan: Plan, folder: Path, program_root: Path) -> Played:
-    """Play, and end all daemons in order when SIGTERM comes as well."""
+    """Play a plan; SIGTERM cancels it, so that all daemons are stopped in order."""
     playing = asyncio.current_task()
     assert playing
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, playing.cancel)
@@ -70,25 +70,25 @@
     keep: Path | None = None,
     program_root: Path = PACKAGE_PARENT,
 ) -> int:
-    """Play plans drawn from seeds with the real daemons, and judge what clients and backends saw.
+    """Play plans drawn from seeds with the real daemons, and judge what clients and backends recorded.
 
-    Ends with 0 if no rule was broken, 1 if one was, 2 for bad usage, 3 if a fleet did not get ready.
+    Exit codes: 0 if no rule was violated, 1 if one was, 2 for bad usage, 3 if a fleet did not become ready.
 
     :param seed: the first seed
-    :param seeds: how many seeds, one after the other
+    :param seeds: number of consecutive seeds
     :param size: small, usual or large
     :param replay: play the plan in this file instead
-    :param shrink: make a plan that breaks a rule shorter while it still does, and print it
+    :param shrink: shorten a plan that violates a rule while it still does, and print it
     :param show_plan: print each plan before it is played
-    :param keep: folder for the plan and the logs of each run that breaks a rule
-    :param program_root: folder with the package whose daemons are played
+    :param keep: folder for the plan, logs and traces of each run that violates a rule
+    :param program_root: folder with the package whose daemons are run
     """
     try:
         plans = _plans(seed, seeds, size, replay)
     except (ValueError, OSError) as error:
         print(error, file=sys.stderr)
         return BAD_USAGE
-    status = DONE
+    status = NO_VIOLATION
     for plan in plans:
         if show_plan:
             print(plan.to_json())
@@ -101,7 +101,7 @@
             return INTERRUPTED
         print(summary(plan, outcome), flush=True)
         if outcome.violations:
-            status = BROKEN
+            status = RULE_VIOLATED
             _report(plan, outcome, keep)
             if shrink:
                 print(_shorten(plan, outcome, program_root).to_json())
@@ -112,48 +112,48 @@
     if replay:
         return [plan_from_json(replay.read_text())]
     if size not in SIZES:
-        raise ValueError(f"size: {size!r} is none of {', '.join(SIZES)}")
+        raise ValueError(f"size: {size!r} is not one of {', '.join(SIZES)}")
     if seeds < 1:
-        raise ValueError("seeds: at least one")
+        raise ValueError("seeds: must be at least 1")
     return [draw_plan(number, SIZES[size]) for number in range(seed, seed + seeds)]
 
 
 def summary(plan: Plan, outcome: Outcome) -> str:
-    """One line: what was played and what was broken."""
+    """One line with the violated rules, the requests by outcome and the steps played."""
     record = outcome.played.record
     ends = Counter(each.end for each in record.attempts.values() if each.end)
     rules = Counter(violation.rule for violation in outcome.violations)
     kinds = Counter(step.kind.value for step in plan.steps)
-    told = " ".join(f"{kind}:{count}" for kind, count in sorted(kinds.items()))
+    steps = " ".join(f"{kind}:{count}" for kind, count in sorted(kinds.items()))
     broken = " ".join(f"{rule}:{count}" for rule, count in sorted(rules.items())) or "none"
     counted = " ".join(f"{end.name.lower()}={ends[end]}" for end in AttemptEnd)
     return (
         f"seed {plan.seed}: broken {broken}; {len(record.attempts)} requests ({counted}), "
-        f"{len(record.arrivals)} arrivals, {record.orders_acknowledged} orders; {told}; "
+        f"{len(record.arrivals)} arrivals, {record.orders_acknowledged} orders; {steps}; "
         f"delay {record.clock_delay * 1000:.0f} ms"
     )
 
 
 def _report(plan: Plan, outcome: Outcome, keep: Path | None) -> None:
-    for violation in outcome.violations[:MOST_STORIES]:
-        print(tell(violation, outcome.played))
+    for violation in outcome.violations[:MAX_PRINTED_TRACES]:
+        print(format_trace(violation, outcome.played))
     if keep:
         folder = keep / f"seed-{plan.seed}"
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "plan.json").write_text(plan.to_json())
-        stories = [tell(violation, outcome.played) for violation in outcome.violations]
-        (folder / "stories.txt").write_text("\n\n".join(stories) + "\n")
+        traces = [format_trace(violation, outcome.played) for violation in outcome.violations]
+        (folder / "stories.txt").write_text("\n\n".join(traces) + "\n")
         for name, text in outcome.played.logs.items():
             (folder / f"{name}.log").write_text(text)
 
 
 def _shorten(plan: Plan, outcome: Outcome, program_root: Path) -> Plan:
     rules = {violation.rule for violation in outcome.violations}
-    return shrink(plan, _breaks(rules, program_root), MOST_SHRINKING_PLAYS)
+    return shrink(plan, _violation_check(rules, program_root), MAX_SHRINK_PLAYS)
 
 
-def _breaks(rules: set[str], program_root: Path) -> Callable[[Plan], bool]:
-    def breaks(plan: Plan) -> bool:
+def _violation_check(rules: set[str], program_root: Path) -> Callable[[Plan], bool]:
+    def violates_rules(plan: Plan) -> bool:
         return any(violation.rule in rules for violation in play(plan, program_root).violations)
 
-    return breaks
+    return violates_rules
--- a/firvane/simulation/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -1,4 +1,4 @@
-"""A client's connection that may hold several requests at once, one behind the other."""
+"""A client's HTTP/1.1 connection, with pipelining."""
 
 from __future__ import annotations
 
@@ -16,68 +16,68 @@
 
 
 class Exchange:
-    """One request on a connection, and the answer that comes for it."""
+    """One request on a connection and its response."""
 
-    def __init__(self, record: AttemptRecord, digest: int) -> None:
+    def __init__(self, record: AttemptRecord, body_checksum: int) -> None:
         self.record = record
         self.ended = asyncio.Event()
-        self.begun = asyncio.Event()  # the head of the answer is here
-        self._stream = StreamCheck(digest)
+        self.head_received = asyncio.Event()
+        self._stream = StreamCheck(body_checksum)
 
     def on_head(self, message: Message) -> None:
-        """Check the head; an answer that belongs to another request is wrong."""
+        """Check the head; raises `StreamError` if the response belongs to another request or has no seal."""
         self.record.status = message.status
-        self.begun.set()
+        self.head_received.set()
         if is_success(message.status):
             if message.fields.get(b"x-request-id") != self.record.id.encode():
-                raise StreamError("an answer to another request")
+                raise StreamError("response belongs to another request")
             if not message.fields.get(b"x-server-seal"):
-                raise StreamError("a success without a seal")
+                raise StreamError("successful response without a seal")
 
     def on_body(self, data: bytes) -> None:
-        """Check the complete events."""
+        """Check the complete events of a successful response."""
         if is_success(self.record.status):
             self._stream.feed(data)
 
     def on_complete(self) -> None:
-        """The answer has ended in order."""
+        """Check that the event stream is complete at the regular end of the response."""
         if is_success(self.record.status):
             self._stream.end_answer()
 
     def finish(self, end: AttemptEnd, now: float, detail: str = "") -> None:
-        """The end of the request for its client; only the first one counts."""
+        """Record the outcome of the request for its client; later calls don't change it."""
         if self.record.end is None:
             self.record.end, self.record.ended, self.record.detail = end, now, detail
         self.ended.set()
 
 
 class SoakConnection(asyncio.Protocol):
-    """Takes requests until it ends; answers belong to the oldest request without one."""
+    """Sends requests until it is closed; assigns each response to the oldest pending request."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: str) -> None:
         self._loop, self.router = loop, router
         self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
-        self._waiting: deque[Exchange] = deque()
-        self._head_passed = False
+        self._pending: deque[Exchange] = deque()
+        self._head_delivered = False
         self.requests = 0
-        self.made = loop.time()
+        self.connected_at = loop.time()
         self.closed = False
-        self.asked_to_close = False  # an answer said that it is the last
-        self.unasked = 0  # bytes that came while no request was waiting
+        self.close_announced = False  # a response announced that the router will close the connection
+        self.unsolicited = 0  # responses or invalid data received with no request pending
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; called by the event loop."""
-        self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def add(self, exchange: Exchange) -> None:
-        """A request begins; its bytes are written by `write`."""
+        """Queue a request; `write` sends its bytes."""
         self.requests += 1
         record = exchange.record
-        record.router, record.connected, record.number = self.router, self.made, self.requests
-        if not self._waiting:
-            record.turn = self._loop.time()
-        self._waiting.append(exchange)
+        record.router, record.connected, record.number = self.router, self.connected_at, self.requests
+        if not self._pending:
+            record.previous_response_at = self._loop.time()
+        self._pending.append(exchange)
 
     def write(self, exchange: Exchange, data: bytes, last: bool) -> None:
         """Write a part of a request."""
@@ -90,72 +90,74 @@
         if last:
             record.sent_completely = now
 
-    def leave(self, detail: str) -> None:
-        """The client closes the connection, whatever is under way."""
+    def disconnect(self, detail: str) -> None:
+        """Close the connection from the client's side, aborting pending requests."""
         now = self._loop.time()
-        for exchange in self._waiting:
+        for exchange in self._pending:
             exchange.finish(AttemptEnd.LEFT, now, detail)
-        self._end()
+        self._abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End all requests under way; an answer without a length is complete now (RFC 9112, 6.3)."""
+        """Fail all pending requests; a response without a length is complete now (RFC 9112, 6.3)."""
         message = self._reader.message
         if error is None and message and not message.is_framed and not self._reader.in_head:
             self._complete(message)
         self.closed = True
-        for exchange in self._waiting:
+        for exchange in self._pending:
             exchange.finish(AttemptEnd.BROKEN, self._loop.time(), f"connection ended ({error or 'closed'})")
-        self._waiting.clear()
+        self._pending.clear()
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the answers."""
+        """Parse response bytes."""
         try:
             self._reader.feed(data)
-            self._pass_on()
+            self._process_responses()
         except (HttpError, StreamError) as error:
-            self._wrong(f"bytes that are no answer ({error})" if isinstance(error, HttpError) else str(error))
+            self._fail_response(
+                f"invalid HTTP response ({error})" if isinstance(error, HttpError) else str(error)
+            )
 
-    def _pass_on(self) -> None:
+    def _process_responses(self) -> None:
         while self._reader.completed:
-            self._tell(self._reader.completed[0])
+            self._deliver(self._reader.completed[0])
             self._complete(self._reader.completed.pop(0))
         if self._reader.message and not self._reader.in_head:
-            self._tell(self._reader.message)
+            self._deliver(self._reader.message)
 
-    def _tell(self, message: Message) -> None:
-        if not self._waiting:
-            self.unasked += 1
+    def _deliver(self, message: Message) -> None:
+        if not self._pending:
+            self.unsolicited += 1
             return
-        exchange = self._waiting[0]
-        if not self._head_passed:
-            self._head_passed = True
-            if len(self._waiting) > 1:
-                self._waiting[1].record.head_before = self._loop.time()
-            self.asked_to_close = self.asked_to_close or not message.keep_alive
+        exchange = self._pending[0]
+        if not self._head_delivered:
+            self._head_delivered = True
+            if len(self._pending) > 1:
+                self._pending[1].record.previous_head_at = self._loop.time()
+            self.close_announced = self.close_announced or not message.keep_alive
             exchange.on_head(message)
         if pieces := message.take_body():
             exchange.on_body(b"".join(pieces))
 
     def _complete(self, message: Message) -> None:
-        self._head_passed = False
-        if not self._waiting:
+        self._head_delivered = False
+        if not self._pending:
             return
-        exchange = self._waiting[0]
+        exchange = self._pending[0]
         exchange.on_complete()
-        self._waiting.popleft()
+        self._pending.popleft()
         now = self._loop.time()
         exchange.finish(AttemptEnd.WHOLE, now)
-        if self._waiting:
-            self._waiting[0].record.turn = now
+        if self._pending:
+            self._pending[0].record.previous_response_at = now
 
-    def _wrong(self, detail: str) -> None:
-        if self._waiting:
-            self._waiting.popleft().finish(AttemptEnd.WRONG, self._loop.time(), detail)
+    def _fail_response(self, detail: str) -> None:
+        if self._pending:
+            self._pending.popleft().finish(AttemptEnd.WRONG, self._loop.time(), detail)
         else:
-            self.unasked += 1
-        self.leave("after a wrong answer")
+            self.unsolicited += 1
+        self.disconnect("an earlier response on the connection was wrong")
 
-    def _end(self) -> None:
+    def _abort(self) -> None:
         self.closed = True
-        self._waiting.clear()
+        self._pending.clear()
         self.transport.abort()
--- a/firvane/simulation/soak/judge.py
+++ b/firvane/simulation/soak/judge.py
@@ -1,18 +1,18 @@
-"""Judges a record by the rules of the protocol's pages. Pure; it knows nothing of the daemons.
+"""Checks the record of a run against the documented protocol rules. Pure: independent of the daemons' code.
 
-| rule | sentence of the pages |
+| rule | violated when |
 | --- | --- |
-| LOST | around a SIGTERM a process has read a request, and the connection ends without a complete answer |
-| BUDGET | repeats at a service in any window exceed the ratio of its requests and the slack |
+| LOST | around a SIGTERM a process has read a request, but the connection ends without a complete response |
+| BUDGET | retries of a service in any window exceed the ratio of its requests plus the slack |
 | ATTEMPTS | a request runs on more backends than its route's `max_attempts` |
-| TWICE | what may not be repeated runs more than once |
-| REFUSED | what was answered with a promise that it has not run has run, or runs later |
-| UNASKED | a backend is sent what no client has sent, or something else |
-| MIXED | a client gets an answer that is not its own or incomplete, or bytes that it did not ask for |
-| CONFIG | an order is refused, two under one number are both taken, what was acknowledged is not read back |
-| END | a process ends by itself, with a status that is not 0, or later than its grace |
-| LOG | a line on standard error is an error, or no line of the log |
-| LEVEL | a process holds more memory, descriptors, threads or requests than so few clients can need |
+| TWICE | a request that must not be retried runs more than once |
+| REFUSED | a request whose response status guarantees that it has not run has run, or runs later |
+| UNASKED | a backend receives a request that no client sent, or one that differs from what was sent |
+| MIXED | a client receives the response to another request, an incomplete one, or an unsolicited one |
+| CONFIG | an order is rejected, two with one number are both accepted, an acknowledged one is not readable |
+| END | a process exits without SIGTERM or SIGKILL, with a non-zero status, or after its grace period |
+| LOG | a line on standard error is an error or not a valid log line |
+| LEVEL | a process uses more memory, descriptors, threads or requests than this number of clients can need |
 """
 
 from __future__ import annotations
@@ -34,16 +34,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """The bounds of the settings that the rules name, in s where they are times."""
+class Bounds:
+    """The limits that the rules apply; times in s."""
 
     grace: float = 8.0
-    contact: float = 3.0
+    interruption_effect: float = 3.0  # an interruption so long before a request still excuses its loss
     loss_slack: float = 0.2
     excused_until: float = (
-        3.0  # after SIGTERM: what was sent by then may be cut in the last part of the grace
+        3.0  # after SIGTERM: a request sent by then may be truncated in the last phase of the grace period
     )
-    last_phase: float = 1 / 6  # of the grace
+    last_phase: float = 1 / 6  # of the grace period
     after_grace: float = 1.0
     retry: RetryRule = field(default_factory=lambda: RetryRule(ratio=0.2, slack=52.0, window=10.0))
     memory_mb: float = 120.0
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken rule; `request` is the id of the request that shows it, if there is one."""
+    """A violated rule; `request` is the id of the request that violates it, if any."""
 
     rule: str
     at: float
@@ -63,186 +63,206 @@
     daemon: str = ""
 
 
-TROUBLES = (SignalKind.KILLED, SignalKind.STOPPED, SignalKind.CONTINUED)
+INTERRUPTIONS = (SignalKind.KILLED, SignalKind.STOPPED, SignalKind.CONTINUED)
 
 
-def judge(record: Record, terms: Terms) -> list[Violation]:
-    """All broken rules, in the order of their times."""
-    found = [
-        *_lost(record, terms),
-        *_budget(record, terms),
+def judge(record: Record, bounds: Bounds) -> list[Violation]:
+    """All violations, sorted by time."""
+    violations = [
+        *_lost_requests(record, bounds),
+        *_retry_budget(record, bounds),
         *_attempts(record),
-        *_ids("TWICE", "ran more than once", record.doubled),
-        *_ids("REFUSED", "ran although its client was told that it has not", record.ran_after_refusal),
-        *_ids("UNASKED", "no client has sent it", record.unasked),
-        *_ids("UNASKED", "was changed on its way", record.altered),
-        *_mixed(record),
+        *_per_request("TWICE", "ran more than once", record.doubled),
+        *_per_request(
+            "REFUSED", "ran although its response guarantees that it has not", record.ran_after_refusal
+        ),
+        *_per_request("UNASKED", "no client sent this request", record.unasked),
+        *_per_request("UNASKED", "differs from what the client sent", record.altered),
+        *_wrong_responses(record),
         *_config(record),
-        *_ends(record, terms),
+        *_exits(record, bounds),
         *_logs(record),
-        *_levels(record, terms),
+        *_resource_usage(record, bounds),
     ]
-    return sorted(found, key=lambda violation: violation.at)
+    return sorted(violations, key=lambda violation: violation.at)
 
 
 # LOST
 
 
-def _lost(record: Record, terms: Terms) -> Iterator[Violation]:
+def _lost_requests(record: Record, bounds: Bounds) -> Iterator[Violation]:
     arrivals = arrivals_by_request(record.arrivals)
     processes = _by_daemon(record.processes)
-    for each in record.attempts.values():
-        if each.end is not AttemptEnd.BROKEN or each.sent_completely > each.ended:
+    for attempt in record.attempts.values():
+        if attempt.end is not AttemptEnd.BROKEN or attempt.sent_completely > attempt.ended:
             continue
-        events = processes.get(each.router, [])
-        term = _term_before(events, each.ended, terms)
-        if term is None or _is_excused(each, arrivals.get(each.id, []), events, term, terms):
+        events = processes.get(attempt.router, [])
+        term_at = _first_sigterm(events, attempt.ended, bounds)
+        if term_at is None or _is_excused(attempt, arrivals.get(attempt.id, []), events, term_at, bounds):
             continue
-        if not (arrivals.get(each.id) or _was_read(each, terms, record.clock_delay)):
+        if not (arrivals.get(attempt.id) or _must_have_been_read(attempt, bounds, record.clock_delay)):
             continue
-        after, lasted = each.sent_completely - term, each.ended - each.sent_completely
-        text = f"sent {after:.3f} s after SIGTERM of {each.router}, cut {lasted:.3f} s later"
-        yield Violation("LOST", each.ended, text, each.id, each.router)
+        after, duration = attempt.sent_completely - term_at, attempt.ended - attempt.sent_completely
+        text = f"sent {after:.3f} s after SIGTERM of {attempt.router}, truncated {duration:.3f} s later"
+        yield Violation("LOST", attempt.ended, text, attempt.id, attempt.router)
 
 
-def _term_before(events: list[ProcessEvent], moment: float, terms: Terms) -> float | None:
-    """When the process that was there at this moment got its first SIGTERM, within the bounds of the rule."""
-    term = None
+def _first_sigterm(events: list[ProcessEvent], moment: float, bounds: Bounds) -> float | None:
+    """The time of the first SIGTERM of the process running at `moment`.
+
+    None without a SIGTERM, or if `moment` is later than the grace period plus `after_grace`.
+    """
+    term_at = None
     for event in events:
         if event.at > moment:
             break
         if event.kind is SignalKind.STARTED:
-            term = None
-        elif event.kind is SignalKind.TERM and term is None:
-            term = event.at
-    if term is None or moment > term + terms.grace + terms.after_grace:
+            term_at = None
+        elif event.kind is SignalKind.TERM and term_at is None:
+            term_at = event.at
+    if term_at is None or moment > term_at + bounds.grace + bounds.after_grace:
         return None
-    return term
+    return term_at
 
 
-def _was_read(each: AttemptRecord, terms: Terms, delay: float) -> bool:
-    """Whether the process must have read a request that it did not pass on.
+def _must_have_been_read(attempt: AttemptRecord, bounds: Bounds, delay: float) -> bool:
+    """Whether the process must have read a request that it did not forward.
 
-    What comes behind another request is read once that one is answered, and never where it was not. Where it
-    was here before the head of that answer, the head cannot have told its client to send nothing more.
+    A pipelined request is read after the response to the previous request, and never if that response is
+    incomplete. If the request arrived before the head of that response, its client could not yet have seen
+    a `Connection: close` in that head, so the request counts as read.
     """
-    if each.turn > each.ended:
+    if attempt.previous_response_at > attempt.ended:
         return False
-    if each.sent_completely + terms.loss_slack + delay < each.head_before <= each.ended:
+    if attempt.sent_completely + bounds.loss_slack + delay < attempt.previous_head_at <= attempt.ended:
         return True
-    readable = max(each.sent_completely, each.turn, each.blind_until)
-    return each.ended - readable > terms.loss_slack + delay
+    readable = max(attempt.sent_completely, attempt.previous_response_at, attempt.reading_paused_until)
+    return attempt.ended - readable > bounds.loss_slack + delay
 
 
 def _is_excused(
-    each: AttemptRecord, arrivals: list[Arrival], events: list[ProcessEvent], term: float, terms: Terms
+    attempt: AttemptRecord,
+    arrivals: list[Arrival],
+    events: list[ProcessEvent],
+    term_at: float,
+    bounds: Bounds,
 ) -> bool:
-    if each.ended >= each.deadline - terms.deadline_margin:
+    if attempt.ended >= attempt.deadline - bounds.deadline_margin:
         return True
     if any(arrival.end is RunEnd.BROKE_OFF for arrival in arrivals):
         return True
-    begins = each.sent - terms.contact
-    if any(event.kind in TROUBLES and begins <= event.at <= each.ended for event in events):
+    excused_from = attempt.sent - bounds.interruption_effect
+    if any(event.kind in INTERRUPTIONS and excused_from <= event.at <= attempt.ended for event in events):
         return True
-    in_last_phase = term + terms.grace * (1.0 - terms.last_phase)
-    works = any(arrival.at <= each.ended and arrival.ended >= in_last_phase for arrival in arrivals)
-    return works and each.ended >= in_last_phase and each.sent_completely <= term + terms.excused_until
+    last_phase_start = term_at + bounds.grace * (1.0 - bounds.last_phase)
+    backend_active = any(
+        arrival.at <= attempt.ended and arrival.ended >= last_phase_start for arrival in arrivals
+    )
+    return (
+        backend_active
+        and attempt.ended >= last_phase_start
+        and attempt.sent_completely <= term_at + bounds.excused_until
+    )
 
 
 # BUDGET, ATTEMPTS
 
 
-def _budget(record: Record, terms: Terms) -> Iterator[Violation]:
+def _retry_budget(record: Record, bounds: Bounds) -> Iterator[Violation]:
     requests = sorted(
-        each.sent for each in record.attempts.values() if each.end is not AttemptEnd.NOT_CONNECTED
+        attempt.sent for attempt in record.attempts.values() if attempt.end is not AttemptEnd.NOT_CONNECTED
     )
     seen: set[str] = set()
-    repeats: list[float] = []
-    for arrival in sorted(record.arrivals, key=lambda each: each.at):
+    retries: list[float] = []
+    for arrival in sorted(record.arrivals, key=lambda arrival: arrival.at):
         if arrival.id in seen:
-            repeats.append(arrival.at)
+            retries.append(arrival.at)
         seen.add(arrival.id)
-    excess = terms.retry.worst_excess(requests, repeats)
+    excess = bounds.retry.worst_excess(requests, retries)
     if excess > 0.0:
-        text = f"{excess:.1f} arrivals beyond what is allowed in the worst window, of {len(repeats)} in all"
-        yield Violation("BUDGET", repeats[0], text)
+        text = f"{excess:.1f} retries above the limit in the worst window, of {len(retries)} retries in total"
+        yield Violation("BUDGET", retries[0], text)
 
 
 def _attempts(record: Record) -> Iterator[Violation]:
     for request, arrivals in arrivals_by_request(record.arrivals).items():
-        sent = record.attempts.get(request)
+        attempt = record.attempts.get(request)
         backends = {arrival.backend for arrival in arrivals if arrival.end is not RunEnd.TURNED_AWAY}
-        if sent and len(backends) > sent.max_attempts:
-            text = f"ran on {len(backends)} backends, {sent.max_attempts} allowed"
-            yield Violation("ATTEMPTS", arrivals[-1].at, text, request, sent.router)
+        if attempt and len(backends) > attempt.max_attempts:
+            text = f"ran on {len(backends)} backends, {attempt.max_attempts} allowed"
+            yield Violation("ATTEMPTS", arrivals[-1].at, text, request, attempt.router)
 
 
-# The rest
+# Other rules
 
 
-def _ids(rule: str, text: str, ids: Iterable[str]) -> Iterator[Violation]:
+def _per_request(rule: str, text: str, ids: Iterable[str]) -> Iterator[Violation]:
     for request in ids:
         yield Violation(rule, 0.0, text, request)
 
 
-def _mixed(record: Record) -> Iterator[Violation]:
-    for each in record.attempts.values():
-        if each.end is AttemptEnd.WRONG:
-            yield Violation("MIXED", each.ended, each.detail, each.id, each.router)
-    if record.unasked_bytes:
-        yield Violation("MIXED", 0.0, f"{record.unasked_bytes} bytes came to clients without a request")
+def _wrong_responses(record: Record) -> Iterator[Violation]:
+    for attempt in record.attempts.values():
+        if attempt.end is AttemptEnd.WRONG:
+            yield Violation("MIXED", attempt.ended, attempt.detail, attempt.id, attempt.router)
+    if record.unsolicited_messages:
+        yield Violation(
+            "MIXED", 0.0, f"{record.unsolicited_messages} unsolicited responses were received by clients"
+        )
 
 
 def _config(record: Record) -> Iterator[Violation]:
-    for status in record.orders_refused:
-        yield Violation("CONFIG", 0.0, f"an order on top of the newest version was refused with {status}")
-    if record.rivals_both_taken:
-        text = f"{record.rivals_both_taken} pairs of different orders under one number were both acknowledged"
+    for status in record.orders_rejected:
+        yield Violation("CONFIG", 0.0, f"an order based on the newest version was rejected with {status}")
+    if record.rivals_both_accepted:
+        text = (
+            f"{record.rivals_both_accepted} pairs of different orders with one number were both acknowledged"
+        )
         yield Violation("CONFIG", 0.0, text)
-    if record.rivals_both_refused:
-        text = f"{record.rivals_both_refused} pairs of orders under one number were both refused"
+    if record.rivals_both_rejected:
+        text = f"{record.rivals_both_rejected} pairs of orders with one number were both rejected"
         yield Violation("CONFIG", 0.0, text)
     if not record.read_back:
         yield Violation("CONFIG", 0.0, "the newest acknowledged configuration was not read back")
 
 
 @dataclass(slots=True)
-class _Life:
-    """One process of a daemon, up to now."""
+class _ProcessLife:
+    """The state of one process of a daemon while its events are processed in order."""
 
     started: float
-    told: float = float("inf")  # the first SIGTERM
-    listened: bool = True  # when that came
+    term_at: float = float("inf")  # the first SIGTERM
+    handles_term: bool = True  # whether SIGTERM was blocked or handled at that time
     killed: bool = False
 
 
-def _ends(record: Record, terms: Terms) -> Iterator[Violation]:
-    bound = terms.grace + record.clock_delay
+def _exits(record: Record, bounds: Bounds) -> Iterator[Violation]:
+    bound = bounds.grace + record.clock_delay
     for daemon, events in _by_daemon(record.processes).items():
-        life = _Life(float("-inf"))
+        life = _ProcessLife(float("-inf"))
         for event in events:
             if event.kind is SignalKind.STARTED:
-                life = _Life(event.at)
-            elif event.kind is SignalKind.TERM and event.at < life.told:
-                life.told, life.listened = event.at, event.listens
+                life = _ProcessLife(event.at)
+            elif event.kind is SignalKind.TERM and event.at < life.term_at:
+                life.term_at, life.handles_term = event.at, event.handles_signal
             elif event.kind is SignalKind.KILLED:
                 life.killed = True
-            elif event.kind is SignalKind.ENDED and (fault := _fault_of_end(event, life, events, bound)):
+            elif event.kind is SignalKind.ENDED and (fault := _exit_fault(event, life, events, bound)):
                 yield Violation("END", event.at, fault, daemon=daemon)
 
 
-def _fault_of_end(end: ProcessEvent, life: _Life, events: list[ProcessEvent], bound: float) -> str:
-    """What is wrong with an end; `bound` is the longest time in s from SIGTERM to it."""
+def _exit_fault(end: ProcessEvent, life: _ProcessLife, events: list[ProcessEvent], bound: float) -> str:
+    """What is wrong with a process exit, or ""; `bound` is the longest allowed time in s since SIGTERM."""
     if life.killed:
         return ""
-    if life.told > end.at:
-        return f"ended by itself with {end.code}"
-    ended_by_signal = end.code < 0 and not life.listened
+    if life.term_at > end.at:
+        return f"exited without SIGTERM or SIGKILL, with status {end.code}"
+    ended_by_signal = end.code < 0 and not life.handles_term
     if end.code != 0 and not ended_by_signal:
-        return f"ended with {end.code} after SIGTERM"
-    frozen = any(each.kind in TROUBLES and life.told - bound <= each.at <= end.at for each in events)
-    if end.at - life.told > bound and not frozen:
-        return f"ended {end.at - life.told:.1f} s after SIGTERM"
+        return f"exited with status {end.code} after SIGTERM"
+    frozen = any(each.kind in INTERRUPTIONS and life.term_at - bound <= each.at <= end.at for each in events)
+    if end.at - life.term_at > bound and not frozen:
+        return f"exited {end.at - life.term_at:.1f} s after SIGTERM"
     return ""
 
 
@@ -252,30 +272,30 @@
             yield Violation("LOG", 0.0, line[:300], daemon=daemon)
 
 
-def _levels(record: Record, terms: Terms) -> Iterator[Violation]:
+def _resource_usage(record: Record, bounds: Bounds) -> Iterator[Violation]:
     for usage in record.usage:
-        bounds = (terms.memory_mb, terms.descriptors, terms.threads)
-        held = (usage.memory_mb, usage.descriptors, usage.threads)
-        if any(value > bound for value, bound in zip(held, bounds, strict=True)):
-            text = f"holds {held[0]:.0f} MB, {held[1]} descriptors and {held[2]} threads"
+        limits = (bounds.memory_mb, bounds.descriptors, bounds.threads)
+        used = (usage.memory_mb, usage.descriptors, usage.threads)
+        if any(value > limit for value, limit in zip(used, limits, strict=True)):
+            text = f"uses {used[0]:.0f} MB, {used[1]} descriptors and {used[2]} threads"
             yield Violation("LEVEL", 0.0, text, daemon=usage.daemon)
     for daemon, count in record.open_at_end.items():
         if count:
             yield Violation(
-                "LEVEL", 0.0, f"holds {count} requests after all clients have ended", daemon=daemon
+                "LEVEL", 0.0, f"has {count} open requests after all clients have finished", daemon=daemon
             )
 
 
 def arrivals_by_request(arrivals: Iterable[Arrival]) -> dict[str, list[Arrival]]:
-    """The arrivals of each request in the order of their times."""
-    found: dict[str, list[Arrival]] = defaultdict(list)
+    """The arrivals of each request, sorted by time."""
+    groups: dict[str, list[Arrival]] = defaultdict(list)
     for arrival in sorted(arrivals, key=lambda each: each.at):
-        found[arrival.id].append(arrival)
-    return found
+        groups[arrival.id].append(arrival)
+    return groups
 
 
 def _by_daemon(events: Iterable[ProcessEvent]) -> dict[str, list[ProcessEvent]]:
-    found: dict[str, list[ProcessEvent]] = defaultdict(list)
+    groups: dict[str, list[ProcessEvent]] = defaultdict(list)
     for event in sorted(events, key=lambda each: each.at):
-        found[event.daemon].append(event)
-    return found
+        groups[event.daemon].append(event)
+    return groups
--- a/firvane/simulation/soak/records.py
+++ b/firvane/simulation/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, stand-ins and the player of a plan write down. All times are of one monotonic clock, in s."""
+"""Records made by clients, backend stand-ins and the plan player. All times: one monotonic clock, in s."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class AttemptEnd(enum.Enum):
-    """How a request has ended for its client."""
+    """The outcome of a request for its client."""
 
     WHOLE = "a whole answer"
     WRONG = "a wrong answer"
     BROKEN = "the connection ended without a whole answer"
-    LEFT = "the client left"  # by its own choice, or since its time was over
+    LEFT = "the client left"  # on purpose, or because its deadline had passed
     NOT_CONNECTED = "no connection"
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One request with an id of its own, as its client saw it."""
+    """One request, as its client observed it; each has a unique id."""
 
     id: str
     kind: str
@@ -28,12 +28,16 @@
     max_attempts: int
     router: str = ""
     connected: float = UNKNOWN
-    number: int = 0  # of the request on its connection, from 1
-    sent: float = UNKNOWN  # its first byte
-    sent_completely: float = UNKNOWN  # its last byte
-    turn: float = UNKNOWN  # when the answer before it on the connection was complete, if there is one
-    head_before: float = UNKNOWN  # when the head of that answer came, if it came after this was begun
-    blind_until: float = 0.0  # the client read nothing until then, and did not see the connection's end
+    number: int = 0  # position of the request on its connection, from 1
+    sent: float = UNKNOWN  # the first byte
+    sent_completely: float = UNKNOWN  # the last byte
+    previous_response_at: float = (
+        UNKNOWN  # when the previous response on the connection was complete; when queued if none
+    )
+    previous_head_at: float = UNKNOWN  # when the head of that response came, if after this request was queued
+    reading_paused_until: float = (
+        0.0  # until then the client did not read and could not see the connection close
+    )
     deadline: float = UNKNOWN
     status: int = 0
     ended: float = UNKNOWN
@@ -42,7 +46,7 @@
 
 
 class RunEnd(enum.Enum):
-    """How a backend's work on a request has ended."""
+    """The outcome of a request at a backend."""
 
     ANSWERED = "answered"
     TURNED_AWAY = "turned away"
@@ -63,7 +67,7 @@
 
 
 class SignalKind(enum.Enum):
-    """What was done to a process."""
+    """A signal sent to a process, or its start or exit."""
 
     STARTED = "started"
     TERM = "SIGTERM"
@@ -76,21 +80,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ProcessEvent:
-    """Something that happened to a daemon's process; `code` where it has ended.
+    """An event of a daemon's process; `code` is its exit status for `ENDED`.
 
-    `listens` is false for a signal that came before the process had blocked or handled it.
+    `handles_signal` is false for a signal sent before the process had blocked it or installed a handler.
     """
 
     at: float
     daemon: str
     kind: SignalKind
     code: int = 0
-    listens: bool = True
+    handles_signal: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process held shortly before the end of the run."""
+    """Resource usage of a process shortly before the end of the run."""
 
     daemon: str
     memory_mb: float
@@ -100,23 +104,23 @@
 
 @dataclass(slots=True)
 class Record:
-    """Everything that the judge is given."""
+    """Everything that the judge evaluates."""
 
     attempts: dict[str, AttemptRecord] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     processes: list[ProcessEvent] = field(default_factory=list)
     usage: list[Usage] = field(default_factory=list)
-    log_problems: dict[str, list[str]] = field(default_factory=dict)  # lines that are errors or no log lines
-    orders_refused: list[int] = field(default_factory=list)  # statuses
+    log_problems: dict[str, list[str]] = field(default_factory=dict)  # error lines and invalid log lines
+    orders_rejected: list[int] = field(default_factory=list)  # HTTP statuses of rejected orders
     orders_acknowledged: int = 0
-    rivals: int = 0  # pairs of different orders under one number, sent at once
-    rivals_both_taken: int = 0  # of these, pairs of which both were acknowledged
-    rivals_both_refused: int = 0  # and of which none was
-    open_at_end: dict[str, int] = field(default_factory=dict)  # requests that a router still held at its end
+    rivals: int = 0  # pairs of different orders with the same number, sent concurrently
+    rivals_both_accepted: int = 0  # of these, pairs of which both were acknowledged
+    rivals_both_rejected: int = 0  # of these, pairs of which none was acknowledged
+    open_at_end: dict[str, int] = field(default_factory=dict)  # open requests of a router at its exit
     read_back: bool = False
-    doubled: list[str] = field(default_factory=list)  # ids that ran more than once and may not
+    doubled: list[str] = field(default_factory=list)  # ids of non-repeatable requests that ran more than once
     ran_after_refusal: list[str] = field(default_factory=list)
     unasked: list[str] = field(default_factory=list)
     altered: list[str] = field(default_factory=list)
-    unasked_bytes: int = 0  # that came to clients without a request
-    clock_delay: float = 0.0  # s by which the times of the stand-ins may be late
+    unsolicited_messages: int = 0  # responses or invalid data received by clients with no request pending
+    clock_delay: float = 0.0  # s by which times recorded by the stand-ins may be late
