--- a/firvane/simulation/soak/command.py
+++ b/firvane/simulation/soak/command.py
@@ -124,12 +124,12 @@
     ends = Counter(each.end for each in record.attempts.values() if each.end)
     rules = Counter(violation.rule for violation in outcome.violations)
     kinds = Counter(step.kind.value for step in plan.steps)
-    steps = " ".join(f"{kind}:{count}" for kind, count in sorted(kinds.items()))
+    step_counts = " ".join(f"{kind}:{count}" for kind, count in sorted(kinds.items()))
     broken = " ".join(f"{rule}:{count}" for rule, count in sorted(rules.items())) or "none"
     counted = " ".join(f"{end.name.lower()}={ends[end]}" for end in AttemptEnd)
     return (
         f"seed {plan.seed}: broken {broken}; {len(record.attempts)} requests ({counted}), "
-        f"{len(record.arrivals)} arrivals, {record.orders_acknowledged} orders; {steps}; "
+        f"{len(record.arrivals)} arrivals, {record.orders_acknowledged} orders; {step_counts}; "
         f"delay {record.clock_delay * 1000:.0f} ms"
     )
 
--- a/firvane/simulation/soak/judge.py
+++ b/firvane/simulation/soak/judge.py
@@ -174,7 +174,7 @@
     )
     seen: set[str] = set()
     retries: list[float] = []
-    for arrival in sorted(record.arrivals, key=lambda arrival: arrival.at):
+    for arrival in sorted(record.arrivals, key=lambda each: each.at):
         if arrival.id in seen:
             retries.append(arrival.at)
         seen.add(arrival.id)
--- a/tests/simulation/soak/faults.py
+++ b/tests/simulation/soak/faults.py
@@ -162,12 +162,12 @@
 
     fault: Fault
     seed: int  # that detected the fault; 0 if none did
-    violated: str
+    rules: str
 
     def line(self) -> str:
         """The row of the table."""
         plan = "told" if self.fault.steps else "drawn"
-        return f"| {self.fault.name} | {self.fault.rule} | {plan} | {self.seed or 'not found'} | {self.violated} |"
+        return f"| {self.fault.name} | {self.fault.rule} | {plan} | {self.seed or 'missed'} | {self.rules} |"
 
 
 def play(fault: Fault, seeds: int) -> FaultResult:
