--- a/firvane/simulation/localfleet/backends.py
+++ b/firvane/simulation/localfleet/backends.py
@@ -1,4 +1,4 @@
-"""All model servers and the platform's list of them: started, drained, replaced, ended."""
+"""Starts, drains, replaces and stops the model servers and the platform's list of them."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from firvane.simulation.localfleet.run_ledger import ServerRecords
 from firvane.simulation.localfleet.settings_files import PlatformTerms
 
-CRASHED_LISTED_S = 2.0  # s for which the list still shows a server that is gone
+CRASHED_LISTED_S = 2.0  # s for which the list still shows a crashed server
 
-ServerFactory = Callable[[ListedInstance, ServerRecords, int], ModelServer]  # the last is a seed
+ServerFactory = Callable[[ListedInstance, ServerRecords, int], ModelServer]  # the last argument is a seed
 
 
 class Backends:
-    """The stand-ins behind the routers."""
+    """The model servers behind the routers and the instance list."""
 
     def __init__(
         self,
@@ -31,8 +31,8 @@
         seed: int,
         make_server: ServerFactory | None = None,
     ) -> None:
-        """`make_server` makes one incarnation; without it, it is a model server that never fails."""
-        self._make_server = make_server or self._make_sound_server
+        """`make_server` makes one incarnation; by default a model server without faults."""
+        self._make_server = make_server or self._make_default_server
         self.records = ServerRecords()
         self.instances = InstanceList(terms.lag, terms.page_size, terms.rate_per_s)
         self._loop, self._layout, self._profile, self._terms = loop, layout, profile, terms
@@ -40,10 +40,10 @@
         self._platform = PlatformServer(loop, layout.platform, self.instances)
         self._servers: list[ModelServer] = []
         self._started = 0
-        self._endings: set[asyncio.Task[None]] = set()
+        self._drains: set[asyncio.Task[None]] = set()
 
     async def start(self, count: int) -> None:
-        """Start so many model servers, which are listed at once, and the list."""
+        """Start `count` model servers, listed without lag, and the list."""
         for _ in range(count):
             server = await self._start_one()
             self.instances.put(server.instance, self._loop.time(), at_once=True)
@@ -56,29 +56,29 @@
         now = self._loop.time()
         self.instances.put(newest.instance, now)
         self.instances.drain(oldest.instance.id, now)
-        ending = asyncio.create_task(self._end(oldest))
-        self._endings.add(ending)
-        ending.add_done_callback(self._endings.discard)
+        drain_task = asyncio.create_task(self._drain(oldest))
+        self._drains.add(drain_task)
+        drain_task.add_done_callback(self._drains.discard)
 
-    async def crash(self, count: int, others_after: float) -> None:
-        """These are gone in the middle of their work; as many others come `others_after` seconds later."""
-        gone, self._servers = self._servers[:count], self._servers[count:]
-        for server in gone:
+    async def crash(self, count: int, replacement_delay: float) -> None:
+        """Crash the `count` oldest servers; start as many new ones after `replacement_delay` seconds."""
+        crashed, self._servers = self._servers[:count], self._servers[count:]
+        for server in crashed:
             for connection in list(server.connections):
                 connection.break_off()
             server.close()
-        await asyncio.sleep(others_after)
-        for _ in gone:
+        await asyncio.sleep(replacement_delay)
+        for _ in crashed:
             server = await self._start_one()
             self.instances.put(server.instance, self._loop.time())
-        await asyncio.sleep(max(0.0, CRASHED_LISTED_S - others_after))
-        for server in gone:
+        await asyncio.sleep(max(0.0, CRASHED_LISTED_S - replacement_delay))
+        for server in crashed:
             self.instances.remove(server.instance.id, self._loop.time())
 
     def close(self) -> None:
-        """End everything at once."""
-        for ending in self._endings:
-            ending.cancel()
+        """Stop all servers and the list at once."""
+        for drain_task in self._drains:
+            drain_task.cancel()
         for server in self._servers:
             server.close()
         self._platform.close()
@@ -98,11 +98,13 @@
         self._servers.append(server)
         return server
 
-    def _make_sound_server(self, instance: ListedInstance, records: ServerRecords, seed: int) -> ModelServer:
+    def _make_default_server(
+        self, instance: ListedInstance, records: ServerRecords, seed: int
+    ) -> ModelServer:
         return ModelServer(self._loop, instance, self._profile, records, seed)
 
-    async def _end(self, server: ModelServer) -> None:
-        """The way out: the list shows it as draining, it serves on for a time, refuses for a time, ends."""
+    async def _drain(self, server: ModelServer) -> None:
+        """Drain a server: it still serves while listed as draining, then rejects requests, then closes."""
         server.state = ServerState.DRAINING
         try:
             await asyncio.sleep(self._terms.lag + self._profile.drain_s)
--- a/firvane/simulation/localfleet/client_attempt.py
+++ b/firvane/simulation/localfleet/client_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a client: a request on a connection, its stream checked as it comes, its end awaited."""
+"""One attempt of a client: sends a request on a connection and checks the response stream."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class EventTiming:
-    """When events of one request came, over all its attempts (s of the loop's clock)."""
+    """Arrival times of the events of one request, over all its attempts (s on the loop's clock)."""
 
     def __init__(self) -> None:
         self.first: float | None = None
         self.longest = 0.0
         self._latest = 0.0
 
-    def note(self, now: float) -> None:
-        """An event is here."""
+    def record_event(self, now: float) -> None:
+        """Record the arrival of an event."""
         if self.first is None:
             self.first = now
         else:
@@ -28,7 +28,7 @@
 
 
 class ClientAttempt:
-    """Sends a request and waits for the end of its answer, for a timeout, or for the deadline."""
+    """Sends a request and waits for the end of the response, a silence timeout or the deadline."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         self._request_id, self._stream, self._timing = request_id, stream, timing
         self._status = 0
         self._retry_after: float | None = None
-        self._moved = 0.0
+        self._last_progress = 0.0
         self._end: asyncio.Future[AttemptResult] = loop.create_future()
 
     async def run(self, request: bytes, silence: float, deadline: float) -> AttemptResult:
-        """The end of the attempt; `silence` is in seconds, `deadline` a time of the loop."""
-        self._stream.begin_answer()
-        self._moved = self._loop.time()
+        """Run the attempt; `silence` is the longest pause in s, `deadline` a time on the loop's clock."""
+        self._stream.begin_response()
+        self._last_progress = self._loop.time()
         self._connection.send(request, self)
         while not self._end.done():
-            limit = min(self._moved + silence, deadline)
+            limit = min(self._last_progress + silence, deadline)
             if limit <= self._loop.time():
                 self._connection.abandon()
                 self._finish(AttemptEnd.OUT_OF_TIME if limit == deadline else AttemptEnd.SILENT)
@@ -59,46 +59,46 @@
             await asyncio.wait((self._end,), timeout=limit - self._loop.time())
         return self._end.result()
 
-    # The connection's side
+    # Callbacks of the connection
 
     def on_head(self, message: Message) -> None:
-        """Check the head; an answer that belongs to another request is wrong."""
+        """Check the head; a response to another request or without a seal is wrong."""
         self._status = message.status
         self._retry_after = _retry_after(message)
         if is_success(message.status):
             if message.fields.get(b"x-request-id") != self._request_id:
-                self._wrong("an answer to another request")
+                self._fail_response("response belongs to another request")
             elif not message.fields.get(b"x-server-seal"):
-                self._wrong("a success without a seal")
+                self._fail_response("successful response without a seal")
 
     def on_body(self, pieces: list[BytesLike]) -> None:
-        """Check the complete events."""
-        self._moved = self._loop.time()
+        """Check the complete events of a successful response."""
+        self._last_progress = self._loop.time()
         if not is_success(self._status):
             return
         try:
             for _ in range(self._stream.feed(b"".join(pieces))):
-                self._timing.note(self._moved)
+                self._timing.record_event(self._last_progress)
         except StreamError as error:
-            self._wrong(str(error))
+            self._fail_response(str(error))
 
     def on_complete(self, message: Message) -> None:
-        """The answer has ended in order."""
+        """Finish the attempt at the regular end of the response."""
         if not is_success(self._status):
             self._finish(AttemptEnd.ANSWERED)
             return
         try:
-            self._stream.end_answer()
+            self._stream.end_response()
         except StreamError as error:
-            self._wrong(str(error))
+            self._fail_response(str(error))
         else:
             self._finish(AttemptEnd.SERVED)
 
     def on_broken(self, reason: str) -> None:
-        """The connection has ended."""
+        """Finish the attempt after the connection was lost."""
         self._finish(AttemptEnd.BROKEN, reason)
 
-    def _wrong(self, detail: str) -> None:
+    def _fail_response(self, detail: str) -> None:
         self._connection.abandon()
         self._finish(AttemptEnd.WRONG, detail)
 
--- a/firvane/simulation/localfleet/command.py
+++ b/firvane/simulation/localfleet/command.py
@@ -1,4 +1,4 @@
-"""The command `firvane-fleet`: a whole fleet on this machine for some seconds."""
+"""The command `firvane-fleet`: runs a fleet on this machine for some seconds."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 from firvane.simulation.localfleet.profiles import LONG_PROMPTS, SHORT_PROMPTS
 from firvane.simulation.localfleet.report_text import render
 
-DONE = 0
-NOT_GOOD = 1
+NO_FAULTS = 0
+FAULTS_FOUND = 1
 BAD_USAGE = 2
 NOT_STARTED = 3
 INTERRUPTED = 130
@@ -48,23 +48,23 @@
     seed: int = 1,
     keep: bool = False,
 ) -> int:
-    """Run a whole fleet on this machine and report what was served.
+    """Run a fleet on this machine and report how its requests were served.
 
-    Routers and controllers are the real daemons, each a process with a loopback address of its own. Model
-    servers, the platform's list, the operator and the clients are stand-ins in this process. Ends with 0 only
-    if every request was served and none ran twice.
+    Routers and controllers are the real daemons, each a process with its own loopback address. Model
+    servers, the platform's list, the operator and the clients are stand-ins in this process. Exits with 0
+    only if every request was served, none ran twice and no other fault was found.
 
-    :param routers: how many routers
-    :param controllers: how many controllers
-    :param backends: how many model servers
-    :param seconds: how long requests are sent
-    :param json: write all figures to this file
+    :param routers: number of routers
+    :param controllers: number of controllers
+    :param backends: number of model servers
+    :param seconds: duration of the load
+    :param json: write all metrics to this file as JSON
     :param kill: ROLE@SECOND ...: SIGKILL, and a new start 1 s later; ROLE is router, controller, owner (of
         the configuration) or a name such as router-2
-    :param replace: SECOND ...: the oldest model server drains and a new one takes its place
-    :param long_prompts: requests a second with long prompts, which run at most once
-    :param short_prompts: requests a second with short prompts, whose streams may be resumed
-    :param seed: of sizes, times and choices
+    :param replace: SECOND ...: the oldest model server drains and is replaced by a new one
+    :param long_prompts: requests per second with long prompts, which run at maximum once
+    :param short_prompts: requests per second with short prompts, whose streams may be resumed
+    :param seed: seed of sizes, times and choices
     :param keep: keep the folder with settings, data and logs
     """
     try:
@@ -97,15 +97,15 @@
 
 
 def _read(options: FleetOptions, kills: list[str]) -> tuple[Layout, FleetOptions]:
-    """The addresses of a fleet of this size, and the options with the kills that were asked for."""
+    """The addresses of a fleet of this size, and the options with the parsed kills."""
     counts = (
         ("routers", options.routers, MAX_ROUTERS),
         ("controllers", options.controllers, MAX_CONTROLLERS),
         ("backends", options.backends, MAX_BACKENDS // 2),
     )
-    for name, count, most in counts:
-        if not 1 <= count <= most:
-            raise ValueError(f"{name}: {count} is not between 1 and {most}")
+    for name, count, maximum in counts:
+        if not 1 <= count <= maximum:
+            raise ValueError(f"{name}: {count} is not between 1 and {maximum}")
     servers = options.backends + len(options.replacements)
     ports = find_free_ports(options.controllers, options.routers, servers)
     layout = make_layout(options.controllers, options.routers, ports)
@@ -118,7 +118,7 @@
 
 
 def _play(layout: Layout, options: FleetOptions, folder: Path, json: Path | None) -> int:
-    """One run on a loop of its own; the exit code."""
+    """Run the fleet on a new event loop; return the exit code."""
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
             metrics = runner.run(_run(layout, options, folder))
@@ -130,11 +130,11 @@
     print(render(metrics))
     if json:
         json.write_text(metrics.as_json() + "\n")
-    return DONE if metrics.good else NOT_GOOD
+    return NO_FAULTS if metrics.good else FAULTS_FOUND
 
 
 async def _run(layout: Layout, options: FleetOptions, folder: Path) -> RunMetrics:
-    """Play, and end everything in order when SIGTERM comes as well."""
+    """Run the fleet; SIGTERM cancels the run, so that everything is stopped in order."""
     playing = asyncio.current_task()
     assert playing
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, playing.cancel)
--- a/firvane/simulation/localfleet/configurations.py
+++ b/firvane/simulation/localfleet/configurations.py
@@ -1,4 +1,4 @@
-"""The configurations that the stand-in for an operator sends: a first one, then small changes."""
+"""The configurations that the operator stand-in sends: an initial one, then small changes."""
 
 from __future__ import annotations
 
@@ -15,22 +15,22 @@
 MAX_BODY_BYTES = 4_194_304
 CACHE_TOKEN_BYTES = 163_840
 LINK_MBPS = 550_000.0
-EXTRA_ROUTES: tuple[Document, ...] = (  # what differs in the extra route, in turn; then it is removed
+EXTRA_ROUTES: tuple[Document, ...] = (  # successive variants of the extra route, which is then removed
     {"timeout_ms": 8_000},
     {"timeout_ms": 6_000, "max_attempts": 1},
     {"weighted_split": [{"service": SERVICE, "weight": 90}, {"service": SERVICE, "weight": 10}]},
 )
 EXTRA_NAME = "route-extra"
-RIVAL_TIMEOUT_MS = 7_000  # of the extra route in the order that competes with a change
-LIVE_TIMEOUT_FACTORS = (1.0, 0.9)  # of the routes in use, in turn
+RIVAL_TIMEOUT_MS = 7_000  # timeout of the extra route in the order that competes with a change
+LIVE_TIMEOUT_FACTORS = (1.0, 0.9)  # applied in turn to the routes in use
 VERSION_STEPS = (2, 1, 3)  # versions rise in uneven steps
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationOrder:
-    """An order: the call's path, the version that it builds on, and its body.
+    """A configuration order: the path of the call, its base version and its body.
 
-    `document` is the whole configuration that it leads to.
+    `document` is the complete configuration after the order.
     """
 
     path: str
@@ -76,9 +76,9 @@
 
 
 class Configurations:
-    """Makes one order after the other, and knows the document that the last acknowledged one led to.
+    """Makes successive orders, and stores the configuration after the last acknowledged one.
 
-    `changes_live_routes` lets changes also touch time-outs and attempts of the routes that are in use.
+    With `changes_live_routes`, orders also change timeouts and attempts of the routes in use.
     """
 
     def __init__(
@@ -91,8 +91,8 @@
         self.document: Document = {}
 
     def first(self) -> ConfigurationOrder:
-        """Replace the empty configuration by one with a route for each class."""
-        document = self._whole(FIRST_VERSION, [_route(kind) for kind in self._kinds])
+        """Replace the empty configuration with one that has a route for each class."""
+        document = self._document(FIRST_VERSION, [_route(kind) for kind in self._kinds])
         body = json.dumps(document).encode()
         return ConfigurationOrder("/v1/config/replace", 0, FIRST_VERSION, body, document)
 
@@ -101,11 +101,11 @@
         return self._modify(self._next_extra())
 
     def rival(self) -> ConfigurationOrder:
-        """Another order with the number and the base of `change`."""
+        """A different order with the same version and base as `change`."""
         return self._modify({**self._extra_route(), "timeout_ms": RIVAL_TIMEOUT_MS})
 
     def acknowledged(self, order: ConfigurationOrder) -> None:
-        """The order was taken: the next one builds on it."""
+        """Record an accepted order, the base of the next one."""
         self._changes += bool(self.version)
         self.version = order.version
         self.document = order.document
@@ -120,13 +120,13 @@
         if extra is None:
             body["remove"] = {"routes": [EXTRA_NAME]}
         routes = live or [_route(kind) for kind in self._kinds]
-        document = self._whole(version, [*routes, extra] if extra else routes)
+        document = self._document(version, [*routes, extra] if extra else routes)
         return ConfigurationOrder(
             "/v1/config/modify", self.version, version, json.dumps(body).encode(), document
         )
 
     def _next_live_routes(self) -> list[Document]:
-        """The routes in use as the next change leaves them, if it touches them."""
+        """The routes in use after the next change; empty if it does not change them."""
         if not self._changes_live_routes:
             return []
         factor = LIVE_TIMEOUT_FACTORS[self._changes % len(LIVE_TIMEOUT_FACTORS)]
@@ -152,7 +152,7 @@
     def _extra_route(self) -> Document:
         return {**_route(self._kinds[0]), "name": EXTRA_NAME, "path_prefix": "/extra/"}
 
-    def _whole(self, version: int, routes: list[Document]) -> Document:
+    def _document(self, version: int, routes: list[Document]) -> Document:
         return {
             "config_version": version,
             "routes": routes,
--- a/firvane/simulation/localfleet/event_stream.py
+++ b/firvane/simulation/localfleet/event_stream.py
@@ -1,7 +1,7 @@
-"""Streams of events (`text/event-stream`): what model servers write, and how clients check what arrives.
+"""Event streams (`text/event-stream`): encoding by model servers, and checks by clients.
 
-The text of an event follows from the body of its request and the event's number, so that every server
-continues a stream alike, and a client knows an event that belongs to another request.
+The text of an event is determined by the request body and the event's number. So every server continues a
+stream identically, and a client detects an event that belongs to another request.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 
 
 class StreamError(ValueError):
-    """A stream is not what its request asked for."""
+    """A response stream does not match its request."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event. `digest` is that of the request's body."""
+    """One event; `digest` is the CRC-32 of the request body."""
 
     number: int
     digest: int
     last: bool
 
     def encode(self) -> bytes:
-        """The event as it is sent."""
+        """The event as bytes."""
         mark = b" last" if self.last else b""
         return b"id: %d\ndata: %08x %d%s\n\n" % (self.number, self.digest, self.number, mark)
 
 
 def parse_event(text: bytes) -> StreamEvent:
-    """Read one event without the empty line at its end; `StreamError` where it has another form."""
+    """Parse one event without its final empty line; raises `StreamError` if it is malformed."""
     fields: dict[bytes, bytes] = {}
     for line in text.split(b"\n"):
         name, _, value = line.partition(b":")
@@ -40,40 +40,40 @@
     try:
         event = StreamEvent(int(fields[b"id"]), int(words[0], 16), words[2:] == [b"last"])
     except (KeyError, ValueError):
-        raise StreamError(f"no event: {text[:80]!r}") from None
+        raise StreamError(f"invalid event: {text[:80]!r}") from None
     if event.encode() != text + END_OF_EVENT:
-        raise StreamError(f"not an event of ours: {text[:80]!r}")
+        raise StreamError(f"non-canonical event: {text[:80]!r}")
     return event
 
 
 class StreamCheck:
-    """Reads one stream, over all the answers that it comes in; each event must be the one that is due."""
+    """Checks one stream across all its responses; each event must have the next number."""
 
     def __init__(self, digest: int) -> None:
         self._digest = digest
         self._partial = b""
         self.last_number = 0
-        self.finished = False  # the last event was there
+        self.finished = False  # the last event was received
 
-    def begin_answer(self) -> None:
-        """Another answer begins; half an event of the one before is lost."""
+    def begin_response(self) -> None:
+        """Start another response; discard a partial event of the previous one."""
         self._partial = b""
 
     def feed(self, data: bytes) -> int:
-        """How many complete events have come with these bytes; `StreamError` for a wrong one."""
-        *whole, self._partial = (self._partial + data).split(END_OF_EVENT)
+        """Check the events completed by these bytes; return their number. Raises `StreamError`."""
+        *complete, self._partial = (self._partial + data).split(END_OF_EVENT)
         if len(self._partial) > MAX_EVENT:
-            raise StreamError("an event without an end")
-        for text in whole:
-            self._take(parse_event(text))
-        return len(whole)
+            raise StreamError("event exceeds the maximum size")
+        for text in complete:
+            self._check_event(parse_event(text))
+        return len(complete)
 
-    def end_answer(self) -> None:
-        """An answer has ended in order; `StreamError` where that was too early."""
+    def end_response(self) -> None:
+        """Check the end of a response; raises `StreamError` if the stream is incomplete."""
         if not self.finished or self._partial:
-            raise StreamError(f"complete after event {self.last_number}, which is not the last")
+            raise StreamError(f"response ended after event {self.last_number}, which is not the last")
 
-    def _take(self, event: StreamEvent) -> None:
+    def _check_event(self, event: StreamEvent) -> None:
         if event.digest != self._digest:
             raise StreamError(f"event {event.number} belongs to another request")
         if self.finished or event.number != self.last_number + 1:
--- a/firvane/simulation/localfleet/faults.py
+++ b/firvane/simulation/localfleet/faults.py
@@ -1,4 +1,4 @@
-"""Which daemon is killed when: `ROLE@SECOND` read, and the victim chosen."""
+"""Kills of daemons: parses `ROLE@SECOND` and selects the daemon."""
 
 from __future__ import annotations
 
@@ -12,35 +12,35 @@
 
 
 class FaultSpecError(ValueError):
-    """A trouble cannot be read, or names no daemon of the fleet."""
+    """A kill specification is malformed, or matches no daemon of the fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class Kill:
-    """SIGKILL at `at` seconds of the load. `victim`: a role, a daemon's name, or `owner`."""
+    """SIGKILL `at` seconds after the start of the load. `target`: a role, a daemon's name, or `owner`."""
 
-    victim: str
+    target: str
     at: float
 
 
 def parse_kill(text: str, names: Sequence[str]) -> Kill:
-    """Read `ROLE@SECOND`; `names` are those of the fleet's daemons."""
-    victim, _, second = text.partition("@")
+    """Parse `ROLE@SECOND`; `names` are the names of the fleet's daemons."""
+    target, _, second = text.partition("@")
     try:
         at = float(second)
     except ValueError:
         raise FaultSpecError(f"{text!r} is not ROLE@SECOND") from None
-    if victim not in (*DaemonRole, OWNER, *names):
-        raise FaultSpecError(f"{victim!r} is neither router, controller, owner nor a daemon's name")
-    return Kill(victim, at)
+    if target not in (*DaemonRole, OWNER, *names):
+        raise FaultSpecError(f"{target!r} is neither router, controller, owner nor a daemon's name")
+    return Kill(target, at)
 
 
-def choose_victim(kill: Kill, daemons: Sequence[Daemon], owner_host: str) -> Daemon:
-    """The daemon with that name; of a role, the one that runs and has been started least often."""
-    if kill.victim == OWNER:
-        chosen = [daemon for daemon in daemons if daemon.node.host == owner_host]
+def choose_target(kill: Kill, daemons: Sequence[Daemon], owner_host: str) -> Daemon:
+    """The daemon with that name; for a role, the running one with the fewest starts."""
+    if kill.target == OWNER:
+        candidates = [daemon for daemon in daemons if daemon.node.host == owner_host]
     else:
-        chosen = [daemon for daemon in daemons if kill.victim in (daemon.node.name, daemon.node.role)]
-    if not chosen:
-        raise FaultSpecError(f"no daemon is {kill.victim!r}")
-    return min(chosen, key=lambda daemon: (not daemon.runs, daemon.starts))
+        candidates = [daemon for daemon in daemons if kill.target in (daemon.node.name, daemon.node.role)]
+    if not candidates:
+        raise FaultSpecError(f"no daemon matches {kill.target!r}")
+    return min(candidates, key=lambda daemon: (not daemon.runs, daemon.starts))
--- a/firvane/simulation/localfleet/fleet.py
+++ b/firvane/simulation/localfleet/fleet.py
@@ -1,4 +1,4 @@
-"""One run: daemons as processes, stand-ins around them, load, troubles, and the end in order."""
+"""One run: starts daemons and stand-ins, plays load and faults, stops everything in order."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from firvane.simulation.localfleet.backends import Backends
 from firvane.simulation.localfleet.configurations import Configurations
 from firvane.simulation.localfleet.daemons import RESTART_AFTER, Daemon
-from firvane.simulation.localfleet.faults import Kill, choose_victim
+from firvane.simulation.localfleet.faults import Kill, choose_target
 from firvane.simulation.localfleet.fleet_run import FleetRun
 from firvane.simulation.localfleet.layout import DaemonRole, Layout
 from firvane.simulation.localfleet.load import Load
@@ -28,12 +28,12 @@
 
 START_TIMEOUT = 20.0  # s until all routers are ready
 READ_BACK_TIMEOUT = 5.0  # s
-END_MARGIN = 2.0  # s beyond the grace until a daemon is killed
+END_MARGIN = 2.0  # s after the grace period until a daemon is killed
 
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """What is played; times are seconds."""
+    """Options of a run; times are seconds."""
 
     routers: int
     controllers: int
@@ -41,14 +41,14 @@
     seconds: float
     kinds: tuple[RequestClass, ...]
     kills: tuple[Kill, ...] = ()
-    replacements: tuple[float, ...] = ()  # when the oldest model server is replaced
-    change_every: float = 4.0  # between two changes of the configuration
+    replacements: tuple[float, ...] = ()  # times at which the oldest model server is replaced
+    change_every: float = 4.0  # interval between configuration changes
     clients: int = 24
     seed: int = 1
 
 
 class LocalFleet(FleetRun):
-    """A fleet on this machine; `folder` is its own."""
+    """A fleet on this machine; `folder` is used by this run only."""
 
     def __init__(self, layout: Layout, options: FleetOptions, folder: Path) -> None:
         terms, profile = PlatformTerms(), ServerProfile()
@@ -62,9 +62,9 @@
         self._ready_after = 0.0
 
     async def play(self) -> RunMetrics:
-        """Start everything, play the load, end everything; `StartError` where it does not get ready."""
+        """Start the fleet, play the load, stop the fleet; raises `StartError` if it does not become ready."""
         await self._run(self._options.backends, START_TIMEOUT)
-        return self._figures()
+        return self._metrics()
 
     async def _start_daemons(self) -> None:
         self._began = self._loop.time()
@@ -73,14 +73,14 @@
     def _describe_failed_start(self, timeout: float) -> str:
         lines = [super()._describe_failed_start(timeout)]
         for daemon in self._daemons:
-            state = "runs" if daemon.runs else f"ended with {daemon.own_ends}"
+            state = "runs" if daemon.runs else f"exited with {daemon.own_ends}"
             lines += [f"{daemon.node.name}: {state}", *daemon.problems()[-3:]]
         return "\n".join(lines)
 
     # The run
 
     async def _play_load(self) -> None:
-        """Load, changes of the configuration and troubles beside each other, then the last reading."""
+        """Run load, configuration changes and faults concurrently, then read the configuration back."""
         self._ready_after = self._loop.time() - self._began
         options = self._options
         schedule = draw_schedule(options.kinds, options.seconds, options.clients, options.seed)
@@ -99,7 +99,7 @@
 
     async def _kill(self, kill: Kill) -> None:
         await asyncio.sleep(kill.at)
-        daemon = choose_victim(kill, self._daemons, self._owner_host())
+        daemon = choose_target(kill, self._daemons, self._owner_host())
         if daemon.node.role is DaemonRole.ROUTER:
             front = (daemon.node.host, self._layout.ports.front)
             self._router_kills.append(RouterKill(front, self._loop.time()))
@@ -114,13 +114,13 @@
         await asyncio.sleep(at)
         await self._backends.replace_oldest()
 
-    # The end
+    # Stopping
 
     async def _end_daemons(self, role: DaemonRole) -> None:
         ending = [daemon for daemon in self._daemons if daemon.node.role is role]
         await asyncio.gather(*(daemon.stop(GRACE_S + END_MARGIN) for daemon in ending))
 
-    def _figures(self) -> RunMetrics:
+    def _metrics(self) -> RunMetrics:
         records, instances = self._load.records, self._backends.instances
         kills = self._router_kills
         by_class = [
@@ -133,7 +133,7 @@
             classes=by_class,
             total=class_metrics("all", records, kills),
             **verdict_fields(verdict),
-            unasked_bytes=self._load.unasked_bytes,
+            unasked_bytes=self._load.unsolicited_bytes,
             **server_fields(self._backends.records),
             list_calls=instances.calls,
             list_calls_refused=instances.refused,
--- a/firvane/simulation/localfleet/http_client.py
+++ b/firvane/simulation/localfleet/http_client.py
@@ -1,4 +1,4 @@
-"""The clients' side of HTTP/1.1: a connection that passes answers on as they come, and single calls."""
+"""HTTP/1.1 client: connections that deliver responses incrementally, and single calls."""
 
 from __future__ import annotations
 
@@ -14,97 +14,97 @@
 from firvane.core.net.http_message import BytesLike, HttpError, Message
 from firvane.core.net.http_reader import MessageReader
 
-MAX_ANSWER_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 
 def is_success(status: int) -> bool:
-    """Whether a status is a success (RFC 9110, 15.3); False for 0, where no head has come."""
+    """Whether a status is a success (RFC 9110, 15.3); False for 0, which means no head yet."""
     return HTTPStatus.OK <= status < HTTPStatus.MULTIPLE_CHOICES
 
 
-class AnswerSink(Protocol):
-    """Who waits for an answer."""
+class ResponseSink(Protocol):
+    """Receives a response."""
 
     def on_head(self, message: Message) -> None:
-        """Status and header fields are here."""
+        """Called when status and header fields have arrived."""
 
     def on_body(self, pieces: list[BytesLike]) -> None:
-        """More of the body is here."""
+        """Called when more of the body has arrived."""
 
     def on_complete(self, message: Message) -> None:
-        """The answer has ended in order."""
+        """Called when the response is complete."""
 
     def on_broken(self, reason: str) -> None:
-        """No more of it will come."""
+        """Called when the response was cut off."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; a request at a time."""
+    """One connection; sends one request at a time."""
 
     def __init__(self) -> None:
-        self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
-        self._sink: AnswerSink | None = None
-        self._head_passed = False
+        self._reader = MessageReader(httptools.HttpResponseParser, MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES)
+        self._sink: ResponseSink | None = None
+        self._head_delivered = False
         self.closed = False
-        self.unasked = 0  # bytes that came while no request was waiting
+        self.unsolicited_bytes = 0  # received with no request pending
         self.transport: asyncio.Transport
 
-    def send(self, request: bytes, sink: AnswerSink) -> None:
-        """Write a request; its answer goes to the sink."""
-        self._sink, self._head_passed = sink, False
+    def send(self, request: bytes, sink: ResponseSink) -> None:
+        """Write a request; the sink receives its response."""
+        self._sink, self._head_delivered = sink, False
         self.transport.write(request)
 
     def abandon(self) -> None:
-        """Nobody waits for the answer any more: the connection ends."""
+        """Close the connection without waiting for the response."""
         self._sink = None
         self.close()
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         self.closed = True
         self.transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; called by the event loop."""
-        self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def connection_lost(self, error: Exception | None) -> None:
-        """End the answer under way: complete if it has no length (RFC 9112, 6.3), else broken."""
+        """End the current response: complete if it has no length (RFC 9112, 6.3), otherwise broken."""
         self.closed = True
         message = self._reader.message
         if error is None and message and not message.is_framed and not self._reader.in_head:
             self._complete(message)
         else:
-            self._break("connection lost")
+            self._fail("connection lost")
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of the answer; bytes while none is due close the connection."""
+        """Parse response bytes; bytes with no request pending close the connection."""
         if self._sink is None:
-            self.unasked += len(data)
+            self.unsolicited_bytes += len(data)
             self.close()
             return
         try:
             self._reader.feed(data)
         except HttpError as fault:
             self.close()
-            self._break(f"bytes that are no answer ({fault.status})")
+            self._fail(f"invalid HTTP response ({fault.status})")
             return
-        self._pass_on()
+        self._deliver()
 
-    def _pass_on(self) -> None:
+    def _deliver(self) -> None:
         done = self._reader.completed
         message = done[0] if done else self._reader.message
         if message is None or self._sink is None or (not done and self._reader.in_head):
             return
-        if not self._head_passed:
-            self._head_passed = True
+        if not self._head_delivered:
+            self._head_delivered = True
             self._sink.on_head(message)
         if self._sink and (pieces := message.take_body()):
             self._sink.on_body(pieces)
         if done:
             done.pop(0)
             if done or self._reader.message:
-                self.unasked += 1
+                self.unsolicited_bytes += 1
                 self.close()
             self._complete(message)
 
@@ -115,7 +115,7 @@
         if sink:
             sink.on_complete(message)
 
-    def _break(self, reason: str) -> None:
+    def _fail(self, reason: str) -> None:
         sink, self._sink = self._sink, None
         if sink:
             sink.on_broken(reason)
@@ -123,7 +123,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A complete answer; header names are in lower case."""
+    """A complete response; header names are in lower case."""
 
     status: int
     headers: Mapping[bytes, bytes]
@@ -131,7 +131,7 @@
 
 
 class _ResponseCollector:
-    """Gathers one answer."""
+    """Collects one response."""
 
     def __init__(self, future: asyncio.Future[Response]) -> None:
         self._future = future
@@ -161,11 +161,11 @@
     body: bytes = b"",
     timeout: float,
 ) -> Response:
-    """One call on a connection of its own; `timeout` is in seconds.
+    """Make one call on a new connection; `timeout` is in seconds.
 
     Raises:
-        OSError: it gets no complete answer.
-        TimeoutError: it gets none in time.
+        OSError: no complete response was received.
+        TimeoutError: no complete response was received in time.
     """
     loop = asyncio.get_running_loop()
     lines = [f"{method} {target} HTTP/1.1", f"Host: {address[0]}:{address[1]}"]
--- a/firvane/simulation/localfleet/http_server.py
+++ b/firvane/simulation/localfleet/http_server.py
@@ -1,4 +1,4 @@
-"""One HTTP/1.1 connection of a stand-in that serves; what it answers is up to a subclass."""
+"""HTTP/1.1 server connection of a stand-in; subclasses handle the requests."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Takes one request at a time; what comes behind it waits."""
+    """Handles one request at a time; pipelined requests wait."""
 
     def __init__(self) -> None:
         self._reader = MessageReader(httptools.HttpRequestParser, MAX_BODY, MAX_BODY)
@@ -28,45 +28,45 @@
         self.transport: asyncio.Transport
 
     def on_request(self, request: Message) -> None:
-        """Take a complete request; it is over with `respond` or `end_stream`."""
+        """Handle a complete request; `respond` or `end_stream` ends it."""
         raise NotImplementedError
 
     def on_answered(self) -> None:
-        """An answer is written completely."""
+        """Called when a response has been written completely."""
 
     def on_end(self) -> None:
-        """The connection has ended."""
+        """Called when the connection has been lost."""
 
     @property
     def busy(self) -> bool:
-        """Whether a request is here that has not been answered."""
+        """Whether a request has not been answered yet."""
         return self._request is not None
 
-    # Answers
+    # Responses
 
     def respond(
         self, status: int, headers: Sequence[Header] = (), body: bytes = b"", *, close: bool = False
     ) -> None:
-        """A complete answer."""
+        """Write a complete response."""
         self._write_head(status, [*headers, (b"Content-Length", b"%d" % len(body))], close)
         self.transport.write(body)
         self._finish(close)
 
     def begin_stream(self, headers: Sequence[Header], *, close: bool) -> None:
-        """The head of an answer in chunks."""
+        """Write the head of a chunked response."""
         self._write_head(200, [*headers, (b"Transfer-Encoding", b"chunked")], close)
 
     def write_chunk(self, piece: bytes) -> None:
-        """One chunk of it."""
+        """Write one chunk of a response."""
         self.transport.writelines(frame_chunk([piece], chunked=True))
 
     def end_stream(self, *, close: bool) -> None:
-        """Its end in order."""
+        """Write the last chunk of a response."""
         self.transport.write(LAST_CHUNK)
         self._finish(close)
 
     def break_off(self) -> None:
-        """End the connection in the middle of an answer."""
+        """Abort the connection, also during a response."""
         self.closing = True
         self._request = None
         self.transport.abort()
@@ -87,20 +87,20 @@
         else:
             self._advance()
 
-    # The transport's side
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; called by the event loop."""
-        self.transport = cast(asyncio.Transport, transport)  # that of uvloop is no subclass
+        """Store the transport; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is not a subclass
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The client has gone; called by the event loop."""
+        """Handle the loss of the connection; called by the event loop."""
         self.closing = True
         self.on_end()
         self._request = None
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes of requests."""
+        """Parse request bytes."""
         self._pending += data
         self._advance()
 
--- a/firvane/simulation/localfleet/load.py
+++ b/firvane/simulation/localfleet/load.py
@@ -36,7 +36,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: Ingress, seed: int) -> None:
         self.records: list[RequestRecord] = []
         self.attempts: dict[bytes, SentAttempt] = {}
-        self.unasked_bytes = 0
+        self.unsolicited_bytes = 0
         self._loop, self._ingress = loop, ingress
         self._random = random.Random(seed)
         self._idle: dict[tuple[int, Address], list[_IdleConnection]] = {}
@@ -121,5 +121,5 @@
             self._idle.setdefault((client, router), []).append(idle)
 
     def _drop(self, connection: ClientConnection) -> None:
-        self.unasked_bytes += connection.unasked
+        self.unsolicited_bytes += connection.unsolicited_bytes
         connection.close()
--- a/firvane/simulation/localfleet/operator_calls.py
+++ b/firvane/simulation/localfleet/operator_calls.py
@@ -39,8 +39,8 @@
     status: int
 
     @property
-    def taken(self) -> bool:
-        """Whether the call was answered with success."""
+    def accepted(self) -> bool:
+        """Whether the response is a success."""
         return self.status == HTTPStatus.OK
 
 
--- a/firvane/simulation/soak/connection.py
+++ b/firvane/simulation/soak/connection.py
@@ -11,7 +11,7 @@
 from firvane.core.net.http_message import HttpError, Message
 from firvane.core.net.http_reader import MessageReader
 from firvane.simulation.localfleet.event_stream import StreamCheck, StreamError
-from firvane.simulation.localfleet.http_client import MAX_ANSWER_BYTES, is_success
+from firvane.simulation.localfleet.http_client import MAX_RESPONSE_BYTES, is_success
 from firvane.simulation.soak.records import AttemptEnd, AttemptRecord
 
 
@@ -42,7 +42,7 @@
     def on_complete(self) -> None:
         """Check that the event stream is complete at the regular end of the response."""
         if is_success(self.record.status):
-            self._stream.end_answer()
+            self._stream.end_response()
 
     def finish(self, end: AttemptEnd, now: float, detail: str = "") -> None:
         """Record the outcome of the request for its client; later calls don't change it."""
@@ -56,7 +56,7 @@
 
     def __init__(self, loop: asyncio.AbstractEventLoop, router: str) -> None:
         self._loop, self.router = loop, router
-        self._reader = MessageReader(httptools.HttpResponseParser, MAX_ANSWER_BYTES, MAX_ANSWER_BYTES)
+        self._reader = MessageReader(httptools.HttpResponseParser, MAX_RESPONSE_BYTES, MAX_RESPONSE_BYTES)
         self._pending: deque[Exchange] = deque()
         self._head_delivered = False
         self.requests = 0
--- a/tests/simulation/localfleet/test_event_stream.py
+++ b/tests/simulation/localfleet/test_event_stream.py
@@ -25,16 +25,16 @@
     edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
     check = StreamCheck(DIGEST)
     count = sum(check.feed(data[a:b]) for a, b in pairwise(edges))
-    check.end_answer()
+    check.end_response()
     assert count == last == check.last_number
 
 
 def test_a_stream_goes_on_in_another_answer() -> None:
     check = StreamCheck(DIGEST)
     check.feed(stream(1, 9)[:-70])  # a few events, the last of them cut
-    check.begin_answer()
+    check.begin_response()
     check.feed(stream(check.last_number + 1, 9))
-    check.end_answer()
+    check.end_response()
     assert check.last_number == 9
 
 
@@ -70,7 +70,7 @@
     check = StreamCheck(DIGEST)
     check.feed(stream(1, 3)[:-5])
     with pytest.raises(StreamError):
-        check.end_answer()
+        check.end_response()
 
 
 @given(st.binary(max_size=60))
--- a/tests/simulation/localfleet/test_model_server.py
+++ b/tests/simulation/localfleet/test_model_server.py
@@ -60,7 +60,7 @@
             assert [event.number for event in events] == [1, 2, 3]
             check = StreamCheck(events[0].digest)
             check.feed(response.body)
-            check.end_answer()
+            check.end_response()
             assert [run.request_id for run in made.records.runs] == [b"ab12"]
             assert made.records.reading.tokens_read == 10
 
