--- a/firvane/simulation/localfleet/batch.py
+++ b/firvane/simulation/localfleet/batch.py
@@ -1,11 +1,11 @@
-"""The batch of a model server as a state machine: requests and the time in, events of streams out.
-
-1. Work goes in steps. In a step each running request whose prompt has been read gets one token, and at the
-   most `chunk_tokens` of the prompts that are still to be read are read. The more runs, the longer it lasts.
-2. The more urgent (a lower number) enter first; where there is no room they displace less urgent ones.
-3. Where memory runs out, the newest request among the least urgent is preempted. It waits again, keeps what
-   it has written, and its prompt is read anew but for the chunks that are still cached.
-4. A request has run once its first token is out. Only one that has not may be rejected.
+"""The batch of a model server as a state machine: inputs are requests and times, outputs stream events.
+
+1. Work is done in steps. In a step each running request whose prefill is complete gets one token, and at most
+   `chunk_tokens` of the remaining prompts are prefilled. A step takes longer the more requests run.
+2. Requests of higher priority (a lower number) are admitted first and displace others if there is no room.
+3. If memory runs out, the newest request of the lowest priority is preempted. It waits again, keeps the
+   tokens written so far, and its prompt is prefilled again except for the chunks that are still cached.
+4. A request has run once its first token is written. Only a request that has not run may be rejected.
 """
 
 from __future__ import annotations
@@ -35,12 +35,12 @@
     prompt: Prompt
     priority: int
     deadline: float
-    events_before: int = 0  # events that the client already has: the stream goes on behind them
+    events_before: int = 0  # events that the client already has; the stream continues after them
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The job has not run and never will."""
+    """The job has not run and will not run."""
 
     job: int
     reason: RejectionReason
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TimedOut:
-    """The job's deadline came while it ran. It is over."""
+    """The job's deadline passed while it ran; the job has ended."""
 
     job: int
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkPrefilled:
-    """A chunk of a prompt was read completely, since it was not cached here."""
+    """A chunk of a prompt that was not cached has been prefilled completely."""
 
     part: PromptChunk
 
@@ -73,7 +73,7 @@
 
 
 def event_count(output_tokens: int, stride: int) -> int:
-    """Events of a complete stream: the first has one token, each other one up to `stride`."""
+    """Number of events in a complete stream: the first has one token, the others up to `stride`."""
     return 1 + math.ceil((output_tokens - 1) / stride)
 
 
@@ -87,28 +87,28 @@
     """A job with its progress."""
 
     job: Job
-    order: int  # of arrival
-    written: int  # tokens that are out
+    order: int  # of arrival, from 1
+    written: int  # output tokens written
     locked: list[PromptChunk] = field(default_factory=list)
     chunks_to_prefill: list[PromptChunk] = field(default_factory=list)
-    chunk_tokens_left: int = 0  # of the first unread part, or of its own output where it takes a stream up
-    output_to_prefill: int = 0  # tokens written before that have to be read
-    private: int = 0  # tokens held beside the locked parts
-    began: bool = False  # a token has come out here
+    chunk_tokens_left: int = 0  # of the first chunk still to be prefilled
+    output_to_prefill: int = 0  # tokens written earlier that have to be prefilled
+    private: int = 0  # tokens reserved in addition to the locked chunks
+    has_written: bool = False  # a token has been written here
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Lower goes first."""
+        """Sort key; lower ranks are admitted first."""
         return self.job.priority, self.order
 
     @property
-    def reads(self) -> bool:
-        """Whether part of its prompt is still to be read."""
+    def needs_prefill(self) -> bool:
+        """Whether part of its prompt or earlier output is still to be prefilled."""
         return bool(self.chunks_to_prefill) or self.output_to_prefill > 0
 
 
 class Batch:
-    """One model server's work. `next_step` is when `advance` has something to do; None while idle."""
+    """The work of one model server; `next_step` is the time of the next `advance`, None while idle."""
 
     def __init__(self, profile: ServerProfile) -> None:
         self.profile = profile
@@ -117,21 +117,21 @@
         self._waiting: list[_Task] = []
         self._running: list[_Task] = []
         self._arrivals = 0
-        self._step_prefill: list[tuple[_Task, int]] = []  # what the step under way reads
+        self._step_prefill: list[tuple[_Task, int]] = []  # tokens prefilled in the current step
         self._outputs: list[Output] = []
 
     @property
     def queued(self) -> int:
-        """Requests that wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     @property
     def active(self) -> int:
-        """Requests that run."""
+        """Number of running requests."""
         return len(self._running)
 
     def submit(self, job: Job, now: float) -> list[Output]:
-        """Take a job, or reject it or a less urgent one."""
+        """Accept a job, or reject it or a job of lower priority."""
         profile = self.profile
         self._arrivals += 1
         before = tokens_within(job.events_before, job.prompt.output_tokens, profile.stride)
@@ -139,8 +139,8 @@
         if job.prompt.tokens + job.prompt.output_tokens > profile.cache_tokens:
             return [Rejected(job.number, RejectionReason.TOO_LARGE)]
         if self.queued + self.active >= profile.slots + profile.queue:
-            unbegun = [each for each in self._waiting if not each.began]
-            displaced = max([*unbegun, task], key=lambda each: each.rank)
+            not_started = [each for each in self._waiting if not each.has_written]
+            displaced = max([*not_started, task], key=lambda each: each.rank)
             if displaced is task:
                 return [Rejected(job.number, RejectionReason.FULL)]
             self._waiting.remove(displaced)
@@ -151,7 +151,7 @@
         return self._take_outputs()
 
     def cancel(self, number: int) -> None:
-        """Nobody waits for this job any more."""
+        """Cancel a job whose caller has disconnected."""
         for tasks in (self._waiting, self._running):
             for task in tasks:
                 if task.job.number == number:
@@ -161,7 +161,7 @@
                     return
 
     def advance(self, now: float) -> list[Output]:
-        """Do the steps that have ended by now."""
+        """Perform the steps that end by `now`."""
         while self.next_step is not None and self.next_step <= now:
             end = self.next_step
             self._finish_step(end)
@@ -190,7 +190,7 @@
         left = self.profile.chunk_tokens
         plan: list[tuple[_Task, int]] = []
         for task in sorted(self._running, key=lambda each: each.rank):
-            if task.reads and left > 0:
+            if task.needs_prefill and left > 0:
                 tokens = min(left, self._prefill_backlog(task))
                 plan.append((task, tokens))
                 left -= tokens
@@ -198,21 +198,21 @@
 
     @staticmethod
     def _prefill_backlog(task: _Task) -> int:
-        behind = sum(part.tokens for part in task.chunks_to_prefill[1:])
-        return task.chunk_tokens_left + behind + task.output_to_prefill
+        later_chunks = sum(part.tokens for part in task.chunks_to_prefill[1:])
+        return task.chunk_tokens_left + later_chunks + task.output_to_prefill
 
     def _finish_step(self, now: float) -> None:
-        reading, self._step_prefill = self._step_prefill, []
-        decoding = [task for task in self._running if not task.reads]
-        for task, tokens in reading:
-            self._read(task, tokens)
-            if not task.reads:
-                decoding.append(task)  # the end of the prompt gives the first token
+        prefilling, self._step_prefill = self._step_prefill, []
+        decoding = [task for task in self._running if not task.needs_prefill]
+        for task, tokens in prefilling:
+            self._prefill(task, tokens)
+            if not task.needs_prefill:
+                decoding.append(task)  # the end of the prefill produces the first token
         for task in decoding:
-            if task in self._running:  # not preempted by one before it
+            if task in self._running:  # not preempted for an earlier task
                 self._write_token(task)
 
-    def _read(self, task: _Task, tokens: int) -> None:
+    def _prefill(self, task: _Task, tokens: int) -> None:
         while tokens > 0 and task.chunks_to_prefill:
             read = min(tokens, task.chunk_tokens_left)
             task.chunk_tokens_left -= read
@@ -237,7 +237,7 @@
                 return
         task.private += 1
         task.written += 1
-        task.began = True
+        task.has_written = True
         total = task.job.prompt.output_tokens
         last = task.written >= total
         if last or (task.written - 1) % self.profile.stride == 0:
@@ -247,12 +247,12 @@
             self._running.remove(task)
             self._release(task)
 
-    # Room
+    # Slots and memory
 
     def _expire(self, now: float) -> None:
         for task in [each for each in self._waiting if each.job.deadline <= now]:
             self._waiting.remove(task)
-            if task.began:  # preempted in the middle of its stream
+            if task.has_written:  # preempted during its stream
                 self._outputs.append(TimedOut(task.job.number))
             else:
                 self._reject(task, RejectionReason.EXPIRED)
@@ -274,7 +274,7 @@
                 self._preempt(victim)
 
     def _admit_task(self, task: _Task) -> bool:
-        """Let a waiting task in where there is a slot and memory for its prompt."""
+        """Admit a waiting task if a slot and memory for its prompt are free."""
         if len(self._running) >= self.profile.slots:
             return False
         parts = task.job.prompt.parts
--- a/firvane/simulation/localfleet/daemons.py
+++ b/firvane/simulation/localfleet/daemons.py
@@ -1,4 +1,4 @@
-"""The real daemons as processes: started, killed, started again, ended in order, and what they cost."""
+"""Runs the real daemons as processes: start, kill, stop, and resource usage."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 }
 KEPT_VARIABLES = ("PATH", "HOME", "LANG")
 PACKAGE_PARENT = Path(__file__).resolve().parents[3]
-RESTART_AFTER = 1.0  # s from a kill, or an end of its own, to the next start
+RESTART_AFTER = 1.0  # s from a kill to the next start
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 ENDING_SIGNALS = (signal.SIGTERM, signal.SIGKILL)
 LOG_LINE_START = "timestamp="
 ERROR_LEVELS = ("level=error", "level=critical")
 STATUS_PEAK = "VmHWM:"  # kB
-STAT_TIMES = slice(11, 13)  # user and system time behind the name in /proc/PID/stat
+STAT_TIMES = slice(11, 13)  # user and system time after the name in /proc/PID/stat
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessUsage:
-    """What one process has used: its peak of resident memory and its processor time."""
+    """Resource usage of one process: peak resident memory and CPU time."""
 
     peak_mb: float = 0.0
     processor_s: float = 0.0
 
 
 def read_usage(pid: int) -> ProcessUsage:
-    """The usage of a process that runs; nothing where it has ended."""
+    """The usage of a running process; zeros if it has exited."""
     folder = Path("/proc") / str(pid)
     try:
         status = (folder / "status").read_text()
@@ -48,7 +48,7 @@
 
 
 def parse_usage(status: str, stat: str) -> ProcessUsage:
-    """The usage in the two texts that the kernel shows of a process."""
+    """Parse the usage from the texts of /proc/PID/status and /proc/PID/stat."""
     peak_kb = 0
     for line in status.splitlines():
         if line.startswith(STATUS_PEAK):
@@ -58,7 +58,7 @@
 
 
 class Daemon:
-    """One daemon over all its lives."""
+    """One daemon across its restarts."""
 
     def __init__(
         self,
@@ -68,55 +68,55 @@
         folder: Path,
         program_root: Path = PACKAGE_PARENT,
     ) -> None:
-        """`folder`: settings, data and logs of all daemons; `program_root` holds the program's package."""
+        """`folder`: settings, data and logs of all daemons; `program_root` contains the daemons' package."""
         self.node = node
         self._program_root = program_root
         self.starts = 0
-        self.own_ends: list[int] = []  # exit codes of lives that nobody ended
+        self.own_ends: list[int] = []  # exit codes of processes that were not stopped on purpose
         self.peak_mb = 0.0
         self.processor_s = 0.0
         self._layout, self._platform = layout, platform
         self._folder = folder / node.name
         self._log = self._folder / "log"
         self._process: asyncio.subprocess.Process | None = None
-        self._ended_by_us = False
-        self._watch: asyncio.Task[None] | None = None
+        self._stop_requested = False
+        self._exit_watcher: asyncio.Task[None] | None = None
 
     @property
     def runs(self) -> bool:
-        """Whether its process is there."""
+        """Whether its process is running."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def pid(self) -> int:
-        """Of the newest process; 0 where there never was one."""
+        """The id of the newest process; 0 if none was started."""
         return self._process.pid if self._process else 0
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process that runs."""
+        """Send a signal to the process if it is running."""
         if self._process is None or not self.runs:
             return
         if number in ENDING_SIGNALS:
-            self._ended_by_us = True
+            self._stop_requested = True
         _signal(self._process, number)
 
     async def wait_end(self) -> int:
-        """The status with which the newest process has ended; below 0 for a signal."""
+        """Wait for the newest process; return its exit status, negative for a signal."""
         return await self._process.wait() if self._process else 0
 
     def log_text(self) -> str:
-        """What it has written, over all lives."""
+        """The log of all its processes."""
         try:
             return self._log.read_text(errors="replace")
         except OSError:
             return ""
 
     def problems(self) -> list[str]:
-        """What its log says of errors."""
+        """The problematic lines of its log."""
         return problems_in_log(self.log_text())
 
     async def start(self) -> None:
-        """Write the settings of this life and start the process."""
+        """Write the settings for this start, and start the process."""
         self._folder.mkdir(exist_ok=True)
         data = self._folder / "data" if self.node.role is DaemonRole.CONTROLLER else None
         if data:
@@ -136,55 +136,55 @@
                 stderr=log,
                 cwd=self._program_root,
                 env=_environment(settings, self._program_root),
-                start_new_session=True,  # a terminal's interrupt reaches only the command
+                start_new_session=True,  # an interrupt in the terminal reaches only the command
             )
         self.starts += 1
-        self._ended_by_us = False
-        self._watch = asyncio.create_task(self._await_end(self._process))
+        self._stop_requested = False
+        self._exit_watcher = asyncio.create_task(self._record_exit(self._process))
 
     async def kill(self) -> None:
-        """End the process without warning."""
-        await self._end(signal.SIGKILL, None)
+        """Kill the process."""
+        await self._stop_process(signal.SIGKILL, None)
 
     async def stop(self, grace: float) -> None:
-        """End the process in order; after `grace` seconds without warning."""
-        await self._end(signal.SIGTERM, grace)
+        """Stop the process with SIGTERM; kill it after `grace` seconds."""
+        await self._stop_process(signal.SIGTERM, grace)
 
-    async def _end(self, number: signal.Signals, grace: float | None) -> None:
-        process, watch = self._process, self._watch
-        if process is None or watch is None or process.returncode is not None:
+    async def _stop_process(self, number: signal.Signals, grace: float | None) -> None:
+        process, exit_watcher = self._process, self._exit_watcher
+        if process is None or exit_watcher is None or process.returncode is not None:
             return
-        self._ended_by_us = True
-        self._count(read_usage(process.pid))
+        self._stop_requested = True
+        self._add_usage(read_usage(process.pid))
         _signal(process, number)
-        done, _ = await asyncio.wait((watch,), timeout=grace)
+        done, _ = await asyncio.wait((exit_watcher,), timeout=grace)
         if not done:
-            self.own_ends.append(-signal.SIGKILL)  # it does not end when it gets SIGTERM
+            self.own_ends.append(-signal.SIGKILL)  # the process did not exit after SIGTERM
             _signal(process, signal.SIGKILL)
-            await watch
+            await exit_watcher
 
-    async def _await_end(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         code = await process.wait()
-        if not self._ended_by_us:
+        if not self._stop_requested:
             self.own_ends.append(code)
 
-    def _count(self, usage: ProcessUsage) -> None:
+    def _add_usage(self, usage: ProcessUsage) -> None:
         self.peak_mb = max(self.peak_mb, usage.peak_mb)
         self.processor_s += usage.processor_s
 
 
 def _signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
-    with contextlib.suppress(ProcessLookupError):  # it has just ended
+    with contextlib.suppress(ProcessLookupError):  # the process has just exited
         process.send_signal(number)
 
 
 def _environment(settings: Path, program_root: Path) -> dict[str, str]:
-    kept = {name: os.environ[name] for name in KEPT_VARIABLES if name in os.environ}
-    return {**kept, "PYTHONPATH": str(program_root), "FIRVANE_BOOT": str(settings)}
+    environment = {name: os.environ[name] for name in KEPT_VARIABLES if name in os.environ}
+    return {**environment, "PYTHONPATH": str(program_root), "FIRVANE_BOOT": str(settings)}
 
 
 def problems_in_log(text: str) -> list[str]:
-    """The lines of a daemon's log that are errors or no lines of the log at all, such as tracebacks."""
+    """The lines of a daemon's log that are errors or not log lines at all, such as tracebacks."""
     return [line for line in text.splitlines() if _is_problem(line)]
 
 
--- a/firvane/simulation/localfleet/fleet_run.py
+++ b/firvane/simulation/localfleet/fleet_run.py
@@ -1,4 +1,4 @@
-"""What every run of real daemons among stand-ins has in common: what stands around, its start, its end."""
+"""Base class of runs of real daemons with stand-ins: setup, start and shutdown."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 
 class StartError(Exception):
-    """The fleet did not become ready; the text says what is lacking."""
+    """The fleet did not become ready; the text says what is missing."""
 
 
 class FleetRun(ABC):
-    """Stand-ins for the platform, the backends and the operator, and the order in which a run goes.
+    """Stand-ins for the platform, the backends and the operator, and the sequence of a run.
 
-    Routers end before controllers, so that no router is left without a configuration.
+    Routers are stopped before controllers, so that no router loses its configuration source.
     """
 
     def __init__(self, layout: Layout, backends: Backends, configurations: Configurations, seed: int) -> None:
@@ -33,7 +33,7 @@
         self._delay = LoopDelay(self._loop)
 
     async def _run(self, backends: int, start_timeout: float) -> None:
-        """Start everything, play the load, end everything; `StartError` where it does not get ready in time.
+        """Start the fleet, play the load, stop the fleet; raises `StartError` if it is not ready in time.
 
         `start_timeout` is in seconds.
         """
@@ -62,7 +62,9 @@
         self._delay.start()
 
     def _describe_failed_start(self, timeout: float) -> str:
-        stage = "routers are not ready" if self._operator.record.acknowledged else "no configuration is taken"
+        stage = (
+            "routers are not ready" if self._operator.record.acknowledged else "no configuration was accepted"
+        )
         return f"{stage} after {timeout:g} s"
 
     @abstractmethod
@@ -71,8 +73,8 @@
 
     @abstractmethod
     async def _play_load(self) -> None:
-        """Play the load and all that goes on beside it."""
+        """Play the load and everything that runs concurrently."""
 
     @abstractmethod
     async def _end_daemons(self, role: DaemonRole) -> None:
-        """End the daemons of a role in order, and wait for it."""
+        """Stop the daemons of a role gracefully, and wait for their exits."""
--- a/firvane/simulation/localfleet/http_client.py
+++ b/firvane/simulation/localfleet/http_client.py
@@ -46,7 +46,7 @@
         self._sink: ResponseSink | None = None
         self._head_delivered = False
         self.closed = False
-        self.unsolicited_bytes = 0  # received with no request pending
+        self.unexpected_bytes = 0  # received with no request pending
         self.transport: asyncio.Transport
 
     def send(self, request: bytes, sink: ResponseSink) -> None:
@@ -80,7 +80,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse response bytes; bytes with no request pending close the connection."""
         if self._sink is None:
-            self.unsolicited_bytes += len(data)
+            self.unexpected_bytes += len(data)
             self.close()
             return
         try:
@@ -104,7 +104,7 @@
         if done:
             done.pop(0)
             if done or self._reader.message:
-                self.unsolicited_bytes += 1
+                self.unexpected_bytes += 1
                 self.close()
             self._complete(message)
 
--- a/firvane/simulation/localfleet/ingress.py
+++ b/firvane/simulation/localfleet/ingress.py
@@ -1,7 +1,7 @@
-"""How the platform deals new connections to routers. Pure.
+"""Distribution of new connections to routers by the platform. Pure.
 
-A router that misses two questions for its readiness in a row gets no new connection until it says yes again.
-While fewer than half of all are in, all are used.
+A router that fails two consecutive readiness probes gets no new connections until a probe succeeds again.
+While fewer than half of all routers are ready, all are used.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 
 from firvane.core.address import Address
 
-MISSES = 2
+MAX_FAILED_PROBES = 2
 
 
 class Ingress:
-    """The routers' front addresses, and which of them are in."""
+    """The routers' front addresses and their consecutive failed probes."""
 
     def __init__(self, routers: Sequence[Address]) -> None:
-        self._misses = {router: MISSES for router in routers}
+        self._failed_probes = {router: MAX_FAILED_PROBES for router in routers}
 
-    def note(self, router: Address, ready: bool) -> None:
-        """Take the answer to a question; a timeout counts as no."""
-        self._misses[router] = 0 if ready else self._misses[router] + 1
+    def record_probe(self, router: Address, ready: bool) -> None:
+        """Record the result of a readiness probe; a timeout counts as not ready."""
+        self._failed_probes[router] = 0 if ready else self._failed_probes[router] + 1
 
     @property
     def all_ready(self) -> bool:
-        """Whether each router said yes when it was last asked."""
-        return not any(self._misses.values())
+        """Whether the last probe of each router succeeded."""
+        return not any(self._failed_probes.values())
 
     def choose(self, client: int, attempt: int) -> Address:
-        """The router for a new connection of a client; a retry (`attempt` above 0) reaches another one."""
-        everyone = list(self._misses)
-        ready = [router for router in everyone if self._misses[router] < MISSES]
-        usable = ready if 2 * len(ready) >= len(everyone) else everyone
+        """The router for a new connection of a client; a retry (`attempt` above 0) uses another router."""
+        all_routers = list(self._failed_probes)
+        ready = [router for router in all_routers if self._failed_probes[router] < MAX_FAILED_PROBES]
+        usable = ready if 2 * len(ready) >= len(all_routers) else all_routers
         return usable[(zlib.crc32(b"client %d" % client) + attempt) % len(usable)]
--- a/firvane/simulation/localfleet/instance_list.py
+++ b/firvane/simulation/localfleet/instance_list.py
@@ -1,4 +1,4 @@
-"""The platform's list of model servers: pages, a lag, and a bound on how often it is asked."""
+"""The platform's list of model servers: paged, lagging and rate-limited."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ListedState(enum.StrEnum):
-    """What the list says of a server."""
+    """The state of a server in the list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -36,7 +36,7 @@
     state: ListedState = ListedState.READY
 
     def document(self) -> dict[str, object]:
-        """The entry as it is sent."""
+        """The entry as a JSON object."""
         host, port = self.address
         return {
             "service": self.service,
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """Status and JSON body of an answer."""
+    """Status and JSON body of a response."""
 
     status: int
     body: bytes
@@ -64,12 +64,12 @@
 
 
 class InstanceList:
-    """The list, as it was `lag` seconds ago; times are monotonic seconds and never go back."""
+    """The list as of `lag` seconds ago; times are monotonic seconds and never decrease."""
 
     def __init__(self, lag: float, page_size: int, rate_per_s: float) -> None:
         self._lag, self._page_size, self._rate = lag, page_size, rate_per_s
         self._current: dict[str, ListedInstance] = {}
-        self._times: list[float] = []  # when each snapshot came into being
+        self._times: list[float] = []  # when each snapshot was made
         self._snapshots: list[Snapshot] = []
         self._allowance = rate_per_s
         self._refilled = 0.0
@@ -77,16 +77,16 @@
         self.refused = 0
 
     def put(self, instance: ListedInstance, now: float, *, at_once: bool = False) -> None:
-        """Add an instance or replace it; `at_once`: as if it had been there for long."""
+        """Add or replace an instance; with `at_once` the list shows it without lag."""
         self._current[instance.id] = instance
         self._record(now - self._lag if at_once else now)
 
     def drain(self, instance_id: str, now: float) -> None:
-        """Show the instance as draining."""
+        """List the instance as draining."""
         self.put(replace(self._current[instance_id], state=ListedState.DRAINING), now)
 
     def remove(self, instance_id: str, now: float) -> None:
-        """Show the instance no longer."""
+        """Remove the instance from the list."""
         del self._current[instance_id]
         self._record(now)
 
--- a/firvane/simulation/localfleet/lagged_report.py
+++ b/firvane/simulation/localfleet/lagged_report.py
@@ -1,22 +1,22 @@
-"""A report that is already old when it is read."""
+"""A report whose content lags behind by a fixed time."""
 
 from __future__ import annotations
 
 from collections import deque
 
-SAMPLE_INTERVAL = 0.05  # s between two samples that are stored
+SAMPLE_INTERVAL = 0.05  # s between stored samples
 
 
 class LaggedReport:
-    """Keeps samples and shows the newest one that is at least `lag` seconds old."""
+    """Stores samples; returns the newest one that is at least `lag` seconds old."""
 
     def __init__(self, lag: float, first: dict[str, object]) -> None:
-        """`first` is shown until a sample is old enough."""
+        """`first` is returned until a sample is old enough."""
         self._lag, self._first = lag, first
         self._samples: deque[tuple[float, dict[str, object]]] = deque()
 
-    def note(self, now: float, metrics: dict[str, object]) -> None:
-        """Take a sample; one that follows another too soon replaces nothing and is dropped."""
+    def add_sample(self, now: float, metrics: dict[str, object]) -> None:
+        """Store a sample, unless the previous one is less than `SAMPLE_INTERVAL` old."""
         if self._samples and now - self._samples[-1][0] < SAMPLE_INTERVAL:
             return
         self._samples.append((now, metrics))
--- a/firvane/simulation/localfleet/layout.py
+++ b/firvane/simulation/localfleet/layout.py
@@ -1,4 +1,4 @@
-"""Where each process of the fleet is: one loopback address for each, the same ports everywhere."""
+"""Addresses of the processes: one loopback address for each process, the same ports on all."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 ZONES = ("zone-a", "zone-b", "zone-c")
 REGION = "here"
 INTERNAL_PORTS = 4
-FIRST_PORT = 20_000  # below the ports that the system gives to clients
+FIRST_PORT = 20_000  # below the ephemeral ports of the system
 LAST_PORT = 31_000
 MAX_CONTROLLERS = 9
 MAX_ROUTERS = 100
@@ -35,28 +35,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """Ports that all processes of one fleet use."""
+    """Ports used by all processes of one fleet."""
 
     first: int
 
     @property
     def internal(self) -> tuple[int, int]:
-        """First and last port between the fleet's own processes."""
+        """First and last port for traffic between the fleet's processes."""
         return self.first, self.first + INTERNAL_PORTS - 1
 
     @property
     def front(self) -> int:
-        """Clients' port of routers."""
+        """The port of routers for clients."""
         return self.first + INTERNAL_PORTS
 
     @property
     def readiness(self) -> int:
-        """Where routers say whether they are ready."""
+        """The port of routers for readiness probes."""
         return self.front + 1
 
     @property
     def control(self) -> int:
-        """The operators' port of controllers."""
+        """The port of controllers for operators."""
         return self.front + 2
 
     @property
@@ -71,7 +71,7 @@
 
     @property
     def count(self) -> int:
-        """How many there are."""
+        """Number of consecutive ports in use."""
         return INTERNAL_PORTS + 5
 
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Layout:
-    """The whole fleet's addresses."""
+    """The addresses of the fleet."""
 
     ports: Ports
     controllers: tuple[Node, ...]
@@ -115,7 +115,7 @@
 
     @property
     def fronts(self) -> list[Address]:
-        """Clients' addresses of all routers."""
+        """Addresses of all routers for clients."""
         return [(node.host, self.ports.front) for node in self.routers]
 
     @property
@@ -124,12 +124,12 @@
         return PLATFORM_HOST, self.ports.platform
 
     def backend(self, number: int) -> Address:
-        """The address of a model server, counted from 0; two in a row never share one."""
+        """The address of a model server, counted from 0; addresses repeat after `MAX_BACKENDS`."""
         return f"127.0.1.{FIRST_BACKEND_HOST + number % MAX_BACKENDS}", self.ports.backend
 
 
 def make_layout(controllers: int, routers: int, ports: Ports) -> Layout:
-    """Addresses for so many daemons."""
+    """Make the addresses for the given numbers of daemons."""
     return Layout(
         ports,
         tuple(_nodes(DaemonRole.CONTROLLER, controllers, FIRST_CONTROLLER_HOST)),
@@ -143,7 +143,7 @@
 
 
 def find_free_ports(controllers: int, routers: int, backends: int) -> Ports:
-    """Ports that are free on all addresses of a fleet of this size; `OSError` where none are found."""
+    """Find ports that are free on all addresses of such a fleet; raises `OSError` if there are none."""
     for _ in range(PORT_TRIALS):
         ports = Ports(random.randrange(FIRST_PORT, LAST_PORT))
         if _all_free(make_layout(controllers, routers, ports), backends):
--- a/firvane/simulation/localfleet/load.py
+++ b/firvane/simulation/localfleet/load.py
@@ -1,4 +1,4 @@
-"""The clients: send what the schedule says, when it says so, and record how each request has ended."""
+"""The clients: send the scheduled requests on time, and record the outcome of each."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from firvane.simulation.localfleet.schedule import PlannedRequest
 
 CONNECT_TIMEOUT = 1.0  # s
-IDLE_TIMEOUT = 5.0  # s that a client keeps a connection without a request
-FRESH_ONE_IN = 2  # one client in so many opens a connection for each request
+IDLE_TIMEOUT = 5.0  # s that a client keeps an idle connection
+FRESH_ONE_IN = 2  # one in this many clients opens a new connection for each request
 
 
 @dataclass(slots=True)
@@ -31,7 +31,7 @@
 
 
 class Load:
-    """All clients together."""
+    """All clients of a run."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, ingress: Ingress, seed: int) -> None:
         self.records: list[RequestRecord] = []
@@ -42,7 +42,7 @@
         self._idle: dict[tuple[int, Address], list[_IdleConnection]] = {}
 
     async def run(self, schedule: Sequence[PlannedRequest]) -> None:
-        """Send all requests at their times from now on; returns when the last one has ended."""
+        """Send all requests at their planned times from now; returns when all have finished."""
         start = self._loop.time()
         async with asyncio.TaskGroup() as tasks:
             for planned in schedule:
@@ -51,14 +51,14 @@
         self.close()
 
     def close(self) -> None:
-        """End the kept-alive connections."""
-        for kept in self._idle.values():
-            for idle in kept:
-                self._drop(idle.connection)
+        """Close the idle connections."""
+        for idle_connections in self._idle.values():
+            for idle in idle_connections:
+                self._close_connection(idle.connection)
         self._idle.clear()
 
     async def _send(self, planned: PlannedRequest, intended: float) -> None:
-        """One request with its retries. Its latency counts from the time that was intended."""
+        """Send one request with its retries; its latency counts from the intended time of sending."""
         kind = planned.kind
         record = RequestRecord(kind, intended)
         self.records.append(record)
@@ -90,22 +90,22 @@
         left_ms = int((deadline - self._loop.time()) * 1000)
         request, sent = compose_request(planned, request_id, stream.last_number, left_ms)
         self.attempts[request_id] = sent
-        trying = ClientAttempt(self._loop, connection, request_id, stream, timing)
-        result = await trying.run(request, planned.kind.silence, deadline)
+        client_attempt = ClientAttempt(self._loop, connection, request_id, stream, timing)
+        result = await client_attempt.run(request, planned.kind.silence, deadline)
         sent.promised = result.promised
-        self._put_back(planned.client, router, connection)
+        self._release(planned.client, router, connection)
         return result
 
     # Connections
 
     async def _connect(self, client: int, router: Address, *, fresh: bool) -> ClientConnection | None:
-        """A kept-alive connection, or a new one; None where none comes up."""
-        kept = self._idle.get((client, router), [])
-        while kept and not fresh:
-            idle = kept.pop()
+        """Return an idle connection or open a new one; None if that fails."""
+        idle_connections = self._idle.get((client, router), [])
+        while idle_connections and not fresh:
+            idle = idle_connections.pop()
             if not idle.connection.closed and self._loop.time() < idle.since + IDLE_TIMEOUT:
                 return idle.connection
-            self._drop(idle.connection)
+            self._close_connection(idle.connection)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 _, connection = await self._loop.create_connection(ClientConnection, *router)
@@ -113,13 +113,13 @@
             return None
         return connection
 
-    def _put_back(self, client: int, router: Address, connection: ClientConnection) -> None:
+    def _release(self, client: int, router: Address, connection: ClientConnection) -> None:
         if connection.closed or client % FRESH_ONE_IN == 0:
-            self._drop(connection)
+            self._close_connection(connection)
         else:
             idle = _IdleConnection(connection, self._loop.time())
             self._idle.setdefault((client, router), []).append(idle)
 
-    def _drop(self, connection: ClientConnection) -> None:
-        self.unsolicited_bytes += connection.unsolicited_bytes
+    def _close_connection(self, connection: ClientConnection) -> None:
+        self.unsolicited_bytes += connection.unexpected_bytes
         connection.close()
--- a/firvane/simulation/localfleet/loop_delay.py
+++ b/firvane/simulation/localfleet/loop_delay.py
@@ -1,4 +1,4 @@
-"""Measures how long the stand-ins' own loop is held up: a latency below that says nothing of the fleet."""
+"""Measures delays of the stand-ins' event loop; smaller latencies are not attributable to the fleet."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
         self._due = 0.0
 
     def start(self) -> None:
-        """Measure from here on."""
+        """Start measuring."""
         self._due = self._loop.time() + INTERVAL
-        self._timer = self._loop.call_at(self._due, self._look)
+        self._timer = self._loop.call_at(self._due, self._measure)
 
     def stop(self) -> None:
-        """Measure no more."""
+        """Stop measuring."""
         if self._timer:
             self._timer.cancel()
 
-    def _look(self) -> None:
+    def _measure(self) -> None:
         self.longest = max(self.longest, self._loop.time() - self._due)
         self.start()
--- a/firvane/simulation/localfleet/metrics.py
+++ b/firvane/simulation/localfleet/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of a run: what clients got, what servers did, what daemons cost; as text and as JSON."""
+"""The metrics of a run: results of clients, work of servers, resource usage of daemons; as JSON."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Percentiles:
-    """Milliseconds; 0 where nothing was measured."""
+    """Percentiles in milliseconds; 0 without measurements."""
 
     p50: int
     p95: int
@@ -30,7 +30,7 @@
 
 
 def percentiles(seconds: Iterable[float]) -> Percentiles:
-    """The percentiles of spans of time."""
+    """The percentiles of durations in seconds."""
     histogram = HdrHistogram(1, LONGEST_MS, SIGNIFICANT_DIGITS)
     for span in seconds:
         histogram.record_value(max(1, round(span * 1000)))
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassMetrics:
-    """What became of one class of requests, or of all."""
+    """The results of one class of requests, or of all."""
 
     name: str
     asked: int
@@ -50,15 +50,15 @@
     late: int
     refused: int
     failed: int
-    cut_by_kills: int  # of those failed: under way at a router that was killed
-    wrong: int  # of those failed: answers that are not the request's
+    cut_by_kills: int  # of the failed requests: in progress at a router that was killed
+    wrong: int  # of the failed requests: invalid responses
     retries: int
     first_event_ms: Percentiles
     pause_ms: Percentiles  # the longest pause of each stream
 
     @property
     def all_served(self) -> bool:
-        """Whether each request was served, late ones included."""
+        """Whether each request was served, including late ones."""
         return self.in_time + self.late == self.asked
 
 
@@ -75,7 +75,9 @@
     counts = dict.fromkeys(Outcome, 0)
     for record in records:
         counts[record.outcome] += 1
-    cut = [each for each in records if any(each.was_broken_by(kill.front, kill.at) for kill in kills)]
+    broken_by_kills = [
+        each for each in records if any(each.was_broken_by(kill.front, kill.at) for kill in kills)
+    ]
     served = [each for each in records if each.outcome in (Outcome.IN_TIME, Outcome.LATE)]
     return ClassMetrics(
         name=name,
@@ -84,7 +86,7 @@
         late=counts[Outcome.LATE],
         refused=counts[Outcome.REFUSED],
         failed=counts[Outcome.FAILED],
-        cut_by_kills=len(cut),
+        cut_by_kills=len(broken_by_kills),
         wrong=sum(each.last.end is AttemptEnd.WRONG for each in records),
         retries=sum(max(0, each.attempts - 1) for each in records),
         first_event_ms=percentiles(each.first_event for each in served if each.first_event is not None),
@@ -94,18 +96,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonMetrics:
-    """What one daemon has used over all its lives."""
+    """The restarts and resource usage of one daemon."""
 
     name: str
     starts: int
-    own_ends: list[int]  # exit codes of lives that ended by themselves
+    own_ends: list[int]  # exit codes of processes that were not stopped on purpose
     peak_mb: float
     processor_s: float
     problems: list[str]  # errors in its log
 
 
 def daemon_metrics(daemon: Daemon) -> DaemonMetrics:
-    """The metrics of a daemon that has been ended."""
+    """The metrics of a stopped daemon."""
     return DaemonMetrics(
         daemon.node.name,
         daemon.starts,
@@ -118,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunMetrics:
-    """Everything that is reported of a run."""
+    """All metrics of a run."""
 
     ready_s: float  # from the start of the daemons until all routers were ready
     classes: list[ClassMetrics]
@@ -139,17 +141,17 @@
     list_calls_refused: int
     operator: OperatorRecord
     daemons: list[DaemonMetrics]
-    stand_in_delay_ms: float  # the longest time for which the stand-ins' own loop was held up
+    stand_in_delay_ms: float  # the longest delay of the stand-ins' event loop
 
     @property
     def good(self) -> bool:
-        """Whether everything was served, nothing ran twice, and nothing else was wrong."""
+        """Whether all requests were served, none ran twice, and there was no other fault."""
         return not self.faults()
 
     def faults(self) -> list[str]:
-        """What was not as it should be, a sentence each."""
+        """Descriptions of all faults, one sentence each."""
         operator = self.operator
-        found = {
+        conditions = {
             f"{self.total.asked - self.total.in_time - self.total.late} requests were not served": (
                 not self.total.all_served
             ),
@@ -162,20 +164,20 @@
             f"orders were refused with {operator.refused}": bool(operator.refused),
             "the last configuration was not read back": not operator.read_back,
         }
-        found |= {
+        conditions |= {
             f"{daemon.name} ended by itself with {daemon.own_ends}": bool(daemon.own_ends)
             for daemon in self.daemons
         }
-        return [sentence for sentence, holds in found.items() if holds]
+        return [sentence for sentence, applies in conditions.items() if applies]
 
     def as_json(self) -> str:
-        """All metrics."""
+        """All metrics as JSON."""
         document = {"good": self.good, "faults": self.faults(), **dataclasses.asdict(self)}
         return json.dumps(document, indent=2)
 
 
 def verdict_fields(verdict: Verdict) -> dict[str, int]:
-    """The judgement as numbers, by the names of `RunMetrics`."""
+    """The verdict as counts, named like the fields of `RunMetrics`."""
     return {
         "doubled": len(verdict.doubled),
         "ran_after_refusal": len(verdict.ran_after_refusal),
@@ -187,7 +189,7 @@
 
 
 def server_fields(records: ServerRecords) -> dict[str, int]:
-    """What servers recorded, by the names of `RunMetrics`."""
+    """The records of the servers, named like the fields of `RunMetrics`."""
     return {
         "prompt_tokens_read": records.reading.tokens_read,
         "prompt_tokens_read_again": records.reading.tokens_read_again,
--- a/firvane/simulation/localfleet/model_connection.py
+++ b/firvane/simulation/localfleet/model_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection to a model server: what is answered at once, and what goes into the batch."""
+"""A caller's connection to a model server: responds directly or submits requests to the batch."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 
 
 class ServerState(enum.Enum):
-    """How far a server is on its way out."""
+    """The shutdown state of a server."""
 
     SERVING = "serving"
-    DRAINING = "draining"  # goes on serving, tells callers to go
+    DRAINING = "draining"  # still serves, and closes connections after responses
     REFUSING = "refusing"
 
 
 class ConnectionOwner(Protocol):
-    """The model server, as its connections see it."""
+    """The interface of the model server that its connections use."""
 
     loop: asyncio.AbstractEventLoop
     instance: ListedInstance
@@ -44,10 +44,10 @@
         """The body of `GET /v1/report`."""
 
     def submit(self, connection: ModelConnection, request: Message, prompt: Prompt) -> None:
-        """Hand a request to the batch."""
+        """Submit a request to the batch."""
 
     def cancel(self, number: int) -> None:
-        """Nobody waits for this job any more."""
+        """Cancel a job whose caller has disconnected."""
 
 
 class ModelConnection(ServerConnection):
@@ -62,7 +62,7 @@
         self.closes_after = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the connection, or break it off where the server holds as many as it may."""
+        """Register the connection, or abort it if the server is at its connection limit."""
         super().connection_made(transport)
         server = self._server
         if len(server.connections) >= server.profile.connection_limit:
@@ -70,10 +70,10 @@
             return
         server.records.connections += 1
         server.connections.add(self)
-        self._await_idle_end()
+        self._start_idle_timer()
 
     def on_end(self) -> None:
-        """The caller has gone: its job is cancelled."""
+        """Cancel the job of a caller that has disconnected."""
         self._server.connections.discard(self)
         if self._timer:
             self._timer.cancel()
@@ -82,15 +82,15 @@
             self._server.cancel(job)
 
     def on_request(self, request: Message) -> None:
-        """Answer a health check or a report at once; hand anything else to the batch."""
+        """Respond to a health check or a report at once; submit other requests to the batch."""
         self._request_id = request.fields.get(b"x-request-id", b"")
         path = request.url.partition(b"?")[0]
         if request.method == b"GET" and path == HEALTH_PATH.encode():
             self._answer_health()
         elif request.method == b"GET" and path == REPORT_PATH:
             self.respond(200, [(b"Content-Type", b"application/json")], self._server.report())
-        elif refusal := self._refusal(request):
-            self.reject(refusal)
+        elif rejection_status := self._rejection_status(request):
+            self.reject(rejection_status)
         else:
             self._run(request)
 
@@ -101,7 +101,7 @@
         self.respond(status, [NOT_EXECUTED, *self.answer_headers()], close=close)
 
     def answer_headers(self) -> list[Header]:
-        """Headers of every answer to a request."""
+        """Headers of every response to a request."""
         keep_alive = (b"Keep-Alive", b"timeout=%d" % self._server.profile.keep_alive_s)
         return [(b"X-Request-Id", self._request_id), keep_alive] if self._request_id else [keep_alive]
 
@@ -110,8 +110,8 @@
         healthy = server.state is ServerState.SERVING and not server.is_full
         self.respond(200 if healthy else 503, [(b"X-Instance-Id", server.instance.id.encode())])
 
-    def _refusal(self, request: Message) -> int:
-        """The status of a request that is not run, whatever it asks for; 0 for one that may run."""
+    def _rejection_status(self, request: Message) -> int:
+        """The status with which a request is rejected before its prompt is parsed; 0 if it may run."""
         target = request.fields.get(b"x-target-instance")
         version = request.fields.get(b"expect-version")
         if not self._request_id:
@@ -133,16 +133,16 @@
         self._server.submit(self, request, prompt)
 
     def on_answered(self) -> None:
-        """An answer has been written: the connection is idle."""
-        self._await_idle_end()
+        """Start the idle timeout after a response has been written."""
+        self._start_idle_timer()
 
-    def _await_idle_end(self) -> None:
+    def _start_idle_timer(self) -> None:
         if self._timer:
             self._timer.cancel()
         idle = self._server.profile.keep_alive_s
-        self._timer = self._server.loop.call_later(idle, self._end_if_idle)
+        self._timer = self._server.loop.call_later(idle, self._close_if_idle)
 
-    def _end_if_idle(self) -> None:
+    def _close_if_idle(self) -> None:
         self._timer = None
         if not self.busy:
             self.transport.close()
--- a/firvane/simulation/localfleet/model_server.py
+++ b/firvane/simulation/localfleet/model_server.py
@@ -1,4 +1,4 @@
-"""A model server on a socket: the batch's outputs as answers over HTTP/1.1."""
+"""A model server on a socket: sends the batch's outputs as HTTP/1.1 responses."""
 
 from __future__ import annotations
 
@@ -30,18 +30,18 @@
 
 DEFAULT_PRIORITY = 5
 MAX_NUMBER_DIGITS = 9  # of a number in a header
-LONGEST_TIME = 600.0  # s that a request without a deadline may take
-CLOSE_ONE_IN = 200  # answers that end their connection now and then
+LONGEST_TIME = 600.0  # s; the deadline of a request without one
+CLOSE_ONE_IN = 200  # one in this many responses closes its connection
 
 
 @dataclass(slots=True)
 class _Work:
-    """A request that is in the batch."""
+    """A request in the batch."""
 
     connection: ModelConnection
     digest: int  # of the request's body
     run: Run
-    begun: bool = False
+    started: bool = False
 
 
 class ModelServer:
@@ -59,7 +59,7 @@
         self.state = ServerState.SERVING
         self.connections: set[ModelConnection] = set()
         self._batch = Batch(profile)
-        self._report = LaggedReport(profile.report_lag_s, self._figures())
+        self._report = LaggedReport(profile.report_lag_s, self._report_fields())
         self._random = random.Random(seed)
         self._works: dict[int, _Work] = {}
         self._numbers = 0
@@ -72,11 +72,11 @@
         self._listener = await self.loop.create_server(self.make_connection, host, port)
 
     def make_connection(self) -> ModelConnection:
-        """A caller has connected."""
+        """Make the connection of a new caller."""
         return ModelConnection(self)
 
     def close(self) -> None:
-        """End at once; what is under way is cut off."""
+        """Stop at once, aborting requests in progress."""
         if self._listener:
             self._listener.close()
         if self._timer:
@@ -86,27 +86,27 @@
 
     @property
     def closes_connections(self) -> bool:
-        """Whether this answer is its connection's last."""
+        """Draw whether the connection closes after the current response."""
         return self.state is not ServerState.SERVING or self._random.randrange(CLOSE_ONE_IN) == 0
 
     @property
     def is_full(self) -> bool:
-        """Whether no request more would be taken."""
+        """Whether no further request fits into slots and queue."""
         return self._batch.queued + self._batch.active >= self.profile.slots + self.profile.queue
 
     def report(self) -> bytes:
-        """What `GET /v1/report` answers, as of a while ago."""
+        """The lagging body of `GET /v1/report`."""
         now = self.loop.time()
-        self._report.note(now, self._figures())
+        self._report.add_sample(now, self._report_fields())
         return json.dumps(self._report.read(now)).encode()
 
     # Requests
 
     def submit(self, connection: ModelConnection, request: Message, prompt: Prompt) -> None:
-        """Give a request to the batch; the connection's `job` is set while it is there."""
+        """Submit a request to the batch; the connection's `job` is set while it is in the batch."""
         now = self.loop.time()
         body = b"".join(request.body)
-        events_before = _number(request, b"last-event-id", 0)
+        events_before = _header_number(request, b"last-event-id", 0)
         request_id = request.fields[b"x-request-id"]
         run = Run(request_id, self.instance.id, events_before, request_fingerprint(request, body))
         work = _Work(connection, zlib.crc32(body), run)
@@ -115,21 +115,23 @@
         if events_before >= event_count(prompt.output_tokens, self.profile.stride):
             self._finish_empty(number, work)
             return
-        left = _number(request, b"x-deadline-ms", int(LONGEST_TIME * 1000)) / 1000
-        priority = _number(request, b"priority", DEFAULT_PRIORITY)
+        left = _header_number(request, b"x-deadline-ms", int(LONGEST_TIME * 1000)) / 1000
+        priority = _header_number(request, b"priority", DEFAULT_PRIORITY)
         self._works[number] = work
         connection.job = number
-        self._act(self._batch.submit(Job(number, prompt, priority, now + left, events_before), now))
+        self._process_outputs(
+            self._batch.submit(Job(number, prompt, priority, now + left, events_before), now)
+        )
         self._schedule()
 
     def cancel(self, number: int) -> None:
-        """The connection of a request has closed."""
+        """Cancel a request whose connection has closed."""
         if self._works.pop(number, None):
             self.records.cancelled += 1
             self._batch.cancel(number)
 
     def _finish_empty(self, number: int, work: _Work) -> None:
-        """The client has all events and lacks only the stream's end."""
+        """Respond with an empty stream to a client that has all events."""
         self.records.runs.append(work.run)
         close = self.closes_connections
         work.connection.begin_stream(self._stream_headers(number, work), close=close)
@@ -145,11 +147,11 @@
     def _advance(self) -> None:
         self._timer = None
         now = self.loop.time()
-        self._act(self._batch.advance(now))
-        self._report.note(now, self._figures())
+        self._process_outputs(self._batch.advance(now))
+        self._report.add_sample(now, self._report_fields())
         self._schedule()
 
-    def _act(self, outputs: list[Output]) -> None:
+    def _process_outputs(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, ChunkPrefilled):
                 self.records.reading.note(output.part)
@@ -165,31 +167,31 @@
         if work is None:
             return
         connection = work.connection
-        if not work.begun:
-            work.begun = True
+        if not work.started:
+            work.started = True
             self.records.runs.append(work.run)
             connection.closes_after = self.closes_connections
             connection.begin_stream(self._stream_headers(output.job, work), close=connection.closes_after)
         connection.write_chunk(StreamEvent(output.event, work.digest, output.last).encode())
         if output.last:
-            self._forget(output.job)
+            self._remove(output.job)
             connection.end_stream(close=connection.closes_after)
 
     def _reject(self, output: Rejected) -> None:
-        if work := self._forget(output.job):
+        if work := self._remove(output.job):
             work.connection.reject(503)
 
     def _time_out(self, output: TimedOut) -> None:
-        work = self._forget(output.job)
+        work = self._remove(output.job)
         if work is None:
             return
-        if work.begun:
+        if work.started:
             work.connection.break_off()
         else:
             self.records.runs.append(work.run)
             work.connection.respond(504, work.connection.answer_headers())
 
-    def _forget(self, number: int) -> _Work | None:
+    def _remove(self, number: int) -> _Work | None:
         work = self._works.pop(number, None)
         if work:
             work.connection.job = None
@@ -204,7 +206,7 @@
             *work.connection.answer_headers(),
         ]
 
-    def _figures(self) -> dict[str, object]:
+    def _report_fields(self) -> dict[str, object]:
         batch = self._batch
         return {
             "stage": "both",
@@ -219,12 +221,12 @@
         }
 
 
-def _number(request: Message, name: bytes, default: int) -> int:
+def _header_number(request: Message, name: bytes, default: int) -> int:
     text = request.fields.get(name, b"")
     return int(text) if text.isdigit() and len(text) <= MAX_NUMBER_DIGITS else default
 
 
 def request_fingerprint(request: Message, body: bytes) -> int:
-    """What of a request must arrive as it was sent, as a number."""
+    """A fingerprint of the parts of a request that must arrive unchanged."""
     values = [request.fields.get(name.encode(), b"") for name in PROMPT_HEADERS]
     return fingerprint(request.method, request.url, values, body)
--- a/firvane/simulation/localfleet/operator_calls.py
+++ b/firvane/simulation/localfleet/operator_calls.py
@@ -1,9 +1,9 @@
-"""How the operator's calls go from controller to controller. Pure.
+"""Redirects and retries of the operator's calls to the controllers. Pure.
 
-1. A 307 is followed twice, to the address in `Location`.
-2. After a timeout, a failure, a 5xx, a 408 or a 429 the call goes unchanged to the next controller, after a
-   pause that grows.
-3. 400, 409, 412, 413 and 422 end it at once, any other 4xx at the third attempt.
+1. Up to two 307 responses are followed to the address in `Location`.
+2. After a timeout, a failure, a 5xx, a 408 or a 429 the unchanged call is sent to the next controller, after
+   an increasing pause.
+3. 400, 409, 412, 413 and 422 end the call at once, any other 4xx at the third attempt.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 MAX_REDIRECTS = 2
 MAX_CLIENT_ERRORS = 3
-FINAL = frozenset((400, 409, 412, 413, 422))
-MOVE_ON = frozenset((408, 429))
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
+RETRY_STATUSES = frozenset((408, 429))
 FIRST_PAUSE = 0.05  # s
-LONGEST_PAUSE = 0.8  # s
+MAX_PAUSE = 0.8  # s
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """The call has its final answer."""
+    """The call has its final response."""
 
     address: Address
     status: int
@@ -48,7 +48,7 @@
 
 
 class OperatorCall:
-    """One call's way; it begins at the controller with the index `first`."""
+    """The state of one call, which starts at the controller with the index `first`."""
 
     def __init__(self, controllers: Sequence[Address], first: int) -> None:
         self._controllers = list(controllers)
@@ -59,27 +59,27 @@
         self._pause = FIRST_PAUSE
 
     def begin(self) -> SendTo:
-        """The first step."""
+        """Return the first step."""
         return SendTo(self._current)
 
     def answered(self, status: int, location: str | None) -> CallStep:
-        """Take an answer."""
+        """Process a response; return the next step."""
         if status == HTTPStatus.TEMPORARY_REDIRECT:
             return self._redirected(location)
-        if status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in MOVE_ON:
+        if status >= HTTPStatus.INTERNAL_SERVER_ERROR or status in RETRY_STATUSES:
             return self.failed()
-        if status >= HTTPStatus.BAD_REQUEST and status not in FINAL:
+        if status >= HTTPStatus.BAD_REQUEST and status not in FINAL_STATUSES:
             self._client_errors += 1
             if self._client_errors < MAX_CLIENT_ERRORS:
                 return self.failed()
         return CallEnded(self._current, status)
 
     def failed(self) -> SendTo:
-        """There was no answer, or one that says nothing."""
+        """Process a failure or a retryable response; return the next step."""
         self._redirects = 0
         self._position = (self._position + 1) % len(self._controllers)
         self._current = self._controllers[self._position]
-        pause, self._pause = self._pause, min(2 * self._pause, LONGEST_PAUSE)
+        pause, self._pause = self._pause, min(2 * self._pause, MAX_PAUSE)
         return SendTo(self._current, pause)
 
     def _redirected(self, location: str | None) -> SendTo:
--- a/firvane/simulation/localfleet/outcomes.py
+++ b/firvane/simulation/localfleet/outcomes.py
@@ -1,4 +1,4 @@
-"""How a request has ended for its client."""
+"""The outcome of a request for its client."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from firvane.simulation.localfleet.profiles import RequestClass
 from firvane.simulation.localfleet.retries import AttemptEnd, AttemptResult
 
-NOWHERE: Address = ("", 0)
-NOT_ENDED = AttemptResult(AttemptEnd.OUT_OF_TIME)
+NO_ROUTER: Address = ("", 0)
+NOT_FINISHED = AttemptResult(AttemptEnd.OUT_OF_TIME)
 
 
 class Outcome(enum.Enum):
-    """The end of a request with all its attempts."""
+    """The outcome of a request after all its attempts."""
 
     IN_TIME = "in time"
     LATE = "late"  # served, but its first event or a pause took too long
-    REFUSED = "refused"  # the last answer promised that it has not run
+    REFUSED = "refused"  # the last response guarantees that the request has not run
     FAILED = "failed"
 
 
@@ -30,22 +30,22 @@
     intended: float
     outcome: Outcome = Outcome.FAILED
     attempts: int = 0
-    first_event: float | None = None  # from the intended send
+    first_event: float | None = None  # s from the intended time of sending
     longest_gap: float = 0.0
     ended: float = 0.0
-    last_router: Address = NOWHERE
+    last_router: Address = NO_ROUTER
     last_began: float = 0.0
-    last: AttemptResult = NOT_ENDED
+    last: AttemptResult = NOT_FINISHED
 
     def begin_attempt(self, router: Address, now: float) -> None:
-        """An attempt begins at this router."""
+        """Record the start of an attempt at a router."""
         self.attempts += 1
         self.last_router, self.last_began = router, now
 
     def end(
         self, result: AttemptResult, now: float, first_event_at: float | None, longest_gap: float
     ) -> None:
-        """Take the end of the last attempt; `first_event_at` is None where no event came."""
+        """Record the result of the last attempt; `first_event_at` is None if no event arrived."""
         self.last, self.ended, self.longest_gap = result, now, longest_gap
         if first_event_at is not None:
             self.first_event = first_event_at - self.intended
@@ -61,6 +61,6 @@
         return Outcome.IN_TIME if begins_in_time and flows_in_time else Outcome.LATE
 
     def was_broken_by(self, router: Address, at: float) -> bool:
-        """Whether the last attempt was under way at this router when it was killed at this time."""
-        under_way = self.last_began <= at <= self.ended
-        return self.outcome is Outcome.FAILED and self.last_router == router and under_way
+        """Whether the request failed while its last attempt was in progress at `router` at time `at`."""
+        in_progress = self.last_began <= at <= self.ended
+        return self.outcome is Outcome.FAILED and self.last_router == router and in_progress
--- a/firvane/simulation/localfleet/platform_server.py
+++ b/firvane/simulation/localfleet/platform_server.py
@@ -1,4 +1,4 @@
-"""The platform's interface on a socket: `GET /instances`."""
+"""HTTP server of the platform's API: `GET /instances`."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PlatformServer:
-    """Serves one list."""
+    """Serves one instance list."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, instances: InstanceList) -> None:
         self.loop, self.instances = loop, instances
@@ -23,11 +23,11 @@
         self.connections: set[_PlatformConnection] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self._listener = await self.loop.create_server(lambda: _PlatformConnection(self), *self._address)
 
     def close(self) -> None:
-        """End, with all connections."""
+        """Stop listening and abort all connections."""
         if self._listener:
             self._listener.close()
         for connection in list(self.connections):
--- a/firvane/simulation/localfleet/profiles.py
+++ b/firvane/simulation/localfleet/profiles.py
@@ -1,4 +1,4 @@
-"""What is played by default: how a model server works, and which requests clients send."""
+"""Default profiles of model servers and of request classes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerProfile:
-    """The speed and the bounds of one model server."""
+    """The speed and the limits of one model server."""
 
-    slots: int = 64  # requests that run at once
-    queue: int = 192  # requests that wait beside them
+    slots: int = 64  # concurrently running requests
+    queue: int = 192  # waiting requests
     cache_tokens: int = 446_417
     connection_limit: int = 360
     step_ms: float = 5.09  # one step gives each running request one token
     step_ms_per_request: float = 0.0303
     prefill_tokens_per_ms: float = 51.1
-    chunk_tokens: int = 1024  # of prompts, read within one step
-    stride: int = 4  # tokens in an event, but for the first event, which has one
-    keep_alive_s: int = 8  # idle connections are closed after that
+    chunk_tokens: int = 1024  # prompt tokens prefilled in one step
+    stride: int = 4  # tokens per event, except the first event, which has one
+    keep_alive_s: int = 8  # idle connections are closed after this time
     report_lag_s: float = 0.2
-    drain_s: float = 3.0  # it goes on serving for so long once it drains
-    linger_s: float = 1.5  # and refuses for so long before its address is closed
+    drain_s: float = 3.0  # a draining server still serves for this long
+    linger_s: float = 1.5  # and then rejects requests for this long before its address is closed
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +36,12 @@
     host: str
     path_prefix: str
     per_second: float
-    subjects: int  # how many shared parts there are
+    subjects: int  # number of distinct shared prompt parts
     shared_tokens: float
     own_tokens: float
     output_tokens: float
     body_bytes: int
-    latency_target: float  # from the intended send to the first event
+    latency_target: float  # from the intended time of sending to the first event
     gap_target: float  # between two events
     deadline: float
     priority: int
@@ -51,7 +51,7 @@
 
     @property
     def silence(self) -> float:
-        """The time without an event after which a client gives its stream up."""
+        """The time without data after which a client abandons its attempt."""
         return max(2.0, 4 * self.latency_target, 8 * self.gap_target)
 
 
--- a/firvane/simulation/localfleet/prompts.py
+++ b/firvane/simulation/localfleet/prompts.py
@@ -1,23 +1,23 @@
-"""Prompts as the headers of a request describe them: parts in order, and tokens out."""
+"""Prompts as described by request headers: ordered chunks and the number of output tokens."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
 MAX_PARTS = 64
-MAX_TOKENS = 10_000_000  # of one part, or of an answer
+MAX_TOKENS = 10_000_000  # of one chunk, or of a response
 MAX_NUMBER_DIGITS = 16
 DECIMAL = 10  # base of counts of tokens
 HEXADECIMAL = 16  # base of the names of chunks
 
 
 class PromptError(ValueError):
-    """`X-Token-Count` or `X-Prompt-Prefix` cannot be read."""
+    """`X-Token-Count` or `X-Prompt-Prefix` is invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class PromptChunk:
-    """A chunk of a prompt; requests whose prompts begin alike share parts, by `id`."""
+    """A chunk of a prompt; prompts with a common prefix share chunks with the same `id`."""
 
     id: int
     tokens: int
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a model server has to read and to write for one request."""
+    """The prompt chunks and the number of output tokens of one request."""
 
     parts: tuple[PromptChunk, ...]
     output_tokens: int
 
     @property
     def tokens(self) -> int:
-        """Tokens of all parts."""
+        """Number of tokens of all chunks."""
         return sum(part.tokens for part in self.parts)
 
     @property
@@ -47,7 +47,7 @@
 
 
 def parse_prompt(token_count: bytes, prefix: bytes) -> Prompt:
-    """The prompt that two header values describe; `PromptError` where they make no sense."""
+    """Parse the two header values; raises `PromptError` if they are invalid."""
     tokens_in, _, tokens_out = token_count.partition(b",")
     parts = tuple(_parse_chunk(text) for text in prefix.split(b",")[: MAX_PARTS + 1]) if prefix else ()
     prompt = Prompt(parts, _parse_number(tokens_out, 10))
@@ -56,7 +56,7 @@
     if prompt.tokens != _parse_number(tokens_in, 10):
         raise PromptError("the tokens of the parts do not add up to the count")
     if prompt.output_tokens < 1:
-        raise PromptError("no token may come out")
+        raise PromptError("the number of output tokens is below 1")
     return prompt
 
 
--- a/firvane/simulation/localfleet/report_text.py
+++ b/firvane/simulation/localfleet/report_text.py
@@ -1,4 +1,4 @@
-"""The metrics of a run as lines for a terminal."""
+"""Formats the metrics of a run for a terminal."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from firvane.simulation.localfleet.metrics import ClassMetrics, DaemonMetrics, RunMetrics
 
-MOST_PROBLEMS = 5  # lines shown of one daemon's log
-LONGEST_LINE = 200
+MAX_PROBLEMS = 5  # lines printed of one daemon's log
+MAX_LINE_LENGTH = 200
 
 
 def render(metrics: RunMetrics) -> str:
-    """The whole report."""
+    """The complete report as text."""
     lines = [
         f"All routers were ready after {metrics.ready_s:.2f} s.",
         "",
@@ -21,7 +21,7 @@
         "",
         *_daemon_lines(metrics.daemons),
         "",
-        f"The stand-ins' own loop was held up for {metrics.stand_in_delay_ms:.0f} ms at the longest.",
+        f"The longest delay of the stand-ins' event loop was {metrics.stand_in_delay_ms:.0f} ms.",
     ]
     faults = metrics.faults()
     lines += [f"Fault: {fault}." for fault in faults]
@@ -82,12 +82,12 @@
     ]
     lines = _table([header, *rows])
     for daemon in daemons:
-        lines += [f"{daemon.name}: {line[:LONGEST_LINE]}" for line in daemon.problems[:MOST_PROBLEMS]]
+        lines += [f"{daemon.name}: {line[:MAX_LINE_LENGTH]}" for line in daemon.problems[:MAX_PROBLEMS]]
     return lines
 
 
 def _table(rows: Sequence[Sequence[str]]) -> list[str]:
-    """Columns as wide as they must be; numbers to the right."""
+    """Align the columns: the first to the left, the others to the right."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     return [
         "  ".join(
--- a/firvane/simulation/localfleet/request_message.py
+++ b/firvane/simulation/localfleet/request_message.py
@@ -1,4 +1,4 @@
-"""A request of a client as bytes, and what has to be remembered of it."""
+"""Composes the requests of clients, and the records to check them against."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 def compose_request(
     planned: PlannedRequest, request_id: bytes, last_event: int, left_ms: int
 ) -> tuple[bytes, SentAttempt]:
-    """The bytes of a request, and what is remembered of it; `last_event` is 0 where nothing is resumed."""
+    """The bytes of a request and its record; `last_event` is 0 if no stream is resumed."""
     kind, body = planned.kind, planned.body()
     target = f"{kind.path_prefix}{planned.number % kind.subjects}"
     prompt = {
@@ -29,5 +29,5 @@
         headers["Last-Event-Id"] = str(last_event)
     lines = [f"POST {target} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
     values = [prompt[name].encode() for name in PROMPT_HEADERS]
-    mark = fingerprint(b"POST", target.encode(), values, body)
-    return "\r\n".join([*lines, "", ""]).encode() + body, SentAttempt(kind.resumable, mark)
+    request_fingerprint = fingerprint(b"POST", target.encode(), values, body)
+    return "\r\n".join([*lines, "", ""]).encode() + body, SentAttempt(kind.resumable, request_fingerprint)
--- a/firvane/simulation/localfleet/run_ledger.py
+++ b/firvane/simulation/localfleet/run_ledger.py
@@ -1,7 +1,7 @@
-"""What the model servers ran, held against what clients sent.
+"""Compares the runs at the model servers with the attempts of the clients.
 
-An *attempt* is one request with an id of its own. The judgement is made after the end, from the records of
-both sides.
+An *attempt* is one request with a unique id. The comparison is made after the run, from the records of both
+sides.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 
 def fingerprint(method: bytes, target: bytes, headers: Iterable[bytes], body: bytes) -> int:
-    """A number that differs where a request was changed on its way; `headers` are values in a fixed order."""
+    """A checksum to detect modified requests; `headers` are values in a fixed order."""
     return zlib.crc32(body, zlib.crc32(b"\n".join((method, target, *headers))))
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A model server has begun to work on a request."""
+    """The start of work on a request at a model server."""
 
     request_id: bytes
     instance: str
-    events_before: int  # above 0 where a stream was taken up
+    events_before: int  # above 0 for a resumed stream
     fingerprint: int
 
 
@@ -37,30 +37,30 @@
 
     repeatable: bool
     fingerprint: int
-    promised: bool = False  # answered 408, 421, 429 or 503: it has not run and never will
+    promised: bool = False  # response 408, 421, 429 or 503: guarantees that it has not run
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """The ids of attempts with which something went wrong, and what was repeated as it may be."""
+    """The ids of attempts with faults, and the numbers of permitted repetitions."""
 
-    doubled: tuple[bytes, ...] = ()  # ran more than once although they may not be repeated
+    doubled: tuple[bytes, ...] = ()  # ran more than once although not repeatable
     ran_after_refusal: tuple[
         bytes, ...
-    ] = ()  # ran although the client was informed they had not; not repeatable
-    unasked: tuple[bytes, ...] = ()  # ran, and no client has sent them
-    altered: tuple[bytes, ...] = ()  # reached a server with another path, body or prompt
+    ] = ()  # ran although the response guarantees that they had not; not repeatable
+    unasked: tuple[bytes, ...] = ()  # ran although no client sent them
+    altered: tuple[bytes, ...] = ()  # reached a server with a different path, body or prompt
     repeated: int = 0  # further runs of repeatable attempts from the start
-    resumed: int = 0  # runs that took a stream up, for the system or for a client
+    resumed: int = 0  # runs that resumed a stream, for the fleet or for a client
 
     @property
     def clean(self) -> bool:
-        """Whether nothing went wrong."""
+        """Whether there are no faults."""
         return not (self.doubled or self.ran_after_refusal or self.unasked or self.altered)
 
 
 def judge(runs: Iterable[Run], sent: Mapping[bytes, SentAttempt]) -> Verdict:
-    """Compare all runs with all attempts."""
+    """Compare all runs with all attempts; return the verdict."""
     counts: Counter[bytes] = Counter()
     doubled: dict[bytes, None] = {}
     refused: dict[bytes, None] = {}
@@ -89,14 +89,14 @@
 
 @dataclass(slots=True)
 class PrefillCounter:
-    """Prompt tokens that were read by all servers together."""
+    """Counts the prompt tokens prefilled by all servers together."""
 
     tokens_read: int = 0
-    tokens_read_again: int = 0  # of parts that some server had read before
+    tokens_read_again: int = 0  # of chunks that some server had prefilled before
     _known: set[int] = field(default_factory=set)
 
     def note(self, part: PromptChunk) -> None:
-        """A server has read this chunk completely."""
+        """Count a chunk that a server has prefilled completely."""
         self.tokens_read += part.tokens
         if part.id in self._known:
             self.tokens_read_again += part.tokens
@@ -105,10 +105,10 @@
 
 @dataclass(slots=True)
 class ServerRecords:
-    """What all model servers record together."""
+    """The records of all model servers."""
 
     runs: list[Run] = field(default_factory=list)
     reading: PrefillCounter = field(default_factory=PrefillCounter)
-    rejected: int = 0  # requests rejected with a promise
+    rejected: int = 0  # rejected requests, which have not run
     cancelled: int = 0  # requests whose connection closed while they waited or ran
     connections: int = 0  # ever accepted
--- a/firvane/simulation/localfleet/schedule.py
+++ b/firvane/simulation/localfleet/schedule.py
@@ -1,4 +1,4 @@
-"""When which request is sent: drawn before the run, so that slow answers do not delay later requests."""
+"""The schedule of requests, drawn before the run, so that slow responses do not delay later requests."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from firvane.simulation.localfleet.prompts import Prompt, PromptChunk
 
 SIZE_SPREAD = 0.7  # standard deviation of the logarithm of sizes
-LARGEST = 4.0  # of a size's mean
+MAX_SIZE_FACTOR = 4.0  # times the mean of a size
 
 
 @dataclass(frozen=True, slots=True)
@@ -25,7 +25,7 @@
     prompt: Prompt
 
     def body(self) -> bytes:
-        """The body, which no other request has."""
+        """The unique body of the request."""
         head = b"%s %d\n" % (self.kind.name.encode(), self.number)
         return head.ljust(self.kind.body_bytes, b"x")
 
@@ -33,7 +33,7 @@
 def draw_schedule(
     kinds: Sequence[RequestClass], seconds: float, clients: int, seed: int
 ) -> list[PlannedRequest]:
-    """All requests of a run in the order of their times; arrivals of each class are a Poisson process."""
+    """Draw all requests of a run, sorted by time; arrivals of each class are a Poisson process."""
     rng = random.Random(seed)
     arrivals = [(at, kind) for kind in kinds for at in _draw_times(kind.per_second, seconds, rng)]
     arrivals.sort(key=lambda arrival: arrival[0])
@@ -54,17 +54,19 @@
 
 def _draw_prompt(kind: RequestClass, number: int, rng: random.Random, seed: int) -> Prompt:
     subject = rng.randrange(kind.subjects)
-    shared = _part(f"{seed}/{kind.name}/subject/{subject}", kind.shared_tokens)
-    own = PromptChunk(zlib.crc32(f"{seed}/{kind.name}/own/{number}".encode()), _size(kind.own_tokens, rng))
-    return Prompt((shared, own), _size(kind.output_tokens, rng))
+    shared = _shared_chunk(f"{seed}/{kind.name}/subject/{subject}", kind.shared_tokens)
+    own = PromptChunk(
+        zlib.crc32(f"{seed}/{kind.name}/own/{number}".encode()), _draw_size(kind.own_tokens, rng)
+    )
+    return Prompt((shared, own), _draw_size(kind.output_tokens, rng))
 
 
-def _part(name: str, mean: float) -> PromptChunk:
-    """A shared part; its size follows from its name."""
+def _shared_chunk(name: str, mean: float) -> PromptChunk:
+    """A shared chunk; its size is determined by its name."""
     number = zlib.crc32(name.encode())
-    return PromptChunk(number, _size(mean, random.Random(number)))
+    return PromptChunk(number, _draw_size(mean, random.Random(number)))
 
 
-def _size(mean: float, rng: random.Random) -> int:
+def _draw_size(mean: float, rng: random.Random) -> int:
     factor = rng.lognormvariate(-(SIZE_SPREAD**2) / 2, SIZE_SPREAD)
-    return max(1, round(mean * min(factor, LARGEST)))
+    return max(1, round(mean * min(factor, MAX_SIZE_FACTOR)))
--- a/firvane/simulation/localfleet/settings_files.py
+++ b/firvane/simulation/localfleet/settings_files.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformTerms:
-    """The list of model servers: calls a second, and its lag in seconds."""
+    """Limits of the instance list: calls per second, lag in seconds, page size."""
 
     rate_per_s: float = 40.0
     lag: float = 0.8
@@ -51,7 +51,7 @@
 def settings_document(
     node: Node, layout: Layout, platform: PlatformTerms, data: Path | None, *, first_start: bool
 ) -> dict[str, object]:
-    """The content of a daemon's settings file; `data` is its data folder, where it has one."""
+    """The content of a daemon's settings file; `data` is its data folder, if any."""
     role = node.role
     return {
         "node_name": node.name,
@@ -64,7 +64,7 @@
         "zones": dict.fromkeys(ZONES, REGION),
         "listen_addresses": _listen_addresses(node, layout),
         "internal_ports": list(layout.ports.internal),
-        "seed_nodes": [_text(seed) for seed in layout.seeds],
+        "seed_nodes": [_address_text(seed) for seed in layout.seeds],
         "first_start": first_start,
         "loss_counted": role is DaemonRole.CONTROLLER,
         "limits": {"cpu_share": 1.0, "cpu_cores": 1, "link_mbps": LINK_MBPS, **LIMITS[role]},
@@ -76,7 +76,7 @@
         "fault_tolerance": {"machines": (len(layout.controllers) - 1) // 2, "zones": 0, "regions": 0},
         "bounds": BOUNDS,
         "cloud_api": {
-            "address": _text(layout.platform),
+            "address": _address_text(layout.platform),
             "rate_per_s": platform.rate_per_s,
             "duties": [],
             "lag_ms": round(platform.lag * 1000),
@@ -86,7 +86,7 @@
 
 def write_settings(path: Path, document: dict[str, object]) -> None:
     """Write a settings file."""
-    import yaml  # only a start needs it
+    import yaml  # needed only to start daemons
 
     path.write_text(yaml.safe_dump(document, sort_keys=False))
 
@@ -94,9 +94,12 @@
 def _listen_addresses(node: Node, layout: Layout) -> dict[str, str]:
     ports = layout.ports
     if node.role is DaemonRole.CONTROLLER:
-        return {"control": _text((node.host, ports.control))}
-    return {"front": _text((node.host, ports.front)), "readiness": _text((node.host, ports.readiness))}
+        return {"control": _address_text((node.host, ports.control))}
+    return {
+        "front": _address_text((node.host, ports.front)),
+        "readiness": _address_text((node.host, ports.readiness)),
+    }
 
 
-def _text(address: Address) -> str:
+def _address_text(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/firvane/simulation/localfleet/signal_state.py
+++ b/firvane/simulation/localfleet/signal_state.py
@@ -1,4 +1,4 @@
-"""How a process or thread deals with signals, by the kernel's word."""
+"""Reads from /proc how a process or thread handles signals."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def signals_in(status: str, field: SignalField) -> set[signal.Signals]:
-    """The signals in one mask of a `status` file's text."""
+    """The signals in one mask of the text of a `status` file."""
     prefix = f"{field}:"
     mask = next(int(line.split()[1], 16) for line in status.splitlines() if line.startswith(prefix))
     return {number for number in signal.Signals if mask & 1 << (number - 1)}
 
 
 def survives(pid: int, number: signal.Signals) -> bool:
-    """Whether a process that is sent this signal now is not ended by the default action."""
+    """Whether the process blocks, ignores or catches a signal, so that it does not end by default."""
     try:
         status = Path(f"/proc/{pid}/status").read_text()
     except OSError:
--- a/firvane/simulation/localfleet/stand_ins.py
+++ b/firvane/simulation/localfleet/stand_ins.py
@@ -1,4 +1,4 @@
-"""Model servers and the platform's list alone, for daemons that are started by hand.
+"""Runs model servers and the platform's list alone, for manually started daemons.
 
 `python -m firvane.simulation.localfleet.stand_ins` serves at the addresses of `deploy/fleet.example` until
 interrupted.
@@ -14,7 +14,7 @@
 from firvane.simulation.localfleet.profiles import ServerProfile
 from firvane.simulation.localfleet.settings_files import PlatformTerms
 
-EXAMPLE_PORT = 7300  # the first of the ports in deploy/fleet.example
+EXAMPLE_PORT = 7300  # the first port in deploy/fleet.example
 
 
 def example_layout() -> Layout:
@@ -25,7 +25,7 @@
 def stand_ins(*, backends: int = 2) -> None:
     """Serve a list of model servers, and the model servers, until interrupted.
 
-    :param backends: how many model servers
+    :param backends: number of model servers
     """
     if not 1 <= backends <= MAX_BACKENDS:
         raise SystemExit(f"backends: {backends} is not between 1 and {MAX_BACKENDS}")
--- a/firvane/simulation/localfleet/token_memory.py
+++ b/firvane/simulation/localfleet/token_memory.py
@@ -1,10 +1,10 @@
-"""The memory of one model server, counted in tokens: its prefix cache, and what requests hold.
+"""The memory of one model server, counted in tokens: its prefix cache and the private memory of requests.
 
-1. A chunk that a running request uses is locked and cannot give way. Others stay cached until their space is
-   needed; the least recently used gives way first.
-2. A cached chunk saves its prefill only where all chunks before it in the prompt are cached as well.
-3. What a request has read or written itself is private until a chunk is prefilled completely; then that is
-   cached.
+1. A chunk that a running request uses is locked and cannot be evicted. Others stay cached until their space
+   is needed; the least recently used is evicted first.
+2. A cached chunk saves its prefill only if all chunks before it in the prompt are cached as well.
+3. Tokens that a request has prefilled or written are private until a chunk is prefilled completely; then the
+   chunk is cached.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class TokenMemory:
-    """Room for `capacity` tokens."""
+    """Memory for `capacity` tokens."""
 
     def __init__(self, capacity: int) -> None:
         self.capacity = capacity
         self._locked: dict[int, _LockedChunk] = {}
         self._idle: OrderedDict[int, int] = OrderedDict()  # id to tokens, least recently used first
         self._idle_tokens = 0
-        self._in_use = 0  # private tokens and those of locked parts
+        self._in_use = 0  # private tokens and those of locked chunks
 
     @property
     def in_use(self) -> int:
-        """Tokens that cannot give way now."""
+        """Number of tokens that cannot be evicted now."""
         return self._in_use
 
     def keeps(self, part: PromptChunk) -> bool:
@@ -52,7 +52,7 @@
         return count
 
     def reserve(self, tokens: int) -> bool:
-        """Take private room, for which idle parts give way; False, and no change, where there is none."""
+        """Reserve private memory, evicting idle chunks; False, without a change, if there is not enough."""
         if self._in_use + tokens > self.capacity:
             return False
         self._in_use += tokens
@@ -60,20 +60,20 @@
         return True
 
     def free(self, tokens: int) -> None:
-        """Give private room back."""
+        """Release private memory."""
         self._in_use -= tokens
 
     def keep(self, part: PromptChunk) -> None:
-        """A chunk was prefilled into private memory: it is cached now, locked by its reader."""
+        """Cache a chunk that was prefilled into private memory, locked by its request."""
         self._in_use -= part.tokens
         if self.keeps(part):
-            self._lock(part)  # somebody else was sooner
+            self._lock(part)  # another request has cached it meanwhile
         else:
             self._in_use += part.tokens
             self._locked[part.id] = _LockedChunk(part.tokens, 1)
 
     def unlock(self, parts: Sequence[PromptChunk]) -> None:
-        """A request that had locked these parts has ended. The first ones count as the most recently used."""
+        """Unlock the chunks of a request that has ended; the first ones become the most recently used."""
         for part in reversed(parts):
             locked = self._locked[part.id]
             locked.users -= 1
--- a/tests/simulation/localfleet/test_ingress.py
+++ b/tests/simulation/localfleet/test_ingress.py
@@ -15,22 +15,22 @@
     ingress = Ingress(ROUTERS)
     assert not ingress.all_ready
     for router in ROUTERS:
-        ingress.note(router, True)
+        ingress.record_probe(router, True)
     assert ingress.all_ready
-    ingress.note(ROUTERS[0], False)
+    ingress.record_probe(ROUTERS[0], False)
     assert reached(ingress) == set(ROUTERS)
-    ingress.note(ROUTERS[0], False)
+    ingress.record_probe(ROUTERS[0], False)
     assert reached(ingress) == set(ROUTERS[1:])
-    ingress.note(ROUTERS[0], True)
+    ingress.record_probe(ROUTERS[0], True)
     assert reached(ingress) == set(ROUTERS)
 
 
 def test_all_are_used_while_fewer_than_half_are_in() -> None:
     ingress = Ingress(ROUTERS)
     assert reached(ingress) == set(ROUTERS)
-    ingress.note(ROUTERS[0], True)
+    ingress.record_probe(ROUTERS[0], True)
     assert reached(ingress) == set(ROUTERS)
-    ingress.note(ROUTERS[1], True)
+    ingress.record_probe(ROUTERS[1], True)
     assert reached(ingress) == set(ROUTERS[:2])
 
 
