--- a/tests/simulation/localfleet/test_retries.py
+++ b/tests/simulation/localfleet/test_retries.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from firvane.simulation.localfleet.retries import PAUSE, AttemptEnd, AttemptResult, retry_delay
+from firvane.simulation.localfleet.retries import DEFAULT_PAUSE, AttemptEnd, AttemptResult, retry_delay
 
 
 def answered(status: int, retry_after: float | None = None) -> AttemptResult:
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_promise_lets_every_request_be_tried_again(status: int) -> None:
-    assert retry_delay(answered(status), False, 1, 5.0) == PAUSE
+    assert retry_delay(answered(status), False, 1, 5.0) == DEFAULT_PAUSE
 
 
 @pytest.mark.parametrize(
@@ -23,11 +23,11 @@
 )
 def test_what_promises_nothing_is_repeated_only_where_it_may_be(result: AttemptResult) -> None:
     assert retry_delay(result, False, 1, 5.0) is None
-    assert retry_delay(result, True, 1, 5.0) == PAUSE
+    assert retry_delay(result, True, 1, 5.0) == DEFAULT_PAUSE
 
 
 def test_no_connection_means_that_nothing_ran() -> None:
-    assert retry_delay(AttemptResult(AttemptEnd.NOT_CONNECTED), False, 1, 5.0) == PAUSE
+    assert retry_delay(AttemptResult(AttemptEnd.NOT_CONNECTED), False, 1, 5.0) == DEFAULT_PAUSE
 
 
 @pytest.mark.parametrize("status", [400, 401, 404, 413, 431])
