--- a/tests/simulation/localfleet/test_batch.py
+++ b/tests/simulation/localfleet/test_batch.py
@@ -1,4 +1,4 @@
-"""The batch of a model server, step by step on a clock of its own."""
+"""The batch of a model server, advanced step by step on a simulated clock."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 def play(batch: Batch, until: float = FAR) -> list[tuple[float, Output]]:
-    """All outputs until the batch is idle or the time is over."""
+    """All outputs until the batch is idle or the time `until` is reached."""
     outputs: list[tuple[float, Output]] = []
     while batch.next_step is not None and batch.next_step <= until:
         now = batch.next_step
@@ -59,7 +59,7 @@
     return [each for _, each in outputs if isinstance(each, Produced) and each.job == number]
 
 
-def test_a_prompt_is_read_in_pieces_and_its_end_gives_the_first_token() -> None:
+def test_a_prompt_is_prefilled_in_chunks_and_its_end_produces_the_first_token() -> None:
     batch = Batch(PROFILE)
     assert batch.submit(Job(1, Prompt((SHARED,), 5), 5, FAR), 0.0) == []
     outputs = play(batch)
@@ -71,7 +71,7 @@
     assert batch.active == batch.queued == 0
 
 
-def test_a_kept_part_is_not_read_again() -> None:
+def test_a_cached_chunk_is_not_prefilled_again() -> None:
     batch = Batch(PROFILE)
     batch.submit(Job(1, prompt(shared=SHARED), 5, FAR), 0.0)
     play(batch)
@@ -92,7 +92,7 @@
     assert [each.last for each in found] == [False] * (count - 1) + [True]
 
 
-def test_a_stream_is_taken_up_behind_what_the_client_has() -> None:
+def test_a_stream_resumes_after_the_events_that_the_client_has() -> None:
     batch = Batch(PROFILE)
     batch.submit(Job(1, prompt(out=12), 5, FAR, events_before=2), 0.0)
     assert [each.event for each in events(play(batch), 1)] == [3, 4]
@@ -101,7 +101,7 @@
     assert tokens_within(4, 12, 4) == 12
 
 
-def test_a_full_server_turns_away_and_a_more_urgent_request_takes_a_place() -> None:
+def test_a_full_server_rejects_and_a_request_of_higher_priority_displaces_another() -> None:
     batch = Batch(PROFILE)
     for number in range(4):
         assert batch.submit(job(number), 0.0) == []
@@ -109,7 +109,7 @@
     assert batch.submit(job(5, priority=0), 0.0) == [Rejected(3, RejectionReason.FULL)]
 
 
-def test_a_request_that_has_begun_is_not_turned_away() -> None:
+def test_a_request_that_has_run_is_not_rejected() -> None:
     batch = Batch(dataclasses.replace(PROFILE, slots=1, queue=1))
     batch.submit(job(1, priority=9, out=40), 0.0)
     outputs = play(batch, until=0.05)
@@ -120,12 +120,12 @@
     assert events(outputs + play(batch), 1)[-1].last
 
 
-def test_a_request_larger_than_the_memory_is_turned_away() -> None:
+def test_a_request_larger_than_the_memory_is_rejected() -> None:
     batch = Batch(PROFILE)
     assert batch.submit(job(1, own=996), 0.0) == [Rejected(1, RejectionReason.TOO_LARGE)]
 
 
-def test_the_more_urgent_enter_first_and_displace() -> None:
+def test_higher_priority_is_admitted_first_and_displaces_lower() -> None:
     batch = Batch(PROFILE)
     for number in (1, 2):
         batch.submit(job(number, out=20), 0.0)
@@ -136,7 +136,7 @@
     assert [each.event for each in events(outputs, 2)] == list(range(1, 1 + event_count(20, 4)))
 
 
-def test_memory_that_runs_out_preempts_the_newest_of_the_least_urgent() -> None:
+def test_exhausted_memory_preempts_the_newest_request_of_the_lowest_priority() -> None:
     profile = dataclasses.replace(PROFILE, cache_tokens=110)
     batch = Batch(profile)
     for number in (1, 2):
@@ -147,10 +147,10 @@
     ends = {each.job: at for at, each in outputs if isinstance(each, Produced) and each.last}
     assert ends[1] < ends[2]
     read = [output.part.id for _, output in outputs if isinstance(output, ChunkPrefilled)]
-    assert read.count(1002) == 2  # read anew
+    assert read.count(1002) == 2  # prefilled again
 
 
-def test_a_deadline_in_the_queue_is_a_promise_and_one_while_running_is_not() -> None:
+def test_a_deadline_in_the_queue_rejects_and_one_while_running_times_out() -> None:
     batch = Batch(PROFILE)
     for number in (1, 2):
         batch.submit(job(number, out=100), 0.0)
@@ -164,7 +164,7 @@
     assert late.active == 0 and late.memory.in_use == 0
 
 
-def test_a_cancelled_request_leaves_nothing_behind() -> None:
+def test_a_cancelled_request_releases_its_memory() -> None:
     batch = Batch(PROFILE)
     for number in (1, 2, 3):
         batch.submit(job(number), 0.0)
@@ -183,10 +183,10 @@
 
 @settings(deadline=None)
 @given(st.lists(JOBS, max_size=12), st.lists(st.integers(0, 11), max_size=3))
-def test_every_request_ends_once_and_its_events_rise(
+def test_every_request_ends_once_and_its_event_numbers_increase(
     drawn: list[tuple[int, int, int, float, float]], cancelled: list[int]
 ) -> None:
-    """Whatever comes, each request is served whole, turned away before its first event, or times out."""
+    """Each request is served completely, rejected before its first event, or times out."""
     batch = Batch(dataclasses.replace(PROFILE, cache_tokens=200))
     outputs: list[Output] = []
     now = 0.0
--- a/tests/simulation/localfleet/test_command.py
+++ b/tests/simulation/localfleet/test_command.py
@@ -1,4 +1,4 @@
-"""The whole command: real daemons, stand-ins, load, and the end in order."""
+"""The complete command: real daemons, stand-ins, load and shutdown."""
 
 from __future__ import annotations
 
@@ -71,6 +71,6 @@
     assert capsys.readouterr().err
 
 
-def test_a_list_option_given_twice_is_refused() -> None:
+def test_a_list_option_given_twice_is_rejected() -> None:
     with pytest.raises(SystemExit, match="--kill"):
         run(["--kill", "owner@1", "--kill", "router@2"])
--- a/tests/simulation/localfleet/test_event_stream.py
+++ b/tests/simulation/localfleet/test_event_stream.py
@@ -1,4 +1,4 @@
-"""Streams of events: written by servers, checked by clients however they are cut."""
+"""Event streams: encoded by servers, checked by clients for any split of the bytes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 def stream(first: int, last: int, digest: int = DIGEST) -> bytes:
-    """Events of a stream that ends with number `last`."""
+    """The encoded events of a stream whose last event has the number `last`."""
     numbers = range(first, last + 1)
     return b"".join(StreamEvent(number, digest, number == last).encode() for number in numbers)
 
 
 @given(st.integers(1, 8), st.lists(st.integers(0, 300), max_size=8))
-def test_a_stream_is_read_however_it_is_cut(last: int, cuts: list[int]) -> None:
+def test_a_stream_is_parsed_for_any_split_of_the_bytes(last: int, cuts: list[int]) -> None:
     data = stream(1, last)
     edges = sorted({0, len(data), *(cut for cut in cuts if cut < len(data))})
     check = StreamCheck(DIGEST)
@@ -29,9 +29,9 @@
     assert count == last == check.last_number
 
 
-def test_a_stream_goes_on_in_another_answer() -> None:
+def test_a_stream_continues_in_another_response() -> None:
     check = StreamCheck(DIGEST)
-    check.feed(stream(1, 9)[:-70])  # a few events, the last of them cut
+    check.feed(stream(1, 9)[:-70])  # some events, the last of them truncated
     check.begin_response()
     check.feed(stream(check.last_number + 1, 9))
     check.end_response()
@@ -61,12 +61,12 @@
         "endless",
     ],
 )
-def test_a_wrong_stream_is_found(data: bytes) -> None:
+def test_a_wrong_stream_is_detected(data: bytes) -> None:
     with pytest.raises(StreamError):
         StreamCheck(DIGEST).feed(data)
 
 
-def test_an_end_that_comes_too_early_is_found() -> None:
+def test_a_premature_end_is_detected() -> None:
     check = StreamCheck(DIGEST)
     check.feed(stream(1, 3)[:-5])
     with pytest.raises(StreamError):
--- a/tests/simulation/localfleet/test_ingress.py
+++ b/tests/simulation/localfleet/test_ingress.py
@@ -1,4 +1,4 @@
-"""Which router a client's new connection reaches."""
+"""The choice of a router for a client's new connection."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
     return {ingress.choose(client, 0) for client in range(200)}
 
 
-def test_a_router_is_out_after_two_misses_and_in_after_one_yes() -> None:
+def test_a_router_is_excluded_after_two_failed_probes_and_included_after_one_success() -> None:
     ingress = Ingress(ROUTERS)
     assert not ingress.all_ready
     for router in ROUTERS:
@@ -25,7 +25,7 @@
     assert reached(ingress) == set(ROUTERS)
 
 
-def test_all_are_used_while_fewer_than_half_are_in() -> None:
+def test_all_routers_are_used_while_fewer_than_half_are_ready() -> None:
     ingress = Ingress(ROUTERS)
     assert reached(ingress) == set(ROUTERS)
     ingress.record_probe(ROUTERS[0], True)
@@ -34,7 +34,7 @@
     assert reached(ingress) == set(ROUTERS[:2])
 
 
-def test_a_client_stays_and_its_retry_goes_elsewhere() -> None:
+def test_a_client_keeps_its_router_and_its_retry_uses_another() -> None:
     ingress = Ingress(ROUTERS)
     for client in range(20):
         assert ingress.choose(client, 0) == ingress.choose(client, 0) != ingress.choose(client, 1)
--- a/tests/simulation/localfleet/test_instance_list.py
+++ b/tests/simulation/localfleet/test_instance_list.py
@@ -34,11 +34,11 @@
     assert ask(instances, 13.9) == {"i-02": "ready"}
 
 
-def test_pages_hold_all_instances_and_zones_select() -> None:
+def test_pages_contain_all_instances_and_filter_by_zone() -> None:
     instances = InstanceList(0.0, 2, 40)
     for number in range(5):
         instances.put(instance(number, "zone-b" if number == 3 else "zone-a"), 0.0)
-    walk = InstanceListReader()  # as the real poller asks
+    walk = InstanceListReader()  # pages as the real poller does
     step = walk.begin()
     pages = 0
     while isinstance(step, Fetch):
--- a/tests/simulation/localfleet/test_layout.py
+++ b/tests/simulation/localfleet/test_layout.py
@@ -19,7 +19,7 @@
 EXAMPLES = Path(__file__).parents[3] / "deploy" / "fleet.example"
 
 
-def test_each_process_has_an_address_of_its_own() -> None:
+def test_each_process_has_its_own_address() -> None:
     hosts = [node.host for node in LAYOUT.nodes] + [LAYOUT.backend(number)[0] for number in range(6)]
     assert len(set(hosts)) == len(hosts)
     assert len(LAYOUT.seeds) == 3
@@ -43,7 +43,7 @@
         assert router_settings(settings).client_address in LAYOUT.fronts
 
 
-def test_the_example_files_are_what_the_command_would_write() -> None:
+def test_the_example_files_equal_those_that_the_command_writes() -> None:
     layout = example_layout()
     for node in layout.nodes:
         text = (EXAMPLES / f"{node.role}.yaml").read_text()
@@ -54,7 +54,7 @@
     router_settings(load_settings(EXAMPLES / "router.yaml"))
 
 
-def test_kills_are_read() -> None:
+def test_kills_are_parsed() -> None:
     names = [node.name for node in LAYOUT.nodes]
     assert parse_kill("router@5", names) == Kill("router", 5.0)
     assert parse_kill("owner@0.5", names) == Kill("owner", 0.5)
--- a/tests/simulation/localfleet/test_metrics.py
+++ b/tests/simulation/localfleet/test_metrics.py
@@ -1,4 +1,4 @@
-"""Outcomes, figures, and what counts as a fault."""
+"""Outcomes, metrics and faults of a run."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def record(
     end: AttemptEnd, status: int = 200, first: float | None = 0.1, pause: float = 0.01, began: float = 10.0
 ) -> RequestRecord:
-    """A request of one try, sent as intended; `first` is the time to its first event."""
+    """A request with one attempt, sent at its intended time; `first` is the time to its first event."""
     made = RequestRecord(LONG_PROMPTS, began)
     made.begin_attempt(ROUTER, began)
     made.end(AttemptResult(end, status), began + 1, None if first is None else began + first, pause)
@@ -44,7 +44,7 @@
     assert record(AttemptEnd.BROKEN).outcome is Outcome.FAILED
 
 
-def test_latency_counts_from_the_intended_send() -> None:
+def test_latency_counts_from_the_intended_time_of_sending() -> None:
     made = RequestRecord(SHORT_PROMPTS, 10.0)
     made.begin_attempt(ROUTER, 12.0)
     made.end(AttemptResult(AttemptEnd.SERVED, 200), 12.5, 12.1, 0.0)
@@ -58,7 +58,7 @@
     assert percentiles([]).p99 == 0
 
 
-def test_class_figures_know_what_a_kill_has_cut() -> None:
+def test_class_metrics_count_requests_broken_by_a_kill() -> None:
     records = [
         SERVED,
         record(AttemptEnd.BROKEN),
@@ -99,7 +99,7 @@
     return dataclasses.replace(good, **changes)  # type: ignore[arg-type]
 
 
-def test_a_good_run_and_what_makes_one_bad() -> None:
+def test_a_run_without_faults_and_each_kind_of_fault() -> None:
     assert run_figures().good
     crashed = DaemonMetrics("router-1", 2, [1], 30.0, 0.5, ["Traceback"])
     bad: list[dict[str, object]] = [
@@ -120,14 +120,14 @@
         assert json.loads(metrics.as_json())["good"] is False
 
 
-def test_a_report_names_daemons_and_what_their_logs_say() -> None:
+def test_a_report_names_daemons_and_the_problems_in_their_logs() -> None:
     daemon = DaemonMetrics("router-1", 2, [1], 33.3, 0.51, ["Traceback (most recent call last):"])
     text = render(run_figures(daemons=[daemon]))
     assert "router-1: Traceback" in text
     assert "33.3" in text
 
 
-def test_usage_is_read_from_what_the_kernel_shows() -> None:
+def test_usage_is_parsed_from_proc_files() -> None:
     status = "Name:\tpython\nVmPeak:\t  99999 kB\nVmHWM:\t   36864 kB\n"
     stat = "12 (a (b) c) S " + " ".join(["0"] * 10) + " 150 50 0 0"
     usage = parse_usage(status, stat)
--- a/tests/simulation/localfleet/test_model_server.py
+++ b/tests/simulation/localfleet/test_model_server.py
@@ -1,4 +1,4 @@
-"""A model server on loopback sockets; each test awaits answers."""
+"""A model server on loopback sockets; each test awaits responses."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     asyncio.run(play())
 
 
-def test_a_stream_is_taken_up() -> None:
+def test_a_stream_is_resumed() -> None:
     async def play() -> None:
         async with server() as made:
             response = await ask(made, {**HEADERS, "Last-Event-Id": "2"})
@@ -79,7 +79,7 @@
     asyncio.run(play())
 
 
-def test_what_is_turned_away_says_that_it_has_not_run() -> None:
+def test_a_rejection_states_that_the_request_has_not_run() -> None:
     async def play() -> None:
         async with server() as made:
             without_id = {name: value for name, value in HEADERS.items() if name != "X-Request-Id"}
@@ -99,7 +99,7 @@
     asyncio.run(play())
 
 
-def test_a_full_server_turns_away_and_a_closed_connection_makes_room() -> None:
+def test_a_full_server_rejects_and_a_closed_connection_frees_a_place() -> None:
     async def play() -> None:
         async with server(SLOW) as made:
             asking = asyncio.create_task(ask(made))
--- a/tests/simulation/localfleet/test_operator_calls.py
+++ b/tests/simulation/localfleet/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The operator's way from controller to controller, and its documents."""
+"""Redirects and retries of the operator's calls, and its configuration documents."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 
 
 @pytest.mark.parametrize("location", [None, "", "http://name:80/x", "nowhere"])
-def test_a_redirect_to_nowhere_is_a_failure(location: str | None) -> None:
+def test_a_redirect_without_a_valid_address_is_a_failure(location: str | None) -> None:
     step = OperatorCall([A, B], 0).answered(307, location)
     assert isinstance(step, SendTo) and step.address == B
 
 
 @pytest.mark.parametrize("status", [500, 502, 503, 408, 429])
-def test_the_call_moves_on_with_growing_pauses(status: int) -> None:
+def test_the_call_goes_to_the_next_controller_with_increasing_pauses(status: int) -> None:
     call = OperatorCall([A, B, C], 1)
     steps = [call.answered(status, None) for _ in range(4)]
     assert [step.address for step in steps] == [C, A, B, C]
@@ -42,11 +42,11 @@
 
 
 @pytest.mark.parametrize("status", [200, 400, 409, 412, 413, 422])
-def test_clear_answers_end_the_call(status: int) -> None:
+def test_final_statuses_end_the_call(status: int) -> None:
     assert OperatorCall([A], 0).answered(status, None) == CallEnded(A, status)
 
 
-def test_other_client_errors_end_it_at_the_third_try() -> None:
+def test_other_client_errors_end_the_call_at_the_third_attempt() -> None:
     call = OperatorCall([A, B], 0)
     assert isinstance(call.answered(404, None), SendTo)
     assert isinstance(call.answered(404, None), SendTo)
@@ -55,7 +55,7 @@
 
 @pytest.mark.parametrize("changes_live_routes", (False, True))
 def test_every_order_is_valid_and_leads_to_the_known_document(changes_live_routes: bool) -> None:
-    """Against the real checks and the real merging."""
+    """Checked with the real validation and merging of configurations."""
     state = ConfigurationState()
     kinds = (LONG_PROMPTS, SHORT_PROMPTS)
     configurations = Configurations(kinds, ServerProfile(), changes_live_routes=changes_live_routes)
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize("rival_first", (False, True))
-def test_one_of_two_rivals_is_taken_and_leads_to_the_known_document(rival_first: bool) -> None:
+def test_one_of_two_competing_orders_is_accepted_and_leads_to_the_known_document(rival_first: bool) -> None:
     state = ConfigurationState()
     configurations = Configurations((LONG_PROMPTS,), ServerProfile(), changes_live_routes=True)
     first = configurations.first()
@@ -98,7 +98,7 @@
     assert json.loads(example.read_text()) == json.loads(order.body)
 
 
-def test_an_order_without_an_answer_is_made_again_unchanged() -> None:
+def test_an_order_without_a_response_is_repeated_unchanged() -> None:
     configurations = Configurations((LONG_PROMPTS,), ServerProfile())
     configurations.acknowledged(configurations.first())
     assert configurations.change() == configurations.change()
--- a/tests/simulation/localfleet/test_prompts.py
+++ b/tests/simulation/localfleet/test_prompts.py
@@ -1,4 +1,4 @@
-"""Prompts in headers."""
+"""Encoding and parsing of prompt headers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 @given(PARTS, st.integers(1, 10_000))
-def test_what_is_written_is_read(parts: list[PromptChunk], output: int) -> None:
+def test_encoded_prompts_are_parsed(parts: list[PromptChunk], output: int) -> None:
     prompt = Prompt(tuple(parts), output)
     assert parse_prompt(prompt.token_count_header.encode(), prompt.prefix_header.encode()) == prompt
 
@@ -36,7 +36,7 @@
         (b"-5,1", b"1:-5"),
     ],
 )
-def test_what_makes_no_sense_is_refused(count: bytes, prefix: bytes) -> None:
+def test_invalid_headers_are_rejected(count: bytes, prefix: bytes) -> None:
     with pytest.raises(PromptError):
         parse_prompt(count, prefix)
 
--- a/tests/simulation/localfleet/test_run_ledger.py
+++ b/tests/simulation/localfleet/test_run_ledger.py
@@ -1,4 +1,4 @@
-"""The judgement of doubled, unasked and altered runs."""
+"""The verdict on doubled, unsolicited and altered runs."""
 
 from __future__ import annotations
 
@@ -19,42 +19,42 @@
     return Run(request_id, "i-1", events_before, mark)
 
 
-def test_what_ran_once_as_it_was_sent_is_clean() -> None:
+def test_requests_run_once_and_unchanged_are_clean() -> None:
     sent = {b"a": SentAttempt(False, MARK), b"b": SentAttempt(True, MARK), b"c": SentAttempt(False, MARK)}
     verdict = judge([run(b"a"), run(b"b")], sent)
     assert verdict == Verdict()
     assert verdict.clean
 
 
-def test_a_second_run_doubles_what_may_not_be_repeated() -> None:
+def test_a_second_run_of_a_non_repeatable_request_is_doubled() -> None:
     sent = {b"a": SentAttempt(False, MARK), b"b": SentAttempt(False, MARK)}
     verdict = judge([run(b"a"), run(b"b"), run(b"a"), run(b"a")], sent)
     assert verdict.doubled == (b"a",)
     assert not verdict.clean
 
 
-def test_a_stream_that_may_not_be_taken_up_is_doubled_by_it() -> None:
+def test_resuming_a_non_repeatable_stream_is_doubled() -> None:
     assert judge([run(b"a"), run(b"a", 3)], {b"a": SentAttempt(False, MARK)}).doubled == (b"a",)
 
 
-def test_what_may_be_repeated_is_counted_and_no_fault() -> None:
+def test_repeated_runs_of_repeatable_requests_are_counted_and_no_fault() -> None:
     verdict = judge([run(b"a"), run(b"a"), run(b"a", 2)], {b"a": SentAttempt(True, MARK)})
     assert verdict.clean
     assert (verdict.repeated, verdict.resumed) == (1, 1)
 
 
-def test_a_stream_taken_up_by_a_new_try_counts_as_resumed() -> None:
+def test_a_stream_resumed_by_a_retry_counts_as_resumed() -> None:
     sent = {b"a": SentAttempt(True, MARK), b"b": SentAttempt(True, MARK)}
     assert judge([run(b"a"), run(b"b", 2)], sent).resumed == 1
 
 
-def test_a_run_behind_a_refusal_breaks_a_promise() -> None:
+def test_a_run_after_a_rejection_is_a_fault() -> None:
     sent = {b"a": SentAttempt(False, MARK, promised=True), b"b": SentAttempt(True, MARK, promised=True)}
     verdict = judge([run(b"a"), run(b"b")], sent)
     assert verdict.ran_after_refusal == (b"a",)
 
 
-def test_unasked_and_altered_runs_are_told() -> None:
+def test_unsolicited_and_altered_runs_are_reported() -> None:
     verdict = judge([run(b"x"), run(b"a", mark=8)], {b"a": SentAttempt(False, MARK)})
     assert verdict.unasked == (b"x",)
     assert verdict.altered == (b"a",)
@@ -72,7 +72,7 @@
     assert len(marks) == 5
 
 
-def test_parts_that_any_server_had_read_count_as_read_again() -> None:
+def test_chunks_prefilled_before_by_any_server_count_as_read_again() -> None:
     ledger = PrefillCounter()
     for part in (PromptChunk(1, 10), PromptChunk(2, 5), PromptChunk(1, 10)):
         ledger.note(part)
--- a/tests/simulation/localfleet/test_schedule.py
+++ b/tests/simulation/localfleet/test_schedule.py
@@ -16,7 +16,7 @@
     assert draw_schedule(KINDS, 5.0, 10, 3) != draw_schedule(KINDS, 5.0, 10, 4)
 
 
-def test_times_rise_within_the_run_at_about_the_rate() -> None:
+def test_times_increase_within_the_run_at_about_the_rate() -> None:
     schedule = draw_schedule(KINDS, 100.0, 10, 1)
     times = [planned.at for planned in schedule]
     assert times == sorted(times) and times[0] >= 0 and times[-1] < 100.0
@@ -25,7 +25,7 @@
         assert 0.8 < count / (100.0 * kind.per_second) < 1.2
 
 
-def test_requests_share_their_first_part_and_no_more() -> None:
+def test_requests_share_only_their_first_chunk() -> None:
     schedule = [planned for planned in draw_schedule(KINDS, 100.0, 10, 1) if planned.kind is LONG_PROMPTS]
     shared = {planned.prompt.parts[0] for planned in schedule}
     assert len(shared) <= LONG_PROMPTS.subjects < len(schedule)
@@ -34,7 +34,7 @@
     assert len({planned.body() for planned in schedule}) == len(schedule)
 
 
-def test_prompts_can_be_sent() -> None:
+def test_prompts_can_be_encoded() -> None:
     for planned in draw_schedule(KINDS, 2.0, 10, 1):
         prompt = planned.prompt
         assert parse_prompt(prompt.token_count_header.encode(), prompt.prefix_header.encode()) == prompt
--- a/tests/simulation/localfleet/test_signal_state.py
+++ b/tests/simulation/localfleet/test_signal_state.py
@@ -1,4 +1,4 @@
-"""Whether a process survives a signal, by the kernel's word."""
+"""Whether a process survives a signal, according to /proc."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 }
 
 
-def test_masks_are_read() -> None:
+def test_masks_are_parsed() -> None:
     assert signals_in(STATUS, SignalField.BLOCKED) == {signal.SIGHUP, signal.SIGTERM}
     assert signals_in(STATUS, SignalField.CAUGHT) == {signal.SIGINT}
     assert not signals_in(STATUS, SignalField.IGNORED)
 
 
 @pytest.mark.parametrize("deals", DEALS)
-def test_a_process_survives_what_it_deals_with(deals: str) -> None:
+def test_a_process_survives_signals_that_it_handles(deals: str) -> None:
     code = f"import signal; {DEALS[deals]}\nprint('here', flush=True); input()"
     with subprocess.Popen(
         [sys.executable, "-c", code], stdin=subprocess.PIPE, stdout=subprocess.PIPE
--- a/tests/simulation/localfleet/test_signals.py
+++ b/tests/simulation/localfleet/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals of the real daemons: no thread but the first one may take them.
+"""Signals of the real daemons: only the first thread may receive them.
 
 A signal to the process goes to any thread that does not block it. At the end the first thread does, and a
 second SIGTERM that reached another one after the loop has closed would end the process out of order.
@@ -31,18 +31,18 @@
 
 
 async def until_unblocked(daemon: Daemon) -> list[set[signal.Signals]]:
-    """What each thread blocks, the first one first, once that one takes signals."""
+    """The blocked signals of each thread, first thread first, once the first one accepts signals."""
     while True:
         await asyncio.sleep(0)
         try:
             blocked = blocked_by_thread(daemon.pid)
         except (FileNotFoundError, ProcessLookupError):
-            continue  # a thread has just ended
+            continue  # the thread has just ended
         if not blocked[0]:
             return blocked
 
 
-def test_only_the_first_thread_of_a_daemon_takes_signals(tmp_path: Path) -> None:
+def test_only_the_first_thread_of_a_daemon_receives_signals(tmp_path: Path) -> None:
     async def scene() -> None:
         layout = make_layout(1, 1, find_free_ports(1, 1, 0))
         ports = (layout.ports.control, layout.ports.front)
--- a/tests/simulation/localfleet/test_token_memory.py
+++ b/tests/simulation/localfleet/test_token_memory.py
@@ -1,4 +1,4 @@
-"""The memory of a model server, alone and against a model that counts everything anew."""
+"""The memory of a model server, alone and against a model that recounts everything."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def read(memory: TokenMemory, part: PromptChunk) -> None:
-    """Read a part as a request does; it stays locked."""
+    """Prefill a chunk as a request does; it stays locked."""
     assert memory.reserve(part.tokens)
     memory.keep(part)
 
 
-def test_a_part_that_was_read_is_kept_for_the_next_request() -> None:
+def test_a_prefilled_chunk_is_cached_for_the_next_request() -> None:
     memory = TokenMemory(200)
     assert memory.lock_cached([A, B]) == 0
     read(memory, A)
@@ -27,14 +27,14 @@
     assert memory.in_use == A.tokens
 
 
-def test_a_kept_part_is_of_no_use_without_those_before_it() -> None:
+def test_a_cached_chunk_is_unused_without_the_chunks_before_it() -> None:
     memory = TokenMemory(200)
     read(memory, B)
     memory.unlock([B])
     assert memory.lock_cached([A, B]) == 0
 
 
-def test_the_least_recently_used_part_gives_way() -> None:
+def test_the_least_recently_used_chunk_is_evicted() -> None:
     memory = TokenMemory(240)
     for part in (A, B):
         read(memory, part)
@@ -46,7 +46,7 @@
     assert memory.keeps(A)
 
 
-def test_a_locked_part_does_not_give_way() -> None:
+def test_a_locked_chunk_is_not_evicted() -> None:
     memory = TokenMemory(150)
     read(memory, A)
     assert not memory.reserve(51)
@@ -54,7 +54,7 @@
     assert memory.reserve(50)
 
 
-def test_two_readers_of_one_part_share_it() -> None:
+def test_two_users_of_one_chunk_share_it() -> None:
     memory = TokenMemory(250)
     assert memory.reserve(A.tokens) and memory.reserve(A.tokens)
     memory.keep(A)
@@ -66,7 +66,7 @@
     assert memory.in_use == 0
 
 
-def test_the_first_parts_of_a_prompt_outlive_its_last() -> None:
+def test_the_last_chunks_of_a_prompt_are_evicted_before_the_first() -> None:
     memory = TokenMemory(150)
     read(memory, A)
     read(memory, B)
@@ -77,8 +77,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 5), st.booleans()), max_size=60))
-def test_any_course_agrees_with_a_plain_count(course: list[tuple[int, bool]]) -> None:
-    """Requests of one part each come and go; what is in use is what the running ones hold."""
+def test_any_sequence_agrees_with_a_direct_count(course: list[tuple[int, bool]]) -> None:
+    """Requests of one chunk each start and end; the memory in use equals that of the running ones."""
     memory = TokenMemory(300)
     running: list[PromptChunk] = []
     for number, ends in course:
