--- a/tests/simulation/runner/mutants.py
+++ b/tests/simulation/runner/mutants.py
@@ -211,7 +211,8 @@
     ),
     Mutant("a send after the drain", Rule.DRAINED, DRAINS, [
         (Engine, "update_server_list", deafen),
-        (UpstreamPools, "update_target", lambda self, update, name, address, up: update(self, name, address, True)),
+        (UpstreamPools, "update_target",
+         lambda self, update, name, address, up: update(self, name, address, True)),
     ]),
     Mutant("a cold box flooded", Rule.PUSHED_OVER, CRASH, [
         (BackendEstimates, "is_in_slow_start", lambda self, is_in_slow_start, server, now: False),
