--- a/tests/proxy/routing/samples.py
+++ b/tests/proxy/routing/samples.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import gc
 import sys
 from bisect import bisect_left
 from collections.abc import Callable, Sequence
@@ -43,7 +44,8 @@
         nonlocal count
         count += event == "c_call"
 
-    before = sys.gettrace(), sys.getprofile()
+    before, collects = (sys.gettrace(), sys.getprofile()), gc.isenabled()
+    gc.disable()  # callbacks of a collection that begins within the call would be counted
     sys.settrace(trace)
     sys.setprofile(profile)
     try:
@@ -51,6 +53,8 @@
     finally:
         sys.settrace(before[0])
         sys.setprofile(before[1])
+        if collects:
+            gc.enable()
     return count
 
 
