--- a/firvane/core/balancing/__init__.py
+++ b/firvane/core/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""The arithmetic of slices and windows, as both balancers use it (DESIGN-firvane.md: Step, Spreading)."""
+"""Computation of slices and offload shares, used by both balancers (DESIGN-firvane.md: Step, Spreading)."""
--- a/firvane/core/balancing/records.py
+++ b/firvane/core/balancing/records.py
@@ -1,4 +1,4 @@
-"""The records that the decisions keep of servers and open requests, and the arithmetic that they share.
+"""State of servers, attempts and open requests in the balancers, and shared arithmetic.
 
 Times are in seconds on the decisions' clock, durations in seconds.
 """
@@ -13,17 +13,19 @@
 from firvane.core import interface as api
 
 if TYPE_CHECKING:
-    from mypy_extensions import i64  # the machine's own 64 bits, where this is compiled; at run time just int
+    from mypy_extensions import i64  # a 64-bit machine integer when compiled; a plain int when interpreted
 
-MIN_WEIGHT = 2.0**-10  # above 0, as shares are divided by weights; not tiny, as estimates outlive a weight
+MIN_WEIGHT = (
+    2.0**-10
+)  # above 0, as weights are divisors; not tiny, as estimates outlive a weight change
 MAX_WEIGHT = 1e15
 INITIAL_CAPACITY = 4.0  # attempts
 
 
 def mix(a: int, b: int) -> int:
-    """A stable 32-bit hash of two numbers, the same in every process."""
-    # Only 64 bits of a product matter. The large factor is written as the negative number of the same bits,
-    # which fits a machine word: compiled the products wrap, interpreted they grow.
+    """Return a 32-bit hash of two integers that is the same in every process."""
+    # Only the low 64 bits of a product matter: compiled products wrap, interpreted ones grow. The large
+    # factor is written as the negative number with the same bits, as that fits a signed machine word.
     x: i64 = a
     y: i64 = b
     x = (x ^ y * 0x9E3779B1) * -0x2917014799A6026D
@@ -31,9 +33,9 @@
 
 
 def total(values: Iterable[float]) -> float:
-    """The sum of values from left to right: the same bits on every Python, interpreted or compiled.
+    """Return the sum from left to right: bit-identical on every Python, interpreted or compiled.
 
-    The built-in `sum` compensates from Python 3.12 on, and mypyc compiles it for integers.
+    The built-in `sum` uses compensated summation from Python 3.12 on, and mypyc compiles it for integers.
     """
     result = 0.0
     for value in values:
@@ -42,7 +44,7 @@
 
 
 def clamp_weight(weight: float) -> float:
-    """A weight within the bounds that the arithmetic can take, whatever a list says."""
+    """Return a listed weight limited to `MIN_WEIGHT` and `MAX_WEIGHT`."""
     return min(MAX_WEIGHT, max(MIN_WEIGHT, weight))
 
 
@@ -51,10 +53,10 @@
     """An attempt that has not ended.
 
     Attributes:
-        sent_at: when it was sent.
-        usual_duration: of such an attempt there, as known then.
-        overtaken_by: attempts sent to the same server later and answered before it.
-        is_lost: no answer is expected any more, and it no longer counts.
+        sent_at: time of the send.
+        usual_duration: duration of such an attempt at its server, as estimated at the send.
+        overtaken_by: number of attempts that were sent to its server later but answered earlier.
+        is_lost: no response is expected any more; excluded from `Backend.in_flight`.
     """
 
     sent_at: float
@@ -65,43 +67,43 @@
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """What one proxy knows of one server.
+    """The state that one proxy keeps of one server.
 
     Attributes:
-        entry: its entry of the server list.
-        id_hash: a stable hash of its id.
-        weight: of the list, clamped.
-        started_at: its last start, by the list or as observed; None: long ago.
-        in_flight: attempts from here.
-        capacity: estimate of the attempts from here that it takes without a rejection.
-        capacity_cut_at: when that was last lowered.
+        entry: its entry in the server list.
+        id_hash: stable hash of its id.
+        weight: listed weight, clamped.
+        started_at: time of its last start, as listed or observed; None: long ago.
+        in_flight: attempts in flight from this proxy.
+        capacity: estimated number of attempts from this proxy that it accepts at a time.
+        capacity_cut_at: when `capacity` was last lowered.
         announced: `in_flight` as last announced to the peers.
-        peers_in_flight: attempts of the peers, by their rows.
-        relative_latency: its recent durations, relative to those usual for their classes.
-        relative_latency_at: when that was last updated.
-        error_rate: the recent part of its responses that were errors.
-        failures: attempts that failed since its last response.
-        connection_failures: those of them whose connection broke or could not be made.
-        failing_since: when the first of these was.
-        rejected_first_connections: rejections in a row of a first connection from here.
-        failed_extra_connections: recent connections that it did not accept while it had others from here.
-        failed_extra_connections_at: when that was last updated.
-        last_response_at: when an attempt last ended by the server itself.
-        response_gap: mean time between such ends.
-        retry_at: no attempt is sent before.
-        connections_full_at: when its table of connections was last found full.
-        duration_sum: of its recent responses to requests with hinted work.
-        work_sum: the work hinted for these, in seconds.
-        response_count: how many these are, faded.
-        tokens: sends that its slow-start budget allows.
-        tokens_at: when that was last refilled.
-        owner_count: proxies whose slices hold it.
-        owner: the proxy to whose slice it counts.
-        stepped_capacity: its capacity as found by steps in a recovery.
-        is_stepping: whether that doubles with each round trip (recovery/steps.py).
-        stepped_at: when that was last lowered.
-        work_pace: seconds that a second of work takes, by its last responses in a recovery.
-        attempts: those that `in_flight` counts, in the order sent.
+        peers_in_flight: attempts in flight from the peers, by their rows.
+        relative_latency: its recent durations, relative to the usual ones of their classes.
+        relative_latency_at: when `relative_latency` was last updated.
+        error_rate: fraction of errors in its recent responses.
+        failures: failed attempts since its last response.
+        connection_failures: the part of `failures` where the connection broke or was not established.
+        failing_since: time of the first of `connection_failures`.
+        rejected_first_connections: consecutive rejections of this proxy's first connection.
+        failed_extra_connections: recent connections that failed while this proxy had others to it.
+        failed_extra_connections_at: when `failed_extra_connections` was last updated.
+        last_response_at: when the server last ended an attempt.
+        response_gap: mean time between these ends.
+        retry_at: no attempt is sent before this time.
+        connections_full_at: when it last rejected a connection because its connection table was full.
+        duration_sum: total duration of recent responses to requests with hinted work.
+        work_sum: total hinted work of these requests, in seconds.
+        response_count: number of these responses, decaying.
+        tokens: sends that its slow-start budget permits.
+        tokens_at: when `tokens` was last refilled.
+        owner_count: number of proxies whose slices contain it.
+        owner: the proxy whose slice its keys belong to.
+        stepped_capacity: its capacity as probed in steps during a recovery.
+        is_stepping: whether `stepped_capacity` doubles each round trip (recovery/steps.py).
+        stepped_at: when `stepped_capacity` was last lowered.
+        work_pace: seconds per second of work, by its latest responses in a recovery.
+        attempts: the attempts counted by `in_flight`, in the order sent.
     """
 
     entry: api.Server
@@ -140,14 +142,14 @@
     attempts: list[InFlightAttempt] = field(default_factory=list)
 
     def update(self, entry: api.Server, live: bool) -> tuple[bool, bool]:
-        """Take over its entry of a new list.
+        """Apply the server's entry of a new list.
 
         Args:
             entry: the new entry.
-            live: whether weights follow the server's load.
+            live: whether listed weights follow the server's load.
 
         Returns:
-            Whether its state or zone has changed, and whether its part of the key ring changes.
+            Whether its state or zone has changed, and whether its part of the hash ring changes.
         """
         old, weight = self.entry, self.weight
         if (entry.up_since or 0.0) > (old.up_since or 0.0):  # restarted
@@ -156,7 +158,7 @@
             self.retry_at = 0.0
             self.response_count = 0.0
             self.error_rate = 0.0
-        # Live weights fall with a server's load: its largest is nearest to its size.
+        # Live weights fall with a server's load: the largest one is closest to its size.
         listed = clamp_weight(entry.weight)
         self.weight = max(weight, listed) if live else listed
         self.entry = entry
@@ -166,19 +168,19 @@
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request without a final answer: its attempts, and what they commit it to.
+    """A request without a final answer, its attempts and its deduplication state.
 
     Attributes:
         deadline: when its final answer is due.
-        queue_until: until when it may wait with nothing in flight.
-        key_hash: of its key, or drawn where it has none.
-        attempts_sent: attempts so far.
-        maybe_ran: of these, those that are not known never to have run.
-        dedup_group: the servers that drop duplicates of the first of these.
-        dedup_until: until when they do.
-        body_consumed: its body cannot be sent again.
-        attempts: the servers' ids of the attempts in flight, by number.
-        tried_servers: hashes of the ids of the servers it was sent to.
+        queue_until: end of its time in the queue.
+        key_hash: hash of its key, or random if it has none.
+        attempts_sent: number of attempts so far.
+        maybe_ran: number of these that the server may have run.
+        dedup_group: group of servers that drop duplicates of the first attempt that may have run.
+        dedup_until: end of the deduplication.
+        body_consumed: whether part of its body was released, so that it cannot be sent again.
+        attempts: server ids of the attempts in flight, by attempt number.
+        tried_servers: id hashes of the servers it was sent to.
     """
 
     request: api.Request
@@ -195,10 +197,10 @@
     tried_servers: set[int] = field(default_factory=set)
 
     def start_before(self, entry: api.Server, now: float) -> float:
-        """When the first byte of an attempt that starts there now must be sent at the latest.
+        """Return the latest time for the first byte of an attempt that starts now; `inf` if not limited.
 
-        A class whose duplicates are dropped for a limited time must not be sent after it, which a connection
-        that is established late would do: the server would run the request again.
+        A keyed request must not be sent after its deduplication has ended, as could happen when a connection
+        is established late: the server would run the request again.
         """
         if not self.maybe_ran:
             self.dedup_group = entry.dedup_group(self.request_class.dedup_scope)
--- a/firvane/core/balancing/slices.py
+++ b/firvane/core/balancing/slices.py
@@ -1,7 +1,7 @@
-"""Dealing backends into home slices: every router deals alike from the same two sorted lists.
+"""Assignment of backends to home slices; all routers get the same result from the same two sorted lists.
 
-1. Both lists are walked together and the shorter one wraps, so that each slice has a backend where there is
-   any, and several slices share a backend where owners outnumber backends.
+1. Both lists are traversed together and the shorter one wraps around. So no slice is empty if there is any
+   backend, and several slices share a backend if owners outnumber backends.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def deal(servers: Sequence[Server], owners: Sequence[int]) -> list[tuple[int, Server]]:
-    """The pairs of owner and server by rank; empty where either list is."""
+    """Return the pairs of owner and server, paired by rank; empty if either list is empty."""
     if not servers or not owners:
         return []
     ranks = range(max(len(servers), len(owners)))
--- a/firvane/core/balancing/window.py
+++ b/firvane/core/balancing/window.py
@@ -1,7 +1,7 @@
-"""The arithmetic of a window: from the load of the slices to the shares that move between them.
+"""Computes, once a window, which share of each slice's demand moves to other slices.
 
-A slice is known by the number of its router. All functions are pure, and sums run in the order of the
-mappings handed in, so that equal inputs give equal bits.
+A slice is identified by the index of its proxy or router. All functions are pure, and sums run in the order
+of the given mappings, so that equal inputs give bit-identical results.
 """
 
 from __future__ import annotations
@@ -12,39 +12,39 @@
 from firvane.core.balancing.greedy_pairing import pair
 from firvane.core.balancing.records import total
 
-WINDOW = 0.25  # s; well under the seconds over which demand moves
-SHARE_GAIN = 0.3  # part of the excess that a window adds to the shares: rows are a window or two late
-SHARE_RETENTION = 0.85  # part of a share that a window keeps
-CROSS_ZONE_MARGIN = 0.15  # excess below this part of the target stays in its zone
-MIN_SHARE = 0.01  # a share that has faded to this is dropped
+WINDOW = 0.25  # s; much shorter than the seconds over which demand changes
+SHARE_GAIN = 0.3  # part of the excess that is added per window; not 1, as rows are a window or two late
+SHARE_RETENTION = 0.85  # part of a share that remains after a window
+CROSS_ZONE_MARGIN = 0.15  # excess below this fraction of the target stays in its zone
+MIN_SHARE = 0.01  # smaller shares are dropped
 
-Shares = dict[tuple[int, int], float]  # part of the giver's demand that goes to the taker, by both
+Shares = dict[tuple[int, int], float]  # (source, destination): fraction of the source's demand
 
 
 def growth(forecast: float, arrivals: float, served: float, age: float) -> float:
-    """What a row adds to the load ahead, equation (1): its forecast, and the windows since it arrived.
+    """Return a slice's expected growth, equation (1): the forecast, and the windows since its row arrived.
 
     Args:
-        forecast: requests of the next window.
+        forecast: requests expected in the next window.
         arrivals: requests of the last window.
-        served: answers a second.
+        served: responses a second.
         age: seconds since the row arrived.
     """
     return forecast + age // WINDOW * (arrivals - served * WINDOW)
 
 
 def ahead(load: Mapping[int, float], grown: Mapping[int, float], spread: bool) -> dict[int, float]:
-    """The load of each slice ahead; `spread`: all demand grows alike, as keys spread it over the slices."""
+    """Return the expected load of each slice; `spread`: keys spread demand, all grow by the same factor."""
     if not spread:
         return {n: max(0.0, load[n] + grown[n]) for n in load}
-    swapped = total(grown.values()) / (total(load.values()) or 1.0)
-    return {n: max(0.0, load[n] * (1.0 + swapped)) for n in load}
+    factor = total(grown.values()) / (total(load.values()) or 1.0)
+    return {n: max(0.0, load[n] * (1.0 + factor)) for n in load}
 
 
 def excess(load: Mapping[int, float], target: Mapping[int, float]) -> dict[int, float]:
-    """The free capacity (above 0) or excess (below 0) of each slice.
+    """Return the free capacity (above 0) or excess load (below 0) of each slice.
 
-    What may be chance in a count is no excess: moving it takes keys off their warm servers for nothing.
+    Differences within the random variation of a count are ignored: moving them only costs cache hits.
     """
     theta = {n: target[n] - load[n] for n in load}
     return {n: math.copysign(max(0.0, abs(t) - math.sqrt(target[n])), t) for n, t in theta.items()}
@@ -53,9 +53,9 @@
 def step(
     load: Mapping[int, float], mu: Mapping[int, float], zones: Mapping[int, int], shares: Shares
 ) -> Shares:
-    """The next shares: weighted targets (2, 3), and the greedy pairing (4), zones first.
+    """Return the next shares: weighted targets (2, 3) and greedy pairing (4), within zones first.
 
-    `load` is the load ahead, `mu` what each slice can do, over the same slices; `shares` are the last ones.
+    `load` is the expected load and `mu` the capacity of the same slices; `shares` are the previous ones.
     """
     scale = total(load.values()) / (total(mu.values()) or 1.0)
     target = {n: mu[n] * scale for n in load}
@@ -67,15 +67,15 @@
         flows += pair(by_zone[zone])
         theta.update(by_zone[zone])
     flows += pair({n: min(0.0, t + CROSS_ZONE_MARGIN * target[n]) if t < 0 else t for n, t in theta.items()})
-    following = {k: share * SHARE_RETENTION for k, share in shares.items() if share > MIN_SHARE}
-    for giver, taker, moved in flows:
-        following[giver, taker] = following.get((giver, taker), 0.0) + SHARE_GAIN * moved / load[giver]
-    return following
+    next_shares = {k: share * SHARE_RETENTION for k, share in shares.items() if share > MIN_SHARE}
+    for source, sink, moved in flows:
+        next_shares[source, sink] = next_shares.get((source, sink), 0.0) + SHARE_GAIN * moved / load[source]
+    return next_shares
 
 
 def moves(shares: Shares) -> dict[int, list[tuple[int, float]]]:
-    """The takers of each giver with their shares, in the order of their numbers."""
-    found = dict[int, list[tuple[int, float]]]()
-    for (giver, taker), share in sorted(shares.items()):
-        found.setdefault(giver, []).append((taker, share))
-    return found
+    """Return the destinations of each source slice with their shares, in index order."""
+    destinations = dict[int, list[tuple[int, float]]]()
+    for (source, sink), share in sorted(shares.items()):
+        destinations.setdefault(source, []).append((sink, share))
+    return destinations
